--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -1,6 +1,6 @@
-// Package driver runs one engine, on one goroutine or on one at a time (Share): it takes events from an inbox, carries
-// out effects by the seams of package engine, and keeps those that wait for the store until it has what they need. Every
-// runtime uses it; it decides nothing.
+// Package driver runs an engine on one goroutine, or on one goroutine at a time (see Driver.ShareRounds). It takes events
+// from an inbox and carries out the engine's effects through the engine's interfaces: store, transport and sink. An effect
+// that depends on a record waits until the store has it. Every runtime uses this package. All decisions are the engine's.
 package driver
 
 import (
@@ -18,7 +18,7 @@
 	"curlewmux/ledger"
 )
 
-// Driver runs an engine. Its exported methods may be called from any goroutine, unless they say otherwise.
+// Driver runs an engine. Its exported methods may be called from any goroutine unless they say otherwise.
 type Driver struct {
 	host  host.Host
 	clock engine.Clock
@@ -29,32 +29,32 @@
 	inbox host.Inbox
 	pool  replies
 	share
-	door door // what new work is asked at
+	door door // admission of new messages
 
-	// Of the driver's goroutine, or of whoever has the turn (share.go).
+	// The fields from here on belong to the driver's goroutine, or to whoever holds turn (share.go).
 	gate     engine.Gate
 	now      engine.Now
 	round    uint64
-	made     map[engine.CallID]uint64 // calls that wait for the store, with the round that made them
-	appended engine.Batch             // newest batch that the store has taken and not answered for
-	answered engine.Batch
-	refused  []engine.Batch // batches that the store did not take in this round
-	full     bool
+	made     map[engine.CallID]uint64 // calls that wait for the store, with the round in which the engine made them
+	appended engine.Batch             // newest batch that the store has accepted
+	answered engine.Batch             // newest batch that the store has reported as stored or failed
+	refused  []engine.Batch           // batches that the store did not accept in this round
+	full     bool                     // the store refused the newest of them for lack of room
 	tickets  map[engine.Ticket]host.Inbox
 	ticket   engine.Ticket
 	permits  map[engine.CallID]host.Inbox
-	permit   []bool       // the newest that nobody else waits for
-	idle     []host.Inbox // who waits until no call is out
+	permit   []bool       // the newest permit that no other goroutine waits for
+	idle     []host.Inbox // callers of WaitIdle
 	later    later
 	load     load
 	cuts     cuts // ledger.go
 
-	// OnBreach, where set before the first event, is told of each breach of the ledger that is found, or has healed, on the
-	// driver's goroutine; it must not block.
+	// OnBreach is called with each breach of the ledger that is found or resolved, on the driver's goroutine. It must not
+	// block, and must be set before the first event.
 	OnBreach func(ledger.Breach)
 }
 
-// Seams are what a driver puts together. Store is nil for an engine without one.
+// Components implement the engine's interfaces. Store is nil for an engine without one.
 type Seams struct {
 	Store     engine.Store
 	Transport engine.Transport
@@ -68,8 +68,8 @@
 	_ engine.CallEvents  = (*Driver)(nil)
 )
 
-// New makes a driver for an engine that has handled nothing yet. The clock's Start must be not later than any time that
-// the host tells from now on.
+// New returns a driver for an engine that has handled no event yet. The clock's Start must not be later than any time that
+// the host returns from now on.
 func New(h host.Host, clock engine.Clock, e *engine.Engine, log *slog.Logger) *Driver {
 	return &Driver{
 		host: h, clock: clock, log: log, e: e, inbox: h.NewInbox(), pool: replies{host: h},
@@ -79,7 +79,7 @@
 	}
 }
 
-// What is put into the inbox beside events.
+// Requests that are put into the inbox beside events.
 type (
 	handIn struct {
 		engine.HandIn
@@ -98,13 +98,13 @@
 	whenIdle struct{ reply host.Inbox }
 )
 
-// HandIn is engine.Intake's.
+// HandIn implements engine.Intake.
 func (d *Driver) HandIn(m *engine.Message, deadline time.Time) engine.Verdict {
 	in := &handIn{HandIn: engine.HandIn{Message: *m}, deadline: deadline, reply: d.pool.get()}
 	return d.verdict(d.put(in), in.reply)
 }
 
-// HandInEach is engine.GroupIntake's.
+// HandInEach implements engine.GroupIntake.
 func (d *Driver) HandInEach(list []*engine.Message, deadlines []time.Time) []engine.Verdict {
 	replies, put := make([]host.Inbox, len(list)), make([]bool, len(list))
 	for i, m := range list {
@@ -118,7 +118,7 @@
 	return out
 }
 
-// HandInAll is engine.GroupIntake's.
+// HandInAll implements engine.GroupIntake.
 func (d *Driver) HandInAll(list []*engine.Message, deadlines []time.Time) engine.Verdict {
 	in := &handInAll{deadlines: deadlines, reply: d.pool.get()}
 	for _, m := range list {
@@ -127,7 +127,7 @@
 	return d.verdict(d.put(in), in.reply)
 }
 
-// verdict waits for the answer to what was put into the inbox.
+// verdict waits for the verdict on a request. put tells whether the request got into the inbox.
 func (d *Driver) verdict(put bool, reply host.Inbox) engine.Verdict {
 	stopped := engine.Verdict{Kind: engine.Busy, Again: time.Second, Why: "stopping"}
 	if !put {
@@ -141,24 +141,24 @@
 	return *v
 }
 
-// Offer hands a message in and does not block: the verdict (*engine.Verdict) is put into reply, once, before its
-// message's first call starts and before its Done; a driver that stops without one closes reply. once says that nobody
-// else can hand in the id. Offer returns false once the driver has stopped, and then nothing follows.
+// SubmitAsync submits a message without blocking. The verdict (*engine.Verdict) is put into reply once, before the first call
+// of the message starts and before its engine.Done. A driver that stops without a verdict closes reply. once promises that
+// nobody else submits the same id. SubmitAsync returns false if the driver has stopped, and reply is not used then.
 func (d *Driver) Offer(m *engine.Message, deadline time.Time, once bool, reply host.Inbox) bool {
 	return d.serve(&handIn{HandIn: engine.HandIn{Message: *m, Once: once}, deadline: deadline, reply: reply})
 }
 
-// Withdraw says that nobody wants a message any more.
+// Withdraw tells the engine that the client no longer wants a message.
 func (d *Driver) Withdraw(id string) { d.serve(&engine.Withdraw{ID: id}) }
 
-// Members is engine.Listing's.
+// Members implements engine.Listing.
 func (d *Driver) Members(m *engine.Members) bool { return d.put(m) }
 
-// Through says that the ends of messages have been told.
+// Notified reports that the clients were notified of how these messages ended.
 func (d *Driver) Through(ids []string) { d.put(&engine.Through{IDs: ids}) }
 
-// Stored says, for a store that answers later, up to which batch all is stored; with an error, that the batches behind
-// it up to the newest appended are not.
+// Stored is called by a store that writes asynchronously. All batches up to b are stored. With an error, the later ones up
+// to the newest appended batch are not.
 func (d *Driver) Stored(b engine.Batch, err error) { d.put(&storeTold{b, err}) }
 
 type storeTold struct {
@@ -166,7 +166,7 @@
 	err   error
 }
 
-// MayWrite is engine.CallEvents'.
+// MayWrite implements engine.CallEvents.
 func (d *Driver) MayWrite(id engine.CallID) []bool {
 	q := &mayWrite{call: id, reply: d.pool.get()}
 	if !d.serve(q) {
@@ -177,24 +177,24 @@
 	return ok
 }
 
-// FirstLine is engine.CallEvents'.
+// FirstLine implements engine.CallEvents.
 func (d *Driver) FirstLine(id engine.CallID) { d.put(&engine.FirstLine{Call: id}) }
 
-// Ended is engine.CallEvents'.
+// Ended implements engine.CallEvents.
 func (d *Driver) Ended(id engine.CallID, outs []engine.Outcome) {
 	d.serve(&engine.Ended{Call: id, Outcomes: outs})
 }
 
-// Tell gives the engine an event, behind all that was told before.
+// Post queues an event for the engine behind all earlier ones.
 func (d *Driver) Tell(ev engine.Event) { d.put(ev) }
 
-// Resend hands in a message that is sent again from the store of undelivered ones. It does not block: told is called with
-// the verdict, once, on the driver's goroutine; a driver that stops may never call it.
+// Resend submits a message from the store of undelivered messages without blocking. told is called once with the verdict, on
+// the driver's goroutine. A driver that stops may never call it.
 func (d *Driver) Resend(in *engine.HandIn, deadline time.Time, told func(engine.Verdict)) {
 	d.put(&handIn{HandIn: *in, deadline: deadline, reply: tell(told)})
 }
 
-// tell is an inbox whose only value is taken at once.
+// tell is an inbox that passes its only value to a function at once.
 type tell func(engine.Verdict)
 
 func (f tell) Put(v any) bool {
@@ -204,16 +204,16 @@
 func (tell) Take(into []any, _ time.Time) []any { return into }
 func (tell) Close() []any                       { return nil }
 
-// Do runs f on the driver's goroutine, between two events. f may look at the engine and must not block, but for what the
-// driver's own store writes. Do returns false once the driver has stopped: then f is not run, nor where it stops first.
+// Do runs f on the driver's goroutine between two events. f may read the engine. It must not block, except for writes of the
+// driver's own store. Do returns false if the driver has stopped. f is not run then, nor if the driver stops before its turn.
 func (d *Driver) Do(f func()) bool { return d.put(do(f)) }
 
 type do func()
 
-// Stop begins a planned stop: no call starts any more.
+// Stop begins a planned stop: no further call starts.
 func (d *Driver) Stop() { d.put(&engine.Stop{}) }
 
-// Idle waits until no call is out, but no longer than until the moment given, and tells whether it came to that.
+// WaitIdle waits until no call is under way, or until the given time. It reports whether no call was left.
 func (d *Driver) Idle(until time.Time) bool {
 	q := &whenIdle{d.host.NewInbox()}
 	if !d.put(q) {
@@ -222,12 +222,12 @@
 	return take(q.reply, until) != nil
 }
 
-// Quit ends Run. What was handed in and not answered is told that the driver stops.
+// Quit ends Run. Submissions without a verdict are answered that the driver is stopping.
 func (d *Driver) Quit() { d.put(quit{}) }
 
 type quit struct{}
 
-// Run handles what comes until Quit. Before it is called, Handle may be.
+// Run handles events until Quit. Events from before Run are given to Handle.
 func (d *Driver) Run() {
 	if d.load.probe != nil {
 		defer d.load.probe.Close()
@@ -245,7 +245,7 @@
 	}
 }
 
-// makeRound handles what has come. It returns true once it has met Quit, and then the driver has ended.
+// makeRound handles the values that were taken from the inbox. It returns true after a quit: the driver has ended then.
 func (d *Driver) makeRound(list []any) (over bool) {
 	d.begin()
 	took := 0
@@ -287,11 +287,11 @@
 	return false
 }
 
-// until is how long to wait for something to come.
+// until returns the time at which the next round is due even if nothing arrives. Zero means never.
 func (d *Driver) until() time.Time {
 	switch at, ok := d.e.Next(); {
 	case len(d.later.list) > 0:
-		return d.clock.Start // not at all
+		return d.clock.Start // is past: do not wait
 	case len(d.load.waiting) > 0:
 		return d.clock.Time(engine.Time(d.load.sent.Load())).Add(probeLost)
 	case ok:
@@ -300,8 +300,8 @@
 	return time.Time{}
 }
 
-// wake lets the engine do what is due, once all calls of its last Step have started: else it would go on making calls
-// that wait here, and would reckon with them as if they were out.
+// wake lets the engine do what is due. It waits until all calls of the engine's last step have started. Otherwise the engine
+// would make ever more calls that wait here, and would count them as calls under way.
 func (d *Driver) wake() {
 	if len(d.load.waiting) > 0 {
 		return
@@ -311,9 +311,9 @@
 	}
 }
 
-// Handle handles events before Run, on the goroutine that will call it.
+// Handle handles events before Run, on the goroutine that will call Run.
 func (d *Driver) Handle(events ...engine.Event) {
-	d.turn.Lock() // what the seams tell meanwhile waits for Run
+	d.turn.Lock() // events that the components report meanwhile wait for Run
 	defer d.turn.Unlock()
 	d.begin()
 	for _, ev := range events {
@@ -323,16 +323,16 @@
 	d.measure()
 }
 
-// Engine is the engine, for figures before Run and after it.
+// Engine returns the engine, for reading it before or after Run.
 func (d *Driver) Engine() *engine.Engine { return d.e }
 
-// begin starts a round: one look at the clocks serves for all of it.
+// begin starts a round. The clocks are read once for the whole round.
 func (d *Driver) begin() {
 	d.round++
 	d.now = engine.Now{At: d.clock.At(d.host.Now()), Wall: engine.StampOf(d.host.Wall())}
 }
 
-// take handles what came out of the inbox.
+// take handles one value from the inbox.
 func (d *Driver) take(v any) {
 	switch v := v.(type) {
 	case *handIn:
@@ -367,7 +367,7 @@
 	}
 }
 
-// handle gives the engine one event and carries out what may be at once.
+// handle gives the engine an event and carries out the effects that need not wait for the store.
 func (d *Driver) handle(ev engine.Event) {
 	var buf [8]engine.Effect
 	free := buf[:0]
@@ -398,7 +398,7 @@
 	}
 }
 
-// flush lets the store write what this round appended and takes up what it says, until nothing new is appended.
+// flush lets the store write what this round appended and handles its result, until nothing further is appended.
 func (d *Driver) flush() {
 	if s, ok := d.Store.(engine.Aging); ok {
 		s.Tick(d.now.Wall)
@@ -408,12 +408,12 @@
 		b, err := d.Store.Flush()
 		d.told(b, err)
 		if err == nil && b < newest {
-			return // it answers later
+			return // the store calls Stored later
 		}
 	}
 }
 
-// told takes up what the store says.
+// told handles a report of the store: batches up to b are stored, and with an error all later ones failed.
 func (d *Driver) told(b engine.Batch, err error) {
 	if b > d.answered {
 		d.answered = b
@@ -433,7 +433,7 @@
 	d.answered = max(d.answered, last)
 }
 
-// carryOut does what the engine wants done.
+// carryOut carries out effects.
 func (d *Driver) carryOut(effects []engine.Effect) {
 	for _, f := range effects {
 		switch f := f.(type) {
@@ -488,8 +488,8 @@
 	}
 }
 
-// call starts a call. One that waited for the store for more than its own round asks first whether it still may: much
-// can have changed.
+// call starts a call. A call that waited beyond the round that made it needs a new permit of the engine first, because its
+// endpoint or its messages may have changed meanwhile.
 func (d *Driver) call(c *engine.Call) {
 	made, waited := d.made[c.ID]
 	delete(d.made, c.ID)
@@ -513,16 +513,16 @@
 	}
 }
 
-// ask asks the engine for a permit on the driver's own goroutine.
+// ask returns the engine's permit for each item of a call. It is for the driver's own goroutine.
 func (d *Driver) ask(id engine.CallID) []bool {
 	d.permit = nil
 	d.handle(&engine.MayWrite{Call: id})
 	return d.permit
 }
 
-// finish ends the driver: who still waits is told so.
+// finish ends the driver and answers all who still wait. left are values from the inbox that no round has handled.
 func (d *Driver) finish(left []any) {
-	d.handle(&engine.Stop{}) // it sees a step of the wall clock that came while all was idle: the next process could not
+	d.handle(&engine.Stop{}) // records a step of the wall clock since the last event, which the next process could not notice
 	d.flush()
 	left = append(left, d.shut()...)
 	for _, v := range left {
@@ -537,13 +537,13 @@
 			v.reply.Put(true)
 		case *whenCut:
 			v.reply.Close()
-		case engine.Event: // what has happened is recorded, if it can be
+		case engine.Event: // still recorded if possible
 			d.handle(v)
 		}
 	}
 	d.flush()
 	for _, t := range slices.Sorted(maps.Keys(d.tickets)) {
-		// Its record may be on the way to the store: nothing can be promised.
+		// Its record may still get into the store, so nothing can be promised.
 		d.tickets[t].Put(&engine.Verdict{Kind: engine.Unsure, Why: "stopping while the store has not answered"})
 		delete(d.tickets, t)
 	}
@@ -560,14 +560,14 @@
 	return nil
 }
 
-// replies are inboxes for one answer each, used again and again.
+// replies is a pool of inboxes that receive one reply at a time.
 type replies struct {
 	host host.Host
 	mu   sync.Mutex
 	free []host.Inbox
 }
 
-const mostReplies = 64
+const mostReplies = 64 // inboxes that the pool keeps
 
 func (p *replies) get() host.Inbox {
 	p.mu.Lock()
--- a/internal/driver/ledger.go
+++ b/internal/driver/ledger.go
@@ -9,27 +9,27 @@
 	"curlewmux/ledger"
 )
 
-// cuts are snapshots of the engine's books that somebody waits for. One is made at a time, for all who asked before it,
-// so that any number of readers costs no more than a few.
+// cuts tracks snapshots of the engine's ledger that readers wait for. One snapshot at a time is taken, for all readers that
+// asked before it, so that many readers cost no more than a few.
 type cuts struct {
-	out, next []host.Inbox // who waits for the one under way, and for the one behind it
+	out, next []host.Inbox // readers that wait for the snapshot under way, and for the one after it
 	ticket    engine.Ticket
-	asked     engine.Time
+	asked     engine.Time // when the snapshot under way was requested
 	last      *ledger.Snapshot
-	lastAt    engine.Time
+	lastAt    engine.Time // when last was requested
 }
 
 type whenCut struct{ reply host.Inbox }
 
 const (
 	mostCuts = 256                       // readers that wait at once
-	cutYoung = 10 * control.Millisecond  // a cut is shown again for so long
-	cutLost  = 500 * control.Millisecond // the batch that one waits for may have failed: then another is made
+	cutYoung = 10 * control.Millisecond  // for which a snapshot is given to further readers
+	cutLost  = 500 * control.Millisecond // after which a snapshot is requested again: its batch may have failed
 )
 
-// Ledger is a consistent cut through the engine's books, which all who ask at one time share: nobody may change it. It
-// shows only what the store has, unless it says that it is provisional. nil: no books are kept, the store did not answer
-// until the moment given, or too many ask at once. It may be called from any goroutine, and blocks.
+// Ledger returns a snapshot of the engine's ledger. Concurrent readers share it, so it must not be modified. It contains only
+// what is stored, unless it is marked as provisional. The result is nil if the engine keeps no ledger, if the store has not
+// responded by the given time, or if too many readers wait. Ledger may be called from any goroutine, and blocks.
 func (d *Driver) Ledger(until time.Time) *ledger.Snapshot {
 	q := &whenCut{d.host.NewInbox()}
 	if !d.put(q) {
@@ -39,11 +39,11 @@
 	return s
 }
 
-// AskLedger is Ledger for those who can't wait: told is called with the cut on the driver's goroutine, and must not block.
-// It may never be called, where the store does not answer or the driver stops.
+// LedgerAsync requests a snapshot without blocking: told is called with it on the driver's goroutine, and must not block. It
+// may never be called if the store does not respond or the driver stops.
 func (d *Driver) AskLedger(told func(*ledger.Snapshot)) bool { return d.put(&whenCut{tellCut(told)}) }
 
-// tellCut is an inbox whose only value is taken at once.
+// tellCut is an inbox that passes its only value to a function at once.
 type tellCut func(*ledger.Snapshot)
 
 func (f tellCut) Put(v any) bool {
@@ -53,7 +53,7 @@
 func (tellCut) Take(into []any, _ time.Time) []any { return into }
 func (tellCut) Close() []any                       { return nil }
 
-// cut has a reader wait for a cut.
+// cut answers a reader with a recent snapshot or has it wait for the next one.
 func (d *Driver) cut(reply host.Inbox) {
 	c := &d.cuts
 	switch lost := d.now.At-c.asked > cutLost; {
@@ -64,7 +64,7 @@
 	case len(c.out) == 0 || lost:
 		c.out = append(append(c.out, c.next...), reply)
 		if c.next = nil; len(c.out) > mostCuts {
-			for _, r := range c.out[:len(c.out)-1] { // they have given up long ago
+			for _, r := range c.out[:len(c.out)-1] { // these readers have stopped waiting long ago
 				r.Close()
 			}
 			c.out = c.out[len(c.out)-1:]
@@ -81,11 +81,11 @@
 	d.handle(&engine.AskLedger{Ticket: d.ticket})
 }
 
-// shown passes a cut on.
+// shown passes a snapshot to the readers that wait for it.
 func (d *Driver) shown(f *engine.Shown) {
 	c := &d.cuts
 	if f.Ticket != c.ticket {
-		return // another has been asked for since
+		return // a newer one was requested since
 	}
 	out := c.out
 	c.out, c.next, c.last, c.lastAt = c.next, nil, f.Snapshot, c.asked
@@ -108,7 +108,7 @@
 	c.out, c.next = nil, nil
 }
 
-// breached tells operators of a breach.
+// breached logs a breach that was found or resolved.
 func (d *Driver) breached(f *engine.Breached) {
 	list := []any{
 		"class", f.Key.Class, "dest", f.Key.Dest, "tenant", f.Key.Tenant, "other", f.Key.Other, "of", f.What,
--- a/internal/driver/load.go
+++ b/internal/driver/load.go
@@ -11,14 +11,14 @@
 	"curlewmux/internal/host"
 )
 
-// door is where new work asks whether there is a core for it.
+// door guards the admission gate, which decides whether the process has the CPU for another message.
 type door struct {
 	mu   sync.Mutex
 	gate *admission.Gate
 }
 
-// Admit tells whether there is a core for one more message, and if not, after how long it may come again. Fronts ask
-// before they read a body, from any goroutine; it does not block. now is the host's time.
+// Admit reports whether the process has the CPU for one more message, and if not, after how long the client may retry.
+// Fronts call it before they read a body, from any goroutine. It does not block. now is the time of the host.
 func (d *Driver) Admit(now time.Time) (again time.Duration, ok bool) {
 	d.door.mu.Lock()
 	defer d.door.mu.Unlock()
@@ -26,14 +26,14 @@
 	return engine.Span(after), ok
 }
 
-// newWork is how much new work a round takes at most. With more the rest waits for the rounds to come, and what happens
-// meanwhile goes first: nothing that was taken waits behind what comes.
+// newWork is the number of submissions that one round handles. The rest waits for later rounds, so that events of accepted
+// messages never wait behind new ones.
 const newWork = 256
 
-// later is new work that waits for the next rounds, oldest first, and what came behind it for the same messages.
+// later holds submissions that wait for the next rounds, oldest first, and withdrawals of these messages.
 type later struct {
 	list []any
-	ids  map[string]int // how often each is in the list
+	ids  map[string]int // how often each message id is in the list
 }
 
 func (l *later) add(v any) {
@@ -48,7 +48,7 @@
 
 func (l *later) has(id string) bool { return l.ids[id] > 0 }
 
-// take takes so many out at most.
+// take removes and returns up to n of the oldest values.
 func (l *later) take(n int) []any {
 	n = min(n, len(l.list))
 	out := l.list[:n:n]
@@ -65,7 +65,7 @@
 	return out
 }
 
-// idsOf are the ids of the messages that new work is about.
+// idsOf returns the ids of the messages that a submission or withdrawal is about.
 func idsOf(v any) (ids []string) {
 	switch v := v.(type) {
 	case *handIn:
@@ -80,33 +80,34 @@
 	return ids
 }
 
-// load is what the driver knows of how much the process has to do. Now and then it sends a probe through the queue of all
-// that is ready; the probe's time is how late everything is. Between two probes only so many calls start, the others
-// wait here: where more is begun than gets its turn, each takes longer, and needs a connection of its own meanwhile.
+// load measures how late the process is and limits how fast calls start. At intervals the driver sends a probe through the
+// run queue of the machine. The time until the probe is back is the delay of all work. Between two probes only lot calls
+// start, the others wait here. If more started than the CPU can serve, each would take longer, and each would need a
+// connection of its own meanwhile.
 type load struct {
-	probe   host.Probe // nil: the host can't be late
-	out     bool       // the probe is ...
-	sent    atomic.Int64
-	seen    engine.Time    // when it was last told that the probe is still out
-	handIns int            // since it was sent, or since there was need for none
-	started int            // calls, the same
+	probe   host.Probe     // nil: delay is not measured
+	out     bool           // the probe is under way
+	sent    atomic.Int64   // engine.Time at which it was sent
+	seen    engine.Time    // when the gate was last informed that the probe is still under way
+	handIns int            // submissions since the last probe was sent, or found unnecessary
+	started int            // calls started since then
 	waiting []*engine.Call // to be started, oldest first
-	done    int            // messages that ended since the gate was told
+	done    int            // messages that ended since the gate was last informed
 }
 
 const (
-	lot       = 256 // calls that start between two probes
-	fewEach   = 8   // so few calls and hand-ins within a gap need no probe
-	probeGap  = 5 * control.Millisecond
-	probeSeen = 50 * control.Millisecond // between two times that a probe which is still out counts as late
-	probeLost = 1 * time.Second          // a probe that is not back by then won't come back
+	lot       = 256                      // calls that start between two probes
+	fewEach   = 8                        // calls and submissions since the last probe; fewer need no new one
+	probeGap  = 5 * control.Millisecond  // between two probes
+	probeSeen = 50 * control.Millisecond // between two reports to the gate that a probe is still under way
+	probeLost = 1 * time.Second          // after which a probe is taken to be lost
 )
 
-// probeBack is the probe when it is back.
+// probeBack reports that the probe is back.
 type probeBack struct{ late engine.Time }
 
-// Watch has the driver measure how late the process is, where the host can be late. It is called before Run, by a runtime
-// that has the process for itself; without it nothing is late.
+// MeasureLag has the driver measure how late the process is, if the host supports it. A runtime that has the process for
+// itself calls it before Run. Without it the delay counts as zero.
 func (d *Driver) Watch() {
 	p, ok := d.host.(host.Prober)
 	if !ok {
@@ -122,16 +123,16 @@
 	d.load.probe = probe
 }
 
-// mayStart tells whether one more call may start before the next probe.
+// mayStart reports whether another call may start before the next probe.
 func (l *load) mayStart() bool {
 	return l.probe == nil || l.started < lot
 }
 
-// start starts a call, or has it wait.
+// start starts a call or queues it.
 func (d *Driver) start(c *engine.Call) {
 	if l := &d.load; len(l.waiting) > 0 || !l.mayStart() {
 		if _, held := d.made[c.ID]; !held {
-			d.made[c.ID] = 0 // no round's: it asks again before it starts
+			d.made[c.ID] = 0 // no round has this number, so the call needs a new permit before it starts
 		}
 		l.waiting = append(l.waiting, c)
 		return
@@ -140,7 +141,7 @@
 	d.call(c)
 }
 
-// startWaiting starts calls that wait, as many as may.
+// startWaiting starts as many queued calls as are allowed.
 func (d *Driver) startWaiting() {
 	l := &d.load
 	n := 0
@@ -155,8 +156,8 @@
 	}
 }
 
-// measure ends a round: what waits starts if it may, the probe is sent if there is something to measure, and the gate
-// hears what has ended.
+// measure ends a round. It starts queued calls, sends the probe if there is work whose delay can be measured, and informs the
+// gate of messages that ended and of a probe that is late.
 func (d *Driver) measure() {
 	l := &d.load
 	d.startWaiting()
@@ -170,9 +171,9 @@
 			l.probe.Send()
 		}
 		l.started, l.handIns = 0, 0
-		d.startWaiting() // behind the probe: the next lot
+		d.startWaiting() // the next lot runs behind the probe
 	}
-	out := engine.Time(0) // how long the probe has been out by now, if that is to be told
+	out := engine.Time(0) // how long the probe has been under way, if the gate is to be informed
 	if sent := engine.Time(l.sent.Load()); l.out && d.now.At-max(sent, l.seen) >= probeSeen {
 		l.seen, out = d.now.At, d.now.At-sent
 	}
@@ -189,7 +190,7 @@
 	}
 }
 
-// back takes the probe back.
+// back handles the return of the probe.
 func (d *Driver) back(p *probeBack) {
 	d.load.out, d.load.started = false, 0
 	d.door.mu.Lock()
--- a/internal/driver/share.go
+++ b/internal/driver/share.go
@@ -7,38 +7,39 @@
 	"curlewmux/engine"
 )
 
-// share lets the goroutines that tell a driver something make its rounds themselves: a caller who can be answered at once
-// hands over to no other goroutine, whose thread may first have to be woken. Run makes the rounds that nobody else does:
-// those at times that the engine names, and those of what is told by callers who must not be kept.
+// share lets the goroutines that call a driver make its rounds themselves. This saves the switch to another goroutine, whose
+// thread may have to be woken first. Run makes the remaining rounds: those at times that the engine asked for, and those for
+// callers that must not be delayed.
 type share struct {
 	shared bool
 
-	turn   sync.Mutex     // held by whoever makes rounds
-	sleeps time.Time      // under turn: Run waits until then unless it is woken; zero: it has not begun
-	taken  []any          // under turn: room for what a round takes
-	notes  []*engine.Note // under turn: for Run to log
+	turn   sync.Mutex     // held by the goroutine that makes rounds; guards the next three fields
+	sleeps time.Time      // Run sleeps until then unless it is woken; zero before Run has begun
+	taken  []any          // buffer for the values that a round handles
+	notes  []*engine.Note // for Run to log
 
 	mu    sync.Mutex
-	queue []any // of no round yet
-	over  bool  // nothing is taken any more
-	crowd bool  // as of the newest round
+	queue []any // values that no round has taken yet
+	over  bool  // the driver has stopped: nothing is queued any more
+	crowd bool  // more than crowded messages were open at the newest round
 }
 
-// Share lets callers of Offer, Withdraw, Ended and MayWrite make rounds, so these must hold no lock then that the seams
-// take. It is called before all else, and where there is no store: in a round nothing may block.
+// ShareRounds lets callers of SubmitAsync, Withdraw, Ended and MayWrite make rounds. They must not hold a lock that the
+// driver's components take. It must be called before all other methods, and only for a driver without a store, because a round must not
+// block.
 func (d *Driver) Share() { d.shared = true }
 
-// crowded is from how many open messages on rounds are Run's alone: it takes what many have told in one of them, which
-// costs them less together than a round for each.
+// crowded is the number of open messages above which Run alone makes rounds. One round for the values of many callers costs
+// less than a round for each.
 const crowded = 16
 
-// passes bounds the rounds that one caller makes, most of them for others.
+// passes is the number of rounds that one caller makes at most. All but the first are mostly for others.
 const passes = 4
 
-// woken is put into the inbox to wake Run, which then takes from the queue.
+// woken is put into the inbox to wake Run, which then handles the queue.
 type woken struct{}
 
-// put leaves something to Run. It returns false once the driver has stopped.
+// put queues a value for Run. It returns false if the driver has stopped.
 func (d *Driver) put(v any) bool {
 	if !d.shared {
 		return d.inbox.Put(v)
@@ -47,8 +48,8 @@
 	return ok && d.inbox.Put(woken{})
 }
 
-// serve makes the round that takes something up, unless somebody else is at it. It returns false once the driver has
-// stopped.
+// serve queues a value and makes the round that handles it, unless another goroutine is making rounds. It returns false if
+// the driver has stopped.
 func (d *Driver) serve(v any) bool {
 	if !d.shared {
 		return d.inbox.Put(v)
@@ -57,8 +58,8 @@
 	if !ok || crowd {
 		return ok && d.inbox.Put(woken{})
 	}
-	// Who finds the turn taken leaves it to the holder, who looks into the queue again once the turn is given back. That is
-	// so for what the seams tell from within a round, too.
+	// A caller that finds the turn taken leaves its value to the holder, who checks the queue again after releasing the turn.
+	// The same holds for values that components queue from within a round.
 	for n := 1; d.waiting() && d.turn.TryLock(); n++ {
 		leave := d.makeRounds() || n == passes
 		late := d.sleeps.IsZero() || d.until().Before(d.sleeps) || len(d.notes) > 0 // Run would sleep too long
@@ -89,7 +90,7 @@
 	return len(d.queue) > 0
 }
 
-// makeRounds makes a round of what is in the queue, by whoever has the turn. It returns true once the driver has ended.
+// makeRounds makes a round for the values in the queue. The caller holds turn. It returns true once the driver has ended.
 func (d *Driver) makeRounds() (over bool) {
 	d.mu.Lock()
 	if d.over {
@@ -102,7 +103,7 @@
 	return d.makeRound(d.taken)
 }
 
-// runShared is Run where rounds are shared.
+// runShared is Run for a driver whose rounds are shared.
 func (d *Driver) runShared() {
 	var list []any
 	for {
@@ -113,19 +114,19 @@
 		notes := d.notes
 		d.notes = nil
 		d.turn.Unlock()
-		for _, f := range notes { // the logger may be a program's: what it does is no part of a round
+		for _, f := range notes { // outside of the round, as the logger may belong to the program and block
 			d.note(f)
 		}
 		if over {
 			return
 		}
-		if !d.waiting() { // by somebody who found the turn taken
+		if !d.waiting() { // values may have been queued while the turn was taken
 			list = d.inbox.Take(list[:0], until)
 		}
 	}
 }
 
-// shut takes nothing more, and returns what is of no round.
+// shut stops queueing and returns the values that no round has taken.
 func (d *Driver) shut() []any {
 	if !d.shared {
 		return d.inbox.Close()
--- a/ledger/breach.go
+++ b/ledger/breach.go
@@ -1,40 +1,41 @@
 package ledger
 
-// What a breach is of. The first figure is the books', the second the other side's.
+// Checks that a breach can be about. Breach.Booked is the first value named here, Breach.Counted the second.
 const (
-	Messages   = "messages"          // what came in, and what went out or is open
-	AttemptsOf = "attempts"          // sent, and answered, refused, silent or out
-	DoubtOf    = "doubt"             // opened, and twice, unsure or open
-	MovesOf    = "moves"             // what came in from other accounts, and what left them
-	LiveOpen   = "open messages"     // open in the books, and live messages counted
-	LiveDoubt  = "open doubt"        // in doubt in the books, and live messages counted that are
-	LiveOut    = "attempts out"      // out in the books, and items counted of calls that are out
-	Restarted  = "open at the start" // open in the books that the store had, and live messages that it had
-	ServedAs   = "served"            // posted by this process, and messages that ended so, counted; the same for the next two
+	Messages   = "messages"          // what came in; what ended, moved out or is open
+	AttemptsOf = "attempts"          // sent; answered, refused, unanswered or out
+	DoubtOf    = "doubt"             // opened; twice, unresolved or open
+	MovesOf    = "moves"             // moved into accounts; moved out of accounts or reopened
+	LiveOpen   = "open messages"     // open in the ledger; live messages counted by the audit
+	LiveDoubt  = "open doubt"        // in doubt in the ledger; live messages in doubt counted by the audit
+	LiveOut    = "attempts out"      // out in the ledger; items of calls under way counted by the audit
+	Restarted  = "open at the start" // open in the stored ledger; live messages in the store
+	ServedAs   = "served"            // posted by this process; messages that the engine counted as they ended; the next two likewise
 	RefusedAs  = "refused"
 	FailedAs   = "failed"
-	InStore    = "store"  // the first figure that differs, as it was written and as the store has it
-	Totals     = "totals" // of a snapshot: its total, and its accounts
+	InStore    = "store"  // the first count that differs: as written; as stored
+	Totals     = "totals" // the total of a snapshot; the sum of its accounts
 )
 
-// Breach is figures that do not add up, and since when.
+// Breach is a failed check of the ledger: two values that must be equal and are not.
 type Breach struct {
 	Key     Key    `json:"account"`
 	What    string `json:"what"`
 	Books   Count  `json:"books"`
 	Counted Count  `json:"counted"`
-	At      int64  `json:"at,string"`               // wall time in microseconds since 1970, like Healed
-	Healed  int64  `json:"healed,string,omitempty"` // 0: it stands
+	At      int64  `json:"at,string"`               // when it was found: wall time in microseconds since 1970
+	Healed  int64  `json:"healed,string,omitempty"` // when the values agreed again or changed; 0 while the breach stands
 }
 
-// place is where a breach may be.
+// place identifies what a check compares: a check of an account, or of all accounts if the key is zero.
 type place struct {
 	key  Key
 	what string
 }
 
-// Compare takes up two figures that must be equal. A breach that stands and has not changed is left as it is; one that
-// has is a further one; one that has gone stays on record.
+// Compare checks two values that must be equal and records a breach if they are not. A standing breach with the same
+// difference is left as it is. If the difference has changed, the old breach is resolved and a new one recorded. Resolved
+// breaches stay on record.
 func (l *Ledger) Compare(k Key, what string, books, counted Count) {
 	if books == counted && len(l.standing) == 0 && len(l.beyond) == 0 {
 		return
@@ -74,12 +75,12 @@
 	l.breaches = append(l.breaches, b)
 }
 
-// Fresh are the breaches that were found or healed since it was last called.
+// TakeNewBreaches returns the breaches that were found or resolved since the last call.
 func (l *Ledger) Fresh() []Breach {
 	out := l.fresh
 	l.fresh = nil
 	return out
 }
 
-// Standing is how many breaches there are now.
+// StandingBreaches returns the number of breaches that are not resolved.
 func (l *Ledger) Standing() int { return len(l.standing) + len(l.beyond) }
--- a/ledger/count.go
+++ b/ledger/count.go
@@ -6,16 +6,17 @@
 	"strconv"
 )
 
-// Count is a figure. In JSON it is a string, as many readers hold 53 bits only; a number is read, too.
+// Count is a 64-bit count. It is written to JSON as a string, because many JSON readers keep only 53 bits of a number.
+// Reading accepts strings and numbers.
 type Count uint64
 
-// MarshalJSON writes it as a string of decimal digits.
+// MarshalJSON writes the count as a string of decimal digits.
 func (c Count) MarshalJSON() ([]byte, error) {
 	b := append(make([]byte, 0, 22), '"')
 	return append(strconv.AppendUint(b, uint64(c), 10), '"'), nil
 }
 
-// UnmarshalJSON reads decimal digits, in quotes or not.
+// UnmarshalJSON reads decimal digits, with or without quotes.
 func (c *Count) UnmarshalJSON(text []byte) error {
 	if len(text) > 1 && text[0] == '"' && bytes.HasSuffix(text, []byte{'"'}) {
 		text = text[1 : len(text)-1]
--- a/ledger/fleet.go
+++ b/ledger/fleet.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Back is a figure that stepped back within an epoch, which none ever may.
+// Decrease is a count that fell within an epoch although it may only grow.
 type Back struct {
 	Key    Key    `json:"account"`
 	Figure string `json:"figure"`
@@ -14,26 +14,26 @@
 	After  Count  `json:"after"`
 }
 
-// Change is an account in two snapshots.
+// Change holds the counts of an account in two snapshots.
 type Change struct {
 	Key    Key     `json:"account"`
 	Before Figures `json:"before"`
 	After  Figures `json:"after"`
 }
 
-// Difference is what changed between two snapshots.
+// Difference describes what changed between two snapshots of one dispatcher.
 type Difference struct {
 	Instance string   `json:"instance"`
-	Span     int64    `json:"span,string"` // wall time from the first to the second, in microseconds; a stepped clock may make it negative
-	Anew     bool     `json:"anew"`        // the epochs differ: figures began anew in between, and Back is empty
+	Span     int64    `json:"span,string"` // wall time from the older to the newer one, in microseconds; negative if the clock was stepped back
+	Anew     bool     `json:"anew"`        // the epochs differ: counting began again in between, so Decreases is empty
 	Epochs   [2]Epoch `json:"epochs"`
-	Changes  []Change `json:"changes"` // accounts that changed
+	Changes  []Change `json:"changes"` // accounts that changed, sorted by Key.Compare
 	Total    Change   `json:"total"`
 	Back     []Back   `json:"back"`
-	Excused  bool     `json:"excused"` // the first one was provisional: a crash may have taken figures back
+	Excused  bool     `json:"excused"` // the older one was provisional, so that a crash may explain decreases
 }
 
-// Diff compares two snapshots of one dispatcher, the older first. It fails where they are of two.
+// Diff compares two snapshots of one dispatcher, the older first. It fails if they are of different dispatchers.
 func Diff(a, b *Snapshot) (*Difference, error) {
 	if a.Instance != b.Instance {
 		return nil, fmt.Errorf("diff: snapshots of two dispatchers, %q and %q", a.Instance, b.Instance)
@@ -74,29 +74,30 @@
 	return d, nil
 }
 
-// Part is what one ledger of a fleet brings to its sum.
+// FleetPart describes one ledger in the sum over a fleet: one epoch of one instance.
 type Part struct {
 	Instance string `json:"instance"`
 	Epoch    Epoch  `json:"epoch"`
 	Wall     int64  `json:"wall,string"`
-	Behind   int64  `json:"behind,string"` // microseconds by which it is older than the newest of all
-	Open     Count  `json:"open"`          // when it was taken
-	Left     Count  `json:"left"`          // of an epoch that is over: open then, and not brought into the next one
-	Standing int    `json:"standing"`      // breaches
+	Behind   int64  `json:"behind,string"` // microseconds by which its snapshot is older than the newest one of the fleet
+	Open     Count  `json:"open"`          // messages open in the snapshot
+	Left     Count  `json:"left"`          // open messages of an ended epoch that were not carried over into the next one
+	Standing int    `json:"standing"`      // breaches that stand
 }
 
-// Fleet is the sum over several ledgers. In Total and Accounts Open is of ledgers that go on; what epochs that are over
-// left open is in Left. So Brought + Taken + In = Served + Refused + Failed + Out + Open + Left, less what was brought from
-// an epoch that is summed as well, which counts once.
+// Fleet is the sum over several ledgers. Open counts messages of current epochs only. What ended epochs left open is in
+// Unaccounted. Messages that were carried over from an epoch that is part of the sum count once. Hence
+//
+//	CarriedOver + Accepted + MovedIn = Delivered + Refused + Failed + MovedOut + Open + Unaccounted
 type Fleet struct {
 	Format   int     `json:"format"`
 	Accounts []Line  `json:"accounts"`
 	Total    Figures `json:"total"`
-	Parts    []Part  `json:"parts"` // by instance, then by begin
+	Parts    []Part  `json:"parts"` // by instance, then by the time at which the epoch began
 	Left     []Left  `json:"left"`  // by account
 }
 
-// Left is what epochs that are over left open in an account: nobody knows what became of these messages.
+// Unaccounted counts messages of an account that an ended epoch left open. What became of them is unknown.
 type Left struct {
 	Key      Key    `json:"account"`
 	Instance string `json:"instance"`
@@ -104,10 +105,10 @@
 	Open     Count  `json:"open"`
 }
 
-// Sum adds snapshots of a fleet up. Of several of one ledger (instance and epoch) the one that has got on most counts. Of
-// one instance the epoch that began last goes on, and the others are over: what these had open and the next one did not
-// bring along is left. A machine that is lost has no next epoch: its Part says how long ago it was heard of, and its Open
-// is what it leaves.
+// Sum adds up the snapshots of a fleet. Of several snapshots of one epoch of an instance, the most advanced one counts. The
+// epoch of an instance that began last is its current one, the others have ended: messages that they had open and the next
+// epoch did not carry over are unaccounted for. An instance whose machine is lost has no next epoch. Its part tells how old
+// its newest snapshot is and how many messages were open then.
 func Sum(list ...*Snapshot) (*Fleet, error) {
 	type id struct{ instance, epoch string }
 	newest := map[id]*Snapshot{}
@@ -145,7 +146,7 @@
 				brought[a.Key] = a.Brought
 			}
 		}
-		before := map[Key]Count{} // what the epoch before had open: it is among what that one took
+		before := map[Key]Count{} // what the previous epoch had open: it counted these messages already
 		if i > 0 && all[i-1].Instance == s.Instance && s.Epoch.Before == all[i-1].Epoch.ID {
 			for _, a := range all[i-1].Accounts {
 				before[a.Key] = a.Open
@@ -180,7 +181,8 @@
 	return f, nil
 }
 
-// further tells that of two snapshots of one epoch the first has got on more: by its figures, as clocks step.
+// further reports whether a is more advanced than b, a snapshot of the same epoch. Counts decide before wall times, because
+// clocks may be stepped.
 func further(a, b *Snapshot) bool {
 	x, y := a.Total.all(), b.Total.all()
 	var sa, sb Count
--- a/ledger/leaf.go
+++ b/ledger/leaf.go
@@ -8,26 +8,27 @@
 	"strconv"
 )
 
-// Leaf is a page of the books as a store keeps it: the newest text of a number counts. A text is at most LeafMost bytes.
+// Leaf is one record of the ledger as the store keeps it: the epoch, an account or a breach. The newest text of a number
+// counts. A text has at most MaxLeafBytes bytes.
 type Leaf struct {
 	Number uint64
 	Text   []byte
 }
 
-// Numbers of leaves: that of the epoch, those of accounts, those of breaches.
+// Numbers of leaves: the epoch, then breaches, then accounts.
 const (
 	epochLeaf    = 1
 	firstBreach  = 2
 	firstAccount = firstBreach + mostStored
-	mostStored   = 16 // breaches that outlast the process
+	mostStored   = 16 // breaches that are kept across restarts
 )
 
-// ErrLeaf is in the chain of what Restore returns for a leaf that can't be read.
+// ErrLeaf is wrapped by the error that Restore returns for a leaf that can't be read.
 var ErrLeaf = errors.New("leaf can't be read")
 
-// Leaves calls put with what is to be written for all that was posted since, up to so many accounts, and takes it as
-// written: with a posting that is awaited as if it were made. Whoever writes calls Soil with the numbers of those that
-// do not get into the store. It returns false where more is left.
+// WriteLeaves calls put with each leaf that changed since it was last written, with at most most accounts, and regards them
+// as written. Pending postings are included. The caller calls MarkUnwritten with the number of each leaf that the store does
+// not accept. It returns false if accounts are left to be written.
 func (l *Ledger) Leaves(most int, put func(Leaf)) bool {
 	if l.head {
 		l.head = false
@@ -46,12 +47,12 @@
 	return len(l.dirty) == 0
 }
 
-// Dirty tells that there is something to be written.
+// Dirty reports whether a leaf has to be written.
 func (l *Ledger) Dirty() bool {
 	return l.head || len(l.dirty) > 0 || l.stored < min(len(l.breaches), mostStored)
 }
 
-// Soil says that a leaf is not in the store: it is to be written anew.
+// MarkUnwritten notes that the store does not have a leaf, so that it is written again.
 func (l *Ledger) Soil(number uint64) {
 	switch {
 	case number == epochLeaf:
@@ -63,8 +64,8 @@
 	}
 }
 
-// Kept compares what the store has of an account, by its place in the list, with the books. clean tells whether the store
-// is to have its newest leaf by now; others are left alone.
+// CompareStored compares the stored leaf of an account with the ledger. at is the index of the account, from 0 to Accounts()-1.
+// Accounts whose newest leaf the store does not have yet, as clean reports, are skipped.
 func (l *Ledger) Kept(at int, clean func(number uint64) bool, store func(number uint64) []byte) {
 	a := l.list[at]
 	if a.dirty || !clean(a.number) {
@@ -79,7 +80,7 @@
 	want := a.now
 	want.Add(&a.due)
 	x, y := want.all(), have.all()
-	for i := range x { // sums would not do: an end that is missing leaves them as they are
+	for i := range x { // each count by itself: a missing end leaves the sums in balance
 		if *x[i] != *y[i] {
 			l.Compare(a.key, InStore, *x[i], *y[i])
 			return
@@ -97,14 +98,14 @@
 	return binary.AppendVarint(putText(putText(append(b, 0), k.Class), k.Tenant), int64(k.Dest))
 }
 
-// text is an account's leaf. It begins with its epoch's mark: one of an epoch that is over counts no more.
+// text encodes an account as a leaf. It begins with the mark of its epoch, so that leaves of earlier epochs are ignored.
 func (l *Ledger) text(a *Account) []byte {
 	f := a.now
 	if a.due != (Figures{}) {
 		f.Add(&a.due)
 	}
 	b := putKey(binary.LittleEndian.AppendUint32(make([]byte, 0, 64), l.marked), a.key)
-	all, mask := f.all(), uint64(0) // of those that are not 0: only they follow
+	all, mask := f.all(), uint64(0) // bit i is set if count i is not 0; only these follow
 	for i, c := range all {
 		if *c != 0 {
 			mask |= 1 << i
@@ -136,7 +137,7 @@
 	return binary.AppendVarint(binary.AppendVarint(t, b.At), b.Healed)
 }
 
-// reader reads fields; after a short read all is zero and bad is set.
+// reader decodes fields. After a short read bad is set and all further fields are zero.
 type reader struct {
 	b   []byte
 	bad bool
@@ -193,7 +194,7 @@
 	return nil
 }
 
-// mark is what leaves of accounts bear of their epoch.
+// mark returns the 32 bits that identify the epoch in leaves of accounts.
 func (e *Epoch) mark() uint32 {
 	v, _ := strconv.ParseUint(e.ID, 16, 64)
 	return uint32(v>>32 ^ v)
@@ -219,9 +220,9 @@
 	return k, f, r.end("account")
 }
 
-// Restore makes a ledger of the leaves that a store had. With none, or without that of the epoch, a ledger begins anew in
-// the epoch given; an error wraps ErrLeaf. The number of accounts that there are at most is that with which the epoch
-// began: a message in other would else have an account of its own now.
+// Restore rebuilds a ledger from the leaves that a store had. Without the leaf of an epoch it returns an empty ledger in the
+// epoch given. The limit of accounts stays what it was when the epoch began: with a higher one, messages counted in the
+// shared account would now find an account of their own. An error about a leaf wraps ErrLeaf.
 func Restore(s Settings, leaves []Leaf, anew Epoch) (*Ledger, error) {
 	l, err := New(s, anew)
 	if err != nil {
@@ -282,16 +283,17 @@
 	return l, nil
 }
 
-// Restored tells that the store had a ledger, whose epoch goes on.
+// Restored reports whether the ledger goes on with the epoch that the store had.
 func (l *Ledger) Restored() bool { return l.restored }
 
-// Rebooted tells that the machine has started anew since, and that what was not synced then may be lost.
+// Rebooted reports whether the machine has rebooted since the ledger was written without syncing, so that postings may be
+// lost.
 func (l *Ledger) Rebooted() bool { return l.rebooted }
 
-// Epoch is the ledger's.
+// Epoch returns the current epoch.
 func (l *Ledger) Epoch() Epoch { return l.epoch }
 
-// Anew begins a new epoch with what is on record of breaches; all accounts are empty.
+// NextEpoch returns a ledger that begins a new epoch. It keeps the breaches on record, and its accounts are empty.
 func (l *Ledger) Anew(s Settings, e Epoch) (*Ledger, error) {
 	e.Before = l.epoch.ID
 	n, err := New(s, e)
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,7 +1,8 @@
-// Package ledger keeps figures that add up: how many messages a dispatcher has taken, how each of them ended and how many
-// are open, by class, partner and tenant; the same of attempts and of doubt. Postings are double entries: each moves one
-// thing from one figure to another, so that what came in always equals what went out and what is there. It does no I/O,
-// reads no clock and starts no goroutine; it is not safe for concurrent use.
+// Package ledger counts messages by class, partner and tenant: how many a dispatcher has accepted, how they ended and how
+// many are open. It counts attempts and messages in doubt in the same way. Every posting changes two counts of an account
+// at once, as in double-entry bookkeeping, so that what came in always equals what went out plus what is open.
+//
+// The package does no I/O, reads no clock and starts no goroutine. A Ledger is not safe for concurrent use.
 package ledger
 
 import (
@@ -9,15 +10,15 @@
 	"fmt"
 )
 
-// Key names an account.
+// Key identifies an account.
 type Key struct {
 	Class  string `json:"class"`
-	Dest   int    `json:"dest"` // the partner
+	Dest   int    `json:"dest"` // the partner that runs it
 	Tenant string `json:"tenant"`
-	Other  bool   `json:"other,omitempty"` // the account of all that have none of their own; the rest is empty
+	Other  bool   `json:"other,omitempty"` // the shared account of all keys without one of their own; the other fields are empty then
 }
 
-// String is a key for people.
+// String formats the key for people.
 func (k Key) String() string {
 	if k.Other {
 		return "other"
@@ -25,7 +26,7 @@
 	return fmt.Sprintf("%s/%d/%s", k.Class, k.Dest, k.Tenant)
 }
 
-// Compare orders keys; other comes last.
+// Compare orders keys by class, destination and tenant. The shared account comes last.
 func (k Key) Compare(o Key) int {
 	if k.Other != o.Other {
 		if k.Other {
@@ -36,28 +37,43 @@
 	return cmp.Or(cmp.Compare(k.Class, o.Class), cmp.Compare(k.Dest, o.Dest), cmp.Compare(k.Tenant, o.Tenant))
 }
 
-// Entry is what a posting says. Each one moves one thing.
+// Entry is the kind of a posting.
 type Entry uint8
 
-// Entries. The first group is of messages, the second of attempts, the third of doubt.
+// Entries. The first group is about messages, the second about attempts, the third about messages in doubt.
 const (
-	Brought Entry = iota + 1 // open when the epoch began
+	// Brought: the message was open already when the epoch began.
+	Brought Entry = iota + 1
+	// Taken: the message was accepted and is open.
 	Taken
-	In // from another account, or sent again after its end: it is open here
+	// In: the message came from another account, or is resent after its end. It is open here.
+	In
+	// Served: the message was delivered.
 	Served
-	Refused // handed back: it never ran or may be repeated, or nobody wanted it any more
-	Failed  // nothing is promised
-	Out     // open here until now, open in another account from now on
-	Again   // refused or failed here once, open again under a new id from now on
-
-	Sent     // an attempt begins
-	Answered // it was answered, well or not
-	Declined // it provably never ran
-	Silent   // it was cut off or timed out, or its process ended: nobody knows
-
-	Doubted // an open message may have taken effect
-	Twice   // it was delivered all the same: its effect may have happened twice
-	Unsure  // it ended otherwise: its effect may have happened or not
+	// Refused: the message was handed back to the client: it never ran, may be repeated or was withdrawn.
+	Refused
+	// Failed: the message ended without a promise about its effect.
+	Failed
+	// Out: the message was open here and is now open in another account.
+	Out
+	// Again: a message that was refused or failed here is open again under a new id.
+	Again
+
+	// Sent: an attempt began.
+	Sent
+	// Answered: the endpoint responded to the attempt, with success or an error.
+	Answered
+	// Declined: the attempt provably never ran.
+	Declined
+	// Silent: the attempt was cut off or timed out, or the process ended during it. Its effect is unknown.
+	Silent
+
+	// Doubted: an open message may have taken effect.
+	Doubted
+	// Twice: a message in doubt was delivered, so it may have taken effect twice.
+	Twice
+	// Unsure: a message in doubt ended in another way, so it may have taken effect or not.
+	Unsure
 	entries
 )
 
@@ -66,7 +82,7 @@
 	"sent", "answered", "declined", "silent", "doubted", "twice", "unsure",
 }
 
-// String is an entry's name, as figures bear it.
+// String returns the name of the count that the entry increases.
 func (e Entry) String() string {
 	if e < entries {
 		return entryNames[e]
@@ -80,12 +96,15 @@
 	What Entry
 }
 
-// Figures are an account's. All but Open, Attempts.Out and Doubt.Open only grow within an epoch.
+// Counts are the counts of one account. All except Open, Attempts.Out and Doubt.Open only grow within an epoch.
+//
+//	CarriedOver + Accepted + MovedIn = Delivered + Refused + Failed + MovedOut + Open
 //
-//	Brought + Taken + In = Served + Refused + Failed + Out + Open
+// Over all accounts, the sum of MovedIn equals that of MovedOut and Reopened. Hence
 //
-// Over all accounts the sum of In is that of Out and Again. So taken = served + refused + failed - again + open, counting
-// a message that is sent again as one.
+//	CarriedOver + Accepted = Delivered + Refused + Failed - Reopened + Open
+//
+// where a message and its resends count as one.
 type Figures struct {
 	Brought Count `json:"brought"`
 	Taken   Count `json:"taken"`
@@ -101,16 +120,16 @@
 	Doubt    Doubt    `json:"doubt"`
 }
 
-// Attempts are figures of attempts: Sent = Answered + Refused + Silent + Out.
+// Attempts counts attempts: Sent = Answered + Refused + Unanswered + Out.
 type Attempts struct {
 	Sent     Count `json:"sent"`
 	Answered Count `json:"answered"`
-	Refused  Count `json:"refused"` // they provably never ran
-	Silent   Count `json:"silent"`
-	Out      Count `json:"out"`
+	Refused  Count `json:"refused"` // provably never ran
+	Silent   Count `json:"silent"`  // effect unknown
+	Out      Count `json:"out"`     // still running
 }
 
-// Doubt are figures of effects that may have happened twice or not at all: Opened = Twice + Unsure + Open.
+// Doubt counts messages that may have taken effect twice or not at all: Opened = Twice + Unresolved + Open.
 type Doubt struct {
 	Opened Count `json:"opened"`
 	Twice  Count `json:"twice"`
@@ -120,7 +139,7 @@
 
 const columns = 18
 
-// all are the figures in the order in which they are stored; those from levels on may fall.
+// all returns the counts in the order in which they are stored. Those from firstGauge on may fall, the others only grow.
 func (f *Figures) all() [columns]*Count {
 	return [columns]*Count{
 		&f.Brought, &f.Taken, &f.In, &f.Served, &f.Refused, &f.Failed, &f.Out, &f.Again,
@@ -138,15 +157,15 @@
 	"doubt.opened", "doubt.twice", "doubt.unsure", "open", "attempts.out", "doubt.open",
 }
 
-// Each calls f with each figure by its name, always in the same order. A level may fall, the others only grow within an
-// epoch.
+// Each calls call with the name and value of each count, always in the same order. A gauge may fall. The other counts only
+// grow within an epoch.
 func (f *Figures) Each(call func(name string, v Count, level bool)) {
 	for i, c := range f.all() {
 		call(columnNames[i], *c, i >= levels)
 	}
 }
 
-// Add adds other figures.
+// Add adds the counts of o.
 func (f *Figures) Add(o *Figures) {
 	to, from := f.all(), o.all()
 	for i := range to {
@@ -154,19 +173,19 @@
 	}
 }
 
-// Sides are both sides of the equation of messages: what came in, and what went out or is there.
+// Sides returns both sides of the equation of messages: what came in, and what ended, moved out or is open.
 func (f *Figures) Sides() (in, out Count) {
 	return f.Brought + f.Taken + f.In, f.Served + f.Refused + f.Failed + f.Out + f.Open
 }
 
-// down lowers a level; one that is 0 stays 0, and then the equation no longer holds.
+// down decrements a gauge. One that is 0 stays 0, and the account no longer balances.
 func down(c *Count) {
 	if *c > 0 {
 		*c--
 	}
 }
 
-// post makes both entries of one posting.
+// post changes both counts that a posting affects.
 func (f *Figures) post(e Entry) {
 	switch e {
 	case Brought:
@@ -220,68 +239,73 @@
 type Account struct {
 	key    Key
 	now    Figures
-	due    Figures // postings that wait for the store: they count once it has them, and stand in leaves before
+	due    Figures // postings that wait for the store: written to leaves already, counted once they are stored
 	number uint64  // of its leaf
-	dirty  bool    // the store has not been told its newest figures
+	dirty  bool    // its newest counts have not been written
 
-	// Live messages as a sweep counts them; see Sweep.
-	open, doubt, out Count
+	open  Count // live messages that the current audit has counted
+	doubt Count // those among them that are in doubt
+	out   Count // attempts that the current audit has counted
 }
 
-// Key is the account's.
+// Key returns the key of the account.
 func (a *Account) Key() Key { return a.key }
 
-// Settings of a ledger. The zero value is ready for use.
+// Settings configure a ledger. The zero value is ready for use.
 type Settings struct {
 	Instance string // the dispatcher's name
-	Most     int    // accounts that there are at most, other not counted; 0: DefaultMost, MostAccounts at most
 
-	// What was written and not synced is lost where the machine starts anew. Boot names the time that it runs, "" if that
-	// is not known; Lasting says that all counts only once it is synced.
-	Boot    string
+	// Most is the number of accounts beside the shared one, up to MaxAccountsLimit. 0 means DefaultMaxAccounts.
+	Most int
+
+	// Boot identifies the current boot of the machine, "" if it is unknown. A reboot loses what was written and not synced.
+	Boot string
+	// Lasting tells that the store reports a batch as stored only after syncing it, so that a reboot loses nothing.
 	Lasting bool
 
-	// Post, where a rig sets it, stands between who posts and the books: what it returns is posted in place of what it is
-	// given. Nothing else may set it.
+	// Post replaces a posting by what it returns. Only tests and the simulation set it, to inject faults.
 	Post func(Posting) []Posting
 }
 
 // Bounds.
 const (
-	DefaultMost  = 256
+	// DefaultMost is the number of accounts where Settings name none.
+	DefaultMost = 256
+	// MostAccounts is the largest number of accounts that Settings may ask for.
 	MostAccounts = 1 << 16
-	mostName     = 64  // bytes of a class or tenant that has an account of its own
-	mostBreaches = 64  // that are kept
-	LeafMost     = 384 // bytes of a leaf
+	mostName     = 64 // bytes of a class or tenant; keys with longer ones use the shared account
+	mostBreaches = 64 // kept on record; further ones are only counted
+	// LeafMost is the largest size of a leaf in bytes.
+	LeafMost = 384
 )
 
-// Ledger is the books of one dispatcher.
+// Ledger holds the accounts of one dispatcher.
 type Ledger struct {
 	set    Settings
 	epoch  Epoch
 	marked uint32 // Epoch.mark
 	byKey  map[Key]*Account
-	near   [nearby]*Account
-	list   []*Account // by number
-	other  *Account
+	near   [nearby]*Account // cache in front of byKey, see Key.near
+	list   []*Account       // by number
+	other  *Account         // the shared account, nil until it is needed
 	total  Figures
 	base   Figures // total when this process began to post
-	wall   int64
-
-	breaches []Breach
-	stored   int // of breaches, that have a leaf
-	more     Count
-	standing map[place]int   // in breaches
-	beyond   map[place]Count // those that are counted and not kept: by how much they are off
-	fresh    []Breach
+	wall   int64   // wall time in microseconds since 1970
+
+	breaches []Breach        // on record, oldest first
+	stored   int             // number of breaches whose leaf has been written
+	more     Count           // breaches that were counted and not recorded
+	standing map[place]int   // index in breaches of those that stand
+	beyond   map[place]Count // breaches that stand and were not recorded: booked minus counted
+	fresh    []Breach        // for the next TakeNewBreaches
 	dirty    []*Account
-	head     bool // the leaf of the epoch is to be written
+	head     bool // the leaf of the epoch has to be written
 	posts    uint64
 	restored bool
 	rebooted bool
 }
 
-// New begins a ledger anew.
+// New returns an empty ledger that begins in epoch e.
 func New(s Settings, e Epoch) (*Ledger, error) {
 	if s.Most < 0 || s.Most > MostAccounts {
 		return nil, fmt.Errorf("most accounts: %d is out of range, 1 to %d", s.Most, MostAccounts)
@@ -295,10 +319,11 @@
 	return &Ledger{set: s, epoch: e, marked: e.mark(), byKey: map[Key]*Account{}, standing: map[place]int{}, beyond: map[place]Count{}, head: true}, nil
 }
 
-// At says what the wall clock shows (microseconds since 1970), for breaches.
+// SetWallTime sets the time at which breaches are recorded, in microseconds since 1970.
 func (l *Ledger) At(wall int64) { l.wall = wall }
 
-// Account is the account of a key. Where there are as many as may be, or a name is too long, it is other.
+// Account returns the account of a key and opens it if need be. It returns the shared account once the limit of accounts is
+// reached, and for a key whose class or tenant is too long.
 func (l *Ledger) Account(k Key) *Account {
 	near := &l.near[k.near()]
 	if a := *near; a != nil && a.key == k {
@@ -317,7 +342,8 @@
 	return l.open(k)
 }
 
-// near is where an account is looked for first: most lookups are of few accounts, and a map of texts is slow.
+// near returns the slot of the key in the cache in front of the map of accounts. Most lookups are for a few accounts, and
+// hashing their strings for the map is slow.
 func (k *Key) near() int {
 	n := k.Dest*7 + len(k.Class) + 3*len(k.Tenant)
 	if len(k.Class) > 0 {
@@ -326,7 +352,7 @@
 	return n & (nearby - 1)
 }
 
-const nearby = 512
+const nearby = 512 // slots of the cache; a power of two
 
 func (l *Ledger) others() int {
 	if l.other != nil {
@@ -339,17 +365,17 @@
 	a := &Account{key: k, number: firstAccount + uint64(len(l.list))}
 	l.byKey[k] = a
 	l.list = append(l.list, a)
-	l.touch(a) // numbers in the store have no gaps
+	l.touch(a) // Restore expects account numbers without gaps
 	return a
 }
 
-// Accounts is how many accounts there are, other counted.
+// Accounts returns the number of accounts, the shared one included.
 func (l *Ledger) Accounts() int { return len(l.list) }
 
-// Posts is how many postings were made, for whoever wants to know whether there was one.
+// PostingCount returns the number of postings made so far. Callers compare two results to see whether anything was posted.
 func (l *Ledger) Posts() uint64 { return l.posts }
 
-// Post makes one posting and checks what it touched.
+// Post makes one posting and checks that the account still balances.
 func (l *Ledger) Post(a *Account, e Entry) {
 	l.posts++
 	if l.set.Post == nil {
@@ -366,7 +392,7 @@
 	l.touch(a)
 }
 
-// enter makes both entries and checks the account.
+// enter applies a posting to the account and the total, and checks the account.
 func (l *Ledger) enter(a *Account, e Entry) {
 	a.now.post(e)
 	l.total.post(e)
@@ -381,14 +407,14 @@
 	}
 }
 
-// Await notes a posting that counts once the store has the batch that goes with it, and stands in leaves from now on.
-// Settle or Drop follows.
+// PostPending notes a posting that counts only once the store has its batch. Leaves written from now on include it.
+// ConfirmPending or DropPending must follow.
 func (l *Ledger) Await(a *Account, e Entry) {
 	a.due.post(e)
 	l.touch(a)
 }
 
-// Settle makes a posting that was awaited.
+// ConfirmPending makes a pending posting, whose batch is now stored.
 func (l *Ledger) Settle(a *Account, e Entry) {
 	a.forgo(e)
 	if l.set.Post != nil {
@@ -396,10 +422,10 @@
 		return
 	}
 	l.posts++
-	l.enter(a, e) // its leaf stays as it was
+	l.enter(a, e) // the leaf included this posting already
 }
 
-// Drop forgets a posting that was awaited: its batch never got into the store.
+// DropPending cancels a pending posting whose batch was not stored.
 func (l *Ledger) Drop(a *Account, e Entry) {
 	a.forgo(e)
 	l.touch(a)
@@ -428,7 +454,7 @@
 	}
 }
 
-// audit checks that an account's figures add up, and those that go from one to another.
+// audit checks that the counts of an account balance.
 func (l *Ledger) audit(a *Account) {
 	f := &a.now
 	in, out := f.Sides()
@@ -437,7 +463,8 @@
 	l.Compare(a.key, DoubtOf, f.Doubt.Opened, f.Doubt.Twice+f.Doubt.Unsure+f.Doubt.Open)
 }
 
-// Moves checks that what went out of accounts came into others. Whoever posts calls it once both sides are posted.
+// CompareTransfers checks that every message that left an account came into another. Callers use it once both sides of a
+// transfer are posted.
 func (l *Ledger) Moves() {
 	l.Compare(Key{}, MovesOf, l.total.In, l.total.Out+l.total.Again)
 }
--- a/ledger/snapshot.go
+++ b/ledger/snapshot.go
@@ -9,52 +9,53 @@
 	"strconv"
 )
 
-// Format is the number of the snapshot's format.
+// Format is the version of the snapshot format.
 const Format = 1
 
-// Epoch is a time in which figures never step back: from when a ledger began anew until its folder is lost, or damaged.
+// Epoch is a span in which counts never go back. It lasts until the folder with the ledger is lost or damaged, or postings
+// may have been lost in a reboot.
 type Epoch struct {
 	ID     string `json:"id"`               // drawn at random, 16 hexadecimal digits
 	Began  int64  `json:"began,string"`     // wall time in microseconds since 1970
-	Why    string `json:"why"`              // see WhyNew and the others
-	Before string `json:"before,omitempty"` // the epoch that ended with it, if one is known
+	Why    string `json:"why"`              // why the epoch began: ReasonNoLedger, ReasonDamage or ReasonReboot
+	Before string `json:"before,omitempty"` // id of the epoch that ended with it, if one is known
 }
 
-// Why an epoch began.
+// Reasons why an epoch began.
 const (
 	WhyNew    = "no ledger was found"
 	WhyDamage = "the folder was damaged"
 	WhyPower  = "the machine started anew, and what was not synced may be lost"
 )
 
-// NewEpoch is an epoch with the number given as its id.
+// NewEpoch returns an epoch with the given number as its id.
 func NewEpoch(id uint64, began int64, why, before string) Epoch {
 	return Epoch{ID: fmt.Sprintf("%016x", id), Began: began, Why: why, Before: before}
 }
 
-// Line is an account in a snapshot.
+// AccountCounts is an account in a snapshot.
 type Line struct {
 	Key
 	Figures
 }
 
-// Snapshot is one consistent cut through a ledger.
+// Snapshot is a consistent copy of a ledger at one moment.
 type Snapshot struct {
 	Format   int    `json:"format"`
 	Instance string `json:"instance"`
 	Epoch    Epoch  `json:"epoch"`
-	Wall     int64  `json:"wall,string"` // of the cut, microseconds since 1970
+	Wall     int64  `json:"wall,string"` // when it was made, in microseconds since 1970
 
-	// Provisional says that the store does not have all of these postings: a crash may take some back.
+	// Provisional tells that some of the postings are not stored yet, so that a crash may undo them.
 	Provisional bool `json:"provisional,omitempty"`
 
 	Accounts []Line   `json:"accounts"` // sorted by Key.Compare
 	Total    Figures  `json:"total"`
-	Breaches []Breach `json:"breaches"` // all on record, oldest first
-	More     Count    `json:"more_breaches"`
+	Breaches []Breach `json:"breaches"`      // on record, oldest first
+	More     Count    `json:"more_breaches"` // counted and not recorded
 }
 
-// Snapshot is a copy of all that is in the books, with the wall time of the cut (microseconds since 1970).
+// Snapshot copies the ledger. wall is the current wall time in microseconds since 1970.
 func (l *Ledger) Snapshot(wall int64) *Snapshot {
 	s := &Snapshot{
 		Format: Format, Instance: l.set.Instance, Epoch: l.epoch, Wall: wall, Total: l.total, More: l.more,
@@ -67,15 +68,15 @@
 	return s
 }
 
-// Errors of Read.
+// Errors of ReadSnapshot.
 var (
 	ErrFormat = errors.New("not a ledger snapshot that this program knows")
 )
 
-// mostSnapshot is how many bytes Read reads at most: MostAccounts accounts and their breaches.
+// mostSnapshot is the largest snapshot in bytes that is read. It has room for MaxAccountsLimit accounts and their breaches.
 const mostSnapshot = 64 << 20
 
-// Read reads a snapshot as JSON. An error wraps ErrFormat where it is JSON of something else or of a newer format.
+// ReadSnapshot reads a snapshot as JSON. The error wraps ErrFormat if the input is something else or of another format.
 func Read(r io.Reader) (*Snapshot, error) {
 	text, err := io.ReadAll(io.LimitReader(r, mostSnapshot+1))
 	if err != nil {
@@ -94,11 +95,11 @@
 	return s, nil
 }
 
-// Check tells what in a snapshot does not add up now: breaches on record that stand, and what is found by adding up anew.
+// Check returns the recorded breaches that stand and those that a recalculation of the snapshot finds.
 func (s *Snapshot) Check() []Breach {
 	l, err := New(Settings{Most: MostAccounts}, s.Epoch)
 	if err != nil {
-		return nil // the settings are this package's own
+		return nil // unreachable: these settings are valid
 	}
 	l.wall = s.Wall
 	var out []Breach
--- a/ledger/sweep.go
+++ b/ledger/sweep.go
@@ -1,26 +1,25 @@
 package ledger
 
-// A sweep counts live messages anew, a part at a time, while messages come and go: whoever owns them tells what changes
-// about those that were counted already. At its end the counts are compared with the books.
+// An audit recounts the live messages, a part at a time, while messages come and go. Their owner reports every change to a
+// message that has been counted already. At the end the results are compared with the ledger.
 
-// Begin begins a sweep.
+// BeginAudit begins an audit.
 func (l *Ledger) Begin() {
 	for _, a := range l.list {
 		a.open, a.doubt = 0, 0
 	}
 }
 
-// Count counts a live message, or with by -1 takes one back that was counted. Doubt is the same for those that may have
-// taken effect.
+// CountOpen counts a live message. With by = -1 it removes one that was counted.
 func (a *Account) Count(by int) { a.open += Count(by) }
 
-// CountDoubt is Count for messages that may have taken effect.
+// CountDoubt counts a live message that may have taken effect. With by = -1 it removes one that was counted.
 func (a *Account) CountDoubt(by int) { a.doubt += Count(by) }
 
-// CountOut counts an attempt that is out.
+// CountOut counts an attempt that is under way.
 func (a *Account) CountOut() { a.out++ }
 
-// Finish compares what a sweep counted with the books.
+// FinishAudit compares the messages that the audit counted with the ledger.
 func (l *Ledger) Finish() {
 	for _, a := range l.list {
 		l.Compare(a.key, LiveOpen, a.now.Open, a.open)
@@ -29,15 +28,15 @@
 	l.Moves()
 }
 
-// Ends compares how many messages ended in which way since this process began, as counted where they end, with the books:
-// a posting to a wrong figure leaves all equations as they are.
+// CompareDispositions compares how many messages ended in each way since this process began, as the caller counted them,
+// with the ledger. It finds an end that was posted as another one, which leaves all accounts in balance.
 func (l *Ledger) Ends(served, refused, failed uint64) {
 	l.Compare(Key{}, ServedAs, l.total.Served-l.base.Served, Count(served))
 	l.Compare(Key{}, RefusedAs, l.total.Refused-l.base.Refused, Count(refused))
 	l.Compare(Key{}, FailedAs, l.total.Failed-l.base.Failed, Count(failed))
 }
 
-// FinishOut compares the attempts that were counted with the books, and forgets their counts.
+// FinishAttemptAudit compares the attempts that the audit counted with the ledger, and resets their counts.
 func (l *Ledger) FinishOut() {
 	for _, a := range l.list {
 		l.Compare(a.key, LiveOut, a.now.Attempts.Out, a.out)
@@ -45,8 +44,8 @@
 	}
 }
 
-// Start compares the books with the live messages that the store had, as Count told of them since Begin, and settles what
-// a process leaves: attempts that were out are silent, and messages with such an attempt are in doubt from now on.
+// ReconcileRestart compares the ledger with the live messages that the store had, counted since BeginAudit, and closes what
+// the previous process left open: attempts under way become unanswered, and their messages are in doubt from now on.
 func (l *Ledger) Start() {
 	for _, a := range l.list {
 		l.Compare(a.key, Restarted, a.now.Open, a.open)
