--- a/internal/figures/command.go
+++ b/internal/figures/command.go
@@ -1,26 +1,26 @@
 package figures
 
-// Commands about the books at the operators' socket of a dispatcher (package admin).
+// Commands about the ledger on the admin socket of a dispatcher (package admin). Each is answered by one line.
 const (
-	CommandLedger  = "ledger"  // answered by one line, the snapshot
-	CommandMetrics = "metrics" // by one line, the OpenMetrics text as a string
-	CommandHeld    = "held"    // by one line, HeldReply
+	CommandLedger  = "ledger"  // a snapshot
+	CommandMetrics = "metrics" // the OpenMetrics text as a string
+	CommandHeld    = "held"    // a QueuesReply
 )
 
-// Request is one of these commands; there is nothing else to say.
+// Request is one of these commands. They have no arguments.
 type Request struct {
 	Command string `json:"command"`
 }
 
-// HeldReply tells of what is open.
+// QueuesReply describes the open messages.
 type HeldReply struct {
 	Held []Held `json:"held"` // by destination
-	More bool   `json:"more"` // there are messages that were not looked at: other destinations may have some
+	More bool   `json:"more"` // not all messages were looked at: other destinations may have some
 }
 
-// Held is what is open for a destination.
+// DestinationQueue describes the open messages of a destination.
 type Held struct {
 	Dest      int     `json:"dest"`
-	Oldest    float64 `json:"oldest_s"`  // for how long its oldest message has been open in this process
+	Oldest    float64 `json:"oldest_s"`  // for how many seconds its oldest message has been open in this process
 	Condition string  `json:"condition"` // unserved, pressed, ailing or well
 }
--- a/internal/figures/exporter/exporter.go
+++ b/internal/figures/exporter/exporter.go
@@ -1,4 +1,5 @@
-// Package exporter shows ledgers by prometheus/client_golang: for programs beside a dispatcher, which does not link it.
+// Package exporter shows ledgers with prometheus/client_golang. It is for other programs than the dispatcher, which does not
+// link that library.
 package exporter
 
 import (
@@ -10,19 +11,19 @@
 	"curlewmux/ledger"
 )
 
-// Collector tells one snapshot a scrape: all of its metrics are of one cut. It is a prometheus.Collector.
+// Collector is a prometheus.Collector that takes one snapshot for each scrape, so that all metrics of a scrape agree.
 type Collector struct {
-	// Cut is asked for a snapshot at each scrape, by one goroutine at a time. It may block; its error fails the scrape.
+	// Cut returns a snapshot for a scrape. It is called by one goroutine at a time and may block. An error fails the scrape.
 	Cut func() (*ledger.Snapshot, error)
 
 	mu     sync.Mutex
 	series figures.Series
 }
 
-// Describe tells nothing: what a scrape brings is checked when it is there.
+// Describe sends nothing, which makes this an unchecked collector: its metrics are checked at each scrape.
 func (c *Collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect asks for a cut and tells it.
+// Collect sends the metrics of a new snapshot.
 func (c *Collector) Collect(to chan<- prometheus.Metric) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -1,5 +1,5 @@
-// Package figures shows a dispatcher's ledger to operators: as JSON and in the OpenMetrics text format, each answer one
-// consistent cut. Cuts and texts are kept for a moment, so that any number of readers costs no more than a few.
+// Package figures shows a dispatcher's ledger to operators, as JSON and in the OpenMetrics text format. Each page is made
+// from one consistent snapshot. Pages are cached for a moment, so that many readers cost no more than a few.
 package figures
 
 import (
@@ -13,34 +13,34 @@
 	"curlewmux/ledger"
 )
 
-// Source gives one consistent cut through the books, which nobody may change. A Board calls it, from any goroutine; it
-// may block for the time given. Its error says that there is none now; asking again may help.
+// Source provides snapshots of a ledger, which must not be modified. Ledger is called from any goroutine and may block for
+// up to wait. An error means that there is no snapshot now. A later call may succeed.
 type Source interface {
 	Ledger(wait time.Duration) (*ledger.Snapshot, error)
 }
 
-// TypeJSON is the type of content of a snapshot.
+// ContentTypeJSON is the media type of a snapshot.
 const TypeJSON = "application/json"
 
-// Times.
+// Limits of a Cache.
 const (
-	// Keep is how long an answer is given again before a new cut is made: no reader sees older figures, and no number of
-	// them costs more than a cut and a text each in such a span.
+	// Keep is how long a page is served before a new one is made from a new snapshot. It bounds both the age of what readers
+	// see and the number of snapshots and pages that are made.
 	Keep = 250 * time.Millisecond
 
-	patience = 2 * time.Second // how long a cut is waited for: it must be in the store
-	share    = 50              // making a text may take one part in so many of the time
-	rate     = 64 << 20        // bytes of texts given out in a second: copying more would keep messages waiting
-	burst    = Keep            // and of what time they may come at once
+	patience = 2 * time.Second // limit of the wait for a snapshot, whose postings must be stored first
+	share    = 50              // making pages takes at most 1/share of the time
+	rate     = 64 << 20        // bytes served per second; copying more would delay messages
+	burst    = Keep            // span whose share of rate may be used at once
 )
 
 // Errors.
 var (
-	ErrNone = errors.New("no figures")                      // to be shown now
-	ErrBusy = errors.New("figures are asked for too often") // in bytes a second; Keep later there is room
+	ErrNone = errors.New("no figures")                      // there is no snapshot or page now
+	ErrBusy = errors.New("figures are asked for too often") // the limit of bytes per second is used up; retry after MaxAge
 )
 
-// Board keeps the newest answers. Its methods are safe for concurrent use; they wait nowhere but in its source.
+// Cache makes pages and caches the newest ones. Its methods are safe for concurrent use. They block only in the source.
 type Board struct {
 	source Source
 	now    func() time.Time
@@ -49,30 +49,30 @@
 	json    page
 	metrics page
 	series  Series
-	paid    time.Time // when what was given out until now may have been given out, at its rate
+	paid    time.Time // when the bytes served so far will have used up the rate limit; ahead of now during a burst
 }
 
-// page is one text. It is never changed, only replaced.
+// page is a cached page. Its text is never modified, only replaced.
 type page struct {
 	text []byte
-	cut  *ledger.Snapshot // nil: there is none
-	ask  time.Time        // when it was asked for
-	till time.Time        // when it is too old
+	cut  *ledger.Snapshot // from which the text was made; nil if there is no page yet
+	ask  time.Time        // when the snapshot was requested
+	till time.Time        // when the page expires
 }
 
-// New makes a board. now is a clock that never steps.
+// New returns a cache of pages about source. now is a monotonic clock.
 func New(source Source, now func() time.Time) *Board {
 	return &Board{source: source, now: now}
 }
 
-// JSON is the ledger's snapshot as one line of JSON, at most Keep old, or longer where making a text takes long. Nobody
-// may change it. The error wraps ErrNone or ErrBusy.
+// JSON returns a snapshot of the ledger as one line of JSON, which must not be modified. It is at most MaxAge old, or older
+// if making a page takes long. The error wraps ErrUnavailable or ErrBusy.
 func (b *Board) JSON() ([]byte, error) {
 	return b.page(&b.json, func(s *ledger.Snapshot) ([]byte, error) { return json.Marshal(s) })
 }
 
-// Metrics is the same in the OpenMetrics text format, of MostSeries accounts at most. Figures are written to the last
-// digit; a reader that makes floating-point numbers of them is exact up to 2^53.
+// Metrics is like JSON in the OpenMetrics text format, with series for at most MaxSeries accounts and the rest. Counts are
+// written with all digits. A reader that converts them to floating-point numbers is exact up to 2^53.
 func (b *Board) Metrics() ([]byte, error) {
 	return b.page(&b.metrics, func(s *ledger.Snapshot) ([]byte, error) {
 		var text bytes.Buffer
@@ -104,7 +104,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	began := b.now()
-	// Others may have been here meanwhile; an older cut must not come behind a newer one.
+	// Another reader may have replaced the page meanwhile. An older snapshot must not follow a newer one.
 	if p.cut != nil && (p.cut == cut || p.ask.After(now) || began.Before(p.till)) {
 		b.pay(began, p.text)
 		return p.text, nil
@@ -118,7 +118,7 @@
 	return text, nil
 }
 
-// pay notes that a text is given out; the lock is held.
+// pay charges a served text to the rate limit. The caller holds the lock.
 func (b *Board) pay(now time.Time, text []byte) {
 	if b.paid.Before(now) {
 		b.paid = now
--- a/internal/figures/metrics.go
+++ b/internal/figures/metrics.go
@@ -7,13 +7,13 @@
 	"curlewmux/ledger"
 )
 
-// TypeMetrics is the type of content of metrics.
+// ContentTypeMetrics is the media type of metrics.
 const TypeMetrics = "application/openmetrics-text; version=1.0.0; charset=utf-8"
 
-// metrics writes a snapshot in the OpenMetrics text format. Package exporter has the same from prometheus/client_golang,
-// by which its tests judge this text; a dispatcher does not link that (docs/design/ledger-shown.md says why).
+// metrics writes a snapshot in the OpenMetrics text format. Package exporter produces the same with prometheus/client_golang,
+// and its tests compare both. A dispatcher does not link that library, see docs/design/ledger-shown.md.
 func metrics(b *bytes.Buffer, s *ledger.Snapshot, series []One) {
-	figures := make([]ledger.Count, 0, len(series)*len(Families)) // of a series all together
+	figures := make([]ledger.Count, 0, len(series)*len(Families)) // the counts of one series after the other
 	labels := make([]string, len(series))
 	var buf []byte
 	for i := range series {
--- a/internal/figures/rest.go
+++ b/internal/figures/rest.go
@@ -9,12 +9,13 @@
 	"curlewmux/ledger"
 )
 
-// ErrNoLedger says that a folder has no ledger.
+// ErrNoLedger means that a folder has no ledger.
 var ErrNoLedger = errors.New("the folder has no ledger")
 
-// AtRest is the ledger that a dispatcher's folder holds, which is not changed and may be in use: then it is as it was a
-// moment ago. What is open in the books is compared with the journal's live messages; attempts that were out when the
-// process ended are out still. The error wraps ErrNoLedger, ledger.ErrLeaf, or says why the folder can't be read.
+// ReadFolder reads the ledger in a dispatcher's folder without changing it. If a dispatcher runs on the folder, the result
+// may be a moment old. The open messages of each account are compared with the journal's live messages. Attempts that were
+// under way when the process ended still count as such. The error wraps ErrNoLedger or ledger.ErrLeaf, or tells why the
+// folder can't be read.
 func AtRest(dir journal.Dir) (*ledger.Snapshot, error) {
 	r, err := journal.Check(dir)
 	if err != nil {
--- a/internal/figures/series.go
+++ b/internal/figures/series.go
@@ -8,26 +8,27 @@
 	"curlewmux/ledger"
 )
 
-// MostSeries is how many accounts have series of their own in metrics; a ledger may have more. What is beyond is summed
-// up in other. Those that were seen first stay, so that no series moves while a process runs.
+// MaxSeries is the number of accounts that have series of their own in metrics. A ledger may have more accounts, which are
+// summed up in one further series. The accounts that were seen first keep their series while a process runs.
 const MostSeries = 256
 
-// OtherDest is the value of label dest for all accounts without series of their own; the other labels are empty there.
+// OtherDestination is the value of the label dest in the sum of the accounts without series of their own. The other labels
+// are empty there.
 const OtherDest = "other"
 
-// Labels are the names of the labels of an account's series.
+// AccountLabels are the label names of an account's series.
 var Labels = [...]string{"class", "dest", "tenant"}
 
-// Series picks the accounts that have series of their own. The zero value is ready for use, by one goroutine at a time.
+// Series selects the accounts that have series of their own. The zero value is ready for use by one goroutine at a time.
 type Series struct{ own map[ledger.Key]bool }
 
-// One is the series of one account.
+// AccountSeries holds the label values and counts of one account.
 type One struct {
-	Labels [len(Labels)]string // values
+	Labels [len(Labels)]string // values of AccountLabels
 	ledger.Figures
 }
 
-// Of are all series of a snapshot. No two have the same labels, and their sums are the snapshot's.
+// Select returns all series of a snapshot. Their labels are unique, and their sum is the total of the snapshot.
 func (s *Series) Of(cut *ledger.Snapshot) []One {
 	if s.own == nil {
 		s.own = map[ledger.Key]bool{}
@@ -43,7 +44,7 @@
 		if !a.Other && s.own[a.Key] {
 			labels = [...]string{Clean(a.Class), strconv.Itoa(a.Dest), Clean(a.Tenant)}
 		}
-		n, there := at[labels] // also where two names differ in bytes only that no label can have
+		n, there := at[labels] // also if two names differ only in invalid UTF-8, which labels cannot have
 		if !there {
 			n = len(out)
 			at[labels] = n
@@ -54,17 +55,17 @@
 	return out
 }
 
-// Clean is a name as a label may have it: those of clients may hold any bytes.
+// ValidLabel makes a name valid as a label value. Names come from clients and may hold any bytes.
 func Clean(name string) string { return strings.ToValidUTF8(name, "\uFFFD") }
 
-// Family is one metric.
+// Family describes one metric.
 type Family struct {
 	Name  string // without the suffix _total
 	Help  string
-	Level bool // a gauge; else a counter
+	Level bool // a gauge, otherwise a counter
 }
 
-// Families are the metrics of an account's figures, in the order of ledger.Figures.Each.
+// AccountFamilies are the metrics of an account's counts, in the order of ledger.Counts.Each.
 var Families = func() []Family {
 	help := map[string]string{
 		"brought": "Messages that were open when the epoch began.", "taken": "Messages taken on.",
@@ -88,14 +89,14 @@
 	return out
 }()
 
-// Whole is a metric of the ledger as a whole, with its value in a snapshot.
+// LedgerMetric is a metric of the ledger as a whole with its value in a snapshot.
 type Whole struct {
 	Family
-	Names, Values []string // of its labels
+	Names, Values []string // of labels
 	Value         float64
 }
 
-// Wholes are the metrics of a snapshot as a whole.
+// LedgerMetrics returns the metrics of a snapshot as a whole.
 func Wholes(s *ledger.Snapshot) []Whole {
 	standing := 0
 	for _, b := range s.Breaches {
@@ -120,7 +121,8 @@
 	}
 }
 
-// names puts all metrics of a snapshot in the order of their names, as scrapers are used to; each is called with one.
+// names visits all metrics of a snapshot in the order of their names: account gets an index of AccountFamilies, whole a
+// metric of the ledger as a whole.
 func names(wholes []Whole, account func(at int), whole func(w *Whole)) {
 	type entry struct {
 		name string
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,13 +1,13 @@
-// Package host is the machine as the network code sees it: a clock, goroutines, a network, and inboxes to wait at. The
-// real one is System; a simulated one (internal/vnet) runs the same code on a virtual clock.
+// Package host abstracts the machine for the network code: clocks, goroutines, the network, and inboxes to wait at. System is
+// the real machine. A simulated one (internal/vnet) runs the same code on a virtual clock.
 //
-// Code that is to run on both keeps to this:
-//   - It waits nowhere else than at a Conn, a Listener, a Dial, an Inbox or a file, and starts goroutines with Go alone.
-//   - It holds a mutex only for short work in memory, never over one of these.
-//   - It takes its random numbers from outside.
-//   - An error of Accept that passes (EMFILE) is waited out at an Inbox, not tried again at once.
-//   - It bears a panic at any wait: so a simulated process is killed, wherever it is. Nothing that a deferred function
-//     does then reaches the world any more.
+// Code that runs on both follows these rules:
+//   - It blocks only at a Conn, a Listener, a Dial, an Inbox or a file, and starts goroutines only with Go.
+//   - It holds a mutex only for short work in memory, never while it blocks.
+//   - It gets its random numbers from its caller.
+//   - After a temporary error of Accept (EMFILE) it waits at an Inbox before it accepts again.
+//   - It tolerates a panic wherever it blocks: a simulated process is killed that way. What deferred functions do then has no
+//     effect on the simulation.
 package host
 
 import (
@@ -17,16 +17,16 @@
 	"time"
 )
 
-// ErrAborted is what an aborted Dial returns.
+// ErrAborted is returned by an aborted Dial.
 var ErrAborted = errors.New("aborted")
 
 // Host is one machine. All its methods are safe for concurrent use.
 type Host interface {
-	// Now is the time on the machine's clock, with a reading that steps of the wall clock do not change: differences
-	// between two of them are true, and the deadlines of connections are set by them.
+	// Now returns the time of the machine with a monotonic reading, which steps of the wall clock do not change. It is for
+	// measuring time and for the deadlines of connections.
 	Now() time.Time
 
-	// Wall is what the machine's wall clock shows, which may be stepped either way at any moment.
+	// Wall returns the time of the machine's wall clock, which may be stepped forwards or backwards at any moment.
 	Wall() time.Time
 
 	// Go runs f on a goroutine of its own.
@@ -35,46 +35,46 @@
 	// AfterFunc runs f on a goroutine of its own once d has passed, unless the timer is stopped first.
 	AfterFunc(d time.Duration, f func()) Timer
 
-	// Dial connects to addr ("host:port") over TCP. It blocks until the connection is up, it is refused, limit has
-	// passed (0: no limit of its own) or abort is done, which gives ErrAborted.
+	// Dial connects to addr ("host:port") over TCP. It blocks until the connection is established or refused, limit has
+	// passed (0: no limit of its own) or abort is done, which returns ErrAborted.
 	Dial(addr string, limit time.Duration, abort *Abort) (net.Conn, error)
 
 	// Listen listens on addr ("host:port") over TCP. Errors name the address.
 	Listen(addr string) (net.Listener, error)
 
-	// NewInbox makes an inbox.
+	// NewInbox returns an empty inbox.
 	NewInbox() Inbox
 }
 
-// Timer is a function that is yet to run.
+// Timer is a function that is scheduled to run.
 type Timer interface {
-	// Stop keeps the function from being run and tells whether it came in time for that.
+	// Stop cancels the run. It returns false if the function has started already.
 	Stop() bool
 }
 
-// Inbox is where one goroutine waits for what others put there.
+// Inbox is an unbounded queue from which one goroutine takes the values that others put.
 type Inbox interface {
-	// Put adds v and never blocks. After Close nothing is added, and Put returns false.
+	// Put adds v without blocking. It returns false and adds nothing if the inbox is closed.
 	Put(v any) bool
 
-	// Take moves all that has been put, oldest first, behind into and returns it. With nothing there it waits for the
-	// first, until the moment given (zero: for ever) or until Close, and returns into as it was. One goroutine at a time
-	// may be here.
+	// Take appends all values to into, oldest first, and returns the result. If there are none it waits for the first one,
+	// until the given time (zero: forever) or until Close, and then returns into as it is. Only one goroutine at a time may
+	// call Take.
 	Take(into []any, until time.Time) []any
 
-	// Close ends every wait, now and later, and returns what nobody has taken.
+	// Close ends the current and all later waits, and returns the values that were not taken.
 	Close() []any
 }
 
-// Abort calls off what is under way. Whoever waits sets by On what is to be done then. The zero value is ready for use;
-// it must not be copied.
+// Abort cancels an operation. The operation registers with On how it is cancelled. The zero value is ready for use and must
+// not be copied.
 type Abort struct {
 	mu   sync.Mutex
 	done bool
 	f    func()
 }
 
-// Do aborts: it runs, on the caller's goroutine, what On set last. A second call does nothing.
+// Do cancels the operation: it runs the function that On set last, on the caller's goroutine. A second call does nothing.
 func (a *Abort) Do() {
 	a.mu.Lock()
 	f := a.f
@@ -88,8 +88,8 @@
 	}
 }
 
-// On sets what Do does, in place of what was set before, or runs f at once if it is done already. nil sets nothing. f
-// must not block and must not call a.
+// On sets the function that Do runs, in place of an earlier one. If Do was called already, On runs f at once. nil removes the
+// earlier function. f must not block and must not call methods of a.
 func (a *Abort) On(f func()) {
 	a.mu.Lock()
 	done := a.done
@@ -102,7 +102,7 @@
 	}
 }
 
-// Done tells whether Do was called.
+// Done reports whether Do was called.
 func (a *Abort) Done() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/host/probe.go
+++ b/internal/host/probe.go
@@ -5,25 +5,24 @@
 	"os"
 )
 
-// Prober is a Host that can tell how late it is. A simulated one is never late by itself, and is none.
+// Prober is a Host that can measure how late its work is. A simulated host is never late by itself and is no Prober.
 type Prober interface {
-	// NewProbe makes a probe. back runs on a goroutine of the probe for each Send, behind everything that was ready to
-	// run, or had something to read, when that was called; it must not block. An error says that the machine has not
-	// what it takes.
+	// NewProbe returns a probe. For each Send, back runs on the probe's goroutine once everything has run that was ready to
+	// run, or had data to read, at the time of Send. back must not block. An error means that the machine lacks the resources.
 	NewProbe(back func()) (Probe, error)
 }
 
-// Probe is what is sent through the queue of all that is ready. It is used by one goroutine.
+// Probe measures the delay of the run queue: it is queued behind all work that is ready. One goroutine uses it.
 type Probe interface {
-	// Send sends it and does not block. It must not be called again before it is back.
+	// Send queues the probe without blocking. It must not be called again before the probe is back.
 	Send()
 
-	// Close ends the probe; what is out may still come back once.
+	// Close ends the probe. One that is under way may still come back.
 	Close()
 }
 
-// NewProbe makes a probe of a pipe. With few cores the runtime looks for connections that can be read only when nothing
-// else is left to run: what waits there is seen in no queue of its own, but a byte in a pipe waits behind it.
+// NewProbe returns a probe that sends a byte through a pipe. With few cores the Go runtime polls the network only when no
+// goroutine is ready, so readable connections wait in no queue that could be inspected. A byte in a pipe waits behind them.
 func (System) NewProbe(back func()) (Probe, error) {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -34,7 +33,7 @@
 		var b [1]byte
 		for {
 			if _, err := r.Read(b[:]); err != nil {
-				return // its other end was closed
+				return // the probe was closed
 			}
 			back()
 		}
@@ -44,5 +43,5 @@
 
 type pipe struct{ w *os.File }
 
-func (p pipe) Send()  { p.w.Write([]byte{0}) } // there is room for one byte; if the pipe is closed nothing comes back
+func (p pipe) Send()  { p.w.Write([]byte{0}) } // does not block, as the pipe is empty; on a closed pipe the probe does not come back
 func (p pipe) Close() { p.w.Close() }
--- a/internal/host/roundtrip.go
+++ b/internal/host/roundtrip.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// RoundTrip is the least time that a packet and its acknowledgement have taken on a connection, as its kernel has measured
-// it: what comes sooner behind a write can't be an answer to it. 0 means that nobody knows. It does not block.
+// MinRoundTrip returns the minimum round-trip time of a connection as the kernel has measured it, or 0 if it is unknown. Data
+// that arrives sooner after a write cannot be a response to it. MinRoundTrip does not block.
 func RoundTrip(nc net.Conn) time.Duration {
 	if r, ok := nc.(interface{ RoundTrip() time.Duration }); ok {
 		return r.RoundTrip()
@@ -28,7 +28,7 @@
 			least = info.Min_rtt
 		}
 	})
-	if err != nil || least == ^uint32(0) { // nothing was measured yet
+	if err != nil || least == ^uint32(0) { // ^0: not measured yet
 		return 0
 	}
 	return time.Duration(least) * time.Microsecond
--- a/internal/host/system.go
+++ b/internal/host/system.go
@@ -14,7 +14,7 @@
 
 var _ Host = System{}
 
-// Now is time.Now, whose monotonic reading differences and deadlines go by.
+// Now is time.Now, which has a monotonic reading.
 func (System) Now() time.Time { return time.Now() }
 
 // Wall is time.Now without its monotonic reading.
@@ -54,17 +54,17 @@
 	return l, nil
 }
 
-// NewInbox makes an inbox of a mutex and a channel.
+// NewInbox returns an inbox that consists of a mutex and a channel.
 func (System) NewInbox() Inbox { return &inbox{wake: make(chan struct{}, 1)} }
 
 type inbox struct {
-	wake chan struct{} // holds a value when there may be something new
+	wake chan struct{} // holds a value if there may be new values or the inbox was closed
 
 	mu     sync.Mutex
 	list   []any
 	closed bool
 
-	timer *time.Timer // of the one that waits
+	timer *time.Timer // reused; belongs to the goroutine in Take
 }
 
 func (b *inbox) Put(v any) bool {
@@ -118,7 +118,7 @@
 		select {
 		case <-b.wake:
 		case <-expired:
-			until = time.Unix(0, 0) // a last look, then back
+			until = time.Unix(0, 0) // checks the list a last time, then returns
 			expired = nil
 		}
 	}
@@ -133,18 +133,19 @@
 	return left
 }
 
-// AwaitReadable blocks until something, or the end, can be read from a connection, or until its read deadline, and reads
-// nothing. It tells whether there is something: at once no, where the connection can't tell, as a simulated one.
+// AwaitReadable blocks until data or the end of the stream can be read from a connection, or until its read deadline, and
+// reads nothing. It reports whether a read would not block. It returns false at once for a connection that cannot tell, as a
+// simulated one.
 func AwaitReadable(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return false
 	}
 	rc, err := sc.SyscallConn()
-	return err == nil && rc.Read(peeked) == nil // an error is that of the read to come
+	return err == nil && rc.Read(peeked) == nil // the caller gets an error from its own read
 }
 
-// peeked tells whether a read from a socket would not block.
+// peeked reports whether a read from a socket would return without blocking.
 func peeked(fd uintptr) bool {
 	for {
 		var b [1]byte
@@ -154,8 +155,8 @@
 	}
 }
 
-// Readable tells, without reading, whether something, or the end, could be read from a connection now. A connection of
-// a simulated host tells it by a method of that name.
+// Readable reports, without reading, whether data or the end of the stream can be read from a connection now. A connection
+// of a simulated host has a method of that name.
 func Readable(nc net.Conn) bool {
 	if r, ok := nc.(interface{ Readable() bool }); ok {
 		return r.Readable()
