--- a/internal/figures/series.go
+++ b/internal/figures/series.go
@@ -92,8 +92,9 @@
 // LedgerMetric is a metric of the ledger as a whole with its value in a snapshot.
 type Whole struct {
 	Family
-	Names, Values []string // of labels
-	Value         float64
+	Names  []string // label names
+	Values []string // label values
+	Value  float64
 }
 
 // LedgerMetrics returns the metrics of a snapshot as a whole.
