--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -424,7 +424,7 @@
 	if err == nil {
 		return
 	}
-	d.log.Debug("the store could not write", "error", err)
+	d.log.Debug("store write failed", "error", err)
 	last := d.appended
 	for lost := d.answered + 1; lost <= last; lost++ {
 		d.gate.Failed(lost)
--- a/internal/driver/driver_test.go
+++ b/internal/driver/driver_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// rig is a driver with a store, a transport and a sink that do as told.
+// rig is a driver whose store, transport and sink are controlled by the test.
 type rig struct {
 	t *testing.T
 	*Driver
@@ -26,16 +26,16 @@
 
 	mu      sync.Mutex
 	changed chan struct{}
-	late    bool  // the store does not answer Flush
-	refuses error // what Append returns
-	fails   error // what Flush returns
+	late    bool  // Flush reports nothing as stored
+	refuses error // returned by Append
+	fails   error // returned by Flush
 	batches []engine.Batch
 	told    engine.Batch
 	calls   []*engine.Call
 	dones   []*engine.Done
 	records []engine.Record
-	hold    chan struct{} // Append waits for it, if there is one ...
-	held    bool          // ... and does so
+	hold    chan struct{} // if set, Append blocks until it is closed
+	held    bool          // Append is blocked
 }
 
 func newRig(t *testing.T) *rig { return newRigOn(t, host.System{}, 4) }
@@ -78,7 +78,7 @@
 	return r
 }
 
-// set changes how the rig behaves, and wakes who waits for it.
+// set changes the state of the rig under its lock and wakes await.
 func (r *rig) set(do func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,7 +87,7 @@
 	r.changed = make(chan struct{})
 }
 
-// await waits until ok, which is asked under the lock.
+// await waits until ok returns true. ok is called under the lock.
 func (r *rig) await(what string, ok func() bool) {
 	r.t.Helper()
 	limit := time.After(20 * time.Second)
@@ -101,7 +101,7 @@
 		select {
 		case <-changed:
 		case <-limit:
-			r.t.Fatalf("it never comes to that: %s", what)
+			r.t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 func (r *rig) Leave(*engine.Leave)         {}
 func (r *rig) Done(d *engine.Done)         { r.set(func() { r.dones = append(r.dones, d) }) }
 
-// answer tells all of a store that answers later.
+// answer reports all batches as stored.
 func (r *rig) answer() {
 	r.mu.Lock()
 	last := r.batches[len(r.batches)-1]
@@ -157,7 +157,7 @@
 	return &engine.Message{ID: id, Class: "unsafe", Dest: 1, Body: []byte("body")}
 }
 
-// handIn hands a message in on a goroutine of its own.
+// handIn submits a message on a goroutine of its own.
 func (r *rig) handIn(id string) <-chan engine.Verdict {
 	v := make(chan engine.Verdict, 1)
 	go func() { v <- r.HandIn(message(id), time.Now().Add(time.Minute)) }()
@@ -169,7 +169,7 @@
 	r := newRig(t)
 	r.set(func() { r.late = true })
 	answered := r.handIn("m")
-	r.await("its record is on the way", func() bool { return len(r.batches) == 1 })
+	r.await("the batch with its record", func() bool { return len(r.batches) == 1 })
 	select {
 	case v := <-answered:
 		t.Fatalf("answered %+v before the store had it", v)
@@ -179,7 +179,7 @@
 	if v := <-answered; v.Kind != engine.Taken {
 		t.Fatalf("answered %+v", v)
 	}
-	r.await("its attempt is on the way", func() bool { return len(r.batches) == 2 })
+	r.await("the batch with its attempt", func() bool { return len(r.batches) == 2 })
 	r.set(func() {
 		if len(r.calls) > 0 {
 			t.Error("called before the store had the attempt")
@@ -189,7 +189,7 @@
 	r.await("the call", func() bool { return len(r.calls) == 1 })
 }
 
-// A call that waited for the store asks again: what was told meanwhile counts.
+// A call that waited for the store needs a new permit, so that it is not made to an endpoint that has left meanwhile.
 func TestACallThatWaitedForTheStoreIsNotMadeToAnEndpointThatHasLeft(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -199,13 +199,13 @@
 	r.await("a call", func() bool { return len(r.calls) == 1 })
 	r.set(func() { r.late = true })
 	answered := r.handIn("m")
-	r.await("its record is on the way", func() bool { return len(r.batches) == 3 })
+	r.await("the batch with its record", func() bool { return len(r.batches) == 3 })
 	r.answer()
 	<-answered
-	r.await("its attempt is on the way", func() bool { return len(r.batches) == 4 })
+	r.await("the batch with its attempt", func() bool { return len(r.batches) == 4 })
 	r.Members(&engine.Members{Source: "list", Whole: true, List: []engine.Member{{ID: "e", Addr: "h:1", Dest: 1, Phase: engine.Leaving}}})
 	r.answer()
-	r.await("the proof that it never ran", func() bool { return len(r.batches) == 5 })
+	r.await("the batch that records that it never ran", func() bool { return len(r.batches) == 5 })
 	r.set(func() {
 		if len(r.calls) != 1 {
 			t.Errorf("%d calls", len(r.calls))
@@ -218,19 +218,19 @@
 	r := newRig(t)
 	r.set(func() { r.refuses = engine.ErrFull })
 	if v := <-r.handIn("full"); v.Kind != engine.Busy || v.Again == 0 {
-		t.Errorf("without room: %+v", v)
+		t.Errorf("with a full store: %+v", v)
 	}
 	r.set(func() { r.refuses, r.fails = nil, errors.New("no disk") })
 	if v := <-r.handIn("failing"); v.Kind != engine.Busy || v.Again == 0 {
-		t.Errorf("with a store that fails: %+v", v)
+		t.Errorf("with a failing store: %+v", v)
 	}
 	r.set(func() { r.fails = nil })
-	for { // taking goes on by itself once the store is asked again
+	for { // messages are accepted again once the store has been retried
 		if v := <-r.handIn("good"); v.Kind == engine.Taken {
 			break
 		}
 	}
-	r.await("the call of what was taken", func() bool { return len(r.calls) == 1 && r.calls[0].Items[0].ID == "good" })
+	r.await("the call of the accepted message", func() bool { return len(r.calls) == 1 && r.calls[0].Items[0].ID == "good" })
 }
 
 func TestAnEndIsToldOnceItsRecordIsStored(t *testing.T) {
@@ -240,10 +240,10 @@
 	r.await("the call", func() bool { return len(r.calls) == 1 })
 	r.set(func() { r.late = true })
 	r.Ended(r.calls[0].ID, []engine.Outcome{{Result: control.Errored}})
-	r.await("the record of its end", func() bool { return len(r.batches) == 3 })
+	r.await("the batch with the record of its end", func() bool { return len(r.batches) == 3 })
 	r.set(func() {
 		if len(r.dones) > 0 {
-			t.Error("its end is told before the store has it")
+			t.Error("the sink was called before the store had the end")
 		}
 	})
 	r.answer()
@@ -255,20 +255,20 @@
 	r := newRig(t)
 	r.set(func() { r.late = true })
 	answered := r.handIn("m")
-	r.await("its record is on the way", func() bool { return len(r.batches) == 1 })
+	r.await("the batch with its record", func() bool { return len(r.batches) == 1 })
 	r.Quit()
 	<-r.ran
 	if v := <-answered; v.Kind != engine.Unsure {
-		t.Errorf("its record may be stored, and it is told %+v", v)
+		t.Errorf("its record may be stored, but the verdict is %+v", v)
 	}
 	if v := r.HandIn(message("n"), time.Now().Add(time.Minute)); v.Kind != engine.Busy || v.Again == 0 {
-		t.Errorf("after the end: %+v", v)
+		t.Errorf("after the driver has ended: %+v", v)
 	}
 	if ok := r.MayWrite(1); slices.Contains(ok, true) {
-		t.Error("a call may be written after the end")
+		t.Error("a call may be written after the driver has ended")
 	}
 	if !r.Idle(time.Now().Add(time.Minute)) || r.Members(&engine.Members{Source: "list", Failed: true}) {
-		t.Error("the driver is not over")
+		t.Error("the driver has not ended")
 	}
 }
 
@@ -278,13 +278,13 @@
 	<-r.handIn("m")
 	r.await("the call", func() bool { return len(r.calls) == 1 })
 	if r.Idle(time.Now().Add(10 * time.Millisecond)) {
-		t.Error("idle with a call out")
+		t.Error("idle during a call")
 	}
 	idle := make(chan bool, 1)
 	go func() { idle <- r.Idle(time.Now().Add(20 * time.Second)) }()
 	r.Ended(r.calls[0].ID, []engine.Outcome{{Result: control.OK}})
 	if !<-idle {
-		t.Error("not idle with no call out")
+		t.Error("not idle after the last call")
 	}
 }
 
@@ -295,7 +295,7 @@
 	r.set(func() { r.late = true })
 	answered := make(chan engine.Verdict, 1)
 	go func() { answered <- r.HandInAll([]*engine.Message{message("a"), message("b")}, until) }()
-	r.await("their record is on the way", func() bool { return len(r.batches) == 1 })
+	r.await("the batch with their records", func() bool { return len(r.batches) == 1 })
 	r.answer()
 	if v := <-answered; v.Kind != engine.Taken {
 		t.Fatalf("answered %+v", v)
@@ -303,7 +303,7 @@
 	wrong := message("c")
 	wrong.Class = "unheard of"
 	if v := r.HandInAll([]*engine.Message{message("d"), wrong}, until); v.Kind != engine.Invalid {
-		t.Errorf("with one that is wrong: %+v", v)
+		t.Errorf("with an invalid message: %+v", v)
 	}
 	r.await("attempts of the first two", func() bool { return len(r.batches) == 2 })
 	r.answer()
@@ -324,12 +324,12 @@
 	<-r.ran
 	for _, v := range append(r.HandInEach([]*engine.Message{message("d")}, until), r.HandInAll([]*engine.Message{message("e")}, until)) {
 		if v.Kind != engine.Busy || v.Again == 0 {
-			t.Errorf("after the end: %+v", v)
+			t.Errorf("after the driver has ended: %+v", v)
 		}
 	}
 }
 
-// steppedHost is a machine whose wall clock can be stepped.
+// steppedHost is a host whose wall clock can be stepped.
 type steppedHost struct {
 	host.System
 	by atomic.Int64
@@ -337,13 +337,14 @@
 
 func (h *steppedHost) Wall() time.Time { return h.System.Wall().Add(time.Duration(h.by.Load())) }
 
-// A step of the wall clock while nothing happens is in the records before the driver ends: the next process goes by them.
+// A step of the wall clock while the driver is idle must be recorded before the driver ends, because the next process relies
+// on the records.
 func TestAStepOfTheClockWhileIdleIsRecordedAtTheEnd(t *testing.T) {
 	t.Parallel()
 	h := &steppedHost{}
 	r := newRigOn(t, h, 4)
 	answer := r.handIn("a")
-	r.await("taken", func() bool { return len(r.records) > 0 })
+	r.await("the record", func() bool { return len(r.records) > 0 })
 	r.answer()
 	<-answer
 	h.by.Store(-int64(time.Hour))
@@ -355,6 +356,6 @@
 		s, ok := x.(*engine.RecShift)
 		return ok && time.Duration(s.By)*time.Microsecond < -time.Hour+time.Minute
 	}) {
-		t.Errorf("no step among the records: %v", r.records)
+		t.Errorf("the step of the clock is not in the records: %v", r.records)
 	}
 }
--- a/internal/driver/ledger_test.go
+++ b/internal/driver/ledger_test.go
@@ -9,7 +9,7 @@
 	"curlewmux/ledger"
 )
 
-// Readers that ask while the store is silent are bounded, those that went away cost nothing, and one cut answers all.
+// While the store does not respond, the number of waiting readers is bounded, and later one snapshot answers all of them.
 func TestReadersOfTheLedgerAreBounded(t *testing.T) {
 	t.Parallel()
 	d := &Driver{host: host.System{}, tickets: map[engine.Ticket]host.Inbox{}}
@@ -27,33 +27,33 @@
 	d.e = e
 	d.Store = silent{}
 	d.now = engine.Now{At: engine.Epoch, Wall: 1}
-	d.handle(&engine.RestoredLast{}) // a batch of the epoch's leaf is on its way, and stays so
+	d.handle(&engine.RestoredLast{}) // appends a batch with the leaf of the epoch, which stays unanswered
 	var got []*ledger.Snapshot
 	for range 100_000 {
 		d.cut(tellCut(func(s *ledger.Snapshot) { got = append(got, s) }))
 	}
 	if n := len(d.cuts.out) + len(d.cuts.next); n > mostCuts || len(got) > 0 {
-		t.Errorf("%d wait, %d were answered", n, len(got))
+		t.Errorf("%d readers wait, %d were answered", n, len(got))
 	}
 	d.now.At += cutLost + 1
 	d.cut(tellCut(func(s *ledger.Snapshot) { got = append(got, s) }))
 	d.told(d.appended, nil)
 	if len(got) == 0 || len(got) > mostCuts+1 || len(d.cuts.out)+len(d.cuts.next) > 0 {
-		t.Errorf("%d were answered, %d wait", len(got), len(d.cuts.out)+len(d.cuts.next))
+		t.Errorf("%d readers were answered, %d wait", len(got), len(d.cuts.out)+len(d.cuts.next))
 	}
 	last := got[0]
 	d.cut(tellCut(func(s *ledger.Snapshot) { last = s }))
 	if last != got[len(got)-1] {
-		t.Error("a cut that is young is made anew")
+		t.Error("a recent snapshot was not reused")
 	}
 	d.now.At += engine.Time(cutYoung)
 	d.cut(tellCut(func(s *ledger.Snapshot) { last = s }))
 	if last == got[len(got)-1] {
-		t.Error("an old cut is shown")
+		t.Error("an old snapshot was reused")
 	}
 }
 
-// silent takes batches and does not answer for them.
+// silent is a store that accepts batches and never reports them as stored.
 type silent struct{}
 
 func (silent) Append(engine.Batch, []engine.Record) error { return nil }
--- a/internal/driver/load.go
+++ b/internal/driver/load.go
@@ -117,7 +117,7 @@
 		d.inbox.Put(&probeBack{d.clock.At(d.host.Now()) - engine.Time(d.load.sent.Load())})
 	})
 	if err != nil {
-		d.log.Warn("how late the process is can't be told", "error", err)
+		d.log.Warn("the delay of the process can't be measured", "error", err)
 		return
 	}
 	d.load.probe = probe
--- a/internal/driver/load_test.go
+++ b/internal/driver/load_test.go
@@ -11,7 +11,7 @@
 	"curlewmux/internal/host"
 )
 
-// lateHost is a machine on which a probe is back when the test says so.
+// lateHost is a host whose probe comes back when the test calls back.
 type lateHost struct {
 	host.System
 
@@ -27,7 +27,7 @@
 
 func (h *lateHost) Close() {}
 
-// handAll hands messages in and waits until all were answered.
+// handAll submits n messages concurrently and waits until all are accepted.
 func (r *rig) handAll(name string, n int) {
 	r.t.Helper()
 	var all sync.WaitGroup
@@ -41,10 +41,10 @@
 	all.Wait()
 }
 
-// answered has the probe come back until so many calls have started.
+// answered lets the probe come back until the given number of calls has started.
 func (r *rig) answered(h *lateHost, calls int) {
 	r.t.Helper()
-	for limit := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) { // the pace of the probes
+	for limit := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) { // between two probes
 		h.back()
 		r.mu.Lock()
 		n := len(r.calls)
@@ -58,15 +58,15 @@
 	}
 }
 
-// As long as the probe is not back no more than a lot of calls is begun, beside those before it was sent; the others wait,
-// and start when it is.
+// While the probe is under way, at most lot calls start beside those from before it was sent. The others start once it is
+// back.
 func TestNoMoreCallsStartThanGetTheirTurn(t *testing.T) {
 	t.Parallel()
 	h := &lateHost{}
 	r := newRigOn(t, h, 8*lot)
 	r.handAll("m", 3*lot)
-	r.await("a lot of calls", func() bool { return len(r.calls) >= lot })
-	r.handAll("n", 2) // some rounds more
+	r.await("lot calls", func() bool { return len(r.calls) >= lot })
+	r.handAll("n", 2) // makes further rounds
 	r.mu.Lock()
 	if len(r.calls) > 2*lot {
 		t.Errorf("%d calls have started, want %d at most", len(r.calls), 2*lot)
@@ -75,7 +75,7 @@
 	r.answered(h, 3*lot+2)
 }
 
-// A call that waited for its turn is one that waited: what was called off meanwhile does not go out.
+// A call that waited for a probe needs a new permit: a message that was withdrawn meanwhile must not be sent.
 func TestACallThatWaitedForItsTurnAsksAgain(t *testing.T) {
 	t.Parallel()
 	for _, stored := range []bool{true, false} {
@@ -88,8 +88,8 @@
 	h := &lateHost{}
 	r := newRigWith(t, h, 8*lot, stored)
 	r.handAll("m", 3*lot)
-	r.await("a lot of calls", func() bool { return len(r.calls) >= lot })
-	r.handAll("n", 2) // some rounds more
+	r.await("lot calls", func() bool { return len(r.calls) >= lot })
+	r.handAll("n", 2) // makes further rounds
 	started := map[string]bool{}
 	r.mu.Lock()
 	for _, c := range r.calls {
@@ -110,12 +110,12 @@
 	defer r.mu.Unlock()
 	for _, c := range r.calls {
 		if c.Items[0].ID == gone {
-			t.Error("a call went out that was called off")
+			t.Error("the call of a withdrawn message was sent")
 		}
 	}
 }
 
-// What has happened goes before new work: a round full of hand-ins does not keep an outcome waiting.
+// An outcome must not wait behind more submissions than one round handles.
 func TestOutcomesGoBeforeNewWork(t *testing.T) {
 	t.Parallel()
 	r := newRigOn(t, host.System{}, 4*newWork)
@@ -136,7 +136,7 @@
 	<-blocker
 	for i, b := range replies {
 		if got := b.Take(nil, time.Now().Add(20*time.Second)); len(got) != 1 || got[0].(*engine.Verdict).Kind != engine.Taken {
-			t.Fatalf("hand-in %d is answered %v", i, got)
+			t.Fatalf("submission %d: %v", i, got)
 		}
 	}
 	r.mu.Lock()
@@ -146,7 +146,7 @@
 		switch x.(type) {
 		case *engine.RecEnded:
 			if before > newWork+2 {
-				t.Errorf("the outcome was handled behind %d hand-ins", before-2)
+				t.Errorf("the outcome was handled behind %d submissions", before-2)
 			}
 			return
 		case *engine.RecTaken:
@@ -156,7 +156,7 @@
 	t.Error("the outcome was not handled")
 }
 
-// Withdraw comes behind its message, and ahead of what was told later, however much new work waits.
+// A withdrawal stays behind the submission of its message and ahead of later values, however many submissions wait.
 func TestAWithdrawalKeepsItsPlace(t *testing.T) {
 	t.Parallel()
 	l := &later{}
@@ -172,26 +172,26 @@
 	}
 	l.add(&engine.Withdraw{ID: "a"})
 	if got := l.take(1); len(got) != 1 || got[0] != any(first) || !l.has("a") {
-		t.Errorf("%v, a waits: %v", got, l.has("a"))
+		t.Errorf("%v, a is queued: %v", got, l.has("a"))
 	}
 	if got := l.take(10); len(got) != 2 || l.has("a") || l.has("b") || len(l.ids) > 0 {
 		t.Errorf("%v, left %v", got, l.ids)
 	}
 }
 
-// Where everything is late, new work is turned away; when it is no more, all is taken again.
+// A process that stays late for a while must reject new messages. A short delay must not be enough.
 func TestWhileTheProcessIsLateNewWorkIsTurnedAway(t *testing.T) {
 	t.Parallel()
 	h := &lateHost{}
 	r := newRigOn(t, h, 400)
 	if _, ok := r.Admit(time.Now()); !ok {
-		t.Fatal("turned away with nothing to do")
+		t.Fatal("rejected without load")
 	}
 	refused := func() bool {
 		for range 1000 {
 			if again, ok := r.Admit(time.Now()); !ok {
 				if again <= 0 {
-					t.Error("nobody is told when to come again")
+					t.Error("rejected without a time to retry after")
 				}
 				return true
 			}
@@ -201,18 +201,18 @@
 	began := time.Now()
 	for !refused() {
 		if time.Since(began) > 20*time.Second {
-			t.Fatal("everything is late, and everything is taken")
+			t.Fatal("the process is late, but nothing is rejected")
 		}
 		r.load.sent.Store(int64(r.clock.At(time.Now()) - 30*control.Millisecond))
-		h.back() // so late
+		h.back() // 30 ms late
 		time.Sleep(5 * time.Millisecond)
 	}
 	if took := time.Since(began); took < 150*time.Millisecond {
-		t.Errorf("a pause of %v was enough", took)
+		t.Errorf("rejected after only %v of delay", took)
 	}
 }
 
-// A probe that does not come back tells as much: everything waits.
+// A probe that does not come back must count as late, too.
 func TestAProbeThatStaysOutTellsThatAllIsLate(t *testing.T) {
 	t.Parallel()
 	h := &lateHost{}
@@ -224,9 +224,9 @@
 	}
 	for i, began := 0, time.Now(); !limited(); i++ {
 		if time.Since(began) > 20*time.Second {
-			t.Fatal("nothing comes back, and everything is taken")
+			t.Fatal("the probe does not come back, but nothing is rejected")
 		}
-		r.handAll(fmt.Sprint("m", i, "-"), fewEach) // what makes work, so that a probe is sent
-		time.Sleep(20 * time.Millisecond)           // so that the hold lasts
+		r.handAll(fmt.Sprint("m", i, "-"), fewEach) // enough work for a probe to be sent
+		time.Sleep(20 * time.Millisecond)           // so that the delay lasts
 	}
 }
--- a/internal/driver/share.go
+++ b/internal/driver/share.go
@@ -25,8 +25,8 @@
 }
 
 // ShareRounds lets callers of SubmitAsync, Withdraw, Ended and MayWrite make rounds. They must not hold a lock that the
-// driver's components take. It must be called before all other methods, and only for a driver without a store, because a round must not
-// block.
+// driver's components take. It must be called before all other methods, and only for a driver without a store, because a
+// round must not block.
 func (d *Driver) Share() { d.shared = true }
 
 // crowded is the number of open messages above which Run alone makes rounds. One round for the values of many callers costs
--- a/internal/driver/share_test.go
+++ b/internal/driver/share_test.go
@@ -13,11 +13,11 @@
 	"curlewmux/internal/host"
 )
 
-// direct is a transport and a sink whose rounds are shared.
+// direct is the transport and sink of a driver with shared rounds.
 type direct struct {
 	mu    sync.Mutex
-	by    map[string]chan any // by message id: its calls and its end
-	calls func(*engine.Call)  // in place of that, if not nil
+	by    map[string]chan any // by message id: receives its calls and its engine.Done
+	calls func(*engine.Call)  // if set, receives all calls instead
 }
 
 func (r *direct) expect(id string) chan any {
@@ -48,7 +48,7 @@
 func (r *direct) Leave(*engine.Leave)         {}
 func (r *direct) Done(d *engine.Done)         { r.tell(d.ID, d) }
 
-// verdicts takes them and forgets them.
+// verdicts is a reply inbox that discards its values.
 type verdicts struct{ host.Inbox }
 
 func (verdicts) Put(any) bool { return true }
@@ -92,46 +92,46 @@
 
 func single(id string) *engine.Message { return &engine.Message{ID: id, Class: "unsafe", Dest: 1} }
 
-// Run is not there yet: whatever happens is the callers' own work.
+// Without Run, callers must make the rounds for their own events.
 func TestACallerMakesTheRoundsOfWhatItTells(t *testing.T) {
 	t.Parallel()
 	d, to := newShared(t, 1, active)
 	first, second := to.expect("a"), to.expect("b")
 	in := time.Now().Add(time.Minute)
 	if !d.Offer(single("a"), in, true, verdicts{}) || !d.Offer(single("b"), in, true, verdicts{}) || len(first) != 1 || len(second) != 0 {
-		t.Fatalf("with one slot: %d and %d told", len(first), len(second))
+		t.Fatalf("with one slot: %d and %d events", len(first), len(second))
 	}
 	call := (<-first).(*engine.Call)
 	if ok := d.MayWrite(call.ID); len(ok) != 1 || !ok[0] {
-		t.Errorf("may it be written: %v", ok)
+		t.Errorf("permit: %v", ok)
 	}
 	d.Ended(call.ID, []engine.Outcome{{Result: control.OK}})
 	if len(first) != 1 || len(second) != 1 {
-		t.Fatalf("behind its end: %d and %d told", len(first), len(second))
+		t.Fatalf("after the end of the first: %d and %d events", len(first), len(second))
 	}
 	d.Withdraw("b")
 	d.Ended((<-second).(*engine.Call).ID, []engine.Outcome{{Result: control.Moot}})
 	if e := d.Engine(); e.Open() != 0 || e.Out() != 0 {
-		t.Errorf("%d held, %d out", e.Open(), e.Out())
+		t.Errorf("%d messages open, %d calls out", e.Open(), e.Out())
 	}
 	run(t, d)
 }
 
-// What the engine wants at a later time has to get Run out of its sleep, which may be long.
+// If a caller's round leaves something due earlier than Run would wake up, Run must be woken.
 func TestRunIsWokenForWhatACallersRoundLeavesDue(t *testing.T) {
 	t.Parallel()
 	leaving := active
 	leaving.Phase = engine.Leaving
 	d, to := newShared(t, 1, leaving)
 	run(t, d)
-	for d.turn.Lock(); time.Until(d.sleeps) < time.Second; d.turn.Lock() { // it sleeps, for seconds
+	for d.turn.Lock(); time.Until(d.sleeps) < time.Second; d.turn.Lock() { // until Run sleeps for seconds
 		d.turn.Unlock()
-		time.Sleep(time.Millisecond) // between two looks
+		time.Sleep(time.Millisecond) // polling interval
 	}
 	d.turn.Unlock()
 	end := to.expect("a")
 	if !d.Offer(single("a"), time.Now().Add(50*time.Millisecond), true, verdicts{}) {
-		t.Fatal("it has stopped")
+		t.Fatal("the driver has stopped")
 	}
 	select {
 	case v := <-end:
@@ -139,11 +139,11 @@
 			t.Errorf("%+v", v)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("it is held beyond its time")
+		t.Fatal("the message did not expire")
 	}
 }
 
-// A transport that ends a call at once tells so from within a round.
+// A transport may end a call from within the round that starts it.
 func TestWhatIsToldFromWithinARoundIsTakenUpBehindIt(t *testing.T) {
 	t.Parallel()
 	d, to := newShared(t, 1, active)
@@ -151,12 +151,12 @@
 	end := to.expect("a")
 	d.Offer(single("a"), time.Now().Add(time.Minute), true, verdicts{})
 	if len(end) != 1 {
-		t.Fatal("its end is not taken up")
+		t.Fatal("the outcome was not handled")
 	}
 	run(t, d)
 }
 
-// asleep tells of a Run that sleeps with something in the queue.
+// asleep is an inbox that fails the test if Run sleeps with values in the queue.
 type asleep struct {
 	host.Inbox
 	d *Driver
@@ -165,7 +165,7 @@
 
 func (a asleep) Take(into []any, until time.Time) []any {
 	if a.d.waiting() {
-		a.t.Error("Run goes to sleep with something in the queue")
+		a.t.Error("Run goes to sleep with values in the queue")
 	}
 	return a.Inbox.Take(into, until)
 }
@@ -185,20 +185,20 @@
 		<-goOn
 	}
 	run(t, d)
-	d.Tell(&engine.HandIn{Message: *single("a"), Expires: control.Second}) // Run's
+	d.Tell(&engine.HandIn{Message: *single("a"), Expires: control.Second}) // handled by Run
 	<-begun
 	if !d.Offer(single("b"), time.Now().Add(time.Minute), true, verdicts{}) {
-		t.Fatal("it has stopped")
+		t.Fatal("the driver has stopped")
 	}
 	close(goOn)
 	select {
 	case <-second:
 	case <-time.After(5 * time.Second):
-		t.Fatal("it is left lying")
+		t.Fatal("the second message was not handled")
 	}
 }
 
-// With many messages held the callers leave the rounds to Run, which takes what all of them told in one.
+// With many open messages callers leave the rounds to Run, which handles the values of all of them in one round.
 func TestManyCallersLeaveTheRoundsToRun(t *testing.T) {
 	t.Parallel()
 	d, to := newShared(t, 1, active)
@@ -207,18 +207,18 @@
 		d.Offer(single(fmt.Sprint(i)), time.Now().Add(time.Minute), true, verdicts{})
 	}
 	if got := d.Engine().Open(); got != crowded+1 && got != crowded+2 {
-		t.Errorf("%d are handed in without Run", got)
+		t.Errorf("%d messages are open without Run", got)
 	}
 	call := (<-first).(*engine.Call)
 	end := to.expect("0")
 	run(t, d)
 	d.Ended(call.ID, []engine.Outcome{{Result: control.OK}})
 	if _, ok := (<-end).(*engine.Done); !ok {
-		t.Error("it does not end")
+		t.Error("the message did not end")
 	}
 }
 
-// Whoever finds the turn taken leaves its work to others: none may be left lying.
+// A caller that finds the turn taken leaves its value to another goroutine. No value may be forgotten.
 func TestNoneOfManyCallersIsLeftWaiting(t *testing.T) {
 	t.Parallel()
 	d, to := newShared(t, 4, active)
@@ -247,7 +247,7 @@
 							}
 						}
 					case <-time.After(20 * time.Second):
-						t.Errorf("%s is left waiting", id)
+						t.Errorf("%s: no event", id)
 					}
 					break
 				}
@@ -257,7 +257,7 @@
 	all.Wait()
 }
 
-// calling is a log handler that uses what it logs of.
+// calling is a log handler that calls into the driver whose log it handles.
 type calling struct {
 	slog.Handler
 	call func()
@@ -270,7 +270,7 @@
 	return nil
 }
 
-// The logger is the program's: it may take long, or make a call of the same Core's.
+// The logger belongs to the program: it may be slow, or make a call through the same driver.
 func TestNothingIsLoggedWithinARound(t *testing.T) {
 	t.Parallel()
 	d, to := newShared(t, 1, active)
@@ -282,7 +282,7 @@
 	}})
 	to.calls = func(c *engine.Call) {
 		if c.Items[0].ID == "first" {
-			d.carryOut([]engine.Effect{&engine.Note{Text: "as the engine would have it in this round"}})
+			d.carryOut([]engine.Effect{&engine.Note{Text: "a note of this round"}})
 			return
 		}
 		to.tell(c.Items[0].ID, c)
@@ -294,7 +294,7 @@
 	select {
 	case <-logged:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the logger's own call is not made")
+		t.Fatal("the logger's own call was not made")
 	}
 }
 
@@ -304,11 +304,11 @@
 	d.Quit()
 	d.Run()
 	if d.Offer(single("a"), time.Now().Add(time.Minute), true, verdicts{}) || d.MayWrite(1) != nil || d.Members(&engine.Members{Source: "list", Failed: true}) {
-		t.Error("it takes something after its end")
+		t.Error("the driver accepts values after it has ended")
 	}
 }
 
-// BenchmarkSharedRounds is what a call costs between being handed in and its end, where its caller makes the rounds.
+// BenchmarkSharedRounds measures a call from its submission to its end if its caller makes the rounds.
 func BenchmarkSharedRounds(b *testing.B) {
 	d, to := newShared(b, 4, active)
 	calls := make(chan *engine.Call, 1)
@@ -319,7 +319,7 @@
 	for b.Loop() {
 		n++
 		if !d.Offer(single(fmt.Sprint(n)), time.Now().Add(time.Second), true, verdicts{}) {
-			b.Fatal("it has stopped")
+			b.Fatal("the driver has stopped")
 		}
 		d.Ended((<-calls).ID, []engine.Outcome{{Result: control.OK}})
 	}
--- a/internal/figures/exporter/exporter_test.go
+++ b/internal/figures/exporter/exporter_test.go
@@ -23,7 +23,7 @@
 
 func (s source) Ledger(time.Duration) (*ledger.Snapshot, error) { return s.Snapshot, nil }
 
-// scrape asks a handler of the library as Prometheus does.
+// scrape sends the request of a Prometheus server to the library's handler.
 func scrape(t testing.TB, cut func() (*ledger.Snapshot, error)) (int, string) {
 	t.Helper()
 	r := prometheus.NewPedanticRegistry()
@@ -38,7 +38,7 @@
 	return out.Code, out.Body.String()
 }
 
-// lines are a text's, sorted, with figures as floating-point numbers.
+// lines returns the sorted lines of a text, with values as floating-point numbers.
 func lines(t *testing.T, text string) (out []string) {
 	t.Helper()
 	for line := range strings.Lines(text) {
@@ -70,7 +70,7 @@
 	return s
 }
 
-// The dispatcher's own text and the library's say the same of every snapshot.
+// The dispatcher's own metrics text must have the same lines as the library's for every snapshot.
 func TestTheTextIsTheLibrarys(t *testing.T) {
 	t.Parallel()
 	many := make([]string, 1000)
@@ -98,13 +98,13 @@
 				}
 			}
 			if !bytes.HasSuffix(got, []byte("\n# EOF\n")) || bytes.Count(got, []byte("\n# EOF\n")) != 1 {
-				t.Error("the text does not end as it must")
+				t.Error("the text does not end with one EOF line")
 			}
 			if n := bytes.Count(got, []byte("curlewmux_messages_taken_total{")); n > figures.MostSeries+1 {
 				t.Errorf("%d series of a metric", n)
 			}
 			if len(s.Accounts) > 1 && !bytes.Contains(got, []byte(" 9007199254740993\n")) {
-				t.Error("a figure beyond 2^53 is not exact")
+				t.Error("a count beyond 2^53 is not exact")
 			}
 		})
 	}
@@ -117,7 +117,7 @@
 	}
 }
 
-// go test -bench . ./internal/figures/exporter: one text of 256 accounts, by the library and by the dispatcher's own code.
+// BenchmarkText makes one page of 256 accounts with the library and with the dispatcher's own code.
 func BenchmarkText(b *testing.B) {
 	names := make([]string, figures.MostSeries)
 	for i := range names {
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -15,7 +15,7 @@
 	"curlewmux/ledger"
 )
 
-// books are a ledger that a test fills by hand, behind a lock in the engine's place.
+// books is a source whose ledger a test fills. A lock takes the place of the engine's goroutine.
 type books struct {
 	mu   sync.Mutex
 	l    *ledger.Ledger
@@ -50,13 +50,13 @@
 	}
 }
 
-// clock is a time that a test sets.
+// clock is a clock that a test sets.
 type clock struct{ ns atomic.Int64 }
 
 func (c *clock) now() time.Time          { return time.Unix(0, c.ns.Load()) }
 func (c *clock) advance(d time.Duration) { c.ns.Add(int64(d)) }
 
-// Any number of scrapes within Keep costs one cut, and each is given the same text.
+// However many scrapes there are, each page takes one snapshot per MaxAge.
 func TestAThousandScrapesASecondCostAFewCuts(t *testing.T) {
 	t.Parallel()
 	b, c := newBooks(t, 10), &clock{}
@@ -73,11 +73,11 @@
 		c.advance(time.Millisecond)
 	}
 	if most := 2 * int(3*time.Second/Keep); b.cuts > most || b.cuts < most/2 {
-		t.Errorf("%d cuts in 3 s, %d at most", b.cuts, most)
+		t.Errorf("%d snapshots in 3 s, want %d at most", b.cuts, most)
 	}
 }
 
-// What is shown is never older than Keep: whoever asks later has a later cut.
+// A page that is MaxAge old must be replaced by one from a new snapshot.
 func TestWhatIsShownIsNoOlderThanSaid(t *testing.T) {
 	t.Parallel()
 	b, c := newBooks(t, 10), &clock{}
@@ -95,7 +95,7 @@
 	}
 }
 
-// Scrapes at any moment, while messages are posted, show cuts that add up; figures never step back.
+// Scrapes during postings must show balanced snapshots, and counts must never go back.
 func TestEachScrapeIsOneCut(t *testing.T) {
 	t.Parallel()
 	b, c := newBooks(t, 10), &clock{}
@@ -158,7 +158,7 @@
 	if back, err := ledger.Read(bytes.NewReader(text)); err != nil || back.Total != f || back.Accounts[0].Figures != f || back.Epoch != s.Epoch {
 		t.Errorf("%+v %v", back, err)
 	}
-	var loose struct{ Total map[string]any } // as a reader would that holds all numbers as floats
+	var loose struct{ Total map[string]any } // as a reader that converts all numbers to float64
 	if err := json.Unmarshal(text, &loose); err != nil || loose.Total["taken"] != "9007199254740993" {
 		t.Errorf("%v %v", loose.Total["taken"], err)
 	}
@@ -171,7 +171,7 @@
 
 func (g given) Ledger(time.Duration) (*ledger.Snapshot, error) { return g.Snapshot, nil }
 
-// Series are bounded whatever is asked for, stay the same accounts' over scrapes, and their sums are the ledger's.
+// The number of series is bounded, accounts keep their series over scrapes, and the sum over all series is the total.
 func TestSeriesAreBoundedAndAddUp(t *testing.T) {
 	t.Parallel()
 	b := newBooks(t, 5000)
@@ -189,19 +189,19 @@
 			if round == 0 {
 				first[one.Labels] = true
 			} else if !first[one.Labels] {
-				t.Errorf("series %q are new", one.Labels)
+				t.Errorf("new series %q", one.Labels)
 			}
 			if strings.ContainsRune(one.Labels[0], '\xff') && one.Labels[0] != Clean(one.Labels[0]) {
 				t.Errorf("%q", one.Labels)
 			}
 		}
 		if len(list) > MostSeries+1 || sum != s.Total {
-			t.Errorf("%d series, %+v in all, the ledger has %+v", len(list), sum, s.Total)
+			t.Errorf("%d series, sum %+v, total of the ledger %+v", len(list), sum, s.Total)
 		}
 	}
 }
 
-// Bytes given out are bounded in a second, and behind a pause there is room again.
+// The bytes served per second are bounded. After a pause of MaxAge pages are served again.
 func TestWhoAsksTooOftenIsTurnedAway(t *testing.T) {
 	t.Parallel()
 	b, c := newBooks(t, 1000), &clock{}
@@ -221,7 +221,7 @@
 		c.advance(100 * time.Microsecond)
 	}
 	if most := rate + rate/4 + len(board.json.text); given > most || turned == 0 || given < rate/2 {
-		t.Errorf("%d bytes given in a second, %d at most; %d were turned away", given, most, turned)
+		t.Errorf("%d bytes served in a second, want %d at most; %d requests were rejected", given, most, turned)
 	}
 	c.advance(Keep)
 	if _, err := board.JSON(); err != nil {
@@ -243,11 +243,11 @@
 	}
 }
 
-// slow gives its first caller a cut that is old by the time it comes.
+// slow is a source that delays the snapshot of its first caller, so that it is old when it is returned.
 type slow struct {
 	*books
-	first chan struct{} // closed when the first caller may have its answer
-	asked chan struct{} // closed when it has its cut
+	first chan struct{} // closed when the first caller may get its snapshot
+	asked chan struct{} // closed when the snapshot of the first caller was taken
 	later atomic.Bool
 }
 
@@ -260,7 +260,7 @@
 	return cut, err
 }
 
-// A cut that was long under way does not take the place of a newer one.
+// A snapshot that was delayed must not replace a newer one.
 func TestNoOlderCutComesBehindANewerOne(t *testing.T) {
 	t.Parallel()
 	b, c := &slow{books: newBooks(t, 10), first: make(chan struct{}), asked: make(chan struct{})}, &clock{}
@@ -280,14 +280,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.advance(2 * Keep) // even where the newer one would be made anew
+	c.advance(2 * Keep) // even if the newer page has expired
 	close(b.first)
 	if text := <-late; !bytes.Equal(text, newer) {
-		t.Errorf("%s behind %s", text, newer)
+		t.Errorf("%s after %s", text, newer)
 	}
 }
 
-// crowd lets nobody have a cut until so many have asked.
+// crowd is a source that returns no snapshot before all expected callers have asked.
 type crowd struct {
 	*books
 	all sync.WaitGroup
@@ -299,7 +299,7 @@
 	return c.books.Ledger(wait)
 }
 
-// Those who ask at one time share one text, whatever cuts they were given.
+// Readers that ask at the same time share one page, even if they got different snapshots.
 func TestThoseWhoAskTogetherShareOneText(t *testing.T) {
 	t.Parallel()
 	const n = 20
@@ -321,16 +321,16 @@
 	first := <-texts
 	for range n - 1 {
 		if <-texts != first {
-			t.Error("another text was made")
+			t.Error("a second page was made")
 		}
 	}
 }
 
-// Where making a text takes long it is made the more seldom: a fiftieth of the time is the most.
+// Making pages must take at most a fiftieth of the time, so a page that takes longer is made less often.
 func TestTextsThatTakeLongAreMadeSeldom(t *testing.T) {
 	t.Parallel()
 	b, c := newBooks(t, 10), &clock{}
-	board := New(b, func() time.Time { // each look at the clock takes 20 ms
+	board := New(b, func() time.Time { // each reading of the clock takes 20 ms
 		c.advance(20 * time.Millisecond)
 		return c.now()
 	})
@@ -340,6 +340,6 @@
 		}
 	}
 	if b.cuts > 11 {
-		t.Errorf("%d texts in 10 s, at 20 ms each", b.cuts)
+		t.Errorf("%d pages in 10 s, at 20 ms each", b.cuts)
 	}
 }
--- a/internal/figures/rest.go
+++ b/internal/figures/rest.go
@@ -29,7 +29,7 @@
 		return nil, fmt.Errorf("ledger: %w", err)
 	}
 	if l.Epoch().ID == "" {
-		return nil, fmt.Errorf("%w: its epoch is not there", ErrNoLedger)
+		return nil, fmt.Errorf("%w: the leaf of its epoch is missing", ErrNoLedger)
 	}
 	wall := int64(r.Last.Written)
 	l.At(wall)
--- a/internal/figures/rest_test.go
+++ b/internal/figures/rest_test.go
@@ -10,10 +10,10 @@
 	"curlewmux/ledger"
 )
 
-// A folder at rest shows the books that it holds, and tells where they and its live messages differ.
+// Reading a folder returns its ledger, with a breach if the ledger and the live messages in the journal differ.
 func TestAFolderAtRestIsCountedAgainstItsMessages(t *testing.T) {
 	t.Parallel()
-	for live, breaches := range []int{1, 1, 0, 1} { // 2 are open in the books
+	for live, breaches := range []int{1, 1, 0, 1} { // 2 messages are open in the ledger
 		dir := journal.OSDir(t.TempDir())
 		j, _, err := journal.Open(dir, journal.Settings{Disk: 1 << 20, Owner: "n0", Leaves: true, Random: func() uint64 { return 7 }})
 		if err != nil {
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -24,12 +24,12 @@
 	for got := 0; got < 4000; {
 		list := b.Take(nil, time.Now().Add(10*time.Second))
 		if len(list) == 0 {
-			t.Fatalf("after %d of 4000 nothing more comes", got)
+			t.Fatalf("no further values after %d of 4000", got)
 		}
 		for _, v := range list {
 			at := v.([2]int)
 			if next[at[0]] != at[1] {
-				t.Fatalf("putter %d: %d came when %d was due", at[0], at[1], next[at[0]])
+				t.Fatalf("putter %d: got %d, want %d", at[0], at[1], next[at[0]])
 			}
 			next[at[0]]++
 		}
@@ -42,25 +42,25 @@
 	t.Parallel()
 	b := System{}.NewInbox()
 	if got := b.Take([]any{1}, time.Now().Add(time.Millisecond)); !slices.Equal(got, []any{1}) {
-		t.Errorf("by its time: %v", got)
+		t.Errorf("after the timeout: %v", got)
 	}
 	back := make(chan []any)
 	go func() { back <- b.Take(nil, time.Time{}) }()
 	b.Close()
 	if got := <-back; len(got) > 0 {
-		t.Errorf("by Close: %v", got)
+		t.Errorf("after Close: %v", got)
 	}
 	if b.Put(1) {
-		t.Error("a closed inbox takes something")
+		t.Error("a closed inbox accepts a value")
 	}
 	if c := (System{}).NewInbox(); !c.Put(7) || !slices.Equal(c.Close(), []any{7}) {
-		t.Error("what nobody took is not returned")
+		t.Error("Close does not return the values that were not taken")
 	}
 }
 
 func TestAnAbortedDialComesBack(t *testing.T) {
 	t.Parallel()
-	// A listener whose backlog is full leaves further dials without an answer; one that is aborted first never starts.
+	// A dial that is aborted before it starts must not connect.
 	abort := &Abort{}
 	abort.Do()
 	if _, err := (System{}).Dial("127.0.0.1:1", 0, abort); !errors.Is(err, ErrAborted) {
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	if Readable(c) {
-		t.Error("readable with nothing there")
+		t.Error("readable without data")
 	}
 	await(t, c, func() error { _, err := far.Write([]byte("x")); return err })
 	if _, err := c.Read(make([]byte, 1)); err != nil {
@@ -108,7 +108,7 @@
 	await(t, c, far.Close)
 }
 
-// await does something at the far side and waits until it can be seen here.
+// await runs an action of the peer and waits until the connection is readable.
 func await(t *testing.T, c net.Conn, do func() error) {
 	t.Helper()
 	if err := do(); err != nil {
--- a/internal/host/probe_test.go
+++ b/internal/host/probe_test.go
@@ -18,22 +18,22 @@
 		select {
 		case <-back:
 		case <-time.After(20 * time.Second):
-			t.Fatal("it is not back")
+			t.Fatal("the probe did not come back")
 		}
 	}
 	select {
 	case <-back:
-		t.Error("it came back without being sent")
+		t.Error("the probe came back without Send")
 	case <-time.After(10 * time.Millisecond):
 	}
 }
 
 func TestAClosedProbeEnds(t *testing.T) {
 	t.Parallel()
-	p, err := System{}.NewProbe(func() { t.Error("it came back") })
+	p, err := System{}.NewProbe(func() { t.Error("the closed probe came back") })
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.Close()
-	p.Send() // into nothing
+	p.Send() // must have no effect
 }
--- a/internal/host/roundtrip_test.go
+++ b/internal/host/roundtrip_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The kernel's estimate is never longer than a round trip that was seen from here.
+// The kernel's minimum must not exceed the duration of any round trip that was measured here.
 func TestTheRoundTripIsNoLongerThanOneThatWasSeen(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,11 +48,11 @@
 		saw, least := time.Since(began), RoundTrip(c)
 		measured = measured || least > 0
 		if least > saw {
-			t.Fatalf("%v, and a request was answered in %v", least, saw)
+			t.Fatalf("minimum %v, but a round trip took %v", least, saw)
 		}
 	}
 	if !measured {
-		t.Log("this kernel measures none")
+		t.Log("this kernel does not measure round trips")
 	}
 	near, far := net.Pipe()
 	defer near.Close()
--- a/ledger/count.go
+++ b/ledger/count.go
@@ -23,7 +23,7 @@
 	}
 	v, err := strconv.ParseUint(string(text), 10, 64)
 	if err != nil {
-		return fmt.Errorf("figure %q: %w", text, err)
+		return fmt.Errorf("count %q: %w", text, err)
 	}
 	*c = Count(v)
 	return nil
--- a/ledger/leaf.go
+++ b/ledger/leaf.go
@@ -24,7 +24,7 @@
 )
 
 // ErrLeaf is wrapped by the error that Restore returns for a leaf that can't be read.
-var ErrLeaf = errors.New("leaf can't be read")
+var ErrLeaf = errors.New("malformed leaf")
 
 // WriteLeaves calls put with each leaf that changed since it was last written, with at most most accounts, and regards them
 // as written. Pending postings are included. The caller calls MarkUnwritten with the number of each leaf that the store does
@@ -200,7 +200,7 @@
 	return uint32(v>>32 ^ v)
 }
 
-var errOver = errors.New("of an epoch that is over")
+var errOver = errors.New("leaf of an earlier epoch")
 
 func (l *Ledger) readAccount(text []byte) (k Key, f Figures, err error) {
 	if len(text) < 4 {
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -308,7 +308,7 @@
 // New returns an empty ledger that begins in epoch e.
 func New(s Settings, e Epoch) (*Ledger, error) {
 	if s.Most < 0 || s.Most > MostAccounts {
-		return nil, fmt.Errorf("most accounts: %d is out of range, 1 to %d", s.Most, MostAccounts)
+		return nil, fmt.Errorf("maximum number of accounts: %d is out of range, 1 to %d", s.Most, MostAccounts)
 	}
 	if s.Most == 0 {
 		s.Most = DefaultMost
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -25,8 +25,8 @@
 
 func key(n int) Key { return Key{Class: fmt.Sprintf("c%d", n%3), Dest: n, Tenant: "t"} }
 
-// Any order of postings that messages can make keeps all equations, also over a store that takes all leaves, and where
-// there are more keys than accounts.
+// Random postings that messages can cause must keep all accounts in balance, also after restarts from the stored leaves, and
+// with more keys than accounts.
 func TestFiguresAddUpWhateverIsPostedAndOutlastTheProcess(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(30) {
@@ -85,7 +85,7 @@
 				t.Fatalf("seed %d: restored as\n%s, was\n%s", seed, b, a)
 			}
 			if len(was.Accounts) > 6 {
-				t.Fatalf("%d accounts, 5 and other are allowed", len(was.Accounts))
+				t.Fatalf("%d accounts, want 5 and the shared one at most", len(was.Accounts))
 			}
 			if bad := is.Check(); len(bad) > 0 {
 				t.Fatalf("seed %d: %+v", seed, bad)
@@ -96,7 +96,7 @@
 				}
 			}
 			if uint64(is.Total.Open) != uint64(len(open)) {
-				t.Fatalf("seed %d: %d open, %d are", seed, is.Total.Open, len(open))
+				t.Fatalf("seed %d: %d messages open, want %d", seed, is.Total.Open, len(open))
 			}
 			before = is
 			open2 := make([]*Account, len(open))
@@ -162,11 +162,11 @@
 	a, b := l.Account(key(1)), l.Account(key(2))
 	l.Compare(a.key, LiveOpen, 1, 2)
 	l.At(20)
-	l.Compare(b.key, LiveOpen, 5, 2) // while the first stands
-	l.Compare(a.key, LiveOpen, 2, 3) // the same one
+	l.Compare(b.key, LiveOpen, 5, 2) // another account, while the first breach stands
+	l.Compare(a.key, LiveOpen, 2, 3) // the same difference: no new breach
 	l.At(30)
-	l.Compare(a.key, LiveOpen, 4, 4) // heals
-	l.Compare(a.key, LiveOpen, 4, 5) // a further one
+	l.Compare(a.key, LiveOpen, 4, 4) // resolved
+	l.Compare(a.key, LiveOpen, 4, 5) // a new breach
 	var leaves []Leaf
 	l.Leaves(10, func(f Leaf) { leaves = append(leaves, f) })
 	after, err := Restore(Settings{}, leaves, epoch)
@@ -178,14 +178,14 @@
 	}
 	for _, l := range []*Ledger{l, after} {
 		if got := l.Snapshot(0).Breaches; !slices.Equal(got, want) {
-			t.Errorf("on record: %+v", got)
+			t.Errorf("recorded breaches: %+v", got)
 		}
 		if n := len(l.Snapshot(0).Check()); n != 2 || l.Standing() != 2 {
-			t.Errorf("%d stand", n)
+			t.Errorf("%d breaches stand", n)
 		}
 	}
 	if fresh := l.Fresh(); len(fresh) != 4 || l.Fresh() != nil {
-		t.Errorf("told: %+v", fresh)
+		t.Errorf("new breaches: %+v", fresh)
 	}
 	for i := range 1000 {
 		l.Compare(key(i), LiveOut, 0, 1)
@@ -194,9 +194,9 @@
 		t.Errorf("%d breaches and %d more", len(s.Breaches), s.More)
 	}
 	l.Fresh()
-	l.Compare(key(999), LiveOut, 3, 4) // one that is not kept, as it was
+	l.Compare(key(999), LiveOut, 3, 4) // a breach that is not on record, with an unchanged difference
 	if fresh := l.Fresh(); fresh != nil || l.Standing() != 2+1000 {
-		t.Errorf("told again: %+v, %d stand", fresh, l.Standing())
+		t.Errorf("new breaches: %+v, %d stand", fresh, l.Standing())
 	}
 }
 
@@ -208,7 +208,7 @@
 	first, second := NewEpoch(1, 1, WhyNew, ""), NewEpoch(2, 50, WhyDamage, NewEpoch(1, 0, "", "").ID)
 	f, err := Sum(
 		shot("a", first, 10, Figures{Taken: 5, Served: 1, Open: 4}),
-		shot("a", first, 5, Figures{Taken: 10, Served: 3, Open: 7}), // later, though its clock shows less
+		shot("a", first, 5, Figures{Taken: 10, Served: 3, Open: 7}), // more advanced, although its clock shows an earlier time
 		shot("a", second, 100, Figures{Brought: 5, Taken: 1, Failed: 2, Open: 4}),
 		shot("b", first, 30, Figures{Taken: 3, Open: 3}),
 	)
@@ -216,10 +216,10 @@
 		t.Fatal(err)
 	}
 	if in, out := f.Total.Sides(); in != 14 || in != out+f.Parts[0].Left || f.Parts[0].Left != 2 || f.Total.Open != 7 {
-		t.Errorf("%d came in, %d went out: %+v", in, out, f)
+		t.Errorf("%d in, %d out: %+v", in, out, f)
 	}
 	if p := f.Parts[2]; p.Instance != "b" || p.Behind != 70 || p.Open != 3 {
-		t.Errorf("what a machine left that is lost: %+v", p)
+		t.Errorf("part of the lost machine: %+v", p)
 	}
 	d, err := Diff(shot("a", first, 1, Figures{Taken: 5}), shot("a", first, 2, Figures{Taken: 4}))
 	if err != nil || len(d.Back) != 1 || d.Back[0].Figure != "taken" {
@@ -252,7 +252,7 @@
 	f.Fuzz(func(t *testing.T, account, head []byte) {
 		l, err := Restore(Settings{}, []Leaf{{epochLeaf, head}, {firstAccount, account}}, epoch)
 		if err == nil && len(l.Snapshot(0).Accounts) > 1 {
-			t.Error("one leaf makes two accounts")
+			t.Error("one leaf made two accounts")
 		}
 	})
 }
--- a/ledger/snapshot.go
+++ b/ledger/snapshot.go
@@ -70,7 +70,7 @@
 
 // Errors of ReadSnapshot.
 var (
-	ErrFormat = errors.New("not a ledger snapshot that this program knows")
+	ErrFormat = errors.New("not a ledger snapshot of a known format")
 )
 
 // mostSnapshot is the largest snapshot in bytes that is read. It has room for MaxAccountsLimit accounts and their breaches.
