--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -82,7 +82,7 @@
 	"sent", "answered", "declined", "silent", "doubted", "twice", "unsure",
 }
 
-// String returns the name of the count that the entry increases.
+// String returns the name of the entry.
 func (e Entry) String() string {
 	if e < entries {
 		return entryNames[e]
