--- a/admission/admission.go
+++ b/admission/admission.go
@@ -15,9 +15,9 @@
 
 // Settings are told once, at the start. Where one is 0 its default counts.
 type Settings struct {
-	Late    Time    // what waits no longer for a core is in time
-	Lasting Time    // lateness counts if all that is told for so long is late: shorter ones are pauses
-	Floor   float64 // so many a second are always taken: they are not what makes the process late
+	LateAfter      Time    // what waits no longer for a core is in time
+	SustainedAfter Time    // lateness counts if all that is told for so long is late: shorter ones are pauses
+	MinRate        float64 // so many a second are always taken: they are not what makes the process late
 }
 
 // Defaults of the settings.
@@ -60,23 +60,23 @@
 
 // New makes a gate that takes everything until it is told of lateness.
 func New(s Settings) *Gate {
-	if s.Late == 0 {
-		s.Late = defaultLate
+	if s.LateAfter == 0 {
+		s.LateAfter = defaultLate
 	}
-	if s.Lasting == 0 {
-		s.Lasting = defaultLasting
+	if s.SustainedAfter == 0 {
+		s.SustainedAfter = defaultLasting
 	}
-	if s.Floor == 0 {
-		s.Floor = defaultFloor
+	if s.MinRate == 0 {
+		s.MinRate = defaultFloor
 	}
 	return &Gate{set: s, most: bank}
 }
 
-// Late tells how long something that was to run at once has waited for a core.
-func (g *Gate) Late(now, by Time) {
+// ObserveDelay tells how long something that was to run at once has waited for a core.
+func (g *Gate) ObserveDelay(now, by Time) {
 	g.roll(now)
 	g.per = g.allow(by)
-	if by <= g.set.Late {
+	if by <= g.set.LateAfter {
 		g.row = 0
 		return
 	}
@@ -84,14 +84,14 @@
 		g.row, g.began = 0, now-by
 	}
 	g.row, g.last = g.row+1, now
-	if !g.limited && g.row >= often && now-g.began >= g.set.Lasting {
+	if !g.limited && g.row >= often && now-g.began >= g.set.SustainedAfter {
 		g.limited, g.at, g.tokens, g.calm = true, now, bank, 0
 	}
 }
 
 // allow is how many may come for each that ends, where things are so late.
 func (g *Gate) allow(late Time) float64 {
-	t := g.set.Late
+	t := g.set.LateAfter
 	switch {
 	case late <= t/4:
 		return 2
@@ -105,8 +105,8 @@
 	return 0.6
 }
 
-// Done tells that so many messages have ended otherwise than by being handed back.
-func (g *Gate) Done(now Time, n int) {
+// Completed tells that so many messages have ended otherwise than by being handed back.
+func (g *Gate) Completed(now Time, n int) {
 	g.roll(now)
 	g.done += n
 	if g.limited {
@@ -121,7 +121,7 @@
 		return true, 0
 	}
 	if gone := now - g.at; gone > 0 {
-		g.tokens = min(g.tokens+g.set.Floor*seconds(gone), g.most)
+		g.tokens = min(g.tokens+g.set.MinRate*seconds(gone), g.most)
 		g.at = now
 	}
 	if g.tokens < 1 {
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -22,7 +22,7 @@
 			if now%sec == 0 {
 				late = 50 * ms // now and then something is
 			}
-			g.Late(now, late)
+			g.ObserveDelay(now, late)
 		}
 		for range 50 {
 			if ok, _ := g.Admit(now); !ok {
@@ -36,15 +36,15 @@
 	t.Parallel()
 	g := New(Settings{})
 	for now := Time(0); now < sec; now += 5 * ms {
-		g.Late(now, ms)
+		g.ObserveDelay(now, ms)
 	}
 	now := 3 * sec
-	g.Late(now, 2*sec) // nothing ran meanwhile
+	g.ObserveDelay(now, 2*sec) // nothing ran meanwhile
 	for ; now < 4*sec; now += 5 * ms {
 		if ok, _ := g.Admit(now); !ok {
 			t.Fatalf("turned away at %d us", now)
 		}
-		g.Late(now, ms)
+		g.ObserveDelay(now, ms)
 	}
 }
 
@@ -55,10 +55,10 @@
 	now := sec
 	for range 20 {
 		for end := now + 95*ms; now < end; now += 5 * ms {
-			g.Late(now, 80*ms)
+			g.ObserveDelay(now, 80*ms)
 		}
 		for end := now + 110*ms; now < end; now += 5 * ms {
-			g.Late(now, ms)
+			g.ObserveDelay(now, ms)
 		}
 		for range 200 {
 			if ok, _ := g.Admit(now); !ok {
@@ -75,7 +75,7 @@
 	now := sec
 	for range 4 {
 		now += 2500 * ms
-		g.Late(now, 2500*ms)
+		g.ObserveDelay(now, 2500*ms)
 	}
 	if !g.Limited() {
 		t.Error("everything waits 2.5 s, and everything is taken")
@@ -87,7 +87,7 @@
 	t.Parallel()
 	g := New(Settings{})
 	for i := range Time(20) {
-		g.Late(sec+i*3*sec, 300*ms)
+		g.ObserveDelay(sec+i*3*sec, 300*ms)
 		if g.Limited() {
 			t.Fatalf("after %d pauses", i+1)
 		}
@@ -98,7 +98,7 @@
 func swamp(t *testing.T, g *Gate, now Time) Time {
 	t.Helper()
 	for end := now + 10*sec; now < end; now += ms {
-		g.Late(now, 100*ms)
+		g.ObserveDelay(now, 100*ms)
 		if ok, after := g.Admit(now); !ok {
 			if after <= 0 {
 				t.Error("who is turned away is not told when to come again")
@@ -112,12 +112,12 @@
 
 func TestWhileAllIsLateLessIsTakenThanEnds(t *testing.T) {
 	t.Parallel()
-	g := New(Settings{Floor: 1e-6})
+	g := New(Settings{MinRate: 1e-6})
 	now := swamp(t, g, 0)
 	taken, ended := 0, 0
 	for end := now + 5*sec; now < end; now += ms {
-		g.Late(now, 50*ms)
-		g.Done(now, 10)
+		g.ObserveDelay(now, 50*ms)
+		g.Completed(now, 10)
 		ended += 10
 		for range 40 {
 			if ok, _ := g.Admit(now); ok {
@@ -135,11 +135,11 @@
 
 func TestWhereNothingEndsAFewAreStillTaken(t *testing.T) {
 	t.Parallel()
-	g := New(Settings{Floor: 100})
+	g := New(Settings{MinRate: 100})
 	now := swamp(t, g, 0)
 	taken := 0
 	for end := now + 10*sec; now < end; now += ms {
-		g.Late(now, 50*ms)
+		g.ObserveDelay(now, 50*ms)
 		if ok, _ := g.Admit(now); ok {
 			taken++
 		}
@@ -154,8 +154,8 @@
 	g := New(Settings{})
 	now := swamp(t, g, 0)
 	for end := now + 2*sec; now < end; now += 10 * ms {
-		g.Late(now, ms)
-		g.Done(now, 1)
+		g.ObserveDelay(now, ms)
+		g.Completed(now, 1)
 		if ok, _ := g.Admit(now); !ok {
 			t.Fatalf("turned away at %d us", now)
 		}
@@ -174,10 +174,10 @@
 func TestNoMoreIsTakenThanWhatEndedAllows(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		g := New(Settings{Floor: 100})
+		g := New(Settings{MinRate: 100})
 		now := Time(0)
 		for range 400 { // late all through
-			g.Late(now, sec)
+			g.ObserveDelay(now, sec)
 			now += ms
 		}
 		if !g.Limited() {
@@ -188,10 +188,10 @@
 			now += Time(rapid.IntRange(0, 40).Draw(t, "ms")) * ms
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				g.Late(now, Time(rapid.IntRange(0, 100).Draw(t, "late"))*ms)
+				g.ObserveDelay(now, Time(rapid.IntRange(0, 100).Draw(t, "late"))*ms)
 			case 1:
 				n := rapid.IntRange(0, 50).Draw(t, "ended")
-				g.Done(now, n)
+				g.Completed(now, n)
 				allowed += 2 * float64(n)
 			case 2:
 				for range rapid.IntRange(1, 200).Draw(t, "come") {
@@ -262,9 +262,9 @@
 			c.held--
 			c.done++
 			c.longest = max(c.longest, c.now-j.from)
-			c.g.Done(c.now, 1)
+			c.g.Completed(c.now, 1)
 		case 2:
-			c.g.Late(c.now, c.now-j.at)
+			c.g.ObserveDelay(c.now, c.now-j.at)
 		}
 	}
 }
--- a/cmd/curlewctl/ledger.go
+++ b/cmd/curlewctl/ledger.go
@@ -42,7 +42,7 @@
 // cut reads a snapshot: of the dispatcher that runs on a folder, of the folder where none does, or of a file.
 func (b *books) cut() (*ledger.Snapshot, error) {
 	if b.Where == "-" {
-		return ledger.Read(os.Stdin)
+		return ledger.ReadSnapshot(os.Stdin)
 	}
 	info, err := os.Stat(b.Where)
 	if err != nil {
@@ -53,12 +53,12 @@
 	}
 	var s *ledger.Snapshot
 	err = b.ask(figures.CommandLedger, func(text json.RawMessage) (err error) {
-		s, err = ledger.Read(strings.NewReader(string(text)))
+		s, err = ledger.ReadSnapshot(strings.NewReader(string(text)))
 		return err
 	})
 	switch {
 	case errors.Is(err, admin.ErrGone):
-		if s, err = figures.AtRest(journal.OSDir(b.Where)); err != nil {
+		if s, err = figures.ReadFolder(journal.OSDir(b.Where)); err != nil {
 			return nil, fmt.Errorf("%s: %w", b.Where, err)
 		}
 	case err == nil && s == nil:
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	s, err := ledger.Read(f)
+	s, err := ledger.ReadSnapshot(f)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
@@ -97,16 +97,16 @@
 	if k.Other {
 		return "other\t\t"
 	}
-	return fmt.Sprintf("%q\t%d\t%q", k.Class, k.Dest, k.Tenant)
+	return fmt.Sprintf("%q\t%d\t%q", k.Class, k.Destination, k.Tenant)
 }
 
 // accounts prints accounts and their total, without the columns in which all is 0.
-func accounts(w io.Writer, lines []ledger.Line, total *ledger.Figures) error {
+func accounts(w io.Writer, lines []ledger.AccountCounts, total *ledger.Counts) error {
 	var names []string
 	used := map[string]bool{}
 	total.Each(func(name string, v ledger.Count, _ bool) { names = append(names, name) })
 	for i := range lines {
-		lines[i].Figures.Each(func(name string, v ledger.Count, _ bool) { used[name] = used[name] || v != 0 })
+		lines[i].Counts.Each(func(name string, v ledger.Count, _ bool) { used[name] = used[name] || v != 0 })
 	}
 	for _, name := range []string{"taken", "served", "refused", "failed", "open"} {
 		used[name] = true
@@ -118,7 +118,7 @@
 			fmt.Fprint(t, "\t", strings.ToUpper(name))
 		}
 	}
-	row := func(name string, f *ledger.Figures) {
+	row := func(name string, f *ledger.Counts) {
 		fmt.Fprint(t, "\n", name)
 		f.Each(func(name string, v ledger.Count, _ bool) {
 			if used[name] {
@@ -127,7 +127,7 @@
 		})
 	}
 	for i := range lines {
-		row(account(lines[i].Key), &lines[i].Figures)
+		row(account(lines[i].Key), &lines[i].Counts)
 	}
 	row("total\t\t", total)
 	fmt.Fprintln(t)
@@ -139,9 +139,9 @@
 	if b.Key != (ledger.Key{}) {
 		name = fmt.Sprintf("%q", b.Key.String())
 	}
-	fmt.Fprintf(w, "BREACH %s of %s: %d in the books, %d counted, since %s", b.What, name, b.Books, b.Counted, micros(b.At))
-	if b.Healed != 0 {
-		fmt.Fprintf(w, ", healed %s", micros(b.Healed))
+	fmt.Fprintf(w, "BREACH %s of %s: %d in the books, %d counted, since %s", b.Check, name, b.Booked, b.Counted, micros(b.FoundAt))
+	if b.ResolvedAt != 0 {
+		fmt.Fprintf(w, ", healed %s", micros(b.ResolvedAt))
 	}
 	fmt.Fprintln(w)
 }
@@ -162,9 +162,9 @@
 	if err := accounts(os.Stdout, s.Accounts, &s.Total); err != nil {
 		return err
 	}
-	fmt.Printf("dispatcher %q at %s\nepoch %s since %s: %s\n", s.Instance, micros(s.Wall), s.Epoch.ID, micros(s.Epoch.Began), s.Epoch.Why)
-	if s.Epoch.Before != "" {
-		fmt.Printf("behind epoch %s\n", s.Epoch.Before)
+	fmt.Printf("dispatcher %q at %s\nepoch %s since %s: %s\n", s.Instance, micros(s.Wall), s.Epoch.ID, micros(s.Epoch.Began), s.Epoch.Reason)
+	if s.Epoch.Previous != "" {
+		fmt.Printf("behind epoch %s\n", s.Epoch.Previous)
 	}
 	if s.Provisional {
 		fmt.Println("provisional: the store does not have all of this, and a crash may take some back")
@@ -172,8 +172,8 @@
 	for i := range s.Breaches {
 		breach(os.Stdout, &s.Breaches[i])
 	}
-	if s.More > 0 {
-		fmt.Printf("and %d breaches more\n", s.More)
+	if s.MoreBreaches > 0 {
+		fmt.Printf("and %d breaches more\n", s.MoreBreaches)
 	}
 	return nil
 }
@@ -196,7 +196,7 @@
 			breach(os.Stdout, &list[i])
 		}
 		if len(list) == 0 {
-			_, err = fmt.Printf("%d accounts add up: %d taken or brought, %d open\n", len(s.Accounts), s.Total.Taken+s.Total.Brought, s.Total.Open)
+			_, err = fmt.Printf("%d accounts add up: %d taken or brought, %d open\n", len(s.Accounts), s.Total.Accepted+s.Total.CarriedOver, s.Total.Open)
 		}
 	}
 	if err == nil && len(list) > 0 {
@@ -231,8 +231,8 @@
 	} else if err := c.print(d); err != nil {
 		return err
 	}
-	if len(d.Back) > 0 && !d.Excused {
-		return fmt.Errorf("%d figures stepped back within epoch %s", len(d.Back), d.Epochs[0].ID)
+	if len(d.Decreases) > 0 && !d.OlderProvisional {
+		return fmt.Errorf("%d figures stepped back within epoch %s", len(d.Decreases), d.Epochs[0].ID)
 	}
 	return nil
 }
@@ -258,14 +258,14 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	fmt.Printf("%v between them\n", time.Duration(d.Span)*time.Microsecond)
-	if d.Anew {
-		fmt.Printf("epoch %s ended and %s began: %s\n", d.Epochs[0].ID, d.Epochs[1].ID, d.Epochs[1].Why)
+	fmt.Printf("%v between them\n", time.Duration(d.Elapsed)*time.Microsecond)
+	if d.EpochChanged {
+		fmt.Printf("epoch %s ended and %s began: %s\n", d.Epochs[0].ID, d.Epochs[1].ID, d.Epochs[1].Reason)
 	}
-	for _, b := range d.Back {
-		fmt.Printf("BACK %q %s: %d, before it was %d\n", b.Key.String(), b.Figure, b.After, b.Before)
+	for _, b := range d.Decreases {
+		fmt.Printf("BACK %q %s: %d, before it was %d\n", b.Key.String(), b.Counter, b.After, b.Before)
 	}
-	if len(d.Back) > 0 && d.Excused {
+	if len(d.Decreases) > 0 && d.OlderProvisional {
 		fmt.Println("the older one was provisional: a crash may have taken these back")
 	}
 	return nil
@@ -280,13 +280,13 @@
 // summed is what sum --json prints.
 type summed struct {
 	*ledger.Fleet
-	Lost   []ledger.Left `json:"lost"`   // open in the newest snapshots of dispatchers that are lost
-	Faulty []string      `json:"faulty"` // files whose figures do not add up
+	Lost   []ledger.Unaccounted `json:"lost"`   // open in the newest snapshots of dispatchers that are lost
+	Faulty []string             `json:"faulty"` // files whose figures do not add up
 }
 
 func (c *ledgerSum) Run() error {
 	var list []*ledger.Snapshot
-	out := summed{Lost: []ledger.Left{}, Faulty: []string{}}
+	out := summed{Lost: []ledger.Unaccounted{}, Faulty: []string{}}
 	for _, name := range c.Files {
 		s, err := readFile(name)
 		if err != nil {
@@ -320,7 +320,7 @@
 }
 
 // lost is what the newest epoch of a dispatcher has open, by account.
-func lost(list []*ledger.Snapshot, f *ledger.Fleet, name string) (out []ledger.Left, err error) {
+func lost(list []*ledger.Snapshot, f *ledger.Fleet, name string) (out []ledger.Unaccounted, err error) {
 	part := -1
 	for i := range f.Parts { // the newest epoch of an instance comes last
 		if f.Parts[i].Instance == name {
@@ -339,7 +339,7 @@
 	}
 	for _, a := range list[at].Accounts {
 		if a.Open > 0 {
-			out = append(out, ledger.Left{Key: a.Key, Instance: name, Epoch: p.Epoch.ID, Open: a.Open})
+			out = append(out, ledger.Unaccounted{Key: a.Key, Instance: name, Epoch: p.Epoch.ID, Open: a.Open})
 		}
 	}
 	return out, nil
@@ -353,9 +353,9 @@
 	fmt.Fprintln(t, "\nDISPATCHER\tEPOCH\tSINCE\tAT\tBEHIND\tOPEN\tLEFT\tBREACHES")
 	for _, p := range s.Parts {
 		fmt.Fprintf(t, "%q\t%s\t%s\t%s\t%v\t%d\t%d\t%d\n", p.Instance, p.Epoch.ID, micros(p.Epoch.Began), micros(p.Wall),
-			time.Duration(p.Behind)*time.Microsecond, p.Open, p.Left, p.Standing)
+			time.Duration(p.Behind)*time.Microsecond, p.Open, p.Unaccounted, p.StandingBreaches)
 	}
-	for _, l := range s.Fleet.Left {
+	for _, l := range s.Fleet.Unaccounted {
 		fmt.Fprintf(t, "left\t%q\t%s\t%q\t%d\n", l.Instance, l.Epoch, l.Key.String(), l.Open)
 	}
 	var open ledger.Count
@@ -376,7 +376,7 @@
 
 func (c *ledgerMetrics) Run() error {
 	r := prometheus.NewRegistry()
-	if err := r.Register(&exporter.Collector{Cut: c.cut}); err != nil {
+	if err := r.Register(&exporter.Collector{Snapshot: c.cut}); err != nil {
 		return err
 	}
 	if c.Listen != "" {
--- a/cmd/curlewctl/ledger_test.go
+++ b/cmd/curlewctl/ledger_test.go
@@ -21,16 +21,16 @@
 // fill makes a ledger of so many messages, of which one is open; its epoch is what the number says.
 func fill(t *testing.T, name string, epoch uint64, messages int) *ledger.Ledger {
 	t.Helper()
-	l, err := ledger.New(ledger.Settings{Instance: name}, ledger.NewEpoch(epoch, int64(epoch)*1e6, ledger.WhyNew, ""))
+	l, err := ledger.New(ledger.Settings{Instance: name}, ledger.NewEpoch(epoch, int64(epoch)*1e6, ledger.ReasonNoLedger, ""))
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := l.Account(ledger.Key{Class: "mail\x1b[31m\n", Dest: 7, Tenant: "core"})
+	a := l.Account(ledger.Key{Class: "mail\x1b[31m\n", Destination: 7, Tenant: "core"})
 	for i := range messages {
-		l.Post(a, ledger.Taken)
-		l.Post(a, ledger.Sent)
-		if l.Post(a, ledger.Answered); i > 0 {
-			l.Post(a, ledger.Served)
+		l.Post(a, ledger.Accepted)
+		l.Post(a, ledger.AttemptSent)
+		if l.Post(a, ledger.AttemptAnswered); i > 0 {
+			l.Post(a, ledger.Delivered)
 		}
 	}
 	return l
@@ -54,12 +54,12 @@
 	anew := save(t, dir, "anew", fill(t, "n0", 8, 2).Snapshot(3_000_001))
 	other := save(t, dir, "other", fill(t, "n1", 9, 4).Snapshot(9_000_001))
 	broken := fill(t, "n2", 7, 3).Snapshot(1)
-	broken.Accounts[0].Served++
-	broken.Total.Served++
+	broken.Accounts[0].Delivered++
+	broken.Total.Delivered++
 	bad := save(t, dir, "bad", broken)
 	great := fill(t, "n0", 7, 0).Snapshot(1)
-	great.Accounts[0].Taken, great.Accounts[0].Served = 1<<53+1, 1<<53+1
-	great.Total = great.Accounts[0].Figures
+	great.Accounts[0].Accepted, great.Accounts[0].Delivered = 1<<53+1, 1<<53+1
+	great.Total = great.Accounts[0].Counts
 	big := save(t, dir, "big", great)
 	provisional := fill(t, "n0", 7, 9).Snapshot(1)
 	provisional.Provisional = true
@@ -123,8 +123,8 @@
 			if err := json.Unmarshal(text, &r); err != nil {
 				return err
 			}
-			if r.Command == figures.CommandHeld {
-				return reply(figures.HeldReply{Held: []figures.Held{{Dest: 7, Oldest: 1.5, Condition: "ailing"}}})
+			if r.Command == figures.CommandQueues {
+				return reply(figures.QueuesReply{Queues: []figures.DestinationQueue{{Destination: 7, OldestSeconds: 1.5, Condition: "ailing"}}})
 			}
 			page, err := board.JSON()
 			if err != nil {
@@ -159,14 +159,14 @@
 
 func TestTopsTableFitsTheTerminal(t *testing.T) {
 	t.Parallel()
-	l, err := ledger.New(ledger.Settings{Instance: "n0"}, ledger.NewEpoch(7, 1, ledger.WhyNew, ""))
+	l, err := ledger.New(ledger.Settings{Instance: "n0"}, ledger.NewEpoch(7, 1, ledger.ReasonNoLedger, ""))
 	if err != nil {
 		t.Fatal(err)
 	}
 	post := func(n int) {
 		for dest := range 40 {
 			for range n * dest {
-				l.Post(l.Account(ledger.Key{Class: "free", Dest: dest}), ledger.Taken)
+				l.Post(l.Account(ledger.Key{Class: "free", Destination: dest}), ledger.Accepted)
 			}
 		}
 	}
@@ -175,7 +175,7 @@
 	before := &look{Snapshot: l.Snapshot(0), at: now}
 	post(2)
 	after := &look{Snapshot: l.Snapshot(2e6), at: now.Add(2 * time.Second)}
-	after.held.Held = []figures.Held{{Dest: 3, Oldest: 9, Condition: "unserved"}, {Dest: 4, Oldest: 7, Condition: "well"}}
+	after.held.Queues = []figures.DestinationQueue{{Destination: 3, OldestSeconds: 9, Condition: "unserved"}, {Destination: 4, OldestSeconds: 7, Condition: "well"}}
 	var b bytes.Buffer
 	if err := after.table(&b, before, 24); err != nil {
 		t.Fatal(err)
--- a/cmd/curlewctl/top.go
+++ b/cmd/curlewctl/top.go
@@ -27,12 +27,12 @@
 	Count    int           `help:"So many looks; 0 goes on until it is ended."`
 }
 
-const leastInterval = figures.Keep // figures are no newer than that
+const leastInterval = figures.MaxAge // figures are no newer than that
 
 // look is what is known at one moment.
 type look struct {
 	*ledger.Snapshot
-	held figures.HeldReply
+	held figures.QueuesReply
 	at   time.Time
 }
 
@@ -42,7 +42,7 @@
 		return nil, err
 	}
 	l := &look{Snapshot: s, at: time.Now()}
-	return l, c.ask(figures.CommandHeld, func(text json.RawMessage) error { return json.Unmarshal(text, &l.held) })
+	return l, c.ask(figures.CommandQueues, func(text json.RawMessage) error { return json.Unmarshal(text, &l.held) })
 }
 
 func (c *topCmd) Run() error {
@@ -111,7 +111,7 @@
 type dest struct {
 	name         string
 	number       int
-	now, was     ledger.Figures
+	now, was     ledger.Counts
 	oldest, mood string
 }
 
@@ -119,27 +119,27 @@
 func (l *look) dests(before *look) []*dest {
 	list := map[string]*dest{}
 	at := func(k ledger.Key) *dest {
-		name := fmt.Sprint(k.Dest)
+		name := fmt.Sprint(k.Destination)
 		if k.Other {
 			name = "other"
 		}
 		d := list[name]
 		if d == nil {
-			d = &dest{name: name, number: k.Dest, oldest: "-", mood: "-"}
+			d = &dest{name: name, number: k.Destination, oldest: "-", mood: "-"}
 			list[name] = d
 		}
 		return d
 	}
 	for i := range l.Accounts {
-		at(l.Accounts[i].Key).now.Add(&l.Accounts[i].Figures)
+		at(l.Accounts[i].Key).now.Add(&l.Accounts[i].Counts)
 	}
 	for i := range before.Accounts {
-		at(before.Accounts[i].Key).was.Add(&before.Accounts[i].Figures)
+		at(before.Accounts[i].Key).was.Add(&before.Accounts[i].Counts)
 	}
 	age := map[string]float64{}
-	for _, h := range l.held.Held {
-		d := at(ledger.Key{Dest: h.Dest})
-		d.oldest, d.mood, age[d.name] = fmt.Sprintf("%.1fs", h.Oldest), h.Condition, h.Oldest
+	for _, h := range l.held.Queues {
+		d := at(ledger.Key{Destination: h.Destination})
+		d.oldest, d.mood, age[d.name] = fmt.Sprintf("%.1fs", h.OldestSeconds), h.Condition, h.OldestSeconds
 	}
 	var out []*dest
 	for _, d := range list {
@@ -153,7 +153,7 @@
 
 func (l *look) standing() (n int) {
 	for _, b := range l.Breaches {
-		if b.Healed == 0 {
+		if b.ResolvedAt == 0 {
 			n++
 		}
 	}
@@ -162,8 +162,8 @@
 
 func (l *look) oldest() string {
 	oldest := 0.0
-	for _, h := range l.held.Held {
-		oldest = max(oldest, h.Oldest)
+	for _, h := range l.held.Queues {
+		oldest = max(oldest, h.OldestSeconds)
 	}
 	return fmt.Sprintf("%.1fs", oldest)
 }
@@ -186,7 +186,7 @@
 		fmt.Fprintf(&held, "%s:%d(%s,%s)", d.name, d.now.Open, d.oldest, d.mood)
 	}
 	_, err := fmt.Fprintf(w, "%s taken=%s/s served=%s/s refused=%s/s failed=%s/s attempts=%s/s open=%d out=%d doubt=%d oldest=%s breaches=%d held=%s\n",
-		micros(l.Wall), l.rate(before, now.Taken, was.Taken), l.rate(before, now.Served, was.Served), l.rate(before, now.Refused, was.Refused),
+		micros(l.Wall), l.rate(before, now.Accepted, was.Accepted), l.rate(before, now.Delivered, was.Delivered), l.rate(before, now.Refused, was.Refused),
 		l.rate(before, now.Failed, was.Failed), l.rate(before, now.Attempts.Sent, was.Attempts.Sent), now.Open, now.Attempts.Out,
 		now.Doubt.Open, l.oldest(), l.standing(), cmp.Or(held.String(), "-"))
 	return err
@@ -199,8 +199,8 @@
 	fmt.Fprintf(&b, "%q  %s  epoch %s  oldest %s  breaches %d\n", l.Instance, micros(l.Wall), l.Epoch.ID, l.oldest(), l.standing())
 	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "DEST\tTAKEN/s\tSERVED/s\tREFUSED/s\tFAILED/s\tATTEMPTS/s\tOPEN\tOUT\tDOUBT\tOLDEST\tCONDITION\t")
-	row := func(name string, now, was *ledger.Figures, oldest, mood string) {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\t\n", name, l.rate(before, now.Taken, was.Taken), l.rate(before, now.Served, was.Served),
+	row := func(name string, now, was *ledger.Counts, oldest, mood string) {
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\t\n", name, l.rate(before, now.Accepted, was.Accepted), l.rate(before, now.Delivered, was.Delivered),
 			l.rate(before, now.Refused, was.Refused), l.rate(before, now.Failed, was.Failed), l.rate(before, now.Attempts.Sent, was.Attempts.Sent),
 			now.Open, now.Attempts.Out, now.Doubt.Open, oldest, mood)
 	}
@@ -215,7 +215,7 @@
 	if left := len(list) - (rows - 5); left > 0 {
 		fmt.Fprintf(&b, "and %d destinations more\n", left)
 	}
-	if l.held.More {
+	if l.held.Incomplete {
 		fmt.Fprintln(&b, "the oldest are those of the first messages that were looked at")
 	}
 	_, err := io.WriteString(w, b.String())
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -122,7 +122,7 @@
 	}
 	if wire.Subscribes(r.Settings) {
 		h.rng = rand.New(rand.NewPCG(r.Seed, 1))
-		h.list = &subscription.Subscription{Draw: h.rng.Float64}
+		h.list = &subscription.Subscription{Random: h.rng.Float64}
 	}
 	s.RiskAfter = wire.RiskAfter
 	h.module, err = control.New(s, r.Seed)
@@ -134,23 +134,23 @@
 	switch {
 	case h.list == nil:
 		return false
-	case e.Kind == control.Tick && e.Mark == askMark:
+	case e.Kind == control.Tick && e.TimerID == askMark:
 		h.ask(now, reply)
 		return true
 	case e.Kind != control.List || e.ListKind == control.ListCached:
 		return false
 	case e.ListKind == control.ListFailed:
-		at := h.list.Failed(clock(now))
-		reply.Add(h.who, control.Action{Kind: control.Timer, After: control.Time(at.Sub(clock(now)).Microseconds()) + 1, Mark: askMark})
+		at := h.list.CallFailed(clock(now))
+		reply.Add(h.who, control.Action{Kind: control.Timer, After: control.Time(at.Sub(clock(now)).Microseconds()) + 1, TimerID: askMark})
 	default:
-		h.list.Answered()
+		h.list.CallSucceeded()
 	}
 	return false
 }
 
 // ask asks for changes of the list if that is due.
 func (h *host) ask(now control.Time, reply *wire.Reply) {
-	if h.list != nil && h.module != nil && h.list.Ask(clock(now)) {
+	if h.list != nil && h.module != nil && h.list.StartCall(clock(now)) {
 		reply.Track(h.who)
 	}
 }
--- a/control/api.go
+++ b/control/api.go
@@ -119,7 +119,7 @@
 	List                           // the endpoint list [ListKind Entries]
 	Pause                          // nothing can be sent until further notice, or again [On]
 	Restarted                      // an earlier process of this relay may have left calls out
-	Fleet                          // how many dispatchers there are from now on [Instances]
+	FleetSize                      // how many dispatchers there are from now on [Instances]
 )
 
 // Result is how an attempt or a probe ended.
@@ -129,7 +129,7 @@
 const (
 	OK Result = iota
 	Errored
-	Full
+	Refused
 	TimedOut
 	ConnectFailed
 	Reset
@@ -139,7 +139,7 @@
 )
 
 // NeverRan tells that a result proves the attempt never ran.
-func NeverRan(r Result) bool { return r == Full || r == ConnectFailed || r == Moot || r == Unsent }
+func NeverRan(r Result) bool { return r == Refused || r == ConnectFailed || r == Moot || r == Unsent }
 
 // ListKind tells how a List event relates to the list before it.
 type ListKind uint8
@@ -164,42 +164,42 @@
 
 // Entry is one line of the endpoint list.
 type Entry struct {
-	Endpoint Endpoint
-	Dest     int
-	Zone     int
-	Kind     int
-	Health   Health
-	Weight   float64
+	Endpoint    Endpoint
+	Destination int
+	Zone        int
+	Kind        int
+	Health      Health
+	Weight      float64
 }
 
 // Event is something a Dispatcher is told.
 type Event struct {
-	Kind    EventKind
-	Message MessageID
-	Class   int
-	Tenant  int
-	Dest    int
-	Key     uint64 // 0 is no key
-	Grace   Time   // time until the message is given up
+	Kind        EventKind
+	Message     MessageID
+	Class       int
+	Tenant      int
+	Destination int
+	Key         uint64 // 0 is no key
+	TimeLeft    Time   // time until the message is given up
 
 	// What an arrival taken over from a journal has behind it; zero for a new message.
 	Restored  bool // an earlier process took it on: it is not demand of now
 	Tries     int  // attempts so far
-	Doubt     Time // how long ago the first attempt went out that may have run, 0 if there is none
+	DoubtAge  Time // how long ago the first attempt went out that may have run, 0 if there is none
 	DoubtZone int  // the zone it went to
 	Resent    bool // it is sent again and can wait: worth as little as what is over its tenant's share, and no demand
 
-	Attempt  int
-	Endpoint Endpoint
-	Result   Result
-	Closed   bool // the message has ended
-	Lag      Time
-	Wait     Time // told wait, 0 if none
-	Report   []float32
-	Mark     uint64
-	ListKind ListKind
-	Entries  []Entry
-	On       bool // Pause: from now on, else no longer
+	Attempt    int
+	Endpoint   Endpoint
+	Result     Result
+	Closed     bool // the message has ended
+	Latency    Time
+	RetryAfter Time // told wait, 0 if none
+	Report     []float32
+	TimerID    uint64
+	ListKind   ListKind
+	Entries    []Entry
+	Paused     bool // Pause: from now on, else no longer
 
 	Instances int // of dispatchers, at least 1
 }
@@ -225,8 +225,8 @@
 	Message  MessageID
 	Attempt  int
 	Endpoint Endpoint
-	With     bool // in one call, and one slot, with the Send before it; if that can't be, it ends as Unsent
+	SameCall bool // in one call, and one slot, with the Send before it; if that can't be, it ends as Unsent
 	After    Time
-	Mark     uint64
+	TimerID  uint64
 	Text     string
 }
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -7,18 +7,18 @@
 	. "curlewmux/control"
 )
 
-// blockedSite tells a module of so many destinations that each hold a message which can't go: a third have a call out
+// blockDestinations tells a module of so many destinations that each hold a message which can't go: a third have a call out
 // that nobody answers and a window of one, a third told a wait, a third meet nobody. It returns the time.
-func blockedSite(m stepper, n int) Time {
+func blockDestinations(m stepper, n int) Time {
 	now := 1000 * Second
 	list := Event{Kind: List, ListKind: ListFull}
 	var events []Event
 	var last MessageID
 	for dest := range n {
-		list.Entries = append(list.Entries, Entry{Endpoint: Endpoint(dest + 1), Dest: dest, Health: Ready})
+		list.Entries = append(list.Entries, Entry{Endpoint: Endpoint(dest + 1), Destination: dest, Health: Ready})
 		for range 2 {
 			last++
-			events = append(events, Event{Kind: Arrival, Message: last, Dest: dest, Grace: 3600 * Second})
+			events = append(events, Event{Kind: Arrival, Message: last, Destination: dest, TimeLeft: 3600 * Second})
 		}
 	}
 	tries := map[MessageID]int{}
@@ -30,13 +30,13 @@
 			if a.Kind != Send {
 				continue
 			}
-			ev := Event{Kind: Outcome, Message: a.Message, Attempt: tries[a.Message], Result: Full, Wait: 3600 * Second}
+			ev := Event{Kind: Outcome, Message: a.Message, Attempt: tries[a.Message], Result: Refused, RetryAfter: 3600 * Second}
 			tries[a.Message]++
 			switch int(a.Endpoint) % 3 {
 			case 1:
 				continue
 			case 2:
-				ev.Result, ev.Wait = ConnectFailed, 0
+				ev.Result, ev.RetryAfter = ConnectFailed, 0
 			}
 			events = append(events, ev)
 		}
@@ -63,7 +63,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			now := blockedSite(m, n)
+			now := blockDestinations(m, n)
 			var acts []Action
 			b.ReportAllocs()
 			for b.Loop() {
--- a/control/charge_test.go
+++ b/control/charge_test.go
@@ -9,18 +9,18 @@
 	const few, step = 4, 10 * Millisecond
 	set := testSettings()
 	set.Slots, set.MaxOpen = 4, 4000
-	entries := []Entry{entry(1, 1, 0)}
+	entries := []Entry{listEntry(1, 1, 0)}
 	for dest := 2; dest < 2+few; dest++ {
-		entries = append(entries, entry(dest, 1, 0))
+		entries = append(entries, listEntry(dest, 1, 0))
 	}
-	r := newRig(t, set, entries...)
+	r := newHarness(t, set, entries...)
 	took := map[int]Time{1: 100 * Millisecond}
 	dests, came, served := map[MessageID]int{}, map[int]int{}, map[int]int{}
-	var out []due
+	var out []dueEvent
 	for n := range 2000 {
 		var events []Event
 		arrive := func(dest int) {
-			e := r.msg(free, dest)
+			e := r.arrival(freeClass, dest)
 			dests[e.Message] = dest
 			came[dest]++
 			events = append(events, e)
@@ -43,12 +43,12 @@
 			}
 		}
 		out = rest
-		for _, id := range sent(r.at(step, events...)) {
+		for _, id := range sentMessages(r.step(step, events...)) {
 			lag := took[dests[id]]
 			if lag == 0 {
 				lag = 600 * Millisecond
 			}
-			out = append(out, due{r.now + lag, done(id, 0, OK)})
+			out = append(out, dueEvent{r.now + lag, outcomeOf(id, 0, OK)})
 		}
 	}
 	if part := float64(served[1]) / float64(came[1]); part < 0.9 {
--- a/control/churn_test.go
+++ b/control/churn_test.go
@@ -18,27 +18,27 @@
 		now += 20 * Millisecond
 		ep, id, dest := Endpoint(i+1), MessageID(i+1), i/3
 		events := []Event{
-			{Kind: List, Entries: []Entry{{Endpoint: ep, Dest: dest, Health: Ready}}},
-			{Kind: Arrival, Message: id, Dest: dest, Key: uint64(i + 1), Grace: 2 * Second},
+			{Kind: List, Entries: []Entry{{Endpoint: ep, Destination: dest, Health: Ready}}},
+			{Kind: Arrival, Message: id, Destination: dest, Key: uint64(i + 1), TimeLeft: 2 * Second},
 		}
-		gone := []Event{{Kind: Withdrawn, Message: id}, {Kind: List, Entries: []Entry{{Endpoint: ep, Dest: dest, Health: Gone}}}}
+		gone := []Event{{Kind: Withdrawn, Message: id}, {Kind: List, Entries: []Entry{{Endpoint: ep, Destination: dest, Health: Gone}}}}
 		for _, a := range append(d.Step(now, events, nil), d.Step(now+s.Tick, gone, nil)...) {
 			if a.Kind == Send {
-				end := Event{Kind: Outcome, Message: a.Message, Endpoint: a.Endpoint, Result: Result(i % 2), Lag: s.Tick}
+				end := Event{Kind: Outcome, Message: a.Message, Endpoint: a.Endpoint, Result: Result(i % 2), Latency: s.Tick}
 				d.Step(now+2*s.Tick, []Event{end}, nil)
 			}
 		}
-		most = max(most, len(d.byID)+len(d.byNo)+len(d.keys)+len(d.msgs)+len(d.dests)+len(d.resting))
+		most = max(most, len(d.endpointByID)+len(d.destinationByNumber)+len(d.keys)+len(d.messages)+len(d.destinations)+len(d.idleKeys))
 	}
 	// In ten seconds 500 endpoints, keys and messages come and go here.
 	if most > 4000 {
 		t.Errorf("%d ids were remembered at once", most)
 	}
 	for range 3 {
-		now += 2 * seldom
+		now += 2 * cleanupInterval
 		d.Step(now, nil, nil)
 	}
-	if n := len(d.byID) + len(d.byNo) + len(d.keys) + len(d.msgs) + len(d.dests) + len(d.resting); n > 0 {
+	if n := len(d.endpointByID) + len(d.destinationByNumber) + len(d.keys) + len(d.messages) + len(d.destinations) + len(d.idleKeys); n > 0 {
 		t.Errorf("%d ids are left", n)
 	}
 }
@@ -56,23 +56,23 @@
 	}
 	list := Event{Kind: List}
 	for i := range n {
-		list.Entries = append(list.Entries, Entry{Endpoint: Endpoint(i + 1), Dest: i, Health: Ready})
+		list.Entries = append(list.Entries, Entry{Endpoint: Endpoint(i + 1), Destination: i, Health: Ready})
 	}
 	now := 1000 * Second
 	d.Step(now, []Event{list}, nil)
-	now += 2 * seldom
+	now += 2 * cleanupInterval
 	events := []Event{{Kind: List, ListKind: ListFull}}
 	steps := 0
-	for left := len(d.dests) + len(d.byID); left > 0 && steps < 100; steps++ {
+	for left := len(d.destinations) + len(d.endpointByID); left > 0 && steps < 100; steps++ {
 		d.Step(now, events, nil)
-		got := len(d.dests) + len(d.byID)
-		if got < left-2*tidiedAtOnce {
+		got := len(d.destinations) + len(d.endpointByID)
+		if got < left-2*maxCleanupsPerStep {
 			t.Fatalf("%d are left after %d", got, left)
 		}
 		left, events = got, nil
 		now += 5 * Millisecond
 	}
-	if steps > n/tidiedAtOnce+3 {
+	if steps > n/maxCleanupsPerStep+3 {
 		t.Errorf("it took %d Steps", steps)
 	}
 }
--- a/control/condition.go
+++ b/control/condition.go
@@ -5,10 +5,10 @@
 
 // Conditions.
 const (
-	Unserved Condition = iota // no endpoint takes new work
-	Pressed                   // it is told to wait, refuses, or has messages of its own waiting; or the slots are all taken
-	Ailing                    // it failed, refused, was slow or is cold, and nobody is trying it now
-	Well
+	Unavailable Condition = iota // no endpoint takes new work
+	Busy                         // it is told to wait, refuses, or has messages of its own waiting; or the slots are all taken
+	Unhealthy                    // it failed, refused, was slow or is cold, and nobody is trying it now
+	Healthy
 )
 
 func (c Condition) String() string {
@@ -18,40 +18,40 @@
 // Condition tells how a destination does, and the calls a second that are listed for it as this dispatcher's part, 0 if
 // none are. It changes nothing.
 func (d *Dispatcher) Condition(now Time, no int) (c Condition, rate float64) {
-	t := d.byNo[no]
-	if t == nil || t.ready() == 0 {
-		return Unserved, 0
+	t := d.destinationByNumber[no]
+	if t == nil || t.readyCount() == 0 {
+		return Unavailable, 0
 	}
 	good, waits, left := false, true, false
-	for _, ep := range t.eps {
+	for _, ep := range t.endpoints {
 		p := ep.limit
 		if ep.health != Ready {
 			continue
 		}
 		if ep.limit != t.limit || rate == 0 { // routes apart add up
-			rate += p.bound
+			rate += p.knownRate
 		}
-		if now < p.wait {
+		if now < p.waitUntil {
 			continue
 		}
 		waits = false
 		// A trial has been due for long and nobody makes one: what is held is of classes that trials spare.
-		left = left || ep.suspect && !ep.trying() && now-ep.trialAt > trialMost
-		good = good || !ep.suspect && !d.cold(ep, now) && p.streak == 0 && p.allowed(now) >= 1
+		left = left || ep.suspect && !ep.hasTrialOut() && now-ep.nextTrialAt > maxTrialInterval
+		good = good || !ep.suspect && !d.cold(ep, now) && p.refusalStreak == 0 && p.allowedShareAt(now) >= 1
 	}
-	rate /= d.slack * float64(max(d.set.Instances, 1))
-	slow := t.lat.n > 0 && t.lat.mean > slowFactor*t.base
+	rate /= d.weightSlack * float64(max(d.settings.Instances, 1))
+	slow := t.latencyStats.samples > 0 && t.latencyStats.mean > slowFactor*t.longTermLatency
 	switch {
-	case waits || d.paused || d.short || d.busy >= d.set.Slots:
-		return Pressed, rate
-	case left && !good && t.w == 0:
-		return Ailing, rate
-	case t.held > 0:
-		return Pressed, rate
+	case waits || d.paused || d.slotsShort || d.usedSlots >= d.settings.Slots:
+		return Busy, rate
+	case left && !good && t.callsOut == 0:
+		return Unhealthy, rate
+	case t.queued > 0:
+		return Busy, rate
 	case good && !slow:
-		return Well, rate
-	case t.open > 0 || t.w > 0:
-		return Pressed, rate
+		return Healthy, rate
+	case t.openMessages > 0 || t.callsOut > 0:
+		return Busy, rate
 	}
-	return Ailing, rate
+	return Unhealthy, rate
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -10,86 +10,86 @@
 	"testing"
 )
 
-const s = Second
+const second = Second
 
 // classes of the scripted tests, by number.
 const (
-	free = iota
-	guarded
-	single
-	ordered
+	freeClass = iota
+	guardedClass
+	singleShotClass
+	orderedClass
 )
 
 func testSettings() Settings {
 	return Settings{
 		Instances: 2, Tick: 5 * Millisecond, Slots: 8, MaxOpen: 200, MaxTries: 6, MayCancel: true, StreamsPerConn: 8,
-		ConnIdle: 5 * s, ConnectTimeout: s, ColdFrom: 0.2, WarmUp: 10 * s, TipMultiple: 2, OverloadFor: 2 * s,
-		SettleAfterDoubt: 3 * s, ReportLeft: -1, ReportLimit: -1, OverShare: 0.05,
+		ConnIdle: 5 * second, ConnectTimeout: second, ColdFrom: 0.2, WarmUp: 10 * second, TipMultiple: 2, OverloadFor: 2 * second,
+		SettleAfterDoubt: 3 * second, ReportLeft: -1, ReportLimit: -1, OverShare: 0.05,
 		Kinds: []Kind{{Name: "plain", Batch: 1}, {Name: "batch", Batch: 3}, {Name: "apart", Batch: 1, RoutesApart: true}},
 		Classes: []Class{
-			{Name: "free", Effect: Free, Aim: 2 * s, Deadline: 20 * s, Worth: 1, LateWorth: 0.5},
-			{Name: "guarded", Effect: Guarded, Window: 10 * s, Aim: 2 * s, Deadline: 20 * s, Worth: 1, LateWorth: 0.5},
-			{Name: "single", Effect: SingleShot, Aim: 2 * s, Deadline: 20 * s, Worth: 1, LateWorth: 0.5},
-			{Name: "ordered", Effect: Guarded, Window: 10 * s, Aim: 2 * s, Deadline: 20 * s, Worth: 1, InOrder: true},
+			{Name: "free", Effect: Free, Aim: 2 * second, Deadline: 20 * second, Worth: 1, LateWorth: 0.5},
+			{Name: "guarded", Effect: Guarded, Window: 10 * second, Aim: 2 * second, Deadline: 20 * second, Worth: 1, LateWorth: 0.5},
+			{Name: "single", Effect: SingleShot, Aim: 2 * second, Deadline: 20 * second, Worth: 1, LateWorth: 0.5},
+			{Name: "ordered", Effect: Guarded, Window: 10 * second, Aim: 2 * second, Deadline: 20 * second, Worth: 1, InOrder: true},
 		},
 	}
 }
 
-// rig drives a Dispatcher by script.
-type rig struct {
-	t   *testing.T
-	d   *Dispatcher
-	now Time
-	id  MessageID
+// harness drives a Dispatcher by script.
+type harness struct {
+	t      *testing.T
+	d      *Dispatcher
+	now    Time
+	lastID MessageID
 }
 
-func newRig(t *testing.T, set Settings, entries ...Entry) *rig {
+func newHarness(t *testing.T, set Settings, entries ...Entry) *harness {
 	t.Helper()
 	d, err := New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, d: d, now: 1000 * s}
-	r.at(0, Event{Kind: List, ListKind: ListCached, Entries: entries})
+	r := &harness{t: t, d: d, now: 1000 * second}
+	r.step(0, Event{Kind: List, ListKind: ListCached, Entries: entries})
 	return r
 }
 
-func ep(dest, n int) Endpoint { return Endpoint(dest*10 + n) }
+func endpointID(dest, n int) Endpoint { return Endpoint(dest*10 + n) }
 
-func entry(dest, n, kind int) Entry {
-	return Entry{Endpoint: ep(dest, n), Dest: dest, Kind: kind, Health: Ready}
+func listEntry(dest, n, kind int) Entry {
+	return Entry{Endpoint: endpointID(dest, n), Destination: dest, Kind: kind, Health: Ready}
 }
 
-// at moves the clock on and plays one round; timers are left out of what is returned.
-func (r *rig) at(after Time, events ...Event) []Action {
+// endpoint moves the clock on and plays one round; timers are left out of what is returned.
+func (r *harness) step(after Time, events ...Event) []Action {
 	r.now += after
 	acts := r.d.Step(r.now, events, nil)
 	return slices.DeleteFunc(acts, func(a Action) bool { return a.Kind == Timer || a.Kind == Note })
 }
 
-// msg makes the arrival of the next message.
-func (r *rig) msg(class, dest int) Event {
-	r.id++
-	return Event{Kind: Arrival, Message: r.id, Class: class, Dest: dest, Grace: 20 * s}
+// arrival makes the arrival of the next message.
+func (r *harness) arrival(class, dest int) Event {
+	r.lastID++
+	return Event{Kind: Arrival, Message: r.lastID, Class: class, Destination: dest, TimeLeft: 20 * second}
 }
 
-func (r *rig) keyed(key uint64) Event {
-	e := r.msg(ordered, 1)
+func (r *harness) keyedArrival(key uint64) Event {
+	e := r.arrival(orderedClass, 1)
 	e.Key = key
 	return e
 }
 
-func done(m MessageID, attempt int, res Result) Event {
-	return Event{Kind: Outcome, Message: m, Attempt: attempt, Result: res, Closed: res == OK, Lag: 100 * Millisecond}
+func outcomeOf(m MessageID, attempt int, res Result) Event {
+	return Event{Kind: Outcome, Message: m, Attempt: attempt, Result: res, Closed: res == OK, Latency: 100 * Millisecond}
 }
 
-func full(m MessageID, attempt int, wait Time) Event {
-	e := done(m, attempt, Full)
-	e.Wait = wait
+func refusal(m MessageID, attempt int, wait Time) Event {
+	e := outcomeOf(m, attempt, Refused)
+	e.RetryAfter = wait
 	return e
 }
 
-func sent(acts []Action) (ids []MessageID) {
+func sentMessages(acts []Action) (ids []MessageID) {
 	for _, a := range acts {
 		if a.Kind == Send {
 			ids = append(ids, a.Message)
@@ -98,24 +98,24 @@
 	return ids
 }
 
-func (r *rig) want(acts []Action, ids ...MessageID) {
+func (r *harness) wantSent(acts []Action, ids ...MessageID) {
 	r.t.Helper()
-	if got := sent(acts); !slices.Equal(got, ids) {
+	if got := sentMessages(acts); !slices.Equal(got, ids) {
 		r.t.Fatalf("at %v sent %v, want %v (%+v)", r.now, got, ids, acts)
 	}
 }
 
-func (r *rig) wantEnd(acts []Action, kind ActionKind, id MessageID) {
+func (r *harness) wantAction(acts []Action, kind ActionKind, id MessageID) {
 	r.t.Helper()
 	if !slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == kind && a.Message == id }) {
 		r.t.Fatalf("at %v: no action %d for message %d in %+v", r.now, kind, id, acts)
 	}
 }
 
-// wait plays empty rounds of 20 ms and gathers their actions.
-func (r *rig) wait(span Time) (acts []Action) {
+// waitUntil plays empty rounds of 20 ms and gathers their actions.
+func (r *harness) advance(span Time) (acts []Action) {
 	for end := r.now + span; r.now < end; {
-		acts = append(acts, r.at(min(20*Millisecond, end-r.now))...)
+		acts = append(acts, r.step(min(20*Millisecond, end-r.now))...)
 	}
 	return acts
 }
@@ -177,13 +177,13 @@
 func TestTurnsBySlotTime(t *testing.T) {
 	set := testSettings()
 	set.Slots = 1
-	r := newRig(t, set, entry(1, 0, 0), entry(2, 0, 0))
-	r.want(r.at(0, r.msg(free, 1)), 1) // free slot and window: leaves at once
-	r.want(r.at(s/10, r.msg(free, 1), r.msg(free, 2), r.msg(free, 2), r.msg(free, 2)))
-	r.want(r.at(2*s-s/10, done(1, 0, OK)), 3)
-	r.want(r.at(s, done(3, 0, OK)), 4)
-	r.want(r.at(2*s, done(4, 0, OK)), 2)
-	if a, b := r.d.byNo[1].acc, r.d.byNo[2].acc; a != 2 || b != 3 {
+	r := newHarness(t, set, listEntry(1, 0, 0), listEntry(2, 0, 0))
+	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1) // unlimited slot and window: leaves at once
+	r.wantSent(r.step(second/10, r.arrival(freeClass, 1), r.arrival(freeClass, 2), r.arrival(freeClass, 2), r.arrival(freeClass, 2)))
+	r.wantSent(r.step(2*second-second/10, outcomeOf(1, 0, OK)), 3)
+	r.wantSent(r.step(second, outcomeOf(3, 0, OK)), 4)
+	r.wantSent(r.step(2*second, outcomeOf(4, 0, OK)), 2)
+	if a, b := r.d.destinationByNumber[1].virtualTime, r.d.destinationByNumber[2].virtualTime; a != 2 || b != 3 {
 		t.Errorf("counters %v and %v, want 2 and 3", a, b)
 	}
 }
@@ -192,47 +192,47 @@
 	for _, c := range []struct{ weight, want float64 }{{4, 0.5}, {0, 2}} {
 		set := testSettings()
 		set.Weights = WeightNominal
-		e := entry(1, 0, 0)
+		e := listEntry(1, 0, 0)
 		e.Weight = c.weight
-		r := newRig(t, set, e)
-		r.want(r.at(0, r.msg(free, 1)), 1)
-		r.at(2*s, done(1, 0, OK))
-		if got := r.d.byNo[1].acc; got != c.want {
+		r := newHarness(t, set, e)
+		r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
+		r.step(2*second, outcomeOf(1, 0, OK))
+		if got := r.d.destinationByNumber[1].virtualTime; got != c.want {
 			t.Errorf("weight %v: charged %v, want %v", c.weight, got, c.want)
 		}
 	}
 }
 
 func TestRevivalTakesTheLeastOtherCounter(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
-	r.at(0, r.msg(free, 1), r.msg(free, 2))
-	r.d.byNo[1].acc, r.d.byNo[2].acc, r.d.byNo[3].acc = 7, 5, 90
-	r.d.use(r.d.byNo[1])
-	r.d.use(r.d.byNo[2])
-	r.at(s/10, r.msg(free, 3))
-	if got := r.d.byNo[3].acc; got != 5 {
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(2, 0, 0), listEntry(3, 0, 0))
+	r.step(0, r.arrival(freeClass, 1), r.arrival(freeClass, 2))
+	r.d.destinationByNumber[1].virtualTime, r.d.destinationByNumber[2].virtualTime, r.d.destinationByNumber[3].virtualTime = 7, 5, 90
+	r.d.updateHeaps(r.d.destinationByNumber[1])
+	r.d.updateHeaps(r.d.destinationByNumber[2])
+	r.step(second/10, r.arrival(freeClass, 3))
+	if got := r.d.destinationByNumber[3].virtualTime; got != 5 {
 		t.Errorf("revived at %v, want 5", got)
 	}
-	r.at(s/10, done(1, 0, OK), done(2, 0, OK), done(3, 0, OK))
-	r.at(s/10, r.msg(free, 1))
-	if got := r.d.byNo[1].acc; got != 0 {
+	r.step(second/10, outcomeOf(1, 0, OK), outcomeOf(2, 0, OK), outcomeOf(3, 0, OK))
+	r.step(second/10, r.arrival(freeClass, 1))
+	if got := r.d.destinationByNumber[1].virtualTime; got != 0 {
 		t.Errorf("revived alone at %v, want 0: idle counters are dropped", got)
 	}
 }
 
 // Eight slots, two destinations: Wmax starts at 4, gains one an ok, and stays under three quarters (5).
 func TestWindowStartGrowthAndCap(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0))
-	d := r.d.byNo[1]
-	if r.d.started(d); d.wmax != 4 {
-		t.Fatalf("Wmax starts at %d, want 4", d.wmax)
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(2, 0, 0))
+	d := r.d.destinationByNumber[1]
+	if r.d.initWindow(d); d.window != 4 {
+		t.Fatalf("Wmax starts at %d, want 4", d.window)
 	}
 	for i := range 3 {
-		r.at(s/10, r.msg(free, 1))
-		r.at(s/10, done(MessageID(i+1), 0, OK))
+		r.step(second/10, r.arrival(freeClass, 1))
+		r.step(second/10, outcomeOf(MessageID(i+1), 0, OK))
 	}
-	if d.wmax != 5 {
-		t.Errorf("Wmax is %d after three oks, want the cap of 5", d.wmax)
+	if d.window != 5 {
+		t.Errorf("Wmax is %d after three oks, want the cap of 5", d.window)
 	}
 }
 
@@ -244,18 +244,18 @@
 	}{
 		{"clean and full", 0, 2, 2, 3}, {"not clean", 3, 2, 2, 1}, {"window not full", 0, 1, 2, 2}, {"floor", 4, 1, 1, 1},
 	} {
-		r := newRig(t, testSettings(), entry(1, 0, 0))
-		d := r.d.byNo[1]
-		d.starting, d.wmax, d.w = false, c.wmax, c.w
-		for i := range fairF * c.wmax {
+		r := newHarness(t, testSettings(), listEntry(1, 0, 0))
+		d := r.d.destinationByNumber[1]
+		d.windowSlowStart, d.window, d.callsOut = false, c.wmax, c.w
+		for i := range windowsPerRevision * c.wmax {
 			res := OK
 			if i < c.bad {
 				res = Errored
 			}
-			r.d.revise(d, res)
+			r.d.reviseWindow(d, res)
 		}
-		if d.wmax != c.want {
-			t.Errorf("%s: Wmax %d, want %d", c.name, d.wmax, c.want)
+		if d.window != c.want {
+			t.Errorf("%s: Wmax %d, want %d", c.name, d.window, c.want)
 		}
 	}
 }
@@ -263,11 +263,11 @@
 func TestBatchSharesOneSlotAndOneCharge(t *testing.T) {
 	set := testSettings()
 	set.Slots, set.Weights = 1, WeightNominal
-	r := newRig(t, set, entry(1, 0, 1))
-	r.want(r.at(0, r.msg(free, 1), r.msg(free, 1), r.msg(free, 1), r.msg(free, 1)), 1, 2, 3)
-	r.want(r.at(s, done(1, 0, OK), done(2, 0, OK))) // the slot is held until the last outcome
-	r.want(r.at(s, done(3, 0, OK)), 4)
-	if got := r.d.byNo[1].acc; got != 2 {
+	r := newHarness(t, set, listEntry(1, 0, 1))
+	r.wantSent(r.step(0, r.arrival(freeClass, 1), r.arrival(freeClass, 1), r.arrival(freeClass, 1), r.arrival(freeClass, 1)), 1, 2, 3)
+	r.wantSent(r.step(second, outcomeOf(1, 0, OK), outcomeOf(2, 0, OK))) // the slot is held until the last outcome
+	r.wantSent(r.step(second, outcomeOf(3, 0, OK)), 4)
+	if got := r.d.destinationByNumber[1].virtualTime; got != 2 {
 		t.Errorf("a batch of three charged %v, want 2", got)
 	}
 }
@@ -281,23 +281,23 @@
 		resent bool
 		end    ActionKind
 	}{
-		{"free is resent", free, TimedOut, 3 * s, true, 0},
-		{"guarded inside its window", guarded, Errored, 9900 * Millisecond, true, 0},
-		{"guarded past its window is handed back", guarded, Errored, 10 * s, false, Refuse},
-		{"unsafe in doubt only fails", single, Reset, s, false, Fail},
-		{"unsafe turned away is resent", single, Full, s, true, 0},
-		{"unsafe that met nobody is resent", single, ConnectFailed, s, true, 0},
+		{"free is resent", freeClass, TimedOut, 3 * second, true, 0},
+		{"guarded inside its window", guardedClass, Errored, 9900 * Millisecond, true, 0},
+		{"guarded past its window is handed back", guardedClass, Errored, 10 * second, false, Refuse},
+		{"unsafe in doubt only fails", singleShotClass, Reset, second, false, Fail},
+		{"unsafe turned away is resent", singleShotClass, Refused, second, true, 0},
+		{"unsafe that met nobody is resent", singleShotClass, ConnectFailed, second, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
-			r.want(r.at(0, r.msg(c.class, 1)), 1)
-			acts := r.at(c.after, done(1, 0, c.res))
-			acts = append(acts, r.wait(3*s)...)
-			if c.resent != slices.Equal(sent(acts), []MessageID{1}) {
+			r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(1, 1, 0))
+			r.wantSent(r.step(0, r.arrival(c.class, 1)), 1)
+			acts := r.step(c.after, outcomeOf(1, 0, c.res))
+			acts = append(acts, r.advance(3*second)...)
+			if c.resent != slices.Equal(sentMessages(acts), []MessageID{1}) {
 				t.Fatalf("resent %v: %+v", !c.resent, acts)
 			}
 			if c.end != 0 {
-				r.wantEnd(acts, c.end, 1)
+				r.wantAction(acts, c.end, 1)
 			}
 		})
 	}
@@ -305,60 +305,60 @@
 
 func TestGuardedByZoneStaysInItsZoneAndIsNotHandedBack(t *testing.T) {
 	set := testSettings()
-	set.Classes[guarded].ZoneGroup = true
-	far := entry(1, 1, 0)
+	set.Classes[guardedClass].ZoneGroup = true
+	far := listEntry(1, 1, 0)
 	far.Zone = 1
-	r := newRig(t, set, entry(1, 0, 0), far)
-	acts := r.at(0, r.msg(guarded, 1))
-	if acts[0].Endpoint != ep(1, 0) {
+	r := newHarness(t, set, listEntry(1, 0, 0), far)
+	acts := r.step(0, r.arrival(guardedClass, 1))
+	if acts[0].Endpoint != endpointID(1, 0) {
 		t.Fatalf("the own zone comes first, sent to %d", acts[0].Endpoint)
 	}
-	gone := entry(1, 0, 0)
+	gone := listEntry(1, 0, 0)
 	gone.Health = Draining
-	r.at(s/10, Event{Kind: List, Entries: []Entry{gone}})
-	r.want(r.at(s/10, done(1, 0, Errored)))
-	r.wantEnd(r.wait(11*s), Fail, 1)
+	r.step(second/10, Event{Kind: List, Entries: []Entry{gone}})
+	r.wantSent(r.step(second/10, outcomeOf(1, 0, Errored)))
+	r.wantAction(r.advance(11*second), Fail, 1)
 }
 
 func TestAnswerBeforeTheTimeIsUp(t *testing.T) {
 	for _, c := range []struct {
 		class int
 		end   ActionKind
-	}{{free, Refuse}, {single, Fail}} {
-		r := newRig(t, testSettings(), entry(1, 0, 0))
-		acts := r.d.Step(r.now, []Event{r.msg(c.class, 1)}, nil)
+	}{{freeClass, Refuse}, {singleShotClass, Fail}} {
+		r := newHarness(t, testSettings(), listEntry(1, 0, 0))
+		acts := r.d.Step(r.now, []Event{r.arrival(c.class, 1)}, nil)
 		var mark uint64
 		var due Time
 		for _, a := range acts {
-			if a.Kind == Timer && a.Mark != 0 {
-				mark, due = a.Mark, a.After
+			if a.Kind == Timer && a.TimerID != 0 {
+				mark, due = a.TimerID, a.After
 			}
 		}
-		if due >= 20*s {
+		if due >= 20*second {
 			t.Fatalf("timer at %v is too late", due)
 		}
-		r.wantEnd(r.at(due, Event{Kind: Tick, Mark: mark}), c.end, 1)
-		if more := r.at(s, Event{Kind: Tick, Mark: mark}, done(1, 0, TimedOut), done(1, 0, OK)); len(more) > 0 {
+		r.wantAction(r.step(due, Event{Kind: Tick, TimerID: mark}), c.end, 1)
+		if more := r.step(second, Event{Kind: Tick, TimerID: mark}, outcomeOf(1, 0, TimedOut), outcomeOf(1, 0, OK)); len(more) > 0 {
 			t.Errorf("acts for an ended message: %+v", more)
 		}
 	}
 }
 
 func TestWaitBindsTheDestinationToItsLastMoment(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
-	r.at(0, r.msg(free, 1), r.msg(single, 1))
-	r.want(r.at(s/10, full(1, 0, 2*s), r.msg(guarded, 1)))
-	r.want(r.at(2*s, r.msg(free, 1))) // the last permitted moment to be still
-	if got := sent(r.wait(s)); len(got) == 0 {
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(1, 1, 0))
+	r.step(0, r.arrival(freeClass, 1), r.arrival(singleShotClass, 1))
+	r.wantSent(r.step(second/10, refusal(1, 0, 2*second), r.arrival(guardedClass, 1)))
+	r.wantSent(r.step(2*second, r.arrival(freeClass, 1))) // the last permitted moment to be still
+	if got := sentMessages(r.advance(second)); len(got) == 0 {
 		t.Error("nothing sent after the wait")
 	}
 }
 
 func TestWaitBindsOnlyTheRouteWhereRoutesAreApart(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 2), entry(1, 1, 2))
-	acts := r.at(0, r.msg(free, 1))
-	again := r.at(s/10, full(1, 0, 5*s))
-	r.want(again, 1)
+	r := newHarness(t, testSettings(), listEntry(1, 0, 2), listEntry(1, 1, 2))
+	acts := r.step(0, r.arrival(freeClass, 1))
+	again := r.step(second/10, refusal(1, 0, 5*second))
+	r.wantSent(again, 1)
 	if again[0].Endpoint == acts[0].Endpoint {
 		t.Error("sent again to the route that told a wait")
 	}
@@ -366,92 +366,92 @@
 
 // A wait told with a later outcome of a batched call was once missed, as the call had been learned from.
 func TestEveryOutcomeOfABatchTellsItsWait(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 1))
-	r.at(0, r.msg(free, 1), r.msg(free, 1))
-	r.at(s/10, full(1, 0, s), full(2, 0, 3*s))
-	r.want(r.wait(2900 * Millisecond))
+	r := newHarness(t, testSettings(), listEntry(1, 0, 1))
+	r.step(0, r.arrival(freeClass, 1), r.arrival(freeClass, 1))
+	r.step(second/10, refusal(1, 0, second), refusal(2, 0, 3*second))
+	r.wantSent(r.advance(2900 * Millisecond))
 }
 
 func TestDrainingAndGoneEndpointsGetNothing(t *testing.T) {
 	for _, h := range []Health{Draining, Gone} {
-		r := newRig(t, testSettings(), entry(1, 0, 0))
-		e := entry(1, 0, 0)
+		r := newHarness(t, testSettings(), listEntry(1, 0, 0))
+		e := listEntry(1, 0, 0)
 		e.Health = h
-		r.at(0, Event{Kind: List, Entries: []Entry{e}})
-		r.want(r.at(s/10, r.msg(free, 1)))
-		r.at(s/10, Event{Kind: List, ListKind: ListFailed})
-		r.want(r.wait(s)) // held, not answered
-		fresh := entry(1, 1, 0)
-		r.want(r.at(s/10, Event{Kind: List, ListKind: ListFull, Entries: []Entry{fresh}}), 1)
+		r.step(0, Event{Kind: List, Entries: []Entry{e}})
+		r.wantSent(r.step(second/10, r.arrival(freeClass, 1)))
+		r.step(second/10, Event{Kind: List, ListKind: ListFailed})
+		r.wantSent(r.advance(second)) // held, not answered
+		fresh := listEntry(1, 1, 0)
+		r.wantSent(r.step(second/10, Event{Kind: List, ListKind: ListFull, Entries: []Entry{fresh}}), 1)
 	}
 }
 
 func TestOrderByKey(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
-	r.want(r.at(0, r.keyed(9), r.keyed(9), r.keyed(5)), 1, 3)
-	r.want(r.at(s/10, done(1, 0, OK)), 2)
-	r.want(r.at(s/10, done(2, 0, Reset), r.keyed(9)), 2) // another try is not delayed, the next one waits
-	r.want(r.at(s/10, done(2, 1, OK)))
-	r.want(r.at(2700 * Millisecond)) // the key rests 3 s from the doubt, to its last moment
-	if got := sent(r.wait(300 * Millisecond)); !slices.Equal(got, []MessageID{4}) {
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(1, 1, 0))
+	r.wantSent(r.step(0, r.keyedArrival(9), r.keyedArrival(9), r.keyedArrival(5)), 1, 3)
+	r.wantSent(r.step(second/10, outcomeOf(1, 0, OK)), 2)
+	r.wantSent(r.step(second/10, outcomeOf(2, 0, Reset), r.keyedArrival(9)), 2) // another try is not delayed, the next one waits
+	r.wantSent(r.step(second/10, outcomeOf(2, 1, OK)))
+	r.wantSent(r.step(2700 * Millisecond)) // the key rests 3 s from the doubt, to its last moment
+	if got := sentMessages(r.advance(300 * Millisecond)); !slices.Equal(got, []MessageID{4}) {
 		t.Errorf("after the rest sent %v, want 4", got)
 	}
 }
 
 func TestFailedHeadKeepsItsTurnUntilItsOutcome(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
-	r.want(r.at(0, r.keyed(9), r.keyed(9)), 1)
-	r.at(s/10, Event{Kind: Withdrawn, Message: 1})
-	r.want(r.at(s / 10))
-	r.want(r.at(s/10, done(1, 0, OK)), 2)
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
+	r.wantSent(r.step(0, r.keyedArrival(9), r.keyedArrival(9)), 1)
+	r.step(second/10, Event{Kind: Withdrawn, Message: 1})
+	r.wantSent(r.step(second / 10))
+	r.wantSent(r.step(second/10, outcomeOf(1, 0, OK)), 2)
 }
 
 func TestTriesAreCounted(t *testing.T) {
 	set := testSettings()
 	set.MaxTries = 2
-	r := newRig(t, set, entry(1, 0, 0), entry(1, 1, 0))
-	r.want(r.at(0, r.msg(free, 1)), 1)
-	r.want(r.at(s/10, done(1, 0, Errored)), 1)
-	r.wantEnd(r.at(s/10, done(1, 1, Errored)), Refuse, 1)
+	r := newHarness(t, set, listEntry(1, 0, 0), listEntry(1, 1, 0))
+	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
+	r.wantSent(r.step(second/10, outcomeOf(1, 0, Errored)), 1)
+	r.wantAction(r.step(second/10, outcomeOf(1, 1, Errored)), Refuse, 1)
 }
 
 // A hang shows as age, long before any time-out: the destination is not fed, and a trial is harmless.
 func TestHangIsJudgedByAge(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0))
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(2, 0, 0))
 	for i := range 4 {
-		r.at(s/10, r.msg(free, 1))
-		r.at(s/10, done(MessageID(i+1), 0, OK))
+		r.step(second/10, r.arrival(freeClass, 1))
+		r.step(second/10, outcomeOf(MessageID(i+1), 0, OK))
 	}
-	r.want(r.at(0, r.msg(single, 1)), 5)
-	r.wait(2 * s)
-	if e := r.d.byID[ep(1, 0)]; !e.suspect {
+	r.wantSent(r.step(0, r.arrival(singleShotClass, 1)), 5)
+	r.advance(2 * second)
+	if e := r.d.endpointByID[endpointID(1, 0)]; !e.suspect {
 		t.Fatal("a call out for 20 times the usual raises no suspicion")
 	}
-	if got := sent(append(r.at(0, r.msg(single, 1)), r.wait(300*Millisecond)...)); len(got) > 0 {
+	if got := sentMessages(append(r.step(0, r.arrival(singleShotClass, 1)), r.advance(300*Millisecond)...)); len(got) > 0 {
 		t.Errorf("an unsafe message was risked: %v", got)
 	}
-	if got := sent(append(r.at(0, r.msg(free, 1)), r.wait(2*s)...)); !slices.Contains(got, 7) {
+	if got := sentMessages(append(r.step(0, r.arrival(freeClass, 1)), r.advance(2*second)...)); !slices.Contains(got, 7) {
 		t.Errorf("no harmless trial: %v", got)
 	}
 }
 
 // A sender with little traffic sees one refused connection and no second: it must not come back at full rate.
 func TestOneRefusedConnectionSuspectsAndReturnIsRamped(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
-	r.want(r.at(0, r.msg(free, 1)), 1)
-	r.at(s/10, done(1, 0, ConnectFailed))
-	if !r.d.byID[ep(1, 0)].suspect {
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
+	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
+	r.step(second/10, outcomeOf(1, 0, ConnectFailed))
+	if !r.d.endpointByID[endpointID(1, 0)].suspect {
 		t.Fatal("not suspect")
 	}
 	var trials []MessageID
 	for range 30 {
-		trials = append(trials, sent(r.at(s/10, r.msg(free, 1)))...)
+		trials = append(trials, sentMessages(r.step(second/10, r.arrival(freeClass, 1)))...)
 	}
 	if len(trials) != 1 {
 		t.Fatalf("trials %v, want a single one", trials)
 	}
-	r.at(s/10, done(trials[0], r.d.msgs[trials[0]].tries-1, OK))
-	if got := sent(r.wait(s)); len(got) > 5 {
+	r.step(second/10, outcomeOf(trials[0], r.d.messages[trials[0]].tries-1, OK))
+	if got := sentMessages(r.advance(second)); len(got) > 5 {
 		t.Errorf("%d messages in the first second of its return", len(got))
 	}
 }
@@ -461,98 +461,98 @@
 func TestConnectionsAreClosedWhereTheyAreScarce(t *testing.T) {
 	set := testSettings()
 	set.Instances = 20
-	r := newRig(t, set, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 1))
+	r := newHarness(t, set, listEntry(1, 0, 0), listEntry(2, 0, 0), listEntry(3, 0, 1))
 	closed := func(acts []Action, e Endpoint) bool {
 		return slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == Close && a.Endpoint == e })
 	}
-	r.want(r.at(0, r.msg(free, 1)), 1)
-	if closed(r.at(s/10, done(1, 0, OK)), ep(1, 0)) {
+	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
+	if closed(r.step(second/10, outcomeOf(1, 0, OK)), endpointID(1, 0)) {
 		t.Fatal("closed without need")
 	}
-	r.want(r.at(s/10, r.msg(free, 1), r.msg(free, 2), r.msg(free, 3)), 2, 3, 4)
-	r.at(s/10, done(2, 0, ConnectFailed))
-	if !closed(r.at(s/10, done(3, 0, OK)), ep(2, 0)) {
+	r.wantSent(r.step(second/10, r.arrival(freeClass, 1), r.arrival(freeClass, 2), r.arrival(freeClass, 3)), 2, 3, 4)
+	r.step(second/10, outcomeOf(2, 0, ConnectFailed))
+	if !closed(r.step(second/10, outcomeOf(3, 0, OK)), endpointID(2, 0)) {
 		t.Error("left open at the kind that had no room")
 	}
-	if closed(r.at(s/10, done(4, 0, OK)), ep(3, 0)) {
+	if closed(r.step(second/10, outcomeOf(4, 0, OK)), endpointID(3, 0)) {
 		t.Error("closed at another kind")
 	}
-	r.wait(scarceFor)
-	r.at(s/10, r.msg(free, 2))
-	if closed(r.at(s/10, done(5, 0, OK)), ep(2, 0)) {
+	r.advance(scarceDuration)
+	r.step(second/10, r.arrival(freeClass, 2))
+	if closed(r.step(second/10, outcomeOf(5, 0, OK)), endpointID(2, 0)) {
 		t.Error("the lesson is never forgotten")
 	}
 }
 
 // Connections that were dropped unseen after a while without use: the next call goes out on a fresh one.
 func TestReapedConnectionsAreClosedBeforeUse(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
-	r.want(r.at(0, r.msg(free, 1)), 1)
-	r.at(s/10, done(1, 0, OK))
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
+	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
+	r.step(second/10, outcomeOf(1, 0, OK))
 	for range 2 { // two signs are needed
-		r.want(r.at(3*s, r.msg(free, 1)), r.id)
-		acts := r.at(s/10, done(r.id, 0, Reset)) // goes again at once, on a new connection
-		r.want(acts, r.id)
+		r.wantSent(r.step(3*second, r.arrival(freeClass, 1)), r.lastID)
+		acts := r.step(second/10, outcomeOf(r.lastID, 0, Reset)) // goes again at once, on a new connection
+		r.wantSent(acts, r.lastID)
 		if acts[0].Kind != Close {
 			t.Fatalf("sent again without closing: %+v", acts)
 		}
-		r.at(s/10, done(r.id, 1, OK))
+		r.step(second/10, outcomeOf(r.lastID, 1, OK))
 	}
-	acts := r.at(2900*Millisecond, r.msg(single, 1))
+	acts := r.step(2900*Millisecond, r.arrival(singleShotClass, 1))
 	if len(acts) != 2 || acts[0].Kind != Close || acts[1].Kind != Send {
 		t.Errorf("an unsafe message was risked on a connection idle for as long: %+v", acts)
 	}
-	r.at(s/10, done(r.id, 0, OK))
-	if acts = r.at(s/2, r.msg(free, 1)); len(acts) != 1 {
+	r.step(second/10, outcomeOf(r.lastID, 0, OK))
+	if acts = r.step(second/2, r.arrival(freeClass, 1)); len(acts) != 1 {
 		t.Errorf("closed one that is young: %+v", acts)
 	}
 }
 
 func TestScatteredErrorsAreNoOutage(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	for i := range 12 {
-		r.at(s/10, r.msg(single, 1))
+		r.step(second/10, r.arrival(singleShotClass, 1))
 		res := Errored
 		if i%4 == 3 {
 			res = OK
 		}
-		r.at(s/10, done(MessageID(i+1), 0, res))
+		r.step(second/10, outcomeOf(MessageID(i+1), 0, res))
 	}
-	if r.d.byID[ep(1, 0)].suspect {
+	if r.d.endpointByID[endpointID(1, 0)].suspect {
 		t.Error("an endpoint that answers every fourth call is shut off")
 	}
 }
 
 // A fresh endpoint listed while all others of its destination are down once got the whole held backlog.
 func TestEndpointJoiningADownDestinationStartsCold(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
-	r.at(0, r.msg(free, 1))
-	r.at(s/10, done(1, 0, ConnectFailed))
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
+	r.step(0, r.arrival(freeClass, 1))
+	r.step(second/10, outcomeOf(1, 0, ConnectFailed))
 	for range 20 {
-		r.at(s/20, r.msg(single, 1))
+		r.step(second/20, r.arrival(singleShotClass, 1))
 	}
-	acts := r.at(s/20, Event{Kind: List, Entries: []Entry{entry(1, 1, 0)}})
-	if got := sent(acts); len(got) > 1 {
+	acts := r.step(second/20, Event{Kind: List, Entries: []Entry{listEntry(1, 1, 0)}})
+	if got := sentMessages(acts); len(got) > 1 {
 		t.Errorf("dumped %d messages on it", len(got))
 	}
 }
 
 // After refusals the release rate comes back within seconds; it once took half a minute.
 func TestReleaseRateRecovers(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
-	p := r.d.byNo[1].limit
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
+	p := r.d.destinationByNumber[1].limit
 	n, served := 0, 0
 	var next []Event
-	for r.now < 1030*s {
+	for r.now < 1030*second {
 		events := next
 		next = nil
 		if n++; n%2 == 0 {
-			events = append(events, r.msg(free, 1))
+			events = append(events, r.arrival(freeClass, 1))
 		}
-		for _, id := range sent(r.at(s/20, events...)) {
-			e := done(id, r.d.msgs[id].tries-1, OK)
-			if r.now > 1005*s && r.now < 1006*s {
-				e = full(id, r.d.msgs[id].tries-1, 0)
+		for _, id := range sentMessages(r.step(second/20, events...)) {
+			e := outcomeOf(id, r.d.messages[id].tries-1, OK)
+			if r.now > 1005*second && r.now < 1006*second {
+				e = refusal(id, r.d.messages[id].tries-1, 0)
 			} else {
 				served++
 			}
@@ -560,8 +560,8 @@
 		}
 	}
 	n /= 2
-	if p.allowed(r.now) < 1 || served < n*8/10 {
-		t.Errorf("allowed share %v after 24 s, %d of %d served", p.allow, served, n)
+	if p.allowedShareAt(r.now) < 1 || served < n*8/10 {
+		t.Errorf("allowed share %v after 24 s, %d of %d served", p.allowedShare, served, n)
 	}
 }
 
@@ -569,26 +569,26 @@
 func TestOldLateMessagesYield(t *testing.T) {
 	set := testSettings()
 	set.LateHalving, set.Slots = true, 1
-	r := newRig(t, set, entry(1, 0, 0))
-	r.at(0, Event{Kind: List, Entries: []Entry{entry(2, 0, 0)}})
-	r.want(r.at(0, r.msg(free, 2)), 1)
-	r.want(r.at(0, r.msg(free, 1)))
-	r.at(8*s, r.msg(free, 1))
-	r.want(r.at(s/10, done(1, 0, OK)), 3)
+	r := newHarness(t, set, listEntry(1, 0, 0))
+	r.step(0, Event{Kind: List, Entries: []Entry{listEntry(2, 0, 0)}})
+	r.wantSent(r.step(0, r.arrival(freeClass, 2)), 1)
+	r.wantSent(r.step(0, r.arrival(freeClass, 1)))
+	r.step(8*second, r.arrival(freeClass, 1))
+	r.wantSent(r.step(second/10, outcomeOf(1, 0, OK)), 3)
 }
 
 func TestSheddingKeepsTheBetter(t *testing.T) {
 	set := testSettings()
 	set.MaxOpen, set.Slots = 8, 1
-	set.Classes[single].Worth = 5
-	r := newRig(t, set, entry(1, 0, 0))
+	set.Classes[singleShotClass].Worth = 5
+	r := newHarness(t, set, listEntry(1, 0, 0))
 	var acts []Action
 	for i := range 12 {
-		class := free
+		class := freeClass
 		if i%2 == 1 {
-			class = single
+			class = singleShotClass
 		}
-		acts = append(acts, r.at(Millisecond, r.msg(class, 1))...)
+		acts = append(acts, r.step(Millisecond, r.arrival(class, 1))...)
 	}
 	refused := 0
 	for _, a := range acts {
@@ -599,8 +599,8 @@
 			}
 		}
 	}
-	if refused == 0 || r.d.open > 8 {
-		t.Errorf("%d refused, %d held", refused, r.d.open)
+	if refused == 0 || r.d.openMessages > 8 {
+		t.Errorf("%d refused, %d held", refused, r.d.openMessages)
 	}
 }
 
@@ -608,34 +608,34 @@
 func TestReclaimTakesSlotsBackFromASuspect(t *testing.T) {
 	set := testSettings()
 	set.Slots = 2
-	r := newRig(t, set, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
-	r.want(r.at(0, r.msg(single, 1), r.msg(single, 2)), 1, 2)
-	r.at(s, r.msg(free, 3))
-	acts := r.wait(8 * s)
+	r := newHarness(t, set, listEntry(1, 0, 0), listEntry(2, 0, 0), listEntry(3, 0, 0))
+	r.wantSent(r.step(0, r.arrival(singleShotClass, 1), r.arrival(singleShotClass, 2)), 1, 2)
+	r.step(second, r.arrival(freeClass, 3))
+	acts := r.advance(8 * second)
 	if !slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == Cancel }) {
 		t.Error("no slot was taken back")
 	}
 }
 
 func TestStrangeEventsDoNothing(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
-	acts := r.at(0, done(99, 0, OK), Event{Kind: Withdrawn, Message: 99}, Event{Kind: Tick, Mark: 12345},
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
+	acts := r.step(0, outcomeOf(99, 0, OK), Event{Kind: Withdrawn, Message: 99}, Event{Kind: Tick, TimerID: 12345},
 		Event{Kind: Probed, Endpoint: 4}, Event{Kind: Started, Message: 3})
 	if len(acts) > 0 {
 		t.Errorf("acts: %+v", acts)
 	}
-	bad := r.msg(99, 1)
-	r.wantEnd(r.at(0, bad), Refuse, bad.Message)
-	r.want(r.at(s, r.msg(free, 77))) // no endpoint is listed: held
+	bad := r.arrival(99, 1)
+	r.wantAction(r.step(0, bad), Refuse, bad.Message)
+	r.wantSent(r.step(second, r.arrival(freeClass, 77))) // no endpoint is listed: held
 }
 
 func TestSameEventsSameActions(t *testing.T) {
 	play := func() (all []Action) {
-		r := newRig(t, testSettings(), entry(1, 0, 0), entry(2, 0, 1))
+		r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(2, 0, 1))
 		for i := range 200 {
-			acts := r.at(s/50, r.msg(i%3, 1+i%2))
-			for _, id := range sent(acts) {
-				acts = append(acts, r.at(s/50, done(id, r.d.msgs[id].tries-1, Result(i%6)))...)
+			acts := r.step(second/50, r.arrival(i%3, 1+i%2))
+			for _, id := range sentMessages(acts) {
+				acts = append(acts, r.step(second/50, outcomeOf(id, r.d.messages[id].tries-1, Result(i%6)))...)
 			}
 			all = append(all, acts...)
 		}
@@ -648,45 +648,45 @@
 
 // Slow is not dead: the late answer to a call sent before the silence lifts suspicion without a ramp.
 func TestLateAnswerLiftsSuspicionWithoutRamp(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
-	r.want(r.at(0, r.msg(single, 1)), 1)
-	r.wait(3 * s)
-	e := r.d.byID[ep(1, 0)]
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
+	r.wantSent(r.step(0, r.arrival(singleShotClass, 1)), 1)
+	r.advance(3 * second)
+	e := r.d.endpointByID[endpointID(1, 0)]
 	if !e.suspect {
 		t.Fatal("not suspect after 3 s")
 	}
-	r.at(0, done(1, 0, OK))
+	r.step(0, outcomeOf(1, 0, OK))
 	if e.suspect || r.d.cold(e, r.now) {
-		t.Errorf("suspect %v, cold since %v", e.suspect, e.coldAt)
+		t.Errorf("suspect %v, cold since %v", e.suspect, e.rampStart)
 	}
 }
 
 // Several sick destinations together must leave half of the slots to the others.
 func TestSickDestinationsShareHalfOfTheSlots(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(2, 0, 0), listEntry(3, 0, 0))
 	for n := 1; n <= 3; n++ {
-		d := r.d.byNo[n]
-		d.wmax, d.base, d.lat.mean, d.w, d.starting = 5, 100, 100, 0, false
+		d := r.d.destinationByNumber[n]
+		d.window, d.longTermLatency, d.latencyStats.mean, d.callsOut, d.windowSlowStart = 5, 100, 100, 0, false
 	}
-	one, two := r.d.byNo[1], r.d.byNo[2]
-	one.lat.mean, two.lat.mean, two.w = 900, 900, 3
-	r.d.weigh(two)
-	if got := r.d.room(one); got != 1 {
+	one, two := r.d.destinationByNumber[1], r.d.destinationByNumber[2]
+	one.latencyStats.mean, two.latencyStats.mean, two.callsOut = 900, 900, 3
+	r.d.countUnhealthyCalls(two)
+	if got := r.d.effectiveWindow(one); got != 1 {
 		t.Errorf("room %d beside a sick destination with three calls out, want 1", got)
 	}
-	two.lat.mean = 100
-	r.d.weigh(two)
-	if got := r.d.room(one); got != 4 {
+	two.latencyStats.mean = 100
+	r.d.countUnhealthyCalls(two)
+	if got := r.d.effectiveWindow(one); got != 4 {
 		t.Errorf("room %d as the only sick one, want half of the slots", got)
 	}
 	// Eight slots all taken, and a message of another waits: a third of them is what the sick may have.
 	for range 8 {
-		r.at(s/100, r.msg(free, 3))
+		r.step(second/100, r.arrival(freeClass, 3))
 	}
-	r.d.busy = r.d.set.Slots
-	r.at(s/100, r.msg(free, 2))
-	r.at(s / 100)
-	if got := r.d.room(one); got != 2 {
+	r.d.usedSlots = r.d.settings.Slots
+	r.step(second/100, r.arrival(freeClass, 2))
+	r.step(second / 100)
+	if got := r.d.effectiveWindow(one); got != 2 {
 		t.Errorf("room %d while others wait for slots, want a third of them", got)
 	}
 }
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -17,8 +17,8 @@
 		return
 	}
 	actions := d.Step(0, []control.Event{
-		{Kind: control.List, ListKind: control.ListFull, Entries: []control.Entry{{Endpoint: 42, Dest: 7, Health: control.Ready}}},
-		{Kind: control.Arrival, Message: 1, Dest: 7, Grace: 10 * control.Second},
+		{Kind: control.List, ListKind: control.ListFull, Entries: []control.Entry{{Endpoint: 42, Destination: 7, Health: control.Ready}}},
+		{Kind: control.Arrival, Message: 1, Destination: 7, TimeLeft: 10 * control.Second},
 	}, nil)
 	for _, a := range actions {
 		if a.Kind == control.Send {
--- a/control/export_test.go
+++ b/control/export_test.go
@@ -5,41 +5,41 @@
 	"slices"
 )
 
-// CheckOrders looks at all that the orders are meant to spare the module, and tells where they are not true.
-func (d *Dispatcher) CheckOrders() error {
+// CheckHeaps looks at all that the orders are meant to spare the module, and tells where they are not true.
+func (d *Dispatcher) CheckHeaps() error {
 	sick := 0
-	for _, t := range d.dests {
-		if t.w > 0 && d.sick(t) {
-			sick += t.w
+	for _, t := range d.destinations {
+		if t.callsOut > 0 && d.destinationUnhealthy(t) {
+			sick += t.callsOut
 		}
-		if used := t.held > 0 || t.w > 0; used != (t.places[inTurns] > 0) || used && d.turns.list[t.places[inTurns]-1].key != t.acc {
-			return fmt.Errorf("destination %d: in use is %v, in turns at %d", t.no, used, t.places[inTurns])
+		if used := t.queued > 0 || t.callsOut > 0; used != (t.heapPositions[activeHeap] > 0) || used && d.active.entries[t.heapPositions[activeHeap]-1].key != t.virtualTime {
+			return fmt.Errorf("destination %d: in use is %v, in turns at %d", t.number, used, t.heapPositions[activeHeap])
 		}
-		waits := t.rousing || t.standing != idle
-		if t.held > 0 && !waits || t.held == 0 && t.standing != idle {
-			return fmt.Errorf("destination %d: %d held, standing %d, roused %v", t.no, t.held, t.standing, t.rousing)
+		waits := t.wakePending || t.state != stateIdle
+		if t.queued > 0 && !waits || t.queued == 0 && t.state != stateIdle {
+			return fmt.Errorf("destination %d: %d held, standing %d, roused %v", t.number, t.queued, t.state, t.wakePending)
 		}
-		if t.w > 0 {
-			calm, short := d.nextLook(t)
+		if t.callsOut > 0 {
+			calm, short := d.nextScan(t)
 			for _, o := range []struct {
 				at   Time
-				list *order[Time]
-			}{{calm, &d.calm}, {short, &d.rushed}} {
-				if at := t.places[o.list.no]; o.at < never && (at == 0 || o.list.list[at-1].key > max(o.at, d.now)) {
-					return fmt.Errorf("destination %d is watched too late for %d", t.no, o.at)
+				list *destinationHeap[Time]
+			}{{calm, &d.normalScans}, {short, &d.shortageScans}} {
+				if at := t.heapPositions[o.list.index]; o.at < never && (at == 0 || o.list.entries[at-1].key > max(o.at, d.now)) {
+					return fmt.Errorf("destination %d is watched too late for %d", t.number, o.at)
 				}
 			}
 		}
-		if t.standing == asleep && t.starting && t.ends == 0 && t.listed != d.lists && t.wmax < d.fair {
-			return fmt.Errorf("destination %d sleeps with a window of an earlier list", t.no)
+		if t.state == stateAsleep && t.windowSlowStart && t.endedCalls == 0 && t.windowList != d.listNumber && t.window < d.fairWindow {
+			return fmt.Errorf("destination %d sleeps with a window of an earlier list", t.number)
 		}
 	}
-	if sick != d.sickOut {
-		return fmt.Errorf("%d calls are out to sick ones, counted %d", sick, d.sickOut)
+	if sick != d.unhealthyCalls {
+		return fmt.Errorf("%d calls are out to sick ones, counted %d", sick, d.unhealthyCalls)
 	}
 	for _, f := range []func() error{
-		checkOrder(&d.turns), checkOrder(&d.ready), checkOrder(&d.shut), checkOrder(&d.wakes),
-		checkOrder(&d.calm), checkOrder(&d.rushed), checkOrder(&d.worths), checkOrder(&d.valued),
+		checkHeap(&d.active), checkHeap(&d.runnable), checkHeap(&d.waitingForRoom), checkHeap(&d.wakeups),
+		checkHeap(&d.normalScans), checkHeap(&d.shortageScans), checkHeap(&d.byWorth), checkHeap(&d.worthExpiry),
 	} {
 		if err := f(); err != nil {
 			return err
@@ -48,31 +48,31 @@
 	return nil
 }
 
-func checkOrder[K float64 | Time](o *order[K]) func() error {
+func checkHeap[K float64 | Time](o *destinationHeap[K]) func() error {
 	return func() error {
-		for i := range o.list {
-			x := &o.list[i]
-			if x.t.places[o.no] != i+1 || i > 0 && x.before(&o.list[(i-1)/2]) {
-				return fmt.Errorf("order %d is not in order at %d", o.no, i)
+		for i := range o.entries {
+			x := &o.entries[i]
+			if x.destination.heapPositions[o.index] != i+1 || i > 0 && x.less(&o.entries[(i-1)/2]) {
+				return fmt.Errorf("order %d is not in order at %d", o.index, i)
 			}
 		}
-		if slices.ContainsFunc(o.list[len(o.list):cap(o.list)], func(x ranked[K]) bool { return x.t != nil }) {
-			return fmt.Errorf("order %d keeps a destination that left it", o.no)
+		if slices.ContainsFunc(o.entries[len(o.entries):cap(o.entries)], func(x heapEntry[K]) bool { return x.destination != nil }) {
+			return fmt.Errorf("order %d keeps a destination that left it", o.index)
 		}
 		return nil
 	}
 }
 
-// LookAtAll has the next Step look at all that sleeps.
-func (d *Dispatcher) LookAtAll() { d.rouseAll() }
+// WakeAll has the next Step look at all that sleeps.
+func (d *Dispatcher) WakeAll() { d.wakeAll() }
 
 // Sizes is how much the module remembers, by name.
 func (d *Dispatcher) Sizes() map[string]int {
 	return map[string]int{
-		"messages": len(d.msgs), "keys": len(d.keys), "resting": len(d.resting), "destinations": len(d.byNo),
-		"all": len(d.dests), "endpoints": len(d.byID), "leaving": len(d.leaving), "away": len(d.away), "bare": len(d.bare),
-		"turns": len(d.turns.list), "ready": len(d.ready.list), "wakes": len(d.wakes.list),
-		"shut": len(d.shut.list), "calm": len(d.calm.list), "rushed": len(d.rushed.list), "worths": len(d.worths.list),
-		"valued": len(d.valued.list), "roused": len(d.roused),
+		"messages": len(d.messages), "keys": len(d.keys), "resting": len(d.idleKeys), "destinations": len(d.destinationByNumber),
+		"all": len(d.destinations), "endpoints": len(d.endpointByID), "leaving": len(d.leaving), "away": len(d.removed), "bare": len(d.withoutEndpoints),
+		"turns": len(d.active.entries), "ready": len(d.runnable.entries), "wakes": len(d.wakeups.entries),
+		"shut": len(d.waitingForRoom.entries), "calm": len(d.normalScans.entries), "rushed": len(d.shortageScans.entries), "worths": len(d.byWorth.entries),
+		"valued": len(d.worthExpiry.entries), "roused": len(d.woken),
 	}
 }
--- a/control/fleet_size_test.go
+++ b/control/fleet_size_test.go
@@ -23,13 +23,13 @@
 		}
 		now := 1000 * Second
 		d.Step(now, []Event{{Kind: List, ListKind: ListFull, Entries: []Entry{{Endpoint: 1, Health: Draining}}}}, nil)
-		d.Step(now, []Event{{Kind: Fleet, Instances: instances}}, nil)
+		d.Step(now, []Event{{Kind: FleetSize, Instances: instances}}, nil)
 		tenant := map[MessageID]int{}
 		for i := range 400 { // 40 a second
 			now += 25 * Millisecond
 			id := MessageID(i + 1)
 			tenant[id] = i % 2
-			for _, a := range d.Step(now, []Event{{Kind: Arrival, Message: id, Tenant: i % 2, Grace: 100 * Second}}, nil) {
+			for _, a := range d.Step(now, []Event{{Kind: Arrival, Message: id, Tenant: i % 2, TimeLeft: 100 * Second}}, nil) {
 				if a.Kind == Refuse || a.Kind == Fail {
 					if tenant[a.Message] == 0 {
 						over++
@@ -58,7 +58,7 @@
 			Classes: []Class{{Name: "a", Aim: 60 * Second, Deadline: 120 * Second, Worth: 1}},
 			Slots:   16, MaxOpen: 1000, MaxTries: 3, ConnIdle: 5 * Second, RetryAfter: true, MaxRetryAfter: Second,
 		}
-		y := newYard(t, set)
+		y := newTickHarness(t, set)
 		y.step(set.Tick, []Event{y.list(4, func(int) float64 { return 20 })}, nil)
 		for i := range 2000 {
 			events := change(i)
@@ -67,7 +67,7 @@
 			}
 			sent := y.step(set.Tick, events, func(dest int) (Event, Time) {
 				if dest == 3 && i%7 == 0 {
-					return Event{Result: Full, Wait: 200 * Millisecond}, 10 * Millisecond
+					return Event{Result: Refused, RetryAfter: 200 * Millisecond}, 10 * Millisecond
 				}
 				return Event{Result: OK}, 10 * Millisecond
 			})
@@ -79,11 +79,11 @@
 	changed := sends(func(i int) []Event {
 		switch i {
 		case 500:
-			return []Event{{Kind: Fleet, Instances: 1}}
+			return []Event{{Kind: FleetSize, Instances: 1}}
 		case 1000:
-			return []Event{{Kind: Fleet, Instances: 40}}
+			return []Event{{Kind: FleetSize, Instances: 40}}
 		case 1500:
-			return []Event{{Kind: Fleet}} // out of range: it counts as alone
+			return []Event{{Kind: FleetSize}} // out of range: it counts as alone
 		}
 		return nil
 	})
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -5,14 +5,14 @@
 )
 
 // fleet makes dispatchers that differ only in their seeds, each told of the same endpoints.
-func fleet(t *testing.T, n int, set Settings, entries ...Entry) []*rig {
+func fleet(t *testing.T, n int, set Settings, entries ...Entry) []*harness {
 	t.Helper()
 	set.Instances = n
-	rigs := make([]*rig, n)
+	rigs := make([]*harness, n)
 	for i := range rigs {
-		r := newRig(t, set, entries...)
-		r.d.rng += uint64(i) * 2862933555777941757
-		r.wait(20 * s) // the memory of the demand is filled
+		r := newHarness(t, set, entries...)
+		r.d.randomState += uint64(i) * 2862933555777941757
+		r.advance(20 * second) // the memory of the demand is filled
 		rigs[i] = r
 	}
 	return rigs
@@ -23,13 +23,13 @@
 func TestTrialsOfManySendersAddUpToAPartOfTheDemand(t *testing.T) {
 	const n = 60
 	sends := 0
-	for _, r := range fleet(t, n, testSettings(), entry(1, 0, 0)) {
-		r.want(r.at(0, r.msg(free, 1)), 1)
-		again := sent(append(r.at(s/50, done(1, 0, ConnectFailed)), r.wait(4*s)...))
+	for _, r := range fleet(t, n, testSettings(), listEntry(1, 0, 0)) {
+		r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
+		again := sentMessages(append(r.step(second/50, outcomeOf(1, 0, ConnectFailed)), r.advance(4*second)...))
 		if len(again) != 1 {
 			t.Fatalf("%d tries to make sure, want one", len(again))
 		}
-		sends += len(sent(append(r.at(s/50, done(1, 1, ConnectFailed)), r.wait(2*s)...)))
+		sends += len(sentMessages(append(r.step(second/50, outcomeOf(1, 1, ConnectFailed)), r.advance(2*second)...)))
 	}
 	if sends > n/4 {
 		t.Errorf("%d trials of %d senders in two seconds", sends, n)
@@ -41,12 +41,12 @@
 
 // An outage mostly takes all endpoints of a destination: the second to fail makes sure, and neither is tried on.
 func TestFailingEndpointsBearEachOtherOut(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
-	r.wait(20 * s)
-	r.want(r.at(0, r.msg(free, 1)), 1)
-	r.want(r.at(s/50, done(1, 0, ConnectFailed)), 1)
-	r.want(r.at(s/50, done(1, 1, ConnectFailed)))
-	if a, b := r.d.byID[ep(1, 0)], r.d.byID[ep(1, 1)]; !r.d.sure(a) || !r.d.sure(b) {
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(1, 1, 0))
+	r.advance(20 * second)
+	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
+	r.wantSent(r.step(second/50, outcomeOf(1, 0, ConnectFailed)), 1)
+	r.wantSent(r.step(second/50, outcomeOf(1, 1, ConnectFailed)))
+	if a, b := r.d.endpointByID[endpointID(1, 0)], r.d.endpointByID[endpointID(1, 1)]; !r.d.outageConfirmed(a) || !r.d.outageConfirmed(b) {
 		t.Error("two endpoints of one destination failed and the outage is not taken as sure")
 	}
 }
@@ -55,14 +55,14 @@
 func TestRetriesAfterRefusalsStayWithinTheOwnDemand(t *testing.T) {
 	const n = 50
 	sends := 0
-	for _, r := range fleet(t, n, testSettings(), entry(1, 0, 0)) {
-		next := []Event{r.msg(free, 1)}
-		for end := r.now + 15*s; r.now < end; {
+	for _, r := range fleet(t, n, testSettings(), listEntry(1, 0, 0)) {
+		next := []Event{r.arrival(freeClass, 1)}
+		for end := r.now + 15*second; r.now < end; {
 			events := next
 			next = nil
-			for _, id := range sent(r.at(s/20, events...)) {
+			for _, id := range sentMessages(r.step(second/20, events...)) {
 				sends++
-				next = append(next, full(id, r.d.msgs[id].tries-1, 0))
+				next = append(next, refusal(id, r.d.messages[id].tries-1, 0))
 			}
 		}
 	}
@@ -76,13 +76,13 @@
 	for _, c := range []struct {
 		again float64
 		most  Time
-	}{{1, 8 * s}, {0.05, 0}} {
+	}{{1, 8 * second}, {0.05, 0}} {
 		served := 0
-		for _, r := range fleet(t, 20, testSettings(), entry(1, 0, 0)) {
-			r.d.kinds[0].again = c.again
-			r.want(r.at(0, r.msg(free, 1)), 1)
-			r.at(s/10, full(1, 0, 0))
-			if got := sent(r.wait(8 * s)); len(got) > 0 {
+		for _, r := range fleet(t, 20, testSettings(), listEntry(1, 0, 0)) {
+			r.d.kinds[0].retrySuccess = c.again
+			r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
+			r.step(second/10, refusal(1, 0, 0))
+			if got := sentMessages(r.advance(8 * second)); len(got) > 0 {
 				served++
 			}
 		}
@@ -94,25 +94,25 @@
 
 // A lost answer is no outage: the next call at once, no ramp, and silence is borne for less time from then on.
 func TestLostAnswersAreLearned(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	for range 20 {
-		r.want(r.at(s/2, r.msg(free, 1)), r.id)
-		r.at(s/10, done(r.id, 0, OK))
+		r.wantSent(r.step(second/2, r.arrival(freeClass, 1)), r.lastID)
+		r.step(second/10, outcomeOf(r.lastID, 0, OK))
 	}
-	before := r.d.silence(r.d.byNo[1])
+	before := r.d.responseTimeout(r.d.destinationByNumber[1])
 	for range 6 {
-		r.want(r.at(s/2, r.msg(single, 1)), r.id)
-		lost := r.id
-		r.wait(s)
-		r.want(r.at(0, r.msg(free, 1)), r.id)
-		r.at(s/10, done(r.id, 0, OK))
-		r.at(0, done(lost, 0, Cancelled))
-		if e := r.d.byID[ep(1, 0)]; e.suspect || r.d.cold(e, r.now) {
-			t.Fatalf("suspect %v, cold since %v after one lost answer", e.suspect, e.coldAt)
+		r.wantSent(r.step(second/2, r.arrival(singleShotClass, 1)), r.lastID)
+		lost := r.lastID
+		r.advance(second)
+		r.wantSent(r.step(0, r.arrival(freeClass, 1)), r.lastID)
+		r.step(second/10, outcomeOf(r.lastID, 0, OK))
+		r.step(0, outcomeOf(lost, 0, Cancelled))
+		if e := r.d.endpointByID[endpointID(1, 0)]; e.suspect || r.d.cold(e, r.now) {
+			t.Fatalf("suspect %v, cold since %v after one lost answer", e.suspect, e.rampStart)
 		}
 	}
-	if after := r.d.silence(r.d.byNo[1]); r.d.lost < 0.2 || after >= before {
-		t.Errorf("share of lost answers %v, silence borne %v and %v before", r.d.lost, after, before)
+	if after := r.d.responseTimeout(r.d.destinationByNumber[1]); r.d.lostShare < 0.2 || after >= before {
+		t.Errorf("share of lost answers %v, silence borne %v and %v before", r.d.lostShare, after, before)
 	}
 }
 
@@ -121,15 +121,15 @@
 	for _, c := range []struct {
 		allow float64
 		want  ActionKind
-	}{{0.2, Fail}, {unfelt, Refuse}} {
+	}{{0.2, Fail}, {unlimitedShare, Refuse}} {
 		set := testSettings()
 		set.MaxOpen = 3
-		r := newRig(t, set, entry(1, 0, 0))
-		r.wait(20 * s)
-		r.at(0, r.msg(free, 1))
-		r.at(s/10, full(1, 0, 100*s))
-		r.d.byNo[1].limit.allow = c.allow
-		acts := append(r.at(s/10, r.msg(free, 1)), r.at(s/10, r.msg(free, 1))...)
+		r := newHarness(t, set, listEntry(1, 0, 0))
+		r.advance(20 * second)
+		r.step(0, r.arrival(freeClass, 1))
+		r.step(second/10, refusal(1, 0, 100*second))
+		r.d.destinationByNumber[1].limit.allowedShare = c.allow
+		acts := append(r.step(second/10, r.arrival(freeClass, 1)), r.step(second/10, r.arrival(freeClass, 1))...)
 		if len(acts) != 1 || acts[0].Kind != c.want {
 			t.Errorf("allowed share %v: %+v, want a single action %d", c.allow, acts, c.want)
 		}
@@ -140,88 +140,88 @@
 func TestTwoHungDestinationsDoNotHoldTwoSlots(t *testing.T) {
 	set := testSettings()
 	set.Slots = 2
-	r := newRig(t, set, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
-	r.want(r.at(0, r.msg(single, 1)), 1)
-	r.wait(4 * s)
-	r.at(0, r.msg(single, 2))
-	r.wait(4 * s)
-	one, two := r.d.byNo[1], r.d.byNo[2]
-	if !r.d.sick(one) || !r.d.sick(two) {
+	r := newHarness(t, set, listEntry(1, 0, 0), listEntry(2, 0, 0), listEntry(3, 0, 0))
+	r.wantSent(r.step(0, r.arrival(singleShotClass, 1)), 1)
+	r.advance(4 * second)
+	r.step(0, r.arrival(singleShotClass, 2))
+	r.advance(4 * second)
+	one, two := r.d.destinationByNumber[1], r.d.destinationByNumber[2]
+	if !r.d.destinationUnhealthy(one) || !r.d.destinationUnhealthy(two) {
 		t.Fatal("not both are taken as hung")
 	}
-	acts := r.at(0, r.msg(free, 3))
-	want := r.id
+	acts := r.step(0, r.arrival(freeClass, 3))
+	want := r.lastID
 	for range 150 {
 		var ends []Event
 		for _, a := range acts {
 			if a.Kind == Cancel {
-				ends = append(ends, done(a.Message, a.Attempt, Cancelled))
+				ends = append(ends, outcomeOf(a.Message, a.Attempt, Cancelled))
 			}
 			if a.Kind == Send && a.Message == want {
 				return
 			}
 		}
-		acts = r.at(s/50, ends...)
+		acts = r.step(second/50, ends...)
 	}
 	t.Error("a message for a well destination waits for a slot held by hung ones")
 }
 
 // What is of no more use goes: endpoints replaced, destinations unlisted, keys that rested.
 func TestStateDoesNotGrow(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	for i := range 200 {
-		e := entry(1, i+2, 0)
-		o := entry(100+i, 0, 0)
-		r.at(0, Event{Kind: List, ListKind: ListFull, Entries: []Entry{e, o}})
-		m, n, k := r.msg(free, 1), r.msg(free, 100+i), r.keyed(uint64(1000+i))
-		acts := r.at(s/10, m, n, k)
-		for _, id := range sent(acts) {
+		e := listEntry(1, i+2, 0)
+		o := listEntry(100+i, 0, 0)
+		r.step(0, Event{Kind: List, ListKind: ListFull, Entries: []Entry{e, o}})
+		m, n, k := r.arrival(freeClass, 1), r.arrival(freeClass, 100+i), r.keyedArrival(uint64(1000+i))
+		acts := r.step(second/10, m, n, k)
+		for _, id := range sentMessages(acts) {
 			res := OK
 			if id == k.Message {
 				res = Reset
 			}
-			r.at(s/50, done(id, 0, res))
+			r.step(second/50, outcomeOf(id, 0, res))
 		}
-		r.at(s/50, Event{Kind: Withdrawn, Message: k.Message}, done(k.Message, 1, OK))
-		r.wait(s)
+		r.step(second/50, Event{Kind: Withdrawn, Message: k.Message}, outcomeOf(k.Message, 1, OK))
+		r.advance(second)
 	}
-	r.wait(2 * seldom)
+	r.advance(2 * cleanupInterval)
 	d := r.d
-	if len(d.byID) > 2 || len(d.byNo) > 2 || len(d.dests) > 2 || len(d.msgs) > 0 || len(d.keys) > 0 || len(d.resting) > 0 {
+	if len(d.endpointByID) > 2 || len(d.destinationByNumber) > 2 || len(d.destinations) > 2 || len(d.messages) > 0 || len(d.keys) > 0 || len(d.idleKeys) > 0 {
 		t.Errorf("left: %d endpoints, %d/%d destinations, %d messages, %d/%d keys",
-			len(d.byID), len(d.byNo), len(d.dests), len(d.msgs), len(d.keys), len(d.resting))
+			len(d.endpointByID), len(d.destinationByNumber), len(d.destinations), len(d.messages), len(d.keys), len(d.idleKeys))
 	}
 }
 
 // A key whose messages have all ended still rests, and those to come wait; a told wait outlives its endpoints.
 func TestRestAndWaitOutliveTheirMessages(t *testing.T) {
 	set := testSettings()
-	set.SettleAfterDoubt = 30 * s
-	r := newRig(t, set, entry(1, 0, 0))
-	r.want(r.at(0, r.keyed(9)), 1)
-	r.at(s/10, Event{Kind: Withdrawn, Message: 1}, done(1, 0, Reset))
-	r.wait(2 * seldom)
-	e := r.keyed(9)
-	e.Grace = 40 * s
-	r.want(append(r.at(0, e), r.wait(9*s)...))
-	if got := sent(r.wait(2 * s)); len(got) != 1 {
+	set.SettleAfterDoubt = 30 * second
+	r := newHarness(t, set, listEntry(1, 0, 0))
+	r.wantSent(r.step(0, r.keyedArrival(9)), 1)
+	r.step(second/10, Event{Kind: Withdrawn, Message: 1}, outcomeOf(1, 0, Reset))
+	r.advance(2 * cleanupInterval)
+	e := r.keyedArrival(9)
+	e.TimeLeft = 40 * second
+	r.wantSent(append(r.step(0, e), r.advance(9*second)...))
+	if got := sentMessages(r.advance(2 * second)); len(got) != 1 {
 		t.Errorf("after the rest sent %v", got)
 	}
-	r.at(0, done(2, 0, OK))
-	r.want(r.at(s, r.msg(free, 1)), 3)
-	gone := entry(1, 0, 0)
+	r.step(0, outcomeOf(2, 0, OK))
+	r.wantSent(r.step(second, r.arrival(freeClass, 1)), 3)
+	gone := listEntry(1, 0, 0)
 	gone.Health = Gone
-	r.at(s/10, full(3, 0, 60*s), Event{Kind: List, Entries: []Entry{gone}})
-	r.wait(30 * s)
-	r.want(append(r.at(0, Event{Kind: List, Entries: []Entry{entry(1, 1, 0)}}, r.msg(free, 1)), r.wait(10*s)...))
+	r.step(second/10, refusal(3, 0, 60*second), Event{Kind: List, Entries: []Entry{gone}})
+	r.advance(30 * second)
+	r.wantSent(append(r.step(0, Event{Kind: List, Entries: []Entry{listEntry(1, 1, 0)}}, r.arrival(freeClass, 1)), r.advance(10*second)...))
 }
 
 func TestNotesAreRare(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	notes := 0
 	for range 40 {
-		r.d.chill(r.d.byID[ep(1, 0)], r.now)
-		r.now += s / 2
+		r.d.startRamp(r.d.endpointByID[endpointID(1, 0)], r.now)
+		r.now += second / 2
 		for _, a := range r.d.Step(r.now, nil, nil) {
 			if a.Kind == Note {
 				notes++
@@ -236,21 +236,21 @@
 // A failed endpoint that leaves the list takes nothing of what is known with it: hundreds of senders once tried
 // its sibling at the same moment, when the gone one was forgotten.
 func TestOutageOutlivesTheEndpointsThatShowedIt(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
-	r.wait(20 * s)
-	r.want(r.at(0, r.msg(free, 1)), 1)
-	acts := r.at(s/50, done(1, 0, ConnectFailed))
-	r.want(acts, 1)
-	gone := entry(1, int(acts[0].Endpoint)%10, 0)
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(1, 1, 0))
+	r.advance(20 * second)
+	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
+	acts := r.step(second/50, outcomeOf(1, 0, ConnectFailed))
+	r.wantSent(acts, 1)
+	gone := listEntry(1, int(acts[0].Endpoint)%10, 0)
 	gone.Health = Gone
-	r.at(s/50, done(1, 1, ConnectFailed), Event{Kind: List, Entries: []Entry{gone}})
-	r.wait(2 * seldom)
-	left := r.d.byNo[1].eps
-	if len(left) != 1 || !r.d.sure(left[0]) {
+	r.step(second/50, outcomeOf(1, 1, ConnectFailed), Event{Kind: List, Entries: []Entry{gone}})
+	r.advance(2 * cleanupInterval)
+	left := r.d.destinationByNumber[1].endpoints
+	if len(left) != 1 || !r.d.outageConfirmed(left[0]) {
 		t.Fatalf("%d endpoints left, the outage is forgotten", len(left))
 	}
-	r.at(0, Event{Kind: List, Entries: []Entry{entry(1, 2, 0)}})
-	if e := r.d.byID[ep(1, 2)]; e.coldAt == 0 {
+	r.step(0, Event{Kind: List, Entries: []Entry{listEntry(1, 2, 0)}})
+	if e := r.d.endpointByID[endpointID(1, 2)]; e.rampStart == 0 {
 		t.Error("an endpoint that joins does not start cold")
 	}
 }
@@ -261,14 +261,14 @@
 	for i := range set.Classes {
 		set.Classes[i].Aim = 0
 	}
-	r := newRig(t, set, entry(1, 0, 0))
-	r.want(r.at(0, r.msg(free, 1)), 1)
-	r.at(s/10, full(1, 0, 0))
-	p := r.d.byNo[1].limit
-	if r.wait(5 * s); p.tokens.Level(r.now) != p.tokens.Level(r.now) || p.wait > r.now+backoffMost {
-		t.Errorf("tokens %v, wait until %v at %v", p.tokens.Level(r.now), p.wait, r.now)
+	r := newHarness(t, set, listEntry(1, 0, 0))
+	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
+	r.step(second/10, refusal(1, 0, 0))
+	p := r.d.destinationByNumber[1].limit
+	if r.advance(5 * second); p.tokens.Level(r.now) != p.tokens.Level(r.now) || p.waitUntil > r.now+maxBackoff {
+		t.Errorf("tokens %v, wait until %v at %v", p.tokens.Level(r.now), p.waitUntil, r.now)
 	}
-	if d := r.d; !(d.aim > 0) {
-		t.Errorf("aim %v", d.aim)
+	if d := r.d; !(d.minAim > 0) {
+		t.Errorf("aim %v", d.minAim)
 	}
 }
--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -19,7 +19,7 @@
 	moreSeeds = flag.Uint64("more", 0, "so many more seeds of each scene, with looks at all beside as few as can be")
 )
 
-const goldens = "actions.txt"
+const goldenFile = "actions.txt"
 
 // The module's actions are those recorded, byte for byte: testdata has the SHA-256 of each stream's. A change that is meant
 // to decide nothing anew leaves them as they are.
@@ -29,7 +29,7 @@
 		t.Skip("the sums are of amd64: elsewhere multiplications and additions may be fused, and last bits differ")
 	}
 	want := map[string]string{}
-	path := filepath.Join("testdata", goldens)
+	path := filepath.Join("testdata", goldenFile)
 	if f, err := os.Open(path); err == nil {
 		for lines := bufio.NewScanner(f); lines.Scan(); {
 			if name, sum, ok := strings.Cut(lines.Text(), " "); ok {
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	var lines []string
-	for _, c := range scenes() {
+	for _, c := range scenarios() {
 		count := map[ActionKind]int{}
 		for seed := range c.seeds {
 			p := c.stream(seed)
@@ -78,28 +78,28 @@
 // something can have changed.
 func TestLooksChangeNothing(t *testing.T) {
 	t.Parallel()
-	for _, c := range scenes() {
+	for _, c := range scenarios() {
 		if c.large && *moreSeeds == 0 || testing.Short() {
 			continue
 		}
 		for seed := range 1 + *moreSeeds {
-			against(t, c, 1000+seed, 0)
+			compareWithFullScans(t, c, 1000+seed, 0)
 			if !c.large {
-				against(t, c, 1000+seed, 50*Millisecond<<(seed%7)) // no sum is recorded with this setting on
+				compareWithFullScans(t, c, 1000+seed, 50*Millisecond<<(seed%7)) // no sum is recorded with this setting on
 			}
 		}
 		switch c.name {
 		case "grow": // a first window goes by the newest list also where its first call ended without a look since
-			against(t, c, 1003, 0)
+			compareWithFullScans(t, c, 1003, 0)
 		case "hoard": // unsafe ones alone are held, and the trial that they may make comes due while they sleep
-			against(t, c, 1001, 100*Millisecond)
+			compareWithFullScans(t, c, 1001, 100*Millisecond)
 		case "wide": // woken by a change of what counts as sure
-			against(t, c, 1008, 0)
+			compareWithFullScans(t, c, 1008, 0)
 		}
 	}
 }
 
-func against(t *testing.T, c scene, seed uint64, riskAfter Time) {
+func compareWithFullScans(t *testing.T, c scenario, seed uint64, riskAfter Time) {
 	p := c.stream(seed)
 	p.set.RiskAfter = riskAfter
 	d, err := New(p.set, seed)
@@ -113,14 +113,14 @@
 	var acts []Action
 	steps := 0
 	if err := p.play(d, func(now Time, events []Event, got []Action) error {
-		looks.LookAtAll()
+		looks.WakeAll()
 		acts = looks.Step(now, events, acts[:0])
 		if steps++; steps%5 == 0 {
-			if err := d.CheckOrders(); err != nil {
+			if err := d.CheckHeaps(); err != nil {
 				return err
 			}
 		}
-		return differ(got, acts)
+		return compareActions(got, acts)
 	}); err != nil {
 		t.Errorf("%s, seed %d, RiskAfter %v: %v", c.name, seed, riskAfter, err)
 	}
--- a/control/hard_test.go
+++ b/control/hard_test.go
@@ -6,8 +6,8 @@
 	. "curlewmux/control"
 )
 
-// yard drives a module in ticks with partners that the test speaks for.
-type yard struct {
+// tickHarness drives a module in ticks with partners that the test speaks for.
+type tickHarness struct {
 	t     *testing.T
 	d     *Dispatcher
 	now   Time
@@ -19,33 +19,33 @@
 	asked bool             // the newest Step wanted to be woken in the next tick
 }
 
-func newYard(t *testing.T, set Settings) *yard {
+func newTickHarness(t *testing.T, set Settings) *tickHarness {
 	t.Helper()
 	d, err := New(set, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &yard{t: t, d: d, now: 1000 * Second, tick: set.Tick, tries: map[MessageID]int{}, dest: map[MessageID]int{},
+	return &tickHarness{t: t, d: d, now: 1000 * Second, tick: set.Tick, tries: map[MessageID]int{}, dest: map[MessageID]int{},
 		left: map[Time][]Event{}}
 }
 
-func (y *yard) list(n int, weight func(dest int) float64) Event {
+func (y *tickHarness) list(n int, weight func(dest int) float64) Event {
 	ev := Event{Kind: List, ListKind: ListFull}
 	for dest := range n {
-		ev.Entries = append(ev.Entries, Entry{Endpoint: Endpoint(dest + 1), Dest: dest, Health: Ready, Weight: weight(dest)})
+		ev.Entries = append(ev.Entries, Entry{Endpoint: Endpoint(dest + 1), Destination: dest, Health: Ready, Weight: weight(dest)})
 	}
 	return ev
 }
 
-func (y *yard) arrival(dest int) Event {
+func (y *tickHarness) arrival(dest int) Event {
 	y.last++
 	y.dest[y.last] = dest
-	return Event{Kind: Arrival, Message: y.last, Dest: dest, Grace: 3600 * Second}
+	return Event{Kind: Arrival, Message: y.last, Destination: dest, TimeLeft: 3600 * Second}
 }
 
 // step plays one round and returns the messages that it sent; answer tells how each call ends, and after how long (0:
 // never).
-func (y *yard) step(after Time, events []Event, answer func(dest int) (Event, Time)) (sent []MessageID) {
+func (y *tickHarness) step(after Time, events []Event, answer func(dest int) (Event, Time)) (sent []MessageID) {
 	y.now += after
 	for at := (y.now-after)/y.tick + 1; at <= y.now/y.tick; at++ {
 		if ends := y.left[at]; ends != nil {
@@ -55,7 +55,7 @@
 	}
 	y.asked = false
 	for _, a := range y.d.Step(y.now, events, nil) {
-		if a.Kind == Timer && a.Mark == 0 && a.After <= y.tick {
+		if a.Kind == Timer && a.TimerID == 0 && a.After <= y.tick {
 			y.asked = true
 		}
 		if a.Kind != Send {
@@ -63,7 +63,7 @@
 		}
 		sent = append(sent, a.Message)
 		ev, lag := answer(y.dest[a.Message])
-		ev.Kind, ev.Message, ev.Attempt, ev.Endpoint, ev.Lag = Outcome, a.Message, y.tries[a.Message], a.Endpoint, lag
+		ev.Kind, ev.Message, ev.Attempt, ev.Endpoint, ev.Latency = Outcome, a.Message, y.tries[a.Message], a.Endpoint, lag
 		ev.Closed = ev.Result == OK
 		y.tries[a.Message]++
 		if lag > 0 {
@@ -74,15 +74,15 @@
 	return sent
 }
 
-func ones(int) float64 { return 0 }
+func noWeight(int) float64 { return 0 }
 
 // Ten thousand waits end in the same millisecond: no Step sends more than its bound, each asks for the next at once, and
 // all have gone when as many Steps have passed as that takes.
 func TestWaitsThatEndAtOnceAreWorkedOffInBoundedSteps(t *testing.T) {
 	t.Parallel()
 	const n = 10_000
-	y := newYard(t, blockedSettings(n))
-	events := []Event{y.list(n, ones)}
+	y := newTickHarness(t, blockedSettings(n))
+	events := []Event{y.list(n, noWeight)}
 	for dest := range n {
 		events = append(events, y.arrival(dest))
 	}
@@ -90,7 +90,7 @@
 	sent := 0
 	for sent < n { // all are refused, with a wait until the same moment
 		sent += len(y.step(y.tick, events, func(int) (Event, Time) {
-			return Event{Result: Full, Wait: until - y.now - Millisecond}, Millisecond
+			return Event{Result: Refused, RetryAfter: until - y.now - Millisecond}, Millisecond
 		}))
 		events = nil
 	}
@@ -129,7 +129,7 @@
 	const n, slots = 24, 6
 	set := blockedSettings(n)
 	set.Slots, set.MaxOpen, set.Weights = slots, 1<<20, WeightNominal
-	y := newYard(t, set)
+	y := newTickHarness(t, set)
 	weight := func(dest int) float64 { return 1000 * float64(1+dest%4) } // a rate that is never reached
 	lag := func(dest int) Time { return Time(10+5*(dest%7)) * Millisecond }
 	events := []Event{y.list(n, weight)}
@@ -176,8 +176,8 @@
 	for i := range set.Tenants {
 		set.Tenants[i].Quota = 0.001
 	}
-	y := newYard(t, set)
-	events := []Event{y.list(n, ones)}
+	y := newTickHarness(t, set)
+	events := []Event{y.list(n, noWeight)}
 	for range big {
 		events = append(events, y.arrival(0))
 	}
@@ -213,7 +213,7 @@
 	t.Parallel()
 	set := blockedSettings(50)
 	set.Weights, set.MaxOpen = WeightNominal, 5000
-	y := newYard(t, set)
+	y := newTickHarness(t, set)
 	events := []Event{y.list(2, func(dest int) float64 { return []float64{10, 0}[dest] })}
 	for range 2000 {
 		events = append(events, y.arrival(0), y.arrival(1))
@@ -243,13 +243,13 @@
 	set := blockedSettings(n)
 	set.Slots, set.MaxOpen, set.WarmUp, set.Tick = 10, 200, 2*Second, 50*Millisecond
 	set.Classes[0].Deadline = 5 * Second
-	y := newYard(t, set)
+	y := newTickHarness(t, set)
 	events := []Event{}
 	first, next := 0, 0
 	half := map[string]int{}
 	for end := y.now + 3600*Second; y.now < end; {
 		for next < first+n {
-			events = append(events, Event{Kind: List, Entries: []Entry{{Endpoint: Endpoint(next + 1), Dest: next, Health: Ready}}})
+			events = append(events, Event{Kind: List, Entries: []Entry{{Endpoint: Endpoint(next + 1), Destination: next, Health: Ready}}})
 			next++
 		}
 		events = append(events, y.arrival(first+int(y.last)%n))
@@ -259,11 +259,11 @@
 			events = append(events, Event{Kind: Withdrawn, Message: y.last - 200})
 		}
 		y.step(y.tick, events, func(dest int) (Event, Time) {
-			return Event{Result: []Result{OK, ConnectFailed, Full, Reset}[dest%4]}, 20 * Millisecond
+			return Event{Result: []Result{OK, ConnectFailed, Refused, Reset}[dest%4]}, 20 * Millisecond
 		})
 		events = events[:0]
 		if y.now%Second < y.tick {
-			events = append(events, Event{Kind: List, Entries: []Entry{{Endpoint: Endpoint(first + 1), Dest: first, Health: Gone}}})
+			events = append(events, Event{Kind: List, Entries: []Entry{{Endpoint: Endpoint(first + 1), Destination: first, Health: Gone}}})
 			first++
 		}
 		if y.now%Second >= y.tick {
@@ -277,7 +277,7 @@
 			}
 		}
 	}
-	if err := y.d.CheckOrders(); err != nil {
+	if err := y.d.CheckHeaps(); err != nil {
 		t.Error(err)
 	}
 }
--- a/control/lane.go
+++ b/control/lane.go
@@ -5,58 +5,58 @@
 	"slices"
 )
 
-// lane holds messages in order of arrival. They mostly come at its end and go from its front, or come back near there:
+// messageQueue holds messages in order of arrival. They mostly come at its end and go from its front, or come back near there:
 // the nearer end is moved, so that a lane of a hundred thousand costs no more than a short one. It decides nothing.
-type lane struct {
-	list  []*message
-	front int // free places before the first
+type messageQueue struct {
+	messages []*message
+	head     int // free places before the first
 }
 
-// laneKept is for how many messages an empty lane keeps room.
-const laneKept = 16
+// keptCapacity is for how many messages an empty lane keeps room.
+const keptCapacity = 16
 
-// all are its messages, the oldest first.
-func (l *lane) all() []*message { return l.list[l.front:] }
+// endedMeter are its messages, the oldest first.
+func (l *messageQueue) all() []*message { return l.messages[l.head:] }
 
-func (l *lane) len() int { return len(l.list) - l.front }
+func (l *messageQueue) len() int { return len(l.messages) - l.head }
 
-func (l *lane) find(arrived uint64) int {
-	i, _ := slices.BinarySearchFunc(l.all(), arrived, func(o *message, n uint64) int { return cmp.Compare(o.arrived, n) })
+func (l *messageQueue) find(arrived uint64) int {
+	i, _ := slices.BinarySearchFunc(l.all(), arrived, func(o *message, n uint64) int { return cmp.Compare(o.arrivalNumber, n) })
 	return i
 }
 
-func (l *lane) put(m *message) {
-	at := l.find(m.arrived)
-	if l.front > 0 && at < l.len()/2 {
-		l.front--
+func (l *messageQueue) insert(m *message) {
+	at := l.find(m.arrivalNumber)
+	if l.head > 0 && at < l.len()/2 {
+		l.head--
 		all := l.all()
 		copy(all, all[1:at+1])
 		all[at] = m
 		return
 	}
-	if len(l.list) == cap(l.list) && l.front > len(l.list)/2 { // before it grows
-		n := copy(l.list, l.all())
-		clear(l.list[n:])
-		l.list, l.front = l.list[:n], 0
+	if len(l.messages) == cap(l.messages) && l.head > len(l.messages)/2 { // before it grows
+		n := copy(l.messages, l.all())
+		clear(l.messages[n:])
+		l.messages, l.head = l.messages[:n], 0
 	}
-	l.list = slices.Insert(l.list, l.front+at, m)
+	l.messages = slices.Insert(l.messages, l.head+at, m)
 }
 
-func (l *lane) drop(m *message) {
+func (l *messageQueue) remove(m *message) {
 	all := l.all()
-	at := l.find(m.arrived)
+	at := l.find(m.arrivalNumber)
 	if at < len(all)/2 {
 		copy(all[1:], all[:at])
 		all[0] = nil
-		l.front++
+		l.head++
 	} else {
-		l.list = slices.Delete(l.list, l.front+at, l.front+at+1)
+		l.messages = slices.Delete(l.messages, l.head+at, l.head+at+1)
 	}
 	switch {
 	case l.len() > 0:
-	case cap(l.list) > laneKept:
-		*l = lane{} // a burst's memory goes with it
+	case cap(l.messages) > keptCapacity:
+		*l = messageQueue{} // a burst's memory goes with it
 	default:
-		l.list, l.front = l.list[:0], 0
+		l.messages, l.head = l.messages[:0], 0
 	}
 }
--- a/control/lookout.go
+++ b/control/lookout.go
@@ -9,133 +9,133 @@
 // When the calls that are out have to be judged next, and which destination has the least to lose. Nothing is decided
 // here: a destination that is left out is one that watch would leave as it is, or one that shed would pass over.
 
-// lookout knows when watch can do something at all. What it is told are times before which it can't, reckoned with a
+// timeoutScan knows when watch can do something at all. What it is told are times before which it can't, reckoned with a
 // silence that is no longer than the true one; where that gets shorter than was reckoned with, all are looked at anew.
-type lookout struct {
-	calm   order[Time] // while messages don't wait for slots
-	rushed order[Time] // while they do: then patience is shorter
-	due    []*dest
-	top    float64 // share of lost answers reckoned with
-	devs   float64 // deviations of latency reckoned with
+type timeoutScan struct {
+	normalScans       destinationHeap[Time] // while messages don't wait for slots
+	shortageScans     destinationHeap[Time] // while they do: then patience is shorter
+	dueScans          []*destination
+	plannedLoss       float64 // share of lost answers reckoned with
+	plannedDeviations float64 // deviations of latency reckoned with
 }
 
 // Margins of what is reckoned with, so that it seldom has to be reckoned anew. They change no decision.
 const (
-	topMargin = 2.5
-	topSlack  = 6
-	lowMargin = 0.9
-	lowSlack  = 1.25
+	lossMargin    = 2.5
+	lossSlack     = 6
+	timeoutMargin = 0.9
+	timeoutSlack  = 1.25
 )
 
-func newLookout() lookout {
-	l := lookout{}
-	l.calm.no, l.rushed.no = inCalm, inRushed
+func newTimeoutScan() timeoutScan {
+	l := timeoutScan{}
+	l.normalScans.index, l.shortageScans.index = normalScanHeap, shortageScanHeap
 	return l
 }
 
-// watches judges the calls out, in the order in which their destinations came into use.
-func (d *Dispatcher) watches() {
-	d.due = d.due[:0]
-	if d.shorter() {
-		d.allOut(0)
+// scanTimeouts judges the calls out, in the order in which their destinations came into use.
+func (d *Dispatcher) scanTimeouts() {
+	d.dueScans = d.dueScans[:0]
+	if d.replanTimeouts() {
+		d.scanAll(0)
 	} else {
-		o := &d.calm
-		if d.short {
-			o = &d.rushed
+		o := &d.normalScans
+		if d.slotsShort {
+			o = &d.shortageScans
 		}
-		for len(d.due) < looksAtOnce && o.isDue(d.now) {
-			d.due = append(d.due, o.due(d.now))
+		for len(d.dueScans) < maxScansPerStep && o.isDue(d.now) {
+			d.dueScans = append(d.dueScans, o.popDue(d.now))
 		}
-		d.more = d.more || o.isDue(d.now)
-		slices.SortFunc(d.due, func(a, b *dest) int { return cmp.Compare(a.seq, b.seq) })
-	}
-	for i := 0; i < len(d.due); i++ {
-		t := d.due[i]
-		d.rouse(t)
-		d.watch(t)
-		d.weigh(t)
-		d.expect(t)
-		if d.shorter() {
-			d.allOut(t.seq)
+		d.moreWork = d.moreWork || o.isDue(d.now)
+		slices.SortFunc(d.dueScans, func(a, b *destination) int { return cmp.Compare(a.activation, b.activation) })
+	}
+	for i := 0; i < len(d.dueScans); i++ {
+		t := d.dueScans[i]
+		d.wakeDestination(t)
+		d.checkCalls(t)
+		d.countUnhealthyCalls(t)
+		d.rescheduleScan(t)
+		if d.replanTimeouts() {
+			d.scanAll(t.activation)
 			i = -1
 		}
 	}
-	clear(d.due)
+	clear(d.dueScans)
 }
 
-// allOut makes all destinations with calls out due that came into use after one; the others are in the next round.
-func (d *Dispatcher) allOut(after uint64) {
-	d.due = d.due[:0]
-	for i := range d.turns.list {
-		if t := d.turns.list[i].t; t.w > 0 && t.seq > after {
-			d.due = append(d.due, t)
-		} else if t.w > 0 {
-			d.watchBy(t, 0)
+// scanAll makes all destinations with calls out due that came into use after one; the others are in the next round.
+func (d *Dispatcher) scanAll(after uint64) {
+	d.dueScans = d.dueScans[:0]
+	for i := range d.active.entries {
+		if t := d.active.entries[i].destination; t.callsOut > 0 && t.activation > after {
+			d.dueScans = append(d.dueScans, t)
+		} else if t.callsOut > 0 {
+			d.scheduleScan(t, 0)
 		}
 	}
-	slices.SortFunc(d.due, func(a, b *dest) int { return cmp.Compare(a.seq, b.seq) })
-	if len(d.due) > looksAtOnce {
-		for _, t := range d.due[looksAtOnce:] {
-			d.watchBy(t, 0)
+	slices.SortFunc(d.dueScans, func(a, b *destination) int { return cmp.Compare(a.activation, b.activation) })
+	if len(d.dueScans) > maxScansPerStep {
+		for _, t := range d.dueScans[maxScansPerStep:] {
+			d.scheduleScan(t, 0)
 		}
-		clear(d.due[looksAtOnce:])
-		d.due = d.due[:looksAtOnce]
-		d.more = true
+		clear(d.dueScans[maxScansPerStep:])
+		d.dueScans = d.dueScans[:maxScansPerStep]
+		d.moreWork = true
 	}
 }
 
-// watchBy has a destination watched at a time, or sooner.
-func (d *Dispatcher) watchBy(t *dest, at Time) {
-	if t.w == 0 {
-		d.calm.drop(t)
-		d.rushed.drop(t)
+// scheduleScan has a destination watched at a time, or sooner.
+func (d *Dispatcher) scheduleScan(t *destination, at Time) {
+	if t.callsOut == 0 {
+		d.normalScans.remove(t)
+		d.shortageScans.remove(t)
 		return
 	}
-	d.calm.sooner(t, at, t.seq)
-	d.rushed.sooner(t, at, t.seq)
+	d.normalScans.lowerKey(t, at, t.activation)
+	d.shortageScans.lowerKey(t, at, t.activation)
 }
 
-// expect has a destination watched when watch may do something there.
-func (d *Dispatcher) expect(t *dest) {
-	calm, short := d.nextLook(t)
-	if d.calm.drop(t); calm < never {
-		d.calm.put(t, calm, t.seq)
+// rescheduleScan has a destination watched when watch may do something there.
+func (d *Dispatcher) rescheduleScan(t *destination) {
+	calm, short := d.nextScan(t)
+	if d.normalScans.remove(t); calm < never {
+		d.normalScans.set(t, calm, t.activation)
 	}
-	if d.rushed.drop(t); short < never {
-		d.rushed.put(t, short, t.seq)
+	if d.shortageScans.remove(t); short < never {
+		d.shortageScans.set(t, short, t.activation)
 	}
 }
 
-// nextLook is a time before which watch can do nothing at a destination of which nothing is heard.
-func (d *Dispatcher) nextLook(t *dest) (calm, short Time) {
+// nextScan is a time before which watch can do nothing at a destination of which nothing is heard.
+func (d *Dispatcher) nextScan(t *destination) (calm, short Time) {
 	calm, short = never, never
-	low := t.kind.low
-	if t.lat.n > 0 {
-		low = silent(t.lat.mean, t.lat.dev, d.lookout.devs, t.lat.n)
+	low := t.kind.timeoutFloor
+	if t.latencyStats.samples > 0 {
+		low = timeoutFor(t.latencyStats.mean, t.latencyStats.deviation, d.timeoutScan.plannedDeviations, t.latencyStats.samples)
 	}
-	after := func(c *call, patience float64) Time { return c.sent + Time(float64(low)*patience) }
-	once := min(1, sureLost*d.top)
-	for _, ep := range t.eps {
+	after := func(c *call, patience float64) Time { return c.sentAt + Time(float64(low)*patience) }
+	once := min(1, failuresPerLostShare*d.plannedLoss)
+	for _, ep := range t.endpoints {
 		if len(ep.calls) == 0 {
 			continue
 		}
 		// Of a suspect one an older call can still tell that it was down sooner.
-		if old := ep.calls[0]; !ep.suspect || old.sent >= ep.failedAt || max(old.sent, ep.heard) < ep.downAt {
-			at := max(old.sent, ep.heard) + low
+		if old := ep.calls[0]; !ep.suspect || old.sentAt >= ep.lastFailureAt || max(old.sentAt, ep.lastResponseAt) < ep.downSince {
+			at := max(old.sentAt, ep.lastResponseAt) + low
 			calm, short = min(calm, at), min(short, at)
 		}
 		for _, c := range ep.calls {
-			if c.asked || !d.set.MayCancel || ep.okSent <= c.sent && !ep.suspect {
+			if c.cancelRequested || !d.settings.MayCancel || ep.lastOKSentAt <= c.sentAt && !ep.suspect {
 				continue
 			}
-			patience := stuckAfter - once
-			rushed := max(1, patience-2/float64(d.set.Slots))
+			patience := stuckTimeouts - once
+			rushed := max(1, patience-2/float64(d.settings.Slots))
 			if c.trial {
-				patience = float64(1 + min(ep.bad, failStreak))
+				patience = float64(1 + min(ep.failureStreak, errorStreakLimit))
 				rushed = patience
 			}
-			if c.bound(d.set.MaxTries) {
-				short = min(short, after(c, rushed*(stuckAfter-once)))
+			if c.unrepeatable(d.settings.MaxTries) {
+				short = min(short, after(c, rushed*(stuckTimeouts-once)))
 			} else {
 				calm, short = min(calm, after(c, patience)), min(short, after(c, rushed))
 			}
@@ -144,18 +144,18 @@
 	return calm, short
 }
 
-// shorter tells whether silences may be shorter than was reckoned with, and reckons anew.
-func (d *Dispatcher) shorter() (anew bool) {
-	if d.lost > d.top || d.lost < d.top/topSlack {
-		anew = d.lost > d.top
-		d.top = min(1, d.lost*topMargin)
-		d.lookout.devs = min(devs, lostDevs-math.Log(d.top))
+// replanTimeouts tells whether silences may be shorter than was reckoned with, and reckons anew.
+func (d *Dispatcher) replanTimeouts() (anew bool) {
+	if d.lostShare > d.plannedLoss || d.lostShare < d.plannedLoss/lossSlack {
+		anew = d.lostShare > d.plannedLoss
+		d.plannedLoss = min(1, d.lostShare*lossMargin)
+		d.timeoutScan.plannedDeviations = min(timeoutDeviations, lostDeviations-math.Log(d.plannedLoss))
 	}
 	for _, k := range d.kinds {
 		mean, dev := k.latency()
-		if now := silent(mean, dev, d.lookout.devs, 0); now < k.low || float64(now) > lowSlack*float64(k.low) {
-			anew = anew || now < k.low
-			k.low = max(leastSilent, Time(float64(now)*lowMargin))
+		if now := timeoutFor(mean, dev, d.timeoutScan.plannedDeviations, 0); now < k.timeoutFloor || float64(now) > timeoutSlack*float64(k.timeoutFloor) {
+			anew = anew || now < k.timeoutFloor
+			k.timeoutFloor = max(minResponseTimeout, Time(float64(now)*timeoutMargin))
 		}
 	}
 	return anew
@@ -163,86 +163,86 @@
 
 // ---- the least worth ----
 
-// values are the destinations with messages held by the least that one of their messages is worth, or will be within a
+// worthIndex are the destinations with messages held by the least that one of their messages is worth, or will be within a
 // while: the true least is among the first.
-type values struct {
-	worths   order[float64]
-	valued   order[Time] // until when that counts
-	seen     []ranked[float64]
-	shedding bool
-	shedAt   Time
+type worthIndex struct {
+	byWorth     destinationHeap[float64]
+	worthExpiry destinationHeap[Time] // until when that counts
+	examined    []heapEntry[float64]
+	shedding    bool
+	lastShedAt  Time
 }
 
-// valueFor is how long what is reckoned of a destination's least worth counts, at most.
-const valueFor = Second / 2
+// worthValidFor is how long what is reckoned of a destination's least worth counts, at most.
+const worthValidFor = Second / 2
 
-func newValues() values {
-	v := values{}
-	v.worths.no, v.valued.no = inWorths, inValued
+func newWorthIndex() worthIndex {
+	v := worthIndex{}
+	v.byWorth.index, v.worthExpiry.index = worthHeap, worthExpiryHeap
 	return v
 }
 
-// revalue notes that what a destination's messages are worth may have changed.
-func (d *Dispatcher) revalue(t *dest) {
+// invalidateWorth notes that what a destination's messages are worth may have changed.
+func (d *Dispatcher) invalidateWorth(t *destination) {
 	if !d.shedding {
 		return
 	}
-	t.worstIn = 0
-	if t.held > 0 {
-		d.valued.put(t, 0, t.seq)
+	t.leastWorthRound = 0
+	if t.queued > 0 {
+		d.worthExpiry.set(t, 0, t.activation)
 	} else {
-		d.valued.drop(t)
-		d.worths.drop(t)
+		d.worthExpiry.remove(t)
+		d.byWorth.remove(t)
 	}
 }
 
-// worst is the message that is worth least, the first of those that are worth the same; nil if none may be handed back.
-func (d *Dispatcher) worst() *message {
-	if d.shedAt = d.now; !d.shedding {
+// leastWorthMessage is the message that is worth least, the first of those that are worth the same; nil if none may be handed back.
+func (d *Dispatcher) leastWorthMessage() *message {
+	if d.lastShedAt = d.now; !d.shedding {
 		d.shedding = true
-		for i := range d.turns.list {
-			d.revalue(d.turns.list[i].t)
+		for i := range d.active.entries {
+			d.invalidateWorth(d.active.entries[i].destination)
 		}
 	}
 	for {
-		t := d.valued.due(d.now)
+		t := d.worthExpiry.popDue(d.now)
 		if t == nil {
 			break
 		}
-		until := d.now + valueFor/2 + Time(t.seq%64)*valueFor/128 // not all at the same time again
-		_, now := d.cheapest(t, d.now)
-		_, then := d.cheapest(t, until) // between the two it is no less than at one of them
-		d.worths.put(t, min(now, then), t.seq)
-		d.valued.put(t, until, t.seq)
+		until := d.now + worthValidFor/2 + Time(t.activation%64)*worthValidFor/128 // not all at the same time again
+		_, now := d.leastValuable(t, d.now)
+		_, then := d.leastValuable(t, until) // between the two it is no less than at one of them
+		d.byWorth.set(t, min(now, then), t.activation)
+		d.worthExpiry.set(t, until, t.activation)
 	}
 	var worst *message
-	least := ranked[float64]{key: math.Inf(1)}
-	for len(d.worths.list) > 0 && d.worths.list[0].before(&least) {
-		x := d.worths.list[0]
-		t := x.t
-		if t.worstIn != d.round {
-			t.worstIn = d.round
-			t.worst, t.worstAt = d.cheapest(t, d.now)
+	least := heapEntry[float64]{key: math.Inf(1)}
+	for len(d.byWorth.entries) > 0 && d.byWorth.entries[0].less(&least) {
+		x := d.byWorth.entries[0]
+		t := x.destination
+		if t.leastWorthRound != d.round {
+			t.leastWorthRound = d.round
+			t.leastWorthMessage, t.leastWorth = d.leastValuable(t, d.now)
 		}
-		if v := (ranked[float64]{t.worstAt, t.seq, t}); t.worst != nil && v.before(&least) {
-			worst, least = t.worst, v
+		if v := (heapEntry[float64]{t.leastWorth, t.activation, t}); t.leastWorthMessage != nil && v.less(&least) {
+			worst, least = t.leastWorthMessage, v
 		}
-		d.worths.drop(t)
-		d.seen = append(d.seen, x)
+		d.byWorth.remove(t)
+		d.examined = append(d.examined, x)
 	}
-	for _, x := range d.seen {
-		d.worths.put(x.t, x.key, x.seq)
+	for _, x := range d.examined {
+		d.byWorth.set(x.destination, x.key, x.seq)
 	}
-	clear(d.seen)
-	d.seen = d.seen[:0]
+	clear(d.examined)
+	d.examined = d.examined[:0]
 	return worst
 }
 
-// noShed forgets what was reckoned, if nothing was shed for long.
-func (d *Dispatcher) noShed() {
-	if d.shedding && d.now-d.shedAt >= seldom {
+// stopShedding forgets what was reckoned, if nothing was shed for long.
+func (d *Dispatcher) stopShedding() {
+	if d.shedding && d.now-d.lastShedAt >= cleanupInterval {
 		d.shedding = false
-		d.worths.clear()
-		d.valued.clear()
+		d.byWorth.clear()
+		d.worthExpiry.clear()
 	}
 }
--- a/control/order.go
+++ b/control/order.go
@@ -2,133 +2,135 @@
 
 import "cmp"
 
-// order holds destinations by a key, the least first, those of one key by the number given with it. A destination knows
+// destinationHeap holds destinations by a key, the least first, those of one key by the number given with it. A destination knows
 // its place in each order, so that it can be moved or taken out from anywhere: a binary heap with places. It decides
 // nothing, and takes memory for as many as were ever in it at once.
-type order[K cmp.Ordered] struct {
-	no   int // of a destination's places, the one in this order
-	list []ranked[K]
+type destinationHeap[K cmp.Ordered] struct {
+	index   int // of a destination's places, the one in this order
+	entries []heapEntry[K]
 }
 
-type ranked[K cmp.Ordered] struct {
-	key K
-	seq uint64
-	t   *dest
+type heapEntry[K cmp.Ordered] struct {
+	key         K
+	seq         uint64
+	destination *destination
 }
 
-func (a *ranked[K]) before(b *ranked[K]) bool {
+func (a *heapEntry[K]) less(b *heapEntry[K]) bool {
 	return a.key < b.key || a.key == b.key && a.seq < b.seq
 }
 
-// has tells whether a destination is in the order.
-func (o *order[K]) has(t *dest) bool { return t.places[o.no] > 0 }
+// contains tells whether a destination is in the order.
+func (o *destinationHeap[K]) contains(t *destination) bool { return t.heapPositions[o.index] > 0 }
 
-// put adds a destination, or moves it to another key.
-func (o *order[K]) put(t *dest, key K, seq uint64) {
-	at := t.places[o.no] - 1
+// insert adds a destination, or moves it to another key.
+func (o *destinationHeap[K]) set(t *destination, key K, seq uint64) {
+	at := t.heapPositions[o.index] - 1
 	if at < 0 {
-		at = len(o.list)
-		o.list = append(o.list, ranked[K]{key, seq, t})
-		t.places[o.no] = at + 1
-	} else if old := &o.list[at]; old.key == key && old.seq == seq {
+		at = len(o.entries)
+		o.entries = append(o.entries, heapEntry[K]{key, seq, t})
+		t.heapPositions[o.index] = at + 1
+	} else if old := &o.entries[at]; old.key == key && old.seq == seq {
 		return
 	} else {
 		old.key, old.seq = key, seq
 	}
-	if !o.up(at) {
-		o.down(at)
+	if !o.siftUp(at) {
+		o.siftDown(at)
 	}
 }
 
-// sooner is put, but for one that is there with a lesser key.
-func (o *order[K]) sooner(t *dest, key K, seq uint64) {
-	if at := t.places[o.no] - 1; at < 0 || key < o.list[at].key {
-		o.put(t, key, seq)
+// lowerKey is put, but for one that is there with a lesser key.
+func (o *destinationHeap[K]) lowerKey(t *destination, key K, seq uint64) {
+	if at := t.heapPositions[o.index] - 1; at < 0 || key < o.entries[at].key {
+		o.set(t, key, seq)
 	}
 }
 
-// drop takes a destination out, if it is in.
-func (o *order[K]) drop(t *dest) {
-	at := t.places[o.no] - 1
+// remove takes a destination out, if it is in.
+func (o *destinationHeap[K]) remove(t *destination) {
+	at := t.heapPositions[o.index] - 1
 	if at < 0 {
 		return
 	}
-	last := len(o.list) - 1
+	last := len(o.entries) - 1
 	if at != last {
-		o.list[at] = o.list[last]
-		o.list[at].t.places[o.no] = at + 1
+		o.entries[at] = o.entries[last]
+		o.entries[at].destination.heapPositions[o.index] = at + 1
 	}
-	o.list[last] = ranked[K]{}
-	o.list = o.list[:last]
-	t.places[o.no] = 0
-	if at < last && !o.up(at) {
-		o.down(at)
+	o.entries[last] = heapEntry[K]{}
+	o.entries = o.entries[:last]
+	t.heapPositions[o.index] = 0
+	if at < last && !o.siftUp(at) {
+		o.siftDown(at)
 	}
 }
 
-// first is the least, nil if there is none.
-func (o *order[K]) first() *dest {
-	if len(o.list) == 0 {
+// firstDestination is the least, nil if there is none.
+func (o *destinationHeap[K]) first() *destination {
+	if len(o.entries) == 0 {
 		return nil
 	}
-	return o.list[0].t
+	return o.entries[0].destination
 }
 
 // isDue tells whether the first one's key is no more than until.
-func (o *order[K]) isDue(until K) bool { return len(o.list) > 0 && o.list[0].key <= until }
+func (o *destinationHeap[K]) isDue(until K) bool {
+	return len(o.entries) > 0 && o.entries[0].key <= until
+}
 
-// due takes out the first, if its key is no more than until.
-func (o *order[K]) due(until K) *dest {
+// dueScans takes out the first, if its key is no more than until.
+func (o *destinationHeap[K]) popDue(until K) *destination {
 	if !o.isDue(until) {
 		return nil
 	}
-	t := o.list[0].t
-	o.drop(t)
+	t := o.entries[0].destination
+	o.remove(t)
 	return t
 }
 
 // clear takes all out.
-func (o *order[K]) clear() {
-	for i := range o.list {
-		o.list[i].t.places[o.no] = 0
+func (o *destinationHeap[K]) clear() {
+	for i := range o.entries {
+		o.entries[i].destination.heapPositions[o.index] = 0
 	}
-	clear(o.list)
-	o.list = o.list[:0]
+	clear(o.entries)
+	o.entries = o.entries[:0]
 }
 
-func (o *order[K]) up(at int) (moved bool) {
-	x := o.list[at]
+func (o *destinationHeap[K]) siftUp(at int) (moved bool) {
+	x := o.entries[at]
 	for at > 0 {
 		above := (at - 1) / 2
-		if !x.before(&o.list[above]) {
+		if !x.less(&o.entries[above]) {
 			break
 		}
-		o.list[at] = o.list[above]
-		o.list[at].t.places[o.no] = at + 1
+		o.entries[at] = o.entries[above]
+		o.entries[at].destination.heapPositions[o.index] = at + 1
 		at, moved = above, true
 	}
-	o.list[at] = x
-	x.t.places[o.no] = at + 1
+	o.entries[at] = x
+	x.destination.heapPositions[o.index] = at + 1
 	return moved
 }
 
-func (o *order[K]) down(at int) {
-	x := o.list[at]
+func (o *destinationHeap[K]) siftDown(at int) {
+	x := o.entries[at]
 	for {
 		below := 2*at + 1
-		if below >= len(o.list) {
+		if below >= len(o.entries) {
 			break
 		}
-		if right := below + 1; right < len(o.list) && o.list[right].before(&o.list[below]) {
+		if right := below + 1; right < len(o.entries) && o.entries[right].less(&o.entries[below]) {
 			below = right
 		}
-		if !o.list[below].before(&x) {
+		if !o.entries[below].less(&x) {
 			break
 		}
-		o.list[at] = o.list[below]
-		o.list[at].t.places[o.no] = at + 1
+		o.entries[at] = o.entries[below]
+		o.entries[at].destination.heapPositions[o.index] = at + 1
 		at = below
 	}
-	o.list[at] = x
-	x.t.places[o.no] = at + 1
+	o.entries[at] = x
+	x.destination.heapPositions[o.index] = at + 1
 }
--- a/control/pause_test.go
+++ b/control/pause_test.go
@@ -2,25 +2,25 @@
 
 import "testing"
 
-func pause(on bool) Event { return Event{Kind: Pause, On: on} }
+func pause(on bool) Event { return Event{Kind: Pause, Paused: on} }
 
 // While paused nothing is sent, but messages still expire and are shed; then sending goes on.
 func TestPaused(t *testing.T) {
 	set := testSettings()
 	set.MaxOpen = 32
-	r := newRig(t, set, entry(1, 0, 0))
-	e, late := r.msg(free, 1), r.msg(free, 1)
-	late.Grace = s
-	r.want(r.at(0, pause(true), e, late))
-	acts := r.wait(2 * s)
-	r.want(acts)
-	r.wantEnd(r.at(0, Event{Kind: Tick, Mark: uint64(late.Message) + 1}), Refuse, late.Message)
+	r := newHarness(t, set, listEntry(1, 0, 0))
+	e, late := r.arrival(freeClass, 1), r.arrival(freeClass, 1)
+	late.TimeLeft = second
+	r.wantSent(r.step(0, pause(true), e, late))
+	acts := r.advance(2 * second)
+	r.wantSent(acts)
+	r.wantAction(r.step(0, Event{Kind: Tick, TimerID: uint64(late.Message) + 1}), Refuse, late.Message)
 	var many []Event
 	for range 40 {
-		many = append(many, r.msg(free, 1))
+		many = append(many, r.arrival(freeClass, 1))
 	}
-	acts = r.at(s, many...)
-	r.want(acts)
+	acts = r.step(second, many...)
+	r.wantSent(acts)
 	shed := 0
 	for _, a := range acts {
 		if a.Kind == Refuse || a.Kind == Fail {
@@ -30,45 +30,45 @@
 	if shed < 9 {
 		t.Errorf("%d of 41 messages were shed with room for 32", shed)
 	}
-	if got := sent(r.at(s, pause(false))); len(got) == 0 {
+	if got := sentMessages(r.step(second, pause(false))); len(got) == 0 {
 		t.Error("sending does not go on")
 	}
 }
 
 // An attempt that never left uses up neither a try nor a slot and teaches nothing, however often that happens.
 func TestUnsentIsNoAttempt(t *testing.T) {
-	for _, class := range []int{free, guarded, single} {
-		set, one, two := testSettings(), entry(1, 0, 0), entry(2, 0, 1)
+	for _, class := range []int{freeClass, guardedClass, singleShotClass} {
+		set, one, two := testSettings(), listEntry(1, 0, 0), listEntry(2, 0, 1)
 		set.Weights, one.Weight, two.Weight = WeightNominal, 1, 1 // a call a second: each needs its token back
-		r := newRig(t, set, one, two)
+		r := newHarness(t, set, one, two)
 		var batch []Event
 		for range 3 {
-			e := r.msg(class, 2)
+			e := r.arrival(class, 2)
 			batch = append(batch, e)
 		}
-		e := r.msg(class, 1)
-		acts := r.at(0, append(batch, e)...)
+		e := r.arrival(class, 1)
+		acts := r.step(0, append(batch, e)...)
 		for range 20 {
-			if got := sent(acts); len(got) != 4 {
+			if got := sentMessages(acts); len(got) != 4 {
 				t.Fatalf("class %d: sent %v, want four", class, got)
 			}
 			var outs []Event
-			for _, id := range sent(acts) {
-				outs = append(outs, done(id, 0, Unsent))
+			for _, id := range sentMessages(acts) {
+				outs = append(outs, outcomeOf(id, 0, Unsent))
 			}
 			outs = append(outs, pause(true))
-			r.want(r.at(5*Millisecond, outs...))
-			if r.d.busy != 0 {
-				t.Fatalf("class %d: %d slots are taken", class, r.d.busy)
+			r.wantSent(r.step(5*Millisecond, outs...))
+			if r.d.usedSlots != 0 {
+				t.Fatalf("class %d: %d slots are taken", class, r.d.usedSlots)
 			}
-			acts = r.at(5*Millisecond, pause(false))
+			acts = r.step(5*Millisecond, pause(false))
 		}
-		for _, ep := range r.d.byID {
-			if ep.suspect || ep.bad > 0 || ep.limit.streak > 0 || ep.limit.allow != unfelt || ep.dest.ends > 0 {
+		for _, ep := range r.d.endpointByID {
+			if ep.suspect || ep.failureStreak > 0 || ep.limit.refusalStreak > 0 || ep.limit.allowedShare != unlimitedShare || ep.destination.endedCalls > 0 {
 				t.Errorf("class %d: something was learned: %+v %+v", class, ep, ep.limit)
 			}
 		}
-		r.at(5*Millisecond, done(e.Message, 0, Full))
-		r.want(r.wait(2*s), e.Message) // the second try
+		r.step(5*Millisecond, outcomeOf(e.Message, 0, Refused))
+		r.wantSent(r.advance(2*second), e.Message) // the second try
 	}
 }
--- a/control/restored_test.go
+++ b/control/restored_test.go
@@ -3,9 +3,9 @@
 import "testing"
 
 // restored is the arrival of a message that an earlier process took on.
-func (r *rig) restored(class, tries int, doubt, grace Time) Event {
-	e := r.msg(class, 1)
-	e.Restored, e.Tries, e.Doubt, e.Grace = true, tries, doubt, grace
+func (r *harness) restored(class, tries int, doubt, grace Time) Event {
+	e := r.arrival(class, 1)
+	e.Restored, e.Tries, e.DoubtAge, e.TimeLeft = true, tries, doubt, grace
 	return e
 }
 
@@ -18,59 +18,59 @@
 		doubt Time
 		end   ActionKind // Send if it goes on
 	}{
-		{"unsafe in doubt ends as failed", single, 1, s, Fail},
-		{"unsafe that never ran goes on", single, 1, 0, Send},
-		{"keyed inside its window goes on", guarded, 2, 9 * s, Send},
-		{"keyed past its window is not sent", guarded, 2, 11 * s, Refuse},
-		{"free in doubt goes on", free, 5, 15 * s, Send},
-		{"no try left", free, 6, 0, Refuse},
-		{"ordered goes on", ordered, 1, s, Send},
+		{"unsafe in doubt ends as failed", singleShotClass, 1, second, Fail},
+		{"unsafe that never ran goes on", singleShotClass, 1, 0, Send},
+		{"keyed inside its window goes on", guardedClass, 2, 9 * second, Send},
+		{"keyed past its window is not sent", guardedClass, 2, 11 * second, Refuse},
+		{"free in doubt goes on", freeClass, 5, 15 * second, Send},
+		{"no try left", freeClass, 6, 0, Refuse},
+		{"ordered goes on", orderedClass, 1, second, Send},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, testSettings(), entry(1, 0, 0))
-			e := r.restored(c.class, c.tries, c.doubt, 10*s)
-			if c.class == ordered {
+			r := newHarness(t, testSettings(), listEntry(1, 0, 0))
+			e := r.restored(c.class, c.tries, c.doubt, 10*second)
+			if c.class == orderedClass {
 				e.Key = 7
 			}
-			r.wantEnd(r.at(0, e), c.end, e.Message)
+			r.wantAction(r.step(0, e), c.end, e.Message)
 		})
 	}
 }
 
 // The number of attempts runs on over a restart: the sixth is the last, and outcomes find it.
 func TestRestoredTriesCountOn(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
-	e := r.restored(free, 5, 0, 20*s)
-	r.want(r.at(0, e), e.Message)
-	r.wantEnd(r.at(s, done(e.Message, 5, Errored)), Refuse, e.Message)
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
+	e := r.restored(freeClass, 5, 0, 20*second)
+	r.wantSent(r.step(0, e), e.Message)
+	r.wantAction(r.step(second, outcomeOf(e.Message, 5, Errored)), Refuse, e.Message)
 }
 
 // Guards against a hold that is played back at once counting as demand, by which ramps and trials are sized.
 func TestRestoredArrivalsDoNotSwellTheDemand(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	var events []Event
 	for i := range 40 { // four a second until now
-		events = append(events, r.restored(free, 0, 0, 20*s-Time(i)*s/4))
+		events = append(events, r.restored(freeClass, 0, 0, 20*second-Time(i)*second/4))
 	}
-	r.at(0, events...)
-	if got := r.d.byNo[1].demand.rate(r.now); got < 2 || got > 6 {
+	r.step(0, events...)
+	if got := r.d.destinationByNumber[1].demand.rate(r.now); got < 2 || got > 6 {
 		t.Errorf("demand of %.1f a second, want about 4", got)
 	}
 }
 
 func TestRestoredPastItsTimeIsAnsweredPromptly(t *testing.T) {
-	for class, want := range map[int]ActionKind{free: Refuse, single: Fail} {
-		r := newRig(t, testSettings(), entry(1, 0, 0))
-		e := r.restored(class, 1, 20*s, -s)
+	for class, want := range map[int]ActionKind{freeClass: Refuse, singleShotClass: Fail} {
+		r := newHarness(t, testSettings(), listEntry(1, 0, 0))
+		e := r.restored(class, 1, 20*second, -second)
 		acts := r.d.Step(r.now, []Event{e}, nil)
 		for _, a := range acts {
 			if a.Kind == Send {
 				t.Errorf("class %d: sent after its time", class)
 			}
-			if a.Kind == Timer && a.Mark != 0 && a.After == 0 {
-				acts = append(acts, r.at(5*Millisecond, Event{Kind: Tick, Mark: a.Mark})...)
+			if a.Kind == Timer && a.TimerID != 0 && a.After == 0 {
+				acts = append(acts, r.step(5*Millisecond, Event{Kind: Tick, TimerID: a.TimerID})...)
 			}
 		}
-		r.wantEnd(acts, want, e.Message)
+		r.wantAction(acts, want, e.Message)
 	}
 }
--- a/control/rounds.go
+++ b/control/rounds.go
@@ -17,74 +17,76 @@
 
 // Orders that a destination has a place in.
 const (
-	inTurns = iota
-	inReady
-	inShut
-	inWakes
-	inCalm
-	inRushed
-	inWorths
-	inValued
-	orders
+	activeHeap = iota
+	runnableHeap
+	roomHeap
+	wakeupHeap
+	normalScanHeap
+	shortageScanHeap
+	worthHeap
+	worthExpiryHeap
+	heapCount
 )
 
-// standing is what a destination waits for.
-type standing uint8
+// roundState is what a destination waits for.
+type roundState uint8
 
 const (
-	idle   standing = iota // nothing is held, or it is among those that were roused
-	ready                  // its turn
-	asleep                 // something that is known
+	stateIdle     roundState = iota // nothing is held, or it is among those that were roused
+	stateRunnable                   // its turn
+	stateAsleep                     // something that is known
 )
 
-// before tells that a destination's turn is before another's.
-func (t *dest) before(o *dest) bool { return t.acc < o.acc || t.acc == o.acc && t.seq < o.seq }
+// turnBefore tells that a destination's turn is before another's.
+func (t *destination) turnBefore(o *destination) bool {
+	return t.virtualTime < o.virtualTime || t.virtualTime == o.virtualTime && t.activation < o.activation
+}
 
 // rounds are the destinations with messages held or out, by what they wait for.
 type rounds struct {
-	turns   order[float64] // all of them, by counter
-	ready   order[float64] // those that may go
-	shut    order[float64] // those asleep that want room among the sick
-	wakes   order[Time]    // those asleep that a time wakes
-	roused  []*dest        // woken, not in ready yet
-	emptied []*dest
-	seq     uint64 // of the last destination that came into use
-	sickOut int    // calls out to those that fail or are slow
-	level   int    // of the share of lost answers, as far as it tells what is sure
+	active         destinationHeap[float64] // all of them, by counter
+	runnable       destinationHeap[float64] // those that may go
+	waitingForRoom destinationHeap[float64] // those asleep that want room among the sick
+	wakeups        destinationHeap[Time]    // those asleep that a time wakes
+	woken          []*destination           // woken, not in ready yet
+	emptied        []*destination
+	lastActivation uint64 // of the last destination that came into use
+	unhealthyCalls int    // calls out to those that fail or are slow
+	lossLevel      int    // of the share of lost answers, as far as it tells what is sure
 }
 
 func newRounds() rounds {
 	r := rounds{}
-	r.turns.no, r.ready.no, r.shut.no, r.wakes.no = inTurns, inReady, inShut, inWakes
+	r.active.index, r.runnable.index, r.waitingForRoom.index, r.wakeups.index = activeHeap, runnableHeap, roomHeap, wakeupHeap
 	return r
 }
 
-// use keeps the orders true after a change of what a destination holds or has out, or of its counter.
-func (d *Dispatcher) use(t *dest) {
-	d.repace(t)
-	d.revalue(t)
-	if !t.live && t.held > 0 {
-		d.seq++
-		t.live, t.seq = true, d.seq
+// updateHeaps keeps the orders true after a change of what a destination holds or has out, or of its counter.
+func (d *Dispatcher) updateHeaps(t *destination) {
+	d.updateRates(t)
+	d.invalidateWorth(t)
+	if !t.active && t.queued > 0 {
+		d.lastActivation++
+		t.active, t.activation = true, d.lastActivation
 	}
-	if t.held == 0 && t.w == 0 {
-		d.turns.drop(t)
+	if t.queued == 0 && t.callsOut == 0 {
+		d.active.remove(t)
 		d.emptied = append(d.emptied, t)
 	} else {
-		d.turns.put(t, t.acc, t.seq)
+		d.active.set(t, t.virtualTime, t.activation)
 	}
-	if t.held == 0 {
-		d.ready.drop(t)
-		t.standing = idle
-	} else if t.standing == ready {
-		d.ready.put(t, t.acc, t.seq)
+	if t.queued == 0 {
+		d.runnable.remove(t)
+		t.state = stateIdle
+	} else if t.state == stateRunnable {
+		d.runnable.set(t, t.virtualTime, t.activation)
 	}
 }
 
-// least is the smallest counter of the others with messages held or out, 0 if there are none.
-func (d *Dispatcher) least(t *dest) float64 {
-	l := d.turns.list
-	if len(l) > 0 && l[0].t != t {
+// leastVirtualTime is the smallest counter of the others with messages held or out, 0 if there are none.
+func (d *Dispatcher) leastVirtualTime(t *destination) float64 {
+	l := d.active.entries
+	if len(l) > 0 && l[0].destination != t {
 		return l[0].key
 	}
 	acc := math.Inf(1)
@@ -97,159 +99,159 @@
 	return acc
 }
 
-// rest takes destinations with nothing held or out out of use.
-func (d *Dispatcher) rest() {
+// deactivateEmptied takes destinations with nothing held or out out of use.
+func (d *Dispatcher) deactivateEmptied() {
 	for _, t := range d.emptied {
-		if t.held == 0 && t.w == 0 {
-			t.live = false
+		if t.queued == 0 && t.callsOut == 0 {
+			t.active = false
 		}
 	}
 	clear(d.emptied)
 	d.emptied = d.emptied[:0]
 }
 
-// weigh keeps the number of calls out to those that fail or are slow.
-func (d *Dispatcher) weigh(t *dest) {
-	d.sickOut -= t.weighed
-	if t.weighed = 0; t.w > 0 && d.sick(t) {
-		t.weighed = t.w
+// countUnhealthyCalls keeps the number of calls out to those that fail or are slow.
+func (d *Dispatcher) countUnhealthyCalls(t *destination) {
+	d.unhealthyCalls -= t.unhealthyCalls
+	if t.unhealthyCalls = 0; t.callsOut > 0 && d.destinationUnhealthy(t) {
+		t.unhealthyCalls = t.callsOut
 	}
-	d.sickOut += t.weighed
+	d.unhealthyCalls += t.unhealthyCalls
 }
 
-// rouse lets the next round look at a destination, before anything of it changes.
-func (d *Dispatcher) rouse(t *dest) {
-	if t.standing == asleep {
-		d.wakes.drop(t)
-		d.shut.drop(t)
+// wakeDestination lets the next round look at a destination, before anything of it changes.
+func (d *Dispatcher) wakeDestination(t *destination) {
+	if t.state == stateAsleep {
+		d.wakeups.remove(t)
+		d.waitingForRoom.remove(t)
 	}
-	if t.standing != ready {
-		t.standing = idle
-		if !t.rousing {
-			t.rousing = true
-			d.roused = append(d.roused, t)
+	if t.state != stateRunnable {
+		t.state = stateIdle
+		if !t.wakePending {
+			t.wakePending = true
+			d.woken = append(d.woken, t)
 		}
 	}
 }
 
-// rouseAll lets the next round look at all.
-func (d *Dispatcher) rouseAll() {
-	for i := range d.turns.list {
-		if t := d.turns.list[i].t; t.standing == asleep {
-			d.rouse(t)
+// wakeAll lets the next round look at all.
+func (d *Dispatcher) wakeAll() {
+	for i := range d.active.entries {
+		if t := d.active.entries[i].destination; t.state == stateAsleep {
+			d.wakeDestination(t)
 		}
 	}
 }
 
-// openRound begins a round: those whose time has come are woken.
-func (d *Dispatcher) openRound() {
-	for range looksAtOnce {
-		t := d.wakes.due(d.now)
+// beginRound begins a round: those whose time has come are woken.
+func (d *Dispatcher) beginRound() {
+	for range maxScansPerStep {
+		t := d.wakeups.popDue(d.now)
 		if t == nil {
 			break
 		}
-		d.rouse(t)
+		d.wakeDestination(t)
 	}
-	d.more = d.more || d.wakes.isDue(d.now)
-	if level := int(sureLost * d.lost); level != d.level {
-		d.rouseAll() // what counts as sure has changed
-		d.level = level
+	d.moreWork = d.moreWork || d.wakeups.isDue(d.now)
+	if level := int(failuresPerLostShare * d.lostShare); level != d.lossLevel {
+		d.wakeAll() // what counts as sure has changed
+		d.lossLevel = level
 	}
 }
 
-// next is the destination with the smallest counter of those that are to be looked at, nil if there is none.
-func (d *Dispatcher) next() *dest {
-	kept := d.roused[:0]
-	for _, t := range d.roused {
+// nextDestination is the destination with the smallest counter of those that are to be looked at, nil if there is none.
+func (d *Dispatcher) nextDestination() *destination {
+	kept := d.woken[:0]
+	for _, t := range d.woken {
 		switch {
-		case t.standing != idle || t.held == 0:
-			t.rousing = false
-		case t.blocked == d.round:
+		case t.state != stateIdle || t.queued == 0:
+			t.wakePending = false
+		case t.blockedRound == d.round:
 			kept = append(kept, t)
 		default:
-			t.rousing = false
-			t.standing = ready
-			d.ready.put(t, t.acc, t.seq)
+			t.wakePending = false
+			t.state = stateRunnable
+			d.runnable.set(t, t.virtualTime, t.activation)
 		}
 	}
-	clear(d.roused[len(kept):])
-	d.roused = kept
-	best := d.ready.first()
-	if t := d.shut.first(); t != nil && d.sickOut < d.sickRoom() && (best == nil || t.before(best)) {
+	clear(d.woken[len(kept):])
+	d.woken = kept
+	best := d.runnable.first()
+	if t := d.waitingForRoom.first(); t != nil && d.unhealthyCalls < d.maxUnhealthyCalls() && (best == nil || t.turnBefore(best)) {
 		best = t
-		d.rouse(t) // and at once
-		t.standing = ready
-		d.ready.put(t, t.acc, t.seq)
+		d.wakeDestination(t) // and at once
+		t.state = stateRunnable
+		d.runnable.set(t, t.virtualTime, t.activation)
 	}
 	return best
 }
 
-// stop is why a destination can't send.
-type stop uint8
+// blockReason is why a destination can't send.
+type blockReason uint8
 
 const (
-	goes stop = iota // it can
+	notBlocked blockReason = iota // it can
 	noEndpoint
 	noWindow
 	noMessage
 )
 
-// lay puts a destination that can't send to sleep until something can have changed.
-func (d *Dispatcher) lay(t *dest, why stop, ep *endpoint, trial bool) {
-	t.blocked = d.round
-	if t.standing == ready {
-		d.ready.drop(t)
+// putToSleep puts a destination that can't send to sleep until something can have changed.
+func (d *Dispatcher) putToSleep(t *destination, why blockReason, ep *endpoint, trial bool) {
+	t.blockedRound = d.round
+	if t.state == stateRunnable {
+		d.runnable.remove(t)
 	}
-	if t.held == 0 {
-		t.standing = idle
+	if t.queued == 0 {
+		t.state = stateIdle
 		return
 	}
-	t.standing = asleep
+	t.state = stateAsleep
 	until := never
 	if why != noWindow { // that opens by events alone
-		for _, e := range t.eps {
-			if at := d.opensAt(e); at > d.now {
+		for _, e := range t.endpoints {
+			if at := d.nextSendAt(e); at > d.now {
 				until = min(until, at)
 			}
 		}
 	}
 	switch {
 	case why == noMessage && trial && d.allRisky(t, ep):
-		if d.set.RiskAfter > 0 {
-			until = min(until, ep.trialAt.After(d.set.RiskAfter))
+		if d.settings.RiskAfter > 0 {
+			until = min(until, ep.nextTrialAt.After(d.settings.RiskAfter))
 		}
 	case why == noMessage:
-		until = min(until, d.unlocksAt(t))
+		until = min(until, d.unblocksAt(t))
 	}
 	if until < never {
-		d.wakes.put(t, until, t.seq)
+		d.wakeups.set(t, until, t.activation)
 	}
-	if why == noWindow && t.w < min(t.wmax, d.ceiling()) {
-		d.shut.put(t, t.acc, t.seq)
+	if why == noWindow && t.callsOut < min(t.window, d.maxWindow()) {
+		d.waitingForRoom.set(t, t.virtualTime, t.activation)
 	}
 }
 
-// unlocksAt is when a destination of which no message may go has to be looked at again: at the end of a key's rest or of
+// unblocksAt is when a destination of which no message may go has to be looked at again: at the end of a key's rest or of
 // the time in which repeats are dropped, and when the oldest message that is still in time no longer is.
-func (d *Dispatcher) unlocksAt(t *dest) Time {
+func (d *Dispatcher) unblocksAt(t *destination) Time {
 	at := never
 	mean, _ := d.latency(t)
-	for i := range t.lanes {
-		l := t.lanes[i].all()
+	for i := range t.queues {
+		l := t.queues[i].all()
 		if len(l) == 0 {
 			continue
 		}
-		fresh, _ := slices.BinarySearchFunc(l, d.now+Time(mean), byAim)
+		fresh, _ := slices.BinarySearchFunc(l, d.now+Time(mean), compareAim)
 		if fresh < len(l) {
-			at = min(at, l[fresh].born+l[fresh].class.Aim-Time(mean))
+			at = min(at, l[fresh].submittedAt+l[fresh].class.Aim-Time(mean))
 		}
 		for _, m := range [2]*message{l[0], l[min(fresh, len(l)-1)]} {
-			if m.key != nil && m.key.rest > d.now {
-				at = min(at, m.key.rest)
+			if m.key != nil && m.key.blockedUntil > d.now {
+				at = min(at, m.key.blockedUntil)
 			}
-			if m.doubt && m.class.Effect == Guarded {
-				at = min(at, m.doubtAt+m.class.Window-d.set.Tick)
-				if m.class.ZoneGroup && len(t.eps) > 1 { // which of them is chosen changes with calls elsewhere, too
+			if m.inDoubt && m.class.Effect == Guarded {
+				at = min(at, m.doubtSince+m.class.Window-d.settings.Tick)
+				if m.class.ZoneGroup && len(t.endpoints) > 1 { // which of them is chosen changes with calls elsewhere, too
 					return d.now + 1
 				}
 			}
@@ -259,9 +261,9 @@
 }
 
 // allRisky tells that all held messages are too risky for this trial, whatever the time.
-func (d *Dispatcher) allRisky(t *dest, ep *endpoint) bool {
-	for i := range t.lanes {
-		if t.lanes[i].len() > 0 && !d.risky(&d.set.Classes[i/2], ep) {
+func (d *Dispatcher) allRisky(t *destination, ep *endpoint) bool {
+	for i := range t.queues {
+		if t.queues[i].len() > 0 && !d.tooRiskyForTrial(&d.settings.Classes[i/2], ep) {
 			return false
 		}
 	}
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -6,23 +6,23 @@
 	"testing"
 )
 
-// judge follows a Dispatcher from outside and holds what it does against the rules.
-type judge struct {
+// ruleChecker follows a Dispatcher from outside and holds what it does against the rules.
+type ruleChecker struct {
 	t     *testing.T
 	set   Settings
 	now   Time
-	msgs  map[MessageID]*judged
+	msgs  map[MessageID]*trackedMessage
 	wait  map[int]Time      // until when a destination told to wait
 	ready map[Endpoint]bool // listed ready
 	calls map[[2]int64]int  // messages out by round and endpoint: one call
-	order map[uint64][]*judged
+	order map[uint64][]*trackedMessage
 	rest  map[uint64]Time
 	marks []Action
-	out   []*judged
-	open  []*judged // without a final answer
+	out   []*trackedMessage
+	open  []*trackedMessage // without a final answer
 }
 
-type judged struct {
+type trackedMessage struct {
 	id        MessageID
 	class     *Class
 	dest      int
@@ -38,18 +38,18 @@
 	firstSent Time
 }
 
-func (j *judge) check(ok bool, m *judged, rule string) {
+func (j *ruleChecker) check(ok bool, m *trackedMessage, rule string) {
 	j.t.Helper()
 	if !ok {
 		j.t.Fatalf("at %d: %s: %+v", j.now, rule, *m)
 	}
 }
 
-func (j *judge) act(a Action) {
+func (j *ruleChecker) act(a Action) {
 	m := j.msgs[a.Message]
 	switch a.Kind {
 	case Timer:
-		if a.Mark != 0 {
+		if a.TimerID != 0 {
 			a.After += j.now
 			j.marks = append(j.marks, a)
 		}
@@ -71,7 +71,7 @@
 	}
 }
 
-func (j *judge) send(m *judged, a Action) {
+func (j *ruleChecker) send(m *trackedMessage, a Action) {
 	j.check(!m.ended && !m.out, m, "sent though ended or out")
 	j.check(j.ready[a.Endpoint] && int(a.Endpoint)/10 == m.dest, m, "sent to an endpoint not listed ready")
 	j.check(j.now >= j.wait[m.dest], m, "sent during a told wait")
@@ -97,7 +97,7 @@
 }
 
 // resolve makes the outcome of one attempt out and notes what it tells.
-func (j *judge) resolve(m *judged, res Result, wait Time) Event {
+func (j *ruleChecker) resolve(m *trackedMessage, res Result, wait Time) Event {
 	m.out = false
 	call := [2]int64{int64(m.round), int64(m.ep)}
 	if j.calls[call]--; j.calls[call] == 0 {
@@ -106,7 +106,7 @@
 	switch res {
 	case OK:
 		m.ended = true
-	case Full:
+	case Refused:
 		if wait > 0 {
 			j.wait[m.dest] = max(j.wait[m.dest], j.now+wait)
 		}
@@ -120,17 +120,17 @@
 		}
 	}
 	return Event{Kind: Outcome, Message: m.id, Attempt: m.tries - 1, Endpoint: m.ep, Result: res, Closed: m.ended,
-		Lag: j.now - m.round, Wait: wait}
+		Latency: j.now - m.round, RetryAfter: wait}
 }
 
 // Random events, legal and not, for several seeds: whatever comes, the rules hold and each message has one answer.
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range int64(12) {
-		play(t, seed)
+		playRandomEvents(t, seed)
 	}
 }
 
-func play(t *testing.T, seed int64) {
+func playRandomEvents(t *testing.T, seed int64) {
 	rng := rand.New(rand.NewSource(seed))
 	set := testSettings()
 	set.Slots, set.MaxOpen, set.Instances = 2+rng.Intn(8), 16+rng.Intn(60), 1+rng.Intn(40)
@@ -139,8 +139,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	j := &judge{t: t, set: set, msgs: map[MessageID]*judged{}, wait: map[int]Time{}, ready: map[Endpoint]bool{},
-		calls: map[[2]int64]int{}, order: map[uint64][]*judged{}, rest: map[uint64]Time{}}
+	j := &ruleChecker{t: t, set: set, msgs: map[MessageID]*trackedMessage{}, wait: map[int]Time{}, ready: map[Endpoint]bool{},
+		calls: map[[2]int64]int{}, order: map[uint64][]*trackedMessage{}, rest: map[uint64]Time{}}
 	sick := map[int]Result{}
 	for round := Time(0); round < 6000; round++ {
 		j.now = round * 20 * Millisecond
@@ -151,7 +151,7 @@
 			}
 		}
 		if round == 0 || rng.Intn(100) == 0 {
-			e := entry(1+rng.Intn(4), rng.Intn(3), rng.Intn(2))
+			e := listEntry(1+rng.Intn(4), rng.Intn(3), rng.Intn(2))
 			e.Health = Health(rng.Intn(3))
 			if round < 3 {
 				e.Health = Ready
@@ -170,8 +170,8 @@
 				events = append(events, j.resolve(m, TimedOut, 0))
 			case lost || rng.Intn(10) > 0:
 				rest = append(rest, m)
-			case res == Full && rng.Intn(2) == 0:
-				events = append(events, j.resolve(m, Full, Time(rng.Intn(3000))*Millisecond))
+			case res == Refused && rng.Intn(2) == 0:
+				events = append(events, j.resolve(m, Refused, Time(rng.Intn(3000))*Millisecond))
 			default:
 				events = append(events, j.resolve(m, res, 0))
 			}
@@ -181,10 +181,10 @@
 			if j.now < a.After {
 				return false
 			}
-			events = append(events, Event{Kind: Tick, Mark: a.Mark})
+			events = append(events, Event{Kind: Tick, TimerID: a.TimerID})
 			return true
 		})
-		events = append(events, illegal(rng)...)
+		events = append(events, illegalEvents(rng)...)
 		for _, a := range d.Step(j.now, events, nil) {
 			if a.Kind == Cancel {
 				j.cancel(a)
@@ -192,26 +192,26 @@
 			}
 			j.act(a)
 		}
-		j.open = slices.DeleteFunc(j.open, func(m *judged) bool {
+		j.open = slices.DeleteFunc(j.open, func(m *trackedMessage) bool {
 			j.check(m.ended || j.now <= m.deadline, m, "no answer in time")
 			return m.ended
 		})
 	}
-	if len(d.msgs) > 0 || d.busy != 0 || d.open != 0 {
-		t.Errorf("seed %d: left %d messages, %d slots, %d open", seed, len(d.msgs), d.busy, d.open)
+	if len(d.messages) > 0 || d.usedSlots != 0 || d.openMessages != 0 {
+		t.Errorf("seed %d: left %d messages, %d slots, %d open", seed, len(d.messages), d.usedSlots, d.openMessages)
 	}
 }
 
 // cancel checks that what is called off is out; its outcome comes like any other, sometimes never before its time.
-func (j *judge) cancel(a Action) {
+func (j *ruleChecker) cancel(a Action) {
 	m := j.msgs[a.Message]
 	j.check(m != nil && m.out && m.tries-1 == a.Attempt, m, "cancels what is not out")
 }
 
-func (j *judge) arrival(rng *rand.Rand) Event {
+func (j *ruleChecker) arrival(rng *rand.Rand) Event {
 	class := rng.Intn(4)
-	m := &judged{id: MessageID(len(j.msgs) + 1), class: &j.set.Classes[class], dest: 1 + rng.Intn(4)}
-	grace := Time(1+rng.Intn(20)) * s
+	m := &trackedMessage{id: MessageID(len(j.msgs) + 1), class: &j.set.Classes[class], dest: 1 + rng.Intn(4)}
+	grace := Time(1+rng.Intn(20)) * second
 	m.deadline = j.now + grace
 	if m.class.InOrder {
 		m.key = uint64(1 + m.dest)
@@ -219,38 +219,38 @@
 	}
 	j.msgs[m.id] = m
 	j.open = append(j.open, m)
-	return Event{Kind: Arrival, Message: m.id, Class: class, Dest: m.dest, Key: m.key, Grace: grace}
+	return Event{Kind: Arrival, Message: m.id, Class: class, Destination: m.dest, Key: m.key, TimeLeft: grace}
 }
 
-// illegal makes events that no honest caller sends: they must change nothing that the rules see.
-func illegal(rng *rand.Rand) []Event {
+// invalidEvents makes events that no honest caller sends: they must change nothing that the rules see.
+func illegalEvents(rng *rand.Rand) []Event {
 	switch rng.Intn(8) {
 	case 0:
-		return []Event{done(MessageID(1e9), 0, Result(rng.Intn(9))), {Kind: Withdrawn, Message: 1e9}}
+		return []Event{outcomeOf(MessageID(1e9), 0, Result(rng.Intn(9))), {Kind: Withdrawn, Message: 1e9}}
 	case 1:
-		return []Event{{Kind: Tick, Mark: 1e12}, {Kind: Probed, Endpoint: 999}, {Kind: EventKind(77)}}
+		return []Event{{Kind: Tick, TimerID: 1e12}, {Kind: Probed, Endpoint: 999}, {Kind: EventKind(77)}}
 	case 2:
-		return []Event{done(MessageID(1+rng.Intn(50)), 90, OK), {Kind: List, ListKind: ListFailed}}
+		return []Event{outcomeOf(MessageID(1+rng.Intn(50)), 90, OK), {Kind: List, ListKind: ListFailed}}
 	}
 	return nil
 }
 
 // What is handed back while its destination's wait runs comes with the time until there is room again.
 func TestARefusalTellsWhenToComeBack(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
-	m := r.msg(free, 1)
-	r.want(r.at(0, m), m.Message)
-	r.at(s/10, full(m.Message, 0, 9*s))
-	acts := r.at(4*s, Event{Kind: Tick, Mark: uint64(m.Message) + 1})
-	r.wantEnd(acts, Refuse, m.Message)
+	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
+	m := r.arrival(freeClass, 1)
+	r.wantSent(r.step(0, m), m.Message)
+	r.step(second/10, refusal(m.Message, 0, 9*second))
+	acts := r.step(4*second, Event{Kind: Tick, TimerID: uint64(m.Message) + 1})
+	r.wantAction(acts, Refuse, m.Message)
 	for _, a := range acts {
-		if a.Kind == Refuse && (a.After < 4*s || a.After > 6*s) {
+		if a.Kind == Refuse && (a.After < 4*second || a.After > 6*second) {
 			t.Errorf("stay away for %v of the five seconds that the wait has left", a.After)
 		}
 	}
-	n := r.msg(free, 2) // no endpoint, no wait
-	r.at(0, n)
-	for _, a := range r.at(s, Event{Kind: Tick, Mark: uint64(n.Message) + 1}) {
+	n := r.arrival(freeClass, 2) // no endpoint, no wait
+	r.step(0, n)
+	for _, a := range r.step(second, Event{Kind: Tick, TimerID: uint64(n.Message) + 1}) {
 		if a.Kind == Refuse && a.After != 0 {
 			t.Errorf("stay away for %v without a wait", a.After)
 		}
--- a/control/shut_test.go
+++ b/control/shut_test.go
@@ -8,15 +8,15 @@
 
 // traffic plays messages of a free class to destination 1.
 type traffic struct {
-	*rig
+	*harness
 	perSecond float64
 	answer    func(m MessageID, attempt int) Event // what becomes of a call, 100 ms later
 	owed      float64
-	out       []due
+	out       []dueEvent
 	tries     map[MessageID]int
 }
 
-type due struct {
+type dueEvent struct {
 	at Time
 	e  Event
 }
@@ -25,19 +25,19 @@
 	set := testSettings()
 	set.Slots, set.MaxOpen = 40, 2000
 	return &traffic{
-		rig: newRig(t, set, entry(1, 1, 0), entry(2, 1, 0)), perSecond: perSecond, answer: accept, tries: map[MessageID]int{},
+		harness: newHarness(t, set, listEntry(1, 1, 0), listEntry(2, 1, 0)), perSecond: perSecond, answer: acceptCall, tries: map[MessageID]int{},
 	}
 }
 
-func accept(m MessageID, attempt int) Event { return done(m, attempt, OK) }
+func acceptCall(m MessageID, attempt int) Event { return outcomeOf(m, attempt, OK) }
 
-// play goes on for a span and returns how many calls went out in each tenth of a second.
+// playRandomEvents goes on for a span and returns how many calls went out in each tenth of a second.
 func (r *traffic) play(span Time) (sends []int) {
 	const step = 20 * Millisecond
 	for end, n := r.now+span, 0; r.now < end; n++ {
 		var events []Event
 		for r.owed += r.perSecond * step.Seconds(); r.owed >= 1; r.owed-- {
-			events = append(events, r.msg(free, 1))
+			events = append(events, r.arrival(freeClass, 1))
 		}
 		for len(r.out) > 0 && r.out[0].at <= r.now+step {
 			events = append(events, r.out[0].e)
@@ -46,17 +46,17 @@
 		if n%5 == 0 {
 			sends = append(sends, 0)
 		}
-		for _, id := range sent(r.at(step, events...)) {
+		for _, id := range sentMessages(r.step(step, events...)) {
 			sends[len(sends)-1]++
-			r.out = append(r.out, due{r.now + 100*Millisecond, r.answer(id, r.tries[id])})
+			r.out = append(r.out, dueEvent{r.now + 100*Millisecond, r.answer(id, r.tries[id])})
 			r.tries[id]++
 		}
 	}
 	return sends
 }
 
-// most is the greatest number of calls in so many tenths of a second.
-func most(sends []int, window int) (n int) {
+// maxInWindow is the greatest number of calls in so many tenths of a second.
+func maxInWindow(sends []int, window int) (n int) {
 	for i := range sends {
 		sum := 0
 		for _, k := range sends[max(0, i+1-window) : i+1] {
@@ -72,14 +72,14 @@
 func TestADestinationThatWasShutIsRampedFromTheEndOfItsWait(t *testing.T) {
 	t.Parallel()
 	r := newTraffic(t, 5)
-	r.play(20 * s)
-	opens := r.now + 12*s
-	r.answer = func(m MessageID, a int) Event { return full(m, a, opens-r.now) }
-	r.play(12 * s)
-	r.answer = accept
+	r.play(20 * second)
+	opens := r.now + 12*second
+	r.answer = func(m MessageID, a int) Event { return refusal(m, a, opens-r.now) }
+	r.play(12 * second)
+	r.answer = acceptCall
 	// It may be sent 2 times what it can do, and that is a fifth of the demand and a little more.
-	if sends := r.play(2 * s); most(sends, 20) > 5 || most(sends, 20) == 0 {
-		t.Errorf("%d calls in its first two seconds, 1 to 5 are right: %v", most(sends, 20), sends)
+	if sends := r.play(2 * second); maxInWindow(sends, 20) > 5 || maxInWindow(sends, 20) == 0 {
+		t.Errorf("%d calls in its first two seconds, 1 to 5 are right: %v", maxInWindow(sends, 20), sends)
 	}
 }
 
@@ -88,24 +88,24 @@
 func TestALimitsWaitStartsNoRampAndEarnsNoAllowance(t *testing.T) {
 	t.Parallel()
 	r := newTraffic(t, 5)
-	r.play(20 * s)
-	ep := r.d.byID[ep(1, 1)]
+	r.play(20 * second)
+	ep := r.d.endpointByID[endpointID(1, 1)]
 	until := Time(0)
 	r.answer = func(m MessageID, a int) Event {
 		if until == 0 {
 			until = r.now + 100*Millisecond + 1900*Millisecond
-			return full(m, a, 1900*Millisecond)
+			return refusal(m, a, 1900*Millisecond)
 		}
-		return accept(m, a)
+		return acceptCall(m, a)
 	}
 	for r.play(20 * Millisecond); until == 0 || r.now <= until+20*Millisecond; {
 		r.play(20 * Millisecond)
 	}
-	if r.d.ill(ep) {
+	if r.d.unhealthy(ep) {
 		t.Error("a told wait of 1.9 s makes a ramp")
 	}
-	if ep.limit.allowed(r.now) > allowCut+0.02 {
-		t.Errorf("a wait of 1.9 s brings the share that is let go from %v to %v", allowCut, ep.limit.allow)
+	if ep.limit.allowedShareAt(r.now) > allowedShareCut+0.02 {
+		t.Errorf("a wait of 1.9 s brings the share that is let go from %v to %v", allowedShareCut, ep.limit.allowedShare)
 	}
 }
 
@@ -114,15 +114,15 @@
 func TestARampDoesNotEndInABurstBeforeAllIsWarm(t *testing.T) {
 	t.Parallel()
 	r := newTraffic(t, 5)
-	r.play(20 * s)
-	r.answer = func(m MessageID, a int) Event { return done(m, a, ConnectFailed) }
-	r.play(15 * s)
-	r.answer = accept
+	r.play(20 * second)
+	r.answer = func(m MessageID, a int) Event { return outcomeOf(m, a, ConnectFailed) }
+	r.play(15 * second)
+	r.answer = acceptCall
 	sends := r.play(testSettings().WarmUp) // it comes back now
-	if n := most(sends, 20); n > 2*2*5+1 {
+	if n := maxInWindow(sends, 20); n > 2*2*5+1 {
 		t.Errorf("%d calls in two seconds of the warm-up, at a demand of 5 a second: %v", n, sends)
 	}
-	if n := most(r.play(20*s), 20); n <= 2*5+1 { // the first answer comes after a trial's pause at most
+	if n := maxInWindow(r.play(20*second), 20); n <= 2*5+1 { // the first answer comes after a trial's pause at most
 		t.Errorf("the hold is not worked off when it is warm: %d calls in two seconds", n)
 	}
 }
@@ -155,7 +155,7 @@
 		{100, 0, 20, 0.95, 3000, 15},
 	} {
 		for seed := range uint64(4) {
-			served, p99, over := refusing(t, c.come, c.share, c.limit, seed)
+			served, p99, over := playRefusals(t, c.come, c.share, c.limit, seed)
 			if c.limit > 0 {
 				served /= c.limit / c.come
 			} else {
@@ -170,11 +170,11 @@
 	}
 }
 
-// refusing plays 12 s with a place that refuses, and returns the part of the messages that were served in time, the 99th
+// playRefusals plays 12 s with a place that refuses, and returns the part of the messages that were served in time, the 99th
 // percentile of what these took in ms, and how many calls a second were refused.
-func refusing(t *testing.T, come, share, limit float64, seed uint64) (served, p99, refused float64) {
+func playRefusals(t *testing.T, come, share, limit float64, seed uint64) (served, p99, refused float64) {
 	const (
-		step, span, takes, lives = 2 * Millisecond, 12 * s, 4 * Millisecond, 3 * s
+		step, span, takes, lives = 2 * Millisecond, 12 * second, 4 * Millisecond, 3 * second
 		burst                    = 9.0
 	)
 	set := testSettings()
@@ -182,8 +182,8 @@
 	for i := range set.Classes {
 		set.Classes[i].Deadline = lives
 	}
-	r := newRig(t, set, entry(1, 1, 0), entry(2, 1, 0))
-	r.d.rng += seed * 2862933555777941757
+	r := newHarness(t, set, listEntry(1, 1, 0), listEntry(2, 1, 0))
+	r.d.randomState += seed * 2862933555777941757
 	rng := rand.New(rand.NewPCG(seed, 1))
 	due, tries, born := map[Time][]Event{}, map[MessageID]int{}, map[MessageID]Time{}
 	var lags []float64
@@ -199,18 +199,18 @@
 		}
 		if now < end {
 			for owed += come * step.Seconds(); owed >= 1; owed-- {
-				e := r.msg(free, 1)
-				e.Grace, born[e.Message] = lives, now
+				e := r.arrival(freeClass, 1)
+				e.TimeLeft, born[e.Message] = lives, now
 				events = append(events, e)
 			}
 		}
-		for _, id := range sent(r.at(step, events...)) {
-			e := done(id, tries[id], OK)
-			e.Lag = takes
+		for _, id := range sentMessages(r.step(step, events...)) {
+			e := outcomeOf(id, tries[id], OK)
+			e.Latency = takes
 			tries[id]++
 			level, at = min(burst, level+limit*(now-at).Seconds()), now
 			if limit > 0 && level < 1 || rng.Float64() < share {
-				e = full(id, e.Attempt, 0)
+				e = refusal(id, e.Attempt, 0)
 				refused++
 			} else {
 				level--
@@ -219,7 +219,7 @@
 		}
 	}
 	slices.Sort(lags)
-	return float64(len(lags)) / float64(r.id), lags[len(lags)*99/100], refused / span.Seconds()
+	return float64(len(lags)) / float64(r.lastID), lags[len(lags)*99/100], refused / span.Seconds()
 }
 
 // The only endpoint of a destination fails as it is replaced, and the list is late: its successor is well, and gets what
@@ -237,20 +237,20 @@
 		"is down and leaves, whole list": {10 * Second, true, true},
 	} {
 		r := newTraffic(t, 5)
-		r.play(20 * s)
-		r.answer = func(m MessageID, a int) Event { return done(m, a, ConnectFailed) }
+		r.play(20 * second)
+		r.answer = func(m MessageID, a int) Event { return outcomeOf(m, a, ConnectFailed) }
 		r.play(c.failing)
-		gone := entry(1, 1, 0)
+		gone := listEntry(1, 1, 0)
 		gone.Health = Gone
 		list := Event{Kind: List, Entries: []Entry{gone}}
 		if c.whole {
-			list = Event{Kind: List, ListKind: ListFull, Entries: []Entry{entry(2, 1, 0)}}
+			list = Event{Kind: List, ListKind: ListFull, Entries: []Entry{listEntry(2, 1, 0)}}
 		}
-		r.at(20*Millisecond, list)
-		r.play(2 * s)
-		r.answer = accept
-		r.at(20*Millisecond, Event{Kind: List, Entries: []Entry{entry(1, 2, 0)}})
-		if cold := r.d.byID[ep(1, 2)].coldAt != 0; cold != c.cold {
+		r.step(20*Millisecond, list)
+		r.play(2 * second)
+		r.answer = acceptCall
+		r.step(20*Millisecond, Event{Kind: List, Entries: []Entry{listEntry(1, 2, 0)}})
+		if cold := r.d.endpointByID[endpointID(1, 2)].rampStart != 0; cold != c.cold {
 			t.Errorf("%s: the new endpoint is reckoned cold: %v", name, cold)
 		}
 	}
@@ -261,21 +261,21 @@
 func TestTheSecondEndpointBackFromAnOutageIsRampedToo(t *testing.T) {
 	t.Parallel()
 	r := newTraffic(t, 5)
-	r.at(0, Event{Kind: List, Entries: []Entry{entry(1, 2, 0)}})
-	r.play(20 * s)
-	one, two := r.d.byID[ep(1, 1)], r.d.byID[ep(1, 2)]
-	r.answer = func(m MessageID, a int) Event { return done(m, a, TimedOut) }
+	r.step(0, Event{Kind: List, Entries: []Entry{listEntry(1, 2, 0)}})
+	r.play(20 * second)
+	one, two := r.d.endpointByID[endpointID(1, 1)], r.d.endpointByID[endpointID(1, 2)]
+	r.answer = func(m MessageID, a int) Event { return outcomeOf(m, a, TimedOut) }
 	for !one.suspect || !two.suspect {
-		r.play(s / 10)
+		r.play(second / 10)
 	}
-	r.play(8 * s)
-	two.bad = 1 // one call found it silent, which alone makes no outage sure; and it is tried as the second
-	two.trialAt = r.now + 4*s
-	r.answer = accept
+	r.play(8 * second)
+	two.failureStreak = 1 // one call found it silent, which alone makes no outage sure; and it is tried as the second
+	two.nextTrialAt = r.now + 4*second
+	r.answer = acceptCall
 	for one.suspect || two.suspect {
-		r.play(s / 50)
+		r.play(second / 50)
 	}
-	if one.coldAt == 0 || two.coldAt == 0 {
-		t.Errorf("cold since %d and %d, it is %d: one of the two counts as well", one.coldAt, two.coldAt, r.now)
+	if one.rampStart == 0 || two.rampStart == 0 {
+		t.Errorf("cold since %d and %d, it is %d: one of the two counts as well", one.rampStart, two.rampStart, r.now)
 	}
 }
--- a/control/streams_test.go
+++ b/control/streams_test.go
@@ -21,50 +21,50 @@
 	Step(now Time, events []Event, actions []Action) []Action
 }
 
-// scene is the size and nature of one stream.
-type scene struct {
-	name     string
-	seeds    uint64 // streams of it
-	rounds   int    // ticks of a stream
-	dests    int
-	routes   int     // endpoints of a destination, at most
-	slots    int     // 0: drawn
-	open     int     // MaxOpen, 0: drawn
-	rate     float64 // arrivals a tick
-	skew     float64 // part of them that goes to one destination
-	ills     float64 // destinations that change their mood in a tick
-	wide     float64 // chance of an outage of half of all in a tick
-	lists    float64 // chance of a change of the list in a tick
-	turnover bool    // what the list drops never returns: new ids and destinations take its place
-	grow     bool    // the list begins with a third of the destinations; whole ones come and go
-	start    Time
-	restored int  // messages of an earlier process
-	illegal  bool // events that no honest caller sends come in between
-	large    bool // too large for every run of a test that plays it twice
+// scenario is the size and nature of one stream.
+type scenario struct {
+	name             string
+	seeds            uint64 // streams of it
+	rounds           int    // ticks of a stream
+	destinations     int
+	maxEndpoints     int     // endpoints of a destination, at most
+	slots            int     // 0: drawn
+	maxOpen          int     // MaxOpen, 0: drawn
+	rate             float64 // arrivals a tick
+	skew             float64 // part of them that goes to one destination
+	faultRate        float64 // destinations that change their mood in a tick
+	wideOutageChance float64 // randomShare of an outage of half of all in a tick
+	listChangeChance float64 // chance of a change of the list in a tick
+	turnover         bool    // what the list drops never returns: new ids and destinations take its place
+	grow             bool    // the list begins with a third of the destinations; whole ones come and go
+	start            Time
+	restored         int  // messages of an earlier process
+	invalidEvents    bool // events that no honest caller sends come in between
+	large            bool // too large for every run of a test that plays it twice
 }
 
-func scenes() []scene {
-	return []scene{
-		{name: "few", seeds: 12, rounds: 3000, dests: 4, routes: 3, rate: 0.12, ills: 0.004, lists: 0.01, illegal: true},
-		{name: "pairs", seeds: 6, rounds: 3000, dests: 2, routes: 2, slots: 2, rate: 0.08, ills: 0.005, lists: 0.002},
-		{name: "site", seeds: 4, rounds: 3000, dests: 40, routes: 3, rate: 1.2, ills: 0.03, wide: 0.001, lists: 0.02},
-		{name: "skew", seeds: 3, rounds: 2000, dests: 30, routes: 2, slots: 12, rate: 1.5, skew: 0.7, ills: 0.02, lists: 0.005},
-		{name: "shed", seeds: 4, rounds: 2500, dests: 25, routes: 2, slots: 6, open: 60, rate: 1.2, ills: 0.05, wide: 0.002, lists: 0.01},
-		{name: "wide", seeds: 2, rounds: 1500, dests: 200, routes: 2, slots: 100, open: 3000, rate: 3, ills: 0.1, wide: 0.004, lists: 0.01},
-		{name: "churn", seeds: 2, rounds: 4000, dests: 20, routes: 2, rate: 0.5, ills: 0.01, lists: 0.3, turnover: true},
-		{name: "grow", seeds: 4, rounds: 2500, dests: 24, routes: 2, slots: 30, rate: 1.2, skew: 0.4, ills: 0.02, lists: 0.04, grow: true},
-		{name: "hoard", seeds: 2, rounds: 1500, dests: 150, routes: 2, slots: 10, open: 400, rate: 0.4, ills: 0.3, wide: 0.01, lists: 0.005},
-		{name: "full", seeds: 3, rounds: 2500, dests: 16, routes: 2, slots: 4, open: 300, rate: 0.8, ills: 0.01, lists: 0.01},
-		{name: "restart", seeds: 4, rounds: 1500, dests: 10, routes: 2, rate: 0.3, ills: 0.01, lists: 0.01, restored: 150},
-		{name: "days", seeds: 2, rounds: 2000, dests: 10, routes: 2, rate: 0.5, ills: 0.02, lists: 0.01, start: 400 * 86400 * Second},
-		{name: "large", seeds: 1, rounds: 600, dests: 1500, routes: 2, slots: 800, open: 9000, rate: 10, ills: 1, wide: 0.01, lists: 0.02, large: true},
+func scenarios() []scenario {
+	return []scenario{
+		{name: "few", seeds: 12, rounds: 3000, destinations: 4, maxEndpoints: 3, rate: 0.12, faultRate: 0.004, listChangeChance: 0.01, invalidEvents: true},
+		{name: "pairs", seeds: 6, rounds: 3000, destinations: 2, maxEndpoints: 2, slots: 2, rate: 0.08, faultRate: 0.005, listChangeChance: 0.002},
+		{name: "site", seeds: 4, rounds: 3000, destinations: 40, maxEndpoints: 3, rate: 1.2, faultRate: 0.03, wideOutageChance: 0.001, listChangeChance: 0.02},
+		{name: "skew", seeds: 3, rounds: 2000, destinations: 30, maxEndpoints: 2, slots: 12, rate: 1.5, skew: 0.7, faultRate: 0.02, listChangeChance: 0.005},
+		{name: "shed", seeds: 4, rounds: 2500, destinations: 25, maxEndpoints: 2, slots: 6, maxOpen: 60, rate: 1.2, faultRate: 0.05, wideOutageChance: 0.002, listChangeChance: 0.01},
+		{name: "wide", seeds: 2, rounds: 1500, destinations: 200, maxEndpoints: 2, slots: 100, maxOpen: 3000, rate: 3, faultRate: 0.1, wideOutageChance: 0.004, listChangeChance: 0.01},
+		{name: "churn", seeds: 2, rounds: 4000, destinations: 20, maxEndpoints: 2, rate: 0.5, faultRate: 0.01, listChangeChance: 0.3, turnover: true},
+		{name: "grow", seeds: 4, rounds: 2500, destinations: 24, maxEndpoints: 2, slots: 30, rate: 1.2, skew: 0.4, faultRate: 0.02, listChangeChance: 0.04, grow: true},
+		{name: "hoard", seeds: 2, rounds: 1500, destinations: 150, maxEndpoints: 2, slots: 10, maxOpen: 400, rate: 0.4, faultRate: 0.3, wideOutageChance: 0.01, listChangeChance: 0.005},
+		{name: "full", seeds: 3, rounds: 2500, destinations: 16, maxEndpoints: 2, slots: 4, maxOpen: 300, rate: 0.8, faultRate: 0.01, listChangeChance: 0.01},
+		{name: "restart", seeds: 4, rounds: 1500, destinations: 10, maxEndpoints: 2, rate: 0.3, faultRate: 0.01, listChangeChance: 0.01, restored: 150},
+		{name: "days", seeds: 2, rounds: 2000, destinations: 10, maxEndpoints: 2, rate: 0.5, faultRate: 0.02, listChangeChance: 0.01, start: 400 * 86400 * Second},
+		{name: "large", seeds: 1, rounds: 600, destinations: 1500, maxEndpoints: 2, slots: 800, maxOpen: 9000, rate: 10, faultRate: 1, wideOutageChance: 0.01, listChangeChance: 0.02, large: true},
 	}
 }
 
 // settings are drawn as well: what a site allows changes the way that decisions go.
-func (c *scene) settings(rng *rand.Rand) Settings {
+func (c *scenario) settings(rng *rand.Rand) Settings {
 	set := Settings{
-		Instances: 1 + rng.IntN(60), Zone: rng.IntN(2), Tick: Time(5+15*rng.IntN(2)) * Millisecond, Slots: c.slots, MaxOpen: c.open,
+		Instances: 1 + rng.IntN(60), Zone: rng.IntN(2), Tick: Time(5+15*rng.IntN(2)) * Millisecond, Slots: c.slots, MaxOpen: c.maxOpen,
 		MaxTries: 2 + rng.IntN(6), MayCancel: rng.IntN(5) > 0, RetryAfter: true, MaxRetryAfter: 10 * Second,
 		ConnIdle: 5 * Second, ConnectTimeout: Second, StreamsPerConn: 1, StopSendingWithin: Second, ColdFrom: 0.2,
 		WarmUp: Time(1+rng.IntN(10)) * Second, TipMultiple: 2, OverloadFor: Time(500+rng.IntN(2000)) * Millisecond,
@@ -80,10 +80,10 @@
 		},
 	}
 	if set.Slots == 0 {
-		set.Slots = 2 + rng.IntN(2+c.dests)
+		set.Slots = 2 + rng.IntN(2+c.destinations)
 	}
 	if set.MaxOpen == 0 {
-		set.MaxOpen = 16 + rng.IntN(20*c.dests)
+		set.MaxOpen = 16 + rng.IntN(20*c.destinations)
 	}
 	if rng.IntN(3) == 0 {
 		set.ReportLimit = 1
@@ -94,55 +94,55 @@
 	return set
 }
 
-// mood is how an endpoint answers.
-type mood uint8
+// behaviour is how an endpoint answers.
+type behaviour uint8
 
 const (
-	isWell mood = iota
-	isSlowly
-	isDown    // nobody is met
-	isHung    // silence
-	isFull    // refused, no wait told
-	isWaiting // refused with a wait
-	isBroken  // answers are errors
-	isLossy   // some answers get lost
-	isPartly  // some calls are refused
-	moods
+	endpointHealthy behaviour = iota
+	endpointSlow
+	endpointDown             // nobody is met
+	endpointHung             // silence
+	endpointRefusing         // recordRefusal, no wait told
+	endpointRefusingWithWait // refused with a wait
+	endpointFailing          // newCallMeter are errors
+	endpointLosingResponses  // some answers get lost
+	endpointRefusingSome     // some calls are refused
+	behaviourCount
 )
 
-// peer is an endpoint of the platform.
-type peer struct {
-	entry Entry
-	mood  mood
-	until Time
-	lag   Time
+// simulatedEndpoint is an endpoint of the platform.
+type simulatedEndpoint struct {
+	entry     Entry
+	behaviour behaviour
+	until     Time
+	lag       Time
 }
 
-// post is a message of the platform.
-type post struct {
+// simulatedMessage is a message of the platform.
+type simulatedMessage struct {
 	class, dest, tries int
-	out                bool
+	attemptOut         bool
 	ended              bool
 	due                Time
-	at                 *peer
+	endpoint           *simulatedEndpoint
 }
 
-type planned struct {
-	at  Time
-	seq int
-	ev  Event
-	res bool // an outcome, of no use if the attempt is over
+type plannedEvent struct {
+	at      Time
+	seq     int
+	ev      Event
+	outcome bool // an outcome, of no use if the attempt is over
 }
 
-type plan []planned
+type eventQueue []plannedEvent
 
-func (p plan) Len() int { return len(p) }
-func (p plan) Less(i, j int) bool {
+func (p eventQueue) Len() int { return len(p) }
+func (p eventQueue) Less(i, j int) bool {
 	return p[i].at < p[j].at || p[i].at == p[j].at && p[i].seq < p[j].seq
 }
-func (p plan) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
-func (p *plan) Push(x any)   { *p = append(*p, x.(planned)) }
-func (p *plan) Pop() any {
+func (p eventQueue) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
+func (p *eventQueue) Push(x any)   { *p = append(*p, x.(plannedEvent)) }
+func (p *eventQueue) Pop() any {
 	last := len(*p) - 1
 	x := (*p)[last]
 	*p = (*p)[:last]
@@ -151,44 +151,44 @@
 
 // platform plays one stream.
 type platform struct {
-	scene
-	rng    *rand.Rand
-	set    Settings
-	now    Time
-	peers  []*peer
-	byID   map[Endpoint]*peer
-	posts  map[MessageID]*post
-	out    []MessageID // out, some of them not any more
-	plan   plan
-	seq    int
-	lastEp Endpoint
-	last   MessageID
-	first  int // least destination that is listed
-	hash   hash.Hash
-	count  map[ActionKind]int
-	steps  int
+	scenario
+	rng              *rand.Rand
+	set              Settings
+	now              Time
+	endpoints        []*simulatedEndpoint
+	byID             map[Endpoint]*simulatedEndpoint
+	messages         map[MessageID]*simulatedMessage
+	out              []MessageID // out, some of them not any more
+	queue            eventQueue
+	seq              int
+	lastEndpoint     Endpoint
+	lastMessage      MessageID
+	firstDestination int // least destination that is listed
+	hash             hash.Hash
+	count            map[ActionKind]int
+	steps            int
 }
 
 // stream returns the platform of one seed of a scene.
-func (c scene) stream(seed uint64) *platform {
+func (c scenario) stream(seed uint64) *platform {
 	p := &platform{
-		scene: c, rng: rand.New(rand.NewPCG(seed, uint64(len(c.name)))), now: c.start + 1000*Second, byID: map[Endpoint]*peer{},
-		posts: map[MessageID]*post{}, hash: sha256.New(), count: map[ActionKind]int{},
+		scenario: c, rng: rand.New(rand.NewPCG(seed, uint64(len(c.name)))), now: c.start + 1000*Second, byID: map[Endpoint]*simulatedEndpoint{},
+		messages: map[MessageID]*simulatedMessage{}, hash: sha256.New(), count: map[ActionKind]int{},
 	}
 	p.set = c.settings(p.rng)
-	p.ills *= []float64{0.1, 0.4, 1}[p.rng.IntN(3)]
+	p.faultRate *= []float64{0.1, 0.4, 1}[p.rng.IntN(3)]
 	return p
 }
 
-func (p *platform) after(t Time, ev Event, res bool) {
+func (p *platform) schedule(t Time, ev Event, res bool) {
 	p.seq++
-	heap.Push(&p.plan, planned{p.now + max(t, 1), p.seq, ev, res})
+	heap.Push(&p.queue, plannedEvent{p.now + max(t, 1), p.seq, ev, res})
 }
 
 func (p *platform) chance(v float64) bool { return p.rng.Float64() < v }
 
-// times draws how often something comes up that does so v times in the mean.
-func (p *platform) times(v float64) int {
+// drawCount draws how often something comes up that does so v times in the mean.
+func (p *platform) drawCount(v float64) int {
 	n := int(v)
 	if p.chance(v - float64(n)) {
 		n++
@@ -196,32 +196,32 @@
 	return n
 }
 
-func (p *platform) join(dest int) Entry {
-	p.lastEp++
+func (p *platform) addEndpoint(dest int) Entry {
+	p.lastEndpoint++
 	kind := dest % 4 // one of them is unknown
-	e := Entry{Endpoint: p.lastEp, Dest: dest, Zone: p.rng.IntN(2), Kind: kind, Health: Ready}
+	e := Entry{Endpoint: p.lastEndpoint, Destination: dest, Zone: p.rng.IntN(2), Kind: kind, Health: Ready}
 	if p.chance(0.4) {
 		e.Weight = 1 + 40*p.rng.Float64()
 	}
-	n := &peer{entry: e, lag: Time(2+p.rng.IntN(120)) * Millisecond}
-	p.peers = append(p.peers, n)
+	n := &simulatedEndpoint{entry: e, lag: Time(2+p.rng.IntN(120)) * Millisecond}
+	p.endpoints = append(p.endpoints, n)
 	p.byID[e.Endpoint] = n
 	return e
 }
 
-// play runs the stream against m; with looks of the module in between by check, where there is one.
+// playRandomEvents runs the stream against m; with looks of the module in between by check, where there is one.
 func (p *platform) play(m stepper, check func(now Time, events []Event, acts []Action) error) error {
 	var first []Event
 	if p.restored > 0 {
 		first = append(first, Event{Kind: Restarted})
 	}
 	var entries []Entry
-	for dest := range p.dests {
+	for dest := range p.destinations {
 		if p.grow && dest%3 > 0 {
 			continue
 		}
-		for range 1 + p.rng.IntN(p.routes) {
-			entries = append(entries, p.join(dest))
+		for range 1 + p.rng.IntN(p.maxEndpoints) {
+			entries = append(entries, p.addEndpoint(dest))
 		}
 	}
 	first = append(first, Event{Kind: List, ListKind: ListFull, Entries: entries})
@@ -229,9 +229,9 @@
 		ev := p.arrival()
 		ev.Restored, ev.Tries = true, p.rng.IntN(p.set.MaxTries+1)
 		if p.chance(0.5) {
-			ev.Doubt, ev.DoubtZone = Time(p.rng.IntN(5000))*Millisecond, p.rng.IntN(2)
+			ev.DoubtAge, ev.DoubtZone = Time(p.rng.IntN(5000))*Millisecond, p.rng.IntN(2)
 		}
-		p.posts[ev.Message].tries = ev.Tries
+		p.messages[ev.Message].tries = ev.Tries
 		first = append(first, ev)
 	}
 	var acts []Action
@@ -243,17 +243,17 @@
 		p.now += Time(p.rng.IntN(3)) * Millisecond / 7
 		events := append(first, p.clients(round)...)
 		first = nil
-		events = append(events, p.members()...)
-		p.weather()
-		for len(p.plan) > 0 && p.plan[0].at <= p.now {
-			x := heap.Pop(&p.plan).(planned)
-			if x.res && !p.ends(&x.ev) {
+		events = append(events, p.listChanges()...)
+		p.changeBehaviours()
+		for len(p.queue) > 0 && p.queue[0].at <= p.now {
+			x := heap.Pop(&p.queue).(plannedEvent)
+			if x.outcome && !p.endAttempt(&x.ev) {
 				continue
 			}
 			events = append(events, x.ev)
 		}
-		if p.illegal {
-			events = append(events, p.nonsense()...)
+		if p.invalidEvents {
+			events = append(events, p.randomInvalidEvents()...)
 		}
 		if len(events) == 0 && p.chance(0.7) {
 			continue
@@ -265,28 +265,28 @@
 				return fmt.Errorf("%s, round %d, at %d, %d events: %w", p.name, round, p.now, len(events), err)
 			}
 		}
-		p.write(acts)
+		p.addToHash(acts)
 		for i := 0; i < len(acts); i++ {
-			p.act(acts, i)
+			p.respond(acts, i)
 		}
 	}
 	return nil
 }
 
 func (p *platform) arrival() Event {
-	p.last++
+	p.lastMessage++
 	class := p.rng.IntN(len(p.set.Classes))
-	dest := p.first + p.rng.IntN(p.dests)
+	dest := p.firstDestination + p.rng.IntN(p.destinations)
 	if p.chance(p.skew) {
-		dest = p.first
+		dest = p.firstDestination
 	}
 	c := p.set.Classes[class]
-	ev := Event{Kind: Arrival, Message: p.last, Class: class, Dest: dest, Tenant: p.rng.IntN(3) - 1}
-	ev.Grace = c.Deadline - Time(p.rng.Int64N(int64(c.Deadline)*2/3))
+	ev := Event{Kind: Arrival, Message: p.lastMessage, Class: class, Destination: dest, Tenant: p.rng.IntN(3) - 1}
+	ev.TimeLeft = c.Deadline - Time(p.rng.Int64N(int64(c.Deadline)*2/3))
 	if c.InOrder && p.chance(0.8) {
 		ev.Key = uint64(1 + p.rng.IntN(5) + 10*(dest/2)) // some keys go to two destinations
 	}
-	p.posts[p.last] = &post{class: class, dest: dest, due: p.now + ev.Grace}
+	p.messages[p.lastMessage] = &simulatedMessage{class: class, dest: dest, due: p.now + ev.TimeLeft}
 	return ev
 }
 
@@ -296,27 +296,27 @@
 		if round/500%3 == 2 { // a rush
 			rate *= 4
 		}
-		for range p.times(rate) {
+		for range p.drawCount(rate) {
 			events = append(events, p.arrival())
 		}
 	}
-	if p.chance(0.02) && p.last > 0 {
-		id := p.last - MessageID(p.rng.IntN(50))
-		if m := p.posts[id]; m != nil {
+	if p.chance(0.02) && p.lastMessage > 0 {
+		id := p.lastMessage - MessageID(p.rng.IntN(50))
+		if m := p.messages[id]; m != nil {
 			m.ended = true
 			events = append(events, Event{Kind: Withdrawn, Message: id})
 		}
 	}
 	if p.chance(0.0015) {
-		events = append(events, Event{Kind: Pause, On: true})
-		p.after(Time(p.rng.IntN(300))*Millisecond, Event{Kind: Pause}, false)
+		events = append(events, Event{Kind: Pause, Paused: true})
+		p.schedule(Time(p.rng.IntN(300))*Millisecond, Event{Kind: Pause}, false)
 	}
 	return events
 }
 
-// members changes the list: by parts, as a whole, or not at all because it can't be had.
-func (p *platform) members() (events []Event) {
-	if !p.chance(p.lists) {
+// listChanges changes the list: by parts, as a whole, or not at all because it can't be had.
+func (p *platform) listChanges() (events []Event) {
+	if !p.chance(p.listChangeChance) {
 		return nil
 	}
 	switch p.rng.IntN(6) {
@@ -327,7 +327,7 @@
 		if p.chance(0.3) {
 			ev.ListKind = ListCached
 		}
-		for _, n := range p.peers {
+		for _, n := range p.endpoints {
 			n.entry.Health = Ready
 			if p.chance(0.05) {
 				n.entry.Health = Gone
@@ -342,35 +342,35 @@
 	}
 	ev := Event{Kind: List, ListKind: ListDelta}
 	if p.turnover {
-		p.first++ // the least destination goes, another comes
-		p.peers = slices.DeleteFunc(p.peers, func(n *peer) bool {
-			if n.entry.Dest < p.first {
+		p.firstDestination++ // the least destination goes, another comes
+		p.endpoints = slices.DeleteFunc(p.endpoints, func(n *simulatedEndpoint) bool {
+			if n.entry.Destination < p.firstDestination {
 				n.entry.Health = Gone
 				ev.Entries = append(ev.Entries, n.entry)
 				return true
 			}
 			return false
 		})
-		for range 1 + p.rng.IntN(p.routes) {
-			ev.Entries = append(ev.Entries, p.join(p.first+p.dests-1))
+		for range 1 + p.rng.IntN(p.maxEndpoints) {
+			ev.Entries = append(ev.Entries, p.addEndpoint(p.firstDestination+p.destinations-1))
 		}
 		return []Event{ev}
 	}
 	if p.grow {
-		dest := p.rng.IntN(p.dests)
-		for _, n := range p.peers {
-			if n.entry.Dest == dest {
+		dest := p.rng.IntN(p.destinations)
+		for _, n := range p.endpoints {
+			if n.entry.Destination == dest {
 				n.entry.Health = Gone
 				ev.Entries = append(ev.Entries, n.entry)
 			}
 		}
 		if len(ev.Entries) == 0 || p.chance(0.3) {
-			ev.Entries = append(ev.Entries, p.join(dest))
+			ev.Entries = append(ev.Entries, p.addEndpoint(dest))
 		}
 		return []Event{ev}
 	}
 	for range 1 + p.rng.IntN(3) {
-		n := p.peers[p.rng.IntN(len(p.peers))]
+		n := p.endpoints[p.rng.IntN(len(p.endpoints))]
 		if p.chance(0.1) {
 			n.entry.Kind = p.rng.IntN(4)
 		}
@@ -384,81 +384,81 @@
 		ev.Entries = append(ev.Entries, n.entry)
 	}
 	if p.chance(0.2) {
-		ev.Entries = append(ev.Entries, p.join(p.first+p.rng.IntN(p.dests)))
+		ev.Entries = append(ev.Entries, p.addEndpoint(p.firstDestination+p.rng.IntN(p.destinations)))
 	}
 	return []Event{ev}
 }
 
-// weather changes moods.
-func (p *platform) weather() {
-	ill := func(dest int, m mood, last Time) {
-		for _, n := range p.peers {
-			if n.entry.Dest == dest && (n.entry.Kind != 2 || p.chance(0.5)) {
-				n.mood, n.until = m, p.now+last
+// changeBehaviours changes moods.
+func (p *platform) changeBehaviours() {
+	ill := func(dest int, m behaviour, last Time) {
+		for _, n := range p.endpoints {
+			if n.entry.Destination == dest && (n.entry.Kind != 2 || p.chance(0.5)) {
+				n.behaviour, n.until = m, p.now+last
 			}
 		}
 	}
-	for range p.times(p.ills) {
-		ill(p.first+p.rng.IntN(p.dests), mood(p.rng.IntN(int(moods))), Time(100+p.rng.IntN(6000))*Millisecond)
+	for range p.drawCount(p.faultRate) {
+		ill(p.firstDestination+p.rng.IntN(p.destinations), behaviour(p.rng.IntN(int(behaviourCount))), Time(100+p.rng.IntN(6000))*Millisecond)
 	}
-	if p.chance(p.wide) {
-		m, last := mood(1+p.rng.IntN(int(moods)-1)), Time(1000+p.rng.IntN(4000))*Millisecond
-		for dest := range p.dests {
+	if p.chance(p.wideOutageChance) {
+		m, last := behaviour(1+p.rng.IntN(int(behaviourCount)-1)), Time(1000+p.rng.IntN(4000))*Millisecond
+		for dest := range p.destinations {
 			if p.chance(0.5) {
-				ill(p.first+dest, m, last)
+				ill(p.firstDestination+dest, m, last)
 			}
 		}
 	}
 }
 
-func (p *platform) nonsense() []Event {
+func (p *platform) randomInvalidEvents() []Event {
 	switch p.rng.IntN(12) {
 	case 0:
 		return []Event{
 			{Kind: Outcome, Message: 1e9, Result: Result(p.rng.IntN(9))}, {Kind: Withdrawn, Message: 1e9},
-			{Kind: Outcome, Message: p.last, Attempt: 90},
+			{Kind: Outcome, Message: p.lastMessage, Attempt: 90},
 		}
 	case 1:
-		return []Event{{Kind: Tick, Mark: 1e12}, {Kind: Probed, Endpoint: 999}, {Kind: EventKind(77)}}
+		return []Event{{Kind: Tick, TimerID: 1e12}, {Kind: Probed, Endpoint: 999}, {Kind: EventKind(77)}}
 	case 2:
-		events := []Event{{Kind: Arrival, Message: 1<<40 + p.last, Class: 77}}
-		if m := p.posts[p.last]; m != nil && !m.ended { // it is here
-			events = append(events, Event{Kind: Arrival, Message: p.last, Dest: 1, Grace: Second})
+		events := []Event{{Kind: Arrival, Message: 1<<40 + p.lastMessage, Class: 77}}
+		if m := p.messages[p.lastMessage]; m != nil && !m.ended { // it is here
+			events = append(events, Event{Kind: Arrival, Message: p.lastMessage, Destination: 1, TimeLeft: Second})
 		}
 		return events
 	}
 	return nil
 }
 
-// act answers one action. A call's messages share how it ends.
-func (p *platform) act(acts []Action, i int) {
+// respond answers one action. A call's messages share how it ends.
+func (p *platform) respond(acts []Action, i int) {
 	a := &acts[i]
 	p.count[a.Kind]++
 	switch a.Kind {
 	case Timer:
-		p.after(a.After, Event{Kind: Tick, Mark: a.Mark}, false)
+		p.schedule(a.After, Event{Kind: Tick, TimerID: a.TimerID}, false)
 	case Refuse, Fail:
-		if m := p.posts[a.Message]; m != nil {
+		if m := p.messages[a.Message]; m != nil {
 			m.ended = true
 		}
 	case Cancel:
-		if m := p.posts[a.Message]; m != nil && m.out && p.chance(0.95) {
+		if m := p.messages[a.Message]; m != nil && m.attemptOut && p.chance(0.95) {
 			res := Cancelled
 			if p.chance(0.1) {
 				res = Moot
 			}
-			p.after(Time(p.rng.IntN(8))*Millisecond, p.outcome(a.Message, a.Attempt, res), true)
+			p.schedule(Time(p.rng.IntN(8))*Millisecond, p.outcome(a.Message, a.Attempt, res), true)
 		}
 	case Send:
-		if a.With {
+		if a.SameCall {
 			return
 		}
 		n := p.byID[a.Endpoint]
-		res, lag, wait := p.answer(n)
-		for j := i; j < len(acts) && (j == i || acts[j].Kind == Send && acts[j].With); j++ {
+		res, lag, wait := p.drawOutcome(n)
+		for j := i; j < len(acts) && (j == i || acts[j].Kind == Send && acts[j].SameCall); j++ {
 			s := &acts[j]
-			m := p.posts[s.Message]
-			m.out, m.at = true, n
+			m := p.messages[s.Message]
+			m.attemptOut, m.endpoint = true, n
 			ev := p.outcome(s.Message, m.tries, res)
 			m.tries++
 			last := m.due - p.now // it is waited for no longer
@@ -467,55 +467,55 @@
 			}
 			switch {
 			case res == TimedOut || lag >= last:
-				ev.Result, ev.Lag = TimedOut, last
-				p.after(last, ev, true)
+				ev.Result, ev.Latency = TimedOut, last
+				p.schedule(last, ev, true)
 			case j > i && p.chance(0.02):
-				ev.Result, ev.Lag = Unsent, 0
-				p.after(1, ev, true)
+				ev.Result, ev.Latency = Unsent, 0
+				p.schedule(1, ev, true)
 			default:
-				if res == Full && p.chance(0.3) {
+				if res == Refused && p.chance(0.3) {
 					wait += Time(p.rng.IntN(500)) * Millisecond
 				}
-				ev.Lag, ev.Wait = lag, wait
+				ev.Latency, ev.RetryAfter = lag, wait
 				if p.set.ReportLimit >= 0 && p.chance(0.2) {
 					ev.Report = []float32{0, 5 + 20*p.rng.Float32()}
 				}
-				p.after(lag, ev, true)
+				p.schedule(lag, ev, true)
 			}
 		}
 	}
 }
 
 func (p *platform) outcome(id MessageID, attempt int, res Result) Event {
-	return Event{Kind: Outcome, Message: id, Attempt: attempt, Endpoint: p.posts[id].at.entry.Endpoint, Result: res}
+	return Event{Kind: Outcome, Message: id, Attempt: attempt, Endpoint: p.messages[id].endpoint.entry.Endpoint, Result: res}
 }
 
-// answer draws how a call to an endpoint ends.
-func (p *platform) answer(n *peer) (res Result, lag, wait Time) {
+// drawOutcome draws how a call to an endpoint ends.
+func (p *platform) drawOutcome(n *simulatedEndpoint) (res Result, lag, wait Time) {
 	if p.now > n.until {
-		n.mood = isWell
+		n.behaviour = endpointHealthy
 	}
 	lag = n.lag/2 + Time(p.rng.Int64N(int64(n.lag)))
-	switch n.mood {
-	case isSlowly:
+	switch n.behaviour {
+	case endpointSlow:
 		return OK, lag * 10, 0
-	case isDown:
+	case endpointDown:
 		return ConnectFailed, Millisecond, 0
-	case isHung:
+	case endpointHung:
 		return TimedOut, 0, 0
-	case isFull:
-		return Full, Millisecond, 0
-	case isWaiting:
-		return Full, Millisecond, Time(200+p.rng.IntN(3000)) * Millisecond
-	case isBroken:
+	case endpointRefusing:
+		return Refused, Millisecond, 0
+	case endpointRefusingWithWait:
+		return Refused, Millisecond, Time(200+p.rng.IntN(3000)) * Millisecond
+	case endpointFailing:
 		return Errored, lag / 2, 0
-	case isLossy:
+	case endpointLosingResponses:
 		if p.chance(0.3) {
 			return TimedOut, 0, 0
 		}
-	case isPartly:
+	case endpointRefusingSome:
 		if p.chance(0.3) {
-			return Full, Millisecond, 0
+			return Refused, Millisecond, 0
 		}
 	}
 	switch p.rng.IntN(400) {
@@ -531,34 +531,34 @@
 	return OK, lag, 0
 }
 
-// ends takes up that an attempt ends; false if it is over already.
-func (p *platform) ends(ev *Event) bool {
-	m := p.posts[ev.Message]
-	if m == nil || !m.out || m.tries-1 != ev.Attempt {
+// endAttempt takes up that an attempt ends; false if it is over already.
+func (p *platform) endAttempt(ev *Event) bool {
+	m := p.messages[ev.Message]
+	if m == nil || !m.attemptOut || m.tries-1 != ev.Attempt {
 		return false
 	}
-	m.out = false
+	m.attemptOut = false
 	if ev.Result == Unsent {
 		m.tries--
 	}
 	ev.Closed = ev.Result == OK || m.ended
 	if m.ended = ev.Closed; m.ended {
-		delete(p.posts, ev.Message)
+		delete(p.messages, ev.Message)
 	}
 	return true
 }
 
-// write adds a Step's actions to the stream's sum.
-func (p *platform) write(acts []Action) {
+// addToHash adds a Step's actions to the stream's sum.
+func (p *platform) addToHash(acts []Action) {
 	var b []byte
 	b = binary.AppendVarint(b, int64(p.now))
 	for i := range acts {
 		a := &acts[i]
 		with := int64(0)
-		if a.With {
+		if a.SameCall {
 			with = 1
 		}
-		for _, v := range []int64{int64(a.Kind), int64(a.Message), int64(a.Attempt), int64(a.Endpoint), with, int64(a.After), int64(a.Mark), int64(len(a.Text))} {
+		for _, v := range []int64{int64(a.Kind), int64(a.Message), int64(a.Attempt), int64(a.Endpoint), with, int64(a.After), int64(a.TimerID), int64(len(a.Text))} {
 			b = binary.AppendVarint(b, v)
 		}
 		b = append(b, a.Text...)
@@ -566,8 +566,8 @@
 	p.hash.Write(b)
 }
 
-// differ tells where two lists of actions part, nil if they don't.
-func differ(got, want []Action) error {
+// compareActions tells where two lists of actions part, nil if they don't.
+func compareActions(got, want []Action) error {
 	for i := range min(len(got), len(want)) {
 		if got[i] != want[i] {
 			return fmt.Errorf("action %d of %d is %+v, of the one that looks at all, of %d, it is %+v", i, len(got), got[i], len(want), want[i])
