--- a/engine/books.go
+++ b/engine/books.go
@@ -5,17 +5,17 @@
 	"curlewmux/ledger"
 )
 
-// Ledger has an engine keep figures that add up, and check them against its own tables.
-type Ledger struct {
+// LedgerSettings has an engine keep figures that add up, and check them against its own tables.
+type LedgerSettings struct {
 	ledger.Settings
 	Epoch ledger.Epoch // which begins where the store has no ledger, or one that can't be gone on with
 
-	Part  int  // messages that one part of a sweep counts at most, 0 for 1,000; there is one part a tick at most
-	Every Time // from the begin of a sweep to that of the next, 0 for 300 ms; there is none while nothing changes
+	AuditPart     int  // messages that one part of a sweep counts at most, 0 for 1,000; there is one part a tick at most
+	AuditInterval Time // from the begin of a sweep to that of the next, 0 for 300 ms; there is none while nothing changes
 
-	// Kept, where set, is asked for what the store has of a leaf, nil for none. It is called on the engine's goroutine for
+	// StoredLeaf, where set, is asked for what the store has of a leaf, nil for none. It is called on the engine's goroutine for
 	// leaves whose batch is stored, and must not block.
-	Kept func(number uint64) []byte
+	StoredLeaf func(number uint64) []byte
 }
 
 const (
@@ -31,7 +31,7 @@
 // books are the ledger of an engine, and how far a sweep has come. All posting is done in this file, called from where a
 // message is taken, admitted or not, moved and ended (message.go), and where an attempt begins and ends (call.go).
 type books struct {
-	set Ledger
+	set LedgerSettings
 	*ledger.Ledger
 	anew  string  // why the epoch that the store had ends
 	open  bool    // what the store had is known: before that nothing may be written there
@@ -56,16 +56,16 @@
 	sweepLeaves
 )
 
-func newBooks(s *Ledger) (*books, error) {
+func newBooks(s *LedgerSettings) (*books, error) {
 	if s == nil {
 		return nil, nil
 	}
 	b := &books{set: *s}
-	if b.set.Part <= 0 {
-		b.set.Part = sweepPart
+	if b.set.AuditPart <= 0 {
+		b.set.AuditPart = sweepPart
 	}
-	if b.set.Every <= 0 {
-		b.set.Every = sweepEvery
+	if b.set.AuditInterval <= 0 {
+		b.set.AuditInterval = sweepEvery
 	}
 	var err error
 	b.Ledger, err = ledger.New(s.Settings, s.Epoch)
@@ -73,7 +73,7 @@
 }
 
 func (m *Message) account() ledger.Key {
-	return ledger.Key{Class: m.Class, Dest: m.Dest, Tenant: m.Tenant}
+	return ledger.Key{Class: m.Class, Destination: m.Destination, Tenant: m.Tenant}
 }
 
 // ---- messages ----
@@ -84,7 +84,7 @@
 		return
 	}
 	m.acct = e.books.Account(m.Message.account())
-	e.ofTaking(m, e.books.Await)
+	e.ofTaking(m, e.books.PostPending)
 }
 
 // bookTaken posts a message that is in the store.
@@ -92,9 +92,9 @@
 	if e.books == nil {
 		return
 	}
-	e.ofTaking(m, e.books.Settle)
+	e.ofTaking(m, e.books.ConfirmPending)
 	if m.from != nil {
-		e.books.Moves()
+		e.books.CompareTransfers()
 	}
 	e.books.came(m)
 }
@@ -102,34 +102,34 @@
 // bookForgone forgets a message that never got into the store.
 func (e *Engine) bookForgone(m *message) {
 	if e.books != nil {
-		e.ofTaking(m, e.books.Drop)
+		e.ofTaking(m, e.books.DropPending)
 	}
 }
 
 // ofTaking calls do with all that is posted for a message that is taken.
 func (e *Engine) ofTaking(m *message, do func(*ledger.Account, ledger.Entry)) {
 	if m.from == nil {
-		do(m.acct, ledger.Taken)
+		do(m.acct, ledger.Accepted)
 	} else { // the one that it was has ended: it leaves that end
-		do(e.books.Account(*m.from), ledger.Again)
-		do(m.acct, ledger.In)
+		do(e.books.Account(*m.from), ledger.Reopened)
+		do(m.acct, ledger.MovedIn)
 	}
 	if m.maybe.set {
-		do(m.acct, ledger.Doubted)
+		do(m.acct, ledger.DoubtOpened)
 	}
 }
 
 // bookEnd posts the end of a message that was held.
-func (e *Engine) bookEnd(m *message, how How) {
+func (e *Engine) bookEnd(m *message, how Disposition) {
 	if e.books == nil {
 		return
 	}
-	end, doubt := ledger.Failed, ledger.Unsure
+	end, doubt := ledger.Failed, ledger.DoubtUnresolved
 	switch how {
 	case Delivered:
-		end, doubt = ledger.Served, ledger.Twice
-	case Over:
-		end = ledger.Served
+		end, doubt = ledger.Delivered, ledger.DoubtTwice
+	case Closed:
+		end = ledger.Delivered
 	case Refused, Withdrawn:
 		end = ledger.Refused
 	}
@@ -138,8 +138,8 @@
 	case m.maybe.set:
 		e.books.Post(m.acct, doubt)
 	case how != Delivered && m.doubtful().set: // its attempt is out still
-		e.books.Post(m.acct, ledger.Doubted)
-		e.books.Post(m.acct, ledger.Unsure)
+		e.books.Post(m.acct, ledger.DoubtOpened)
+		e.books.Post(m.acct, ledger.DoubtUnresolved)
 	}
 }
 
@@ -147,7 +147,7 @@
 // so before.
 func (e *Engine) bookDoubt(m *message, first bool) {
 	if e.books != nil && first && m.maybe.set && m.phase == held {
-		e.books.Post(m.acct, ledger.Doubted)
+		e.books.Post(m.acct, ledger.DoubtOpened)
 		if b := e.books; b.sweeping && m.swept == b.round {
 			m.acct.CountDoubt(1)
 		}
@@ -158,7 +158,7 @@
 
 func (e *Engine) bookSent(it *item) {
 	if e.books != nil {
-		e.books.Post(it.message.acct, ledger.Sent)
+		e.books.Post(it.message.acct, ledger.AttemptSent)
 	}
 }
 
@@ -166,12 +166,12 @@
 	if e.books == nil {
 		return
 	}
-	how := ledger.Answered
+	how := ledger.AttemptAnswered
 	switch {
 	case control.NeverRan(r):
-		how = ledger.Declined
+		how = ledger.AttemptRefused
 	case r == control.TimedOut, r == control.Reset, r == control.Cancelled:
-		how = ledger.Silent
+		how = ledger.AttemptUnanswered
 	}
 	e.books.Post(it.message.acct, how)
 }
@@ -187,13 +187,13 @@
 	l, err := ledger.Restore(b.set.Settings, r.Leaves, b.set.Epoch)
 	if err != nil {
 		e.effect(&Note{Fault: true, Text: "the ledger in the store can't be read, and begins anew: " + err.Error()})
-		b.anew = ledger.WhyDamage
+		b.anew = ledger.ReasonDamage
 		return
 	}
-	if b.Ledger, b.anew = l, r.Anew; r.Anew == "" && l.Rebooted() {
-		b.anew = ledger.WhyPower
+	if b.Ledger, b.anew = l, r.ResetReason; r.ResetReason == "" && l.Rebooted() {
+		b.anew = ledger.ReasonReboot
 	}
-	l.At(int64(e.now.Wall))
+	l.SetWallTime(int64(e.now.Wall))
 }
 
 // restoreBooks compares the ledger that the store had with the messages that it had, or begins one with these.
@@ -203,8 +203,8 @@
 		return
 	}
 	b.open = true
-	b.At(int64(e.now.Wall))
-	b.Begin()
+	b.SetWallTime(int64(e.now.Wall))
+	b.BeginAudit()
 	find := func() {
 		for _, r := range e.restoring {
 			r.acct = b.Account(r.Message.account())
@@ -213,32 +213,32 @@
 	find()
 	if b.Restored() {
 		for _, r := range e.restoring {
-			if a := r.acct; r.Owed == nil {
-				a.Count(1)
+			if a := r.acct; r.Pending == nil {
+				a.CountOpen(1)
 				if r.DoubtAt != 0 {
 					a.CountDoubt(1)
 				}
 			}
 		}
-		b.Start()
+		b.ReconcileRestart()
 		if b.anew == "" {
 			return
 		}
 	}
 	if b.anew != "" {
 		next := b.set.Epoch
-		next.Why = b.anew
-		if l, err := b.Anew(b.set.Settings, next); err == nil { // the settings were good before
+		next.Reason = b.anew
+		if l, err := b.NextEpoch(b.set.Settings, next); err == nil { // the settings were good before
 			b.Ledger = l
-			b.At(int64(e.now.Wall))
+			b.SetWallTime(int64(e.now.Wall))
 			find()
 		}
 	}
 	for _, r := range e.restoring {
-		if a := r.acct; r.Owed == nil {
-			b.Post(a, ledger.Brought)
+		if a := r.acct; r.Pending == nil {
+			b.Post(a, ledger.CarriedOver)
 			if r.DoubtAt != 0 {
-				b.Post(a, ledger.Doubted)
+				b.Post(a, ledger.DoubtOpened)
 			}
 		}
 	}
@@ -251,10 +251,10 @@
 	if b == nil {
 		return
 	}
-	for _, f := range b.Fresh() {
-		e.effect(&Breached{Breach: f})
+	for _, f := range b.TakeNewBreaches() {
+		e.effect(&LedgerBreach{Breach: f})
 	}
-	if !e.set.Stored || !b.open || !b.Dirty() {
+	if !e.set.HasStore || !b.open || !b.Dirty() {
 		return
 	}
 	if len(e.records) == 0 && (e.down || !b.force && e.now.At < b.lone+leafGap) {
@@ -263,8 +263,8 @@
 	if len(e.records) == 0 {
 		b.lone = e.now.At
 	}
-	for !b.Leaves(leavesEach, func(l ledger.Leaf) {
-		e.records = append(e.records, &RecLeaf{Number: l.Number, Text: l.Text})
+	for !b.WriteLeaves(leavesEach, func(l ledger.Leaf) {
+		e.records = append(e.records, &RecLedgerLeaf{Number: l.Number, Text: l.Text})
 		for uint64(len(b.wrote)) <= l.Number {
 			b.wrote = append(b.wrote, 0)
 		}
@@ -282,7 +282,7 @@
 	for n, b := range e.books.wrote {
 		if b >= from && b <= to {
 			e.books.wrote[n] = 0
-			e.books.Soil(uint64(n))
+			e.books.MarkUnwritten(uint64(n))
 		}
 	}
 }
@@ -290,15 +290,15 @@
 // ask answers with a snapshot, once the store has what it shows.
 func (e *Engine) ask(t Ticket) {
 	b := e.books
-	if b == nil || e.set.Stored && !b.open { // what an earlier process counted is not known yet
-		e.effect(&Shown{Ticket: t})
+	if b == nil || e.set.HasStore && !b.open { // what an earlier process counted is not known yet
+		e.effect(&LedgerSnapshot{Ticket: t})
 		return
 	}
 	s := b.Snapshot(int64(e.now.Wall))
 	b.force = !e.down
 	e.keepBooks()
-	f := &Shown{Ticket: t, Snapshot: s}
-	if e.set.Stored {
+	f := &LedgerSnapshot{Ticket: t, Snapshot: s}
+	if e.set.HasStore {
 		if s.Provisional = e.down || b.Dirty(); !s.Provisional {
 			if n := len(e.pending); n > 0 {
 				f.needs = e.pending[n-1].no
@@ -315,7 +315,7 @@
 func (b *books) came(m *message) {
 	b.gone++
 	if b.sweeping && m.swept == b.round {
-		m.acct.Count(1)
+		m.acct.CountOpen(1)
 		if m.maybe.set {
 			m.acct.CountDoubt(1)
 		}
@@ -329,7 +329,7 @@
 	}
 	b.gone++
 	if b.sweeping && m.swept == b.round {
-		m.acct.Count(-1)
+		m.acct.CountOpen(-1)
 		if m.maybe.set {
 			m.acct.CountDoubt(-1)
 		}
@@ -355,8 +355,8 @@
 	switch {
 	case b.sweeping:
 		return b.parted + tick, true
-	case b.seen != [2]uint64{b.gone, b.Posts()}:
-		return b.began + b.set.Every, true
+	case b.seen != [2]uint64{b.gone, b.PostingCount()}:
+		return b.began + b.set.AuditInterval, true
 	}
 	return 0, false
 }
@@ -374,19 +374,19 @@
 	b.parted = e.now.At
 	if !b.sweeping {
 		b.sweeping, b.stage, b.began, b.cursor = true, sweepMessages, e.now.At, e.oldest
-		b.seen = [2]uint64{b.gone, b.Posts()}
+		b.seen = [2]uint64{b.gone, b.PostingCount()}
 		b.round++
-		b.Begin()
+		b.BeginAudit()
 	}
 	switch b.stage {
 	case sweepMessages:
-		for range min(b.set.Part, max(sweepLeast, len(e.byNum)/sweepParts)) {
+		for range min(b.set.AuditPart, max(sweepLeast, len(e.byNum)/sweepParts)) {
 			m := b.cursor
 			if m == nil {
 				break
 			}
 			if m.swept = b.round; m.phase == held {
-				m.acct.Count(1)
+				m.acct.CountOpen(1)
 				if m.maybe.set {
 					m.acct.CountDoubt(1)
 				}
@@ -394,8 +394,8 @@
 			b.cursor = m.behind
 		}
 		if b.cursor == nil { // who comes now comes behind all that was counted
-			b.Finish()
-			b.Ends(e.ends[Delivered]+e.ends[Over], e.ends[Refused]+e.ends[Withdrawn], e.ends[Failed])
+			b.FinishAudit()
+			b.CompareDispositions(e.ends[Delivered]+e.ends[Closed], e.ends[Refused]+e.ends[Withdrawn], e.ends[Failed])
 			b.stage = sweepCalls
 		}
 	case sweepCalls:
@@ -407,17 +407,17 @@
 					}
 				}
 			}
-			b.FinishOut()
+			b.FinishAttemptAudit()
 		}
 		b.stage = sweepLeaves
-		if b.set.Kept == nil || !e.set.Stored {
+		if b.set.StoredLeaf == nil || !e.set.HasStore {
 			b.sweeping = false
 		}
 	case sweepLeaves:
 		for i := range b.Accounts() {
-			b.Kept(i, func(n uint64) bool {
+			b.CompareStored(i, func(n uint64) bool {
 				return n < uint64(len(b.wrote)) && b.wrote[n] > 0 && b.wrote[n] <= e.confirmed
-			}, b.set.Kept)
+			}, b.set.StoredLeaf)
 		}
 		b.sweeping = false
 	}
@@ -430,7 +430,7 @@
 		return 0, false
 	}
 	at, ok = b.wanted(e.set.Control.Tick)
-	if e.set.Stored && b.open && !e.down && b.Dirty() && (!ok || b.lone+leafGap < at) {
+	if e.set.HasStore && b.open && !e.down && b.Dirty() && (!ok || b.lone+leafGap < at) {
 		return b.lone + leafGap, true
 	}
 	return at, ok
--- a/engine/books_test.go
+++ b/engine/books_test.go
@@ -17,7 +17,7 @@
 	figures       map[string]int
 }
 
-func runBooks(seed uint64, steps int, change func(*Ledger)) (b *bookWorld, fault string) {
+func runBooks(seed uint64, steps int, change func(*LedgerSettings)) (b *bookWorld, fault string) {
 	b = &bookWorld{figures: map[string]int{}}
 	defer func() {
 		if p := recover(); p != nil {
@@ -30,9 +30,9 @@
 	}()
 	newWorld(seedDice{rand.New(rand.NewPCG(seed, 5))}, true, nil, func(w *world) {
 		b.world = w
-		s := &Ledger{ // parts are small, so that messages come and go within a sweep
-			Settings: ledger.Settings{Instance: "d", Most: 3 + int(seed%8)}, Epoch: ledger.NewEpoch(seed, 1, ledger.WhyNew, ""),
-			Part: 1 + int(seed%3), Every: control.Millisecond,
+		s := &LedgerSettings{ // parts are small, so that messages come and go within a sweep
+			Settings: ledger.Settings{Instance: "d", MaxAccounts: 3 + int(seed%8)}, Epoch: ledger.NewEpoch(seed, 1, ledger.ReasonNoLedger, ""),
+			AuditPart: 1 + int(seed%3), AuditInterval: control.Millisecond,
 		}
 		if change != nil {
 			change(s)
@@ -50,20 +50,20 @@
 
 func (b *bookWorld) hear(f Effect) {
 	switch f := f.(type) {
-	case *Breached:
-		if f.Healed == 0 {
+	case *LedgerBreach:
+		if f.ResolvedAt == 0 {
 			b.breaches = append(b.breaches, f.Breach)
 		}
-	case *Shown:
+	case *LedgerSnapshot:
 		b.shown = f.Snapshot
 	}
 }
 
 // check compares a snapshot with what is live, and with the one before.
 func (b *bookWorld) check() {
-	b.handle(&AskLedger{})
+	b.handle(&RequestLedger{})
 	s := b.shown
-	live := map[ledger.Key]ledger.Figures{}
+	live := map[ledger.Key]ledger.Counts{}
 	for m := b.e.oldest; m != nil; m = m.behind {
 		if k := m.acct.Key(); m.phase == held {
 			f := live[k]
@@ -86,7 +86,7 @@
 	for _, l := range s.Accounts {
 		f := live[l.Key]
 		if !b.lost && !b.reordered && (f.Open != l.Open || f.Doubt.Open != l.Doubt.Open || f.Attempts.Out != l.Attempts.Out) {
-			b.fail("account %v: %d open, %d in doubt, %d out; the books have %+v", l.Key, f.Open, f.Doubt.Open, f.Attempts.Out, l.Figures)
+			b.fail("account %v: %d open, %d in doubt, %d out; the books have %+v", l.Key, f.Open, f.Doubt.Open, f.Attempts.Out, l.Counts)
 		}
 		delete(live, l.Key)
 		l.Each(func(name string, v ledger.Count, _ bool) {
@@ -109,8 +109,8 @@
 		b.fail("snapshot: %+v", bad)
 	}
 	if b.before != nil {
-		if d, err := ledger.Diff(b.before, s); err != nil || d.Anew || len(d.Back) > 0 {
-			b.fail("%v, %+v\n%+v\n%+v", err, d.Back, b.before, s)
+		if d, err := ledger.Diff(b.before, s); err != nil || d.EpochChanged || len(d.Decreases) > 0 {
+			b.fail("%v, %+v\n%+v\n%+v", err, d.Decreases, b.before, s)
 		}
 	}
 	if !s.Provisional && len(b.waiting) == 0 {
@@ -145,9 +145,9 @@
 	for name, tamper := range map[string]func(ledger.Posting) []ledger.Posting{
 		"left out":         func(ledger.Posting) []ledger.Posting { return nil },
 		"made twice":       func(p ledger.Posting) []ledger.Posting { return []ledger.Posting{p, p} },
-		"to another place": func(p ledger.Posting) []ledger.Posting { return []ledger.Posting{{Key: wrong, What: p.What}} },
+		"to another place": func(p ledger.Posting) []ledger.Posting { return []ledger.Posting{{Key: wrong, Entry: p.Entry}} },
 	} {
-		for _, entry := range []ledger.Entry{ledger.Taken, ledger.Served, ledger.Refused, ledger.Failed, ledger.Sent, ledger.Answered, ledger.Doubted, ledger.Unsure} {
+		for _, entry := range []ledger.Entry{ledger.Accepted, ledger.Delivered, ledger.Refused, ledger.Failed, ledger.AttemptSent, ledger.AttemptAnswered, ledger.DoubtOpened, ledger.DoubtUnresolved} {
 			t.Run(fmt.Sprint(entry, " ", name), func(t *testing.T) {
 				t.Parallel()
 				found := 0
@@ -178,15 +178,15 @@
 	}()
 	newWorld(seedDice{rand.New(rand.NewPCG(seed, 6))}, true, nil, func(v *world) {
 		w = v
-		w.set.Ledger = &Ledger{Epoch: ledger.NewEpoch(1, 1, "", ""), Settings: ledger.Settings{Post: func(p ledger.Posting) []ledger.Posting {
-			if p.What == entry && at == 0 && w.now.At > Epoch+control100ms {
+		w.set.Ledger = &LedgerSettings{Epoch: ledger.NewEpoch(1, 1, "", ""), Settings: ledger.Settings{InterceptPost: func(p ledger.Posting) []ledger.Posting {
+			if p.Entry == entry && at == 0 && w.now.At > Epoch+control100ms {
 				at = w.now.At
 				return tamper(p)
 			}
 			return []ledger.Posting{p}
 		}}}
 		w.also = func(f Effect) {
-			if _, ok := f.(*Breached); ok && at != 0 {
+			if _, ok := f.(*LedgerBreach); ok && at != 0 {
 				found = true
 			}
 		}
@@ -198,12 +198,12 @@
 			boots = w.tally["restart"]
 			continue
 		}
-		next, _ := w.e.Next() // as a driver does
+		next, _ := w.e.NextWake() // as a driver does
 		if next > at+control.Second && !found {
 			return fmt.Sprintf("not found a second later: %+v", w.e.books.Snapshot(0))
 		}
 		by := max(next-w.now.At, 1)
-		w.now.At, w.now.Wall = w.now.At+by, w.now.Wall+Stamp(by)
+		w.now.At, w.now.Wall = w.now.At+by, w.now.Wall+Timestamp(by)
 		w.handle(&Wake{})
 		w.flush()
 		if found {
@@ -222,16 +222,16 @@
 func TestACutWaitsForWhatItShows(t *testing.T) {
 	t.Parallel()
 	s := testSettings()
-	s.Stored, s.Ledger = true, &Ledger{Settings: ledger.Settings{Instance: "d"}, Epoch: ledger.NewEpoch(1, 1, "", "")}
+	s.HasStore, s.Ledger = true, &LedgerSettings{Settings: ledger.Settings{Instance: "d"}, Epoch: ledger.NewEpoch(1, 1, "", "")}
 	e, err := New(s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := Now{At: Epoch, Wall: testWall}
-	ask := func() *Shown {
+	ask := func() *LedgerSnapshot {
 		now.At++
-		for _, f := range e.Handle(now, &AskLedger{Ticket: 7}) {
-			if s, ok := f.(*Shown); ok && s.Ticket == 7 {
+		for _, f := range e.Handle(now, &RequestLedger{Ticket: 7}) {
+			if s, ok := f.(*LedgerSnapshot); ok && s.Ticket == 7 {
 				return s
 			}
 		}
@@ -242,16 +242,16 @@
 		t.Errorf("before the store has told what it has: %+v", f.Snapshot)
 	}
 	e.Handle(now, &RestoredLedger{})
-	e.Handle(now, &RestoredLast{})
+	e.Handle(now, &RestoreComplete{})
 	e.Handle(now, &Stored{Batch: e.last})
-	e.Handle(now, &Members{Source: "s", Whole: true, List: []Member{{ID: "e", Addr: "h:1", Dest: 1, Phase: Active}}})
+	e.Handle(now, &Members{Source: "s", FullList: true, List: []Member{{ID: "e", Addr: "h:1", Destination: 1, Phase: Active}}})
 	e.Handle(now, &Wake{})
 	m := messageOf("m0")
-	m.Dest, m.Class, m.Key = 1, "free", ""
-	e.Handle(now, &HandIn{Ticket: 1, Message: m, Expires: control.Second})
+	m.Destination, m.Class, m.Key = 1, "free", ""
+	e.Handle(now, &Submit{Ticket: 1, Message: m, ExpiresIn: control.Second})
 	taken := e.last
-	if f := ask(); f.Snapshot.Total.Taken != 0 || f.Needs() < taken || f.Snapshot.Provisional {
-		t.Errorf("on its way: %d taken, needs batch %d of %d", f.Snapshot.Total.Taken, f.Needs(), taken)
+	if f := ask(); f.Snapshot.Total.Accepted != 0 || f.RequiredBatch() < taken || f.Snapshot.Provisional {
+		t.Errorf("on its way: %d taken, needs batch %d of %d", f.Snapshot.Total.Accepted, f.RequiredBatch(), taken)
 	}
 	e.Handle(now, &Stored{Batch: e.last})
 	now.At += 10 * control.Millisecond
@@ -262,17 +262,17 @@
 		}
 	}
 	e.Handle(now, &Stored{Batch: e.last})
-	if f := ask(); f.Snapshot.Total.Taken != 1 || f.Snapshot.Total.Attempts.Out != 1 || f.Needs() != 0 {
-		t.Errorf("%+v needs %d", f.Snapshot.Total, f.Needs())
+	if f := ask(); f.Snapshot.Total.Accepted != 1 || f.Snapshot.Total.Attempts.Out != 1 || f.RequiredBatch() != 0 {
+		t.Errorf("%+v needs %d", f.Snapshot.Total, f.RequiredBatch())
 	}
 	before := e.last
 	e.Handle(now, &Ended{Call: out.ID, Outcomes: []Outcome{{Result: control.TimedOut}}}) // of which there is no record
-	if f := ask(); f.Snapshot.Total.Attempts.Silent != 1 || f.Needs() <= before {
-		t.Errorf("%+v needs %d, and %d was stored", f.Snapshot.Total, f.Needs(), before)
+	if f := ask(); f.Snapshot.Total.Attempts.Unanswered != 1 || f.RequiredBatch() <= before {
+		t.Errorf("%+v needs %d, and %d was stored", f.Snapshot.Total, f.RequiredBatch(), before)
 	}
 	now.At += control.Second // the store is silent
 	e.Handle(now, &Wake{})
-	if f := ask(); !f.Snapshot.Provisional || f.Needs() != 0 {
+	if f := ask(); !f.Snapshot.Provisional || f.RequiredBatch() != 0 {
 		t.Errorf("with a silent store: %+v", f)
 	}
 }
--- a/engine/call.go
+++ b/engine/call.go
@@ -81,7 +81,7 @@
 	}
 	var c *call
 	switch {
-	case !a.With:
+	case !a.SameCall:
 		if at := slices.IndexFunc(ep.begun, fits); at >= 0 {
 			c = ep.begun[at]
 		} else {
@@ -126,11 +126,11 @@
 		return
 	}
 	var b Batch
-	if e.set.Stored {
+	if e.set.HasStore {
 		r := &RecAttempts{At: e.stamp(e.now.At)}
 		for _, c := range list {
 			for _, it := range c.items {
-				r.List = append(r.List, AttemptOf{ID: it.message.ID, Zone: it.call.ep.zone})
+				r.List = append(r.List, RecAttempt{ID: it.message.ID, Zone: it.call.ep.zone})
 			}
 		}
 		b = e.record(r, nil)
@@ -150,13 +150,13 @@
 		c.id, c.batch, c.stored, c.left = e.lastCall, b, b == 0, len(c.items)
 		e.byCall[c.id] = c
 		c.ep.calls++
-		f := &Call{ID: c.id, Endpoint: c.ep.num, Name: c.ep.id, Addr: c.addr, Kind: c.ep.kind, needs: b}
+		f := &Call{ID: c.id, Endpoint: c.ep.num, EndpointID: c.ep.id, Addr: c.addr, Kind: c.ep.kind, needs: b}
 		if f.Items = f.one[:]; len(c.items) > 1 {
 			f.Items = make([]Item, len(c.items))
 		}
 		for i, it := range c.items {
 			e.bookSent(it)
-			f.Items[i] = Item{ID: it.message.ID, Key: it.message.Key, Body: it.message.Body, Due: it.due}
+			f.Items[i] = Item{ID: it.message.ID, Key: it.message.Key, Body: it.message.Body, Deadline: it.due}
 		}
 		e.effect(f)
 	}
@@ -170,7 +170,7 @@
 		for i, it := range c.items {
 			p.Items[i] = !e.stopped && !it.done && it.late == nil && !it.cancelled && it.message.phase == held &&
 				c.ep.addr == c.addr && c.ep.phase == Active && e.now.At >= c.ep.held && e.now.At < it.due &&
-				e.mod.May(e.now.At, it.message.num, it.attempt)
+				e.mod.MayWrite(e.now.At, it.message.num, it.attempt)
 		}
 	}
 	e.effect(p)
@@ -197,9 +197,9 @@
 		it := c.items[o.Item]
 		switch {
 		case it.done || it.late != nil:
-		case o.Open && c.left-c.late > 1:
+		case o.CallOpen && c.left-c.late > 1:
 			late := *o
-			late.Open = false
+			late.CallOpen = false
 			it.late = &late
 			c.late++
 		default:
@@ -234,16 +234,16 @@
 	case control.NeverRan(o.Result) && first && m.phase == held:
 		e.record(&RecNeverRan{ID: m.ID}, m)
 	}
-	if o.Result == control.OK || o.Over {
+	if o.Result == control.OK || o.Closed {
 		how := Delivered
-		if o.Over {
-			how = Over
+		if o.Closed {
+			how = Closed
 		}
 		e.bookDoubt(m, first)
 		e.end(m, how, 0)
 		closed = true
-	} else if e.bookDoubt(m, first); o.Never && m.phase == held {
-		m.why = o.Why
+	} else if e.bookDoubt(m, first); o.Permanent && m.phase == held {
+		m.why = o.Reason
 		e.end(m, Failed, 0)
 		closed = true
 	}
@@ -251,12 +251,12 @@
 	if at == 0 {
 		at = e.now.At
 	}
-	if o.Wait > 0 {
-		e.waitsAt(c.ep, c.addr, Time(o.Wait.Microseconds()))
+	if o.RetryAfter > 0 {
+		e.waitsAt(c.ep, c.addr, Time(o.RetryAfter.Microseconds()))
 	}
 	e.tell(control.Event{
 		Kind: control.Outcome, Message: m.num, Attempt: it.attempt, Endpoint: c.ep.num, Result: o.Result, Closed: closed,
-		Lag: max(at-c.sent, 0), Wait: Time(o.Wait.Microseconds()), Report: o.Report,
+		Latency: max(at-c.sent, 0), RetryAfter: Time(o.RetryAfter.Microseconds()), Report: o.LoadReport,
 	})
 }
 
--- a/engine/clock.go
+++ b/engine/clock.go
@@ -17,15 +17,15 @@
 func (c Clock) At(t time.Time) Time { return Epoch + Time(t.Sub(c.Start).Microseconds()) }
 
 // Time is the host's time at t.
-func (c Clock) Time(t Time) time.Time { return c.Start.Add(Span(t - Epoch)) }
+func (c Clock) Time(t Time) time.Time { return c.Start.Add(Duration(t - Epoch)) }
 
-// Span is a span of the engine's time as a duration.
-func Span(t Time) time.Duration { return time.Duration(t) * time.Microsecond }
+// Duration is a span of the engine's time as a duration.
+func Duration(t Time) time.Duration { return time.Duration(t) * time.Microsecond }
 
-// StampOf is wall time as records keep it, 0 for the zero time.
-func StampOf(t time.Time) Stamp {
+// TimestampOf is wall time as records keep it, 0 for the zero time.
+func TimestampOf(t time.Time) Timestamp {
 	if t.IsZero() {
 		return 0
 	}
-	return Stamp(t.UnixMicro())
+	return Timestamp(t.UnixMicro())
 }
--- a/engine/clock_test.go
+++ b/engine/clock_test.go
@@ -23,13 +23,13 @@
 			t.Errorf("%v after the start goes back to %v", d, got)
 		}
 	}
-	if got := Span(1500 * control.Millisecond); got != 1500*time.Millisecond {
+	if got := Duration(1500 * control.Millisecond); got != 1500*time.Millisecond {
 		t.Errorf("span %v", got)
 	}
-	if got := StampOf(time.Time{}); got != 0 {
+	if got := TimestampOf(time.Time{}); got != 0 {
 		t.Errorf("the zero time has stamp %d", got)
 	}
-	if got := StampOf(time.Unix(1, 5000)); got != 1_000_005 {
+	if got := TimestampOf(time.Unix(1, 5000)); got != 1_000_005 {
 		t.Errorf("stamp %d", got)
 	}
 }
--- a/engine/daemon_test.go
+++ b/engine/daemon_test.go
@@ -14,14 +14,14 @@
 func bench(t *testing.T) (*Engine, *Call) {
 	t.Helper()
 	set := testSettings()
-	set.Stored = false
+	set.HasStore = false
 	e, err := New(set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	at(e, 0, &Members{Source: "list", Whole: true, List: []Member{{ID: "e", Addr: "h:1", Dest: 1, Phase: Active}}})
+	at(e, 0, &Members{Source: "list", FullList: true, List: []Member{{ID: "e", Addr: "h:1", Destination: 1, Phase: Active}}})
 	for _, id := range []string{"a", "b"} {
-		at(e, 0, &HandIn{Message: Message{ID: id, Class: "unsafe", Dest: 1}, Expires: 10 * control.Second})
+		at(e, 0, &Submit{Message: Message{ID: id, Class: "unsafe", Destination: 1}, ExpiresIn: 10 * control.Second})
 	}
 	for _, f := range at(e, 5*control.Millisecond, &Wake{}) {
 		if c, ok := f.(*Call); ok && len(c.Items) == 2 {
@@ -35,7 +35,7 @@
 // at handles an event so long after the start of the test's engine.
 func at(e *Engine, after Time, ev Event) []Effect {
 	now := max(Epoch+after, e.now.At)
-	return slices.Clone(e.Handle(Now{At: now, Wall: testWall + Stamp(now-Epoch)}, ev))
+	return slices.Clone(e.Handle(Now{At: now, Wall: testWall + Timestamp(now-Epoch)}, ev))
 }
 
 func permit(e *Engine, c *Call) []bool {
@@ -51,7 +51,7 @@
 func TestAbsentFromAWholeListIsGone(t *testing.T) {
 	t.Parallel()
 	e, c := bench(t)
-	at(e, 0, &Members{Source: "list", Whole: true})
+	at(e, 0, &Members{Source: "list", FullList: true})
 	if e.Endpoints() != 0 || !slices.Equal(permit(e, c), []bool{false, false}) {
 		t.Error("an endpoint that a whole list leaves out is still used")
 	}
@@ -68,18 +68,18 @@
 	const tick = 5 * control.Millisecond
 	wait := func(e *Engine, dest int, span time.Duration) {
 		// Another message's call to the destination is answered with a wait.
-		at(e, tick, &Members{Source: "list", List: []Member{{ID: "f", Addr: "h:2", Dest: dest, Phase: Active}}})
-		at(e, tick, &HandIn{Message: Message{ID: "w", Class: "free", Dest: dest}, Expires: 10 * control.Second})
+		at(e, tick, &Members{Source: "list", List: []Member{{ID: "f", Addr: "h:2", Destination: dest, Phase: Active}}})
+		at(e, tick, &Submit{Message: Message{ID: "w", Class: "free", Destination: dest}, ExpiresIn: 10 * control.Second})
 		for _, f := range at(e, 2*tick, &Wake{}) {
 			if c, ok := f.(*Call); ok {
-				at(e, 2*tick, &Ended{Call: c.ID, Outcomes: []Outcome{{Result: control.Full, Wait: span}}})
+				at(e, 2*tick, &Ended{Call: c.ID, Outcomes: []Outcome{{Result: control.Refused, RetryAfter: span}}})
 			}
 		}
 		at(e, 3*tick, &Wake{})
-		at(e, 4*tick, &Through{}) // time goes on
+		at(e, 4*tick, &Notified{}) // time goes on
 	}
 	list := func(e *Engine, phase Phase) {
-		at(e, 0, &Members{Source: "list", Whole: phase == Gone, List: []Member{{ID: "e", Addr: "h:1", Dest: 1, Phase: phase}}})
+		at(e, 0, &Members{Source: "list", FullList: phase == Gone, List: []Member{{ID: "e", Addr: "h:1", Destination: 1, Phase: phase}}})
 	}
 	for name, c := range map[string]struct {
 		change func(*Engine, *Call)
@@ -88,11 +88,11 @@
 		"nothing":     {func(*Engine, *Call) {}, []bool{true, true}},
 		"one is over": {func(e *Engine, _ *Call) { at(e, 0, &Withdraw{ID: "a"}) }, []bool{false, true}},
 		"called off":  {func(e *Engine, _ *Call) { e.cancel(e.byName["b"].num, 0) }, []bool{true, false}},
-		"out of time": {func(e *Engine, _ *Call) { at(e, 11*control.Second, &Through{}) }, []bool{false, false}},
+		"out of time": {func(e *Engine, _ *Call) { at(e, 11*control.Second, &Notified{}) }, []bool{false, false}},
 		"draining":    {func(e *Engine, _ *Call) { list(e, Leaving) }, []bool{false, false}},
 		"gone":        {func(e *Engine, _ *Call) { list(e, Gone) }, []bool{false, false}},
 		"moved": {func(e *Engine, _ *Call) {
-			at(e, 0, &Members{Source: "list", List: []Member{{ID: "e", Addr: "h:9", Dest: 1, Phase: Active}}})
+			at(e, 0, &Members{Source: "list", List: []Member{{ID: "e", Addr: "h:9", Destination: 1, Phase: Active}}})
 		}, []bool{false, false}},
 		"stopping":    {func(e *Engine, _ *Call) { at(e, 0, &Stop{}) }, []bool{false, false}},
 		"a wait":      {func(e *Engine, _ *Call) { wait(e, 1, time.Hour) }, []bool{false, false}},
@@ -138,16 +138,16 @@
 	t.Parallel()
 	e, c := bench(t)
 	b := e.byName["b"]
-	at(e, 0, &Ended{Call: c.ID, Outcomes: []Outcome{{Item: 1, Result: control.Full, Wait: time.Second}}})
-	if ev := e.events[0]; ev.Result != control.Full || ev.Wait != control.Second || ev.Closed || ev.Message != b.num {
+	at(e, 0, &Ended{Call: c.ID, Outcomes: []Outcome{{Item: 1, Result: control.Refused, RetryAfter: time.Second}}})
+	if ev := e.events[0]; ev.Result != control.Refused || ev.RetryAfter != control.Second || ev.Closed || ev.Message != b.num {
 		t.Errorf("event %+v", ev)
 	}
-	if b.doubtful().set || !e.byName["a"].doubtful().set || e.Out() != 1 {
+	if b.doubtful().set || !e.byName["a"].doubtful().set || e.CallsOut() != 1 {
 		t.Error("the proof, or the other message's doubt, is not kept")
 	}
-	at(e, 0, &Ended{Call: c.ID, Outcomes: []Outcome{{Result: control.Moot, Over: true}}})
-	if ev := e.events[1]; !ev.Closed || e.byName["a"] != nil || e.Out() != 0 || e.Open() != 1 {
-		t.Errorf("over: event %+v, %d held", ev, e.Open())
+	at(e, 0, &Ended{Call: c.ID, Outcomes: []Outcome{{Result: control.Moot, Closed: true}}})
+	if ev := e.events[1]; !ev.Closed || e.byName["a"] != nil || e.CallsOut() != 0 || e.OpenMessages() != 1 {
+		t.Errorf("over: event %+v, %d held", ev, e.OpenMessages())
 	}
 }
 
@@ -158,8 +158,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at(e, 0, &Members{Source: "list", Whole: true, List: []Member{{ID: "e", Addr: "h:1", Dest: 1, Phase: Active}}})
-	at(e, 0, &HandIn{Message: Message{ID: "a", Class: "unsafe", Dest: 1}, Expires: 10 * control.Second})
+	at(e, 0, &Members{Source: "list", FullList: true, List: []Member{{ID: "e", Addr: "h:1", Destination: 1, Phase: Active}}})
+	at(e, 0, &Submit{Message: Message{ID: "a", Class: "unsafe", Destination: 1}, ExpiresIn: 10 * control.Second})
 	at(e, 0, &Stored{Batch: 1})
 	var call *Call
 	for _, f := range at(e, 5*control.Millisecond, &Wake{}) {
@@ -167,18 +167,18 @@
 			call = c
 		}
 	}
-	if call == nil || call.Needs() != 2 {
+	if call == nil || call.RequiredBatch() != 2 {
 		t.Fatalf("call %+v does not wait for its record", call)
 	}
 	at(e, 0, &StoreFailed{Batch: 2})
-	if len(e.events) != 2 || e.events[0].Kind != control.Pause || !e.events[0].On || e.events[1].Result != control.Unsent {
+	if len(e.events) != 2 || e.events[0].Kind != control.Pause || !e.events[0].Paused || e.events[1].Result != control.Unsent {
 		t.Errorf("events %+v", e.events)
 	}
-	if e.Out() != 0 || e.byName["a"].tries != 0 || slices.Contains(permit(e, call), true) {
+	if e.CallsOut() != 0 || e.byName["a"].tries != 0 || slices.Contains(permit(e, call), true) {
 		t.Error("the attempt counts, or may be written")
 	}
-	got := at(e, 0, &HandIn{Message: Message{ID: "c", Class: "unsafe", Dest: 1}, Expires: 10 * control.Second})
-	if v, ok := got[len(got)-1].(*Answer); !ok || v.Kind != Busy || v.Again == 0 {
+	got := at(e, 0, &Submit{Message: Message{ID: "c", Class: "unsafe", Destination: 1}, ExpiresIn: 10 * control.Second})
+	if v, ok := got[len(got)-1].(*Answer); !ok || v.Kind != Busy || v.RetryAfter == 0 {
 		t.Errorf("taken on without a journal: %+v", got)
 	}
 }
--- a/engine/effect.go
+++ b/engine/effect.go
@@ -10,8 +10,8 @@
 // Effect is something the engine wants done. Only the types of this package are effects. Those that need a batch must
 // not be carried out before it is in the store; if that batch fails they must never be.
 type Effect interface {
-	// Needs is the batch that must be in the store first, 0 for none.
-	Needs() Batch
+	// RequiredBatch is the batch that must be in the store first, 0 for none.
+	RequiredBatch() Batch
 }
 
 // Batch numbers what goes into the store together: 1, 2, 3 and so on. 0 is none.
@@ -23,22 +23,22 @@
 	Records []Record
 }
 
-// Void says that the effects which need this batch must never be carried out, whatever the store tells later.
-type Void struct{ Batch Batch }
+// Discard says that the effects which need this batch must never be carried out, whatever the store tells later.
+type Discard struct{ Batch Batch }
 
-// Answer answers a HandIn or a HandInAll.
+// Answer answers a Submit or a SubmitAll.
 type Answer struct {
 	Ticket Ticket
 	Verdict
 	needs Batch
 }
 
-// Verdict is what becomes of a HandIn or a HandInAll.
+// Verdict is what becomes of a Submit or a SubmitAll.
 type Verdict struct {
-	Kind  VerdictKind
-	Again time.Duration // Busy, Unnamed, and Taken whose end was Refused: come again after so long
-	Why   string        // of what is not Taken, for people
-	Ended How           // Taken: its message ended so before, and no Done follows; 0: one does
+	Kind        VerdictKind
+	RetryAfter  time.Duration // Busy, Unnamed, and Taken whose end was Refused: come again after so long
+	Reason      string        // of what is not Taken, for people
+	Disposition Disposition   // Taken: its message ended so before, and no Done follows; 0: one does
 }
 
 // VerdictKind is the kind of a Verdict.
@@ -46,25 +46,25 @@
 
 // Kinds of verdict.
 const (
-	Taken    VerdictKind = iota + 1 // its end is owed from now on, or was already; the message may be delivered by now
-	Busy                            // not taken; handing it in again is harmless
-	Unnamed                         // the same: no list names the destination yet
-	Conflict                        // not taken: its id is another message's
-	Spent                           // not taken: the id came before and ended, perhaps after taking effect
-	Unsure                          // the store is silent: nothing is promised, and only a restart could still send it
-	Invalid                         // not taken: a field is wrong, Why names it
+	Accepted           VerdictKind = iota + 1 // its end is owed from now on, or was already; the message may be delivered by now
+	Busy                                      // not taken; handing it in again is harmless
+	UnknownDestination                        // the same: no list names the destination yet
+	Conflict                                  // not taken: its id is another message's
+	AlreadyEnded                              // not taken: the id came before and ended, perhaps after taking effect
+	Unconfirmed                               // the store is silent: nothing is promised, and only a restart could still send it
+	Invalid                                   // not taken: a field is wrong, Why names it
 )
 
 // Call makes a call. Whoever makes it asks MayWrite after a dial, and tells each item's end once by Ended.
 type Call struct {
-	ID       CallID
-	Endpoint control.Endpoint
-	Name     string // the endpoint's id
-	Addr     string // host:port
-	Kind     int    // the endpoint's, as the settings number them, -1 if unknown
-	Items    []Item
-	needs    Batch
-	one      [1]Item // the room of Items where there is one
+	ID         CallID
+	Endpoint   control.Endpoint
+	EndpointID string // the endpoint's id
+	Addr       string // host:port
+	Kind       int    // the endpoint's, as the settings number them, -1 if unknown
+	Items      []Item
+	needs      Batch
+	one        [1]Item // the room of Items where there is one
 }
 
 // CallID names a call.
@@ -72,10 +72,10 @@
 
 // Item is one message of a call.
 type Item struct {
-	ID, Key string
-	Body    []byte
-	Due     Time // it is waited for no longer than this
-	Skip    bool // it must not be written any more, and has its outcome
+	ID, Key  string
+	Body     []byte
+	Deadline Time // it is waited for no longer than this
+	Skip     bool // it must not be written any more, and has its outcome
 }
 
 // Permit answers MayWrite: the items that may be written. The others end as Moot.
@@ -94,8 +94,8 @@
 	Addr     string
 }
 
-// Leave says that an endpoint has gone from an address: its connections close as their calls end.
-type Leave struct {
+// RemoveEndpoint says that an endpoint has gone from an address: its connections close as their calls end.
+type RemoveEndpoint struct {
 	Endpoint control.Endpoint
 	Addr     string
 }
@@ -103,33 +103,33 @@
 // Done is a message's end; each message that was taken has one. What is Refused or Failed is owed: whoever waits for it
 // is told, and then Through says so. A restart before that tells it again. The other ends need no Through.
 type Done struct {
-	ID    string
-	How   How
-	Doubt bool          // it may have taken effect
-	Again time.Duration // for Refused: come again after so long
-	Why   string        // for Failed by Outcome.Never: its Why, unless a restart came between
-	needs Batch
+	ID          string
+	Disposition Disposition
+	InDoubt     bool          // it may have taken effect
+	RetryAfter  time.Duration // for Refused: come again after so long
+	Reason      string        // for Failed by Outcome.Never: its Why, unless a restart came between
+	needs       Batch
 }
 
-// How is the way a message ended.
-type How uint8
+// Disposition is the way a message ended.
+type Disposition uint8
 
 // Ways to end.
 const (
-	Delivered How = iota + 1
-	Refused       // never ran, or may be repeated: handing it in again is harmless
-	Failed        // nothing is promised
-	Over          // the endpoint says that nothing more is owed
-	Withdrawn     // nobody wants it any more
+	Delivered Disposition = iota + 1
+	Refused               // never ran, or may be repeated: handing it in again is harmless
+	Failed                // nothing is promised
+	Closed                // the endpoint says that nothing more is owed
+	Withdrawn             // nobody wants it any more
 )
 
-// Breached says that figures of the books do not add up, or, where Healed is set, that they do again.
-type Breached struct{ ledger.Breach }
+// LedgerBreach says that figures of the books do not add up, or, where Healed is set, that they do again.
+type LedgerBreach struct{ ledger.Breach }
 
-// Shown answers AskLedger with one consistent cut, which is whoever asked's. It waits until the store has what it shows,
+// LedgerSnapshot answers RequestLedger with one consistent cut, which is whoever asked's. It waits until the store has what it shows,
 // so that no crash takes figures back that were seen, but where it is Provisional. Snapshot is nil where no books
 // are kept, or the store has not told yet what it has of them.
-type Shown struct {
+type LedgerSnapshot struct {
 	Ticket   Ticket
 	Snapshot *ledger.Snapshot
 	needs    Batch
@@ -145,15 +145,15 @@
 	Class   string `json:",omitempty"`
 }
 
-func (*Append) Needs() Batch    { return 0 }
-func (*Breached) Needs() Batch  { return 0 }
-func (s *Shown) Needs() Batch   { return s.needs }
-func (*Void) Needs() Batch      { return 0 }
-func (e *Answer) Needs() Batch  { return e.needs }
-func (e *Call) Needs() Batch    { return e.needs }
-func (*Permit) Needs() Batch    { return 0 }
-func (*Abort) Needs() Batch     { return 0 }
-func (*CloseIdle) Needs() Batch { return 0 }
-func (*Leave) Needs() Batch     { return 0 }
-func (e *Done) Needs() Batch    { return e.needs }
-func (*Note) Needs() Batch      { return 0 }
+func (*Append) RequiredBatch() Batch           { return 0 }
+func (*LedgerBreach) RequiredBatch() Batch     { return 0 }
+func (s *LedgerSnapshot) RequiredBatch() Batch { return s.needs }
+func (*Discard) RequiredBatch() Batch          { return 0 }
+func (e *Answer) RequiredBatch() Batch         { return e.needs }
+func (e *Call) RequiredBatch() Batch           { return e.needs }
+func (*Permit) RequiredBatch() Batch           { return 0 }
+func (*Abort) RequiredBatch() Batch            { return 0 }
+func (*CloseIdle) RequiredBatch() Batch        { return 0 }
+func (*RemoveEndpoint) RequiredBatch() Batch   { return 0 }
+func (e *Done) RequiredBatch() Batch           { return e.needs }
+func (*Note) RequiredBatch() Batch             { return 0 }
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -66,25 +66,25 @@
 	e.out = e.out[:0]
 	e.clock(now)
 	if e.books != nil {
-		e.books.At(int64(e.now.Wall))
+		e.books.SetWallTime(int64(e.now.Wall))
 	}
 	e.begin()
 	switch ev := ev.(type) {
-	case *HandIn:
+	case *Submit:
 		e.handIn(ev)
-	case *HandInAll:
+	case *SubmitAll:
 		e.handInAll(ev)
 	case *Withdraw:
 		e.withdraw(ev.ID)
 	case *RestoredLedger:
 		e.restoreLedger(ev)
-	case *Restored:
+	case *RestoredMessage:
 		e.restoring = append(e.restoring, ev)
 	case *RestoredEnd:
 		e.restoreEnd(ev)
-	case *RestoredLast:
+	case *RestoreComplete:
 		e.restoreBooks()
-		e.restore(ev.Written)
+		e.restore(ev.LatestTimestamp)
 	case *Members:
 		e.tellMembers(ev)
 	case *Stored:
@@ -92,16 +92,16 @@
 	case *StoreFailed:
 		e.failed(ev.Batch, ev.Full)
 	case *StoreLost:
-		e.lost(ev.Kept)
+		e.lost(ev.LastKept)
 	case *MayWrite:
 		e.mayWrite(ev.Call)
 	case *FirstLine:
 		e.firstLine(ev.Call)
 	case *Ended:
 		e.outcomes(ev)
-	case *Through:
+	case *Notified:
 		e.through(ev.IDs)
-	case *AskLedger:
+	case *RequestLedger:
 		e.ask(ev.Ticket)
 	case *Stop:
 		e.stopped = true
@@ -109,7 +109,7 @@
 			e.books.force = true
 		}
 	case *Fleet:
-		e.tell(control.Event{Kind: control.Fleet, Instances: ev.Instances})
+		e.tell(control.Event{Kind: control.FleetSize, Instances: ev.Instances})
 	case *Wake: // nothing else is done here, so that a batch that takes a message holds nothing else
 		e.overdue()
 		e.letOn()
@@ -125,8 +125,8 @@
 	return e.out
 }
 
-// Next tells when the engine wants to be woken, if nothing else comes.
-func (e *Engine) Next() (Time, bool) {
+// NextWake tells when the engine wants to be woken, if nothing else comes.
+func (e *Engine) NextWake() (Time, bool) {
 	at, ok := e.due()
 	if t, waits := e.patience(); waits && (!ok || t < at) {
 		at, ok = t, true
@@ -146,20 +146,20 @@
 	return at, true
 }
 
-// Open is how many messages are held: taken, or about to be, and without an end.
-func (e *Engine) Open() int { return e.open }
+// OpenMessages is how many messages are held: taken, or about to be, and without an end.
+func (e *Engine) OpenMessages() int { return e.open }
 
 // Condition tells how a destination does, and the calls a second that are listed for it as this dispatcher's part, 0 if
 // none are. It changes nothing.
 func (e *Engine) Condition(dest int) (control.Condition, float64) {
 	if e.down || e.stopped || !e.isNamed(dest) {
-		return control.Unserved, 0
+		return control.Unavailable, 0
 	}
 	return e.mod.Condition(e.now.At, dest)
 }
 
-// Out is how many calls are out.
-func (e *Engine) Out() int { return len(e.byCall) }
+// CallsOut is how many calls are out.
+func (e *Engine) CallsOut() int { return len(e.byCall) }
 
 // Endpoints is how many endpoints are known and not gone.
 func (e *Engine) Endpoints() (n int) {
@@ -215,15 +215,15 @@
 			e.tellAnyway(t.message)
 			continue
 		}
-		e.events = append(e.events, control.Event{Kind: control.Tick, Mark: t.mark})
+		e.events = append(e.events, control.Event{Kind: control.Tick, TimerID: t.mark})
 	}
 	for i := range e.events {
 		if ev := &e.events[i]; ev.Kind == control.Arrival { // its spans end now, after the wait for this Step
-			ev.Grace = 0
+			ev.TimeLeft = 0
 			if m := e.byNum[ev.Message]; m != nil {
-				ev.Grace = m.deadline - e.now.At
+				ev.TimeLeft = m.deadline - e.now.At
 				if m.maybe.set {
-					ev.Doubt, ev.DoubtZone = max(e.now.At-m.maybe.at, 1), m.maybe.zone
+					ev.DoubtAge, ev.DoubtZone = max(e.now.At-m.maybe.at, 1), m.maybe.zone
 				}
 			}
 		}
@@ -242,12 +242,12 @@
 				if a.Kind == control.Refuse {
 					how = Refused
 				}
-				e.end(m, how, Span(a.After))
+				e.end(m, how, Duration(a.After))
 			}
 		case control.Cancel:
 			e.cancel(a.Message, a.Attempt)
 		case control.Timer:
-			e.timers.push(timer{at: e.now.At + a.After, mark: a.Mark}, e.byNum[a.Message])
+			e.timers.push(timer{at: e.now.At + a.After, mark: a.TimerID}, e.byNum[a.Message])
 		case control.Close:
 			if ep := e.byNumber[a.Endpoint]; ep != nil {
 				e.effect(&CloseIdle{Endpoint: ep.num, Addr: ep.addr})
--- a/engine/event.go
+++ b/engine/event.go
@@ -11,13 +11,13 @@
 // each process.
 type Time = control.Time
 
-// Stamp is wall time as records keep it: microseconds since 1970 (Unix), 0 for none.
-type Stamp int64
+// Timestamp is wall time as records keep it: microseconds since 1970 (Unix), 0 for none.
+type Timestamp int64
 
 // Now is the moment at which an event is handled. At never goes back.
 type Now struct {
 	At   Time
-	Wall Stamp
+	Wall Timestamp
 }
 
 // Event is something the engine is told. Only the types of this package are events.
@@ -26,35 +26,35 @@
 // Ticket names one hand-in until it is answered. Whoever hands in chooses it; the engine only gives it back.
 type Ticket uint64
 
-// HandIn is a message that someone wants delivered. It is answered by one Answer with its Ticket.
-type HandIn struct {
-	Ticket  Ticket
-	Message Message
-	Expires Time // how long it may still be delivered, from now on; the class's hard limit bounds it
-	Once    bool // nobody else can hand its id in: without a store it need not be remembered once the message ended
+// Submit is a message that someone wants delivered. It is answered by one Answer with its Ticket.
+type Submit struct {
+	Ticket    Ticket
+	Message   Message
+	ExpiresIn Time // how long it may still be delivered, from now on; the class's hard limit bounds it
+	UniqueID  bool // nobody else can hand its id in: without a store it need not be remembered once the message ended
 
 	// Of a message that is sent again from the store of undelivered ones (Settings.Kept):
-	Resent    bool // it gives way to others, and Kept is not asked about it
-	DoubtAge  Time // how long ago the first attempt at an earlier life was sent that may have run, 0: none was
-	DoubtZone int
-	From      *ledger.Key // the account in which that message ended, where it is counted
+	Resent     bool // it gives way to others, and Kept is not asked about it
+	DoubtAge   Time // how long ago the first attempt at an earlier life was sent that may have run, 0: none was
+	DoubtZone  int
+	ResentFrom *ledger.Key // the account in which that message ended, where it is counted
 }
 
-// HandInAll is several messages that are taken all or none, in one batch of the store. It is answered by one Answer with
+// SubmitAll is several messages that are taken all or none, in one batch of the store. It is answered by one Answer with
 // its Ticket: Taken, or what speaks against the first that can't be taken, those ahead that never could.
-type HandInAll struct {
-	Ticket Ticket
-	List   []HandIn // their own tickets do not count
+type SubmitAll struct {
+	Ticket      Ticket
+	Submissions []Submit // their own tickets do not count
 }
 
 // Message is what a message brings along. The engine never changes it and keeps Body as it is, without a copy.
 type Message struct {
-	ID     string
-	Class  string
-	Tenant string
-	Dest   int
-	Key    string // idempotency key, or what a class in order goes by
-	Body   []byte
+	ID          string
+	Class       string
+	Tenant      string
+	Destination int
+	Key         string // idempotency key, or what a class in order goes by
+	Body        []byte
 }
 
 // Withdraw says that nobody wants the message any more. Its Done says Withdrawn, and its call is aborted; it may have
@@ -63,66 +63,66 @@
 
 // RestoredLedger is what the store had of the books (Settings.Ledger) at the start. It comes ahead of all Restored.
 type RestoredLedger struct {
-	Leaves []ledger.Leaf
-	Anew   string // why figures may be lost (ledger.WhyDamage, ...): an epoch begins anew; "": the one that the store has goes on
+	Leaves      []ledger.Leaf
+	ResetReason string // why figures may be lost (ledger.WhyDamage, ...): an epoch begins anew; "": the one that the store has goes on
 }
 
-// AskLedger asks for a snapshot of the books. It is answered by one Shown, unless a batch fails that it waits for.
-type AskLedger struct{ Ticket Ticket }
+// RequestLedger asks for a snapshot of the books. It is answered by one Shown, unless a batch fails that it waits for.
+type RequestLedger struct{ Ticket Ticket }
 
-// Restored is a message that the store had at the start, with what it has behind it. They come in the order in which
-// they were taken, before any HandIn.
-type Restored struct {
+// RestoredMessage is a message that the store had at the start, with what it has behind it. They come in the order in which
+// they were taken, before any Submit.
+type RestoredMessage struct {
 	Message   Message
-	Deadline  Stamp
+	Deadline  Timestamp
 	Tries     int
-	DoubtAt   Stamp // send of the first attempt that may have run, 0 if there is none
+	DoubtAt   Timestamp // send of the first attempt that may have run, 0 if there is none
 	DoubtZone int
-	Owed      *Owed // its end was decided, and whoever waits for it may not know yet; Message.Body need not be known
+	Pending   *PendingResult // its end was decided, and whoever waits for it may not know yet; Message.Body need not be known
 
 	acct *ledger.Account // the engine's
 }
 
-// Owed is an end that is still to be told.
-type Owed struct {
-	How   How
-	Again time.Duration // for Refused: come again after so long
-	Print uint64        // Message.Print, as the body is kept no longer
+// PendingResult is an end that is still to be told.
+type PendingResult struct {
+	Disposition Disposition
+	RetryAfter  time.Duration // for Refused: come again after so long
+	Fingerprint uint64        // Message.Print, as the body is kept no longer
 }
 
 // RestoredEnd is a message that had ended: its id still counts.
 type RestoredEnd struct {
-	ID    string
-	How   How
-	Until Stamp
-	Print uint64 // Message.Print
+	ID          string
+	Disposition Disposition
+	Until       Timestamp
+	Fingerprint uint64 // Message.Print
 }
 
-// RestoredLast is the last of the restored: Written is the latest wall time that any record bears. Where the clock shows
-// less, the ages of attempts can't be told, and messages in doubt count as out of their key's window; a RecShift then
+// RestoreComplete is the last of the restored: Written is the latest wall time that any record bears. Where the clock shows
+// less, the ages of attempts can't be told, and messages in doubt count as out of their key's window; a RecClockStep then
 // brings the records' stamps down to the clock.
-type RestoredLast struct{ Written Stamp }
+type RestoreComplete struct{ LatestTimestamp Timestamp }
 
 // Members is what one source tells of endpoints. A source tells a whole list or changes to its last one. An endpoint is
 // only as usable as the worst that the sources say which ever told of it (gone, leaving, active): a whole list without
 // an endpoint of its earlier ones says that it is gone. A source that never told of an endpoint says nothing of it.
 type Members struct {
-	Source string
-	Whole  bool
-	Cached bool // with Whole: from before this process began, so perhaps old
-	Failed bool // the source can't be asked; what it told stays, and List is empty
-	List   []Member
+	Source   string
+	FullList bool
+	Cached   bool // with Whole: from before this process began, so perhaps old
+	Failed   bool // the source can't be asked; what it told stays, and List is empty
+	List     []Member
 }
 
 // Member is one endpoint as a source tells of it.
 type Member struct {
-	ID     string
-	Addr   string // host:port
-	Dest   int    // an id that comes with another one is another endpoint
-	Zone   int    // as the settings number them, -1 if unknown
-	Kind   int    // the same
-	Phase  Phase
-	Weight float64 // calls a second that the destination takes, 0 if not told
+	ID          string
+	Addr        string // host:port
+	Destination int    // an id that comes with another one is another endpoint
+	Zone        int    // as the settings number them, -1 if unknown
+	Kind        int    // the same
+	Phase       Phase
+	Weight      float64 // calls a second that the destination takes, 0 if not told
 }
 
 // Phase is what a source says of an endpoint.
@@ -135,7 +135,7 @@
 	Active
 )
 
-// Stored says that all batches up to this one are in the store, but for those that failed before. Lower numbers than
+// HasStore says that all batches up to this one are in the store, but for those that failed before. Lower numbers than
 // were told before change nothing.
 type Stored struct{ Batch Batch }
 
@@ -146,7 +146,7 @@
 }
 
 // StoreLost says that the store has lost batches that it told as stored, down to Kept, the last it still has.
-type StoreLost struct{ Kept Batch }
+type StoreLost struct{ LastKept Batch }
 
 // MayWrite asks, just before the first byte of a call is written, which of its items may still be. It is answered by one
 // Permit.
@@ -155,7 +155,7 @@
 // FirstLine says that the answer to a call with one item has begun, and that it is delivered.
 type FirstLine struct{ Call CallID }
 
-// Ended tells outcomes of items of a call. Each item has one.
+// Disposition tells outcomes of items of a call. Each item has one.
 type Ended struct {
 	Call     CallID
 	Outcomes []Outcome
@@ -163,19 +163,19 @@
 
 // Outcome is how the attempt at one item of a call ended.
 type Outcome struct {
-	Item   int // its place in the call
-	Result control.Result
-	Over   bool          // the endpoint says that the message is over
-	Never  bool          // with a result that never ran: no try can go better, so the message fails now
-	Why    string        // of Never, for people
-	Wait   time.Duration // told wait, 0 for none
-	Open   bool          // timed out, and the call goes on for its other items
-	At     Time          // when it was known, if earlier than it is told, else 0
-	Report []float32     // what the endpoint told of its load
+	Item       int // its place in the call
+	Result     control.Result
+	Closed     bool          // the endpoint says that the message is over
+	Permanent  bool          // with a result that never ran: no try can go better, so the message fails now
+	Reason     string        // of Never, for people
+	RetryAfter time.Duration // told wait, 0 for none
+	CallOpen   bool          // timed out, and the call goes on for its other items
+	At         Time          // when it was known, if earlier than it is told, else 0
+	LoadReport []float32     // what the endpoint told of its load
 }
 
-// Through says that the ends of these messages have been told (Done) to whoever waits for them.
-type Through struct{ IDs []string }
+// Notified says that the ends of these messages have been told (Done) to whoever waits for them.
+type Notified struct{ IDs []string }
 
 // Fleet says how many dispatchers there are from now on, this one counted; it is at least 1.
 type Fleet struct{ Instances int }
@@ -186,22 +186,22 @@
 // Wake comes when Next said, or later.
 type Wake struct{}
 
-func (*HandIn) event()         {}
-func (*HandInAll) event()      {}
-func (*Withdraw) event()       {}
-func (*RestoredLedger) event() {}
-func (*AskLedger) event()      {}
-func (*Restored) event()       {}
-func (*RestoredEnd) event()    {}
-func (*RestoredLast) event()   {}
-func (*Members) event()        {}
-func (*Stored) event()         {}
-func (*StoreFailed) event()    {}
-func (*StoreLost) event()      {}
-func (*MayWrite) event()       {}
-func (*FirstLine) event()      {}
-func (*Ended) event()          {}
-func (*Through) event()        {}
-func (*Stop) event()           {}
-func (*Fleet) event()          {}
-func (*Wake) event()           {}
+func (*Submit) event()          {}
+func (*SubmitAll) event()       {}
+func (*Withdraw) event()        {}
+func (*RestoredLedger) event()  {}
+func (*RequestLedger) event()   {}
+func (*RestoredMessage) event() {}
+func (*RestoredEnd) event()     {}
+func (*RestoreComplete) event() {}
+func (*Members) event()         {}
+func (*Stored) event()          {}
+func (*StoreFailed) event()     {}
+func (*StoreLost) event()       {}
+func (*MayWrite) event()        {}
+func (*FirstLine) event()       {}
+func (*Ended) event()           {}
+func (*Notified) event()        {}
+func (*Stop) event()            {}
+func (*Fleet) event()           {}
+func (*Wake) event()            {}
--- a/engine/gate.go
+++ b/engine/gate.go
@@ -10,10 +10,10 @@
 // Pass returns those of the effects that may be carried out now, in order, behind into; the others are kept.
 func (g *Gate) Pass(into, effects []Effect) []Effect {
 	for _, f := range effects {
-		switch v, ok := f.(*Void); {
+		switch v, ok := f.(*Discard); {
 		case ok:
 			g.Failed(v.Batch)
-		case f.Needs() <= g.stored:
+		case f.RequiredBatch() <= g.stored:
 			into = append(into, f)
 		default:
 			g.held = append(g.held, f)
@@ -22,11 +22,11 @@
 	return into
 }
 
-// Stored returns, behind into, what waited for the batches up to this one.
+// HasStore returns, behind into, what waited for the batches up to this one.
 func (g *Gate) Stored(into []Effect, b Batch) []Effect {
 	g.stored = max(g.stored, b)
 	n := 0
-	for n < len(g.held) && g.held[n].Needs() <= b {
+	for n < len(g.held) && g.held[n].RequiredBatch() <= b {
 		n++
 	}
 	into = append(into, g.held[:n]...)
@@ -40,7 +40,7 @@
 func (g *Gate) Failed(b Batch) {
 	kept := g.held[:0]
 	for _, f := range g.held {
-		if f.Needs() != b {
+		if f.RequiredBatch() != b {
 			kept = append(kept, f)
 		}
 	}
--- a/engine/gate_test.go
+++ b/engine/gate_test.go
@@ -29,7 +29,7 @@
 	expect("what is stored already", g.Pass(nil, []Effect{answer(7, 1)}), 7)
 	g.Failed(2)
 	expect("stored 3", g.Stored([]Effect{answer(0, 0)}, 3), 0)
-	expect("void", g.Pass(nil, []Effect{&Void{Batch: 4}}))
+	expect("void", g.Pass(nil, []Effect{&Discard{Batch: 4}}))
 	expect("stored 9", g.Stored(nil, 9))
 	expect("a lower number", g.Stored(nil, 1))
 	expect("below the highest", g.Pass(nil, []Effect{answer(8, 9), answer(9, 10)}), 8)
--- a/engine/givenup_test.go
+++ b/engine/givenup_test.go
@@ -12,7 +12,7 @@
 	e     *Engine
 	now   Now
 	taken []Record
-	given *GivenUp
+	given *Undelivered
 	calls []*Call
 	said  Verdict
 	asked int
@@ -21,16 +21,16 @@
 func newKept(t *testing.T, no VerdictKind) *kept {
 	k := &kept{t: t, now: Now{At: Epoch, Wall: testWall}}
 	set := testSettings()
-	set.Kept = func(m *Message) (VerdictKind, string) {
+	set.CheckUndelivered = func(m *Message) (VerdictKind, string) {
 		k.asked++
-		return max(no, Taken), "kept as number 7"
+		return max(no, Accepted), "kept as number 7"
 	}
 	e, err := New(set)
 	if err != nil {
 		t.Fatal(err)
 	}
 	k.e = e
-	k.do(&Members{Source: "list", Whole: true, List: []Member{{ID: "a", Addr: "host-a", Dest: 1, Phase: Active}}})
+	k.do(&Members{Source: "list", FullList: true, List: []Member{{ID: "a", Addr: "host-a", Destination: 1, Phase: Active}}})
 	return k
 }
 
@@ -43,8 +43,8 @@
 			batches = append(batches, f.Batch)
 			for _, r := range f.Records {
 				k.taken = append(k.taken, r)
-				if o, ok := r.(*RecOwed); ok {
-					k.given = o.GivenUp
+				if o, ok := r.(*RecPendingResult); ok {
+					k.given = o.Undelivered
 				}
 			}
 		case *Call:
@@ -62,13 +62,13 @@
 func (k *kept) pass(d Time) {
 	for end := k.now.At + d; k.now.At < end; {
 		k.now.At += 5 * control.Millisecond
-		k.now.Wall += Stamp(5 * control.Millisecond)
+		k.now.Wall += Timestamp(5 * control.Millisecond)
 		k.do(&Wake{})
 	}
 }
 
-func (k *kept) hand(class, id string, with HandIn) {
-	with.Ticket, with.Message, with.Expires = 1, Message{ID: id, Class: class, Dest: 1, Key: "k", Body: []byte("body")}, 5*control.Second
+func (k *kept) hand(class, id string, with Submit) {
+	with.Ticket, with.Message, with.ExpiresIn = 1, Message{ID: id, Class: class, Destination: 1, Key: "k", Body: []byte("body")}, 5*control.Second
 	k.do(&with)
 	k.pass(10 * control.Millisecond)
 }
@@ -89,13 +89,13 @@
 		quiet Time // after it was given up
 	}{
 		"in doubt":       {func(k *kept) { end(k, control.Reset, Outcome{}) }, CauseDoubt, true, 1, 0},
-		"its call hangs": {func(k *kept) { k.pass(6 * control.Second) }, CauseTime, true, 1, 20 * control.Millisecond},
+		"its call hangs": {func(k *kept) { k.pass(6 * control.Second) }, CauseDeadline, true, 1, 20 * control.Millisecond},
 		"no try can go better": {func(k *kept) {
-			end(k, control.Full, Outcome{Never: true, Why: "no such user"})
-		}, CauseNever, false, 1, 0},
+			end(k, control.Refused, Outcome{Permanent: true, Reason: "no such user"})
+		}, CausePermanent, false, 1, 0},
 	} {
 		k := newKept(t, 0)
-		k.hand("unsafe", "m", HandIn{})
+		k.hand("unsafe", "m", Submit{})
 		if len(k.calls) != 1 {
 			t.Fatalf("%s: %d calls", name, len(k.calls))
 		}
@@ -109,10 +109,10 @@
 		if a := g.Attempts[0]; a.Endpoint != "a" || a.Addr != "host-a" || a.Sent > sent || (a.End == 0) != (c.quiet > 0) {
 			t.Errorf("%s: attempt %+v", name, a)
 		}
-		if g.Quiet < g.At || g.Quiet > g.At+c.quiet || c.quiet > 0 && g.Quiet != Epoch+5*control.Second {
-			t.Errorf("%s: given up at %d, quiet from %d on", name, g.At-Epoch, g.Quiet-Epoch)
+		if g.CallsOverAt < g.At || g.CallsOverAt > g.At+c.quiet || c.quiet > 0 && g.CallsOverAt != Epoch+5*control.Second {
+			t.Errorf("%s: given up at %d, quiet from %d on", name, g.At-Epoch, g.CallsOverAt-Epoch)
 		}
-		if m := k.e.byName["m"]; m == nil || m.tale.given == nil || m.tale.given.Message.Body != nil || !m.tale.given.Again {
+		if m := k.e.byName["m"]; m == nil || m.tale.given == nil || m.tale.given.Message.Body != nil || !m.tale.given.Rewritten {
 			t.Errorf("%s: what it tells a second time is not as it should be", name)
 		}
 	}
@@ -125,13 +125,13 @@
 		age   Time
 		calls int
 	}{{control.Second, 1}, {4*control.Second + 990*control.Millisecond, 0}, {6 * control.Second, 0}} {
-		k := newKept(t, Spent)
-		k.hand("keyed", "m", HandIn{Resent: true, DoubtAge: c.age, DoubtZone: 1})
-		if k.said.Kind != Taken || k.asked != 0 || len(k.calls) != c.calls {
+		k := newKept(t, AlreadyEnded)
+		k.hand("keyed", "m", Submit{Resent: true, DoubtAge: c.age, DoubtZone: 1})
+		if k.said.Kind != Accepted || k.asked != 0 || len(k.calls) != c.calls {
 			t.Errorf("doubt of %d ms: %+v, asked %d times, %d calls", c.age/control.Millisecond, k.said, k.asked, len(k.calls))
 		}
 		state := replay(k.taken)
-		if c.calls > 0 && (len(state.live) != 1 || state.live[0].DoubtAt == 0 || state.live[0].DoubtAt > Stamp(testWall)) {
+		if c.calls > 0 && (len(state.live) != 1 || state.live[0].DoubtAt == 0 || state.live[0].DoubtAt > Timestamp(testWall)) {
 			t.Errorf("the store has %+v", state.live)
 		}
 		if c.calls == 0 && (k.given == nil || k.given.DoubtAt == 0) {
@@ -142,9 +142,9 @@
 
 func TestWhatIsKeptSpeaksAgainstAHandIn(t *testing.T) {
 	t.Parallel()
-	k := newKept(t, Spent)
-	k.hand("unsafe", "m", HandIn{})
-	if k.said.Kind != Spent || k.said.Why != "kept as number 7" || len(k.calls) > 0 || k.asked != 1 {
+	k := newKept(t, AlreadyEnded)
+	k.hand("unsafe", "m", Submit{})
+	if k.said.Kind != AlreadyEnded || k.said.Reason != "kept as number 7" || len(k.calls) > 0 || k.asked != 1 {
 		t.Errorf("%+v, %d calls, asked %d times", k.said, len(k.calls), k.asked)
 	}
 }
--- a/engine/ids.go
+++ b/engine/ids.go
@@ -10,7 +10,7 @@
 // ended is what is left of a message.
 type ended struct {
 	id       string
-	how      How
+	how      Disposition
 	print    uint64
 	due      Time  // the message's time was up then
 	until    Time  // forgotten then
@@ -23,7 +23,7 @@
 }
 
 func (p *ended) record(e *Engine) *RecEnded {
-	r := &RecEnded{ID: p.id, How: p.how, Print: p.print}
+	r := &RecEnded{ID: p.id, Disposition: p.how, Fingerprint: p.print}
 	if !p.harmless { // only those must never be taken a second time, restart or not
 		r.Until = e.stamp(p.until)
 	}
@@ -86,7 +86,7 @@
 			}
 			p := (*h)[0]
 			if p.done != nil && p.dirty { // it could not be recorded, but whoever waits has waited long enough
-				e.effect(&Done{ID: p.done.ID, How: p.done.How, Doubt: p.done.Doubt})
+				e.effect(&Done{ID: p.done.ID, Disposition: p.done.Disposition, InDoubt: p.done.InDoubt})
 				p.done = nil
 			}
 			if e.forgettable(p) {
@@ -123,7 +123,7 @@
 	}
 	// Also where its time seems to be up: the clock may have been set forward meanwhile.
 	left := max(min(Time(r.Until-e.now.Wall), e.longest()), e.set.Remember)
-	p := &ended{id: r.ID, how: r.How, print: r.Print, due: e.now.At + left - e.set.Remember, until: e.now.At + left}
+	p := &ended{id: r.ID, how: r.Disposition, print: r.Fingerprint, due: e.now.At + left - e.set.Remember, until: e.now.At + left}
 	p.last = restored
 	e.ended.add(p)
 }
--- a/engine/instant_test.go
+++ b/engine/instant_test.go
@@ -78,7 +78,7 @@
 	b := r.waiting[len(r.waiting)-1].Batch
 	for _, a := range r.waiting {
 		for _, rec := range a.Records {
-			if _, ok := rec.(*RecTaken); ok {
+			if _, ok := rec.(*RecAccepted); ok {
 				r.taken++
 			}
 		}
@@ -108,10 +108,10 @@
 		t.Fatal(err)
 	}
 	r := &oneInstant{t: t, e: e, now: Now{At: Epoch, Wall: testWall}, answers: map[Ticket]int{}}
-	pass := func(by Time) { r.now.At, r.now.Wall = r.now.At+by, r.now.Wall+Stamp(by) }
-	m := Message{ID: "m", Class: class, Dest: 1, Key: "k", Body: []byte("body")}
-	r.handle(&Members{Source: "s", Whole: true, List: []Member{{ID: "a", Addr: "h", Dest: 1, Phase: Active}}})
-	r.handle(&HandIn{Ticket: 1, Message: m, Expires: control.Second})
+	pass := func(by Time) { r.now.At, r.now.Wall = r.now.At+by, r.now.Wall+Timestamp(by) }
+	m := Message{ID: "m", Class: class, Destination: 1, Key: "k", Body: []byte("body")}
+	r.handle(&Members{Source: "s", FullList: true, List: []Member{{ID: "a", Addr: "h", Destination: 1, Phase: Active}}})
+	r.handle(&Submit{Ticket: 1, Message: m, ExpiresIn: control.Second})
 	r.write()
 	pass(5 * control.Millisecond)
 	r.handle(&Wake{})
@@ -134,7 +134,7 @@
 		},
 		func() { r.handle(&Withdraw{ID: "m"}) },
 		func() { r.handle(&Wake{}) },
-		func() { r.handle(&HandIn{Ticket: 2, Message: m, Expires: control.Second}) },
+		func() { r.handle(&Submit{Ticket: 2, Message: m, ExpiresIn: control.Second}) },
 		func() { r.write() },
 	}
 	for _, i := range order {
@@ -148,7 +148,7 @@
 			r.handle(&Ended{Call: r.calls[1], Outcomes: []Outcome{{Result: control.Errored}}})
 			r.calls = append(r.calls[:1], r.calls[2:]...)
 		}
-		r.handle(&Through{IDs: []string{"m"}})
+		r.handle(&Notified{IDs: []string{"m"}})
 		r.write()
 		pass(2 * control.Second)
 		r.handle(&Wake{})
@@ -160,7 +160,7 @@
 	if r.told != r.taken || r.taken > 2 || r.taken == 2 && class == "unsafe" && result == control.Reset {
 		t.Fatalf("order %v: %d lives, %d ends told\n%s", order, r.taken, r.told, r.trace)
 	}
-	if left := replay(r.disk).live; len(left) > 0 || r.e.Open() != 0 || r.e.Out() != 0 || r.e.owing != 0 {
-		t.Fatalf("order %v: the store holds %d, the engine %d, %d calls, %d owed\n%s", order, len(left), r.e.Open(), r.e.Out(), r.e.owing, r.trace)
+	if left := replay(r.disk).live; len(left) > 0 || r.e.OpenMessages() != 0 || r.e.CallsOut() != 0 || r.e.owing != 0 {
+		t.Fatalf("order %v: the store holds %d, the engine %d, %d calls, %d owed\n%s", order, len(left), r.e.OpenMessages(), r.e.CallsOut(), r.e.owing, r.trace)
 	}
 }
--- a/engine/member.go
+++ b/engine/member.go
@@ -98,7 +98,7 @@
 		e.tell(control.Event{Kind: control.List, ListKind: control.ListFailed})
 		return
 	}
-	if l.Whole { // it says all that its source told before
+	if l.FullList { // it says all that its source told before
 		e.listings = slices.DeleteFunc(e.listings, func(o *listing) bool {
 			old := o.no == 0 && o.Source == l.Source
 			if old {
@@ -143,7 +143,7 @@
 	if l.no == 0 {
 		e.listNo++
 		l.no = e.listNo
-		l.short = l.Whole && len(l.List)+len(e.all) <= most
+		l.short = l.FullList && len(l.List)+len(e.all) <= most
 	}
 	var changed []*endpoint
 	touch := func(ep *endpoint) {
@@ -158,7 +158,7 @@
 	most -= len(part)
 	for i := range part {
 		n := &part[i]
-		if old := e.byID[n.ID]; old != nil && old.dest != n.Dest && n.Phase != Gone {
+		if old := e.byID[n.ID]; old != nil && old.dest != n.Destination && n.Phase != Gone {
 			// The id is another endpoint's now. What is out to the old one goes on; nothing new goes there.
 			old.moved = true
 			delete(e.byID, old.id)
@@ -170,7 +170,7 @@
 		}
 	}
 	done = l.at == len(l.List)
-	for done && l.Whole && l.behind < len(e.all) { // those that only other sources tell of, and those left out
+	for done && l.FullList && l.behind < len(e.all) { // those that only other sources tell of, and those left out
 		if most <= 0 {
 			done = false
 			break
@@ -202,7 +202,7 @@
 	for _, ep := range changed {
 		n := ep.entry()
 		switch {
-		case !l.Whole:
+		case !l.FullList:
 		case n.Health == control.Gone && l.short:
 			ep.entered = n
 			continue // it is left out
@@ -226,7 +226,7 @@
 // news are the destinations of which a whole list says something new. The last entry of a destination counts for its kind
 // and its share: where that is another one now, it is told anew as well.
 func (e *Engine) news(l *listing, changed []*endpoint) map[int]bool {
-	if !l.Whole || l.short {
+	if !l.FullList || l.short {
 		return nil
 	}
 	news := map[int]bool{}
@@ -244,7 +244,7 @@
 // entry is what the module is told of an endpoint.
 func (ep *endpoint) entry() control.Entry {
 	n := control.Entry{
-		Endpoint: ep.num, Dest: ep.dest, Zone: ep.zone, Kind: ep.kind, Health: control.Gone, Weight: ep.weight,
+		Endpoint: ep.num, Destination: ep.dest, Zone: ep.zone, Kind: ep.kind, Health: control.Gone, Weight: ep.weight,
 	}
 	switch ep.phase {
 	case Leaving:
@@ -308,8 +308,8 @@
 func (e *Engine) member(source string, n *Member) *endpoint {
 	ep := e.byID[n.ID]
 	if ep == nil && n.Phase != Gone {
-		if ep = e.moved[place{n.ID, n.Dest}]; ep != nil { // it is back where it was: its waits and its ramp bind on
-			delete(e.moved, place{n.ID, n.Dest})
+		if ep = e.moved[place{n.ID, n.Destination}]; ep != nil { // it is back where it was: its waits and its ramp bind on
+			delete(e.moved, place{n.ID, n.Destination})
 			ep.moved, ep.claims = false, nil
 			e.byID[ep.id] = ep
 		}
@@ -323,14 +323,14 @@
 			return nil
 		}
 		e.lastEp++
-		ep = &endpoint{num: e.lastEp, id: n.ID, dest: n.Dest, phase: Gone, goneAt: e.now.At}
+		ep = &endpoint{num: e.lastEp, id: n.ID, dest: n.Destination, phase: Gone, goneAt: e.now.At}
 		e.byID[ep.id], e.byNumber[ep.num] = ep, ep
 		e.all = append(e.all, ep)
 	}
 	if n.Zone < 0 || n.Kind < 0 {
 		e.note(noteMembers, "source %s names an unknown zone or kind for endpoint %s", source, n.ID)
 	}
-	e.name(n.Dest)
+	e.name(n.Destination)
 	if c := ep.told(source); c != nil {
 		c.phase = n.Phase
 	} else {
@@ -338,7 +338,7 @@
 	}
 	if n.Addr != "" && n.Addr != ep.addr {
 		if ep.addr != "" {
-			e.effect(&Leave{Endpoint: ep.num, Addr: ep.addr})
+			e.effect(&RemoveEndpoint{Endpoint: ep.num, Addr: ep.addr})
 		}
 		ep.addr = n.Addr
 		e.holdOff(ep)
@@ -362,7 +362,7 @@
 		ep.goneAt = e.now.At
 	}
 	if ep.phase == Gone && was != Gone {
-		e.effect(&Leave{Endpoint: ep.num, Addr: ep.addr})
+		e.effect(&RemoveEndpoint{Endpoint: ep.num, Addr: ep.addr})
 	}
 }
 
--- a/engine/message.go
+++ b/engine/message.go
@@ -34,10 +34,10 @@
 	maybe instant // the first attempt that may have run, of those whose outcome is known
 	out   *item   // the attempt whose outcome is not known yet
 
-	owed  Owed   // owing
-	doubt bool   // owing: it may have taken effect
-	why   string // owing: Done.Why
-	told  bool   // owing: the end was told, or will be when this batch is stored
+	owed  PendingResult // owing
+	doubt bool          // owing: it may have taken effect
+	why   string        // owing: Done.Why
+	told  bool          // owing: the end was told, or will be when this batch is stored
 	tell  Batch
 	tale  *tale // nil: undelivered messages are not kept
 
@@ -84,7 +84,7 @@
 	owing       int
 	bytes       int                   // of bodies
 	ends        [Withdrawn + 1]uint64 // messages that ended, by how
-	restoring   []*Restored
+	restoring   []*RestoredMessage
 }
 
 func newMessages() messages {
@@ -133,14 +133,14 @@
 
 // ---- hand-in ----
 
-func (e *Engine) handIn(h *HandIn) {
+func (e *Engine) handIn(h *Submit) {
 	m, v := e.judge(h, room{})
 	if m != nil {
 		e.answer(h.Ticket, v, e.take(h.Ticket, m))
 		return
 	}
 	old := e.byName[h.Message.ID]
-	if v.Kind == Taken && old != nil && old.phase == arriving {
+	if v.Kind == Accepted && old != nil && old.phase == arriving {
 		old.tickets = append(old.tickets, h.Ticket)
 		e.answer(h.Ticket, v, old.taken)
 		return
@@ -149,15 +149,15 @@
 }
 
 // handInAll takes all or none.
-func (e *Engine) handInAll(h *HandInAll) {
+func (e *Engine) handInAll(h *SubmitAll) {
 	var list []*message
 	var group room
-	worst := Verdict{Kind: Taken}
-	for i := range h.List {
-		one := &h.List[i]
+	worst := Verdict{Kind: Accepted}
+	for i := range h.Submissions {
+		one := &h.Submissions[i]
 		var v Verdict
 		if at := slices.IndexFunc(list, func(o *message) bool { return o.ID == one.Message.ID }); at >= 0 {
-			if v = conflict; sameMessage(list[at].print, one.Message.Print()) {
+			if v = conflict; sameMessage(list[at].print, one.Message.Fingerprint()) {
 				continue
 			}
 		} else {
@@ -167,17 +167,17 @@
 				list = append(list, m)
 				group.messages++
 				group.bytes += len(m.Body)
-			} else if old := e.byName[one.Message.ID]; v.Kind == Taken && old != nil && old.phase == arriving {
+			} else if old := e.byName[one.Message.ID]; v.Kind == Accepted && old != nil && old.phase == arriving {
 				// Its record goes its own way to the store and may fail there: two fates would hang on one answer.
-				v = Verdict{Kind: Busy, Again: Span(turnedAway), Why: "id: its message is on its way to the store"}
+				v = Verdict{Kind: Busy, RetryAfter: Duration(turnedAway), Reason: "id: its message is on its way to the store"}
 			}
 		}
-		if v.Kind != Taken && (worst.Kind == Taken || lasting(v.Kind) && !lasting(worst.Kind)) {
+		if v.Kind != Accepted && (worst.Kind == Accepted || lasting(v.Kind) && !lasting(worst.Kind)) {
 			worst = v
 		}
 	}
 	var b Batch
-	if worst.Kind == Taken {
+	if worst.Kind == Accepted {
 		for i, m := range list {
 			if i == 0 { // they have one batch and so one fate: one of them answers for all
 				b = e.take(h.Ticket, m)
@@ -190,9 +190,9 @@
 }
 
 // lasting tells that handing the same in again would bring the same verdict.
-func lasting(k VerdictKind) bool { return k == Conflict || k == Spent || k == Invalid }
+func lasting(k VerdictKind) bool { return k == Conflict || k == AlreadyEnded || k == Invalid }
 
-var conflict = Verdict{Kind: Conflict, Why: "id: another message has it"}
+var conflict = Verdict{Kind: Conflict, Reason: "id: another message has it"}
 
 func (e *Engine) answer(t Ticket, v Verdict, needs Batch) {
 	e.effect(&Answer{Ticket: t, Verdict: v, needs: needs})
@@ -202,14 +202,14 @@
 type room struct{ messages, bytes int }
 
 // judge tells what becomes of a hand-in, and returns the message where it is to be taken anew.
-func (e *Engine) judge(h *HandIn, with room) (*message, Verdict) {
+func (e *Engine) judge(h *Submit, with room) (*message, Verdict) {
 	no := func(kind VerdictKind, why string) (*message, Verdict) {
-		v := Verdict{Kind: kind, Why: why}
-		if kind == Busy || kind == Unnamed {
-			v.Again = Span(turnedAway)
+		v := Verdict{Kind: kind, Reason: why}
+		if kind == Busy || kind == UnknownDestination {
+			v.RetryAfter = Duration(turnedAway)
 		}
-		if past := e.ended.byID[h.Message.ID]; past != nil && kind == Taken {
-			v.Ended = past.how
+		if past := e.ended.byID[h.Message.ID]; past != nil && kind == Accepted {
+			v.Disposition = past.how
 		}
 		return nil, v
 	}
@@ -224,9 +224,9 @@
 		case old.phase == arriving && old.dropped:
 			return no(Busy, "id: a message of it is being taken back")
 		case old.phase == owing && e.set.Prompt: // who waits for the Done would wait for ever: it is told once
-			return nil, Verdict{Kind: Taken, Ended: old.owed.How, Again: old.owed.Again}
+			return nil, Verdict{Kind: Accepted, Disposition: old.owed.Disposition, RetryAfter: old.owed.RetryAfter}
 		}
-		return no(Taken, "") // a client that lost the answer sent the same request again
+		return no(Accepted, "") // a client that lost the answer sent the same request again
 	}
 	if old := e.ended.byID[m.ID]; old != nil {
 		m.anew, m.earlier = true, old
@@ -236,10 +236,10 @@
 		case old.free:
 		case !sameMessage(old.print, m.print):
 			return no(Conflict, "id: another message had it")
-		case old.how == Delivered || old.how == Over:
-			return no(Taken, "") // a client that lost the answer sent the same request again
+		case old.how == Delivered || old.how == Closed:
+			return no(Accepted, "") // a client that lost the answer sent the same request again
 		case old.how != Refused:
-			return no(Spent, "id: its message ended, and may have taken effect")
+			return no(AlreadyEnded, "id: its message ended, and may have taken effect")
 		case e.now.At <= old.due: // whoever handed it in has been told when to come again, with a new id
 			return no(Busy, "id: its message was handed back a moment ago")
 		}
@@ -247,16 +247,16 @@
 			return no(Busy, "id: the end of its earlier life is on its way to the store")
 		}
 	}
-	if e.set.Kept != nil && !h.Resent {
-		if kind, why := e.set.Kept(&m.Message); kind != Taken {
+	if e.set.CheckUndelivered != nil && !h.Resent {
+		if kind, why := e.set.CheckUndelivered(&m.Message); kind != Accepted {
 			return no(kind, why)
 		}
 	}
 	switch {
 	case len(e.named) == 0:
 		return no(Busy, "no list of endpoints is at hand yet")
-	case !e.isNamed(m.Dest):
-		return no(Unnamed, fmt.Sprintf("destination %d: no list names it yet", m.Dest))
+	case !e.isNamed(m.Destination):
+		return no(UnknownDestination, fmt.Sprintf("destination %d: no list names it yet", m.Destination))
 	case e.open+with.messages >= e.set.Control.MaxOpen:
 		return no(Busy, "holding as many messages as it may")
 	case e.bytes+with.bytes+len(m.Body) > e.set.MaxBytes:
@@ -266,7 +266,7 @@
 	case e.down:
 		return no(Busy, "the store takes nothing")
 	}
-	return m, Verdict{Kind: Taken}
+	return m, Verdict{Kind: Accepted}
 }
 
 // take puts a message on its way to the store and returns its batch.
@@ -279,12 +279,12 @@
 		m.tickets = append(m.tickets, t)
 	}
 	e.bookTaking(m)
-	if !e.set.Stored {
+	if !e.set.HasStore {
 		e.bookTaken(m)
 		e.admit(m, false)
 		return 0
 	}
-	m.taken = e.record(&RecTaken{Message: m.Message, Deadline: e.stamp(m.deadline)}, m)
+	m.taken = e.record(&RecAccepted{Message: m.Message, Deadline: e.stamp(m.deadline)}, m)
 	if m.maybe.set {
 		e.record(&RecState{ID: m.ID, DoubtAt: e.stamp(m.maybe.at), DoubtZone: m.maybe.zone, Settled: true}, m)
 	}
@@ -292,7 +292,7 @@
 }
 
 // message checks what was handed in; why names the field at fault.
-func (e *Engine) message(h *HandIn) (m *message, why string) {
+func (e *Engine) message(h *Submit) (m *message, why string) {
 	m = &message{Message: h.Message, since: e.now.At, classNo: -1, tenant: -1}
 	for i := range e.set.Control.Classes {
 		if e.set.Control.Classes[i].Name == m.Class {
@@ -311,25 +311,25 @@
 		return nil, fmt.Sprintf("class: %q is unknown", m.Class)
 	case m.tenant < 0 && len(e.set.Control.Tenants) > 0:
 		return nil, fmt.Sprintf("tenant: %q is unknown", m.Tenant)
-	case m.Dest < 0 || m.Dest > math.MaxUint16:
-		return nil, fmt.Sprintf("destination: %d is out of range", m.Dest)
+	case m.Destination < 0 || m.Destination > math.MaxUint16:
+		return nil, fmt.Sprintf("destination: %d is out of range", m.Destination)
 	case m.class.Effect == control.Guarded && m.Key == "":
 		return nil, fmt.Sprintf("key: missing, class %q needs it", m.Class)
-	case h.Expires <= 0:
+	case h.ExpiresIn <= 0:
 		return nil, "expiry: no time is left"
 	}
-	if m.once = h.Once && !e.set.Stored; !m.once { // else nobody comes with its id again
-		m.print = m.Print()
+	if m.once = h.UniqueID && !e.set.HasStore; !m.once { // else nobody comes with its id again
+		m.print = m.Fingerprint()
 	}
 	// Past the hard limit a message is worth no more than there: it would only fill the hold.
-	m.deadline = e.now.At + min(h.Expires, m.class.Deadline)
+	m.deadline = e.now.At + min(h.ExpiresIn, m.class.Deadline)
 	if h.DoubtAge > 0 {
 		m.maybe = instant{at: e.now.At - h.DoubtAge, zone: h.DoubtZone, set: true}
 	}
-	if e.set.Kept != nil {
+	if e.set.CheckUndelivered != nil {
 		m.tale = &tale{resent: h.Resent}
 	}
-	m.from = h.From
+	m.from = h.ResentFrom
 	return m, ""
 }
 
@@ -337,7 +337,7 @@
 func (e *Engine) admit(m *message, restored bool) {
 	m.phase, m.tickets, m.earlier = held, nil, nil
 	ev := control.Event{
-		Kind: control.Arrival, Message: m.num, Class: m.classNo, Tenant: m.tenant, Dest: m.Dest, Tries: m.tries,
+		Kind: control.Arrival, Message: m.num, Class: m.classNo, Tenant: m.tenant, Destination: m.Destination, Tries: m.tries,
 		Restored: restored,
 	}
 	if m.class.InOrder && m.Key != "" {
@@ -352,11 +352,11 @@
 // ---- restart ----
 
 // restore takes up what the store has from an earlier process.
-func (e *Engine) restore(written Stamp) {
+func (e *Engine) restore(written Timestamp) {
 	// With a clock that shows less than the records bear no age can be told: whatever may have run is then out of its
 	// key's window. No time counts as gone by since the last record, so that no message gets more than it had then.
-	behind := e.now.Wall < written-Stamp(steppedOver)
-	var by Stamp
+	behind := e.now.Wall < written-Timestamp(steppedOver)
+	var by Timestamp
 	if behind {
 		by = e.now.Wall - written
 		e.shift += Time(by)
@@ -366,10 +366,10 @@
 		e.tell(control.Event{Kind: control.Restarted})
 	}
 	for _, r := range e.restoring {
-		m, _ := e.message(&HandIn{Message: r.Message, Expires: 1})
+		m, _ := e.message(&Submit{Message: r.Message, ExpiresIn: 1})
 		if m == nil { // a class or tenant is no longer among the settings: the module can't judge it
 			m = &message{Message: r.Message, since: e.now.At, tenant: -1, classNo: -1}
-			m.print = m.Print()
+			m.print = m.Fingerprint()
 		}
 		m.tries, m.phase = r.Tries, held
 		m.taken, m.last = restored, restored
@@ -393,15 +393,15 @@
 		if e.books != nil {
 			m.acct = r.acct
 		}
-		e.name(m.Dest)
-		if m.tale == nil && e.set.Kept != nil {
+		e.name(m.Destination)
+		if m.tale == nil && e.set.CheckUndelivered != nil {
 			m.tale = &tale{}
 		}
 		switch {
-		case r.Owed != nil:
+		case r.Pending != nil:
 			m.print &^= bodyPrint // the store need not keep the body of one that is owed
 			e.close(m)
-			m.phase, m.owed, m.doubt, m.print = owing, *r.Owed, m.maybe.set, r.Owed.Print
+			m.phase, m.owed, m.doubt, m.print = owing, *r.Pending, m.maybe.set, r.Pending.Fingerprint
 			e.owing++
 			e.effect(e.done(m, 0))
 		case m.class == nil:
@@ -426,7 +426,7 @@
 
 // end is the one place where a message ends. What the module decided, what an answer told and what a caller wants all
 // come here; a message that has ended already is left as it is.
-func (e *Engine) end(m *message, how How, again time.Duration) {
+func (e *Engine) end(m *message, how Disposition, again time.Duration) {
 	switch m.phase {
 	case arriving: // until it is in the store nobody can know that it was taken
 		m.dropped = true
@@ -442,14 +442,14 @@
 	e.bookEnd(m, how)
 	m.doubt = how != Delivered && m.doubtful().set
 	if how == Refused || how == Failed {
-		m.phase, m.owed = owing, Owed{How: how, Again: again, Print: m.print}
+		m.phase, m.owed = owing, PendingResult{Disposition: how, RetryAfter: again, Fingerprint: m.print}
 		e.owing++
-		b := e.record(&RecOwed{ID: m.ID, Owed: m.owed, GivenUp: given}, m)
+		b := e.record(&RecPendingResult{ID: m.ID, PendingResult: m.owed, Undelivered: given}, m)
 		e.effect(e.done(m, b))
 		return
 	}
 	past := e.conclude(m, how)
-	done := &Done{ID: m.ID, How: how, Doubt: m.doubt, needs: e.needs()}
+	done := &Done{ID: m.ID, Disposition: how, InDoubt: m.doubt, needs: e.needs()}
 	if past != nil {
 		past.done = done
 	}
@@ -459,12 +459,12 @@
 // done is the effect that tells an end which is owed.
 func (e *Engine) done(m *message, b Batch) *Done {
 	m.told, m.tell = true, b
-	return &Done{ID: m.ID, How: m.owed.How, Doubt: m.doubt, Again: m.owed.Again, Why: m.why, needs: b}
+	return &Done{ID: m.ID, Disposition: m.owed.Disposition, InDoubt: m.doubt, RetryAfter: m.owed.RetryAfter, Reason: m.why, needs: b}
 }
 
 // conclude records that nothing more is owed for a message; its id stays known for a while.
 // An id that nobody else has is forgotten at once: then there is nothing to return.
-func (e *Engine) conclude(m *message, how How) *ended {
+func (e *Engine) conclude(m *message, how Disposition) *ended {
 	e.books.removed(m)
 	if m.once {
 		e.remove(m)
@@ -494,7 +494,7 @@
 		}
 		e.timers.drop(m)
 		e.owing--
-		e.conclude(m, m.owed.How)
+		e.conclude(m, m.owed.Disposition)
 	}
 }
 
--- a/engine/pause_test.go
+++ b/engine/pause_test.go
@@ -11,7 +11,7 @@
 // bigEngine is one for so many endpoints and messages, without a store.
 func bigEngine(t testing.TB, n int) *Engine {
 	set := testSettings()
-	set.Stored = false
+	set.HasStore = false
 	set.MaxIDs, set.MaxEndpoints = 1<<20, 2*n
 	set.Control.MaxOpen, set.Control.Slots = 4*n, n
 	for i := range set.Control.Classes {
@@ -25,9 +25,9 @@
 }
 
 func longList(n int, phase Phase) *Members {
-	l := &Members{Source: "s", Whole: true}
+	l := &Members{Source: "s", FullList: true}
 	for i := range n {
-		l.List = append(l.List, Member{ID: fmt.Sprint("e", i), Addr: "h:1", Dest: i, Phase: phase})
+		l.List = append(l.List, Member{ID: fmt.Sprint("e", i), Addr: "h:1", Destination: i, Phase: phase})
 	}
 	return l
 }
@@ -51,7 +51,7 @@
 		for len(e.listings) > 0 && took <= most {
 			now.At += e.set.Control.Tick
 			e.Handle(now, &Wake{})
-			if next, ok := e.Next(); len(e.listings) > 0 && (!ok || next > now.At+e.set.Control.Tick) {
+			if next, ok := e.NextWake(); len(e.listings) > 0 && (!ok || next > now.At+e.set.Control.Tick) {
 				t.Fatalf("%d lists are left and the next wake is %d after %d", len(e.listings), next, now.At)
 			}
 			if got := told(e); got > atOnce {
@@ -65,10 +65,10 @@
 	if got := e.Endpoints(); got != atOnce {
 		t.Fatalf("%d endpoints are known at once, want %d", got, atOnce)
 	}
-	e.Handle(now, &Members{Source: "s", List: []Member{{ID: "e9999", Addr: "h:1", Dest: 9999, Phase: Leaving}}})
+	e.Handle(now, &Members{Source: "s", List: []Member{{ID: "e9999", Addr: "h:1", Destination: 9999, Phase: Leaving}}})
 	e.Handle(now, longList(10, Active))
 	e.Handle(now, longList(n-10, Active)) // it says all that the two before it said, which are not begun
-	e.Handle(now, &Members{Source: "s", List: []Member{{ID: "e7", Addr: "h:1", Dest: 7, Phase: Leaving}}})
+	e.Handle(now, &Members{Source: "s", List: []Member{{ID: "e7", Addr: "h:1", Destination: 7, Phase: Leaving}}})
 	if len(e.listings) != 3 {
 		t.Fatalf("%d lists wait, want three", len(e.listings))
 	}
@@ -125,7 +125,7 @@
 	e.Handle(now, longList(1, Leaving))
 	for i := range n {
 		id := fmt.Sprint("m", i)
-		e.Handle(now, &HandIn{Message: Message{ID: id, Class: "free"}, Expires: control.Second})
+		e.Handle(now, &Submit{Message: Message{ID: id, Class: "free"}, ExpiresIn: control.Second})
 		e.Handle(now, &Withdraw{ID: id})
 	}
 	if e.ended.len() != n {
@@ -138,7 +138,7 @@
 		if got < left-atOnce || got >= left {
 			t.Fatalf("%d ids left after %d", got, left)
 		}
-		if next, _ := e.Next(); got > 0 && next > now.At+e.set.Control.Tick {
+		if next, _ := e.NextWake(); got > 0 && next > now.At+e.set.Control.Tick {
 			t.Fatalf("the next part is due at %d, it is %d", next, now.At)
 		}
 		left = got
@@ -170,13 +170,13 @@
 	lists := heap()
 	for i := range 2 * n {
 		id := fmt.Sprint("m", i)
-		e.Handle(now, &HandIn{Message: Message{ID: id, Class: "free", Dest: i % 100, Body: make([]byte, 200)}, Expires: 3600 * control.Second})
+		e.Handle(now, &Submit{Message: Message{ID: id, Class: "free", Destination: i % 100, Body: make([]byte, 200)}, ExpiresIn: 3600 * control.Second})
 	}
 	ticks()
 	held := heap()
 	runtime.KeepAlive(e)
-	if e.Open() != 2*n || e.Endpoints() != n {
-		t.Fatalf("%d messages, %d endpoints", e.Open(), e.Endpoints())
+	if e.OpenMessages() != 2*n || e.Endpoints() != n {
+		t.Fatalf("%d messages, %d endpoints", e.OpenMessages(), e.Endpoints())
 	}
 	endpoint, message := (lists-start)/n, (held-lists)/(2*n)
 	t.Logf("%d bytes for an endpoint with its destination, %d for a held message with a body of 200", endpoint, message)
@@ -200,7 +200,7 @@
 		return entries
 	}
 	l := longList(1000, Active)
-	l.List[3].Dest, l.List[3].Kind = 2, 1 // behind its sibling of kind 0
+	l.List[3].Destination, l.List[3].Kind = 2, 1 // behind its sibling of kind 0
 	tell(l)
 	if got := tell(l); got != 0 {
 		t.Fatalf("the same list tells the module %d endpoints", got)
@@ -220,7 +220,7 @@
 	now := Now{At: Epoch, Wall: testWall}
 	e.Handle(now, longList(1, Leaving))
 	for i := range n {
-		e.Handle(now, &HandIn{Message: Message{ID: fmt.Sprint("m", i), Class: "free"}, Expires: 2 * control.Second})
+		e.Handle(now, &Submit{Message: Message{ID: fmt.Sprint("m", i), Class: "free"}, ExpiresIn: 2 * control.Second})
 	}
 	now.At += e.set.Control.Tick
 	e.Handle(now, &Wake{})
@@ -237,7 +237,7 @@
 			t.Fatalf("%d messages end at once", part)
 		}
 		ended += part
-		if next, _ := e.Next(); ended < n && next > now.At+e.set.Control.Tick {
+		if next, _ := e.NextWake(); ended < n && next > now.At+e.set.Control.Tick {
 			t.Fatalf("the next part is due at %d, it is %d", next, now.At)
 		}
 		now.At += e.set.Control.Tick
@@ -261,7 +261,7 @@
 		now.At += e.set.Control.Tick
 		e.Handle(now, &Wake{})
 	}
-	e.Handle(now, &Members{Source: "s", Whole: true})
+	e.Handle(now, &Members{Source: "s", FullList: true})
 	for range 2*n/atOnce + 2 {
 		now.At += e.set.Control.Tick
 		e.Handle(now, &Wake{})
@@ -273,7 +273,7 @@
 		if got < left-atOnce || got >= left || got != len(e.byID) || got != len(e.byNumber) {
 			t.Fatalf("%d endpoints left after %d; %d by id, %d by number", got, left, len(e.byID), len(e.byNumber))
 		}
-		if next, _ := e.Next(); got > 0 && next > now.At+e.set.Control.Tick {
+		if next, _ := e.NextWake(); got > 0 && next > now.At+e.set.Control.Tick {
 			t.Fatalf("the next part is due at %d, it is %d", next, now.At)
 		}
 		left = got
--- a/engine/record.go
+++ b/engine/record.go
@@ -9,21 +9,21 @@
 // more than them to tell at its next start what is live: see the comment of each.
 type Record interface{ record() }
 
-// RecTaken begins a message's life.
-type RecTaken struct {
+// RecAccepted begins a message's life.
+type RecAccepted struct {
 	Message  Message
-	Deadline Stamp
+	Deadline Timestamp
 }
 
 // RecAttempts says that attempts are about to be written to their endpoints: each message has one more try, and from its
 // first attempt on it may have run, until RecNeverRan says otherwise of just that attempt.
 type RecAttempts struct {
-	At   Stamp
-	List []AttemptOf
+	At   Timestamp
+	List []RecAttempt
 }
 
-// AttemptOf is one message's part in RecAttempts.
-type AttemptOf struct {
+// RecAttempt is one message's part in RecAttempts.
+type RecAttempt struct {
 	ID   string
 	Zone int
 }
@@ -35,55 +35,55 @@
 type RecState struct {
 	ID        string
 	Tries     int
-	DoubtAt   Stamp // 0: no attempt may have run
+	DoubtAt   Timestamp // 0: no attempt may have run
 	DoubtZone int
 	Settled   bool // the doubt is not of the newest attempt, or that one's outcome is known: RecNeverRan changes nothing
 }
 
-// RecOwed says that a message's end is decided and still to be told. Its body is of no more use.
-type RecOwed struct {
+// RecPendingResult says that a message's end is decided and still to be told. Its body is of no more use.
+type RecPendingResult struct {
 	ID string
-	Owed
-	GivenUp *GivenUp `json:"-"` // for a keeper of undelivered messages, nil without one; no store needs it
+	PendingResult
+	Undelivered *Undelivered `json:"-"` // for a keeper of undelivered messages, nil without one; no store needs it
 }
 
 // RecEnded says that nothing more is owed for a message. What is left of it is its id, until the stamp, where Until is
 // not 0: from then on the store may forget it.
 type RecEnded struct {
-	ID    string
-	How   How
-	Until Stamp
-	Print uint64 // Message.Print
+	ID          string
+	Disposition Disposition
+	Until       Timestamp
+	Fingerprint uint64 // Message.Print
 }
 
-// RecShift says that the wall clock was stepped by so much (microseconds, forward is more): all stamps of earlier
+// RecClockStep says that the wall clock was stepped by so much (microseconds, forward is more): all stamps of earlier
 // records are to be read with that added.
-type RecShift struct{ By int64 }
+type RecClockStep struct{ By int64 }
 
-// RecLeaf replaces what the store has under a number, of the books (Settings.Ledger): the newest text counts, and none is
+// RecLedgerLeaf replaces what the store has under a number, of the books (Settings.Ledger): the newest text counts, and none is
 // longer than ledger.LeafMost.
-type RecLeaf struct {
+type RecLedgerLeaf struct {
 	Number uint64
 	Text   []byte
 }
 
-// RecMark says nothing: it is written to see whether the store takes records.
-type RecMark struct{}
+// RecNoop says nothing: it is written to see whether the store takes records.
+type RecNoop struct{}
 
-func (*RecTaken) record()    {}
-func (*RecAttempts) record() {}
-func (*RecNeverRan) record() {}
-func (*RecState) record()    {}
-func (*RecOwed) record()     {}
-func (*RecEnded) record()    {}
-func (*RecShift) record()    {}
-func (*RecMark) record()     {}
-func (*RecLeaf) record()     {}
+func (*RecAccepted) record()      {}
+func (*RecAttempts) record()      {}
+func (*RecNeverRan) record()      {}
+func (*RecState) record()         {}
+func (*RecPendingResult) record() {}
+func (*RecEnded) record()         {}
+func (*RecClockStep) record()     {}
+func (*RecNoop) record()          {}
+func (*RecLedgerLeaf) record()    {}
 
-// Print is a fingerprint of all but the id: in the upper 32 bits of all but the body, too, in the lower of the body, where
+// Fingerprint is a fingerprint of all but the id: in the upper 32 bits of all but the body, too, in the lower of the body, where
 // 0 stands for one that is not known any more. Each is FNV-1a, 64 bits, over lengths and bytes, folded. It is the same in
 // every process.
-func (m *Message) Print() uint64 {
+func (m *Message) Fingerprint() uint64 {
 	h := fnv.New64a()
 	var n [8]byte
 	put := func(v int) {
@@ -95,7 +95,7 @@
 		put(len(s))
 		h.Write([]byte(s))
 	}
-	put(m.Dest)
+	put(m.Destination)
 	head := fold()
 	h.Reset()
 	put(len(m.Body))
--- a/engine/record_test.go
+++ b/engine/record_test.go
@@ -4,15 +4,15 @@
 
 func TestAPrintTellsMessagesApart(t *testing.T) {
 	t.Parallel()
-	base := Message{ID: "m", Class: "c", Tenant: "t", Dest: 1, Key: "k", Body: []byte("body")}
-	if got, want := base.Print(), uint64(0x7e25c060d5fc2d2d); got != want {
+	base := Message{ID: "m", Class: "c", Tenant: "t", Destination: 1, Key: "k", Body: []byte("body")}
+	if got, want := base.Fingerprint(), uint64(0x7e25c060d5fc2d2d); got != want {
 		t.Errorf("print %#x, want %#x: stores keep prints, they must stay the same", got, want)
 	}
-	seen := map[uint64]string{base.Print(): "base"}
+	seen := map[uint64]string{base.Fingerprint(): "base"}
 	for name, change := range map[string]func(*Message){
 		"class":               func(m *Message) { m.Class = "d" },
 		"tenant":              func(m *Message) { m.Tenant = "u" },
-		"destination":         func(m *Message) { m.Dest = 2 },
+		"destination":         func(m *Message) { m.Destination = 2 },
 		"key":                 func(m *Message) { m.Key = "l" },
 		"body":                func(m *Message) { m.Body = []byte("bodz") },
 		"no body":             func(m *Message) { m.Body = nil },
@@ -25,25 +25,25 @@
 	} {
 		m := base
 		change(&m)
-		if other, ok := seen[m.Print()]; ok {
+		if other, ok := seen[m.Fingerprint()]; ok {
 			t.Errorf("%s has the print of %s", name, other)
 		}
-		seen[m.Print()] = name
-		if sameMessage(m.Print(), base.Print()) {
+		seen[m.Fingerprint()] = name
+		if sameMessage(m.Fingerprint(), base.Fingerprint()) {
 			t.Errorf("%s counts as the same message", name)
 		}
 	}
 	other := base
 	other.ID = "n"
-	if other.Print() != base.Print() {
+	if other.Fingerprint() != base.Fingerprint() {
 		t.Error("the id is in the print")
 	}
-	bodyless := base.Print() &^ bodyPrint
-	if !sameMessage(bodyless, base.Print()) || !sameMessage(base.Print(), bodyless) || !sameMessage(bodyless, bodyless) {
+	bodyless := base.Fingerprint() &^ bodyPrint
+	if !sameMessage(bodyless, base.Fingerprint()) || !sameMessage(base.Fingerprint(), bodyless) || !sameMessage(bodyless, bodyless) {
 		t.Error("a print without its body is another message's")
 	}
 	other.Key = "l"
-	if sameMessage(bodyless, other.Print()) {
+	if sameMessage(bodyless, other.Fingerprint()) {
 		t.Error("a print without its body is any message's")
 	}
 }
--- a/engine/script_test.go
+++ b/engine/script_test.go
@@ -70,7 +70,7 @@
 	ordered := class("ordered", control.Free)
 	ordered.InOrder = true
 	return Settings{
-		Seed: 1, Stored: true,
+		Seed: 1, HasStore: true,
 		Control: control.Settings{
 			Instances: 2, Zone: 0, Tick: 5 * ms, OverShare: 0.05, ReportLeft: -1, ReportLimit: -1,
 			Classes: []control.Class{
@@ -86,7 +86,7 @@
 }
 
 // testWall is the wall time at the engine's Epoch in tests.
-const testWall = Stamp(1_700_000_000_000_000)
+const testWall = Timestamp(1_700_000_000_000_000)
 
 // play runs a script and returns it with the effects that came.
 func play(text string) (string, error) {
@@ -124,7 +124,7 @@
 			}
 		}
 		disk, stored = nil, 0
-		now.Wall += Stamp(d.Microseconds())
+		now.Wall += Timestamp(d.Microseconds())
 		now.At = Epoch
 		if e, err = New(set); err != nil {
 			return err
@@ -138,7 +138,7 @@
 			out.WriteString("> " + formatEvent(r, now) + "\n")
 			handle(r)
 		}
-		handle(&RestoredLast{Written: state.written})
+		handle(&RestoreComplete{LatestTimestamp: state.written})
 		return nil
 	}
 	for no, line := range strings.Split(strings.TrimSuffix(text, "\n"), "\n") {
@@ -166,7 +166,7 @@
 			if err != nil {
 				return fail(err)
 			}
-			now.Wall += Stamp(d.Microseconds())
+			now.Wall += Timestamp(d.Microseconds())
 			continue
 		case words[0] == "restart":
 			if err := restart(words[1:]); err != nil {
@@ -178,7 +178,7 @@
 		if err != nil {
 			return fail(err)
 		}
-		now.At, now.Wall = now.At+Time(d.Microseconds()), now.Wall+Stamp(d.Microseconds())
+		now.At, now.Wall = now.At+Time(d.Microseconds()), now.Wall+Timestamp(d.Microseconds())
 		ev, err := parseEvent(words[1], words[2:], now)
 		if err != nil {
 			return fail(err)
@@ -196,7 +196,7 @@
 				disk[n-1] = nil
 			}
 		case *StoreLost:
-			clear(disk[min(int(ev.Kept), len(disk)):])
+			clear(disk[min(int(ev.LastKept), len(disk)):])
 		}
 		handle(ev)
 	}
@@ -228,7 +228,7 @@
 		case "kind-bytes": // of the kind archives
 			s.KindBytes = []int{n}
 		case "stored":
-			s.Stored = n == 1
+			s.HasStore = n == 1
 		case "apart":
 			s.Control.Kinds[1].RoutesApart = n == 1
 		case "max-endpoints":
@@ -297,11 +297,11 @@
 		}
 		return n
 	}
-	wall := func(s string) Stamp { // so long ago, or with a minus ahead
+	wall := func(s string) Timestamp { // so long ago, or with a minus ahead
 		if s == "" {
 			return 0
 		}
-		return now.Wall - Stamp(span(s))
+		return now.Wall - Timestamp(span(s))
 	}
 	arg := func(i int) string {
 		if i < len(plain) {
@@ -313,12 +313,12 @@
 		return ""
 	}
 	message := func() Message {
-		m := Message{ID: arg(0), Class: "free", Dest: 1, Key: "k-" + arg(0), Body: []byte("body of " + arg(0))}
+		m := Message{ID: arg(0), Class: "free", Destination: 1, Key: "k-" + arg(0), Body: []byte("body of " + arg(0))}
 		if c, ok := field["class"]; ok {
 			m.Class = c
 		}
 		if d, ok := field["dest"]; ok {
-			m.Dest = num(d)
+			m.Destination = num(d)
 		}
 		if k, ok := field["key"]; ok {
 			m.Key = k
@@ -334,55 +334,55 @@
 	var ev Event
 	switch name {
 	case "hand-in":
-		h := &HandIn{Ticket: Ticket(num(field["ticket"])), Message: message(), Expires: 10 * control.Second}
+		h := &Submit{Ticket: Ticket(num(field["ticket"])), Message: message(), ExpiresIn: 10 * control.Second}
 		if x, ok := field["expires"]; ok {
-			h.Expires = span(x)
+			h.ExpiresIn = span(x)
 		}
 		ev = h
 	case "hand-in-all": // hand-in-all id[:dest[:body]] ...
-		h := &HandInAll{Ticket: Ticket(num(field["ticket"]))}
+		h := &SubmitAll{Ticket: Ticket(num(field["ticket"]))}
 		all := message()
 		for _, w := range plain {
 			p := append(strings.Split(w, ":"), "", "")
 			m := all
 			m.ID, m.Key, m.Body = p[0], "k-"+p[0], []byte("body of "+p[0])
 			if p[1] != "" {
-				m.Dest = num(p[1])
+				m.Destination = num(p[1])
 			}
 			if p[2] != "" {
 				m.Body = []byte(p[2])
 			}
-			h.List = append(h.List, HandIn{Message: m, Expires: 10 * control.Second})
+			h.Submissions = append(h.Submissions, Submit{Message: m, ExpiresIn: 10 * control.Second})
 		}
 		ev = h
 	case "withdraw":
 		ev = &Withdraw{ID: arg(0)}
 	case "restored":
-		r := &Restored{
+		r := &RestoredMessage{
 			Message: message(), Deadline: wall(field["deadline"]), Tries: num(field["tries"]), DoubtAt: wall(field["doubt"]),
 		}
 		if h, ok := field["owed"]; ok {
-			r.Owed = &Owed{How: How(at(hows, h)), Print: r.Message.Print()}
+			r.Pending = &PendingResult{Disposition: Disposition(at(hows, h)), Fingerprint: r.Message.Fingerprint()}
 		}
 		ev = r
 	case "restored-end":
 		m := message()
-		ev = &RestoredEnd{ID: m.ID, How: How(at(hows, field["how"])), Until: wall(field["until"]), Print: m.Print()}
+		ev = &RestoredEnd{ID: m.ID, Disposition: Disposition(at(hows, field["how"])), Until: wall(field["until"]), Fingerprint: m.Fingerprint()}
 	case "restored-last":
-		ev = &RestoredLast{Written: wall(field["written"])}
+		ev = &RestoreComplete{LatestTimestamp: wall(field["written"])}
 	case "members": // members source [whole] [cached] [failed] id:dest[:phase[:addr]] ...
 		l := &Members{Source: arg(0)}
 		for _, w := range plain[min(1, len(plain)):] {
 			switch w {
 			case "whole":
-				l.Whole = true
+				l.FullList = true
 			case "cached":
 				l.Cached = true
 			case "failed":
 				l.Failed = true
 			default:
 				p := append(strings.Split(w, ":"), "", "", "")
-				m := Member{ID: p[0], Dest: num(p[1]), Addr: "host-" + p[0], Phase: Active, Kind: num(field["kind"])}
+				m := Member{ID: p[0], Destination: num(p[1]), Addr: "host-" + p[0], Phase: Active, Kind: num(field["kind"])}
 				if p[2] != "" {
 					m.Phase = Phase(at(phases, p[2]))
 				}
@@ -398,7 +398,7 @@
 	case "store-failed":
 		ev = &StoreFailed{Batch: Batch(num(arg(0))), Full: len(plain) > 1 && plain[1] == "full"}
 	case "store-lost":
-		ev = &StoreLost{Kept: Batch(num(arg(0)))}
+		ev = &StoreLost{LastKept: Batch(num(arg(0)))}
 	case "may-write":
 		ev = &MayWrite{Call: CallID(num(arg(0)))}
 	case "first-line":
@@ -409,17 +409,17 @@
 			p := append(strings.Split(w, ":"), "", "")
 			o := Outcome{
 				Item: num(p[0]), Result: control.Result(at(results, p[1])),
-				Open: p[2] == "open", Over: p[2] == "over", Never: p[2] == "never",
+				CallOpen: p[2] == "open", Closed: p[2] == "over", Permanent: p[2] == "never",
 			}
-			if o.Never {
-				o.Why = "it says so"
+			if o.Permanent {
+				o.Reason = "it says so"
 			}
-			o.Wait = Span(span(field["wait"]))
+			o.RetryAfter = Duration(span(field["wait"]))
 			x.Outcomes = append(x.Outcomes, o)
 		}
 		ev = x
 	case "through":
-		ev = &Through{IDs: plain}
+		ev = &Notified{IDs: plain}
 	case "stop":
 		ev = &Stop{}
 	case "wake":
@@ -432,46 +432,46 @@
 
 // formatEvent writes an event as the scripts have it, as far as they can say it.
 func formatEvent(ev Event, now Now) string {
-	ago := func(s Stamp) string { return Span(Time(now.Wall - s)).String() }
+	ago := func(s Timestamp) string { return Duration(Time(now.Wall - s)).String() }
 	message := func(m *Message) string {
-		return fmt.Sprintf("%s class=%s dest=%d key=%s size=%d", m.ID, m.Class, m.Dest, m.Key, len(m.Body))
+		return fmt.Sprintf("%s class=%s dest=%d key=%s size=%d", m.ID, m.Class, m.Destination, m.Key, len(m.Body))
 	}
 	switch ev := ev.(type) {
-	case *HandIn:
-		return fmt.Sprintf("hand-in %s ticket=%d expires=%v", message(&ev.Message), ev.Ticket, Span(ev.Expires))
-	case *HandInAll:
+	case *Submit:
+		return fmt.Sprintf("hand-in %s ticket=%d expires=%v", message(&ev.Message), ev.Ticket, Duration(ev.ExpiresIn))
+	case *SubmitAll:
 		s := fmt.Sprintf("hand-in-all ticket=%d", ev.Ticket)
-		for i := range ev.List {
-			s += " " + message(&ev.List[i].Message)
+		for i := range ev.Submissions {
+			s += " " + message(&ev.Submissions[i].Message)
 		}
 		return s
 	case *Withdraw:
 		return "withdraw " + ev.ID
-	case *Restored:
+	case *RestoredMessage:
 		s := fmt.Sprintf("restored %s deadline=%s tries=%d", message(&ev.Message), ago(ev.Deadline), ev.Tries)
 		if ev.DoubtAt != 0 {
 			s += " doubt=" + ago(ev.DoubtAt)
 		}
-		if ev.Owed != nil {
-			s += " owed=" + hows[ev.Owed.How]
+		if ev.Pending != nil {
+			s += " owed=" + hows[ev.Pending.Disposition]
 		}
 		return s
 	case *RestoredEnd:
-		return fmt.Sprintf("restored-end %s how=%s until=%s", ev.ID, hows[ev.How], ago(ev.Until))
-	case *RestoredLast:
-		return "restored-last written=" + ago(ev.Written)
+		return fmt.Sprintf("restored-end %s how=%s until=%s", ev.ID, hows[ev.Disposition], ago(ev.Until))
+	case *RestoreComplete:
+		return "restored-last written=" + ago(ev.LatestTimestamp)
 	case *Members:
 		s := "members " + ev.Source
 		for _, w := range []struct {
 			on   bool
 			word string
-		}{{ev.Whole, " whole"}, {ev.Cached, " cached"}, {ev.Failed, " failed"}} {
+		}{{ev.FullList, " whole"}, {ev.Cached, " cached"}, {ev.Failed, " failed"}} {
 			if w.on {
 				s += w.word
 			}
 		}
 		for _, m := range ev.List {
-			s += fmt.Sprintf(" %s:%d:%s:%s", m.ID, m.Dest, phases[m.Phase], m.Addr)
+			s += fmt.Sprintf(" %s:%d:%s:%s", m.ID, m.Destination, phases[m.Phase], m.Addr)
 		}
 		return s
 	case *Stored:
@@ -482,7 +482,7 @@
 		}
 		return fmt.Sprintf("store-failed %d", ev.Batch)
 	case *StoreLost:
-		return fmt.Sprintf("store-lost %d", ev.Kept)
+		return fmt.Sprintf("store-lost %d", ev.LastKept)
 	case *MayWrite:
 		return fmt.Sprintf("may-write %d", ev.Call)
 	case *FirstLine:
@@ -491,21 +491,21 @@
 		s := fmt.Sprintf("ended %d", ev.Call)
 		for _, o := range ev.Outcomes {
 			s += fmt.Sprintf(" %d:%s", o.Item, results[o.Result])
-			if o.Open {
+			if o.CallOpen {
 				s += ":open"
 			}
-			if o.Over {
+			if o.Closed {
 				s += ":over"
 			}
-			if o.Never {
+			if o.Permanent {
 				s += ":never"
 			}
-			if o.Wait > 0 {
-				s += " wait=" + o.Wait.String()
+			if o.RetryAfter > 0 {
+				s += " wait=" + o.RetryAfter.String()
 			}
 		}
 		return s
-	case *Through:
+	case *Notified:
 		return "through " + strings.Join(ev.IDs, " ")
 	case *Stop:
 		return "stop"
@@ -518,7 +518,7 @@
 // format writes an effect as the scripts have it.
 func format(f Effect, now Now) string {
 	needs := ""
-	if b := f.Needs(); b > 0 {
+	if b := f.RequiredBatch(); b > 0 {
 		needs = fmt.Sprintf(" needs=%d", b)
 	}
 	switch f := f.(type) {
@@ -531,21 +531,21 @@
 			s += " " + formatRecord(r, now)
 		}
 		return s
-	case *Void:
+	case *Discard:
 		return fmt.Sprintf("void %d", f.Batch)
 	case *Answer:
 		s := fmt.Sprintf("answer %d %s", f.Ticket, kinds[f.Kind])
-		if f.Again > 0 {
-			s += " again=" + f.Again.String()
+		if f.RetryAfter > 0 {
+			s += " again=" + f.RetryAfter.String()
 		}
-		if f.Why != "" {
-			s += " (" + f.Why + ")"
+		if f.Reason != "" {
+			s += " (" + f.Reason + ")"
 		}
 		return s + needs
 	case *Call:
-		s := fmt.Sprintf("call %d %s@%s", f.ID, f.Name, f.Addr)
+		s := fmt.Sprintf("call %d %s@%s", f.ID, f.EndpointID, f.Addr)
 		for _, it := range f.Items {
-			s += fmt.Sprintf(" %s<%v", it.ID, Span(it.Due-now.At))
+			s += fmt.Sprintf(" %s<%v", it.ID, Duration(it.Deadline-now.At))
 		}
 		return s + needs
 	case *Permit:
@@ -554,18 +554,18 @@
 		return fmt.Sprintf("abort %d", f.Call)
 	case *CloseIdle:
 		return fmt.Sprintf("close-idle %d %s", f.Endpoint, f.Addr)
-	case *Leave:
+	case *RemoveEndpoint:
 		return fmt.Sprintf("leave %d %s", f.Endpoint, f.Addr)
 	case *Done:
-		s := fmt.Sprintf("done %s %s", f.ID, hows[f.How])
-		if f.Doubt {
+		s := fmt.Sprintf("done %s %s", f.ID, hows[f.Disposition])
+		if f.InDoubt {
 			s += " doubt"
 		}
-		if f.Again > 0 {
-			s += " again=" + f.Again.String()
+		if f.RetryAfter > 0 {
+			s += " again=" + f.RetryAfter.String()
 		}
-		if f.Why != "" {
-			s += " (" + f.Why + ")"
+		if f.Reason != "" {
+			s += " (" + f.Reason + ")"
 		}
 		return s + needs
 	case *Note:
@@ -579,10 +579,10 @@
 }
 
 func formatRecord(r Record, now Now) string {
-	ago := func(s Stamp) string { return Span(Time(now.Wall - s)).String() }
+	ago := func(s Timestamp) string { return Duration(Time(now.Wall - s)).String() }
 	switch r := r.(type) {
-	case *RecTaken:
-		return fmt.Sprintf("taken %s until=%s", r.Message.ID, Span(Time(r.Deadline-now.Wall)))
+	case *RecAccepted:
+		return fmt.Sprintf("taken %s until=%s", r.Message.ID, Duration(Time(r.Deadline-now.Wall)))
 	case *RecAttempts:
 		s := "attempts"
 		for _, a := range r.List {
@@ -600,17 +600,17 @@
 			s += " settled"
 		}
 		return s
-	case *RecOwed:
-		return fmt.Sprintf("owed %s %s", r.ID, hows[r.How])
+	case *RecPendingResult:
+		return fmt.Sprintf("owed %s %s", r.ID, hows[r.Disposition])
 	case *RecEnded:
-		s := fmt.Sprintf("ended %s %s", r.ID, hows[r.How])
+		s := fmt.Sprintf("ended %s %s", r.ID, hows[r.Disposition])
 		if r.Until != 0 {
-			s += " until=" + Span(Time(r.Until-now.Wall)).String()
+			s += " until=" + Duration(Time(r.Until-now.Wall)).String()
 		}
 		return s
-	case *RecShift:
-		return fmt.Sprintf("shift %s", Span(Time(r.By)))
-	case *RecMark:
+	case *RecClockStep:
+		return fmt.Sprintf("shift %s", Duration(Time(r.By)))
+	case *RecNoop:
 		return "mark"
 	}
 	return fmt.Sprintf("%T", r)
--- a/engine/seams.go
+++ b/engine/seams.go
@@ -24,10 +24,10 @@
 	Flush() (Batch, error)
 }
 
-// Aging is a Store that forgets what has expired. The driver tells it the wall time in each of its rounds, behind what the
+// ExpiringStore is a Store that forgets what has expired. The driver tells it the wall time in each of its rounds, behind what the
 // round appended and before its Flush.
-type Aging interface {
-	Tick(now Stamp)
+type ExpiringStore interface {
+	Tick(now Timestamp)
 }
 
 // Transport makes calls.
@@ -41,9 +41,9 @@
 	// CloseIdle closes the idle connections to an endpoint, called by the driver.
 	CloseIdle(c *CloseIdle)
 
-	// Leave forgets an endpoint at an address, called by the driver: idle connections close, those with calls as these
+	// RemoveEndpoint forgets an endpoint at an address, called by the driver: idle connections close, those with calls as these
 	// end.
-	Leave(l *Leave)
+	RemoveEndpoint(l *RemoveEndpoint)
 }
 
 // CallEvents is what a transport tells of one call, from any goroutine.
@@ -55,7 +55,7 @@
 	// FirstLine tells that the first line of the answer to a call with one item says that it is delivered.
 	FirstLine(id CallID)
 
-	// Ended tells outcomes; each item of a call has one.
+	// Disposition tells outcomes; each item of a call has one.
 	Ended(id CallID, outs []Outcome)
 }
 
@@ -63,28 +63,28 @@
 type Sink interface {
 	// Done takes an end, called by the driver. It answers with Through, from any goroutine, once whoever waits has been
 	// told.
-	Done(d *Done)
+	Completed(d *Done)
 }
 
 // Intake takes what fronts hand in.
 type Intake interface {
-	// HandIn hands a message in, which may be delivered until the deadline (the host's time). Called by fronts, from any
+	// Submit hands a message in, which may be delivered until the deadline (the host's time). Called by fronts, from any
 	// goroutine; it blocks until there is an answer. A driver that has stopped answers Busy.
-	HandIn(m *Message, deadline time.Time) Verdict
+	Submit(m *Message, deadline time.Time) Verdict
 }
 
 // GroupIntake takes several messages at a time from fronts whose clients hand them in so.
 type GroupIntake interface {
-	// HandInEach hands messages in, each for itself, which may be delivered until their deadlines (the host's time).
+	// SubmitEach hands messages in, each for itself, which may be delivered until their deadlines (the host's time).
 	// Called by fronts, from any goroutine; it blocks until there are all answers, in the order of the messages.
-	HandInEach(list []*Message, deadlines []time.Time) []Verdict
+	SubmitEach(list []*Message, deadlines []time.Time) []Verdict
 
-	// HandInAll is the same with one answer: they are taken all or none (engine.HandInAll).
-	HandInAll(list []*Message, deadlines []time.Time) Verdict
+	// SubmitAll is the same with one answer: they are taken all or none (engine.SubmitAll).
+	SubmitAll(list []*Message, deadlines []time.Time) Verdict
 }
 
-// Listing takes what sources tell of endpoints.
-type Listing interface {
+// MembershipReceiver takes what sources tell of endpoints.
+type MembershipReceiver interface {
 	// Members passes on what one source tells, from any goroutine; it does not block. It returns false once the driver
 	// has stopped.
 	Members(m *Members) bool
--- a/engine/settings.go
+++ b/engine/settings.go
@@ -11,9 +11,9 @@
 	Control control.Settings // of the decision module
 	Seed    uint64           // of the module's random numbers
 
-	// Stored says that there is a store. Without one nothing outlasts the process: there are no records, and no effect
+	// HasStore says that there is a store. Without one nothing outlasts the process: there are no records, and no effect
 	// waits for one.
-	Stored bool
+	HasStore bool
 
 	// Prompt lets a Step follow each round of the driver at once while messages are held, where others wait for the grid
 	// of ticks. It is for callers who wait for each answer; nothing is gathered for a shared call but what comes in one
@@ -27,14 +27,14 @@
 	KindBytes     []int  // the same for endpoints of a kind, by its number; 0, or none: CallBytes
 	Remember      Time   // how long beyond its time an id that ended still counts
 	ClassRemember []Time // the same for ids of a class, by its number, where that is longer
-	Patience      Time   // a store that has not answered within this counts as down
+	StoreTimeout  Time   // a store that has not answered within this counts as down
 
-	Ledger *Ledger // nil: no books are kept
+	Ledger *LedgerSettings // nil: no books are kept
 
-	// Kept is set where undelivered messages are kept: RecOwed then has GivenUp. It is asked about each message that is
+	// StoredLeaf is set where undelivered messages are kept: RecPendingResult then has Undelivered. It is asked about each message that is
 	// handed in and would be taken, on the driver's goroutine, and must not block: a kind other than Taken is what speaks
 	// against it, and why.
-	Kept func(m *Message) (VerdictKind, string)
+	CheckUndelivered func(m *Message) (VerdictKind, string)
 }
 
 // Defaults of the settings.
@@ -73,14 +73,14 @@
 			return fmt.Errorf("setting ClassRemember[%d]: a negative time is out of range", i)
 		}
 	}
-	if s.Remember < 0 || s.Patience < 0 {
+	if s.Remember < 0 || s.StoreTimeout < 0 {
 		return fmt.Errorf("setting Remember or Patience: a negative time is out of range")
 	}
 	if s.Remember == 0 {
 		s.Remember = defaultRemember
 	}
-	if s.Patience == 0 {
-		s.Patience = defaultPatience
+	if s.StoreTimeout == 0 {
+		s.StoreTimeout = defaultPatience
 	}
 	return nil
 }
--- a/engine/settings_test.go
+++ b/engine/settings_test.go
@@ -13,7 +13,7 @@
 		"MaxEndpoints": func(s *Settings) { s.MaxEndpoints = -1 },
 		"CallBytes":    func(s *Settings) { s.CallBytes = -1 },
 		"Remember":     func(s *Settings) { s.Remember = -1 },
-		"Patience":     func(s *Settings) { s.Patience = -1 },
+		"Patience":     func(s *Settings) { s.StoreTimeout = -1 },
 		"Slots":        func(s *Settings) { s.Control.Slots = 0 },
 	} {
 		s := testSettings()
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := e.set; s.MaxBytes <= 0 || s.MaxIDs <= 0 || s.MaxEndpoints <= 0 || s.CallBytes <= 0 || s.Remember <= 0 || s.Patience <= 0 {
+	if s := e.set; s.MaxBytes <= 0 || s.MaxIDs <= 0 || s.MaxEndpoints <= 0 || s.CallBytes <= 0 || s.Remember <= 0 || s.StoreTimeout <= 0 {
 		t.Errorf("a bound without a setting is none: %+v", s)
 	}
 }
--- a/engine/store.go
+++ b/engine/store.go
@@ -71,7 +71,7 @@
 
 // record adds a record to the batch of this event, whose number it returns: 0 without a store.
 func (e *Engine) record(r Record, k keeper) Batch {
-	if !e.set.Stored {
+	if !e.set.HasStore {
 		return 0
 	}
 	if e.records == nil && e.books != nil {
@@ -101,7 +101,7 @@
 	e.last++
 	b := &batch{no: e.last, at: e.now.At, calls: e.sending, keepers: append([]keeper(nil), e.keepers...)}
 	for _, r := range e.records {
-		if t, ok := r.(*RecTaken); ok {
+		if t, ok := r.(*RecAccepted); ok {
 			if m := e.byName[t.Message.ID]; m != nil && m.phase == arriving {
 				b.taken = append(b.taken, m)
 			}
@@ -132,17 +132,17 @@
 // recordShift puts a step of the wall clock on its way, in a batch of its own: no want of room for a message may take it
 // along.
 func (e *Engine) recordShift() {
-	if e.shift != 0 && e.set.Stored && !e.down {
+	if e.shift != 0 && e.set.HasStore && !e.down {
 		e.last++
 		e.pending = append(e.pending, &batch{no: e.last, at: e.now.At, shift: e.shift})
-		e.effect(&Append{Batch: e.last, Records: []Record{&RecShift{By: int64(e.shift)}}})
+		e.effect(&Append{Batch: e.last, Records: []Record{&RecClockStep{By: int64(e.shift)}}})
 		e.shift = 0
 		e.place = len(e.out)
 	}
 }
 
 // stamp is a moment as records keep it.
-func (e *Engine) stamp(t Time) Stamp { return Stamp(t + e.offset) }
+func (e *Engine) stamp(t Time) Timestamp { return Timestamp(t + e.offset) }
 
 // ---- from the store ----
 
@@ -202,7 +202,7 @@
 				if full {
 					why = "the store has no room"
 				}
-				e.notTaken(m, Verdict{Kind: Busy, Again: Span(turnedAway), Why: why})
+				e.notTaken(m, Verdict{Kind: Busy, RetryAfter: Duration(turnedAway), Reason: why})
 			}
 		}
 		if full && len(p.taken) > 0 {
@@ -235,7 +235,7 @@
 func (e *Engine) unwritten(p *batch) {
 	if !e.down {
 		e.down = true
-		e.tell(control.Event{Kind: control.Pause, On: true})
+		e.tell(control.Event{Kind: control.Pause, Paused: true})
 		e.note(noteStore, "the store takes nothing: no message is taken on, and no attempt is made")
 	}
 	e.retry = e.now.At + retryGap
@@ -315,9 +315,9 @@
 	if anew {
 		m.missing, m.taken = false, e.last+1
 		if m.anew { // what the store lost may be the end of the earlier life: that one must not go on
-			e.record(&RecEnded{ID: m.ID, How: Refused}, m)
+			e.record(&RecEnded{ID: m.ID, Disposition: Refused}, m)
 		}
-		e.record(&RecTaken{Message: m.Message, Deadline: e.stamp(m.deadline)}, m)
+		e.record(&RecAccepted{Message: m.Message, Deadline: e.stamp(m.deadline)}, m)
 	}
 	if m.tries > 0 || m.maybe.set || !anew { // also where there are none: the store may have an attempt that was taken back
 		r := &RecState{ID: m.ID, Tries: m.tries, Settled: m.maybe.set || m.out == nil}
@@ -327,7 +327,7 @@
 		e.record(r, m)
 	}
 	if m.phase == owing {
-		b := e.record(&RecOwed{ID: m.ID, Owed: m.owed, GivenUp: m.tale.again()}, m)
+		b := e.record(&RecPendingResult{ID: m.ID, PendingResult: m.owed, Undelivered: m.tale.again()}, m)
 		if !m.told {
 			e.timers.drop(m)
 			e.effect(e.done(m, b))
@@ -338,7 +338,7 @@
 func (p *ended) write(e *Engine) {
 	b := e.record(p.record(e), p)
 	if p.done != nil {
-		p.done = &Done{ID: p.done.ID, How: p.done.How, Doubt: p.done.Doubt, needs: b}
+		p.done = &Done{ID: p.done.ID, Disposition: p.done.Disposition, InDoubt: p.done.InDoubt, needs: b}
 		e.effect(p.done)
 	}
 }
@@ -357,7 +357,7 @@
 func (e *Engine) patience() (Time, bool) {
 	for _, p := range e.pending {
 		if p.shift == 0 && !p.given {
-			return p.at + e.set.Patience, true
+			return p.at + e.set.StoreTimeout, true
 		}
 	}
 	return e.retry, e.down && len(e.pending) == 0
@@ -370,18 +370,18 @@
 		if p.shift != 0 || p.given {
 			continue
 		}
-		if e.now.At < p.at+e.set.Patience {
+		if e.now.At < p.at+e.set.StoreTimeout {
 			break
 		}
 		p.given = true
-		e.effect(&Void{Batch: p.no})
+		e.effect(&Discard{Batch: p.no})
 		for _, m := range p.taken {
 			if m.phase != arriving {
 				continue
 			}
 			// It may get into the store yet: then it is ended there. Nobody may hand it in again meanwhile.
 			for _, t := range m.tickets {
-				e.effect(&Answer{Ticket: t, Verdict: Verdict{Kind: Unsure, Why: "the store does not answer"}})
+				e.effect(&Answer{Ticket: t, Verdict: Verdict{Kind: Unconfirmed, Reason: "the store does not answer"}})
 			}
 			e.bookForgone(m)
 			e.close(m)
@@ -396,7 +396,7 @@
 	if e.down && e.now.At >= e.retry && len(e.pending) == 0 {
 		e.retry = e.now.At + retryGap
 		if e.writeDirty(); len(e.records) == 0 {
-			e.record(&RecMark{}, nil)
+			e.record(&RecNoop{}, nil)
 		}
 	}
 }
--- a/engine/store_test.go
+++ b/engine/store_test.go
@@ -33,13 +33,13 @@
 		return answers
 	}
 	stored := func() { told = batches[len(batches)-1].Batch; handle(&Stored{Batch: told}) }
-	in := func(i int) *HandIn {
-		return &HandIn{
-			Ticket: Ticket(i), Expires: 9 * control.Second,
-			Message: Message{ID: fmt.Sprint("m", i), Class: "unsafe", Dest: 1, Body: []byte("body")},
+	in := func(i int) *Submit {
+		return &Submit{
+			Ticket: Ticket(i), ExpiresIn: 9 * control.Second,
+			Message: Message{ID: fmt.Sprint("m", i), Class: "unsafe", Destination: 1, Body: []byte("body")},
 		}
 	}
-	handle(&Members{Source: "s", Whole: true, List: []Member{{ID: "a", Addr: "h", Dest: 1, Phase: Leaving}}})
+	handle(&Members{Source: "s", FullList: true, List: []Member{{ID: "a", Addr: "h", Destination: 1, Phase: Leaving}}})
 	for i := range n {
 		handle(in(i))
 	}
@@ -49,7 +49,7 @@
 	}
 	stored()
 	before := len(batches)
-	handle(&StoreLost{Kept: 0})
+	handle(&StoreLost{LastKept: 0})
 	anew := 0
 	for len(batches) > before {
 		b := batches[len(batches)-1]
@@ -77,7 +77,7 @@
 	if got := len(replay(disk).live); got != n-n/2 {
 		t.Errorf("the store has %d messages, want %d", got, n-n/2)
 	}
-	if a := handle(in(0)); len(a) != 1 || a[0].Kind != Taken {
+	if a := handle(in(0)); len(a) != 1 || a[0].Kind != Accepted {
 		t.Errorf("its accounts written, the store takes nothing")
 	}
 }
@@ -109,8 +109,8 @@
 		t.Fatal(err)
 	}
 	now := Now{At: Epoch, Wall: testWall}
-	e.Handle(now, &Restored{Message: Message{ID: "m", Class: "bygone", Body: make([]byte, 100)}, Deadline: testWall + 1e6})
-	e.Handle(now, &RestoredLast{Written: testWall})
+	e.Handle(now, &RestoredMessage{Message: Message{ID: "m", Class: "bygone", Body: make([]byte, 100)}, Deadline: testWall + 1e6})
+	e.Handle(now, &RestoreComplete{LatestTimestamp: testWall})
 	if m := e.byName["m"]; m == nil || m.phase != owing || m.Body != nil {
 		t.Errorf("message %+v", m)
 	}
--- a/engine/view.go
+++ b/engine/view.go
@@ -6,29 +6,29 @@
 	"curlewmux/control"
 )
 
-// Held is what is open for a destination.
-type Held struct {
-	Dest      int
-	Oldest    Time // how long its oldest message has been open in this process
-	Condition control.Condition
+// Backlog is what is open for a destination.
+type DestinationBacklog struct {
+	Destination int
+	OldestAge   Time // how long its oldest message has been open in this process
+	Condition   control.Condition
 }
 
-// Held tells of the destinations of open messages, by number. It looks at the oldest messages, so many at most, and more
+// Backlog tells of the destinations of open messages, by number. It looks at the oldest messages, so many at most, and more
 // says that there are others; it changes nothing.
-func (e *Engine) Held(most int) (list []Held, more bool) {
+func (e *Engine) Backlog(most int) (list []DestinationBacklog, more bool) {
 	seen := map[int]bool{}
 	for m := e.oldest; m != nil; m = m.behind {
 		if most--; most < 0 {
 			more = true
 			break
 		}
-		if m.phase != held || seen[m.Dest] {
+		if m.phase != held || seen[m.Destination] {
 			continue
 		}
-		seen[m.Dest] = true
-		condition, _ := e.Condition(m.Dest)
-		list = append(list, Held{m.Dest, e.now.At - m.since, condition})
+		seen[m.Destination] = true
+		condition, _ := e.Condition(m.Destination)
+		list = append(list, DestinationBacklog{m.Destination, e.now.At - m.since, condition})
 	}
-	slices.SortFunc(list, func(a, b Held) int { return a.Dest - b.Dest })
+	slices.SortFunc(list, func(a, b DestinationBacklog) int { return a.Destination - b.Destination })
 	return list, more
 }
--- a/engine/view_test.go
+++ b/engine/view_test.go
@@ -24,20 +24,20 @@
 	}
 	var list []Member
 	for _, dest := range []int{3, 1, 2} {
-		list = append(list, Member{ID: fmt.Sprint("e", dest), Addr: "h", Dest: dest, Phase: Leaving})
+		list = append(list, Member{ID: fmt.Sprint("e", dest), Addr: "h", Destination: dest, Phase: Leaving})
 	}
-	handle(&Members{Source: "s", Whole: true, List: list})
+	handle(&Members{Source: "s", FullList: true, List: list})
 	for i, dest := range []int{3, 1, 3, 2, 1} {
 		now.At += control.Second
-		handle(&HandIn{Ticket: Ticket(i + 1), Expires: 9 * control.Second, Message: Message{ID: fmt.Sprint("m", i), Class: "unsafe", Dest: dest}})
+		handle(&Submit{Ticket: Ticket(i + 1), ExpiresIn: 9 * control.Second, Message: Message{ID: fmt.Sprint("m", i), Class: "unsafe", Destination: dest}})
 	}
 	now.At += control.Second
 	handle(&Withdraw{ID: "m0"}) // the oldest of 3: the next one is now
-	for most, want := range map[int][]Held{
-		10: {{1, 4 * control.Second, control.Unserved}, {2, 2 * control.Second, control.Unserved}, {3, 3 * control.Second, control.Unserved}},
-		2:  {{1, 4 * control.Second, control.Unserved}, {3, 3 * control.Second, control.Unserved}},
+	for most, want := range map[int][]DestinationBacklog{
+		10: {{1, 4 * control.Second, control.Unavailable}, {2, 2 * control.Second, control.Unavailable}, {3, 3 * control.Second, control.Unavailable}},
+		2:  {{1, 4 * control.Second, control.Unavailable}, {3, 3 * control.Second, control.Unavailable}},
 	} {
-		if got, more := e.Held(most); !slices.Equal(got, want) || more != (most == 2) {
+		if got, more := e.Backlog(most); !slices.Equal(got, want) || more != (most == 2) {
 			t.Errorf("of %d: %v, %v; want %v", most, got, more, want)
 		}
 	}
--- a/engine/world_test.go
+++ b/engine/world_test.go
@@ -124,15 +124,15 @@
 	for _, m := range state.live { // what counts is the order in which the store has them
 		w.model.took++
 		l := w.model.lives[m.Message.ID]
-		l.tookAt, l.finished = w.model.took, m.Owed != nil
-		if m.Deadline > w.now.Wall+Stamp(l.deadline+w.model.unsure-w.model.time) { // a step that no record tells of
+		l.tookAt, l.finished = w.model.took, m.Pending != nil
+		if m.Deadline > w.now.Wall+Timestamp(l.deadline+w.model.unsure-w.model.time) { // a step that no record tells of
 			w.model.setBack = true
 		}
-		if l.bodyless = l.bodyless || m.Owed != nil; !l.bodyless {
-			l.print, l.recorded = m.Message.Print(), m.Message.Print()
+		if l.bodyless = l.bodyless || m.Pending != nil; !l.bodyless {
+			l.print, l.recorded = m.Message.Fingerprint(), m.Message.Fingerprint()
 		}
 		switch {
-		case m.Owed != nil:
+		case m.Pending != nil:
 			w.count("restored owed")
 		case m.DoubtAt != 0:
 			w.count("restored with doubt, " + m.Message.Class)
@@ -145,31 +145,31 @@
 	}
 	for _, p := range state.ended {
 		l := w.model.lives[p.ID]
-		if l.bodyless = p.Print&bodyPrint == 0; !l.bodyless {
-			l.print, l.recorded = p.Print, p.Print
+		if l.bodyless = p.Fingerprint&bodyPrint == 0; !l.bodyless {
+			l.print, l.recorded = p.Fingerprint, p.Fingerprint
 		}
 		w.handle(p)
 	}
-	if state.written > w.now.Wall+Stamp(control.Second) {
+	if state.written > w.now.Wall+Timestamp(control.Second) {
 		w.count("restored with the clock behind")
 	}
-	w.handle(&RestoredLast{Written: state.written})
+	w.handle(&RestoreComplete{LatestTimestamp: state.written})
 }
 
 // ---- the store ----
 
 // replayed is what records say, as any store must tell it.
 type replayed struct {
-	live    []*Restored
+	live    []*RestoredMessage
 	ended   []*RestoredEnd
-	written Stamp
+	written Timestamp
 	leaves  []ledger.Leaf
 }
 
 // replay reads records from the first to the last: the reference for every store.
 func replay(records []Record) (s replayed) {
 	type account struct {
-		*Restored
+		*RestoredMessage
 		unproven bool // the doubt is of the newest attempt
 	}
 	var live []*account
@@ -181,12 +181,12 @@
 		}
 		return nil
 	}
-	seen := func(t Stamp) { s.written = max(s.written, t) }
+	seen := func(t Timestamp) { s.written = max(s.written, t) }
 	for _, r := range records {
 		switch r := r.(type) {
-		case *RecTaken:
+		case *RecAccepted:
 			if find(r.Message.ID) == nil {
-				live = append(live, &account{Restored: &Restored{Message: r.Message, Deadline: r.Deadline}})
+				live = append(live, &account{RestoredMessage: &RestoredMessage{Message: r.Message, Deadline: r.Deadline}})
 				s.ended = slices.DeleteFunc(s.ended, func(p *RestoredEnd) bool { return p.ID == r.Message.ID })
 			}
 		case *RecAttempts:
@@ -208,23 +208,23 @@
 			if a := find(r.ID); a != nil {
 				a.Tries, a.DoubtAt, a.DoubtZone, a.unproven = r.Tries, r.DoubtAt, r.DoubtZone, !r.Settled
 			}
-		case *RecOwed:
+		case *RecPendingResult:
 			if a := find(r.ID); a != nil {
-				owed := r.Owed
-				a.Owed = &owed
+				owed := r.PendingResult
+				a.Pending = &owed
 				a.Message.Body = nil
 			}
 		case *RecEnded:
 			live = slices.DeleteFunc(live, func(a *account) bool { return a.Message.ID == r.ID })
 			s.ended = slices.DeleteFunc(s.ended, func(p *RestoredEnd) bool { return p.ID == r.ID })
 			if r.Until != 0 {
-				s.ended = append(s.ended, &RestoredEnd{ID: r.ID, How: r.How, Until: r.Until, Print: r.Print})
+				s.ended = append(s.ended, &RestoredEnd{ID: r.ID, Disposition: r.Disposition, Until: r.Until, Fingerprint: r.Fingerprint})
 			}
-		case *RecLeaf:
+		case *RecLedgerLeaf:
 			s.leaves = slices.DeleteFunc(s.leaves, func(l ledger.Leaf) bool { return l.Number == r.Number })
 			s.leaves = append(s.leaves, ledger.Leaf{Number: r.Number, Text: r.Text})
-		case *RecShift:
-			by := Stamp(r.By)
+		case *RecClockStep:
+			by := Timestamp(r.By)
 			for _, a := range live {
 				a.Deadline += by
 				if a.DoubtAt != 0 {
@@ -238,7 +238,7 @@
 		}
 	}
 	for _, a := range live {
-		s.live = append(s.live, a.Restored)
+		s.live = append(s.live, a.RestoredMessage)
 	}
 	return s
 }
@@ -284,13 +284,13 @@
 	w.batches, w.batchAt = append(w.batches, len(w.disk)), append(w.batchAt, w.now.At)
 	w.gate.Failed(a.Batch)
 	w.reordered = w.reordered || len(w.waiting) > 0 && w.mode != storeFails
-	var taken []*RecTaken
+	var taken []*RecAccepted
 	takes := true
 	for _, r := range a.Records {
 		switch r := r.(type) {
-		case *RecTaken:
+		case *RecAccepted:
 			taken = append(taken, r)
-		case *RecLeaf:
+		case *RecLedgerLeaf:
 		default:
 			takes = false
 		}
@@ -340,12 +340,12 @@
 			}
 		case *Answer:
 			w.count("verdict " + kinds[f.Kind])
-			if f.Kind == Busy || f.Kind == Spent || f.Kind == Conflict {
-				w.count(f.Why)
+			if f.Kind == Busy || f.Kind == AlreadyEnded || f.Kind == Conflict {
+				w.count(f.Reason)
 			}
 		case *Done:
-			w.count("end " + hows[f.How])
-			if f.Doubt {
+			w.count("end " + hows[f.Disposition])
+			if f.InDoubt {
 				w.count("end in doubt")
 			}
 		case *Permit:
@@ -384,7 +384,7 @@
 		case *Call:
 			c := &worldCall{Call: *f, written: make([]bool, len(f.Items)), ended: make([]bool, len(f.Items))}
 			w.calls = append(w.calls, c)
-			c.dest = messageOf(c.Items[0].ID).Dest
+			c.dest = messageOf(c.Items[0].ID).Destination
 			w.model.called(c)
 			if late && w.made[c.ID] != w.round { // much can have changed since
 				w.permit(c)
@@ -402,7 +402,7 @@
 			}
 		case *Done:
 			w.model.done(f)
-			if f.How == Refused || f.How == Failed {
+			if f.Disposition == Refused || f.Disposition == Failed {
 				w.owed = append(w.owed, f.ID)
 			}
 		case *Permit:
@@ -474,15 +474,15 @@
 		i := w.n("through", len(w.owed))
 		id := w.owed[i]
 		w.owed = slices.Delete(w.owed, i, i+1)
-		w.handle(&Through{IDs: []string{id}})
+		w.handle(&Notified{IDs: []string{id}})
 	case what == 18:
 		switch w.n("rare", 10) {
 		case 0:
 			w.crash()
 		case 1:
-			by := Stamp(w.n("clock step", 7)-3) * Stamp(1200*control.Second)
+			by := Timestamp(w.n("clock step", 7)-3) * Timestamp(1200*control.Second)
 			if w.n("slewed", 2) == 0 {
-				by = Stamp(w.n("slew", 399)-199) * Stamp(control.Millisecond)
+				by = Timestamp(w.n("slew", 399)-199) * Timestamp(control.Millisecond)
 			}
 			w.now.Wall += by
 			switch {
@@ -496,12 +496,12 @@
 		case 3, 4:
 			w.withdraw()
 		case 5:
-			w.handle(&Through{IDs: []string{"nobody"}})
+			w.handle(&Notified{IDs: []string{"nobody"}})
 		case 6:
 			w.tickets++
 			m := messageOf(w.idNow())
 			m.Class = "unheard of"
-			w.handle(&HandIn{Ticket: Ticket(w.tickets), Message: m, Expires: control.Second})
+			w.handle(&Submit{Ticket: Ticket(w.tickets), Message: m, ExpiresIn: control.Second})
 		case 7: // a planned stop; what is left the next process has
 			if w.stopped {
 				w.crash()
@@ -531,7 +531,7 @@
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	v := int(h.Sum32() >> 4)
-	m := Message{ID: id, Class: worldClasses[v%4], Dest: 1 + v/4%3, Key: fmt.Sprint("k", v/12%2), Body: []byte("body")}
+	m := Message{ID: id, Class: worldClasses[v%4], Destination: 1 + v/4%3, Key: fmt.Sprint("k", v/12%2), Body: []byte("body")}
 	if v/24%5 == 0 {
 		m.Body = make([]byte, 150)
 	}
@@ -549,13 +549,13 @@
 	}
 	expires := Time(1+w.n("expires", 8)) * control.Second
 	w.model.handedIn(Ticket(w.tickets), m, expires)
-	w.handle(&HandIn{Ticket: Ticket(w.tickets), Message: m, Expires: expires})
+	w.handle(&Submit{Ticket: Ticket(w.tickets), Message: m, ExpiresIn: expires})
 }
 
 // handInAll hands several in at once, some perhaps twice, or as another message.
 func (w *world) handInAll() {
 	w.tickets++
-	h := &HandInAll{Ticket: Ticket(w.tickets)}
+	h := &SubmitAll{Ticket: Ticket(w.tickets)}
 	expires := Time(1+w.n("expires", 8)) * control.Second
 	seen := map[string]bool{}
 	for range 2 + w.n("several", 3) {
@@ -569,7 +569,7 @@
 			continue
 		}
 		w.model.several = h.Ticket
-		h.List = append(h.List, HandIn{Message: m, Expires: expires})
+		h.Submissions = append(h.Submissions, Submit{Message: m, ExpiresIn: expires})
 		if !seen[m.ID] {
 			w.model.handedIn(h.Ticket, m, expires)
 		}
@@ -592,7 +592,7 @@
 // advance lets time pass: to the next wake, a little, or much too long.
 func (w *world) advance() {
 	var by Time
-	next, ok := w.e.Next()
+	next, ok := w.e.NextWake()
 	switch w.n("pass", 8) {
 	case 0:
 		by = 0
@@ -615,7 +615,7 @@
 		w.count("an hour passes")
 	}
 	w.now.At += by
-	w.now.Wall += Stamp(by)
+	w.now.Wall += Timestamp(by)
 	w.model.time += by
 	w.handle(&Wake{})
 }
@@ -654,14 +654,14 @@
 	case 1:
 		w.timeOut(c)
 	case 2:
-		r := []control.Result{control.Reset, control.Errored, control.Full}[w.n("fails", 3)]
-		w.end(c, func(int) control.Result { return r }, r == control.Full && w.n("waits", 2) == 0)
+		r := []control.Result{control.Reset, control.Errored, control.Refused}[w.n("fails", 3)]
+		w.end(c, func(int) control.Result { return r }, r == control.Refused && w.n("waits", 2) == 0)
 	default:
 		w.end(c, func(int) control.Result {
 			if len(c.Items) == 1 {
 				return control.OK
 			}
-			return []control.Result{control.OK, control.OK, control.Errored, control.Full, control.Moot}[w.n("item", 5)]
+			return []control.Result{control.OK, control.OK, control.Errored, control.Refused, control.Moot}[w.n("item", 5)]
 		}, false)
 	}
 }
@@ -674,14 +674,14 @@
 		if c.ended[i] {
 			continue
 		}
-		if it.Due <= w.now.At {
+		if it.Deadline <= w.now.At {
 			outs = append(outs, Outcome{Item: i, Result: control.TimedOut})
 		} else {
 			left++
 		}
 	}
 	for i := range outs {
-		outs[i].Open = left > 0
+		outs[i].CallOpen = left > 0
 		c.ended[outs[i].Item] = true
 	}
 	if len(outs) > 0 {
@@ -699,14 +699,14 @@
 			c.ended[i] = true
 			o := Outcome{Item: i, Result: result(i)}
 			if !w.endless && c.started && !c.aborted && w.n("over", 15) == 0 {
-				o.Over = true
+				o.Closed = true
 				w.count("over")
 			}
 			if w.n("earlier", 4) == 0 {
 				o.At = max(w.now.At-2*control.Millisecond, Epoch)
 			}
 			if wait {
-				o.Wait = Span(300 * control.Millisecond)
+				o.RetryAfter = Duration(300 * control.Millisecond)
 			}
 			outs = append(outs, o)
 		}
@@ -719,18 +719,18 @@
 // list changes what a source tells.
 func (w *world) list() {
 	source := []string{"one", "two"}[w.n("source", 2)]
-	l := &Members{Source: source, Whole: w.n("whole", 2) == 0}
+	l := &Members{Source: source, FullList: w.n("whole", 2) == 0}
 	if w.n("fails", 10) == 0 {
 		w.handle(&Members{Source: source, Failed: true})
 		return
 	}
 	calm := w.n("calm list", 4) < w.calm
-	l.Whole = l.Whole || calm
+	l.FullList = l.FullList || calm
 	for id := range 5 {
 		if !calm && w.n("listed", 4) == 0 {
 			continue
 		}
-		m := Member{ID: fmt.Sprint("e", id), Addr: fmt.Sprint("h", id), Dest: 1 + id%3, Kind: id % 2, Phase: Active, Weight: 50}
+		m := Member{ID: fmt.Sprint("e", id), Addr: fmt.Sprint("h", id), Destination: 1 + id%3, Kind: id % 2, Phase: Active, Weight: 50}
 		state := w.n("state", 12)
 		if calm {
 			state = 4
@@ -741,7 +741,7 @@
 		case 1:
 			m.Phase = Gone
 		case 2:
-			m.Dest = 1 + w.n("moved", 3)
+			m.Destination = 1 + w.n("moved", 3)
 		case 3:
 			m.Addr += "x"
 		}
@@ -784,11 +784,11 @@
 			w.mode = storeSync // what is written anew gets there: more than that nobody could mend
 			w.lost = true
 			for _, m := range replay(w.disk).live {
-				if m.Deadline+Stamp(w.e.set.Remember) <= w.now.Wall {
+				if m.Deadline+Timestamp(w.e.set.Remember) <= w.now.Wall {
 					w.longOver[m.Message.ID] = true
 				}
 			}
-			w.handle(&StoreLost{Kept: Batch(kept)})
+			w.handle(&StoreLost{LastKept: Batch(kept)})
 		}
 	}
 }
@@ -803,13 +803,13 @@
 		w.disk = append(w.disk, a.Records...)
 	}
 	down := Time(w.n("down", 3)) * control.Second
-	w.now.Wall += Stamp(down)
+	w.now.Wall += Timestamp(down)
 	w.model.time += down
 	switch w.n("clock while down", 6) {
 	case 0:
-		w.now.Wall += Stamp(1800 * control.Second)
+		w.now.Wall += Timestamp(1800 * control.Second)
 	case 1: // set back by more than the process was down
-		w.now.Wall -= Stamp(1800 * control.Second)
+		w.now.Wall -= Timestamp(1800 * control.Second)
 		w.model.setBack = true
 	}
 	w.count("restart")
@@ -840,18 +840,18 @@
 		for len(w.owed) > 0 {
 			id := w.owed[0]
 			w.owed = w.owed[1:]
-			w.handle(&Through{IDs: []string{id}})
+			w.handle(&Notified{IDs: []string{id}})
 		}
 		w.flush()
 		if w.e.open == 0 && w.e.owing == 0 && len(w.calls) == 0 && len(w.e.dirty) == 0 && !w.e.down {
 			break
 		}
-		next, ok := w.e.Next()
+		next, ok := w.e.NextWake()
 		if !ok {
 			break
 		}
 		by := max(next-w.now.At, 1)
-		w.now.At, w.now.Wall = w.now.At+by, w.now.Wall+Stamp(by)
+		w.now.At, w.now.Wall = w.now.At+by, w.now.Wall+Timestamp(by)
 		w.model.time += by
 		w.handle(&Wake{})
 		w.flush()
@@ -870,7 +870,7 @@
 // ---- the model ----
 
 type model struct {
-	several  Ticket // the newest of a HandInAll: one of its messages may be another one, and then none is taken
+	several  Ticket // the newest of a SubmitAll: one of its messages may be another one, and then none is taken
 	w        *world
 	time     Time // true time, over all processes
 	lives    map[string]*life
@@ -901,7 +901,7 @@
 	finished  bool // its end is decided
 	ends      int  // told
 	mostEnds  int
-	how       How
+	how       Disposition
 	out       *worldCall // written there, without an outcome
 	doubt     bool       // it may have run
 	doubtAt   Time
@@ -939,12 +939,12 @@
 	}
 	for _, l := range of {
 		msg := l.waiting[a.Ticket]
-		print := msg.Print()
+		print := msg.Fingerprint()
 		delete(l.waiting, a.Ticket)
 		if a.Kind == Conflict && print == l.print && print == l.recorded && a.Ticket > m.several {
 			m.w.fail("ticket %d: the same request for %s is told as another message", a.Ticket, l.id)
 		}
-		if a.Kind != Taken {
+		if a.Kind != Accepted {
 			continue
 		}
 		if len(of) > 1 && l.tookAt == 0 {
@@ -967,23 +967,23 @@
 func (m *model) recorded(a *Append) {
 	for _, r := range a.Records {
 		if p, ok := r.(*RecEnded); ok && !slices.ContainsFunc(a.Records, func(o Record) bool {
-			t, ok := o.(*RecTaken) // then the account of a later life is written anew
+			t, ok := o.(*RecAccepted) // then the account of a later life is written anew
 			return ok && t.Message.ID == p.ID
 		}) {
 			l := m.lives[p.ID]
 			l.finished = true
-			if p.How == Withdrawn && p.Until == 0 { // it never ran: its id is free again
+			if p.Disposition == Withdrawn && p.Until == 0 { // it never ran: its id is free again
 				l.taken, l.free = false, true
 			}
 		}
-		if o, ok := r.(*RecOwed); ok {
+		if o, ok := r.(*RecPendingResult); ok {
 			m.lives[o.ID].finished = true
 		}
-		t, ok := r.(*RecTaken)
+		t, ok := r.(*RecAccepted)
 		if !ok {
 			continue
 		}
-		m.lives[t.Message.ID].recorded = t.Message.Print()
+		m.lives[t.Message.ID].recorded = t.Message.Fingerprint()
 		if l := m.lives[t.Message.ID]; l.tookAt == 0 || l.finished {
 			if l.finished {
 				l.mostEnds++
@@ -1046,7 +1046,7 @@
 	case class.Effect == control.SingleShot && (l.doubt || l.runs):
 		w.fail("%s, unsafe, is sent again after it may have run", it.ID)
 	case class.Effect == control.Guarded && (l.doubt || l.runs) && m.time >= l.doubtAt+class.Window:
-		w.fail("%s, keyed, is sent again %v after its first send that may have run", it.ID, Span(m.time-l.doubtAt))
+		w.fail("%s, keyed, is sent again %v after its first send that may have run", it.ID, Duration(m.time-l.doubtAt))
 	}
 	if w.stopped {
 		w.fail("%s is sent after the stop", it.ID)
@@ -1055,28 +1055,28 @@
 		w.count("sent again, " + l.message.Class)
 	}
 	if m.time >= l.deadline+m.unsure && !m.setBack { // then no record need bear how much time has gone by
-		w.fail("%s is sent %v after its time is up", it.ID, Span(m.time-l.deadline))
+		w.fail("%s is sent %v after its time is up", it.ID, Duration(m.time-l.deadline))
 	}
-	r := m.routes[c.Name]
+	r := m.routes[c.EndpointID]
 	switch {
 	case r == nil:
-		w.fail("no source told of endpoint %s", c.Name)
-	case r.dest != l.message.Dest:
-		w.fail("%s goes to destination %d at %s", it.ID, r.dest, c.Name)
+		w.fail("no source told of endpoint %s", c.EndpointID)
+	case r.dest != l.message.Destination:
+		w.fail("%s goes to destination %d at %s", it.ID, r.dest, c.EndpointID)
 	case r.addr != c.Addr:
-		w.fail("%s goes to %s, which %s has left", it.ID, c.Addr, c.Name)
+		w.fail("%s goes to %s, which %s has left", it.ID, c.Addr, c.EndpointID)
 	}
 	for _, source := range []string{"one", "two"} {
 		if says, ok := r.says[source]; ok && says != Active {
-			w.fail("%s goes to %s, which is %s as source %s tells", it.ID, c.Name, phases[says], source)
+			w.fail("%s goes to %s, which is %s as source %s tells", it.ID, c.EndpointID, phases[says], source)
 		}
 	}
-	wait := m.waits[m.limit(c.Name, c.dest)]
+	wait := m.waits[m.limit(c.EndpointID, c.dest)]
 	if wait.until > 0 && m.time >= wait.until {
 		w.count("sent after a told wait")
 	}
 	if m.time < wait.until && m.time > wait.told+100*control.Millisecond {
-		w.fail("%s goes to %s within a wait told there", it.ID, c.Name)
+		w.fail("%s goes to %s within a wait told there", it.ID, c.EndpointID)
 	}
 	for _, o := range m.order {
 		if !class.InOrder || o == l || o.message.Class != l.message.Class || o.message.Key != l.message.Key {
@@ -1107,11 +1107,11 @@
 	for _, o := range outs {
 		l := m.lives[c.Items[o.Item].ID]
 		if l.out == c {
-			if !o.Open { // else it is still out, until the call ends
+			if !o.CallOpen { // else it is still out, until the call ends
 				l.out = nil
 			}
-			l.over = l.over || o.Over
-			if o.Open {
+			l.over = l.over || o.Closed
+			if o.CallOpen {
 				w.count("timed out, and its call goes on")
 			}
 			if !control.NeverRan(o.Result) {
@@ -1123,9 +1123,9 @@
 				l.rest = m.time + w.set.Control.SettleAfterDoubt
 			}
 		}
-		if o.Wait > 0 {
-			at := m.limit(c.Name, c.dest)
-			m.waits[at] = wait{m.time, max(m.waits[at].until, m.time+Time(o.Wait.Microseconds()))}
+		if o.RetryAfter > 0 {
+			at := m.limit(c.EndpointID, c.dest)
+			m.waits[at] = wait{m.time, max(m.waits[at].until, m.time+Time(o.RetryAfter.Microseconds()))}
 		}
 	}
 	if !slices.Contains(c.ended, false) { // the call is over, also for its late ones
@@ -1153,7 +1153,7 @@
 			delete(m.routes, id)
 		}
 	}
-	if l.Whole {
+	if l.FullList {
 		for _, r := range m.routes {
 			if _, ok := r.says[l.Source]; ok {
 				r.says[l.Source] = Gone
@@ -1162,14 +1162,14 @@
 	}
 	for _, n := range l.List {
 		r := m.routes[n.ID]
-		if r == nil || r.dest != n.Dest && n.Phase != Gone {
+		if r == nil || r.dest != n.Destination && n.Phase != Gone {
 			if n.Phase == Gone {
 				continue
 			}
 			if r != nil {
 				m.w.count("an id moves to another destination")
 			}
-			r = &route{says: map[string]Phase{}, dest: n.Dest}
+			r = &route{says: map[string]Phase{}, dest: n.Destination}
 			m.routes[n.ID] = r
 		}
 		if r.says[l.Source] == Gone && n.Phase != Gone && r.addr != "" {
@@ -1187,17 +1187,17 @@
 	switch {
 	case l == nil:
 		m.w.fail("%s was never handed in and ends", d.ID)
-	case d.How == Delivered && !l.runs:
+	case d.Disposition == Delivered && !l.runs:
 		m.w.fail("%s is told as delivered and was not", d.ID)
-	case d.How == Refused && l.doubt && l.message.Class == "unsafe":
+	case d.Disposition == Refused && l.doubt && l.message.Class == "unsafe":
 		m.w.fail("%s, unsafe, is refused though it may have run", d.ID)
-	case d.How == Refused && l.out != nil && l.message.Class == "unsafe":
+	case d.Disposition == Refused && l.out != nil && l.message.Class == "unsafe":
 		m.w.fail("%s, unsafe, is refused while it is out", d.ID)
 	}
 	if class := m.w.set.Control.Classes[slices.Index(worldClasses, l.message.Class)]; l.doubt && m.time >= l.doubtAt+class.Window {
 		m.w.count("ends in doubt after its key's window, " + class.Name)
 	}
-	l.how, l.told = d.How, true
+	l.how, l.told = d.Disposition, true
 	if l.ends++; l.ends > l.mostEnds {
 		m.w.fail("%s ends %d times", d.ID, l.ends)
 	}
--- a/grpcmux/call.go
+++ b/grpcmux/call.go
@@ -54,7 +54,7 @@
 		return k.fault(codes.Canceled, ReasonClosed, "the Core is closed").err()
 	}
 	defer c.leave()
-	switch err := c.waitList(ctx, r.Dest, r.deadline); {
+	switch err := c.waitList(ctx, r.Destination, r.deadline); {
 	case errors.Is(err, errClosing):
 		return k.fault(codes.Canceled, ReasonClosed, "the Core is closed").err()
 	case err != nil:
@@ -119,7 +119,7 @@
 	defer k.mu.Unlock()
 	switch {
 	case !ok:
-	case answer.Kind == engine.Taken && answer.Ended == 0:
+	case answer.Kind == engine.Accepted && answer.Disposition == 0:
 		k.taken = true
 	default:
 		k.verdict = answer
@@ -186,7 +186,7 @@
 	c := k.core
 	c.transport.Expect(k.ID, k)
 	defer c.transport.Forget(k.ID)
-	if !c.driver.Offer(&k.Message, k.deadline, k.once, k) {
+	if !c.driver.SubmitAsync(&k.Message, k.deadline, k.once, k) {
 		return k.fault(codes.Canceled, ReasonClosed, "the Core is closed").err()
 	}
 	settled := false
@@ -238,7 +238,7 @@
 		k.mu.Unlock()
 		if done != nil {
 			settled = true
-			if done.How == engine.Withdrawn {
+			if done.Disposition == engine.Withdrawn {
 				return k.calledOff(ctx)
 			}
 			return k.answer(done)
@@ -253,7 +253,7 @@
 // attempt makes one attempt and tells the engine its outcome. It returns whether the client connection is closed.
 func (k *call) attempt(ctx context.Context, v *via, c *engine.Call, on engine.CallEvents, invoke func(context.Context) error) (closed bool) {
 	host := ctx
-	ctx, cancel := until(ctx, k.core.clock.Time(c.Items[0].Due))
+	ctx, cancel := until(ctx, k.core.clock.Time(c.Items[0].Deadline))
 	defer cancel()
 	k.mu.Lock()
 	skip := c.Items[0].Skip || k.done != nil
@@ -277,7 +277,7 @@
 	if !skip && !k.core.isClosing() {
 		var err error
 		k.attempts++
-		o, err, k.ended = v.client.Try(ctx, c, on, k.core.set.TurnsAway[k.Dest], invoke)
+		o, err, k.ended = v.client.Try(ctx, c, on, k.core.set.TurnsAway[k.Destination], invoke)
 		if err != nil || k.ended {
 			k.last = err
 		}
@@ -332,16 +332,16 @@
 
 // turnedAway is the answer to a call that was not taken on.
 func (k *call) turnedAway(v *engine.Verdict) error {
-	f := k.fault(codes.Unavailable, ReasonRefused, v.Why)
-	switch f.again = v.Again; v.Kind {
+	f := k.fault(codes.Unavailable, ReasonRefused, v.Reason)
+	switch f.again = v.RetryAfter; v.Kind {
 	case engine.Invalid:
 		if f.code, f.reason = codes.InvalidArgument, ReasonInvalid; time.Until(k.deadline) <= 0 {
 			f.code, f.reason = codes.DeadlineExceeded, ReasonCanceled
 		}
-	case engine.Conflict, engine.Spent:
+	case engine.Conflict, engine.AlreadyEnded:
 		f.code, f.reason, f.may = codes.AlreadyExists, ReasonIDEnded, true
-	case engine.Taken: // of a call before, whose end is known
-		switch v.Ended {
+	case engine.Accepted: // of a call before, whose end is known
+		switch v.Disposition {
 		case engine.Refused:
 			f.text = "id: its call was refused a moment ago"
 		case engine.Failed:
@@ -349,7 +349,7 @@
 		default:
 			f.code, f.reason, f.may, f.text = codes.AlreadyExists, ReasonIDEnded, true, "id: its call was delivered before"
 		}
-	case engine.Unsure:
+	case engine.Unconfirmed:
 		f.code, f.reason, f.may = codes.Unknown, ReasonFailed, true
 	}
 	return f.err()
@@ -359,14 +359,14 @@
 func (k *call) answer(d *engine.Done) error {
 	// What the end says of doubt counts for nothing here: it takes an attempt that is out for one that may run, and the
 	// caller knows by now what became of each, also of the one that it did not begin.
-	switch d.How {
+	switch d.Disposition {
 	case engine.Refused:
 		f := k.fault(codes.Unavailable, ReasonRefused, because("refused", k.attempts, k.last))
-		f.again = d.Again
+		f.again = d.RetryAfter
 		return f.err()
 	case engine.Failed:
 		f := k.fault(codes.Unknown, ReasonFailed, because("failed", k.attempts, k.last))
-		if time.Until(k.deadline) < 3*engine.Span(k.core.set.Control.Tick) { // the module's own margin is two ticks
+		if time.Until(k.deadline) < 3*engine.Duration(k.core.set.Control.Tick) { // the module's own margin is two ticks
 			f.code = codes.DeadlineExceeded
 		}
 		return f.err()
--- a/grpcmux/core.go
+++ b/grpcmux/core.go
@@ -65,19 +65,19 @@
 	if err := c.newTable(); err != nil {
 		return nil, err
 	}
-	e, err := engine.New(engine.Settings{Control: s.Control, Seed: s.Seed, Stored: s.Folder != "", Prompt: true})
+	e, err := engine.New(engine.Settings{Control: s.Control, Seed: s.Seed, HasStore: s.Folder != "", Prompt: true})
 	if err != nil {
 		return nil, fmt.Errorf("grpcmux: %w", err)
 	}
 	c.driver = driver.New(host.System{}, c.clock, e, s.Log)
 	c.transport = grpctransport.New(c.lone)
-	c.driver.Seams = driver.Seams{Transport: c.transport, Sink: sink{c}}
+	c.driver.Components = driver.Components{Transport: c.transport, Sink: sink{c}}
 	if s.Folder != "" {
 		if err := c.openFolder(); err != nil {
 			return nil, err
 		}
 	} else {
-		c.driver.Share()
+		c.driver.ShareRounds()
 	}
 	go func() {
 		defer close(c.ended)
@@ -157,7 +157,7 @@
 	in := c.in
 	v := &via{core: in, dest: dest, target: target}
 	v.client = in.transport.Client(grpctransport.ClientSettings{
-		ConnectTimeout: engine.Span(in.set.Control.ConnectTimeout), OnClose: func() { in.abandon(v) },
+		ConnectTimeout: engine.Duration(in.set.Control.ConnectTimeout), OnClose: func() { in.abandon(v) },
 	})
 	unary := func(
 		ctx context.Context, method string, req, reply any, _ *grpc.ClientConn, next grpc.UnaryInvoker, opts ...grpc.CallOption,
@@ -181,9 +181,9 @@
 // sink hears the ends of messages (engine.Sink).
 type sink struct{ *core }
 
-func (s sink) Done(d *engine.Done) {
-	if d.How == engine.Refused || d.How == engine.Failed {
-		s.driver.Through([]string{d.ID})
+func (s sink) Completed(d *engine.Done) {
+	if d.Disposition == engine.Refused || d.Disposition == engine.Failed {
+		s.driver.Notified([]string{d.ID})
 	}
 	if k, ok := s.transport.Carrier(d.ID).(*call); ok {
 		k.ends(d)
--- a/grpcmux/folder.go
+++ b/grpcmux/folder.go
@@ -62,9 +62,9 @@
 	if err != nil {
 		return fmt.Errorf("grpcmux: setting Folder: %s: %w", dir, err)
 	}
-	c.journal, c.driver.Seams.Store = j, j
+	c.journal, c.driver.Components.Store = j, j
 	if wrap := c.set.store; wrap != nil {
-		c.driver.Seams.Store = wrap(j)
+		c.driver.Components.Store = wrap(j)
 	}
 	c.lonely.state = state
 	c.lonely.vias, c.lonely.left, c.lonely.came = map[string]*via{}, map[string]*loner{}, make(chan struct{})
@@ -99,12 +99,12 @@
 			theirs = append(theirs, id)
 		}
 		c.lonely.left[id] = &loner{core: c, message: m.Message}
-		c.driver.Tell(m)
+		c.driver.Post(m)
 	}
 	for _, p := range s.Ended {
-		c.driver.Tell(p)
+		c.driver.Post(p)
 	}
-	c.driver.Tell(&s.Last)
+	c.driver.Post(&s.Last)
 	for _, id := range theirs {
 		c.driver.Withdraw(id)
 	}
@@ -128,7 +128,7 @@
 // longest is the longest time that a call may have.
 func (c *core) longest() (d time.Duration) {
 	for i := range c.set.Control.Classes {
-		d = max(d, engine.Span(c.set.Control.Classes[i].Deadline))
+		d = max(d, engine.Duration(c.set.Control.Classes[i].Deadline))
 	}
 	return d
 }
@@ -158,11 +158,11 @@
 	if l == nil {
 		return
 	}
-	how := map[engine.How]string{
-		engine.Delivered: "delivered", engine.Refused: "refused", engine.Failed: "failed", engine.Over: "answered",
+	how := map[engine.Disposition]string{
+		engine.Delivered: "delivered", engine.Refused: "refused", engine.Failed: "failed", engine.Closed: "answered",
 		engine.Withdrawn: "withdrawn",
-	}[d.How]
-	c.log.Info("a message of an earlier process ended", "id", d.ID, "end", how, "may_have_run", d.Doubt || d.How == engine.Delivered)
+	}[d.Disposition]
+	c.log.Info("a message of an earlier process ended", "id", d.ID, "end", how, "may_have_run", d.InDoubt || d.Disposition == engine.Delivered)
 	owners.release(d.ID, time.Now().Add(c.longest()).Add(remember))
 }
 
@@ -180,7 +180,7 @@
 
 // Carry makes an attempt (grpctransport.Carrier).
 func (l *loner) Carry(c *engine.Call, on engine.CallEvents) {
-	ctx, cancel := context.WithDeadline(context.WithValue(context.Background(), lonerKey{}, l), l.core.clock.Time(c.Items[0].Due))
+	ctx, cancel := context.WithDeadline(context.WithValue(context.Background(), lonerKey{}, l), l.core.clock.Time(c.Items[0].Deadline))
 	l.mu.Lock()
 	l.under, l.cancel = c.ID, cancel
 	l.mu.Unlock()
@@ -209,14 +209,14 @@
 	target, method, body, err := open(c.Items[0].Body)
 	if err != nil { // of no format of ours: it can never be sent
 		l.core.log.Error("a message of an earlier process can't be read", "id", l.message.ID, "error", err)
-		return engine.Outcome{Result: control.Moot, Over: true}
+		return engine.Outcome{Result: control.Moot, Closed: true}
 	}
 	v, err := l.core.viaFor(ctx, target)
 	if err != nil {
 		return engine.Outcome{Result: control.Moot}
 	}
 	var reply []byte
-	o, err, _ := v.client.Try(ctx, c, on, l.core.set.TurnsAway[l.message.Dest], func(ctx context.Context) error {
+	o, err, _ := v.client.Try(ctx, c, on, l.core.set.TurnsAway[l.message.Destination], func(ctx context.Context) error {
 		return v.conn.Invoke(ctx, method, &body, &reply, grpc.ForceCodecV2(raw{}))
 	})
 	if err != nil {
--- a/grpcmux/owner_test.go
+++ b/grpcmux/owner_test.go
@@ -159,7 +159,7 @@
 // The end of a call may be on its way to its caller while another comes with its id: it gets an answer at once.
 func TestACallHearsAtOnceHowTheOneBeforeItEnded(t *testing.T) {
 	t.Parallel()
-	for how, x := range map[engine.How]struct {
+	for how, x := range map[engine.Disposition]struct {
 		code codes.Code
 		may  string
 	}{
@@ -168,7 +168,7 @@
 		engine.Delivered: {codes.AlreadyExists, "may have run"},
 	} {
 		k := &call{wake: make(chan struct{}, 1)}
-		k.Put(&engine.Verdict{Kind: engine.Taken, Ended: how})
+		k.Put(&engine.Verdict{Kind: engine.Accepted, Disposition: how})
 		select {
 		case <-k.wake:
 		default:
@@ -186,9 +186,9 @@
 func TestAnAttemptThatIsNotBegunLeavesNoDoubt(t *testing.T) {
 	t.Parallel()
 	k := &call{core: &core{}, request: request{deadline: time.Now().Add(time.Minute)}}
-	want(t, k.answer(&engine.Done{How: engine.Failed, Doubt: true}), codes.Unknown, "never ran")
+	want(t, k.answer(&engine.Done{Disposition: engine.Failed, InDoubt: true}), codes.Unknown, "never ran")
 	k.doubt = true
-	want(t, k.answer(&engine.Done{How: engine.Failed, Doubt: true}), codes.Unknown, "may have run")
+	want(t, k.answer(&engine.Done{Disposition: engine.Failed, InDoubt: true}), codes.Unknown, "may have run")
 }
 
 // A call that takes an id over may hear of the one before: its end and its attempts are not this call's.
@@ -196,14 +196,14 @@
 	t.Parallel()
 	k := &call{core: &core{transport: grpctransport.New(nil)}, wake: make(chan struct{}, 1)}
 	ended := &endings{}
-	k.ends(&engine.Done{How: engine.Withdrawn})
+	k.ends(&engine.Done{Disposition: engine.Withdrawn})
 	k.Carry(&engine.Call{ID: 1, Items: make([]engine.Item, 1)}, ended)
 	if k.done != nil || k.next != nil || len(ended.list) != 1 || ended.list[0].Result != control.Moot {
 		t.Errorf("end %v, attempt %v, told %v", k.done, k.next, ended.list)
 	}
-	k.Put(&engine.Verdict{Kind: engine.Taken})
+	k.Put(&engine.Verdict{Kind: engine.Accepted})
 	k.Carry(&engine.Call{ID: 2, Items: make([]engine.Item, 1)}, ended)
-	k.ends(&engine.Done{How: engine.Failed})
+	k.ends(&engine.Done{Disposition: engine.Failed})
 	if k.done == nil || k.next == nil || len(ended.list) != 1 {
 		t.Errorf("its own: end %v, attempt %v, told %v", k.done, k.next, ended.list)
 	}
--- a/grpcmux/request.go
+++ b/grpcmux/request.go
@@ -79,7 +79,7 @@
 		return ""
 	}
 	r := request{Message: engine.Message{
-		ID: said(metaID), Class: said(metaClass), Tenant: said(metaTenant), Dest: v.dest, Key: said(metaKey),
+		ID: said(metaID), Class: said(metaClass), Tenant: said(metaTenant), Destination: v.dest, Key: said(metaKey),
 	}}
 	if r.Class == "" && route != nil {
 		r.Class = route.Class
@@ -88,7 +88,7 @@
 		return invalid("class: method %s has no route, and the call names none", method)
 	}
 	if route != nil && route.Dest != nil {
-		r.Dest = *route.Dest
+		r.Destination = *route.Dest
 	}
 	if r.Key == "" && route != nil && route.Key != "" {
 		var err error
@@ -114,7 +114,7 @@
 		return invalid("class: %q is unknown", r.Class)
 	}
 	r.effect = class.Effect
-	r.deadline = time.Now().Add(engine.Span(class.Deadline))
+	r.deadline = time.Now().Add(engine.Duration(class.Deadline))
 	if d, ok := ctx.Deadline(); ok && d.Before(r.deadline) {
 		r.deadline = d
 	}
--- a/grpcmux/rig_test.go
+++ b/grpcmux/rig_test.go
@@ -98,8 +98,8 @@
 	must(t, err)
 	t.Cleanup(func() {
 		must(t, r.core.Close())
-		if e := r.core.in.driver.Engine(); e.Open() != 0 || e.Out() != 0 {
-			t.Errorf("%d messages are left behind, %d calls out", e.Open(), e.Out())
+		if e := r.core.in.driver.Engine(); e.OpenMessages() != 0 || e.CallsOut() != 0 {
+			t.Errorf("%d messages are left behind, %d calls out", e.OpenMessages(), e.CallsOut())
 		}
 	})
 	r.conn = r.client(o.dial...)
--- a/grpcmux/source.go
+++ b/grpcmux/source.go
@@ -61,7 +61,7 @@
 
 // whole is a list of addresses as a source tells it. An address is an endpoint's name, apart for each destination.
 func whole(dest int, addrs []string) membership.Update {
-	u := membership.Update{Kind: membership.Whole}
+	u := membership.Update{Kind: membership.FullList}
 	for _, a := range addrs {
 		u.Endpoints = append(u.Endpoints, membership.Endpoint{
 			ID: fmt.Sprintf("%d/%s", dest, a), Addr: a, Dest: dest, Phase: membership.Active,
@@ -272,7 +272,7 @@
 	defer c.sources.mu.Unlock()
 	defer func() { c.spoke(source, u.Endpoints) }() // behind what the engine is told
 	now := time.Now()
-	changes, refused, err := c.table.Tell(now, source, u)
+	changes, refused, err := c.table.Apply(now, source, u)
 	for _, r := range refused {
 		c.log.Warn("a source names an endpoint that can't be used", "source", source, "endpoint", r.ID, "error", r.Err)
 	}
@@ -290,7 +290,7 @@
 	m := &engine.Members{Source: scheme}
 	for _, e := range changes {
 		n := engine.Member{
-			ID: e.ID, Addr: e.Addr, Dest: e.Dest, Zone: c.set.Control.Zone, Phase: phases[e.Phase], Weight: e.Weight,
+			ID: e.ID, Addr: e.Addr, Destination: e.Dest, Zone: c.set.Control.Zone, Phase: phases[e.Phase], Weight: e.Weight,
 		}
 		if e.Zone != "" { // a source without zones and kinds names endpoints that are near, and of the first kind
 			n.Zone = slices.Index(c.set.Zones, wire.Plain(e.Zone))
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -64,7 +64,7 @@
 	}
 	a := &Agent{log: log, env: env, set: set, plan: plan, running: map[string]*running{}}
 	table, err := membership.New(membership.Settings{
-		Sources: names(plan), Most: set.Membership.Most, Remember: set.Membership.Remember.Duration(),
+		Sources: names(plan), MaxEndpoints: set.Membership.Most, RememberLeft: set.Membership.Remember.Duration(),
 	})
 	if err != nil {
 		return nil, err
@@ -235,9 +235,9 @@
 		}
 		for i, p := range k.Partners {
 			partner := endpointslice.Partner{
-				Name: p.Name, Namespace: *p.Namespace, Selector: p.Selector, Port: p.Port, Dest: *p.Dest, Kind: p.Kind,
-				Zone: p.Zone, Zones: k.Zones, Weight: p.Weight, PreferV6: p.Family == "ipv6",
-				Grace: p.Grace.Duration(), EmptyHold: p.EmptyHold.Duration(), Most: set.Membership.Most,
+				Name: p.Name, Namespace: *p.Namespace, Selector: p.Selector, PortName: p.Port, Destination: *p.Dest, Kind: p.Kind,
+				DefaultZone: p.Zone, ZoneNames: k.Zones, Weight: p.Weight, PreferIPv6: p.Family == "ipv6",
+				Grace: p.Grace.Duration(), EmptyHold: p.EmptyHold.Duration(), MaxEndpoints: set.Membership.Most,
 			}
 			s, err := endpointslice.New(client, partner, log)
 			if err != nil {
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -415,7 +415,7 @@
 		for step := range 400 {
 			u := membership.Update{Kind: membership.Changes}
 			if rng.IntN(8) == 0 {
-				u.Kind = membership.Whole
+				u.Kind = membership.FullList
 			}
 			for range rng.IntN(200) {
 				n := step*100 + rng.IntN(800) // most come and go, and are forgotten
@@ -441,7 +441,7 @@
 			look(&watchers[i])
 			want := map[string]partnerlist.Entry{}
 			for _, e := range h.table.List() {
-				want[e.ID] = partnerlist.Of(e)
+				want[e.ID] = partnerlist.EntryOf(e)
 			}
 			if fmt.Sprint(watchers[i].has) != fmt.Sprint(want) {
 				t.Fatalf("seed %d: watcher %d has %d, the list has %d", seed, i, len(watchers[i].has), len(want))
--- a/internal/agent/hub.go
+++ b/internal/agent/hub.go
@@ -63,7 +63,7 @@
 			}
 		}
 	}
-	changes, refused, err := h.table.Tell(time.Now(), source, u)
+	changes, refused, err := h.table.Apply(time.Now(), source, u)
 	if err != nil {
 		log.Error("a source was not heard", "error", err)
 		return
@@ -110,7 +110,7 @@
 		}
 		c := change{rev: h.rev, id: e.ID}
 		if e.Phase == membership.Left {
-			c.last = partnerlist.Of(e)
+			c.last = partnerlist.EntryOf(e)
 		}
 		h.log = append(h.log, c)
 		h.latest[e.ID] = h.rev
@@ -204,7 +204,7 @@
 		l.Complete = h.whole
 		for _, e := range h.table.List() {
 			if _, vouched := h.table.Get(e.ID); vouched {
-				l.Entries = append(l.Entries, partnerlist.Of(e))
+				l.Entries = append(l.Entries, partnerlist.EntryOf(e))
 			}
 		}
 		return l
@@ -217,7 +217,7 @@
 		if c.last.ID != "" {
 			l.Entries = append(l.Entries, c.last)
 		} else if e, _ := h.table.Get(c.id); e.Phase != membership.Left {
-			l.Entries = append(l.Entries, partnerlist.Of(e))
+			l.Entries = append(l.Entries, partnerlist.EntryOf(e))
 		}
 	}
 	return l
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -164,7 +164,7 @@
 func (s *server) why(w http.ResponseWriter, r *http.Request) {
 	id := r.URL.Query().Get("id")
 	s.hub.mu.Lock()
-	x, known := s.hub.table.Why(id)
+	x, known := s.hub.table.Explain(id)
 	s.hub.mu.Unlock()
 	if !known {
 		http.Error(w, fmt.Sprintf("no source has told of %.80q", id), http.StatusNotFound)
--- a/internal/bench/engine/engine.go
+++ b/internal/bench/engine/engine.go
@@ -151,7 +151,7 @@
 	const hour = 3600 * control.Second
 	all := blocked + free
 	e, err := engine.New(engine.Settings{
-		Seed: 1, Stored: true, MaxIDs: 1 << 20, MaxEndpoints: 1 << 20,
+		Seed: 1, HasStore: true, MaxIDs: 1 << 20, MaxEndpoints: 1 << 20,
 		Control: control.Settings{
 			Instances: 2, Tick: tick, OverShare: 0.05, ReportLeft: -1, ReportLimit: -1,
 			Classes: []control.Class{{
@@ -175,10 +175,10 @@
 
 // setUp brings all blocked destinations to hold a message that can't go. It returns false if the time was up.
 func (b *rig) setUp(ctx context.Context) bool {
-	l := &engine.Members{Source: "bench", Whole: true}
+	l := &engine.Members{Source: "bench", FullList: true}
 	for dest := range b.blocked + free {
 		l.List = append(l.List, engine.Member{
-			ID: fmt.Sprint("e", dest), Addr: "127.0.0.1:1", Dest: dest, Phase: engine.Active,
+			ID: fmt.Sprint("e", dest), Addr: "127.0.0.1:1", Destination: dest, Phase: engine.Active,
 		})
 	}
 	b.handle(l)
@@ -188,7 +188,7 @@
 	for n := range 2 { // of those whose call stays out the second message waits for their window
 		for dest := range b.blocked {
 			if n == 0 || dest%3 == 0 {
-				b.handle(&engine.HandIn{Message: message(fmt.Sprintf("held-%d-%d", dest, n), dest), Expires: 3600 * control.Second})
+				b.handle(&engine.Submit{Message: message(fmt.Sprintf("held-%d-%d", dest, n), dest), ExpiresIn: 3600 * control.Second})
 			}
 		}
 		b.wake()
@@ -197,22 +197,22 @@
 			return false
 		}
 	}
-	if want := b.blocked + (b.blocked+2)/3; b.err == nil && b.e.Open() != want {
-		b.err = fmt.Errorf("%d messages are held, want %d", b.e.Open(), want)
+	if want := b.blocked + (b.blocked+2)/3; b.err == nil && b.e.OpenMessages() != want {
+		b.err = fmt.Errorf("%d messages are held, want %d", b.e.OpenMessages(), want)
 	}
 	return b.err == nil
 }
 
 func message(id string, dest int) engine.Message {
-	return engine.Message{ID: id, Class: "keyed", Dest: dest, Key: id, Body: []byte("a body of some length, as clients send it")}
+	return engine.Message{ID: id, Class: "keyed", Destination: dest, Key: id, Body: []byte("a body of some length, as clients send it")}
 }
 
 // live measures so many ticks with so many messages each, from being handed in to their end, as far as the time goes.
 func (b *rig) live(ctx context.Context, ticks, each int) (c cost) {
-	handIns := make([]*engine.HandIn, ticks*each)
+	handIns := make([]*engine.Submit, ticks*each)
 	for i := range handIns {
 		dest := b.blocked + i%free
-		handIns[i] = &engine.HandIn{Message: message(fmt.Sprintf("%d-of-%d-%d", i, ticks, each), dest), Expires: 3600 * control.Second}
+		handIns[i] = &engine.Submit{Message: message(fmt.Sprintf("%d-of-%d-%d", i, ticks, each), dest), ExpiresIn: 3600 * control.Second}
 	}
 	b.done, b.trials = 0, 0
 	var before, after runtime.MemStats
@@ -238,7 +238,7 @@
 // wake lets a tick pass and the endpoints answer.
 func (b *rig) wake() {
 	b.now.At += tick
-	b.now.Wall += engine.Stamp(tick)
+	b.now.Wall += engine.Timestamp(tick)
 	b.handle(&engine.Wake{})
 }
 
@@ -250,8 +250,8 @@
 		case *engine.Append:
 			stored = f.Batch
 		case *engine.Answer:
-			if f.Kind != engine.Taken && b.err == nil {
-				b.err = fmt.Errorf("a message is not taken: %s", f.Why)
+			if f.Kind != engine.Accepted && b.err == nil {
+				b.err = fmt.Errorf("a message is not taken: %s", f.Reason)
 			}
 		case *engine.Call:
 			b.calls = append(b.calls, f)
@@ -277,7 +277,7 @@
 		case 0:
 			return // it stays out
 		case 1:
-			o.Result, o.Wait = control.Full, time.Hour
+			o.Result, o.RetryAfter = control.Refused, time.Hour
 		case 2:
 			o.Result = control.ConnectFailed
 		}
--- a/internal/bench/fairness/fairness.go
+++ b/internal/bench/fairness/fairness.go
@@ -166,7 +166,7 @@
 			c := clients.Get().(*rig.Client)
 			defer clients.Put(c)
 			at := time.Now()
-			status, _ := c.HandIn("free", i, 1+m.dest, expires)
+			status, _ := c.Submit("free", i, 1+m.dest, expires)
 			mu.Lock()
 			defer mu.Unlock()
 			m.handed, m.taken = at, status == 202
--- a/internal/bench/journal/journal.go
+++ b/internal/bench/journal/journal.go
@@ -131,14 +131,14 @@
 	return err
 }
 
-func (l *load) taken() *engine.RecTaken {
+func (l *load) taken() *engine.RecAccepted {
 	l.last++
 	l.live = append(l.live, l.last)
-	return &engine.RecTaken{
+	return &engine.RecAccepted{
 		Message: engine.Message{
-			ID: id(l.last), Class: "release-upload", Tenant: "core", Dest: l.last % 100, Key: id(l.last), Body: make([]byte, body),
+			ID: id(l.last), Class: "release-upload", Tenant: "core", Destination: l.last % 100, Key: id(l.last), Body: make([]byte, body),
 		},
-		Deadline: engine.Stamp(1_764_550_000_000_000),
+		Deadline: engine.Timestamp(1_764_550_000_000_000),
 	}
 }
 
@@ -149,8 +149,8 @@
 	l.live[i] = l.live[len(l.live)-1]
 	l.live = l.live[:len(l.live)-1]
 	return errors.Join(
-		l.put(&engine.RecAttempts{At: engine.Stamp(1_764_550_000_000_000), List: []engine.AttemptOf{{ID: id(l.last), Zone: 1}}}),
-		l.put(&engine.RecEnded{ID: id(end), How: engine.Delivered}),
+		l.put(&engine.RecAttempts{At: engine.Timestamp(1_764_550_000_000_000), List: []engine.RecAttempt{{ID: id(l.last), Zone: 1}}}),
+		l.put(&engine.RecEnded{ID: id(end), Disposition: engine.Delivered}),
 	)
 }
 
--- a/internal/bench/ledger/engine.go
+++ b/internal/bench/ledger/engine.go
@@ -24,10 +24,10 @@
 	tick  = 5 * control.Millisecond
 	hour  = 3600 * control.Second
 	disk  = 256 << 20 // of the journal
-	wall  = engine.Stamp(1_764_550_000_000_000)
+	wall  = engine.Timestamp(1_764_550_000_000_000)
 )
 
-func newEngine(set *engine.Ledger) (*engine.Engine, error) {
+func newEngine(set *engine.LedgerSettings) (*engine.Engine, error) {
 	var classes []control.Class
 	for n := range 4 {
 		classes = append(classes, control.Class{
@@ -35,7 +35,7 @@
 		})
 	}
 	return engine.New(engine.Settings{
-		Seed: 1, Stored: true, MaxIDs: 1 << 20, MaxEndpoints: 1 << 20, Ledger: set, MaxBytes: 1 << 30,
+		Seed: 1, HasStore: true, MaxIDs: 1 << 20, MaxEndpoints: 1 << 20, Ledger: set, MaxBytes: 1 << 30,
 		Control: control.Settings{
 			Instances: 1, Tick: tick, OverShare: 0.05, ReportLeft: -1, ReportLimit: -1, Classes: classes,
 			Tenants: []control.Tenant{{Name: "core", Quota: 1e6}},
@@ -48,11 +48,11 @@
 
 func message(n int) engine.Message {
 	k := key(n % books)
-	return engine.Message{ID: fmt.Sprint("m", n), Class: k.Class, Dest: k.Dest, Tenant: k.Tenant, Body: []byte("a body of some length, as clients send it")}
+	return engine.Message{ID: fmt.Sprint("m", n), Class: k.Class, Destination: k.Destination, Tenant: k.Tenant, Body: []byte("a body of some length, as clients send it")}
 }
 
-func settings() *engine.Ledger {
-	return &engine.Ledger{Settings: ledger.Settings{Instance: "n0"}, Epoch: ledger.NewEpoch(1, 1, ledger.WhyNew, "")}
+func settings() *engine.LedgerSettings {
+	return &engine.LedgerSettings{Settings: ledger.Settings{Instance: "n0"}, Epoch: ledger.NewEpoch(1, 1, ledger.ReasonNoLedger, "")}
 }
 
 // restore tells an engine what a store had.
@@ -83,18 +83,18 @@
 	const rounds = 15
 	set := settings()
 	kept := map[uint64][]byte{}
-	set.Kept = func(n uint64) []byte { return kept[n] }
+	set.StoredLeaf = func(n uint64) []byte { return kept[n] }
 	e, err := newEngine(set)
 	if err != nil {
 		return err
 	}
 	s := &journal.State{}
 	for n := range live {
-		s.Live = append(s.Live, &engine.Restored{Message: message(n), Deadline: wall + engine.Stamp(hour)})
+		s.Live = append(s.Live, &engine.RestoredMessage{Message: message(n), Deadline: wall + engine.Timestamp(hour)})
 	}
 	now := engine.Now{At: engine.Epoch, Wall: wall}
 	for _, rec := range restore(e, now, s, true) {
-		if l, ok := rec.(*engine.RecLeaf); ok {
+		if l, ok := rec.(*engine.RecLedgerLeaf); ok {
 			kept[l.Number] = l.Text
 		}
 	}
@@ -104,10 +104,10 @@
 	var parts [][]float64                            // of each round, in the order of the sweep
 	step := func() (us float64) {
 		now.At += tick
-		now.Wall += engine.Stamp(tick)
+		now.Wall += engine.Timestamp(tick)
 		begun := time.Now()
-		for _, f := range e.Handle(now, &engine.Through{}) { // an event that does nothing itself
-			if b, ok := f.(*engine.Breached); ok {
+		for _, f := range e.Handle(now, &engine.Notified{}) { // an event that does nothing itself
+			if b, ok := f.(*engine.LedgerBreach); ok {
 				err = fmt.Errorf("a breach where there is none: %+v", b.Breach)
 			}
 		}
@@ -197,10 +197,10 @@
 	}
 	for n := range live {
 		m := message(n)
-		records := []engine.Record{&engine.RecTaken{Message: m, Deadline: wall + engine.Stamp(hour)}}
+		records := []engine.Record{&engine.RecAccepted{Message: m, Deadline: wall + engine.Timestamp(hour)}}
 		if on {
-			l.Post(l.Account(key(n%books)), ledger.Taken)
-			l.Leaves(1, func(f ledger.Leaf) { records = append(records, &engine.RecLeaf{Number: f.Number, Text: f.Text}) })
+			l.Post(l.Account(key(n%books)), ledger.Accepted)
+			l.WriteLeaves(1, func(f ledger.Leaf) { records = append(records, &engine.RecLedgerLeaf{Number: f.Number, Text: f.Text}) })
 		}
 		if err := j.Append(engine.Batch(n+1), records); err != nil {
 			return err
@@ -220,7 +220,7 @@
 		return 0, err
 	}
 	defer j.Close()
-	var set *engine.Ledger
+	var set *engine.LedgerSettings
 	if on {
 		set = settings()
 	}
@@ -230,8 +230,8 @@
 	}
 	restore(e, engine.Now{At: engine.Epoch, Wall: wall}, s, on)
 	took := time.Since(begun)
-	if e.Open() != live {
-		return 0, fmt.Errorf("%d messages are live, want %d", e.Open(), live)
+	if e.OpenMessages() != live {
+		return 0, fmt.Errorf("%d messages are live, want %d", e.OpenMessages(), live)
 	}
 	return took, nil
 }
--- a/internal/bench/ledger/ledger.go
+++ b/internal/bench/ledger/ledger.go
@@ -42,7 +42,7 @@
 func round(v float64) float64 { return float64(int64(v*1000+0.5)) / 1000 }
 
 func key(n int) ledger.Key {
-	return ledger.Key{Class: fmt.Sprint("class-", n%4), Dest: n / 4, Tenant: "core"}
+	return ledger.Key{Class: fmt.Sprint("class-", n%4), Destination: n / 4, Tenant: "core"}
 }
 
 func heap() float64 {
@@ -57,15 +57,15 @@
 func accounts(r *bench.Report) {
 	const count = 10_000
 	before := heap()
-	l, err := ledger.New(ledger.Settings{Most: count}, ledger.NewEpoch(1, 1, ledger.WhyNew, ""))
+	l, err := ledger.New(ledger.Settings{MaxAccounts: count}, ledger.NewEpoch(1, 1, ledger.ReasonNoLedger, ""))
 	if err != nil {
 		panic(err) // the settings are this package's own
 	}
 	for n := range count {
-		l.Post(l.Account(key(n)), ledger.Taken)
+		l.Post(l.Account(key(n)), ledger.Accepted)
 	}
 	leaf := 0
-	for !l.Leaves(1000, func(f ledger.Leaf) { leaf += len(f.Text) }) {
+	for !l.WriteLeaves(1000, func(f ledger.Leaf) { leaf += len(f.Text) }) {
 	}
 	r.Set("account_bytes", round((heap()-before)/count))
 	r.Set("account_leaf_bytes", round(float64(leaf)/count))
@@ -190,7 +190,7 @@
 					return
 				}
 				for ctx.Err() == nil {
-					if status, _ := c.HandIn([]string{"free", "keyed"}[n%2], n, n/2%dests, 30*time.Second); status == 202 {
+					if status, _ := c.Submit([]string{"free", "keyed"}[n%2], n, n/2%dests, 30*time.Second); status == 202 {
 						break
 					}
 					time.Sleep(5 * time.Millisecond)
--- a/internal/bench/many/daemon.go
+++ b/internal/bench/many/daemon.go
@@ -96,7 +96,7 @@
 					if i >= most {
 						return
 					}
-					if status, _ := c.HandIn("free", i, i*7919%dests, 10*time.Second); status == 202 {
+					if status, _ := c.Submit("free", i, i*7919%dests, 10*time.Second); status == 202 {
 						answered[i] = time.Now()
 					} else {
 						no.Add(1)
--- a/internal/bench/many/engine.go
+++ b/internal/bench/many/engine.go
@@ -46,7 +46,7 @@
 func newRigWith(blocked, slots, open int, clock func() time.Duration) (*rig, error) {
 	set := controlSettings(slots)
 	set.MaxOpen = open
-	e, err := engine.New(engine.Settings{Seed: 1, Stored: true, MaxIDs: 1 << 20, MaxEndpoints: 1 << 20, MaxBytes: 1 << 30, Control: set})
+	e, err := engine.New(engine.Settings{Seed: 1, HasStore: true, MaxIDs: 1 << 20, MaxEndpoints: 1 << 20, MaxBytes: 1 << 30, Control: set})
 	if err != nil {
 		return nil, fmt.Errorf("engine: %w", err)
 	}
@@ -55,23 +55,23 @@
 
 // list names so many endpoints, one of each destination.
 func list(n int, phase engine.Phase) *engine.Members {
-	l := &engine.Members{Source: "bench", Whole: true}
+	l := &engine.Members{Source: "bench", FullList: true}
 	for dest := range n {
-		l.List = append(l.List, engine.Member{ID: fmt.Sprint("e", dest), Addr: "127.0.0.1:1", Dest: dest, Phase: phase})
+		l.List = append(l.List, engine.Member{ID: fmt.Sprint("e", dest), Addr: "127.0.0.1:1", Destination: dest, Phase: phase})
 	}
 	return l
 }
 
 func (g *rig) handIn(id string, dest int) {
-	g.handle(&engine.HandIn{
-		Message: engine.Message{ID: id, Class: "keyed", Dest: dest, Key: id, Body: []byte(body)}, Expires: cmp.Or(g.expires, hour),
+	g.handle(&engine.Submit{
+		Message: engine.Message{ID: id, Class: "keyed", Destination: dest, Key: id, Body: []byte(body)}, ExpiresIn: cmp.Or(g.expires, hour),
 	})
 }
 
 // wake lets a tick pass and the endpoints answer.
 func (g *rig) wake() {
 	g.now.At += tick
-	g.now.Wall += engine.Stamp(tick)
+	g.now.Wall += engine.Timestamp(tick)
 	g.handle(&engine.Wake{})
 }
 
@@ -87,14 +87,14 @@
 		case *engine.Append:
 			stored = f.Batch
 		case *engine.Answer:
-			if f.Kind != engine.Taken && g.err == nil {
-				g.err = fmt.Errorf("a message is not taken: %s", f.Why)
+			if f.Kind != engine.Accepted && g.err == nil {
+				g.err = fmt.Errorf("a message is not taken: %s", f.Reason)
 			}
 		case *engine.Call:
 			g.calls = append(g.calls, f)
 		case *engine.Done:
 			g.done++
-			if f.How == engine.Refused || f.How == engine.Failed {
+			if f.Disposition == engine.Refused || f.Disposition == engine.Failed {
 				g.through = append(g.through, f.ID)
 			}
 		case *engine.Abort:
@@ -111,7 +111,7 @@
 	if len(g.through) > 0 {
 		ids := g.through
 		g.through = nil
-		g.handle(&engine.Through{IDs: ids})
+		g.handle(&engine.Notified{IDs: ids})
 	}
 	for len(g.calls) > 0 {
 		c := g.calls[0]
@@ -128,7 +128,7 @@
 			if !ok {
 				continue // it stays out
 			}
-			o.Result, o.Wait = res, time.Duration(wait)*time.Microsecond
+			o.Result, o.RetryAfter = res, time.Duration(wait)*time.Microsecond
 		}
 		g.handle(&engine.Ended{Call: c.ID, Outcomes: []engine.Outcome{o}})
 	}
@@ -147,8 +147,8 @@
 	for range 2 * control.Second / tick {
 		g.wake()
 	}
-	if g.err == nil && g.e.Open() != 2*g.blocked {
-		g.err = fmt.Errorf("%d messages are held, want %d", g.e.Open(), 2*g.blocked)
+	if g.err == nil && g.e.OpenMessages() != 2*g.blocked {
+		g.err = fmt.Errorf("%d messages are held, want %d", g.e.OpenMessages(), 2*g.blocked)
 	}
 	return g.err
 }
@@ -254,7 +254,7 @@
 		}
 		leaving := list(members, engine.Leaving)
 		delta := *leaving
-		delta.Whole = false
+		delta.FullList = false
 		tell := func(l *engine.Members) spans {
 			runtime.GC()
 			g.took = nil
@@ -277,7 +277,7 @@
 			l    *engine.Members
 		}{
 			{"same", leaving}, {"delta", &delta}, {"active", list(members, engine.Active)},
-			{"half", list(members/2, engine.Active)}, {"none", &engine.Members{Source: "bench", Whole: true}},
+			{"half", list(members/2, engine.Active)}, {"none", &engine.Members{Source: "bench", FullList: true}},
 		} {
 			took := tell(part.l)
 			all = append(all, took...)
--- a/internal/bench/many/module.go
+++ b/internal/bench/many/module.go
@@ -48,7 +48,7 @@
 	s := &site{d: d, now: 1000 * control.Second, tries: map[control.MessageID]int{}, clock: clock}
 	list := control.Event{Kind: control.List, ListKind: control.ListFull}
 	for dest := range n {
-		list.Entries = append(list.Entries, control.Entry{Endpoint: control.Endpoint(dest + 1), Dest: dest, Health: control.Ready})
+		list.Entries = append(list.Entries, control.Entry{Endpoint: control.Endpoint(dest + 1), Destination: dest, Health: control.Ready})
 	}
 	s.step([]control.Event{list})
 	return s, nil
@@ -66,7 +66,7 @@
 	events := make([]control.Event, n)
 	for dest := range events {
 		events[dest] = control.Event{
-			Kind: control.Arrival, Message: control.MessageID(len(s.tries) + 1), Dest: dest, Key: 0, Grace: hour,
+			Kind: control.Arrival, Message: control.MessageID(len(s.tries) + 1), Destination: dest, Key: 0, TimeLeft: hour,
 		}
 		s.tries[events[dest].Message] = 0
 	}
@@ -86,8 +86,8 @@
 			continue
 		}
 		events = append(events, control.Event{
-			Kind: control.Outcome, Message: a.Message, Attempt: attempt, Endpoint: a.Endpoint, Result: res, Wait: wait,
-			Closed: res == control.OK, Lag: tick,
+			Kind: control.Outcome, Message: a.Message, Attempt: attempt, Endpoint: a.Endpoint, Result: res, RetryAfter: wait,
+			Closed: res == control.OK, Latency: tick,
 		})
 	}
 	return events
@@ -99,7 +99,7 @@
 	case 0:
 		return 0, 0, false
 	case 1:
-		return control.Full, hour, true
+		return control.Refused, hour, true
 	}
 	return control.ConnectFailed, 0, true
 }
@@ -152,7 +152,7 @@
 		until := s.now + 2*control.Second
 		s.step(s.arrivals(n))
 		for s.now < until-tick {
-			s.step(s.answers(func(int) (control.Result, control.Time, bool) { return control.Full, until - s.now, true }))
+			s.step(s.answers(func(int) (control.Result, control.Time, bool) { return control.Refused, until - s.now, true }))
 		}
 		s.took = s.took[:0]
 		ends := 0
--- a/internal/bench/many/pauses.go
+++ b/internal/bench/many/pauses.go
@@ -98,7 +98,7 @@
 	until := g.now.At + 3*control.Second
 	g.answer = func(*engine.Call) (engine.Outcome, bool) {
 		if wait := until - g.now.At; wait > 0 {
-			return engine.Outcome{Result: control.Full, Wait: engine.Span(wait)}, true
+			return engine.Outcome{Result: control.Refused, RetryAfter: engine.Duration(wait)}, true
 		}
 		return engine.Outcome{Result: control.OK}, true
 	}
@@ -140,7 +140,7 @@
 		return fmt.Errorf("%d of %d messages ended", g.done, members)
 	}
 	g.measure()
-	g.handle(&engine.Members{Source: "bench", Whole: true})
+	g.handle(&engine.Members{Source: "bench", FullList: true})
 	g.ticks(int(90 * control.Second / tick))
 	if n := g.e.Endpoints(); n != 0 {
 		return fmt.Errorf("%d endpoints are left", n)
--- a/internal/bench/overload/overload_test.go
+++ b/internal/bench/overload/overload_test.go
@@ -29,7 +29,7 @@
 		w.next.Add(1)
 	}
 	// The partner speaks HTTP as an endpoint does, and answers alike whoever calls.
-	if status, _ := rig.NewClient(addr, 10).HandIn("free", 0, 1, expires); status != 200 {
+	if status, _ := rig.NewClient(addr, 10).Submit("free", 0, 1, expires); status != 200 {
 		t.Fatalf("the partner answers %d", status)
 	}
 	o := w.judge(begun, begun.Add(time.Minute))
--- a/internal/bench/overload/refusals.go
+++ b/internal/bench/overload/refusals.go
@@ -147,7 +147,7 @@
 					time.Sleep(time.Until(next)) // the pace of its messages
 					i := int(w.next.Add(1)) - 1
 					w.records[i].sent = time.Now()
-					w.records[i].status, _ = c.HandIn("free", i, 1+d, expires)
+					w.records[i].status, _ = c.Submit("free", i, 1+d, expires)
 					mu.Lock()
 					of[d] = append(of[d], i)
 					mu.Unlock()
--- a/internal/bench/overload/trial.go
+++ b/internal/bench/overload/trial.go
@@ -130,7 +130,7 @@
 	}
 	r := &w.records[i]
 	r.sent = time.Now()
-	r.status, r.again = c.HandIn("free", i, 1+i%dests, expires)
+	r.status, r.again = c.Submit("free", i, 1+i%dests, expires)
 	r.answered = time.Now()
 }
 
--- a/internal/bench/ramps/foe.go
+++ b/internal/bench/ramps/foe.go
@@ -76,7 +76,7 @@
 	set := settings(f.Senders)
 	list := control.Event{Kind: control.List, ListKind: control.ListFull}
 	for i := range f.Endpoints {
-		list.Entries = append(list.Entries, control.Entry{Endpoint: control.Endpoint(i + 1), Dest: 1, Health: control.Ready})
+		list.Entries = append(list.Entries, control.Entry{Endpoint: control.Endpoint(i + 1), Destination: 1, Health: control.Ready})
 	}
 	const began = 1000 * second
 	all := make([]*sender, f.Senders)
@@ -118,7 +118,7 @@
 				case control.Cancel:
 					at = now + step
 				case control.Send:
-					e.Attempt, e.Result, e.Closed, e.Lag = s.tries[a.Message], control.OK, true, answer
+					e.Attempt, e.Result, e.Closed, e.Latency = s.tries[a.Message], control.OK, true, answer
 					s.tries[a.Message]++
 					switch {
 					case away && f.Silent:
@@ -165,7 +165,7 @@
 	delete(s.due, now)
 	for ; s.owed >= 1; s.owed-- {
 		s.last++
-		list = append(list, control.Event{Kind: control.Arrival, Message: s.last, Dest: 1, Grace: 20 * second})
+		list = append(list, control.Event{Kind: control.Arrival, Message: s.last, Destination: 1, TimeLeft: 20 * second})
 	}
 	return list
 }
--- a/internal/bench/rig/client.go
+++ b/internal/bench/rig/client.go
@@ -29,7 +29,7 @@
 const Patience = 400 * time.Millisecond
 
 // HandIn hands a message in, which may be delivered within expires, and returns the status, 0 for none within Patience.
-func (c *Client) HandIn(class string, message, dest int, expires time.Duration) (status int, again time.Duration) {
+func (c *Client) Submit(class string, message, dest int, expires time.Duration) (status int, again time.Duration) {
 	until := time.Now().Add(Patience)
 	if c.nc == nil {
 		nc, err := net.DialTimeout("tcp", c.addr, Patience)
--- a/internal/bench/rpc/faults.go
+++ b/internal/bench/rpc/faults.go
@@ -129,7 +129,7 @@
 
 func (s *source) list(addrs []string) {
 	<-s.begun
-	u := membership.Update{Kind: membership.Whole}
+	u := membership.Update{Kind: membership.FullList}
 	for _, a := range addrs {
 		u.Endpoints = append(u.Endpoints, membership.Endpoint{ID: a, Addr: a, Dest: 1, Phase: membership.Active})
 	}
--- a/internal/bench/undelivered/undelivered.go
+++ b/internal/bench/undelivered/undelivered.go
@@ -92,7 +92,7 @@
 // message is the n-th, with texts of usual length.
 func message(n int) *engine.Message {
 	return &engine.Message{
-		ID: fmt.Sprintf("9b1f03aa5c7e%08d", n), Class: "unsafe", Tenant: "core", Dest: 1 + n%4, Key: fmt.Sprintf("5c0f6e1a2b3d4c59%016d", n),
+		ID: fmt.Sprintf("9b1f03aa5c7e%08d", n), Class: "unsafe", Tenant: "core", Destination: 1 + n%4, Key: fmt.Sprintf("5c0f6e1a2b3d4c59%016d", n),
 		Body: make([]byte, bodyBytes),
 	}
 }
@@ -100,11 +100,11 @@
 // keep keeps the n-th message, as one that never ran, and says that the journal has its end.
 func keep(k *store.Keeper, n int) error {
 	m := message(n)
-	g := &engine.GivenUp{Message: *m, At: 1, Cause: engine.CauseTime, Tries: 1, Attempts: []engine.Attempt{{
-		Sent: 1, End: 2, Endpoint: "s-5be2a07c", Addr: "10.1.0.18:9000", Result: control.Full,
+	g := &engine.Undelivered{Message: *m, At: 1, Cause: engine.CauseDeadline, Tries: 1, Attempts: []engine.Attempt{{
+		Sent: 1, End: 2, Endpoint: "s-5be2a07c", Addr: "10.1.0.18:9000", Result: control.Refused,
 	}}}
 	b := engine.Batch(n + 1)
-	if err := k.Append(b, []engine.Record{&engine.RecOwed{ID: m.ID, Owed: engine.Owed{How: engine.Failed}, GivenUp: g}}); err != nil {
+	if err := k.Append(b, []engine.Record{&engine.RecPendingResult{ID: m.ID, PendingResult: engine.PendingResult{Disposition: engine.Failed}, Undelivered: g}}); err != nil {
 		return err
 	}
 	k.Stored(b)
@@ -182,7 +182,7 @@
 	}
 	var numbers []uint64
 	s.Each(0, func(e store.Summary) bool {
-		numbers = append(numbers, e.No)
+		numbers = append(numbers, e.Number)
 		return true
 	})
 	for i := range timed {
@@ -200,11 +200,11 @@
 // desk works on a store, with a rule that fits all, and sends nothing.
 func desk(s *store.Store) *redeliver.Desk {
 	d := redeliver.New(redeliver.Settings{Slots: 1, Share: 0.2, Trial: control.Second, Rules: resend.Settings{
-		Classes: settings().Classes, Rules: []resend.Rule{{Name: "all", Tries: 5, First: 60 * control.Second, Most: 3600 * control.Second}},
+		Classes: settings().Classes, Rules: []resend.Rule{{Name: "all", MaxResends: 5, FirstDelay: 60 * control.Second, MaxDelay: 3600 * control.Second}},
 	}}, s, slog.New(slog.DiscardHandler))
 	d.Ports = redeliver.Ports{
 		Wake:      func(redeliver.Time) {},
-		Condition: func(int) (control.Condition, float64) { return control.Pressed, 0 },
+		Condition: func(int) (control.Condition, float64) { return control.Busy, 0 },
 	}
 	return d
 }
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -24,7 +24,7 @@
 	clock engine.Clock
 	log   *slog.Logger
 	e     *engine.Engine
-	Seams
+	Components
 
 	inbox host.Inbox
 	pool  replies
@@ -54,18 +54,18 @@
 	OnBreach func(ledger.Breach)
 }
 
-// Seams are what a driver puts together. Store is nil for an engine without one.
-type Seams struct {
+// Components are what a driver puts together. Store is nil for an engine without one.
+type Components struct {
 	Store     engine.Store
 	Transport engine.Transport
 	Sink      engine.Sink
 }
 
 var (
-	_ engine.Intake      = (*Driver)(nil)
-	_ engine.GroupIntake = (*Driver)(nil)
-	_ engine.Listing     = (*Driver)(nil)
-	_ engine.CallEvents  = (*Driver)(nil)
+	_ engine.Intake             = (*Driver)(nil)
+	_ engine.GroupIntake        = (*Driver)(nil)
+	_ engine.MembershipReceiver = (*Driver)(nil)
+	_ engine.CallEvents         = (*Driver)(nil)
 )
 
 // New makes a driver for an engine that has handled nothing yet. The clock's Start must be not later than any time that
@@ -82,12 +82,12 @@
 // What is put into the inbox beside events.
 type (
 	handIn struct {
-		engine.HandIn
+		engine.Submit
 		deadline time.Time
 		reply    host.Inbox
 	}
 	handInAll struct {
-		engine.HandInAll
+		engine.SubmitAll
 		deadlines []time.Time
 		reply     host.Inbox
 	}
@@ -99,17 +99,17 @@
 )
 
 // HandIn is engine.Intake's.
-func (d *Driver) HandIn(m *engine.Message, deadline time.Time) engine.Verdict {
-	in := &handIn{HandIn: engine.HandIn{Message: *m}, deadline: deadline, reply: d.pool.get()}
+func (d *Driver) Submit(m *engine.Message, deadline time.Time) engine.Verdict {
+	in := &handIn{Submit: engine.Submit{Message: *m}, deadline: deadline, reply: d.pool.get()}
 	return d.verdict(d.put(in), in.reply)
 }
 
 // HandInEach is engine.GroupIntake's.
-func (d *Driver) HandInEach(list []*engine.Message, deadlines []time.Time) []engine.Verdict {
+func (d *Driver) SubmitEach(list []*engine.Message, deadlines []time.Time) []engine.Verdict {
 	replies, put := make([]host.Inbox, len(list)), make([]bool, len(list))
 	for i, m := range list {
 		replies[i] = d.pool.get()
-		put[i] = d.put(&handIn{HandIn: engine.HandIn{Message: *m}, deadline: deadlines[i], reply: replies[i]})
+		put[i] = d.put(&handIn{Submit: engine.Submit{Message: *m}, deadline: deadlines[i], reply: replies[i]})
 	}
 	out := make([]engine.Verdict, len(list))
 	for i := range list {
@@ -119,17 +119,17 @@
 }
 
 // HandInAll is engine.GroupIntake's.
-func (d *Driver) HandInAll(list []*engine.Message, deadlines []time.Time) engine.Verdict {
+func (d *Driver) SubmitAll(list []*engine.Message, deadlines []time.Time) engine.Verdict {
 	in := &handInAll{deadlines: deadlines, reply: d.pool.get()}
 	for _, m := range list {
-		in.List = append(in.List, engine.HandIn{Message: *m})
+		in.Submissions = append(in.Submissions, engine.Submit{Message: *m})
 	}
 	return d.verdict(d.put(in), in.reply)
 }
 
 // verdict waits for the answer to what was put into the inbox.
 func (d *Driver) verdict(put bool, reply host.Inbox) engine.Verdict {
-	stopped := engine.Verdict{Kind: engine.Busy, Again: time.Second, Why: "stopping"}
+	stopped := engine.Verdict{Kind: engine.Busy, RetryAfter: time.Second, Reason: "stopping"}
 	if !put {
 		return stopped
 	}
@@ -141,11 +141,11 @@
 	return *v
 }
 
-// Offer hands a message in and does not block: the verdict (*engine.Verdict) is put into reply, once, before its
+// SubmitAsync hands a message in and does not block: the verdict (*engine.Verdict) is put into reply, once, before its
 // message's first call starts and before its Done; a driver that stops without one closes reply. once says that nobody
 // else can hand in the id. Offer returns false once the driver has stopped, and then nothing follows.
-func (d *Driver) Offer(m *engine.Message, deadline time.Time, once bool, reply host.Inbox) bool {
-	return d.serve(&handIn{HandIn: engine.HandIn{Message: *m, Once: once}, deadline: deadline, reply: reply})
+func (d *Driver) SubmitAsync(m *engine.Message, deadline time.Time, once bool, reply host.Inbox) bool {
+	return d.serve(&handIn{Submit: engine.Submit{Message: *m, UniqueID: once}, deadline: deadline, reply: reply})
 }
 
 // Withdraw says that nobody wants a message any more.
@@ -154,8 +154,8 @@
 // Members is engine.Listing's.
 func (d *Driver) Members(m *engine.Members) bool { return d.put(m) }
 
-// Through says that the ends of messages have been told.
-func (d *Driver) Through(ids []string) { d.put(&engine.Through{IDs: ids}) }
+// Notified says that the ends of messages have been told.
+func (d *Driver) Notified(ids []string) { d.put(&engine.Notified{IDs: ids}) }
 
 // Stored says, for a store that answers later, up to which batch all is stored; with an error, that the batches behind
 // it up to the newest appended are not.
@@ -185,13 +185,13 @@
 	d.serve(&engine.Ended{Call: id, Outcomes: outs})
 }
 
-// Tell gives the engine an event, behind all that was told before.
-func (d *Driver) Tell(ev engine.Event) { d.put(ev) }
+// Post gives the engine an event, behind all that was told before.
+func (d *Driver) Post(ev engine.Event) { d.put(ev) }
 
 // Resend hands in a message that is sent again from the store of undelivered ones. It does not block: told is called with
 // the verdict, once, on the driver's goroutine; a driver that stops may never call it.
-func (d *Driver) Resend(in *engine.HandIn, deadline time.Time, told func(engine.Verdict)) {
-	d.put(&handIn{HandIn: *in, deadline: deadline, reply: tell(told)})
+func (d *Driver) Resend(in *engine.Submit, deadline time.Time, told func(engine.Verdict)) {
+	d.put(&handIn{Submit: *in, deadline: deadline, reply: tell(told)})
 }
 
 // tell is an inbox whose only value is taken at once.
@@ -213,8 +213,8 @@
 // Stop begins a planned stop: no call starts any more.
 func (d *Driver) Stop() { d.put(&engine.Stop{}) }
 
-// Idle waits until no call is out, but no longer than until the moment given, and tells whether it came to that.
-func (d *Driver) Idle(until time.Time) bool {
+// WaitIdle waits until no call is out, but no longer than until the moment given, and tells whether it came to that.
+func (d *Driver) WaitIdle(until time.Time) bool {
 	q := &whenIdle{d.host.NewInbox()}
 	if !d.put(q) {
 		return true
@@ -278,7 +278,7 @@
 	d.wake()
 	d.flush()
 	d.measure()
-	if len(d.idle) > 0 && d.e.Out() == 0 {
+	if len(d.idle) > 0 && d.e.CallsOut() == 0 {
 		for _, r := range d.idle {
 			r.Put(true)
 		}
@@ -289,7 +289,7 @@
 
 // until is how long to wait for something to come.
 func (d *Driver) until() time.Time {
-	switch at, ok := d.e.Next(); {
+	switch at, ok := d.e.NextWake(); {
 	case len(d.later.list) > 0:
 		return d.clock.Start // not at all
 	case len(d.load.waiting) > 0:
@@ -306,7 +306,7 @@
 	if len(d.load.waiting) > 0 {
 		return
 	}
-	if at, ok := d.e.Next(); ok && at <= d.now.At {
+	if at, ok := d.e.NextWake(); ok && at <= d.now.At {
 		d.handle(&engine.Wake{})
 	}
 }
@@ -329,7 +329,7 @@
 // begin starts a round: one look at the clocks serves for all of it.
 func (d *Driver) begin() {
 	d.round++
-	d.now = engine.Now{At: d.clock.At(d.host.Now()), Wall: engine.StampOf(d.host.Wall())}
+	d.now = engine.Now{At: d.clock.At(d.host.Now()), Wall: engine.TimestampOf(d.host.Wall())}
 }
 
 // take handles what came out of the inbox.
@@ -339,16 +339,16 @@
 		d.load.handIns++
 		d.ticket++
 		d.tickets[d.ticket] = v.reply
-		v.Ticket, v.Expires = d.ticket, d.clock.At(v.deadline)-d.now.At
-		d.handle(&v.HandIn)
+		v.Ticket, v.ExpiresIn = d.ticket, d.clock.At(v.deadline)-d.now.At
+		d.handle(&v.Submit)
 	case *handInAll:
 		d.ticket++
 		d.tickets[d.ticket] = v.reply
 		v.Ticket = d.ticket
-		for i := range v.List {
-			v.List[i].Expires = d.clock.At(v.deadlines[i]) - d.now.At
+		for i := range v.Submissions {
+			v.Submissions[i].ExpiresIn = d.clock.At(v.deadlines[i]) - d.now.At
 		}
-		d.handle(&v.HandInAll)
+		d.handle(&v.SubmitAll)
 	case *mayWrite:
 		d.permits[v.call] = v.reply
 		d.handle(&engine.MayWrite{Call: v.call})
@@ -381,7 +381,7 @@
 			}
 			d.appended = f.Batch
 		case *engine.Call:
-			if f.Needs() > d.answered {
+			if f.RequiredBatch() > d.answered {
 				d.made[f.ID] = d.round
 			}
 			free = d.gate.Pass(free, []engine.Effect{f})
@@ -400,7 +400,7 @@
 
 // flush lets the store write what this round appended and takes up what it says, until nothing new is appended.
 func (d *Driver) flush() {
-	if s, ok := d.Store.(engine.Aging); ok {
+	if s, ok := d.Store.(engine.ExpiringStore); ok {
 		s.Tick(d.now.Wall)
 	}
 	for d.Store != nil && d.appended > d.answered {
@@ -455,16 +455,16 @@
 			d.Transport.Abort(f.Call)
 		case *engine.CloseIdle:
 			d.Transport.CloseIdle(f)
-		case *engine.Leave:
-			d.Transport.Leave(f)
+		case *engine.RemoveEndpoint:
+			d.Transport.RemoveEndpoint(f)
 		case *engine.Done:
-			if f.How != engine.Refused {
+			if f.Disposition != engine.Refused {
 				d.load.done++
 			}
-			d.Sink.Done(f)
-		case *engine.Breached:
+			d.Sink.Completed(f)
+		case *engine.LedgerBreach:
 			d.breached(f)
-		case *engine.Shown:
+		case *engine.LedgerSnapshot:
 			d.shown(f)
 		case *engine.Note:
 			if d.shared {
@@ -544,7 +544,7 @@
 	d.flush()
 	for _, t := range slices.Sorted(maps.Keys(d.tickets)) {
 		// Its record may be on the way to the store: nothing can be promised.
-		d.tickets[t].Put(&engine.Verdict{Kind: engine.Unsure, Why: "stopping while the store has not answered"})
+		d.tickets[t].Put(&engine.Verdict{Kind: engine.Unconfirmed, Reason: "stopping while the store has not answered"})
 		delete(d.tickets, t)
 	}
 	for _, r := range d.idle {
