--- a/internal/driver/driver_test.go
+++ b/internal/driver/driver_test.go
@@ -49,7 +49,7 @@
 	t.Helper()
 	const s = control.Second
 	e, err := engine.New(engine.Settings{
-		Stored: stored, Patience: 20 * s,
+		HasStore: stored, StoreTimeout: 20 * s,
 		Control: control.Settings{
 			Instances: 1, Tick: 2 * control.Millisecond, Slots: slots, MaxOpen: 4 * slots, MaxTries: 3, MayCancel: true,
 			Classes:    []control.Class{{Name: "unsafe", Effect: control.SingleShot, Aim: 30 * s, Deadline: 60 * s, Worth: 1}},
@@ -61,8 +61,8 @@
 	}
 	r := &rig{t: t, ran: make(chan struct{}), changed: make(chan struct{})}
 	r.Driver = New(h, engine.Clock{Start: h.Now()}, e, slog.New(slog.DiscardHandler))
-	r.Watch()
-	r.Seams = Seams{Store: r, Transport: r, Sink: r}
+	r.MeasureLag()
+	r.Components = Components{Store: r, Transport: r, Sink: r}
 	if !stored {
 		r.Store = nil
 	}
@@ -74,7 +74,7 @@
 		r.Quit()
 		<-r.ran
 	})
-	r.Members(&engine.Members{Source: "list", Whole: true, List: []engine.Member{{ID: "e", Addr: "h:1", Dest: 1, Phase: engine.Active}}})
+	r.Members(&engine.Members{Source: "list", FullList: true, List: []engine.Member{{ID: "e", Addr: "h:1", Destination: 1, Phase: engine.Active}}})
 	return r
 }
 
@@ -139,10 +139,10 @@
 func (r *rig) Start(c *engine.Call, _ engine.CallEvents) {
 	r.set(func() { r.calls = append(r.calls, c) })
 }
-func (r *rig) Abort(engine.CallID)         {}
-func (r *rig) CloseIdle(*engine.CloseIdle) {}
-func (r *rig) Leave(*engine.Leave)         {}
-func (r *rig) Done(d *engine.Done)         { r.set(func() { r.dones = append(r.dones, d) }) }
+func (r *rig) Abort(engine.CallID)                   {}
+func (r *rig) CloseIdle(*engine.CloseIdle)           {}
+func (r *rig) RemoveEndpoint(*engine.RemoveEndpoint) {}
+func (r *rig) Completed(d *engine.Done)              { r.set(func() { r.dones = append(r.dones, d) }) }
 
 // answer tells all of a store that answers later.
 func (r *rig) answer() {
@@ -154,13 +154,13 @@
 }
 
 func message(id string) *engine.Message {
-	return &engine.Message{ID: id, Class: "unsafe", Dest: 1, Body: []byte("body")}
+	return &engine.Message{ID: id, Class: "unsafe", Destination: 1, Body: []byte("body")}
 }
 
 // handIn hands a message in on a goroutine of its own.
 func (r *rig) handIn(id string) <-chan engine.Verdict {
 	v := make(chan engine.Verdict, 1)
-	go func() { v <- r.HandIn(message(id), time.Now().Add(time.Minute)) }()
+	go func() { v <- r.Submit(message(id), time.Now().Add(time.Minute)) }()
 	return v
 }
 
@@ -176,7 +176,7 @@
 	default:
 	}
 	r.answer()
-	if v := <-answered; v.Kind != engine.Taken {
+	if v := <-answered; v.Kind != engine.Accepted {
 		t.Fatalf("answered %+v", v)
 	}
 	r.await("its attempt is on the way", func() bool { return len(r.batches) == 2 })
@@ -193,7 +193,7 @@
 func TestACallThatWaitedForTheStoreIsNotMadeToAnEndpointThatHasLeft(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	if v := <-r.handIn("first"); v.Kind != engine.Taken {
+	if v := <-r.handIn("first"); v.Kind != engine.Accepted {
 		t.Fatalf("answered %+v", v)
 	}
 	r.await("a call", func() bool { return len(r.calls) == 1 })
@@ -203,7 +203,7 @@
 	r.answer()
 	<-answered
 	r.await("its attempt is on the way", func() bool { return len(r.batches) == 4 })
-	r.Members(&engine.Members{Source: "list", Whole: true, List: []engine.Member{{ID: "e", Addr: "h:1", Dest: 1, Phase: engine.Leaving}}})
+	r.Members(&engine.Members{Source: "list", FullList: true, List: []engine.Member{{ID: "e", Addr: "h:1", Destination: 1, Phase: engine.Leaving}}})
 	r.answer()
 	r.await("the proof that it never ran", func() bool { return len(r.batches) == 5 })
 	r.set(func() {
@@ -217,16 +217,16 @@
 	t.Parallel()
 	r := newRig(t)
 	r.set(func() { r.refuses = engine.ErrFull })
-	if v := <-r.handIn("full"); v.Kind != engine.Busy || v.Again == 0 {
+	if v := <-r.handIn("full"); v.Kind != engine.Busy || v.RetryAfter == 0 {
 		t.Errorf("without room: %+v", v)
 	}
 	r.set(func() { r.refuses, r.fails = nil, errors.New("no disk") })
-	if v := <-r.handIn("failing"); v.Kind != engine.Busy || v.Again == 0 {
+	if v := <-r.handIn("failing"); v.Kind != engine.Busy || v.RetryAfter == 0 {
 		t.Errorf("with a store that fails: %+v", v)
 	}
 	r.set(func() { r.fails = nil })
 	for { // taking goes on by itself once the store is asked again
-		if v := <-r.handIn("good"); v.Kind == engine.Taken {
+		if v := <-r.handIn("good"); v.Kind == engine.Accepted {
 			break
 		}
 	}
@@ -247,7 +247,7 @@
 		}
 	})
 	r.answer()
-	r.await("its end", func() bool { return len(r.dones) == 1 && r.dones[0].How == engine.Failed && r.dones[0].Doubt })
+	r.await("its end", func() bool { return len(r.dones) == 1 && r.dones[0].Disposition == engine.Failed && r.dones[0].InDoubt })
 }
 
 func TestWhoWaitsWhenTheDriverEndsIsTold(t *testing.T) {
@@ -258,16 +258,16 @@
 	r.await("its record is on the way", func() bool { return len(r.batches) == 1 })
 	r.Quit()
 	<-r.ran
-	if v := <-answered; v.Kind != engine.Unsure {
+	if v := <-answered; v.Kind != engine.Unconfirmed {
 		t.Errorf("its record may be stored, and it is told %+v", v)
 	}
-	if v := r.HandIn(message("n"), time.Now().Add(time.Minute)); v.Kind != engine.Busy || v.Again == 0 {
+	if v := r.Submit(message("n"), time.Now().Add(time.Minute)); v.Kind != engine.Busy || v.RetryAfter == 0 {
 		t.Errorf("after the end: %+v", v)
 	}
 	if ok := r.MayWrite(1); slices.Contains(ok, true) {
 		t.Error("a call may be written after the end")
 	}
-	if !r.Idle(time.Now().Add(time.Minute)) || r.Members(&engine.Members{Source: "list", Failed: true}) {
+	if !r.WaitIdle(time.Now().Add(time.Minute)) || r.Members(&engine.Members{Source: "list", Failed: true}) {
 		t.Error("the driver is not over")
 	}
 }
@@ -277,11 +277,11 @@
 	r := newRig(t)
 	<-r.handIn("m")
 	r.await("the call", func() bool { return len(r.calls) == 1 })
-	if r.Idle(time.Now().Add(10 * time.Millisecond)) {
+	if r.WaitIdle(time.Now().Add(10 * time.Millisecond)) {
 		t.Error("idle with a call out")
 	}
 	idle := make(chan bool, 1)
-	go func() { idle <- r.Idle(time.Now().Add(20 * time.Second)) }()
+	go func() { idle <- r.WaitIdle(time.Now().Add(20 * time.Second)) }()
 	r.Ended(r.calls[0].ID, []engine.Outcome{{Result: control.OK}})
 	if !<-idle {
 		t.Error("not idle with no call out")
@@ -294,15 +294,15 @@
 	until := []time.Time{time.Now().Add(time.Minute), time.Now().Add(time.Minute)}
 	r.set(func() { r.late = true })
 	answered := make(chan engine.Verdict, 1)
-	go func() { answered <- r.HandInAll([]*engine.Message{message("a"), message("b")}, until) }()
+	go func() { answered <- r.SubmitAll([]*engine.Message{message("a"), message("b")}, until) }()
 	r.await("their record is on the way", func() bool { return len(r.batches) == 1 })
 	r.answer()
-	if v := <-answered; v.Kind != engine.Taken {
+	if v := <-answered; v.Kind != engine.Accepted {
 		t.Fatalf("answered %+v", v)
 	}
 	wrong := message("c")
 	wrong.Class = "unheard of"
-	if v := r.HandInAll([]*engine.Message{message("d"), wrong}, until); v.Kind != engine.Invalid {
+	if v := r.SubmitAll([]*engine.Message{message("d"), wrong}, until); v.Kind != engine.Invalid {
 		t.Errorf("with one that is wrong: %+v", v)
 	}
 	r.await("attempts of the first two", func() bool { return len(r.batches) == 2 })
@@ -316,14 +316,14 @@
 	wrong := message("b")
 	wrong.Class = "unheard of"
 	until := []time.Time{time.Now().Add(time.Minute), time.Now().Add(time.Minute), time.Now().Add(time.Minute)}
-	v := r.HandInEach([]*engine.Message{message("a"), wrong, message("c")}, until)
-	if len(v) != 3 || v[0].Kind != engine.Taken || v[1].Kind != engine.Invalid || v[2].Kind != engine.Taken {
+	v := r.SubmitEach([]*engine.Message{message("a"), wrong, message("c")}, until)
+	if len(v) != 3 || v[0].Kind != engine.Accepted || v[1].Kind != engine.Invalid || v[2].Kind != engine.Accepted {
 		t.Errorf("answered %+v", v)
 	}
 	r.Quit()
 	<-r.ran
-	for _, v := range append(r.HandInEach([]*engine.Message{message("d")}, until), r.HandInAll([]*engine.Message{message("e")}, until)) {
-		if v.Kind != engine.Busy || v.Again == 0 {
+	for _, v := range append(r.SubmitEach([]*engine.Message{message("d")}, until), r.SubmitAll([]*engine.Message{message("e")}, until)) {
+		if v.Kind != engine.Busy || v.RetryAfter == 0 {
 			t.Errorf("after the end: %+v", v)
 		}
 	}
@@ -352,7 +352,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !slices.ContainsFunc(r.records, func(x engine.Record) bool {
-		s, ok := x.(*engine.RecShift)
+		s, ok := x.(*engine.RecClockStep)
 		return ok && time.Duration(s.By)*time.Microsecond < -time.Hour+time.Minute
 	}) {
 		t.Errorf("no step among the records: %v", r.records)
--- a/internal/driver/ledger.go
+++ b/internal/driver/ledger.go
@@ -39,9 +39,9 @@
 	return s
 }
 
-// AskLedger is Ledger for those who can't wait: told is called with the cut on the driver's goroutine, and must not block.
+// LedgerAsync is Ledger for those who can't wait: told is called with the cut on the driver's goroutine, and must not block.
 // It may never be called, where the store does not answer or the driver stops.
-func (d *Driver) AskLedger(told func(*ledger.Snapshot)) bool { return d.put(&whenCut{tellCut(told)}) }
+func (d *Driver) LedgerAsync(told func(*ledger.Snapshot)) bool { return d.put(&whenCut{tellCut(told)}) }
 
 // tellCut is an inbox whose only value is taken at once.
 type tellCut func(*ledger.Snapshot)
@@ -78,11 +78,11 @@
 func (d *Driver) askLedger() {
 	d.ticket++
 	d.cuts.ticket, d.cuts.asked = d.ticket, d.now.At
-	d.handle(&engine.AskLedger{Ticket: d.ticket})
+	d.handle(&engine.RequestLedger{Ticket: d.ticket})
 }
 
 // shown passes a cut on.
-func (d *Driver) shown(f *engine.Shown) {
+func (d *Driver) shown(f *engine.LedgerSnapshot) {
 	c := &d.cuts
 	if f.Ticket != c.ticket {
 		return // another has been asked for since
@@ -109,12 +109,12 @@
 }
 
 // breached tells operators of a breach.
-func (d *Driver) breached(f *engine.Breached) {
+func (d *Driver) breached(f *engine.LedgerBreach) {
 	list := []any{
-		"class", f.Key.Class, "dest", f.Key.Dest, "tenant", f.Key.Tenant, "other", f.Key.Other, "of", f.What,
-		"books", uint64(f.Books), "counted", uint64(f.Counted),
+		"class", f.Key.Class, "dest", f.Key.Destination, "tenant", f.Key.Tenant, "other", f.Key.Other, "of", f.Check,
+		"books", uint64(f.Booked), "counted", uint64(f.Counted),
 	}
-	if f.Healed == 0 {
+	if f.ResolvedAt == 0 {
 		d.log.Error("ledger: figures do not add up", list...)
 	} else {
 		d.log.Warn("ledger: figures add up again", list...)
--- a/internal/driver/ledger_test.go
+++ b/internal/driver/ledger_test.go
@@ -13,13 +13,13 @@
 func TestReadersOfTheLedgerAreBounded(t *testing.T) {
 	t.Parallel()
 	d := &Driver{host: host.System{}, tickets: map[engine.Ticket]host.Inbox{}}
-	set := engine.Settings{Stored: true, Control: control.Settings{
+	set := engine.Settings{HasStore: true, Control: control.Settings{
 		Instances: 1, Tick: 5 * control.Millisecond, ReportLeft: -1, ReportLimit: -1, Slots: 1, MaxOpen: 10, MaxTries: 1,
 		Classes: []control.Class{{Name: "free", Effect: control.Free, Aim: control.Second, Deadline: control.Second, Worth: 1}},
 		Kinds:   []control.Kind{{Name: "hooks", Batch: 1}}, ConnIdle: control.Second, ConnectTimeout: control.Second, StreamsPerConn: 1,
 		StopSendingWithin: control.Second, ColdFrom: 0.2, WarmUp: control.Second, TipMultiple: 2, OverloadFor: control.Second,
 	}}
-	set.Ledger = &engine.Ledger{Settings: ledger.Settings{Instance: "d"}, Epoch: ledger.NewEpoch(1, 1, "", "")}
+	set.Ledger = &engine.LedgerSettings{Settings: ledger.Settings{Instance: "d"}, Epoch: ledger.NewEpoch(1, 1, "", "")}
 	e, err := engine.New(set)
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +27,7 @@
 	d.e = e
 	d.Store = silent{}
 	d.now = engine.Now{At: engine.Epoch, Wall: 1}
-	d.handle(&engine.RestoredLast{}) // a batch of the epoch's leaf is on its way, and stays so
+	d.handle(&engine.RestoreComplete{}) // a batch of the epoch's leaf is on its way, and stays so
 	var got []*ledger.Snapshot
 	for range 100_000 {
 		d.cut(tellCut(func(s *ledger.Snapshot) { got = append(got, s) }))
--- a/internal/driver/load.go
+++ b/internal/driver/load.go
@@ -23,7 +23,7 @@
 	d.door.mu.Lock()
 	defer d.door.mu.Unlock()
 	ok, after := d.door.gate.Admit(d.clock.At(now))
-	return engine.Span(after), ok
+	return engine.Duration(after), ok
 }
 
 // newWork is how much new work a round takes at most. With more the rest waits for the rounds to come, and what happens
@@ -71,8 +71,8 @@
 	case *handIn:
 		ids = []string{v.Message.ID}
 	case *handInAll:
-		for i := range v.List {
-			ids = append(ids, v.List[i].Message.ID)
+		for i := range v.Submissions {
+			ids = append(ids, v.Submissions[i].Message.ID)
 		}
 	case *engine.Withdraw:
 		ids = []string{v.ID}
@@ -105,9 +105,9 @@
 // probeBack is the probe when it is back.
 type probeBack struct{ late engine.Time }
 
-// Watch has the driver measure how late the process is, where the host can be late. It is called before Run, by a runtime
+// MeasureLag has the driver measure how late the process is, where the host can be late. It is called before Run, by a runtime
 // that has the process for itself; without it nothing is late.
-func (d *Driver) Watch() {
+func (d *Driver) MeasureLag() {
 	p, ok := d.host.(host.Prober)
 	if !ok {
 		return
@@ -180,11 +180,11 @@
 		d.door.mu.Lock()
 		defer d.door.mu.Unlock()
 		if l.done > 0 {
-			d.door.gate.Done(d.now.At, l.done)
+			d.door.gate.Completed(d.now.At, l.done)
 			l.done = 0
 		}
 		if out > 0 {
-			d.door.gate.Late(d.now.At, out)
+			d.door.gate.ObserveDelay(d.now.At, out)
 		}
 	}
 }
@@ -194,5 +194,5 @@
 	d.load.out, d.load.started = false, 0
 	d.door.mu.Lock()
 	defer d.door.mu.Unlock()
-	d.door.gate.Late(d.now.At, p.late)
+	d.door.gate.ObserveDelay(d.now.At, p.late)
 }
--- a/internal/driver/load_test.go
+++ b/internal/driver/load_test.go
@@ -33,7 +33,7 @@
 	var all sync.WaitGroup
 	for i := range n {
 		all.Go(func() {
-			if v := r.HandIn(message(fmt.Sprint(name, i)), time.Now().Add(time.Minute)); v.Kind != engine.Taken {
+			if v := r.Submit(message(fmt.Sprint(name, i)), time.Now().Add(time.Minute)); v.Kind != engine.Accepted {
 				r.t.Errorf("message %d: %+v", i, v)
 			}
 		})
@@ -128,14 +128,14 @@
 	replies := make([]host.Inbox, 3*newWork)
 	for i := range replies {
 		replies[i] = host.System{}.NewInbox()
-		r.Offer(message(fmt.Sprint("new", i)), time.Now().Add(time.Minute), false, replies[i])
+		r.SubmitAsync(message(fmt.Sprint("new", i)), time.Now().Add(time.Minute), false, replies[i])
 	}
 	r.Ended(id, []engine.Outcome{{}})
 	r.set(func() { r.hold = nil })
 	close(hold)
 	<-blocker
 	for i, b := range replies {
-		if got := b.Take(nil, time.Now().Add(20*time.Second)); len(got) != 1 || got[0].(*engine.Verdict).Kind != engine.Taken {
+		if got := b.Take(nil, time.Now().Add(20*time.Second)); len(got) != 1 || got[0].(*engine.Verdict).Kind != engine.Accepted {
 			t.Fatalf("hand-in %d is answered %v", i, got)
 		}
 	}
@@ -149,7 +149,7 @@
 				t.Errorf("the outcome was handled behind %d hand-ins", before-2)
 			}
 			return
-		case *engine.RecTaken:
+		case *engine.RecAccepted:
 			before++
 		}
 	}
@@ -162,7 +162,7 @@
 	l := &later{}
 	first, group := &handIn{}, &handInAll{}
 	first.Message.ID = "a"
-	group.List = []engine.HandIn{{Message: *message("b")}, {Message: *message("c")}}
+	group.Submissions = []engine.Submit{{Message: *message("b")}, {Message: *message("c")}}
 	l.add(first)
 	l.add(group)
 	for id, want := range map[string]bool{"a": true, "b": true, "c": true, "d": false} {
--- a/internal/driver/share.go
+++ b/internal/driver/share.go
@@ -24,9 +24,9 @@
 	crowd bool  // as of the newest round
 }
 
-// Share lets callers of Offer, Withdraw, Ended and MayWrite make rounds, so these must hold no lock then that the seams
+// ShareRounds lets callers of Offer, Withdraw, Ended and MayWrite make rounds, so these must hold no lock then that the seams
 // take. It is called before all else, and where there is no store: in a round nothing may block.
-func (d *Driver) Share() { d.shared = true }
+func (d *Driver) ShareRounds() { d.shared = true }
 
 // crowded is from how many open messages on rounds are Run's alone: it takes what many have told in one of them, which
 // costs them less together than a round for each.
@@ -97,7 +97,7 @@
 		return true
 	}
 	d.taken, d.queue = d.queue, d.taken[:0]
-	d.crowd = d.e.Open() > crowded
+	d.crowd = d.e.OpenMessages() > crowded
 	d.mu.Unlock()
 	return d.makeRound(d.taken)
 }
--- a/internal/driver/share_test.go
+++ b/internal/driver/share_test.go
@@ -43,10 +43,10 @@
 	}
 	r.tell(c.Items[0].ID, c)
 }
-func (r *direct) Abort(engine.CallID)         {}
-func (r *direct) CloseIdle(*engine.CloseIdle) {}
-func (r *direct) Leave(*engine.Leave)         {}
-func (r *direct) Done(d *engine.Done)         { r.tell(d.ID, d) }
+func (r *direct) Abort(engine.CallID)                   {}
+func (r *direct) CloseIdle(*engine.CloseIdle)           {}
+func (r *direct) RemoveEndpoint(*engine.RemoveEndpoint) {}
+func (r *direct) Completed(d *engine.Done)              { r.tell(d.ID, d) }
 
 // verdicts takes them and forgets them.
 type verdicts struct{ host.Inbox }
@@ -70,13 +70,13 @@
 	h := host.System{}
 	d := New(h, engine.Clock{Start: h.Now()}, e, slog.New(slog.DiscardHandler))
 	to := &direct{by: map[string]chan any{}}
-	d.Seams = Seams{Transport: to, Sink: to}
-	d.Share()
-	d.Handle(&engine.Members{Source: "list", Whole: true, List: members}, &engine.Wake{})
+	d.Components = Components{Transport: to, Sink: to}
+	d.ShareRounds()
+	d.Handle(&engine.Members{Source: "list", FullList: true, List: members}, &engine.Wake{})
 	return d, to
 }
 
-var active = engine.Member{ID: "e", Addr: "h:1", Dest: 1, Phase: engine.Active}
+var active = engine.Member{ID: "e", Addr: "h:1", Destination: 1, Phase: engine.Active}
 
 func run(t testing.TB, d *Driver) {
 	ran := make(chan struct{})
@@ -90,7 +90,9 @@
 	})
 }
 
-func single(id string) *engine.Message { return &engine.Message{ID: id, Class: "unsafe", Dest: 1} }
+func single(id string) *engine.Message {
+	return &engine.Message{ID: id, Class: "unsafe", Destination: 1}
+}
 
 // Run is not there yet: whatever happens is the callers' own work.
 func TestACallerMakesTheRoundsOfWhatItTells(t *testing.T) {
@@ -98,7 +100,7 @@
 	d, to := newShared(t, 1, active)
 	first, second := to.expect("a"), to.expect("b")
 	in := time.Now().Add(time.Minute)
-	if !d.Offer(single("a"), in, true, verdicts{}) || !d.Offer(single("b"), in, true, verdicts{}) || len(first) != 1 || len(second) != 0 {
+	if !d.SubmitAsync(single("a"), in, true, verdicts{}) || !d.SubmitAsync(single("b"), in, true, verdicts{}) || len(first) != 1 || len(second) != 0 {
 		t.Fatalf("with one slot: %d and %d told", len(first), len(second))
 	}
 	call := (<-first).(*engine.Call)
@@ -111,8 +113,8 @@
 	}
 	d.Withdraw("b")
 	d.Ended((<-second).(*engine.Call).ID, []engine.Outcome{{Result: control.Moot}})
-	if e := d.Engine(); e.Open() != 0 || e.Out() != 0 {
-		t.Errorf("%d held, %d out", e.Open(), e.Out())
+	if e := d.Engine(); e.OpenMessages() != 0 || e.CallsOut() != 0 {
+		t.Errorf("%d held, %d out", e.OpenMessages(), e.CallsOut())
 	}
 	run(t, d)
 }
@@ -130,12 +132,12 @@
 	}
 	d.turn.Unlock()
 	end := to.expect("a")
-	if !d.Offer(single("a"), time.Now().Add(50*time.Millisecond), true, verdicts{}) {
+	if !d.SubmitAsync(single("a"), time.Now().Add(50*time.Millisecond), true, verdicts{}) {
 		t.Fatal("it has stopped")
 	}
 	select {
 	case v := <-end:
-		if done, ok := v.(*engine.Done); !ok || done.How != engine.Refused {
+		if done, ok := v.(*engine.Done); !ok || done.Disposition != engine.Refused {
 			t.Errorf("%+v", v)
 		}
 	case <-time.After(5 * time.Second):
@@ -149,7 +151,7 @@
 	d, to := newShared(t, 1, active)
 	to.calls = func(c *engine.Call) { d.Ended(c.ID, []engine.Outcome{{Result: control.OK}}) }
 	end := to.expect("a")
-	d.Offer(single("a"), time.Now().Add(time.Minute), true, verdicts{})
+	d.SubmitAsync(single("a"), time.Now().Add(time.Minute), true, verdicts{})
 	if len(end) != 1 {
 		t.Fatal("its end is not taken up")
 	}
@@ -185,9 +187,9 @@
 		<-goOn
 	}
 	run(t, d)
-	d.Tell(&engine.HandIn{Message: *single("a"), Expires: control.Second}) // Run's
+	d.Post(&engine.Submit{Message: *single("a"), ExpiresIn: control.Second}) // Run's
 	<-begun
-	if !d.Offer(single("b"), time.Now().Add(time.Minute), true, verdicts{}) {
+	if !d.SubmitAsync(single("b"), time.Now().Add(time.Minute), true, verdicts{}) {
 		t.Fatal("it has stopped")
 	}
 	close(goOn)
@@ -204,9 +206,9 @@
 	d, to := newShared(t, 1, active)
 	first := to.expect("0")
 	for i := range 2 * crowded {
-		d.Offer(single(fmt.Sprint(i)), time.Now().Add(time.Minute), true, verdicts{})
+		d.SubmitAsync(single(fmt.Sprint(i)), time.Now().Add(time.Minute), true, verdicts{})
 	}
-	if got := d.Engine().Open(); got != crowded+1 && got != crowded+2 {
+	if got := d.Engine().OpenMessages(); got != crowded+1 && got != crowded+2 {
 		t.Errorf("%d are handed in without Run", got)
 	}
 	call := (<-first).(*engine.Call)
@@ -229,7 +231,7 @@
 			for j := range 200 {
 				id := fmt.Sprint(i, "/", j)
 				told := to.expect(id)
-				d.Offer(single(id), time.Now().Add(time.Minute), true, verdicts{})
+				d.SubmitAsync(single(id), time.Now().Add(time.Minute), true, verdicts{})
 				for out := false; ; {
 					select {
 					case v := <-told:
@@ -276,7 +278,7 @@
 	d, to := newShared(t, 1, active)
 	told, logged := to.expect("a"), make(chan struct{})
 	d.log = slog.New(calling{call: func() {
-		d.Offer(single("a"), time.Now().Add(time.Minute), true, verdicts{})
+		d.SubmitAsync(single("a"), time.Now().Add(time.Minute), true, verdicts{})
 		<-told
 		close(logged)
 	}})
@@ -289,7 +291,7 @@
 		d.Ended(c.ID, []engine.Outcome{{Result: control.OK}})
 	}
 	run(t, d)
-	d.Offer(single("first"), time.Now().Add(time.Minute), true, verdicts{})
+	d.SubmitAsync(single("first"), time.Now().Add(time.Minute), true, verdicts{})
 	d.Ended(1, []engine.Outcome{{Result: control.OK}})
 	select {
 	case <-logged:
@@ -303,7 +305,7 @@
 	d, _ := newShared(t, 1, active)
 	d.Quit()
 	d.Run()
-	if d.Offer(single("a"), time.Now().Add(time.Minute), true, verdicts{}) || d.MayWrite(1) != nil || d.Members(&engine.Members{Source: "list", Failed: true}) {
+	if d.SubmitAsync(single("a"), time.Now().Add(time.Minute), true, verdicts{}) || d.MayWrite(1) != nil || d.Members(&engine.Members{Source: "list", Failed: true}) {
 		t.Error("it takes something after its end")
 	}
 }
@@ -318,7 +320,7 @@
 	n := 0
 	for b.Loop() {
 		n++
-		if !d.Offer(single(fmt.Sprint(n)), time.Now().Add(time.Second), true, verdicts{}) {
+		if !d.SubmitAsync(single(fmt.Sprint(n)), time.Now().Add(time.Second), true, verdicts{}) {
 			b.Fatal("it has stopped")
 		}
 		d.Ended((<-calls).ID, []engine.Outcome{{Result: control.OK}})
--- a/internal/figures/command.go
+++ b/internal/figures/command.go
@@ -4,7 +4,7 @@
 const (
 	CommandLedger  = "ledger"  // answered by one line, the snapshot
 	CommandMetrics = "metrics" // by one line, the OpenMetrics text as a string
-	CommandHeld    = "held"    // by one line, HeldReply
+	CommandQueues  = "held"    // by one line, QueuesReply
 )
 
 // Request is one of these commands; there is nothing else to say.
@@ -12,15 +12,15 @@
 	Command string `json:"command"`
 }
 
-// HeldReply tells of what is open.
-type HeldReply struct {
-	Held []Held `json:"held"` // by destination
-	More bool   `json:"more"` // there are messages that were not looked at: other destinations may have some
+// QueuesReply tells of what is open.
+type QueuesReply struct {
+	Queues     []DestinationQueue `json:"held"` // by destination
+	Incomplete bool               `json:"more"` // there are messages that were not looked at: other destinations may have some
 }
 
-// Held is what is open for a destination.
-type Held struct {
-	Dest      int     `json:"dest"`
-	Oldest    float64 `json:"oldest_s"`  // for how long its oldest message has been open in this process
-	Condition string  `json:"condition"` // unserved, pressed, ailing or well
+// DestinationQueue is what is open for a destination.
+type DestinationQueue struct {
+	Destination   int     `json:"dest"`
+	OldestSeconds float64 `json:"oldest_s"`  // for how long its oldest message has been open in this process
+	Condition     string  `json:"condition"` // unserved, pressed, ailing or well
 }
--- a/internal/figures/exporter/exporter_test.go
+++ b/internal/figures/exporter/exporter_test.go
@@ -27,12 +27,12 @@
 func scrape(t testing.TB, cut func() (*ledger.Snapshot, error)) (int, string) {
 	t.Helper()
 	r := prometheus.NewPedanticRegistry()
-	if err := r.Register(&Collector{Cut: cut}); err != nil {
+	if err := r.Register(&Collector{Snapshot: cut}); err != nil {
 		t.Fatal(err)
 	}
 	h := promhttp.HandlerFor(r, promhttp.HandlerOpts{EnableOpenMetrics: true, Registry: nil})
 	ask := httptest.NewRequest("GET", "/metrics", nil)
-	ask.Header.Set("Accept", figures.TypeMetrics)
+	ask.Header.Set("Accept", figures.ContentTypeMetrics)
 	out := httptest.NewRecorder()
 	h.ServeHTTP(out, ask)
 	return out.Code, out.Body.String()
@@ -58,15 +58,15 @@
 
 func cut(names ...string) *ledger.Snapshot {
 	s := &ledger.Snapshot{
-		Format: ledger.Format, Instance: "a \"b\"\n", Epoch: ledger.NewEpoch(7, 1_800_000_000_000_001, ledger.WhyNew, ""), Wall: 1_800_000_123_456_789,
-		Provisional: true, Breaches: []ledger.Breach{{What: ledger.Messages, At: 1}, {What: ledger.Messages, At: 1, Healed: 2}}, More: 3,
+		Format: ledger.Format, Instance: "a \"b\"\n", Epoch: ledger.NewEpoch(7, 1_800_000_000_000_001, ledger.ReasonNoLedger, ""), Wall: 1_800_000_123_456_789,
+		Provisional: true, Breaches: []ledger.Breach{{Check: ledger.CheckMessages, FoundAt: 1}, {Check: ledger.CheckMessages, FoundAt: 1, ResolvedAt: 2}}, MoreBreaches: 3,
 	}
 	for i, name := range names {
-		f := ledger.Figures{Taken: ledger.Count(i + 1), Open: ledger.Count(i), Served: 1}
-		f.Attempts.Sent, f.Doubt.Unsure = 1<<53+1, math.MaxUint64
-		s.Accounts = append(s.Accounts, ledger.Line{Key: ledger.Key{Class: name, Dest: i % 3, Tenant: name}, Figures: f})
+		f := ledger.Counts{Accepted: ledger.Count(i + 1), Open: ledger.Count(i), Delivered: 1}
+		f.Attempts.Sent, f.Doubt.Unresolved = 1<<53+1, math.MaxUint64
+		s.Accounts = append(s.Accounts, ledger.AccountCounts{Key: ledger.Key{Class: name, Destination: i % 3, Tenant: name}, Counts: f})
 	}
-	s.Accounts = append(s.Accounts, ledger.Line{Key: ledger.Key{Other: true}, Figures: ledger.Figures{Taken: 5, Open: 5}})
+	s.Accounts = append(s.Accounts, ledger.AccountCounts{Key: ledger.Key{Other: true}, Counts: ledger.Counts{Accepted: 5, Open: 5}})
 	return s
 }
 
@@ -100,7 +100,7 @@
 			if !bytes.HasSuffix(got, []byte("\n# EOF\n")) || bytes.Count(got, []byte("\n# EOF\n")) != 1 {
 				t.Error("the text does not end as it must")
 			}
-			if n := bytes.Count(got, []byte("curlewmux_messages_taken_total{")); n > figures.MostSeries+1 {
+			if n := bytes.Count(got, []byte("curlewmux_messages_taken_total{")); n > figures.MaxSeries+1 {
 				t.Errorf("%d series of a metric", n)
 			}
 			if len(s.Accounts) > 1 && !bytes.Contains(got, []byte(" 9007199254740993\n")) {
@@ -119,7 +119,7 @@
 
 // go test -bench . ./internal/figures/exporter: one text of 256 accounts, by the library and by the dispatcher's own code.
 func BenchmarkText(b *testing.B) {
-	names := make([]string, figures.MostSeries)
+	names := make([]string, figures.MaxSeries)
 	for i := range names {
 		names[i] = fmt.Sprint("class-", i)
 	}
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -19,29 +19,29 @@
 	Ledger(wait time.Duration) (*ledger.Snapshot, error)
 }
 
-// TypeJSON is the type of content of a snapshot.
-const TypeJSON = "application/json"
+// ContentTypeJSON is the type of content of a snapshot.
+const ContentTypeJSON = "application/json"
 
 // Times.
 const (
-	// Keep is how long an answer is given again before a new cut is made: no reader sees older figures, and no number of
+	// MaxAge is how long an answer is given again before a new cut is made: no reader sees older figures, and no number of
 	// them costs more than a cut and a text each in such a span.
-	Keep = 250 * time.Millisecond
+	MaxAge = 250 * time.Millisecond
 
 	patience = 2 * time.Second // how long a cut is waited for: it must be in the store
 	share    = 50              // making a text may take one part in so many of the time
 	rate     = 64 << 20        // bytes of texts given out in a second: copying more would keep messages waiting
-	burst    = Keep            // and of what time they may come at once
+	burst    = MaxAge          // and of what time they may come at once
 )
 
 // Errors.
 var (
-	ErrNone = errors.New("no figures")                      // to be shown now
-	ErrBusy = errors.New("figures are asked for too often") // in bytes a second; Keep later there is room
+	ErrUnavailable = errors.New("no figures")                      // to be shown now
+	ErrBusy        = errors.New("figures are asked for too often") // in bytes a second; Keep later there is room
 )
 
-// Board keeps the newest answers. Its methods are safe for concurrent use; they wait nowhere but in its source.
-type Board struct {
+// Cache keeps the newest answers. Its methods are safe for concurrent use; they wait nowhere but in its source.
+type Cache struct {
 	source Source
 	now    func() time.Time
 
@@ -61,28 +61,28 @@
 }
 
 // New makes a board. now is a clock that never steps.
-func New(source Source, now func() time.Time) *Board {
-	return &Board{source: source, now: now}
+func New(source Source, now func() time.Time) *Cache {
+	return &Cache{source: source, now: now}
 }
 
 // JSON is the ledger's snapshot as one line of JSON, at most Keep old, or longer where making a text takes long. Nobody
-// may change it. The error wraps ErrNone or ErrBusy.
-func (b *Board) JSON() ([]byte, error) {
+// may change it. The error wraps ErrUnavailable or ErrBusy.
+func (b *Cache) JSON() ([]byte, error) {
 	return b.page(&b.json, func(s *ledger.Snapshot) ([]byte, error) { return json.Marshal(s) })
 }
 
-// Metrics is the same in the OpenMetrics text format, of MostSeries accounts at most. Figures are written to the last
+// Metrics is the same in the OpenMetrics text format, of MaxSeries accounts at most. Figures are written to the last
 // digit; a reader that makes floating-point numbers of them is exact up to 2^53.
-func (b *Board) Metrics() ([]byte, error) {
+func (b *Cache) Metrics() ([]byte, error) {
 	return b.page(&b.metrics, func(s *ledger.Snapshot) ([]byte, error) {
 		var text bytes.Buffer
 		text.Grow(len(b.metrics.text) + len(b.metrics.text)/16)
-		metrics(&text, s, b.series.Of(s))
+		metrics(&text, s, b.series.Select(s))
 		return text.Bytes(), nil
 	})
 }
 
-func (b *Board) page(p *page, write func(*ledger.Snapshot) ([]byte, error)) ([]byte, error) {
+func (b *Cache) page(p *page, write func(*ledger.Snapshot) ([]byte, error)) ([]byte, error) {
 	b.mu.Lock()
 	now := b.now()
 	if b.paid.Sub(now) > burst {
@@ -99,7 +99,7 @@
 	}
 	cut, err := b.source.Ledger(patience)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNone, err)
+		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -110,16 +110,16 @@
 		return p.text, nil
 	}
 	if text, err = write(cut); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNone, err)
+		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	made := b.now()
-	*p = page{text, cut, now, made.Add(max(Keep, share*made.Sub(began)))}
+	*p = page{text, cut, now, made.Add(max(MaxAge, share*made.Sub(began)))}
 	b.pay(made, text)
 	return text, nil
 }
 
 // pay notes that a text is given out; the lock is held.
-func (b *Board) pay(now time.Time, text []byte) {
+func (b *Cache) pay(now time.Time, text []byte) {
 	if b.paid.Before(now) {
 		b.paid = now
 	}
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -25,7 +25,7 @@
 
 func newBooks(t testing.TB, most int) *books {
 	t.Helper()
-	l, err := ledger.New(ledger.Settings{Instance: "n0", Most: most}, ledger.NewEpoch(7, 1, ledger.WhyNew, ""))
+	l, err := ledger.New(ledger.Settings{Instance: "n0", MaxAccounts: most}, ledger.NewEpoch(7, 1, ledger.ReasonNoLedger, ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 	t.Parallel()
 	b, c := newBooks(t, 10), &clock{}
 	c.advance(time.Hour)
-	b.post(ledger.Key{Class: "free"}, ledger.Taken)
+	b.post(ledger.Key{Class: "free"}, ledger.Accepted)
 	board := New(b, c.now)
 	for range 3000 {
 		for _, page := range []func() ([]byte, error){board.JSON, board.Metrics} {
@@ -69,10 +69,10 @@
 				t.Fatal(err)
 			}
 		}
-		b.post(ledger.Key{Class: "free"}, ledger.Taken)
+		b.post(ledger.Key{Class: "free"}, ledger.Accepted)
 		c.advance(time.Millisecond)
 	}
-	if most := 2 * int(3*time.Second/Keep); b.cuts > most || b.cuts < most/2 {
+	if most := 2 * int(3*time.Second/MaxAge); b.cuts > most || b.cuts < most/2 {
 		t.Errorf("%d cuts in 3 s, %d at most", b.cuts, most)
 	}
 }
@@ -83,13 +83,13 @@
 	b, c := newBooks(t, 10), &clock{}
 	board := New(b, c.now)
 	for i := range 20 {
-		b.post(ledger.Key{Class: "free"}, ledger.Taken)
-		c.advance(Keep)
+		b.post(ledger.Key{Class: "free"}, ledger.Accepted)
+		c.advance(MaxAge)
 		text, err := board.JSON()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s, err := ledger.Read(bytes.NewReader(text)); err != nil || s.Total.Taken != ledger.Count(i+1) {
+		if s, err := ledger.ReadSnapshot(bytes.NewReader(text)); err != nil || s.Total.Accepted != ledger.Count(i+1) {
 			t.Fatalf("%v %v, %d taken", s.Total, err, i+1)
 		}
 	}
@@ -104,8 +104,8 @@
 	go func() {
 		defer close(done)
 		for i := range 20_000 {
-			k := ledger.Key{Class: "free", Dest: i % 15}
-			b.post(k, ledger.Taken, ledger.Sent, ledger.Answered, ledger.Served)
+			k := ledger.Key{Class: "free", Destination: i % 15}
+			b.post(k, ledger.Accepted, ledger.AttemptSent, ledger.AttemptAnswered, ledger.Delivered)
 			c.advance(10 * time.Microsecond)
 		}
 	}()
@@ -123,7 +123,7 @@
 				if errors.Is(err, ErrBusy) {
 					continue
 				}
-				s, err := ledger.Read(bytes.NewReader(text))
+				s, err := ledger.ReadSnapshot(bytes.NewReader(text))
 				if err != nil {
 					t.Error(err)
 					return
@@ -133,7 +133,7 @@
 					return
 				}
 				if last != nil {
-					if d, err := ledger.Diff(last, s); err != nil || len(d.Back) > 0 && s.Wall >= last.Wall {
+					if d, err := ledger.Diff(last, s); err != nil || len(d.Decreases) > 0 && s.Wall >= last.Wall {
 						t.Errorf("%v %+v", err, d)
 						return
 					}
@@ -147,15 +147,15 @@
 
 func TestFiguresBeyondTheReachOfFloatsAreExact(t *testing.T) {
 	t.Parallel()
-	s := &ledger.Snapshot{Format: ledger.Format, Epoch: ledger.NewEpoch(1, math.MaxInt64, ledger.WhyNew, "")}
-	f := ledger.Figures{Taken: 1<<53 + 1, Open: math.MaxUint64}
-	s.Accounts, s.Total = []ledger.Line{{Key: ledger.Key{Class: "free"}, Figures: f}}, f
+	s := &ledger.Snapshot{Format: ledger.Format, Epoch: ledger.NewEpoch(1, math.MaxInt64, ledger.ReasonNoLedger, "")}
+	f := ledger.Counts{Accepted: 1<<53 + 1, Open: math.MaxUint64}
+	s.Accounts, s.Total = []ledger.AccountCounts{{Key: ledger.Key{Class: "free"}, Counts: f}}, f
 	board := New(given{s}, time.Now)
 	text, err := board.JSON()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if back, err := ledger.Read(bytes.NewReader(text)); err != nil || back.Total != f || back.Accounts[0].Figures != f || back.Epoch != s.Epoch {
+	if back, err := ledger.ReadSnapshot(bytes.NewReader(text)); err != nil || back.Total != f || back.Accounts[0].Counts != f || back.Epoch != s.Epoch {
 		t.Errorf("%+v %v", back, err)
 	}
 	var loose struct{ Total map[string]any } // as a reader would that holds all numbers as floats
@@ -179,23 +179,23 @@
 	first := map[[3]string]bool{}
 	for round := range 3 {
 		for i := range 1000 {
-			b.post(ledger.Key{Class: fmt.Sprintf("%03d-\xff%d", 999-i, round), Tenant: "\xfe"}, ledger.Taken)
+			b.post(ledger.Key{Class: fmt.Sprintf("%03d-\xff%d", 999-i, round), Tenant: "\xfe"}, ledger.Accepted)
 		}
 		s := b.l.Snapshot(0)
-		var sum ledger.Figures
-		list := series.Of(s)
+		var sum ledger.Counts
+		list := series.Select(s)
 		for _, one := range list {
-			sum.Add(&one.Figures)
+			sum.Add(&one.Counts)
 			if round == 0 {
 				first[one.Labels] = true
 			} else if !first[one.Labels] {
 				t.Errorf("series %q are new", one.Labels)
 			}
-			if strings.ContainsRune(one.Labels[0], '\xff') && one.Labels[0] != Clean(one.Labels[0]) {
+			if strings.ContainsRune(one.Labels[0], '\xff') && one.Labels[0] != ValidLabel(one.Labels[0]) {
 				t.Errorf("%q", one.Labels)
 			}
 		}
-		if len(list) > MostSeries+1 || sum != s.Total {
+		if len(list) > MaxSeries+1 || sum != s.Total {
 			t.Errorf("%d series, %+v in all, the ledger has %+v", len(list), sum, s.Total)
 		}
 	}
@@ -206,7 +206,7 @@
 	t.Parallel()
 	b, c := newBooks(t, 1000), &clock{}
 	for i := range 1000 {
-		b.post(ledger.Key{Class: fmt.Sprint(i)}, ledger.Taken)
+		b.post(ledger.Key{Class: fmt.Sprint(i)}, ledger.Accepted)
 	}
 	board := New(b, c.now)
 	given, turned := 0, 0
@@ -223,7 +223,7 @@
 	if most := rate + rate/4 + len(board.json.text); given > most || turned == 0 || given < rate/2 {
 		t.Errorf("%d bytes given in a second, %d at most; %d were turned away", given, most, turned)
 	}
-	c.advance(Keep)
+	c.advance(MaxAge)
 	if _, err := board.JSON(); err != nil {
 		t.Error(err)
 	}
@@ -234,7 +234,7 @@
 	b, c := newBooks(t, 10), &clock{}
 	b.none = errors.New("the store does not answer")
 	board := New(b, c.now)
-	if text, err := board.Metrics(); !errors.Is(err, ErrNone) || !errors.Is(err, b.none) || text != nil {
+	if text, err := board.Metrics(); !errors.Is(err, ErrUnavailable) || !errors.Is(err, b.none) || text != nil {
 		t.Errorf("%q %v", text, err)
 	}
 	b.none = nil
@@ -274,13 +274,13 @@
 		late <- text
 	}()
 	<-b.asked
-	b.post(ledger.Key{Class: "free"}, ledger.Taken)
+	b.post(ledger.Key{Class: "free"}, ledger.Accepted)
 	c.advance(time.Second)
 	newer, err := board.JSON()
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.advance(2 * Keep) // even where the newer one would be made anew
+	c.advance(2 * MaxAge) // even where the newer one would be made anew
 	close(b.first)
 	if text := <-late; !bytes.Equal(text, newer) {
 		t.Errorf("%s behind %s", text, newer)
--- a/internal/figures/metrics.go
+++ b/internal/figures/metrics.go
@@ -7,31 +7,31 @@
 	"curlewmux/ledger"
 )
 
-// TypeMetrics is the type of content of metrics.
-const TypeMetrics = "application/openmetrics-text; version=1.0.0; charset=utf-8"
+// ContentTypeMetrics is the type of content of metrics.
+const ContentTypeMetrics = "application/openmetrics-text; version=1.0.0; charset=utf-8"
 
 // metrics writes a snapshot in the OpenMetrics text format. Package exporter has the same from prometheus/client_golang,
 // by which its tests judge this text; a dispatcher does not link that (docs/design/ledger-shown.md says why).
-func metrics(b *bytes.Buffer, s *ledger.Snapshot, series []One) {
-	figures := make([]ledger.Count, 0, len(series)*len(Families)) // of a series all together
+func metrics(b *bytes.Buffer, s *ledger.Snapshot, series []AccountSeries) {
+	figures := make([]ledger.Count, 0, len(series)*len(AccountFamilies)) // of a series all together
 	labels := make([]string, len(series))
 	var buf []byte
 	for i := range series {
 		series[i].Each(func(_ string, v ledger.Count, _ bool) { figures = append(figures, v) })
-		buf = appendLabels(buf[:0], Labels[:], series[i].Labels[:])
+		buf = appendLabels(buf[:0], AccountLabels[:], series[i].Labels[:])
 		labels[i] = string(buf)
 	}
-	names(Wholes(s), func(at int) {
-		f := &Families[at]
+	names(LedgerMetrics(s), func(at int) {
+		f := &AccountFamilies[at]
 		head(b, f)
 		for i := range series {
 			buf = append(append(sample(buf[:0], f), labels[i]...), ' ')
-			buf = append(strconv.AppendUint(buf, uint64(figures[i*len(Families)+at]), 10), '\n')
+			buf = append(strconv.AppendUint(buf, uint64(figures[i*len(AccountFamilies)+at]), 10), '\n')
 			b.Write(buf)
 		}
-	}, func(w *Whole) {
+	}, func(w *LedgerMetric) {
 		head(b, &w.Family)
-		buf = append(appendLabels(sample(buf[:0], &w.Family), w.Names, w.Values), ' ')
+		buf = append(appendLabels(sample(buf[:0], &w.Family), w.LabelNames, w.LabelValues), ' ')
 		buf = append(strconv.AppendFloat(buf, w.Value, 'f', -1, 64), '\n')
 		b.Write(buf)
 	})
@@ -40,7 +40,7 @@
 
 func head(b *bytes.Buffer, f *Family) {
 	kind := " counter\n"
-	if f.Level {
+	if f.Gauge {
 		kind = " gauge\n"
 	}
 	for _, s := range [...]string{"# HELP ", f.Name, " ", f.Help, "\n# TYPE ", f.Name, kind} {
@@ -50,7 +50,7 @@
 
 func sample(b []byte, f *Family) []byte {
 	b = append(b, f.Name...)
-	if !f.Level {
+	if !f.Gauge {
 		b = append(b, "_total"...)
 	}
 	return b
--- a/internal/figures/rest_test.go
+++ b/internal/figures/rest_test.go
@@ -20,13 +20,13 @@
 			t.Fatal(err)
 		}
 		b := newBooks(t, 10)
-		k := ledger.Key{Class: "free", Dest: 7, Tenant: "core"}
-		b.post(k, ledger.Taken, ledger.Taken, ledger.Taken, ledger.Served)
+		k := ledger.Key{Class: "free", Destination: 7, Tenant: "core"}
+		b.post(k, ledger.Accepted, ledger.Accepted, ledger.Accepted, ledger.Delivered)
 		var records []engine.Record
-		b.l.Leaves(10, func(l ledger.Leaf) { records = append(records, &engine.RecLeaf{Number: l.Number, Text: l.Text}) })
+		b.l.WriteLeaves(10, func(l ledger.Leaf) { records = append(records, &engine.RecLedgerLeaf{Number: l.Number, Text: l.Text}) })
 		for i := range live {
-			records = append(records, &engine.RecTaken{
-				Message: engine.Message{ID: fmt.Sprint("m", i), Class: k.Class, Dest: k.Dest, Tenant: k.Tenant}, Deadline: 1 << 50,
+			records = append(records, &engine.RecAccepted{
+				Message: engine.Message{ID: fmt.Sprint("m", i), Class: k.Class, Destination: k.Destination, Tenant: k.Tenant}, Deadline: 1 << 50,
 			})
 		}
 		j.Append(1, records)
@@ -36,19 +36,19 @@
 		if err := j.Close(); err != nil {
 			t.Fatal(err)
 		}
-		s, err := AtRest(dir)
+		s, err := ReadFolder(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
 		bad := s.Check()
-		if len(bad) != breaches || s.Instance != "n0" || s.Total.Taken != 3 || s.Epoch != ledger.NewEpoch(7, 1, ledger.WhyNew, "") {
+		if len(bad) != breaches || s.Instance != "n0" || s.Total.Accepted != 3 || s.Epoch != ledger.NewEpoch(7, 1, ledger.ReasonNoLedger, "") {
 			t.Errorf("with %d live: %+v in %+v", live, bad, s)
 		}
-		if breaches > 0 && (bad[0].Key != k || bad[0].Books != 2 || bad[0].Counted != ledger.Count(live)) {
+		if breaches > 0 && (bad[0].Key != k || bad[0].Booked != 2 || bad[0].Counted != ledger.Count(live)) {
 			t.Errorf("with %d live: %+v", live, bad)
 		}
 	}
-	if _, err := AtRest(journal.OSDir(t.TempDir())); !errors.Is(err, ErrNoLedger) {
+	if _, err := ReadFolder(journal.OSDir(t.TempDir())); !errors.Is(err, ErrNoLedger) {
 		t.Errorf("an empty folder: %v", err)
 	}
 }
--- a/internal/figures/series.go
+++ b/internal/figures/series.go
@@ -8,64 +8,64 @@
 	"curlewmux/ledger"
 )
 
-// MostSeries is how many accounts have series of their own in metrics; a ledger may have more. What is beyond is summed
+// MaxSeries is how many accounts have series of their own in metrics; a ledger may have more. What is beyond is summed
 // up in other. Those that were seen first stay, so that no series moves while a process runs.
-const MostSeries = 256
+const MaxSeries = 256
 
-// OtherDest is the value of label dest for all accounts without series of their own; the other labels are empty there.
-const OtherDest = "other"
+// OtherDestination is the value of label dest for all accounts without series of their own; the other labels are empty there.
+const OtherDestination = "other"
 
-// Labels are the names of the labels of an account's series.
-var Labels = [...]string{"class", "dest", "tenant"}
+// AccountLabels are the names of the labels of an account's series.
+var AccountLabels = [...]string{"class", "dest", "tenant"}
 
 // Series picks the accounts that have series of their own. The zero value is ready for use, by one goroutine at a time.
 type Series struct{ own map[ledger.Key]bool }
 
-// One is the series of one account.
-type One struct {
-	Labels [len(Labels)]string // values
-	ledger.Figures
+// AccountSeries is the series of one account.
+type AccountSeries struct {
+	Labels [len(AccountLabels)]string // values
+	ledger.Counts
 }
 
-// Of are all series of a snapshot. No two have the same labels, and their sums are the snapshot's.
-func (s *Series) Of(cut *ledger.Snapshot) []One {
+// Select are all series of a snapshot. No two have the same labels, and their sums are the snapshot's.
+func (s *Series) Select(cut *ledger.Snapshot) []AccountSeries {
 	if s.own == nil {
 		s.own = map[ledger.Key]bool{}
 	}
-	out := make([]One, 0, min(len(cut.Accounts), MostSeries+1))
-	at := map[[len(Labels)]string]int{}
+	out := make([]AccountSeries, 0, min(len(cut.Accounts), MaxSeries+1))
+	at := map[[len(AccountLabels)]string]int{}
 	for i := range cut.Accounts {
 		a := &cut.Accounts[i]
-		if !a.Other && len(s.own) < MostSeries {
+		if !a.Other && len(s.own) < MaxSeries {
 			s.own[a.Key] = true
 		}
-		labels := [...]string{"", OtherDest, ""}
+		labels := [...]string{"", OtherDestination, ""}
 		if !a.Other && s.own[a.Key] {
-			labels = [...]string{Clean(a.Class), strconv.Itoa(a.Dest), Clean(a.Tenant)}
+			labels = [...]string{ValidLabel(a.Class), strconv.Itoa(a.Destination), ValidLabel(a.Tenant)}
 		}
 		n, there := at[labels] // also where two names differ in bytes only that no label can have
 		if !there {
 			n = len(out)
 			at[labels] = n
-			out = append(out, One{Labels: labels})
+			out = append(out, AccountSeries{Labels: labels})
 		}
-		out[n].Figures.Add(&a.Figures)
+		out[n].Counts.Add(&a.Counts)
 	}
 	return out
 }
 
-// Clean is a name as a label may have it: those of clients may hold any bytes.
-func Clean(name string) string { return strings.ToValidUTF8(name, "\uFFFD") }
+// ValidLabel is a name as a label may have it: those of clients may hold any bytes.
+func ValidLabel(name string) string { return strings.ToValidUTF8(name, "\uFFFD") }
 
 // Family is one metric.
 type Family struct {
 	Name  string // without the suffix _total
 	Help  string
-	Level bool // a gauge; else a counter
+	Gauge bool // a gauge; else a counter
 }
 
-// Families are the metrics of an account's figures, in the order of ledger.Figures.Each.
-var Families = func() []Family {
+// AccountFamilies are the metrics of an account's figures, in the order of ledger.Figures.Each.
+var AccountFamilies = func() []Family {
 	help := map[string]string{
 		"brought": "Messages that were open when the epoch began.", "taken": "Messages taken on.",
 		"in": "Messages that came from another account, or were sent again after their end.", "served": "Messages delivered.",
@@ -78,7 +78,7 @@
 		"doubt.open": "Open messages that may have taken effect.",
 	}
 	var out []Family
-	(&ledger.Figures{}).Each(func(name string, _ ledger.Count, level bool) {
+	(&ledger.Counts{}).Each(func(name string, _ ledger.Count, level bool) {
 		metric := strings.ReplaceAll(name, ".", "_")
 		if metric == name {
 			metric = "messages_" + name
@@ -88,18 +88,18 @@
 	return out
 }()
 
-// Whole is a metric of the ledger as a whole, with its value in a snapshot.
-type Whole struct {
+// LedgerMetric is a metric of the ledger as a whole, with its value in a snapshot.
+type LedgerMetric struct {
 	Family
-	Names, Values []string // of its labels
-	Value         float64
+	LabelNames, LabelValues []string // of its labels
+	Value                   float64
 }
 
-// Wholes are the metrics of a snapshot as a whole.
-func Wholes(s *ledger.Snapshot) []Whole {
+// LedgerMetrics are the metrics of a snapshot as a whole.
+func LedgerMetrics(s *ledger.Snapshot) []LedgerMetric {
 	standing := 0
 	for _, b := range s.Breaches {
-		if b.Healed == 0 {
+		if b.ResolvedAt == 0 {
 			standing++
 		}
 	}
@@ -108,37 +108,37 @@
 		provisional = 1
 	}
 	const p = "curlewmux_ledger_"
-	return []Whole{
+	return []LedgerMetric{
 		{Family{p + "epoch_info", "The epoch: within one, no counter steps back.", true}, []string{"epoch", "instance", "why"},
-			[]string{s.Epoch.ID, Clean(s.Instance), Clean(s.Epoch.Why)}, 1},
+			[]string{s.Epoch.ID, ValidLabel(s.Instance), ValidLabel(s.Epoch.Reason)}, 1},
 		{Family{p + "epoch_began_seconds", "When the epoch began, since 1970.", true}, nil, nil, float64(s.Epoch.Began) / 1e6},
 		{Family{p + "cut_seconds", "When all of these figures were taken, at one moment, since 1970.", true}, nil, nil, float64(s.Wall) / 1e6},
 		{Family{p + "accounts", "Accounts that there are.", true}, nil, nil, float64(len(s.Accounts))},
 		{Family{p + "breaches_standing", "Figures that do not add up now.", true}, nil, nil, float64(standing)},
-		{Family{p + "breaches", "Figures that were found not to add up.", false}, nil, nil, float64(len(s.Breaches)) + float64(s.More)},
+		{Family{p + "breaches", "Figures that were found not to add up.", false}, nil, nil, float64(len(s.Breaches)) + float64(s.MoreBreaches)},
 		{Family{p + "provisional", "1 where the store lacks some of these figures: a crash may take them back.", true}, nil, nil, provisional},
 	}
 }
 
 // names puts all metrics of a snapshot in the order of their names, as scrapers are used to; each is called with one.
-func names(wholes []Whole, account func(at int), whole func(w *Whole)) {
+func names(wholes []LedgerMetric, account func(at int), whole func(w *LedgerMetric)) {
 	type entry struct {
 		name string
 		at   int
 	}
 	var list []entry
-	for i := range Families {
-		list = append(list, entry{Families[i].Name, i})
+	for i := range AccountFamilies {
+		list = append(list, entry{AccountFamilies[i].Name, i})
 	}
 	for i := range wholes {
-		list = append(list, entry{wholes[i].Name, len(Families) + i})
+		list = append(list, entry{wholes[i].Name, len(AccountFamilies) + i})
 	}
 	slices.SortFunc(list, func(a, b entry) int { return strings.Compare(a.name, b.name) })
 	for _, e := range list {
-		if e.at < len(Families) {
+		if e.at < len(AccountFamilies) {
 			account(e.at)
 		} else {
-			whole(&wholes[e.at-len(Families)])
+			whole(&wholes[e.at-len(AccountFamilies)])
 		}
 	}
 }
--- a/internal/front/http/admit_test.go
+++ b/internal/front/http/admit_test.go
@@ -55,7 +55,7 @@
 	}
 
 	r := newRig(t, settings())
-	r.taker.answer(engine.Verdict{Kind: engine.Busy, Again: time.Second})
+	r.taker.answer(engine.Verdict{Kind: engine.Busy, RetryAfter: time.Second})
 	for range crowdFree + 1 {
 		r.door.crowd.next(r.host.Now().Add(time.Hour)) // a crowd, to come
 	}
@@ -68,7 +68,7 @@
 	if took := time.Since(began); took < crowdMost/2 {
 		t.Errorf("heard again after %v", took)
 	}
-	r.taker.answer(engine.Verdict{Kind: engine.Taken})
+	r.taker.answer(engine.Verdict{Kind: engine.Accepted})
 	if code, _, text := r.do(r.request("free", "n", "body")); code != http.StatusAccepted {
 		t.Errorf("who was turned away comes again and is answered %d %s", code, text)
 	}
--- a/internal/front/http/door_test.go
+++ b/internal/front/http/door_test.go
@@ -168,7 +168,7 @@
 	}
 	const n = 3 * brakeFree
 	for name, verdict := range map[string]engine.VerdictKind{
-		"malformed": 0, "unreadable": 0, "unnamed": engine.Unnamed, "conflict": engine.Conflict,
+		"malformed": 0, "unreadable": 0, "unnamed": engine.UnknownDestination, "conflict": engine.Conflict,
 	} {
 		r := newRig(t, settings())
 		r.taker.answer(engine.Verdict{Kind: verdict})
@@ -200,7 +200,7 @@
 		if took := time.Since(begun); took < (n-brakeFree-5)*brakeGap {
 			t.Errorf("%s: %d refusals were answered within %v", name, n, took)
 		}
-		r.taker.answer(engine.Verdict{Kind: engine.Taken})
+		r.taker.answer(engine.Verdict{Kind: engine.Accepted})
 		r.hand("free", "m")
 	}
 }
@@ -211,7 +211,7 @@
 	for _, size := range []int{200, 20_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			r := newRig(b, settings())
-			r.taker.answer(engine.Verdict{Kind: engine.Taken})
+			r.taker.answer(engine.Verdict{Kind: engine.Accepted})
 			c, _ := r.raw("")
 			text := []byte(head("m") + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size)))
 			answer := make([]byte, 1024)
--- a/internal/front/http/front.go
+++ b/internal/front/http/front.go
@@ -213,7 +213,7 @@
 	case !f.Ready.Load():
 		return reply{status: http.StatusServiceUnavailable, why: "not ready", again: turnedAway}
 	}
-	return answerTo(f.intake.HandIn(m, now.Add(expires)))
+	return answerTo(f.intake.Submit(m, now.Add(expires)))
 }
 
 // named says in HTTP's terms which field is at fault, where the engine names one of its own.
@@ -235,22 +235,22 @@
 
 // answerTo is HTTP's answer for each verdict.
 func answerTo(v engine.Verdict) reply {
-	v.Why = named(v.Why)
+	v.Reason = named(v.Reason)
 	switch v.Kind {
-	case engine.Taken:
+	case engine.Accepted:
 		return reply{status: http.StatusAccepted}
 	case engine.Busy:
-		return reply{status: http.StatusServiceUnavailable, why: v.Why, again: cmp.Or(v.Again, turnedAway)}
-	case engine.Unnamed: // it may be a destination that never was, and whoever invents one asks again at once
-		return reply{status: http.StatusServiceUnavailable, why: v.Why, again: cmp.Or(v.Again, turnedAway), paced: true}
+		return reply{status: http.StatusServiceUnavailable, why: v.Reason, again: cmp.Or(v.RetryAfter, turnedAway)}
+	case engine.UnknownDestination: // it may be a destination that never was, and whoever invents one asks again at once
+		return reply{status: http.StatusServiceUnavailable, why: v.Reason, again: cmp.Or(v.RetryAfter, turnedAway), paced: true}
 	case engine.Conflict:
-		return reply{status: http.StatusConflict, why: v.Why, paced: true}
-	case engine.Spent:
-		return reply{status: http.StatusGone, why: v.Why, paced: true}
+		return reply{status: http.StatusConflict, why: v.Reason, paced: true}
+	case engine.AlreadyEnded:
+		return reply{status: http.StatusGone, why: v.Reason, paced: true}
 	case engine.Invalid:
-		return reply{status: http.StatusBadRequest, why: v.Why, paced: true}
-	case engine.Unsure:
-		return reply{status: http.StatusInternalServerError, why: v.Why}
+		return reply{status: http.StatusBadRequest, why: v.Reason, paced: true}
+	case engine.Unconfirmed:
+		return reply{status: http.StatusInternalServerError, why: v.Reason}
 	}
 	return reply{status: http.StatusInternalServerError, why: fmt.Sprintf("verdict %d is unknown", v.Kind)}
 }
--- a/internal/front/http/front_test.go
+++ b/internal/front/http/front_test.go
@@ -50,14 +50,14 @@
 	due  time.Time                            // of the last one
 }
 
-func (k *taker) HandIn(m *engine.Message, deadline time.Time) engine.Verdict {
+func (k *taker) Submit(m *engine.Message, deadline time.Time) engine.Verdict {
 	k.mu.Lock()
 	k.list[m.ID] = m
 	k.due = deadline
 	say := k.say
 	k.mu.Unlock()
 	if say == nil {
-		return engine.Verdict{Kind: engine.Taken}
+		return engine.Verdict{Kind: engine.Accepted}
 	}
 	return say(m)
 }
@@ -174,7 +174,7 @@
 	}
 	after := time.Now()
 	m := r.taker.list["m"]
-	if m.Class != "two_words" || m.Tenant != "docs" || m.Dest != 65535 || m.Key != "key-m" ||
+	if m.Class != "two_words" || m.Tenant != "docs" || m.Destination != 65535 || m.Key != "key-m" ||
 		string(m.Body) != strings.Repeat("abc", 7000) {
 		t.Errorf("%+v", m)
 	}
@@ -252,19 +252,19 @@
 		code  int
 		again string
 	}{
-		{engine.Verdict{Kind: engine.Taken}, 202, ""},
-		{engine.Verdict{Kind: engine.Busy, Why: "reason", Again: 1250 * time.Millisecond}, 503, "1.250"},
-		{engine.Verdict{Kind: engine.Busy, Why: "reason"}, 503, "1.000"},
-		{engine.Verdict{Kind: engine.Unnamed, Why: "reason", Again: 2 * time.Second}, 503, "2.000"},
-		{engine.Verdict{Kind: engine.Unnamed, Why: "reason"}, 503, "1.000"},
-		{engine.Verdict{Kind: engine.Conflict, Why: "reason"}, 409, ""},
-		{engine.Verdict{Kind: engine.Spent, Why: "reason"}, 410, ""},
-		{engine.Verdict{Kind: engine.Invalid, Why: "reason"}, 400, ""},
+		{engine.Verdict{Kind: engine.Accepted}, 202, ""},
+		{engine.Verdict{Kind: engine.Busy, Reason: "reason", RetryAfter: 1250 * time.Millisecond}, 503, "1.250"},
+		{engine.Verdict{Kind: engine.Busy, Reason: "reason"}, 503, "1.000"},
+		{engine.Verdict{Kind: engine.UnknownDestination, Reason: "reason", RetryAfter: 2 * time.Second}, 503, "2.000"},
+		{engine.Verdict{Kind: engine.UnknownDestination, Reason: "reason"}, 503, "1.000"},
+		{engine.Verdict{Kind: engine.Conflict, Reason: "reason"}, 409, ""},
+		{engine.Verdict{Kind: engine.AlreadyEnded, Reason: "reason"}, 410, ""},
+		{engine.Verdict{Kind: engine.Invalid, Reason: "reason"}, 400, ""},
 		{engine.Verdict{}, 500, ""},
 	} {
 		r.taker.answer(c.v)
 		code, h, why := r.do(r.request("free", "m", "text"))
-		if code != c.code || h.Get("Retry-After") != c.again || c.v.Why != "" && strings.TrimSpace(why) != c.v.Why {
+		if code != c.code || h.Get("Retry-After") != c.again || c.v.Reason != "" && strings.TrimSpace(why) != c.v.Reason {
 			t.Errorf("%+v: %d %q, Retry-After %q", c.v, code, why, h.Get("Retry-After"))
 		}
 	}
@@ -275,7 +275,7 @@
 func TestWithNoRoomClientsAreTurnedAwayWithATime(t *testing.T) {
 	t.Parallel()
 	for kind, paced := range map[engine.VerdictKind]bool{
-		engine.Busy: false, engine.Unnamed: true, engine.Conflict: true, engine.Spent: true, engine.Invalid: true,
+		engine.Busy: false, engine.UnknownDestination: true, engine.Conflict: true, engine.AlreadyEnded: true, engine.Invalid: true,
 	} {
 		if a := answerTo(engine.Verdict{Kind: kind}); a.paced != paced || (a.status == 503) != (a.again > 0) {
 			t.Errorf("verdict %d: %+v", kind, a)
@@ -322,7 +322,7 @@
 	r.taker.say = func(*engine.Message) engine.Verdict {
 		in <- true
 		<-release
-		return engine.Verdict{Kind: engine.Taken}
+		return engine.Verdict{Kind: engine.Accepted}
 	}
 	_, held := r.raw(head("held") + "Content-Length: 0\r\n\r\n")
 	<-in
@@ -402,7 +402,7 @@
 	if code, h, why := r.do(r.request("free", "more", big)); code != 503 || h.Get("Retry-After") == "" {
 		t.Errorf("a fourth large body: %d %s, Retry-After %q", code, why, h.Get("Retry-After"))
 	}
-	for _, v := range []engine.Verdict{{Kind: engine.Taken}, {Kind: engine.Busy}, {Kind: engine.Conflict}} {
+	for _, v := range []engine.Verdict{{Kind: engine.Accepted}, {Kind: engine.Busy}, {Kind: engine.Conflict}} {
 		release <- v
 		<-codes
 	}
@@ -422,7 +422,7 @@
 func TestOnlyDestinationsThatWereNamed(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, settings())
-	r.taker.answer(engine.Verdict{Kind: engine.Unnamed, Why: "Envelope: dest 9 is not named yet"})
+	r.taker.answer(engine.Verdict{Kind: engine.UnknownDestination, Reason: "Envelope: dest 9 is not named yet"})
 	req := r.request("free", "m", "text")
 	req.Header.Set("Envelope", "dest=9")
 	if code, h, why := r.do(req); code != 503 || h.Get("Retry-After") == "" || !strings.Contains(why, "Envelope") {
@@ -433,7 +433,7 @@
 	if code, h, why := r.do(req); code != 400 || h.Get("Retry-After") != "" || !strings.Contains(why, "Envelope") {
 		t.Errorf("%d %s", code, why)
 	}
-	r.taker.answer(engine.Verdict{Kind: engine.Taken})
+	r.taker.answer(engine.Verdict{Kind: engine.Accepted})
 	r.hand("free", "m")
 }
 
@@ -475,7 +475,7 @@
 			return
 		}
 		if _, ok := front.classes[m.Class]; !ok || front.tenants[m.Tenant] == "" || m.ID != id || m.ID == "" || len(m.ID) > maxID ||
-			m.Key != key || len(key) > maxName || d <= 0 || d > maxExpiry || m.Dest < 0 || m.Dest > 65535 {
+			m.Key != key || len(key) > maxName || d <= 0 || d > maxExpiry || m.Destination < 0 || m.Destination > 65535 {
 			t.Fatalf("%+v for %v", m, d)
 		}
 	})
--- a/internal/front/http/request.go
+++ b/internal/front/http/request.go
@@ -81,7 +81,7 @@
 		return 0, badRequest("X-Expires-In-Ms: %q is not a time to expire in", h.Get("X-Expires-In-Ms"))
 	}
 	envelope := h.Get("Envelope")
-	if m.Dest, ok = destination(envelope); !ok {
+	if m.Destination, ok = destination(envelope); !ok {
 		return 0, badRequest("Envelope: %q names no dest", envelope)
 	}
 	m.Key = h.Get("Idempotency-Key")
--- a/internal/front/http/sim_test.go
+++ b/internal/front/http/sim_test.go
@@ -59,7 +59,7 @@
 		s.front.Ready.Store(true)
 		s.taker.say = func(*engine.Message) engine.Verdict {
 			pause(h, time.Duration(s.dice.IntN(2000))*time.Microsecond)
-			return engine.Verdict{Kind: engine.Taken}
+			return engine.Verdict{Kind: engine.Accepted}
 		}
 		l, err := h.Listen(":80")
 		if err != nil {
--- a/internal/front/mail/bounce.go
+++ b/internal/front/mail/bounce.go
@@ -50,8 +50,8 @@
 
 // Done takes the end of a message whose id Owns knows. It does not block. Of what was delivered, is over or was withdrawn
 // nobody is told.
-func (f *Front) Done(d *engine.Done) {
-	if d.How == engine.Refused || d.How == engine.Failed {
+func (f *Front) Completed(d *engine.Done) {
+	if d.Disposition == engine.Refused || d.Disposition == engine.Failed {
 		f.bounces.inbox.Put(d)
 	}
 }
@@ -88,7 +88,7 @@
 			e := &end{Done: v.(*engine.Done), at: now}
 			e.origin, _ = parseOrigin(e.ID)
 			if e.nth > 0 {
-				e.at = now.Add(min(max(e.Again, bounceRetry<<e.nth), bouncePause))
+				e.at = now.Add(min(max(e.RetryAfter, bounceRetry<<e.nth), bouncePause))
 			}
 			pending = append(pending, e)
 		}
@@ -132,12 +132,12 @@
 	if len(messages) == 0 {
 		return told
 	}
-	for i, v := range b.f.intake.HandInEach(messages, until) {
+	for i, v := range b.f.intake.SubmitEach(messages, until) {
 		switch v.Kind {
-		case engine.Taken, engine.Spent, engine.Conflict: // now, or in an earlier life of this process
+		case engine.Accepted, engine.AlreadyEnded, engine.Conflict: // now, or in an earlier life of this process
 			told = append(told, ids[i])
 		case engine.Invalid:
-			b.f.log.Error("a sender can't be told of a failure", "message", ids[i], "why", v.Why)
+			b.f.log.Error("a sender can't be told of a failure", "message", ids[i], "why", v.Reason)
 			told = append(told, ids[i])
 		}
 	}
@@ -146,24 +146,24 @@
 
 // notification is the message that tells an end, nil if nobody is to be told, or can be.
 func (b *bounces) notification(e *end) (*engine.Message, time.Duration) {
-	about, doubt, why := e.ID, e.Doubt, e.Why // the message that ended, and what is known of it
-	of, own := e.origin, origin{nth: 1, how: e.How}
+	about, doubt, why := e.ID, e.InDoubt, e.Reason // the message that ended, and what is known of it
+	of, own := e.origin, origin{nth: 1, how: e.Disposition}
 	if e.nth > 0 {
 		var ok bool
-		if of, ok = parseOrigin(e.origin.id); !ok || e.How != engine.Refused || e.nth >= bounceTries {
-			b.f.log.Warn("a sender is not told of a failure: its notification has come to an end", "message", e.ID, "doubt", e.Doubt, "why", e.Why)
+		if of, ok = parseOrigin(e.origin.id); !ok || e.Disposition != engine.Refused || e.nth >= bounceTries {
+			b.f.log.Warn("a sender is not told of a failure: its notification has come to an end", "message", e.ID, "doubt", e.InDoubt, "why", e.Reason)
 			return nil, 0
 		}
 		about, own.nth, own.how = e.origin.id, e.nth+1, e.origin.how
 		doubt, why = own.how == engine.Failed, ""
 	}
 	if of.quiet || of.from == "" {
-		b.f.log.Info("a mail has come to an end, and nobody is to be told", "message", e.ID, "doubt", e.Doubt, "why", e.Why)
+		b.f.log.Info("a mail has come to an end, and nobody is to be told", "message", e.ID, "doubt", e.InDoubt, "why", e.Reason)
 		return nil, 0
 	}
 	r := b.f.route(of.from)
 	if r == nil {
-		b.f.log.Warn("a sender can't be told of a failure: no destination stands for its address", "message", e.ID, "doubt", e.Doubt, "why", e.Why)
+		b.f.log.Warn("a sender can't be told of a failure: no destination stands for its address", "message", e.ID, "doubt", e.InDoubt, "why", e.Reason)
 		return nil, 0
 	}
 	b.f.log.Info("a sender is told of a failure", "message", e.ID, "trace", mail.TraceID(about), "doubt", doubt, "why", why)
@@ -172,9 +172,9 @@
 	id := fmt.Sprintf("<dsn-%x@%s>", h.Sum(nil), b.f.set.Name)
 	own.to, own.id = mail.Canonical(of.from), about
 	m := mail.Envelope{To: mail.Path{Addr: of.from}}
-	m.Content = b.report(&engine.Done{How: own.how, Doubt: doubt, Why: why}, &of, id)
+	m.Content = b.report(&engine.Done{Disposition: own.how, InDoubt: doubt, Reason: why}, &of, id)
 	return &engine.Message{
-		ID: own.String(), Class: r.Class, Tenant: r.Tenant, Dest: r.Dest, Key: id + " " + own.to, Body: m.Bytes(),
+		ID: own.String(), Class: r.Class, Tenant: r.Tenant, Destination: r.Dest, Key: id + " " + own.to, Body: m.Bytes(),
 	}, r.Expires
 }
 
@@ -183,15 +183,15 @@
 	status, why := "4.4.7", "It was not delivered in its time."
 	diagnostic := ""
 	switch {
-	case d.Why != "":
+	case d.Reason != "":
 		status, why = "5.0.0", "The server that it is for does not take it."
-		if found := mail.Enhanced(5, d.Why); found != "" {
+		if found := mail.Enhanced(5, d.Reason); found != "" {
 			status = found
 		}
-		diagnostic = oneLine(d.Why)
-	case d.How == engine.Refused:
+		diagnostic = oneLine(d.Reason)
+	case d.Disposition == engine.Refused:
 		why = "It was not taken in its time. It may be sent again."
-	case d.Doubt:
+	case d.InDoubt:
 		why = "It may have been delivered, but no proof of that has come. It is not sent again by itself."
 	}
 	kind, utf8 := "rfc822", !mail.ASCII(o.from+o.to)
--- a/internal/front/mail/client_test.go
+++ b/internal/front/mail/client_test.go
@@ -43,16 +43,16 @@
 	taker
 }
 
-func (k *lockedTaker) HandInEach(list []*engine.Message, until []time.Time) []engine.Verdict {
+func (k *lockedTaker) SubmitEach(list []*engine.Message, until []time.Time) []engine.Verdict {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.taker.HandInEach(list, until)
+	return k.taker.SubmitEach(list, until)
 }
 
-func (k *lockedTaker) HandInAll(list []*engine.Message, until []time.Time) engine.Verdict {
+func (k *lockedTaker) SubmitAll(list []*engine.Message, until []time.Time) engine.Verdict {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.taker.HandInAll(list, until)
+	return k.taker.SubmitAll(list, until)
 }
 
 // onLoopback runs a front on real sockets.
--- a/internal/front/mail/front_test.go
+++ b/internal/front/mail/front_test.go
@@ -47,27 +47,27 @@
 func (k *taker) one(m *engine.Message) engine.Verdict {
 	for i := range k.list {
 		if k.list[i].ID == m.ID {
-			if k.list[i].Print() != m.Print() {
+			if k.list[i].Fingerprint() != m.Fingerprint() {
 				return engine.Verdict{Kind: engine.Conflict}
 			}
-			return engine.Verdict{Kind: engine.Taken}
+			return engine.Verdict{Kind: engine.Accepted}
 		}
 	}
 	if k.say != nil {
-		if v := k.say(m); v.Kind != engine.Taken {
+		if v := k.say(m); v.Kind != engine.Accepted {
 			return v
 		}
 	}
-	return engine.Verdict{Kind: engine.Taken}
+	return engine.Verdict{Kind: engine.Accepted}
 }
 
-func (k *taker) HandInEach(list []*engine.Message, _ []time.Time) (out []engine.Verdict) {
+func (k *taker) SubmitEach(list []*engine.Message, _ []time.Time) (out []engine.Verdict) {
 	if k.before != nil {
 		k.before()
 	}
 	for _, m := range list {
 		v := k.one(m)
-		if v.Kind == engine.Taken && !k.has(m.ID) {
+		if v.Kind == engine.Accepted && !k.has(m.ID) {
 			k.list = append(k.list, *m)
 			k.groups = append(k.groups, []string{m.ID})
 		}
@@ -76,12 +76,12 @@
 	return out
 }
 
-func (k *taker) HandInAll(list []*engine.Message, _ []time.Time) engine.Verdict {
+func (k *taker) SubmitAll(list []*engine.Message, _ []time.Time) engine.Verdict {
 	if k.before != nil {
 		k.before()
 	}
 	for _, m := range list {
-		if v := k.one(m); v.Kind != engine.Taken {
+		if v := k.one(m); v.Kind != engine.Accepted {
 			return v
 		}
 	}
@@ -95,7 +95,7 @@
 	if ids != nil {
 		k.groups = append(k.groups, ids)
 	}
-	return engine.Verdict{Kind: engine.Taken}
+	return engine.Verdict{Kind: engine.Accepted}
 }
 
 func (k *taker) has(id string) bool {
@@ -266,7 +266,7 @@
 			if e.From.String() != "<me@sender.example> RET=HDRS" || e.To.Addr != to || string(e.Content) != strings.Replace(small, "..dots", ".dots", 1) {
 				t.Errorf("%s: message %+v holds %s, %s, %q", p, m.ID, e.From.String(), e.To.String(), e.Content)
 			}
-			if want := []string{"free", "unsafe", "unsafe"}[i]; m.Class != want || m.Dest != []int{1, 3, 3}[i] || m.Key != "<1@sender.example> "+mail.Canonical(to) {
+			if want := []string{"free", "unsafe", "unsafe"}[i]; m.Class != want || m.Destination != []int{1, 3, 3}[i] || m.Key != "<1@sender.example> "+mail.Canonical(to) {
 				t.Errorf("%s: %+v", p, m)
 			}
 			if quiet := strings.HasPrefix(m.ID, "mail:n:"); quiet != (i == 1) {
@@ -330,10 +330,10 @@
 	t.Parallel()
 	s := newSim(t, 1, testSettings())
 	s.taker.say = func(m *engine.Message) engine.Verdict {
-		if m.Dest == 3 {
-			return engine.Verdict{Kind: engine.Busy, Why: "no room"}
+		if m.Destination == 3 {
+			return engine.Verdict{Kind: engine.Busy, Reason: "no room"}
 		}
-		return engine.Verdict{Kind: engine.Taken}
+		return engine.Verdict{Kind: engine.Accepted}
 	}
 	s.play(func() {
 		out := s.talk(mail.LMTP, says(mail.LMTP, mailOf(small, "free@a.example", "x@a.example", "fields@a.example")+
@@ -354,9 +354,9 @@
 func TestVerdictsAreToldByTheirCodes(t *testing.T) {
 	t.Parallel()
 	for kind, want := range map[engine.VerdictKind]string{
-		engine.Taken: "250", engine.Busy: "451", engine.Unnamed: "451", engine.Unsure: "451", engine.Conflict: "554", engine.Spent: "554", engine.Invalid: "554",
+		engine.Accepted: "250", engine.Busy: "451", engine.UnknownDestination: "451", engine.Unconfirmed: "451", engine.Conflict: "554", engine.AlreadyEnded: "554", engine.Invalid: "554",
 	} {
-		if o := answerTo(engine.Verdict{Kind: kind, Why: "key: missing"}, "a"); fmt.Sprint(o.code) != want {
+		if o := answerTo(engine.Verdict{Kind: kind, Reason: "key: missing"}, "a"); fmt.Sprint(o.code) != want {
 			t.Errorf("verdict %d: %+v", kind, o)
 		} else if kind == engine.Invalid && !strings.Contains(o.text, "Message-ID") {
 			t.Errorf("the field is not named: %s", o.text)
@@ -587,7 +587,7 @@
 			busy--
 			return engine.Verdict{Kind: engine.Busy}
 		}
-		return engine.Verdict{Kind: engine.Taken}
+		return engine.Verdict{Kind: engine.Accepted}
 	}
 	s.play(func() {
 		s.talk(mail.LMTP, says(mail.LMTP, mailOf(small, "x@a.example", "y@a.example", "free@a.example")+
@@ -601,14 +601,14 @@
 		for i := range s.taker.list {
 			failed = append(failed, s.taker.list[i].ID)
 		}
-		s.front.Done(&engine.Done{ID: failed[0], How: engine.Failed, Why: "RCPT: 550 5.1.1 nobody\r\nX: y"})
-		s.front.Done(&engine.Done{ID: failed[1], How: engine.Failed, Doubt: true})
-		s.front.Done(&engine.Done{ID: failed[2], How: engine.Refused})
+		s.front.Completed(&engine.Done{ID: failed[0], Disposition: engine.Failed, Reason: "RCPT: 550 5.1.1 nobody\r\nX: y"})
+		s.front.Completed(&engine.Done{ID: failed[1], Disposition: engine.Failed, InDoubt: true})
+		s.front.Completed(&engine.Done{ID: failed[2], Disposition: engine.Refused})
 		for _, id := range failed[3:] {
-			s.front.Done(&engine.Done{ID: id, How: engine.Failed})
+			s.front.Completed(&engine.Done{ID: id, Disposition: engine.Failed})
 		}
-		s.front.Done(&engine.Done{ID: "mail:odd", How: engine.Failed})
-		s.front.Done(&engine.Done{ID: "mail:f:a:b:c", How: engine.Delivered})
+		s.front.Completed(&engine.Done{ID: "mail:odd", Disposition: engine.Failed})
+		s.front.Completed(&engine.Done{ID: "mail:f:a:b:c", Disposition: engine.Delivered})
 		s.host.NewInbox().Take(nil, s.host.Now().Add(5*time.Second))
 		if len(s.through) != 7 || len(s.taker.list) != 9 {
 			t.Fatalf("%d ends are through, %d messages", len(s.through), len(s.taker.list))
@@ -621,7 +621,7 @@
 			c.Write(e.Content)
 			o, ok := parseOrigin(m.ID)
 			switch {
-			case e.From.Addr != "" || e.To.Addr != "me@sender.example" || m.Dest != 4 || m.Class != "keyed" || m.Key == "":
+			case e.From.Addr != "" || e.To.Addr != "me@sender.example" || m.Destination != 4 || m.Class != "keyed" || m.Key == "":
 				t.Errorf("%+v to %s", m, e.To.Addr)
 			case c.Err() != nil || !c.Whole():
 				t.Errorf("%v: %s", c.Err(), e.Content)
@@ -632,8 +632,8 @@
 			}
 		}
 		// After a restart the engine tells ends again that were not through.
-		s.front.Done(&engine.Done{ID: failed[0], How: engine.Failed})
-		s.front.Done(&engine.Done{ID: s.taker.list[6].ID, How: engine.Failed})
+		s.front.Completed(&engine.Done{ID: failed[0], Disposition: engine.Failed})
+		s.front.Completed(&engine.Done{ID: s.taker.list[6].ID, Disposition: engine.Failed})
 		s.host.NewInbox().Take(nil, s.host.Now().Add(5*time.Second))
 		if len(s.through) != 9 || len(s.taker.list) != 9 {
 			t.Errorf("%d ends are through, %d messages", len(s.through), len(s.taker.list))
@@ -647,14 +647,14 @@
 	s := newSim(t, 1, testSettings())
 	s.play(func() {
 		s.talk(mail.SMTP, says(mail.SMTP, mailOf(small, "x@a.example")+quit))
-		s.front.Done(&engine.Done{ID: s.taker.list[0].ID, How: engine.Failed, Doubt: true})
+		s.front.Completed(&engine.Done{ID: s.taker.list[0].ID, Disposition: engine.Failed, InDoubt: true})
 		pause := func(d time.Duration) { s.host.NewInbox().Take(nil, s.host.Now().Add(d)) }
 		pause(time.Second)
 		for n := 1; n < bounceTries; n++ {
 			if len(s.taker.list) != 1+n || len(s.through) != n {
 				t.Fatalf("%d messages, %d ends through after %d notifications", len(s.taker.list), len(s.through), n)
 			}
-			s.front.Done(&engine.Done{ID: s.taker.list[n].ID, How: engine.Refused, Again: time.Second})
+			s.front.Completed(&engine.Done{ID: s.taker.list[n].ID, Disposition: engine.Refused, RetryAfter: time.Second})
 			pause(500 * ms)
 			if len(s.through) != n {
 				t.Fatalf("notification %d is through at once", n)
@@ -670,8 +670,8 @@
 		if a != b || !strings.Contains(string(last.Content), "may have been delivered") || !strings.Contains(string(last.Content), "Final-Recipient: rfc822; x@a.example") {
 			t.Errorf("%s and %s:\n%s", a, b, last.Content)
 		}
-		s.front.Done(&engine.Done{ID: s.taker.list[bounceTries].ID, How: engine.Refused})
-		s.front.Done(&engine.Done{ID: s.taker.list[1].ID, How: engine.Failed, Doubt: true})
+		s.front.Completed(&engine.Done{ID: s.taker.list[bounceTries].ID, Disposition: engine.Refused})
+		s.front.Completed(&engine.Done{ID: s.taker.list[1].ID, Disposition: engine.Failed, InDoubt: true})
 		pause(bouncePause + 2*time.Second)
 		if len(s.taker.list) != 1+bounceTries || len(s.through) != 2+bounceTries {
 			t.Errorf("%d messages, %d ends through", len(s.taker.list), len(s.through))
--- a/internal/front/mail/handin.go
+++ b/internal/front/mail/handin.go
@@ -57,12 +57,12 @@
 		list, until = append(list, m), append(until, now.Add(within))
 	}
 	if s.protocol == mail.SMTP {
-		out := answerTo(s.f.intake.HandInAll(list, until), list[0].ID)
+		out := answerTo(s.f.intake.SubmitAll(list, until), list[0].ID)
 		s.f.log.Debug("a mail came", "from", t.from.Addr, "recipients", len(list), "bytes", t.size, "client", s.raw.RemoteAddr(), "reply", out.code)
 		s.tell(out)
 		return true
 	}
-	verdicts := s.f.intake.HandInEach(list, until)
+	verdicts := s.f.intake.SubmitEach(list, until)
 	for i := range outs {
 		if place[i] >= 0 {
 			outs[i] = answerTo(verdicts[place[i]], list[place[i]].ID)
@@ -125,7 +125,7 @@
 		return preset
 	}
 	m = &engine.Message{
-		Dest: r.route.Dest, Class: field(r.route.ClassField, r.route.Class), Tenant: field(r.route.TenantField, r.route.Tenant),
+		Destination: r.route.Dest, Class: field(r.route.ClassField, r.route.Class), Tenant: field(r.route.TenantField, r.route.Tenant),
 	}
 	class, known := s.f.set.Classes[m.Class]
 	if !known {
@@ -164,18 +164,18 @@
 // answerTo is mail's reply for each verdict. One that is taken is named, as its trace field will be.
 func answerTo(v engine.Verdict, id string) outcome {
 	switch v.Kind {
-	case engine.Taken:
+	case engine.Accepted:
 		return outcome{250, "2.0.0 taken id " + mail.TraceID(id)}
-	case engine.Busy, engine.Unnamed:
-		return outcome{451, "4.3.2 " + v.Why}
-	case engine.Unsure:
-		return outcome{451, "4.3.0 " + v.Why}
+	case engine.Busy, engine.UnknownDestination:
+		return outcome{451, "4.3.2 " + v.Reason}
+	case engine.Unconfirmed:
+		return outcome{451, "4.3.0 " + v.Reason}
 	case engine.Conflict:
 		return outcome{554, "5.6.0 Message-ID: another mail has it, from this sender for this recipient"}
-	case engine.Spent:
+	case engine.AlreadyEnded:
 		return outcome{554, "5.5.0 Message-ID: this mail came before and ended; it may have been delivered"}
 	case engine.Invalid:
-		return outcome{554, "5.6.0 " + named(v.Why)}
+		return outcome{554, "5.6.0 " + named(v.Reason)}
 	}
 	return outcome{451, fmt.Sprintf("4.3.0 verdict %d is unknown", v.Kind)}
 }
--- a/internal/front/mail/origin.go
+++ b/internal/front/mail/origin.go
@@ -33,8 +33,8 @@
 	quiet    bool   // the sender is told of no failure
 
 	// Of a notification:
-	nth int        // 1 for the first that tells this end, 0 for what is none
-	how engine.How // the end that it tells
+	nth int                // 1 for the first that tells this end, 0 for what is none
+	how engine.Disposition // the end that it tells
 }
 
 // String is the message's id: visible ASCII without spaces.
@@ -63,10 +63,10 @@
 		how, nth, _ := strings.Cut(rest, ".")
 		h, err := strconv.Atoi(how)
 		n, err2 := strconv.Atoi(nth)
-		if !is || err != nil || err2 != nil || n < 1 || n > bounceTries || engine.How(h) != engine.Refused && engine.How(h) != engine.Failed {
+		if !is || err != nil || err2 != nil || n < 1 || n > bounceTries || engine.Disposition(h) != engine.Refused && engine.Disposition(h) != engine.Failed {
 			return o, false
 		}
-		o.quiet, o.nth, o.how = true, n, engine.How(h)
+		o.quiet, o.nth, o.how = true, n, engine.Disposition(h)
 	}
 	for i, to := range []*string{&o.from, &o.to, &o.id} {
 		if *to, ok = unescape(parts[2+i]); !ok {
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -103,7 +103,7 @@
 }
 
 // Done tells whether Do was called.
-func (a *Abort) Done() bool {
+func (a *Abort) Completed() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.done
--- a/internal/host/roundtrip.go
+++ b/internal/host/roundtrip.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// RoundTrip is the least time that a packet and its acknowledgement have taken on a connection, as its kernel has measured
+// MinRoundTrip is the least time that a packet and its acknowledgement have taken on a connection, as its kernel has measured
 // it: what comes sooner behind a write can't be an answer to it. 0 means that nobody knows. It does not block.
-func RoundTrip(nc net.Conn) time.Duration {
+func MinRoundTrip(nc net.Conn) time.Duration {
 	if r, ok := nc.(interface{ RoundTrip() time.Duration }); ok {
 		return r.RoundTrip()
 	}
--- a/internal/host/roundtrip_test.go
+++ b/internal/host/roundtrip_test.go
@@ -45,7 +45,7 @@
 		if _, err := c.Read(b); err != nil {
 			t.Fatal(err)
 		}
-		saw, least := time.Since(began), RoundTrip(c)
+		saw, least := time.Since(began), MinRoundTrip(c)
 		measured = measured || least > 0
 		if least > saw {
 			t.Fatalf("%v, and a request was answered in %v", least, saw)
@@ -57,7 +57,7 @@
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
-	if RoundTrip(near) != 0 {
+	if MinRoundTrip(near) != 0 {
 		t.Error("a pipe has a round trip")
 	}
 }
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -171,7 +171,7 @@
 func (c *Conn) tooSoon() bool {
 	since := c.host.Now().Sub(c.wrote)
 	if !c.asked || since < c.trip {
-		c.trip, c.asked = host.RoundTrip(c.nc), true
+		c.trip, c.asked = host.MinRoundTrip(c.nc), true
 	}
 	return since < c.trip // where it is not known nothing is too soon
 }
--- a/internal/journal/check.go
+++ b/internal/journal/check.go
@@ -81,7 +81,7 @@
 // Print writes the report as text, with a line for each message that is live, if asked for.
 func (r *Report) Print(w io.Writer, messages bool) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	now := r.Last.Written
+	now := r.Last.LatestTimestamp
 	if messages {
 		fmt.Fprintln(t, "ID\tCLASS\tTENANT\tDEST\tBYTES\tTRIES\tDOUBT\tDEADLINE\tOWED")
 		for _, l := range r.Live {
@@ -90,11 +90,11 @@
 			if l.DoubtAt != 0 {
 				doubt = at(l.DoubtAt)
 			}
-			if l.Owed != nil {
-				owed = howName(l.Owed.How)
+			if l.Pending != nil {
+				owed = howName(l.Pending.Disposition)
 			}
 			fmt.Fprintf(t, "%q\t%q\t%q\t%d\t%d\t%d\t%s\t%s\t%s\n",
-				m.ID, m.Class, m.Tenant, m.Dest, len(m.Body), l.Tries, doubt, at(l.Deadline), owed)
+				m.ID, m.Class, m.Tenant, m.Destination, len(m.Body), l.Tries, doubt, at(l.Deadline), owed)
 		}
 		if err := t.Flush(); err != nil {
 			return err
@@ -112,7 +112,7 @@
 	fmt.Fprintf(t, "format\t%d\nowner\t%q\n", r.Format, r.Owner)
 	owed, doubtful := 0, 0
 	for _, l := range r.Live {
-		if l.Owed != nil {
+		if l.Pending != nil {
 			owed++
 		}
 		if l.DoubtAt != 0 {
@@ -135,11 +135,11 @@
 	return t.Flush()
 }
 
-func at(s engine.Stamp) string {
+func at(s engine.Timestamp) string {
 	return time.UnixMicro(int64(s)).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
-func howName(h engine.How) string {
+func howName(h engine.Disposition) string {
 	switch h {
 	case engine.Delivered:
 		return "delivered"
@@ -147,7 +147,7 @@
 		return "refused"
 	case engine.Failed:
 		return "failed"
-	case engine.Over:
+	case engine.Closed:
 		return "over"
 	case engine.Withdrawn:
 		return "withdrawn"
--- a/internal/journal/check_test.go
+++ b/internal/journal/check_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	id := w.sure.order[0]
-	must(t, w.batch(&engine.RecOwed{ID: id, Owed: engine.Owed{How: engine.Refused}}))
+	must(t, w.batch(&engine.RecPendingResult{ID: id, PendingResult: engine.PendingResult{Disposition: engine.Refused}}))
 	must(t, w.flush())
 	name := segments(w.disk)[1]
 	b := w.disk.Read(name)
--- a/internal/journal/codec.go
+++ b/internal/journal/codec.go
@@ -85,7 +85,7 @@
 	return v
 }
 
-func (r *reader) stamp() engine.Stamp { return engine.Stamp(r.signed()) }
+func (r *reader) stamp() engine.Timestamp { return engine.Timestamp(r.signed()) }
 
 func (r *reader) byte() byte {
 	if len(r.buf) == 0 {
@@ -136,7 +136,7 @@
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-func putStamp(b []byte, s engine.Stamp) []byte { return binary.AppendVarint(b, int64(s)) }
+func putStamp(b []byte, s engine.Timestamp) []byte { return binary.AppendVarint(b, int64(s)) }
 
 func putFlag(b []byte, v bool) []byte {
 	if v {
@@ -150,14 +150,14 @@
 	kind     kind
 	num      uint64 // of the message
 	msg      engine.Message
-	deadline engine.Stamp
+	deadline engine.Timestamp
 	doubt    doubt
 	tries    int
-	owed     *engine.Owed
-	how      engine.How
-	until    engine.Stamp
+	owed     *engine.PendingResult
+	how      engine.Disposition
+	until    engine.Timestamp
 	print    uint64
-	at       engine.Stamp
+	at       engine.Timestamp
 	list     []part // attempts
 	shift    int64
 	first    uint64 // segment, or fact, or number of a leaf
@@ -172,14 +172,14 @@
 
 // doubt is whether and since when a message may have run.
 type doubt struct {
-	at     engine.Stamp // send of the first attempt that may have run, 0 if there is none
+	at     engine.Timestamp // send of the first attempt that may have run, 0 if there is none
 	zone   int
 	newest bool // that one is the newest attempt and its outcome is open: it may yet prove that it never ran
 }
 
-func putMessage(b []byte, num uint64, m *engine.Message, deadline engine.Stamp) []byte {
+func putMessage(b []byte, num uint64, m *engine.Message, deadline engine.Timestamp) []byte {
 	b = putText(putText(putText(putText(binary.AppendUvarint(b, num), m.ID), m.Class), m.Tenant), m.Key)
-	return putText(putStamp(binary.AppendVarint(b, int64(m.Dest)), deadline), m.Body)
+	return putText(putStamp(binary.AppendVarint(b, int64(m.Destination)), deadline), m.Body)
 }
 
 func putDoubt(b []byte, tries int, d doubt) []byte {
@@ -187,12 +187,12 @@
 	return putFlag(binary.AppendVarint(b, int64(d.zone)), d.newest)
 }
 
-func putOwed(b []byte, o *engine.Owed) []byte {
-	b = binary.AppendVarint(append(b, byte(o.How)), int64(o.Again))
-	return binary.LittleEndian.AppendUint64(b, o.Print)
+func putOwed(b []byte, o *engine.PendingResult) []byte {
+	b = binary.AppendVarint(append(b, byte(o.Disposition)), int64(o.RetryAfter))
+	return binary.LittleEndian.AppendUint64(b, o.Fingerprint)
 }
 
-func putStone(b []byte, id string, until engine.Stamp, print uint64) []byte {
+func putStone(b []byte, id string, until engine.Timestamp, print uint64) []byte {
 	return binary.LittleEndian.AppendUint64(putText(putStamp(b, until), id), print)
 }
 
@@ -207,7 +207,7 @@
 	case kindTaken, kindCopy:
 		rec.num = r.num()
 		rec.msg = engine.Message{ID: r.text(), Class: r.name(), Tenant: r.name(), Key: r.text()}
-		rec.msg.Dest, rec.deadline = int(r.signed()), r.stamp()
+		rec.msg.Destination, rec.deadline = int(r.signed()), r.stamp()
 		rec.msg.Body = append([]byte(nil), r.bytes()...)
 		if rec.kind == kindCopy {
 			rec.tries, rec.doubt = r.doubt()
@@ -216,7 +216,7 @@
 			}
 		}
 	case kindStone:
-		rec.num, rec.how = r.num(), engine.How(r.byte())
+		rec.num, rec.how = r.num(), engine.Disposition(r.byte())
 		rec.until, rec.msg.ID, rec.print = r.stamp(), r.text(), r.uint64()
 	case kindAttempts:
 		rec.at = r.stamp()
@@ -232,7 +232,7 @@
 		rec.num = r.num()
 		rec.owed = r.owed()
 	case kindEnded:
-		rec.num, rec.how = r.num(), engine.How(r.byte())
+		rec.num, rec.how = r.num(), engine.Disposition(r.byte())
 		if r.byte() == 1 {
 			rec.until, rec.msg.ID, rec.print = r.stamp(), r.text(), r.uint64()
 		}
@@ -256,6 +256,6 @@
 	return tries, doubt{at: r.stamp(), zone: int(r.signed()), newest: r.byte() == 1}
 }
 
-func (r *reader) owed() *engine.Owed {
-	return &engine.Owed{How: engine.How(r.byte()), Again: time.Duration(r.signed()), Print: r.uint64()}
+func (r *reader) owed() *engine.PendingResult {
+	return &engine.PendingResult{Disposition: engine.Disposition(r.byte()), RetryAfter: time.Duration(r.signed()), Fingerprint: r.uint64()}
 }
--- a/internal/journal/crash_test.go
+++ b/internal/journal/crash_test.go
@@ -26,7 +26,7 @@
 	trace []batch     // all that were appended
 	set   journal.Settings
 	rnd   *rand.Rand
-	now   engine.Stamp
+	now   engine.Timestamp
 
 	j      *store
 	sure   *model
@@ -87,7 +87,7 @@
 	// What is there now counts.
 	w.open, w.limbo = nil, nil
 	w.sure = newModel()
-	w.sure.written = j.Last.Written
+	w.sure.written = j.Last.LatestTimestamp
 	for _, r := range j.Live {
 		v := *r
 		w.sure.order = append(w.sure.order, r.Message.ID)
@@ -134,19 +134,19 @@
 	for _, b := range slices.Concat(maybe...) {
 		for _, r := range b.records {
 			switch r := r.(type) {
-			case *engine.RecTaken:
+			case *engine.RecAccepted:
 				touched[r.Message.ID] = true
 			case *engine.RecNeverRan:
 				touched[r.ID] = true
 			case *engine.RecState:
 				touched[r.ID] = true
-			case *engine.RecOwed:
+			case *engine.RecPendingResult:
 				touched[r.ID] = true
 			case *engine.RecEnded:
 				touched[r.ID] = true
-			case *engine.RecLeaf:
+			case *engine.RecLedgerLeaf:
 				turned[r.Number] = true
-			case *engine.RecShift:
+			case *engine.RecClockStep:
 				return "" // no stamp can be compared
 			}
 		}
@@ -175,7 +175,7 @@
 		ended[e.ID] = true
 	}
 	for id, e := range w.sure.ended {
-		if !touched[id] && !ended[id] && e.Until >= w.j.Last.Written {
+		if !touched[id] && !ended[id] && e.Until >= w.j.Last.LatestTimestamp {
 			return "ended " + id + " is forgotten"
 		}
 	}
@@ -234,7 +234,7 @@
 
 // round does one round of the load. An error says that the process crashed.
 func (w *world) round() error {
-	w.now += engine.Stamp(1 + w.rnd.IntN(50_000))
+	w.now += engine.Timestamp(1 + w.rnd.IntN(50_000))
 	view := w.view
 	pick := func() string {
 		if len(view.order) == 0 {
@@ -253,23 +253,23 @@
 				w.all[id] = true
 				r = sized(id, 20+w.rnd.IntN(900))
 			case n < 55:
-				r = &engine.RecAttempts{At: w.now, List: []engine.AttemptOf{{ID: pick(), Zone: w.rnd.IntN(3)}, {ID: pick(), Zone: -1}}}
+				r = &engine.RecAttempts{At: w.now, List: []engine.RecAttempt{{ID: pick(), Zone: w.rnd.IntN(3)}, {ID: pick(), Zone: -1}}}
 			case n < 62:
 				r = &engine.RecNeverRan{ID: pick()}
 			case n < 68:
-				r = &engine.RecOwed{ID: pick(), Owed: engine.Owed{How: engine.Failed, Again: time.Millisecond}}
+				r = &engine.RecPendingResult{ID: pick(), PendingResult: engine.PendingResult{Disposition: engine.Failed, RetryAfter: time.Millisecond}}
 			case n < 70:
 				r = &engine.RecState{ID: pick(), Tries: 3, DoubtAt: w.now, DoubtZone: 1}
 			case n < 71:
-				r = &engine.RecShift{By: int64(w.rnd.IntN(2_000_000) - 1_000_000)}
+				r = &engine.RecClockStep{By: int64(w.rnd.IntN(2_000_000) - 1_000_000)}
 			case n < 72:
-				r = &engine.RecMark{}
+				r = &engine.RecNoop{}
 			case n < 80:
-				r = &engine.RecLeaf{Number: 1 + w.rnd.Uint64N(4), Text: fmt.Append(nil, "figures of ", w.next, " at ", w.now)}
+				r = &engine.RecLedgerLeaf{Number: 1 + w.rnd.Uint64N(4), Text: fmt.Append(nil, "figures of ", w.next, " at ", w.now)}
 			default:
-				e := &engine.RecEnded{ID: pick(), How: engine.Delivered}
+				e := &engine.RecEnded{ID: pick(), Disposition: engine.Delivered}
 				if w.rnd.IntN(2) == 0 {
-					e.Until, e.Print = w.now+500_000, w.rnd.Uint64()
+					e.Until, e.Fingerprint = w.now+500_000, w.rnd.Uint64()
 				}
 				r = e
 			}
--- a/internal/journal/damage_test.go
+++ b/internal/journal/damage_test.go
@@ -38,11 +38,11 @@
 	for _, r := range s.Live {
 		w := m.live[r.Message.ID]
 		switch {
-		case w == nil && r.Owed == nil:
+		case w == nil && r.Pending == nil:
 			return r.Message.ID + " has ended and came to life"
-		case w != nil && w.DoubtAt != 0 && r.Owed == nil && (r.DoubtAt == 0 || r.DoubtAt > w.DoubtAt):
+		case w != nil && w.DoubtAt != 0 && r.Pending == nil && (r.DoubtAt == 0 || r.DoubtAt > w.DoubtAt):
 			return fmt.Sprintf("%s may have run since %d, told is %d", r.Message.ID, w.DoubtAt, r.DoubtAt)
-		case w != nil && w.Owed != nil && r.Owed == nil:
+		case w != nil && w.Pending != nil && r.Pending == nil:
 			return r.Message.ID + " had its end decided and came to life"
 		}
 	}
@@ -282,14 +282,14 @@
 	for range 2 {
 		s := reopen(t, d, 1e6)
 		for _, id := range []string{"ended", "tried", "later"} {
-			if r := s.of(id); r == nil || r.Owed == nil || r.Owed.How != engine.Failed || r.DoubtAt == 0 {
+			if r := s.of(id); r == nil || r.Pending == nil || r.Pending.Disposition != engine.Failed || r.DoubtAt == 0 {
 				t.Errorf("%s: %+v", id, r)
 			}
 		}
-		if r := s.of("heard"); r == nil || r.Owed != nil || r.DoubtAt == 0 || r.DoubtAt >= now {
+		if r := s.of("heard"); r == nil || r.Pending != nil || r.DoubtAt == 0 || r.DoubtAt >= now {
 			t.Errorf("heard: %+v", r)
 		}
-		if r := s.of("after"); r == nil || r.Owed != nil || r.DoubtAt != 0 {
+		if r := s.of("after"); r == nil || r.Pending != nil || r.DoubtAt != 0 {
 			t.Errorf("after: %+v", r)
 		}
 		if s.Found.Facts != 2 || s.Found.Doubtful != 4 {
--- a/internal/journal/fuzz_test.go
+++ b/internal/journal/fuzz_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(why)
 	}
 	before := j.ids()
-	if err := j.put(&engine.RecMark{}); err != nil {
+	if err := j.put(&engine.RecNoop{}); err != nil {
 		return // more than the disk was there
 	}
 	k := reopen(t, d, 1<<20)
@@ -102,19 +102,19 @@
 				}
 				return &engine.RecNeverRan{ID: id}
 			case 2:
-				return &engine.RecAttempts{At: engine.Stamp(stamp.Draw(t, "at")), List: []engine.AttemptOf{{ID: id, Zone: 1}, {ID: ids.Draw(t, "id"), Zone: -1}}}
+				return &engine.RecAttempts{At: engine.Timestamp(stamp.Draw(t, "at")), List: []engine.RecAttempt{{ID: id, Zone: 1}, {ID: ids.Draw(t, "id"), Zone: -1}}}
 			case 3:
 				return &engine.RecNeverRan{ID: id}
 			case 4:
-				return &engine.RecState{ID: id, Tries: 2, DoubtAt: engine.Stamp(stamp.Draw(t, "at")), Settled: rapid.Bool().Draw(t, "settled")}
+				return &engine.RecState{ID: id, Tries: 2, DoubtAt: engine.Timestamp(stamp.Draw(t, "at")), Settled: rapid.Bool().Draw(t, "settled")}
 			case 5:
-				return &engine.RecOwed{ID: id, Owed: engine.Owed{How: engine.Refused, Again: 5}}
+				return &engine.RecPendingResult{ID: id, PendingResult: engine.PendingResult{Disposition: engine.Refused, RetryAfter: 5}}
 			case 6:
-				return &engine.RecShift{By: rapid.Int64Range(-1e7, 1e7).Draw(t, "by")}
+				return &engine.RecClockStep{By: rapid.Int64Range(-1e7, 1e7).Draw(t, "by")}
 			default:
-				e := &engine.RecEnded{ID: id, How: engine.Over}
+				e := &engine.RecEnded{ID: id, Disposition: engine.Closed}
 				if keep[id] || rapid.Bool().Draw(t, "keep") {
-					e.Until, keep[id] = engine.Stamp(stamp.Draw(t, "until")), true
+					e.Until, keep[id] = engine.Timestamp(stamp.Draw(t, "until")), true
 				}
 				return e
 			}
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -97,7 +97,7 @@
 	copying bool   // the last frame in buf is one for copies
 	told    engine.Batch
 	swept   *node // what sweep looks at next
-	wall    engine.Stamp
+	wall    engine.Timestamp
 	pos     int64 // bytes written by this process
 	echoes  echoes
 	spare   spare
@@ -133,7 +133,7 @@
 	undo        int          // changes of the table before it
 	fact, whole uint64       // as they were before it; so are the next four
 	frame       uint64
-	shift, last engine.Stamp
+	shift, last engine.Timestamp
 	first       uint64
 	near, far   int
 	after       numbers // the next ones after it
@@ -144,10 +144,10 @@
 
 // State is what a journal held when it was opened.
 type State struct {
-	Live   []*engine.Restored // in the order in which they were taken
+	Live   []*engine.RestoredMessage // in the order in which they were taken
 	Ended  []*engine.RestoredEnd
 	Leaves []ledger.Leaf // by number
-	Last   engine.RestoredLast
+	Last   engine.RestoreComplete
 	Found  Found
 }
 
@@ -330,7 +330,7 @@
 // Tick says what the wall clock shows, after the events of a round were handled and their batches appended, so that a
 // step of the clock is in a record first. Ids of messages that ended are forgotten by it. It is optional: without it
 // they are by the times of attempts.
-func (j *Journal) Tick(wall engine.Stamp) { j.wall = wall }
+func (j *Journal) Tick(wall engine.Timestamp) { j.wall = wall }
 
 // used is what the folder holds, as the disk is counted.
 func (j *Journal) used() int64 { return j.alien + j.total + j.waiting + j.spare.size }
@@ -372,7 +372,7 @@
 	takes := false
 	j.begin()
 	for _, r := range records {
-		if _, ok := r.(*engine.RecTaken); ok {
+		if _, ok := r.(*engine.RecAccepted); ok {
 			takes = true
 		}
 		if err := j.encode(r); err != nil {
@@ -461,7 +461,7 @@
 		return n
 	}
 	switch r := r.(type) {
-	case *engine.RecTaken:
+	case *engine.RecAccepted:
 		if j.live[r.Message.ID] != nil {
 			return fmt.Errorf("message %q is taken twice", r.Message.ID)
 		}
@@ -491,28 +491,28 @@
 			b = putDoubt(b, r.Tries, d)
 			j.state(n, r.Tries, d)
 		}
-	case *engine.RecOwed:
+	case *engine.RecPendingResult:
 		if n := find(r.ID, kindOwed); n != nil {
-			owed := r.Owed
+			owed := r.PendingResult
 			b = putOwed(b, &owed)
 			j.owe(n, &owed)
 		}
 	case *engine.RecEnded:
 		if n := find(r.ID, kindEnded); n != nil {
-			b = putFlag(append(b, byte(r.How)), r.Until != 0)
+			b = putFlag(append(b, byte(r.Disposition)), r.Until != 0)
 			if r.Until != 0 {
-				b = putStone(b, r.ID, r.Until, r.Print)
+				b = putStone(b, r.ID, r.Until, r.Fingerprint)
 			}
-			j.end(n, seq, r.How, r.Until, r.Print)
+			j.end(n, seq, r.Disposition, r.Until, r.Fingerprint)
 		}
-	case *engine.RecShift:
+	case *engine.RecClockStep:
 		b = binary.AppendVarint(append(b, byte(kindShift)), r.By)
 		j.step(r.By)
 		j.fact++
-	case *engine.RecMark:
+	case *engine.RecNoop:
 		b = append(b, byte(kindMark))
-	case *engine.RecLeaf:
-		if len(r.Text) > ledger.LeafMost {
+	case *engine.RecLedgerLeaf:
+		if len(r.Text) > ledger.MaxLeafBytes {
 			return fmt.Errorf("leaf %d of %d bytes", r.Number, len(r.Text))
 		}
 		b = putLeaf(b, r.Number, r.Text)
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -24,13 +24,13 @@
 	must(t, j.put(taken("b"), taken("c")))
 	must(t, j.put(attempt(now, "a", 1), attempt(now+5, "c", 0)))
 	must(t, j.put(attempt(now+1e6, "a", 0)))
-	must(t, j.put(&engine.RecOwed{ID: "b", Owed: engine.Owed{How: engine.Refused, Again: 1500 * time.Millisecond}}))
+	must(t, j.put(&engine.RecPendingResult{ID: "b", PendingResult: engine.PendingResult{Disposition: engine.Refused, RetryAfter: 1500 * time.Millisecond}}))
 	must(t, j.put(&engine.RecState{ID: "c", Tries: 4, DoubtAt: now + 7, DoubtZone: -1}))
 	b := taken("b")
 	b.Message.Body = nil // whoever is told the end needs none
-	want := []*engine.Restored{
+	want := []*engine.RestoredMessage{
 		{Message: message("a"), Deadline: now + 3_600_000_000, Tries: 2, DoubtAt: now, DoubtZone: 1},
-		{Message: b.Message, Deadline: now + 3_600_000_000, Owed: &engine.Owed{How: engine.Refused, Again: 1500 * time.Millisecond}},
+		{Message: b.Message, Deadline: now + 3_600_000_000, Pending: &engine.PendingResult{Disposition: engine.Refused, RetryAfter: 1500 * time.Millisecond}},
 		{Message: message("c"), Deadline: now + 3_600_000_000, Tries: 4, DoubtAt: now + 7, DoubtZone: -1},
 	}
 	for range 3 {
@@ -38,10 +38,10 @@
 		if !reflect.DeepEqual(j.Live, want) {
 			t.Fatalf("live %s: %+v", j.ids(), j.Live)
 		}
-		if j.Last.Written != now+1e6 {
-			t.Errorf("last record of %d, want %d", j.Last.Written, now+1_000_000)
+		if j.Last.LatestTimestamp != now+1e6 {
+			t.Errorf("last record of %d, want %d", j.Last.LatestTimestamp, now+1_000_000)
 		}
-		must(t, j.put(&engine.RecMark{}))
+		must(t, j.put(&engine.RecNoop{}))
 	}
 	must(t, j.put(ended("a"), ended("b"), ended("c")))
 	if j = reopen(t, d, 1e6); len(j.Live)+len(j.Ended) != 0 {
@@ -250,9 +250,9 @@
 	must(t, j.put(taken("delivered"), taken("refused"), taken("owed"), taken("other")))
 	must(t, j.put(attempt(now, "delivered", 0), attempt(now, "refused", 0)))
 	facts := []engine.Record{
-		&engine.RecEnded{ID: "delivered", How: engine.Delivered, Until: now + 1e6, Print: 5},
-		&engine.RecNeverRan{ID: "refused"}, &engine.RecOwed{ID: "owed", Owed: engine.Owed{How: engine.Failed}}, taken("new"),
-		&engine.RecShift{By: 1000},
+		&engine.RecEnded{ID: "delivered", Disposition: engine.Delivered, Until: now + 1e6, Fingerprint: 5},
+		&engine.RecNeverRan{ID: "refused"}, &engine.RecPendingResult{ID: "owed", PendingResult: engine.PendingResult{Disposition: engine.Failed}}, taken("new"),
+		&engine.RecClockStep{By: 1000},
 	}
 	before := reopen(t, d, 1e6)
 	j = before
@@ -263,17 +263,17 @@
 		}
 	}
 	d.Fault = nil
-	must(t, j.put(&engine.RecMark{}))
+	must(t, j.put(&engine.RecNoop{}))
 	k := reopen(t, d, 1e6)
 	if !reflect.DeepEqual(k.Live, before.Live) || len(k.Ended) > 0 {
 		t.Fatalf("after a fault: %s", k.ids())
 	}
 	must(t, k.put(facts...))
 	k = reopen(t, d, 1e6)
-	if k.ids() != "refused owed other new" || k.of("refused").DoubtAt != 0 || k.of("owed").Owed == nil {
+	if k.ids() != "refused owed other new" || k.of("refused").DoubtAt != 0 || k.of("owed").Pending == nil {
 		t.Errorf("after a restart: %s", k.ids())
 	}
-	want := []*engine.RestoredEnd{{ID: "delivered", How: engine.Delivered, Until: now + 1e6 + 1000, Print: 5}}
+	want := []*engine.RestoredEnd{{ID: "delivered", Disposition: engine.Delivered, Until: now + 1e6 + 1000, Fingerprint: 5}}
 	if !reflect.DeepEqual(k.Ended, want) {
 		t.Errorf("ended %+v", k.Ended)
 	}
@@ -303,7 +303,7 @@
 	}
 	for i, id := range ids {
 		if i%2 == 0 {
-			must(t, j.put(&engine.RecOwed{ID: id}))
+			must(t, j.put(&engine.RecPendingResult{ID: id}))
 		}
 		must(t, j.put(&engine.RecEnded{ID: id, Until: now + 1e9}))
 	}
@@ -327,7 +327,7 @@
 	for i := range n {
 		id := fmt.Sprintf("message-with-a-long-id-%08d", i)
 		list = append(list, sized(id, 1))
-		all.List = append(all.List, engine.AttemptOf{ID: id, Zone: 1})
+		all.List = append(all.List, engine.RecAttempt{ID: id, Zone: 1})
 	}
 	must(t, j.put(list...))
 	must(t, j.put(all))
@@ -349,16 +349,16 @@
 	text, err := os.ReadFile(filepath.Join("testdata", "format1", "journal-2"))
 	must(t, err)
 	must(t, os.WriteFile(filepath.Join(dir, "journal-2"), text, 0o600))
-	at := engine.Stamp(1764550000000000)
+	at := engine.Timestamp(1764550000000000)
 	for range 2 {
 		j := open(t, journal.OSDir(dir), 3e6)
 		if want := "untouched in-doubt refused-once owed-refused owed-failed proven twice large"; j.ids() != want {
 			t.Fatalf("live %s, want %s", j.ids(), want)
 		}
 		r := j.of("untouched")
-		if r.Message.Class != "release-upload" || r.Message.Tenant != "core" || r.Message.Dest != 7 ||
+		if r.Message.Class != "release-upload" || r.Message.Tenant != "core" || r.Message.Destination != 7 ||
 			r.Message.Key != "k-untouched" || string(r.Message.Body) != "\x00cm\xffbody of untouched" ||
-			r.Deadline != at+3_600_000_000 || r.Tries != 0 || r.DoubtAt != 0 || r.Owed != nil {
+			r.Deadline != at+3_600_000_000 || r.Tries != 0 || r.DoubtAt != 0 || r.Pending != nil {
 			t.Errorf("untouched: %+v", r)
 		}
 		if r := j.of("in-doubt"); r.Tries != 1 || r.DoubtAt != at || r.DoubtZone != 2 {
@@ -370,17 +370,17 @@
 		if r := j.of("twice"); r.Tries != 2 || r.DoubtAt != at || r.DoubtZone != 1 {
 			t.Errorf("twice: %+v", r)
 		}
-		if o := j.of("owed-refused").Owed; o == nil || o.How != engine.Refused || o.Again != 1500*time.Millisecond || o.Print == 0 {
+		if o := j.of("owed-refused").Pending; o == nil || o.Disposition != engine.Refused || o.RetryAfter != 1500*time.Millisecond || o.Fingerprint == 0 {
 			t.Errorf("owed, refused: %+v", o)
 		}
-		if o := j.of("owed-failed").Owed; o == nil || o.How != engine.Failed || o.Again != 0 || o.Print == 0 {
+		if o := j.of("owed-failed").Pending; o == nil || o.Disposition != engine.Failed || o.RetryAfter != 0 || o.Fingerprint == 0 {
 			t.Errorf("owed, failed: %+v", o)
 		}
 		if n := len(j.of("large").Message.Body); n != 6000 {
 			t.Errorf("large: body of %d bytes", n)
 		}
-		if j.Last.Written != at+2_000_000 {
-			t.Errorf("written %d", j.Last.Written)
+		if j.Last.LatestTimestamp != at+2_000_000 {
+			t.Errorf("written %d", j.Last.LatestTimestamp)
 		}
 		must(t, j.Close())
 	}
--- a/internal/journal/leaf_test.go
+++ b/internal/journal/leaf_test.go
@@ -14,8 +14,8 @@
 	d := memdir.New()
 	j := open(t, d.Dir(), 64<<10)
 	for n := range uint64(20) {
-		must(t, j.put(&engine.RecLeaf{Number: n, Text: fmt.Append(nil, "old ", n)}))
-		must(t, j.put(&engine.RecLeaf{Number: n, Text: fmt.Append(nil, "new ", n)}))
+		must(t, j.put(&engine.RecLedgerLeaf{Number: n, Text: fmt.Append(nil, "old ", n)}))
+		must(t, j.put(&engine.RecLedgerLeaf{Number: n, Text: fmt.Append(nil, "new ", n)}))
 	}
 	first := segments(d)[0]
 	for i := range 2000 {
@@ -43,7 +43,7 @@
 func TestLeavesGoWhereNoBooksAreKept(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
-	must(t, open(t, d.Dir(), 64<<10).put(&engine.RecLeaf{Number: 1, Text: []byte("figures")}))
+	must(t, open(t, d.Dir(), 64<<10).put(&engine.RecLedgerLeaf{Number: 1, Text: []byte("figures")}))
 	d.Crash()
 	set := settings(64 << 10)
 	set.Leaves = false
@@ -52,7 +52,7 @@
 	if len(j.Leaves) > 0 || j.Leaf(1) != nil {
 		t.Errorf("left: %+v", j.Leaves)
 	}
-	if err := j.put(&engine.RecLeaf{Number: 1, Text: make([]byte, 1000)}); err == nil {
+	if err := j.put(&engine.RecLedgerLeaf{Number: 1, Text: make([]byte, 1000)}); err == nil {
 		t.Error("a leaf of 1000 bytes is taken")
 	}
 }
--- a/internal/journal/load_test.go
+++ b/internal/journal/load_test.go
@@ -44,12 +44,12 @@
 		} else {
 			s.refused++
 		}
-		if !put(40, attempt(now+engine.Stamp(s.to)*1000, id, 1)) {
+		if !put(40, attempt(now+engine.Timestamp(s.to)*1000, id, 1)) {
 			t.Fatal("an attempt is refused")
 		}
 		if s.to-s.from > s.life || s.refused > 0 && s.from < s.to {
 			id := fmt.Sprintf("message-%08d", s.from)
-			if !put(100, &engine.RecEnded{ID: id, How: engine.Delivered, Until: now + engine.Stamp(s.to+s.keep)*1000, Print: 1}) {
+			if !put(100, &engine.RecEnded{ID: id, Disposition: engine.Delivered, Until: now + engine.Timestamp(s.to+s.keep)*1000, Fingerprint: 1}) {
 				t.Fatal("an end is refused")
 			}
 			s.from++
@@ -152,7 +152,7 @@
 	must(t, j.put(taken("a")))
 	large := &engine.RecAttempts{At: now}
 	for range 30_000 {
-		large.List = append(large.List, engine.AttemptOf{ID: "a", Zone: 1})
+		large.List = append(large.List, engine.RecAttempt{ID: "a", Zone: 1})
 	}
 	if err := j.put(large); !errors.Is(err, engine.ErrFull) {
 		t.Fatalf("a batch larger than the disk: %v", err)
@@ -187,16 +187,16 @@
 
 func TestAnIDIsTakenAgainAfterItsEnd(t *testing.T) {
 	t.Parallel()
-	for _, until := range []engine.Stamp{0, now + 1000} {
+	for _, until := range []engine.Timestamp{0, now + 1000} {
 		d := memdir.New()
 		j := open(t, d.Dir(), 256<<10)
 		for life := range 3 {
 			r := taken("id")
-			r.Message.Dest = life
+			r.Message.Destination = life
 			must(t, j.put(r))
 			must(t, j.put(attempt(now, "id", life)))
 			if life < 2 {
-				must(t, j.put(&engine.RecEnded{ID: "id", How: engine.Delivered, Until: until, Print: uint64(life)}))
+				must(t, j.put(&engine.RecEnded{ID: "id", Disposition: engine.Delivered, Until: until, Fingerprint: uint64(life)}))
 				if until != 0 {
 					must(t, j.put(attempt(until+1, "none", 0))) // its time is over
 				}
@@ -205,7 +205,7 @@
 				turnOver(t, j, d)
 			}
 			k := open(t, d.Clone().Dir(), 256<<10)
-			if r := k.of("id"); (r != nil) != (life == 2) || r != nil && (r.Message.Dest != 2 || r.Tries != 1 || len(k.Ended) != 0) {
+			if r := k.of("id"); (r != nil) != (life == 2) || r != nil && (r.Message.Destination != 2 || r.Tries != 1 || len(k.Ended) != 0) {
 				t.Errorf("until %d, life %d: %+v, ended %+v", until, life, r, k.Ended)
 			}
 		}
@@ -221,7 +221,7 @@
 	for i := range 200 {
 		id := fmt.Sprint("m", i)
 		must(t, j.put(sized(id, 300)))
-		ends = append(ends, &engine.RecEnded{ID: id, How: engine.Over, Until: now + engine.Stamp(i%2)*1e9})
+		ends = append(ends, &engine.RecEnded{ID: id, Disposition: engine.Closed, Until: now + engine.Timestamp(i%2)*1e9})
 	}
 	must(t, j.put(attempt(now+1, "none", 0)))
 	if len(segments(d)) < 4 {
--- a/internal/journal/model_test.go
+++ b/internal/journal/model_test.go
@@ -12,19 +12,19 @@
 // model is what records come to, in the plainest way.
 type model struct {
 	order   []string
-	live    map[string]*engine.Restored
+	live    map[string]*engine.RestoredMessage
 	newest  map[string]bool // the doubt is of the newest attempt
 	ended   map[string]*engine.RestoredEnd
 	leaves  map[uint64]string
-	written engine.Stamp
+	written engine.Timestamp
 }
 
 func newModel() *model {
-	return &model{live: map[string]*engine.Restored{}, newest: map[string]bool{}, ended: map[string]*engine.RestoredEnd{}, leaves: map[uint64]string{}}
+	return &model{live: map[string]*engine.RestoredMessage{}, newest: map[string]bool{}, ended: map[string]*engine.RestoredEnd{}, leaves: map[uint64]string{}}
 }
 
 func (m *model) clone() *model {
-	c := &model{slices.Clone(m.order), map[string]*engine.Restored{}, maps.Clone(m.newest), map[string]*engine.RestoredEnd{}, maps.Clone(m.leaves), m.written}
+	c := &model{slices.Clone(m.order), map[string]*engine.RestoredMessage{}, maps.Clone(m.newest), map[string]*engine.RestoredEnd{}, maps.Clone(m.leaves), m.written}
 	for id, r := range m.live {
 		v := *r
 		c.live[id] = &v
@@ -39,9 +39,9 @@
 func (m *model) apply(records []engine.Record) {
 	for _, r := range records {
 		switch r := r.(type) {
-		case *engine.RecTaken:
+		case *engine.RecAccepted:
 			m.order = append(m.order, r.Message.ID)
-			m.live[r.Message.ID] = &engine.Restored{Message: r.Message, Deadline: r.Deadline}
+			m.live[r.Message.ID] = &engine.RestoredMessage{Message: r.Message, Deadline: r.Deadline}
 			delete(m.ended, r.Message.ID)
 		case *engine.RecAttempts:
 			m.written = max(m.written, r.At)
@@ -64,9 +64,9 @@
 				m.newest[r.ID] = r.DoubtAt != 0 && !r.Settled
 				m.written = max(m.written, r.DoubtAt)
 			}
-		case *engine.RecOwed:
+		case *engine.RecPendingResult:
 			if l := m.live[r.ID]; l != nil {
-				l.Owed, l.Message.Body = &engine.Owed{How: r.How, Again: r.Again, Print: r.Print}, nil
+				l.Pending, l.Message.Body = &engine.PendingResult{Disposition: r.Disposition, RetryAfter: r.RetryAfter, Fingerprint: r.Fingerprint}, nil
 			}
 		case *engine.RecEnded:
 			if m.live[r.ID] != nil {
@@ -74,14 +74,14 @@
 				delete(m.newest, r.ID)
 				m.order = slices.DeleteFunc(m.order, func(id string) bool { return id == r.ID })
 				if r.Until != 0 {
-					m.ended[r.ID] = &engine.RestoredEnd{ID: r.ID, How: r.How, Until: r.Until, Print: r.Print}
+					m.ended[r.ID] = &engine.RestoredEnd{ID: r.ID, Disposition: r.Disposition, Until: r.Until, Fingerprint: r.Fingerprint}
 				}
 			}
-		case *engine.RecLeaf:
+		case *engine.RecLedgerLeaf:
 			m.leaves[r.Number] = string(r.Text)
-		case *engine.RecShift:
-			by := engine.Stamp(r.By)
-			add := func(s *engine.Stamp) {
+		case *engine.RecClockStep:
+			by := engine.Timestamp(r.By)
+			add := func(s *engine.Timestamp) {
 				if *s != 0 {
 					*s += by
 				}
@@ -119,7 +119,7 @@
 		}
 	}
 	for id, e := range m.ended {
-		if !seen[id] && e.Until >= s.Last.Written {
+		if !seen[id] && e.Until >= s.Last.LatestTimestamp {
 			return fmt.Sprintf("ended %s is forgotten", id)
 		}
 	}
@@ -130,8 +130,8 @@
 	if !maps.Equal(have, m.leaves) {
 		return fmt.Sprintf("leaves %v, want %v", have, m.leaves)
 	}
-	if s.Last.Written != m.written {
-		return fmt.Sprintf("written %d, want %d", s.Last.Written, m.written)
+	if s.Last.LatestTimestamp != m.written {
+		return fmt.Sprintf("written %d, want %d", s.Last.LatestTimestamp, m.written)
 	}
 	return ""
 }
--- a/internal/journal/old.go
+++ b/internal/journal/old.go
@@ -83,7 +83,7 @@
 	return good, bad
 }
 
-func (r *reader) oldStamp() engine.Stamp { return engine.Stamp(r.num()) }
+func (r *reader) oldStamp() engine.Timestamp { return engine.Timestamp(r.num()) }
 
 // applyOld changes the table by one record of the first format.
 func (t *table) applyOld(payload []byte) error {
@@ -97,7 +97,7 @@
 			t.end(n, 0, 0, 0, 0)
 		}
 	case oldTaken:
-		m := engine.Message{ID: r.text(), Class: r.text(), Tenant: r.text(), Dest: int(r.num())}
+		m := engine.Message{ID: r.text(), Class: r.text(), Tenant: r.text(), Destination: int(r.num())}
 		deadline := r.oldStamp()
 		m.Key, m.Body = r.text(), bytes.Clone(r.bytes())
 		if r.err == nil && t.live[m.ID] == nil {
@@ -118,11 +118,11 @@
 	case oldOwed:
 		id, deferred, again := r.text(), r.num(), r.num()
 		if n := t.live[id]; n != nil && r.err == nil {
-			o := &engine.Owed{How: engine.Failed, Again: time.Duration(min(again, 1<<40)) * time.Millisecond}
+			o := &engine.PendingResult{Disposition: engine.Failed, RetryAfter: time.Duration(min(again, 1<<40)) * time.Millisecond}
 			if deferred == 1 {
-				o.How = engine.Refused
+				o.Disposition = engine.Refused
 			}
-			o.Print = n.life.msg.Print() // of the first format's, with the body still there
+			o.Fingerprint = n.life.msg.Fingerprint() // of the first format's, with the body still there
 			t.owe(n, o)
 		}
 	case oldEnded:
--- a/internal/journal/recover.go
+++ b/internal/journal/recover.go
@@ -530,7 +530,7 @@
 		r.found.Doubtful++
 		r.state(n, n.life.tries+1, doubt{at: 1}) // out of the time that any key is remembered
 		if k.alive < r.gaps && n.life.owed == nil {
-			r.owe(n, &engine.Owed{How: engine.Failed, Print: n.life.msg.Print()})
+			r.owe(n, &engine.PendingResult{Disposition: engine.Failed, Fingerprint: n.life.msg.Fingerprint()})
 		}
 	}
 }
@@ -648,7 +648,7 @@
 
 // list is the table as the engine is told of it.
 func (t *table) list(f Found) *State {
-	s := &State{Last: engine.RestoredLast{Written: t.real(t.last)}, Found: f, Leaves: t.leaves()}
+	s := &State{Last: engine.RestoreComplete{LatestTimestamp: t.real(t.last)}, Found: f, Leaves: t.leaves()}
 	var live, ended []*node
 	newest := map[string]*node{}
 	for n := t.root.next; n != &t.root; n = n.next {
@@ -671,13 +671,13 @@
 	slices.SortFunc(ended, byNum)
 	for _, n := range live {
 		l := n.life
-		s.Live = append(s.Live, &engine.Restored{
+		s.Live = append(s.Live, &engine.RestoredMessage{
 			Message: l.msg, Deadline: t.real(l.deadline), Tries: l.tries, DoubtAt: t.real(l.doubt.at),
-			DoubtZone: l.doubt.zone, Owed: l.owed,
+			DoubtZone: l.doubt.zone, Pending: l.owed,
 		})
 	}
 	for _, n := range ended {
-		s.Ended = append(s.Ended, &engine.RestoredEnd{ID: n.id, How: n.how, Until: t.real(n.until), Print: n.print})
+		s.Ended = append(s.Ended, &engine.RestoredEnd{ID: n.id, Disposition: n.how, Until: t.real(n.until), Fingerprint: n.print})
 	}
 	return s
 }
--- a/internal/journal/rig_test.go
+++ b/internal/journal/rig_test.go
@@ -12,7 +12,7 @@
 	"curlewmux/internal/journal/memdir"
 )
 
-const now = engine.Stamp(1_764_550_000_000_000)
+const now = engine.Timestamp(1_764_550_000_000_000)
 
 // store is a journal under test and what it held when it was opened.
 type store struct {
@@ -85,26 +85,28 @@
 
 func message(id string) engine.Message {
 	return engine.Message{
-		ID: id, Class: "release-upload", Tenant: "core", Dest: 7, Key: "k", Body: []byte("\x00cm\xffbody of " + id),
+		ID: id, Class: "release-upload", Tenant: "core", Destination: 7, Key: "k", Body: []byte("\x00cm\xffbody of " + id),
 	}
 }
 
-func taken(id string) *engine.RecTaken { return sized(id, 0) }
+func taken(id string) *engine.RecAccepted { return sized(id, 0) }
 
 // sized is a message with a body of a size, or of message's.
-func sized(id string, size int) *engine.RecTaken {
+func sized(id string, size int) *engine.RecAccepted {
 	m := message(id)
 	if size > 0 {
 		m.Body = []byte(strings.Repeat("x", size))
 	}
-	return &engine.RecTaken{Message: m, Deadline: now + 3_600_000_000}
+	return &engine.RecAccepted{Message: m, Deadline: now + 3_600_000_000}
 }
 
-func attempt(at engine.Stamp, id string, zone int) *engine.RecAttempts {
-	return &engine.RecAttempts{At: at, List: []engine.AttemptOf{{ID: id, Zone: zone}}}
+func attempt(at engine.Timestamp, id string, zone int) *engine.RecAttempts {
+	return &engine.RecAttempts{At: at, List: []engine.RecAttempt{{ID: id, Zone: zone}}}
 }
 
-func ended(id string) *engine.RecEnded { return &engine.RecEnded{ID: id, How: engine.Delivered} }
+func ended(id string) *engine.RecEnded {
+	return &engine.RecEnded{ID: id, Disposition: engine.Delivered}
+}
 
 // ids lists the live messages' ids.
 func (s *store) ids() string {
@@ -115,7 +117,7 @@
 	return strings.Join(out, " ")
 }
 
-func (s *store) of(id string) *engine.Restored {
+func (s *store) of(id string) *engine.RestoredMessage {
 	for _, r := range s.Live {
 		if r.Message.ID == id {
 			return r
--- a/internal/journal/segment.go
+++ b/internal/journal/segment.go
@@ -46,8 +46,8 @@
 	fact     uint64
 	whole    uint64
 	num      uint64 // the last message's
-	shift    engine.Stamp
-	last     engine.Stamp // as it was then
+	shift    engine.Timestamp
+	last     engine.Timestamp // as it was then
 	owner    string
 }
 
--- a/internal/journal/sync_test.go
+++ b/internal/journal/sync_test.go
@@ -100,7 +100,7 @@
 	run()
 	must(t, j.Append(2, []engine.Record{taken("c"), ended("a")}))
 	j.Flush()
-	must(t, j.Append(3, []engine.Record{attempt(now, "c", 1), &engine.RecOwed{ID: "b", Owed: engine.Owed{How: engine.Failed}}}))
+	must(t, j.Append(3, []engine.Record{attempt(now, "c", 1), &engine.RecPendingResult{ID: "b", PendingResult: engine.PendingResult{Disposition: engine.Failed}}}))
 	j.Flush()
 	d.Fault = func(op memdir.Op) memdir.Fault {
 		if op.Kind == memdir.SyncFile {
@@ -135,7 +135,7 @@
 			c.PowerFail(func(int) int { return 0 })
 		}
 		k := open(t, c.Dir(), 1e6)
-		if k.ids() != "a b a2" || k.of("b").Owed != nil || k.of("a").Tries != 1 || string(k.of("b").Message.Body) == "" {
+		if k.ids() != "a b a2" || k.of("b").Pending != nil || k.of("a").Tries != 1 || string(k.of("b").Message.Body) == "" {
 			t.Errorf("power failure %v: live %s", power, k.ids())
 		}
 	}
@@ -257,9 +257,9 @@
 	d.Fault = nil
 	must(t, j.put(ended("b")))
 	run()
-	must(t, j.put(&engine.RecMark{}))
+	must(t, j.put(&engine.RecNoop{}))
 	run()
-	must(t, j.put(&engine.RecMark{}))
+	must(t, j.put(&engine.RecNoop{}))
 	run()
 	// What the failed sync was for is lost when the power fails, also what it had written before.
 	first := segments(d)[0]
@@ -367,9 +367,9 @@
 		j := open(t, d.Dir(), 256<<10)
 		must(t, j.put(taken("held"), taken("tried"), taken("done")))
 		must(t, j.put(attempt(now, "tried", 1)))
-		must(t, j.put(&engine.RecEnded{ID: "done", How: engine.Delivered, Until: now + 60e6}))
-		must(t, j.put(&engine.RecShift{By: by}))
-		then := now + engine.Stamp(by) // what the clock shows from here on
+		must(t, j.put(&engine.RecEnded{ID: "done", Disposition: engine.Delivered, Until: now + 60e6}))
+		must(t, j.put(&engine.RecClockStep{By: by}))
+		then := now + engine.Timestamp(by) // what the clock shows from here on
 		j.Tick(then + 1e6)
 		must(t, j.put(attempt(then+1e6, "held", 2)))
 		for _, compacted := range []bool{false, true} {
@@ -387,8 +387,8 @@
 			if len(j.Ended) != 1 || j.Ended[0].Until != then+60e6 {
 				t.Errorf("step %d, compacted %v: ended %+v", by, compacted, j.Ended)
 			}
-			if j.Last.Written != then+1e6 {
-				t.Errorf("step %d, compacted %v: written %d", by, compacted, j.Last.Written-then)
+			if j.Last.LatestTimestamp != then+1e6 {
+				t.Errorf("step %d, compacted %v: written %d", by, compacted, j.Last.LatestTimestamp-then)
 			}
 		}
 		j.Tick(then + 61e6) // its time is over
@@ -407,12 +407,12 @@
 	must(t, j.put(taken("a"), attempt(now+5, "a", 1)))
 	must(t, j.put(&engine.RecNeverRan{ID: "a"}))
 	turnOver(t, j, d) // the attempt's own record is gone
-	if j = reopen(t, d, 256<<10); j.Last.Written != now+5 {
-		t.Errorf("written %d", j.Last.Written-now)
+	if j = reopen(t, d, 256<<10); j.Last.LatestTimestamp != now+5 {
+		t.Errorf("written %d", j.Last.LatestTimestamp-now)
 	}
 	must(t, j.put(&engine.RecState{ID: "a", Tries: 1, DoubtAt: now + 9}))
-	if j = reopen(t, d, 256<<10); j.Last.Written != now+9 {
-		t.Errorf("written %d", j.Last.Written-now)
+	if j = reopen(t, d, 256<<10); j.Last.LatestTimestamp != now+9 {
+		t.Errorf("written %d", j.Last.LatestTimestamp-now)
 	}
 }
 
@@ -508,8 +508,8 @@
 	for i := range n {
 		id := fmt.Sprint("m", i)
 		must(t, j.put(attempt(now, id, 1)))
-		must(t, j.put(&engine.RecOwed{ID: id, Owed: engine.Owed{How: engine.Failed}}))
-		must(t, j.put(&engine.RecEnded{ID: id, How: engine.Failed, Until: now + 1e6}))
+		must(t, j.put(&engine.RecPendingResult{ID: id, PendingResult: engine.PendingResult{Disposition: engine.Failed}}))
+		must(t, j.put(&engine.RecEnded{ID: id, Disposition: engine.Failed, Until: now + 1e6}))
 		if i > 10 {
 			if err := j.put(taken("new")); !errors.Is(err, engine.ErrFull) {
 				t.Fatalf("taken on: %v", err)
--- a/internal/journal/table.go
+++ b/internal/journal/table.go
@@ -15,10 +15,10 @@
 	seg        uint64 // segment of that record, or one before it
 	num        uint64
 	id         string
-	life       *life           // nil once it ended
-	leaf       *engine.RecLeaf // nil but for one of the books: it is no message then, and has neither number nor id
-	how        engine.How
-	until      engine.Stamp
+	life       *life                 // nil once it ended
+	leaf       *engine.RecLedgerLeaf // nil but for one of the books: it is no message then, and has neither number nor id
+	how        engine.Disposition
+	until      engine.Timestamp
 	print      uint64
 }
 
@@ -26,10 +26,10 @@
 // here and in node are without the shifts so far: see table.shift.
 type life struct {
 	msg      engine.Message
-	deadline engine.Stamp
+	deadline engine.Timestamp
 	tries    int
 	doubt    doubt
-	owed     *engine.Owed
+	owed     *engine.PendingResult
 }
 
 // leafCost is what a leaf of the engine's books is charged with at least, so that its figures can grow.
@@ -43,11 +43,11 @@
 	count int              // of all nodes
 	bytes int64            // that all nodes take when copied, at most
 	num   uint64
-	shift engine.Stamp // sum of all shifts; what the table keeps is to be read with it added
-	last  engine.Stamp // the latest wall time in any record
-	undo  []change     // since the last call of keep
-	final bool         // nothing will be taken back
-	bulk  bool         // live is made later, by index
+	shift engine.Timestamp // sum of all shifts; what the table keeps is to be read with it added
+	last  engine.Timestamp // the latest wall time in any record
+	undo  []change         // since the last call of keep
+	final bool             // nothing will be taken back
+	bulk  bool             // live is made later, by index
 }
 
 // change is what takes one change of the table back.
@@ -57,7 +57,7 @@
 	life        life
 	added       bool // n was not there before
 	bytes       int64
-	shift, last engine.Stamp
+	shift, last engine.Timestamp
 }
 
 func newTable() *table {
@@ -74,7 +74,7 @@
 }
 
 // raw takes the shifts off a stamp, and real puts them back. 0 stays 0.
-func (t *table) raw(s engine.Stamp) engine.Stamp {
+func (t *table) raw(s engine.Timestamp) engine.Timestamp {
 	if s == 0 {
 		return 0
 	}
@@ -84,7 +84,7 @@
 	return s
 }
 
-func (t *table) real(s engine.Stamp) engine.Stamp {
+func (t *table) real(s engine.Timestamp) engine.Timestamp {
 	if s == 0 {
 		return 0
 	}
@@ -94,7 +94,7 @@
 	return s
 }
 
-func (t *table) seen(at engine.Stamp) { t.last = max(t.last, t.raw(at)) }
+func (t *table) seen(at engine.Timestamp) { t.last = max(t.last, t.raw(at)) }
 
 // nodeCost is the most that a node takes in a segment besides its texts and body: kind, number, lengths, stamps and its
 // part of a frame's head.
@@ -185,7 +185,7 @@
 	t.undo = t.undo[:left]
 }
 
-func (t *table) take(num, seg uint64, m *engine.Message, deadline engine.Stamp) *node {
+func (t *table) take(num, seg uint64, m *engine.Message, deadline engine.Timestamp) *node {
 	n := &node{seg: seg, num: num, id: m.ID, life: &life{msg: *m, deadline: t.raw(deadline)}}
 	t.note(n, true)
 	if !t.bulk {
@@ -220,7 +220,7 @@
 }
 
 // stone adds a message that has ended.
-func (t *table) stone(num, seg uint64, id string, how engine.How, until engine.Stamp, print uint64) *node {
+func (t *table) stone(num, seg uint64, id string, how engine.Disposition, until engine.Timestamp, print uint64) *node {
 	n := &node{seg: seg, num: num, id: id, how: how, until: t.raw(until), print: print}
 	t.note(n, true)
 	t.push(n)
@@ -229,7 +229,7 @@
 	return n
 }
 
-func (t *table) attempt(n *node, at engine.Stamp, zone int) {
+func (t *table) attempt(n *node, at engine.Timestamp, zone int) {
 	t.note(n, false)
 	l := n.life
 	l.tries++
@@ -255,7 +255,7 @@
 	n.life.tries, n.life.doubt = tries, d
 }
 
-func (t *table) owe(n *node, o *engine.Owed) {
+func (t *table) owe(n *node, o *engine.PendingResult) {
 	t.note(n, false)
 	t.bytes -= n.cost()
 	n.life.owed, n.life.msg.Body = o, nil
@@ -263,7 +263,7 @@
 }
 
 // end ends a message. With until 0 nothing stays of it, else its id does.
-func (t *table) end(n *node, seg uint64, how engine.How, until engine.Stamp, print uint64) {
+func (t *table) end(n *node, seg uint64, how engine.Disposition, until engine.Timestamp, print uint64) {
 	t.note(n, false)
 	t.bytes -= n.cost()
 	t.unlink(n)
@@ -280,7 +280,7 @@
 
 // turn puts a text in the place of the one that a leaf had. The record stays as it is from now on: a newer one takes its
 // place.
-func (t *table) turn(seg uint64, r *engine.RecLeaf) {
+func (t *table) turn(seg uint64, r *engine.RecLedgerLeaf) {
 	n := t.pages[r.Number]
 	if n == nil {
 		n = &node{seg: seg, leaf: r}
@@ -300,7 +300,7 @@
 func (t *table) turnCopy(number, seg uint64, text []byte) {
 	n := t.pages[number]
 	if n == nil {
-		t.turn(seg, &engine.RecLeaf{Number: number, Text: append([]byte(nil), text...)})
+		t.turn(seg, &engine.RecLedgerLeaf{Number: number, Text: append([]byte(nil), text...)})
 		return
 	}
 	t.bytes -= n.cost()
@@ -339,14 +339,14 @@
 }
 
 // heard notes the time of a record.
-func (t *table) heard(at engine.Stamp) {
+func (t *table) heard(at engine.Timestamp) {
 	t.note(nil, false)
 	t.seen(at)
 }
 
 func (t *table) step(by int64) {
 	t.note(nil, false)
-	t.shift += engine.Stamp(by)
+	t.shift += engine.Timestamp(by)
 }
 
 // put appends the record that makes a node anew.
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -24,7 +24,7 @@
 
 // shownParts are what a node has beside the rest where figures are shown.
 type shownParts struct {
-	board *figures.Board
+	board *figures.Cache
 }
 
 // assembleShown makes what shows the books, where they are kept.
@@ -35,8 +35,8 @@
 	n.shown = &shownParts{board: figures.New(n, n.host.Now)}
 	if n.cfg.Ledger.HTTP {
 		set.Pages = map[string]func() httpfront.Page{
-			"/-/ledger":  func() httpfront.Page { return page(n.shown.board.JSON, figures.TypeJSON) },
-			"/-/metrics": func() httpfront.Page { return page(n.shown.board.Metrics, figures.TypeMetrics) },
+			"/-/ledger":  func() httpfront.Page { return page(n.shown.board.JSON, figures.ContentTypeJSON) },
+			"/-/metrics": func() httpfront.Page { return page(n.shown.board.Metrics, figures.ContentTypeMetrics) },
 		}
 	}
 }
@@ -44,7 +44,7 @@
 func page(text func() ([]byte, error), kind string) httpfront.Page {
 	t, err := text()
 	if err != nil {
-		return httpfront.Page{Again: figures.Keep}
+		return httpfront.Page{Again: figures.MaxAge}
 	}
 	return httpfront.Page{Text: t, Type: kind}
 }
@@ -112,7 +112,7 @@
 			return err
 		}
 		return reply(string(page))
-	case figures.CommandHeld:
+	case figures.CommandQueues:
 		h, err := n.held()
 		if err != nil {
 			return err
@@ -127,14 +127,14 @@
 
 var errNoLedger = errors.New("no books are kept: the operator's file has no [ledger]")
 
-func (n *Node) held() (*figures.HeldReply, error) {
+func (n *Node) held() (*figures.QueuesReply, error) {
 	type seen struct {
-		list []engine.Held
+		list []engine.DestinationBacklog
 		more bool
 	}
 	reply := n.host.NewInbox()
 	if !n.driver.Do(func() {
-		list, more := n.driver.Engine().Held(heldMost)
+		list, more := n.driver.Engine().Backlog(heldMost)
 		reply.Put(seen{list, more})
 	}) {
 		return nil, errors.New("the dispatcher is stopping")
@@ -145,10 +145,10 @@
 		return nil, errors.New("the dispatcher does not answer")
 	}
 	s := list[0].(seen)
-	out := &figures.HeldReply{Held: []figures.Held{}, More: s.more}
+	out := &figures.QueuesReply{Queues: []figures.DestinationQueue{}, Incomplete: s.more}
 	for _, h := range s.list {
-		out.Held = append(out.Held, figures.Held{
-			Dest: h.Dest, Oldest: float64(h.Oldest) / float64(control.Second), Condition: h.Condition.String(),
+		out.Queues = append(out.Queues, figures.DestinationQueue{
+			Destination: h.Destination, OldestSeconds: float64(h.OldestAge) / float64(control.Second), Condition: h.Condition.String(),
 		})
 	}
 	return out, nil
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -59,7 +59,7 @@
 // cut reads a snapshot that must add up.
 func cut(t *testing.T, text []byte) *ledger.Snapshot {
 	t.Helper()
-	s, err := ledger.Read(bytes.NewReader(text))
+	s, err := ledger.ReadSnapshot(bytes.NewReader(text))
 	must(t, err)
 	if bad := s.Check(); len(bad) > 0 {
 		t.Fatalf("%+v in %s", bad, text)
@@ -99,11 +99,11 @@
 					lines, err := w.ask(figures.CommandLedger)
 					must(t, err)
 					s := cut(t, lines[0])
-					return len(lines) == 1 && s.Total.Taken == 2 && s.Total.Served == 1 && s.Total.Open == 1 && s.Instance == "n0"
+					return len(lines) == 1 && s.Total.Accepted == 2 && s.Total.Delivered == 1 && s.Total.Open == 1 && s.Instance == "n0"
 				})
-				lines, err := w.ask(figures.CommandHeld)
-				var held figures.HeldReply
-				if must(t, err); json.Unmarshal(lines[0], &held) != nil || len(held.Held) != 1 || held.Held[0].Dest != 1 || held.Held[0].Condition != "unserved" {
+				lines, err := w.ask(figures.CommandQueues)
+				var held figures.QueuesReply
+				if must(t, err); json.Unmarshal(lines[0], &held) != nil || len(held.Queues) != 1 || held.Queues[0].Destination != 1 || held.Queues[0].Condition != "unserved" {
 					t.Errorf("%s", lines[0])
 				}
 				lines, err = w.ask(figures.CommandMetrics)
@@ -121,10 +121,10 @@
 			}
 			if c.port {
 				_, header, text := w.get("/-/metrics")
-				if header.Get("Content-Type") != figures.TypeMetrics || !bytes.HasSuffix(text, []byte("# EOF\n")) {
+				if header.Get("Content-Type") != figures.ContentTypeMetrics || !bytes.HasSuffix(text, []byte("# EOF\n")) {
 					t.Errorf("%v %s", header, text)
 				}
-				if _, header, text = w.get("/-/ledger"); header.Get("Content-Type") != figures.TypeJSON || cut(t, text).Total.Taken != 2 {
+				if _, header, text = w.get("/-/ledger"); header.Get("Content-Type") != figures.ContentTypeJSON || cut(t, text).Total.Accepted != 2 {
 					t.Errorf("%v %s", header, text)
 				}
 			}
@@ -135,8 +135,8 @@
 				t.Errorf("the socket stays: %v", err)
 			}
 			if strings.HasPrefix(c.file, "[ledger]") && c.socket {
-				s, err := figures.AtRest(journal.OSDir(w.dir))
-				if must(t, err); s.Total.Taken != 2 || s.Total.Open != 1 || len(s.Check()) > 0 {
+				s, err := figures.ReadFolder(journal.OSDir(w.dir))
+				if must(t, err); s.Total.Accepted != 2 || s.Total.Open != 1 || len(s.Check()) > 0 {
 					t.Errorf("at rest: %+v", s)
 				}
 			}
@@ -235,13 +235,13 @@
 				if reader%2 == 1 || *apart && n%100 != 0 {
 					continue
 				}
-				s, err := ledger.Read(bytes.NewReader(text))
+				s, err := ledger.ReadSnapshot(bytes.NewReader(text))
 				if err != nil || len(s.Check()) > 0 {
 					t.Errorf("%v in %s", err, text)
 					return
 				}
 				if last != nil {
-					if d, err := ledger.Diff(last, s); err != nil || len(d.Back) > 0 {
+					if d, err := ledger.Diff(last, s); err != nil || len(d.Decreases) > 0 {
 						t.Errorf("%v %+v", err, d)
 						return
 					}
@@ -262,8 +262,8 @@
 	readers.Wait()
 	waitFor(t, func() bool {
 		_, _, text := w.get("/-/ledger")
-		s, err := ledger.Read(bytes.NewReader(text))
-		return err == nil && s.Total.Taken == ledger.Count(messages+1+*accounts) && s.Total.Served == messages+1
+		s, err := ledger.ReadSnapshot(bytes.NewReader(text))
+		return err == nil && s.Total.Accepted == ledger.Count(messages+1+*accounts) && s.Total.Delivered == messages+1
 	})
 	slices.Sort(took)
 	if late := took[len(took)*9/10]; late > 200*time.Millisecond {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -149,7 +149,7 @@
 // engine are the engine's settings.
 func (c *Config) engine() engine.Settings {
 	set := engine.Settings{
-		Control: c.Settings, Seed: c.Seed, Stored: true, MaxBytes: int(c.Memory / heldShare), MaxIDs: int(c.Memory / idMemory),
+		Control: c.Settings, Seed: c.Seed, HasStore: true, MaxBytes: int(c.Memory / heldShare), MaxIDs: int(c.Memory / idMemory),
 	}
 	if c.Mail != nil {
 		set.KindBytes, set.ClassRemember = c.Mail.callBytes, c.Mail.remember
@@ -158,8 +158,8 @@
 }
 
 // names give the numbers of zones and kinds.
-func (c *Config) names() partnerlist.Names {
-	return partnerlist.Names{
+func (c *Config) names() partnerlist.NameIndex {
+	return partnerlist.NameIndex{
 		Zone: func(name string) int { return slices.Index(c.Zones, name) },
 		Kind: func(name string) int {
 			return slices.IndexFunc(c.Settings.Kinds, func(k control.Kind) bool { return k.Name == name })
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -37,10 +37,10 @@
 
 // testMessage is one as world.request hands it in, unsafe and for destination 3.
 func testMessage(id string) engine.Message {
-	return engine.Message{ID: id, Class: "unsafe", Tenant: "core", Dest: 3, Key: "key-" + id, Body: []byte("body of " + id)}
+	return engine.Message{ID: id, Class: "unsafe", Tenant: "core", Destination: 3, Key: "key-" + id, Body: []byte("body of " + id)}
 }
 
-func inAMinute() engine.Stamp { return engine.StampOf(time.Now().Add(time.Minute)) }
+func inAMinute() engine.Timestamp { return engine.TimestampOf(time.Now().Add(time.Minute)) }
 
 // record writes records as an earlier process would have.
 func (w *world) record(records ...engine.Record) {
@@ -123,7 +123,7 @@
 }
 
 // owedFor is the end of a message that was refused and whose notice is still to go out.
-func owedFor(id string) engine.Owed {
+func owedFor(id string) engine.PendingResult {
 	m := testMessage(id)
-	return engine.Owed{How: engine.Refused, Print: m.Print()}
+	return engine.PendingResult{Disposition: engine.Refused, Fingerprint: m.Fingerprint()}
 }
--- a/internal/node/known_test.go
+++ b/internal/node/known_test.go
@@ -11,7 +11,7 @@
 	t.Parallel()
 	w := newWorld(t)
 	w.set(func() { w.deaf = true })
-	w.record(&engine.RecTaken{Message: testMessage("u"), Deadline: inAMinute()}, &engine.RecOwed{ID: "u", Owed: owedFor("u")})
+	w.record(&engine.RecAccepted{Message: testMessage("u"), Deadline: inAMinute()}, &engine.RecPendingResult{ID: "u", PendingResult: owedFor("u")})
 	w.endpoint("e", 3, "hooks", respond(200))
 	w.endpoint("f", 4, "hooks", respond(200))
 	w.spawn()
--- a/internal/node/ledger.go
+++ b/internal/node/ledger.go
@@ -53,16 +53,16 @@
 	random := rand.New(rand.NewPCG(n.cfg.Seed^0x6c6564676572, uint64(wall)))
 	most := l.Most
 	if most == 0 {
-		most = ledger.DefaultMost
+		most = ledger.DefaultMaxAccounts
 	}
-	set.Ledger = &engine.Ledger{
+	set.Ledger = &engine.LedgerSettings{
 		Settings: ledger.Settings{
-			Instance: n.cfg.Name, Most: max(1, min(most, int(n.cfg.Disk/leafShare/accountDisk))), Boot: l.Boot,
-			Lasting: n.cfg.Sync == journal.SyncAlways, Post: l.Post,
+			Instance: n.cfg.Name, MaxAccounts: max(1, min(most, int(n.cfg.Disk/leafShare/accountDisk))), BootID: l.Boot,
+			Durable: n.cfg.Sync == journal.SyncAlways, InterceptPost: l.Post,
 		},
-		Epoch: ledger.NewEpoch(random.Uint64(), wall, ledger.WhyNew, ""),
-		Part:  l.Part, Every: engine.Time(l.Every.Microseconds()),
-		Kept: func(number uint64) []byte { return n.journal.Leaf(number) },
+		Epoch:     ledger.NewEpoch(random.Uint64(), wall, ledger.ReasonNoLedger, ""),
+		AuditPart: l.Part, AuditInterval: engine.Time(l.Every.Microseconds()),
+		StoredLeaf: func(number uint64) []byte { return n.journal.Leaf(number) },
 	}
 }
 
@@ -73,9 +73,9 @@
 	}
 	r := &engine.RestoredLedger{Leaves: s.Leaves}
 	if s.Found.Damage() {
-		r.Anew = ledger.WhyDamage
+		r.ResetReason = ledger.ReasonDamage
 	}
-	n.driver.Tell(r)
+	n.driver.Post(r)
 }
 
 // ErrNoLedger is what Ledger returns where there is no cut.
@@ -92,5 +92,5 @@
 
 // AskLedger is Ledger for those who can't wait: see driver.Driver.AskLedger.
 func (n *Node) AskLedger(told func(*ledger.Snapshot)) bool {
-	return n.driver != nil && n.driver.AskLedger(told)
+	return n.driver != nil && n.driver.LedgerAsync(told)
 }
--- a/internal/node/ledger_test.go
+++ b/internal/node/ledger_test.go
@@ -49,7 +49,7 @@
 		b.t.Errorf("%s: at %v: %+v", b.name, b.w.Now(), bad)
 	}
 	if old := b.newest; old != nil && !old.Provisional {
-		if d, err := ledger.Diff(old, s); err != nil || d.Anew || len(d.Back) > 0 {
+		if d, err := ledger.Diff(old, s); err != nil || d.EpochChanged || len(d.Decreases) > 0 {
 			b.t.Errorf("%s: at %v: %v %+v", b.name, b.w.Now(), err, d)
 		}
 	}
@@ -71,13 +71,13 @@
 			most++
 		}
 	}
-	if int(f.Taken) < taken || int(f.Taken) > most {
-		s.t.Errorf("%s: %d taken, its clients counted %d to %d", s.books.name, f.Taken, taken, most)
+	if int(f.Accepted) < taken || int(f.Accepted) > most {
+		s.t.Errorf("%s: %d taken, its clients counted %d to %d", s.books.name, f.Accepted, taken, most)
 	}
-	if f.In != f.Again || f.Taken != f.Served+f.Refused+f.Failed-f.Again+f.Open {
+	if f.MovedIn != f.Reopened || f.Accepted != f.Delivered+f.Refused+f.Failed-f.Reopened+f.Open {
 		s.t.Errorf("%s: %+v", s.books.name, f)
 	}
-	*again += int(f.Again)
+	*again += int(f.Reopened)
 }
 
 // The real program, killed again and again: figures are as exact as before, and a folder that is lost begins anew.
@@ -88,7 +88,7 @@
 	w.endpoint("e", 3, "hooks", respond(200))
 	w.endpoint("f", 2, "hooks", func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusGone) })
 	figures := func() *ledger.Snapshot {
-		l, err := ledger.Restore(ledger.Settings{Instance: "n0"}, w.leaves(), ledger.NewEpoch(1, 1, ledger.WhyNew, ""))
+		l, err := ledger.Restore(ledger.Settings{Instance: "n0"}, w.leaves(), ledger.NewEpoch(1, 1, ledger.ReasonNoLedger, ""))
 		must(t, err)
 		return l.Snapshot(0)
 	}
@@ -101,12 +101,12 @@
 		w.awaitEmpty()
 		want := ledger.Count(3 * (n + 1))
 		var s *ledger.Snapshot
-		waitFor(t, func() bool { s = figures(); return s.Total.Served == want && s.Total.Attempts.Out == 0 })
-		if s.Total.Taken != want || s.Total.Open != 0 || len(s.Accounts) != 3 || len(s.Check()) > 0 {
+		waitFor(t, func() bool { s = figures(); return s.Total.Delivered == want && s.Total.Attempts.Out == 0 })
+		if s.Total.Accepted != want || s.Total.Open != 0 || len(s.Accounts) != 3 || len(s.Check()) > 0 {
 			t.Errorf("%+v, %v", s, s.Check())
 		}
 		if old != nil {
-			if d, err := ledger.Diff(old, s); err != nil || d.Anew || len(d.Back) > 0 {
+			if d, err := ledger.Diff(old, s); err != nil || d.EpochChanged || len(d.Decreases) > 0 {
 				t.Errorf("%v %+v", err, d)
 			}
 		}
@@ -118,8 +118,8 @@
 	w.spawn()
 	w.hand("free", "d", 3)
 	w.awaitEmpty()
-	waitFor(t, func() bool { return figures().Total.Served == 1 })
-	if d, err := ledger.Diff(old, figures()); err != nil || !d.Anew {
+	waitFor(t, func() bool { return figures().Total.Delivered == 1 })
+	if d, err := ledger.Diff(old, figures()); err != nil || !d.EpochChanged {
 		t.Errorf("%v %+v", err, d)
 	}
 }
--- a/internal/node/lock_test.go
+++ b/internal/node/lock_test.go
@@ -81,7 +81,7 @@
 	l, err := net.Listen("tcp", w.addr)
 	must(t, err)
 	defer l.Close()
-	w.record(&engine.RecTaken{Message: testMessage("a"), Deadline: inAMinute()})
+	w.record(&engine.RecAccepted{Message: testMessage("a"), Deadline: inAMinute()})
 	before := contents(t, w.dir)
 	code, out := w.rival(w.dir, w.addr)
 	if code != 1 || !strings.Contains(out, "EDGE_LISTEN") {
@@ -99,7 +99,7 @@
 func TestBeforeItIsReadyClientsAreTurnedAway(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t)
-	w.record(&engine.RecTaken{Message: testMessage("old"), Deadline: inAMinute()})
+	w.record(&engine.RecAccepted{Message: testMessage("old"), Deadline: inAMinute()})
 	slow := &moodyDir{Dir: journal.OSDir(w.dir), hold: make(chan struct{})}
 	cfg, err := ParseConfig(w.config(), w.env)
 	must(t, err)
--- a/internal/node/mail.go
+++ b/internal/node/mail.go
@@ -205,7 +205,7 @@
 	}
 	n.mail.transport = mailtransport.New(n.host, n.clock, mailtransport.Settings{
 		Name: n.mail.set.name, Partners: n.mail.set.partners, MostIdle: mailIdle, Log: n.log,
-		ConnectTimeout: engine.Span(n.cfg.Settings.ConnectTimeout), ConnIdle: engine.Span(n.cfg.Settings.ConnIdle),
+		ConnectTimeout: engine.Duration(n.cfg.Settings.ConnectTimeout), ConnIdle: engine.Duration(n.cfg.Settings.ConnIdle),
 	})
 	if n.mail.set.front != nil {
 		set := *n.mail.set.front
@@ -233,7 +233,7 @@
 // startMail begins to tell senders of ends.
 func (n *Node) startMail() {
 	if n.mail != nil && n.mail.front != nil {
-		n.mail.front.Start(n.driver.Through)
+		n.mail.front.Start(n.driver.Notified)
 	}
 }
 
@@ -303,9 +303,9 @@
 	t.Transport.CloseIdle(c)
 }
 
-func (t *twoTransports) Leave(l *engine.Leave) {
-	t.mail.Leave(l)
-	t.Transport.Leave(l)
+func (t *twoTransports) RemoveEndpoint(l *engine.RemoveEndpoint) {
+	t.mail.RemoveEndpoint(l)
+	t.Transport.RemoveEndpoint(l)
 }
 
 // twoSinks tell ends to the platform, but for those of messages that came by mail.
@@ -314,11 +314,11 @@
 	front   *mailfront.Front
 }
 
-func (s *twoSinks) Done(d *engine.Done) {
+func (s *twoSinks) Completed(d *engine.Done) {
 	if mailfront.Owns(d.ID) {
-		s.front.Done(d)
+		s.front.Completed(d)
 	} else {
-		s.notices.Done(d)
+		s.notices.Completed(d)
 	}
 }
 
--- a/internal/node/mail_sim_test.go
+++ b/internal/node/mail_sim_test.go
@@ -250,7 +250,7 @@
 					return false
 				}
 			}
-			return s.books.newest != nil && int(s.books.newest.Total.Taken) >= len(s.mails)
+			return s.books.newest != nil && int(s.books.newest.Total.Accepted) >= len(s.mails)
 		}
 		looked := time.Duration(0)
 		err := s.Run(2*time.Hour, func() bool {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -64,9 +64,9 @@
 
 // Parts lets a rig, such as a simulation, stand between the parts of a node. What is nil stays as it is.
 type Parts struct {
-	Intake  func(engine.Intake) engine.Intake   // what the front hands messages to
-	Listing func(engine.Listing) engine.Listing // what the watch tells
-	Seams   func(driver.Seams) driver.Seams     // what the driver goes by
+	Intake  func(engine.Intake) engine.Intake                         // what the front hands messages to
+	Listing func(engine.MembershipReceiver) engine.MembershipReceiver // what the watch tells
+	Seams   func(driver.Components) driver.Components                 // what the driver goes by
 }
 
 type (
@@ -120,18 +120,18 @@
 	defer n.journal.Close()
 	defer n.closeKept()
 	defer n.closeAdmin()
-	n.notices.Start(n.driver.Through)
+	n.notices.Start(n.driver.Notified)
 	n.startMail()
-	n.driver.Watch()
+	n.driver.MeasureLag()
 	n.host.Go(func() {
 		n.driver.Run()
 		done.Put(nil)
 	})
-	var listing engine.Listing = n
+	var listing engine.MembershipReceiver = n
 	if wrap := n.cfg.Parts.Listing; wrap != nil {
 		listing = wrap(n)
 	}
-	n.watch.Start(partnerlist.Listing(listing, n.cfg.names(), n.host, n.log))
+	n.watch.Start(partnerlist.ListingCallback(listing, n.cfg.names(), n.host, n.log))
 	if err = n.awaitList(); err == nil {
 		n.restore(state)
 		n.startKept()
@@ -146,7 +146,7 @@
 	n.driver.Quit()
 	done.Take(nil, time.Time{})
 	n.notices.Close()
-	n.log.Info("stopped", "held", n.driver.Engine().Open(), "out", n.driver.Engine().Out())
+	n.log.Info("stopped", "held", n.driver.Engine().OpenMessages(), "out", n.driver.Engine().CallsOut())
 	return err
 }
 
@@ -174,11 +174,11 @@
 		n.driver.OnBreach = cfg.Ledger.Breach
 	}
 	n.transport = httptransport.New(n.host, n.clock, httptransport.Settings{
-		ConnectTimeout: engine.Span(cfg.Settings.ConnectTimeout), ConnIdle: engine.Span(cfg.Settings.ConnIdle),
+		ConnectTimeout: engine.Duration(cfg.Settings.ConnectTimeout), ConnIdle: engine.Duration(cfg.Settings.ConnIdle),
 		MostIdle: share.idle, Reports: cfg.Reports, DialBurst: dialBurst, DialGap: dialGap,
 	})
 	n.watch = partnerlist.NewWatch(n.host, cfg.Discovery, n.log)
-	n.watch.Draw = rand.New(rand.NewPCG(cfg.Seed, 1)).Float64
+	n.watch.Random = rand.New(rand.NewPCG(cfg.Seed, 1)).Float64
 	n.notices = partnerlist.NewNotices(n.host, cfg.Discovery, n.log)
 	var intake engine.Intake = n.driver
 	if wrap := cfg.Parts.Intake; wrap != nil {
@@ -209,7 +209,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("EDGE_STATE: %s: %w", n.cfg.State, err)
 	}
-	n.driver.Seams = driver.Seams{Store: n.journal, Transport: n.transports(), Sink: n.sink()}
+	n.driver.Components = driver.Components{Store: n.journal, Transport: n.transports(), Sink: n.sink()}
 	if err := n.openKept(state, seeded.Uint64); err != nil {
 		return nil, errors.Join(fmt.Errorf("EDGE_STATE: %s: %w", n.cfg.State, err), n.journal.Close())
 	}
@@ -220,10 +220,10 @@
 		return nil, errors.Join(fmt.Errorf("EDGE_STATE: %s: %w", n.cfg.State, err), n.journal.Close())
 	}
 	if wrap := n.cfg.Parts.Seams; wrap != nil {
-		n.driver.Seams = wrap(n.driver.Seams)
+		n.driver.Components = wrap(n.driver.Components)
 	}
 	if n.cfg.Known != nil {
-		n.driver.Handle(n.cfg.Known.Cached(n.cfg.names()))
+		n.driver.Handle(n.cfg.Known.CachedMembers(n.cfg.names()))
 	}
 	return state, nil
 }
@@ -281,12 +281,12 @@
 	n.restoreLedger(s)
 	for _, m := range s.Live {
 		m.Message.Class, m.Message.Tenant = wire.Plain(m.Message.Class), wire.Plain(m.Message.Tenant) // as the settings have them
-		n.driver.Tell(m)
+		n.driver.Post(m)
 	}
 	for _, p := range s.Ended {
-		n.driver.Tell(p)
+		n.driver.Post(p)
 	}
-	n.driver.Tell(&s.Last)
+	n.driver.Post(&s.Last)
 	n.log.Info("ready", "name", n.cfg.Name, "held", len(s.Live))
 }
 
@@ -314,7 +314,7 @@
 		n.log.Warn("the front did not close in time", "error", err)
 	}
 	n.awaitMail()
-	n.driver.Idle(limit) // a call that ends now leaves no doubt behind
+	n.driver.WaitIdle(limit) // a call that ends now leaves no doubt behind
 	return nil
 }
 
@@ -368,10 +368,10 @@
 	if now := next.Settings.Instances; next.Fleet && now != n.cfg.Settings.Instances {
 		n.log.Info("the number of dispatchers has changed", "was", n.cfg.Settings.Instances, "is", now)
 		n.cfg.Settings.Instances = now
-		n.driver.Tell(&engine.Fleet{Instances: now})
+		n.driver.Post(&engine.Fleet{Instances: now})
 	}
-	moved := n.watch.Move(next.Discovery)
-	n.notices.Move(next.Discovery)
+	moved := n.watch.SetAddress(next.Discovery)
+	n.notices.SetAddress(next.Discovery)
 	n.log.Info("configuration reloaded", "discovery", next.Discovery, "moved", moved)
 }
 
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -43,7 +43,7 @@
 	w.endpoint("e", 3, "hooks", respond(500))
 	cmd := w.spawn()
 	w.hand("unsafe", "u", 3)
-	waitFor(t, func() bool { e := w.journalled()["u"]; return e != nil && e.Owed != nil })
+	waitFor(t, func() bool { e := w.journalled()["u"]; return e != nil && e.Pending != nil })
 
 	v := newWorld(t) // another discovery, with a list of its own
 	v.tell(partnerlist.Entry{ID: "f", Cell: 5, Phase: "leaving"})
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -130,7 +130,7 @@
 	w.endpoint("e", 3, "hooks", respond(500))
 	cmd := w.spawn()
 	w.hand("unsafe", "u", 3)
-	waitFor(t, func() bool { e := w.journalled()["u"]; return e != nil && e.Owed != nil })
+	waitFor(t, func() bool { e := w.journalled()["u"]; return e != nil && e.Pending != nil })
 	w.kill(cmd)
 	cmd = w.spawn()
 	w.set(func() { w.deaf = false })
@@ -145,7 +145,7 @@
 func TestWhatWasGivenUpIsNotSentAfterARestart(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t)
-	w.record(&engine.RecTaken{Message: testMessage("g"), Deadline: inAMinute()}, &engine.RecOwed{ID: "g", Owed: owedFor("g")})
+	w.record(&engine.RecAccepted{Message: testMessage("g"), Deadline: inAMinute()}, &engine.RecPendingResult{ID: "g", PendingResult: owedFor("g")})
 	w.endpoint("e", 3, "hooks", respond(200))
 	w.spawn()
 	w.awaitNotice("g", "deferred")
--- a/internal/node/rig_test.go
+++ b/internal/node/rig_test.go
@@ -366,7 +366,7 @@
 	return r.Leaves
 }
 
-func (w *world) journalled() map[string]*engine.Restored {
+func (w *world) journalled() map[string]*engine.RestoredMessage {
 	w.t.Helper()
 	dir, err := os.MkdirTemp("", "copy")
 	must(w.t, err)
@@ -375,7 +375,7 @@
 	j, state, err := journal.Open(journal.OSDir(dir), journal.Settings{Disk: 100e6, Owner: "n0", Random: rand.Uint64})
 	must(w.t, err)
 	must(w.t, j.Close())
-	out := map[string]*engine.Restored{}
+	out := map[string]*engine.RestoredMessage{}
 	for _, m := range state.Live {
 		out[m.Message.ID] = m
 	}
--- a/internal/node/store_test.go
+++ b/internal/node/store_test.go
@@ -111,7 +111,7 @@
 		w.deaf = true
 	})
 	mend()
-	waitFor(t, func() bool { e := w.journalled()["u"]; return e != nil && e.Owed != nil })
+	waitFor(t, func() bool { e := w.journalled()["u"]; return e != nil && e.Pending != nil })
 	w.set(func() { w.deaf = false })
 	w.awaitNotice("u", "undeliverable")
 	w.awaitEmpty()
@@ -146,7 +146,7 @@
 	w.endpoint("f", 3, "hooks", stuck)
 	w.awaitCalls("k", 2)
 	e := w.journalled()["k"]
-	if e == nil || e.DoubtAt == 0 || e.DoubtAt > engine.StampOf(failed) {
+	if e == nil || e.DoubtAt == 0 || e.DoubtAt > engine.TimestampOf(failed) {
 		t.Errorf("the doubt of the first attempt is gone: %+v", e)
 	}
 }
@@ -169,13 +169,13 @@
 	for i := range 10 {
 		w.hand("unsafe", fmt.Sprint("m", i), 3) // nobody serves the destination yet
 	}
-	held := func() map[string]*engine.Restored {
+	held := func() map[string]*engine.RestoredMessage {
 		after := disk.Clone()
 		after.PowerFail(func(int) int { return 0 })
 		j, state, err := journal.Open(after.Dir(), journal.Settings{Disk: 1e6, Owner: "n0", Random: rand.Uint64, Log: quiet()})
 		must(t, err)
 		must(t, j.Close())
-		out := map[string]*engine.Restored{}
+		out := map[string]*engine.RestoredMessage{}
 		for _, m := range state.Live {
 			out[m.Message.ID] = m
 		}
--- a/internal/node/undelivered.go
+++ b/internal/node/undelivered.go
@@ -51,14 +51,14 @@
 		inquiries: map[int]redeliver.Inquiry{}, socket: *u.Socket,
 	}
 	rules := &out.desk.Rules
-	rules.Body = mostBody
+	rules.MaxBody = mostBody
 	if c.Mail != nil && c.Mail.front != nil {
-		rules.Body = max(rules.Body, int(c.Mail.front.Size))
+		rules.MaxBody = max(rules.MaxBody, int(c.Mail.front.Size))
 	}
 	for i := range c.Settings.Classes {
 		k := &c.Settings.Classes[i]
 		rules.Classes = append(rules.Classes, resend.Class{
-			Name: k.Name, Effect: k.Effect, ZoneGroup: k.ZoneGroup, InOrder: k.InOrder, Window: k.Window, Deadline: k.Deadline, Worth: k.Worth,
+			Name: k.Name, Effect: k.Effect, ZoneGroup: k.ZoneGroup, Ordered: k.InOrder, DedupWindow: k.Window, Deadline: k.Deadline, Worth: k.Worth,
 		})
 	}
 	out.store.Classes, rules.Tenants = rules.Classes, c.tenants()
@@ -70,7 +70,7 @@
 	}
 	for _, p := range u.Partners {
 		out.desk.Rules.Partners = append(out.desk.Rules.Partners, resend.Partner{
-			Dest: *p.Dest, Settle: span(p.Settle), Remembers: span(p.Remembers),
+			Destination: *p.Dest, SettleTime: span(p.Settle), RememberTime: span(p.Remembers),
 			Proof: map[string]resend.Proof{"none": resend.NoProof, "key": resend.ByKey, "inquiry": resend.ByInquiry}[p.Proof],
 		})
 		if p.Proof == "inquiry" {
@@ -80,8 +80,8 @@
 	for i, r := range u.Rules {
 		at := fmt.Sprintf("undelivered.rule[%d] (%s)", i, r.Name)
 		rule := resend.Rule{
-			Name: r.Name, Dests: r.Dests, Causes: r.Causes, MaxAge: span(r.MaxAge), Tries: r.Tries, First: span(r.First),
-			Factor: r.Factor, Most: span(r.Most), Jitter: *r.Jitter,
+			Name: r.Name, Destinations: r.Dests, Causes: r.Causes, MaxAge: span(r.MaxAge), MaxResends: r.Tries, FirstDelay: span(r.First),
+			Factor: r.Factor, MaxDelay: span(r.Most), Jitter: *r.Jitter,
 			Doubt: map[string]resend.DoubtFilter{"any": resend.AnyDoubt, "none": resend.NoDoubt, "only": resend.OnlyDoubt}[r.Doubt],
 		}
 		for _, name := range r.Classes {
@@ -120,7 +120,7 @@
 		return
 	}
 	n.kept = &keptParts{set: n.cfg.Undelivered}
-	set.Kept = func(m *engine.Message) (engine.VerdictKind, string) { return n.kept.store.Again(m) }
+	set.CheckUndelivered = func(m *engine.Message) (engine.VerdictKind, string) { return n.kept.store.Again(m) }
 }
 
 // openKept opens the store, once the journal has been read, and puts it in the journal's place.
@@ -141,16 +141,16 @@
 		n.driver.Do(func() { k.desk.Answered(q, a, why) })
 	})
 	k.desk.Ports = redeliver.Ports{
-		Resend: func(in *engine.HandIn, life redeliver.Time, told func(engine.Verdict)) {
-			n.driver.Resend(in, n.host.Now().Add(engine.Span(life)), told)
+		Resend: func(in *engine.Submit, life redeliver.Time, told func(engine.Verdict)) {
+			n.driver.Resend(in, n.host.Now().Add(engine.Duration(life)), told)
 		},
 		Condition: n.driver.Engine().Condition,
 		Ask:       k.ask.Ask,
 		Wake:      n.wakeKept,
 	}
-	k.keeper = undelivered.NewKeeper(n.driver.Seams.Store, k.store, n.clock, k.desk)
-	n.driver.Seams.Store = k.keeper
-	n.driver.Seams.Sink = &keptSink{n.driver.Seams.Sink, n}
+	k.keeper = undelivered.NewKeeper(n.driver.Components.Store, k.store, n.clock, k.desk)
+	n.driver.Components.Store = k.keeper
+	n.driver.Components.Sink = &keptSink{n.driver.Components.Sink, n}
 	return nil
 }
 
@@ -160,7 +160,7 @@
 	if k.timer != nil {
 		k.timer.Stop()
 	}
-	wait := max(engine.Span(at-k.store.Now()), time.Millisecond)
+	wait := max(engine.Duration(at-k.store.Now()), time.Millisecond)
 	k.timer = n.host.AfterFunc(wait, func() { n.driver.Do(k.desk.Step) })
 }
 
@@ -222,11 +222,11 @@
 	n *Node
 }
 
-func (s *keptSink) Done(d *engine.Done) {
+func (s *keptSink) Completed(d *engine.Done) {
 	switch {
 	case !s.n.kept.store.Owns(d.ID):
-		s.Sink.Done(d)
-	case d.How == engine.Refused || d.How == engine.Failed:
-		s.n.driver.Through([]string{d.ID})
+		s.Sink.Completed(d)
+	case d.Disposition == engine.Refused || d.Disposition == engine.Failed:
+		s.n.driver.Notified([]string{d.ID})
 	}
 }
--- a/internal/node/undelivered_hard_test.go
+++ b/internal/node/undelivered_hard_test.go
@@ -497,7 +497,7 @@
 		case 1:
 			m.Tenant = "nobody"
 		case 2:
-			m.Dest = 77
+			m.Destination = 77
 		case 3:
 			m.Body = make([]byte, 70_000)
 		case 4:
@@ -537,7 +537,7 @@
 	st.Reconcile(nil, nil)
 	for i := range n {
 		id := fmt.Sprintf("night-%d", i)
-		m := &engine.Message{ID: id, Class: "unsafe", Tenant: "core", Dest: 1, Body: []byte("body of " + id)}
+		m := &engine.Message{ID: id, Class: "unsafe", Tenant: "core", Destination: 1, Body: []byte("body of " + id)}
 		l := undelivered.Life{ID: id, How: "failed", Cause: "time"}
 		if change != nil {
 			change(i, m, &l)
--- a/internal/node/undelivered_sim_test.go
+++ b/internal/node/undelivered_sim_test.go
@@ -142,7 +142,7 @@
 						if e.State == undelivered.Ended || dice.IntN(3) > 0 {
 							return true
 						}
-						no = e.No
+						no = e.Number
 						return false
 					})
 					for range 1 + dice.IntN(2) { // two operators at once
--- a/internal/redeliver/byhand.go
+++ b/internal/redeliver/byhand.go
@@ -96,16 +96,16 @@
 		return out
 	}
 	now, due := d.store.Now(), Time(0)
-	v := d.set.Rules.ByHand(&s.Item, now, o.Vouch)
+	v := d.set.Rules.DecideManual(&s.Item, now, o.Vouch)
 	switch {
-	case v.Do == resend.Leave:
-		out.Did, out.Why = DidRefuse, v.Why
+	case v.Action == resend.Leave:
+		out.Did, out.Why = DidRefuse, v.Reason
 		return out
-	case v.Do == resend.Wait && v.At >= now+d.set.Hand:
-		out.Did, out.Why = DidRefuse, fmt.Sprintf("%s, until %s", v.Why, d.store.Wall(v.At).Format(time.RFC3339))
+	case v.Action == resend.Wait && v.At >= now+d.set.Hand:
+		out.Did, out.Why = DidRefuse, fmt.Sprintf("%s, until %s", v.Reason, d.store.Wall(v.At).Format(time.RFC3339))
 		return out
-	case v.Do == resend.Wait:
-		due, out.Why = v.At, fmt.Sprintf("%s, until %s", v.Why, d.store.Wall(v.At).Format(time.RFC3339))
+	case v.Action == resend.Wait:
+		due, out.Why = v.At, fmt.Sprintf("%s, until %s", v.Reason, d.store.Wall(v.At).Format(time.RFC3339))
 	}
 	if o.DryRun {
 		out.Did = WouldClaim
@@ -122,7 +122,7 @@
 		out.Did, out.Why = DidRefuse, err.Error()
 	default:
 		out.Did, out.Claim = DidClaim, e.Claim.No
-		d.plan.Put(s.Node(), due)
+		d.plan.Schedule(s.Node(), due)
 	}
 	return out
 }
@@ -152,11 +152,11 @@
 	if s.State != undelivered.Waiting && s.State != undelivered.Held {
 		return ""
 	}
-	switch v := d.set.Rules.Judge(&s.Item, d.store.Now()); v.Do {
+	switch v := d.set.Rules.Decide(&s.Item, d.store.Now()); v.Action {
 	case resend.Leave:
-		return "operators: " + v.Why
+		return "operators: " + v.Reason
 	case resend.Wait:
-		return fmt.Sprintf("rule %s, from %s: %s", v.Rule, d.store.Wall(v.At).Format(time.RFC3339), v.Why)
+		return fmt.Sprintf("rule %s, from %s: %s", v.Rule, d.store.Wall(v.At).Format(time.RFC3339), v.Reason)
 	case resend.Ask:
 		return "rule " + v.Rule + ": asks the partner first"
 	default:
--- a/internal/redeliver/desk.go
+++ b/internal/redeliver/desk.go
@@ -31,7 +31,7 @@
 type Ports struct {
 	// Resend hands a message in that may be delivered for so long; told is called with the verdict, on the driver's
 	// goroutine, or never if the driver stops.
-	Resend func(in *engine.HandIn, life Time, told func(engine.Verdict))
+	Resend func(in *engine.Submit, life Time, told func(engine.Verdict))
 
 	// Condition tells how a destination does, and its listed rate.
 	Condition func(dest int) (control.Condition, float64)
@@ -78,7 +78,7 @@
 	d := &Desk{
 		set: set, store: store, plan: resend.NewPlanner(set.Slots, set.Share, set.Trial), log: log, sending: map[uint64]int{},
 	}
-	store.OnDrop(d.plan.Drop)
+	store.OnDrop(d.plan.Remove)
 	return d
 }
 
@@ -88,10 +88,10 @@
 	d.store.Each(0, func(s undelivered.Summary) bool {
 		counts[s.State]++
 		if s.State == undelivered.Away {
-			d.plan.Took(s.Dest)
-			d.sending[s.No] = s.Dest
+			d.plan.AddInFlight(s.Destination)
+			d.sending[s.Number] = s.Destination
 		} else {
-			d.consider(s.No)
+			d.consider(s.Number)
 		}
 		return true
 	})
@@ -114,23 +114,23 @@
 	switch s.State {
 	case undelivered.Claimed:
 		if c := d.store.Claimant(no); c != nil && c.Hand {
-			d.plan.Put(s.Node(), 0)
+			d.plan.Schedule(s.Node(), 0)
 			return
 		}
 	case undelivered.Waiting:
 		if d.store.Early(no) {
 			break
 		}
-		switch v := d.set.Rules.Judge(&s.Item, d.store.Now()); v.Do {
+		switch v := d.set.Rules.Decide(&s.Item, d.store.Now()); v.Action {
 		case resend.Wait:
-			d.plan.Put(s.Node(), v.At)
+			d.plan.Schedule(s.Node(), v.At)
 			return
-		case resend.Ask, resend.Send, resend.SendDoubted:
-			d.plan.Put(s.Node(), d.store.Now())
+		case resend.Ask, resend.Send, resend.SendInDoubt:
+			d.plan.Schedule(s.Node(), d.store.Now())
 			return
 		}
 	}
-	d.plan.Drop(s.Node())
+	d.plan.Remove(s.Node())
 }
 
 // arm asks to be woken when something is due.
@@ -139,7 +139,7 @@
 		return
 	}
 	at := d.swept + sweepEvery
-	if t, ok := d.plan.Next(); ok && t < at {
+	if t, ok := d.plan.NextDue(); ok && t < at {
 		at = t
 	}
 	if now := d.store.Now(); at < now {
@@ -166,8 +166,8 @@
 		}
 	}
 	for _, n := range d.plan.Pick(now, d.Condition) {
-		d.sending[n.No] = n.Dest()
-		d.work(n.No)
+		d.sending[n.Number] = n.Destination()
+		d.work(n.Number)
 	}
 	d.arm()
 }
@@ -176,35 +176,35 @@
 func (d *Desk) work(no uint64) {
 	s, ok := d.store.Get(no)
 	if !ok {
-		d.done(no, resend.Nothing)
+		d.done(no, resend.Inconclusive)
 		return
 	}
 	now := d.store.Now()
-	var v resend.Verdict
+	var v resend.Decision
 	claim, by := uint64(0), ""
 	c := d.store.Claimant(no)
 	switch {
 	case c != nil && c.Hand && c.ID == "":
 		claim, by = c.No, c.By
-		v = d.set.Rules.ByHand(&s.Item, now, c.Vouch)
+		v = d.set.Rules.DecideManual(&s.Item, now, c.Vouch)
 	case c == nil && s.State == undelivered.Waiting:
-		v = d.set.Rules.Judge(&s.Item, now)
+		v = d.set.Rules.Decide(&s.Item, now)
 	default: // it has ended, or somebody else has it
-		d.done(no, resend.Nothing)
+		d.done(no, resend.Inconclusive)
 		return
 	}
-	if v.Do == resend.Wait || v.Do == resend.Leave {
-		d.done(no, resend.Nothing)
-		if v.Do == resend.Wait {
-			d.plan.Put(s.Node(), v.At)
+	if v.Action == resend.Wait || v.Action == resend.Leave {
+		d.done(no, resend.Inconclusive)
+		if v.Action == resend.Wait {
+			d.plan.Schedule(s.Node(), v.At)
 		} else if claim != 0 {
-			d.store.Release(no, claim, v.Why)
+			d.store.Release(no, claim, v.Reason)
 			d.consider(no)
 		}
 		return
 	}
-	if claim == 0 && v.Do != resend.Ask {
-		d.claimAndHand(&s, "rule "+v.Rule, v.Do == resend.SendDoubted)
+	if claim == 0 && v.Action != resend.Ask {
+		d.claimAndHand(&s, "rule "+v.Rule, v.Action == resend.SendInDoubt)
 		return
 	}
 	if claim == 0 {
@@ -215,34 +215,34 @@
 		}
 		claim = e.Claim.No
 	}
-	switch v.Do {
+	switch v.Action {
 	case resend.Ask:
-		d.ask(no, claim, s.Dest)
-	case resend.Clear:
+		d.ask(no, claim, s.Destination)
+	case resend.ClearDoubt:
 		if d.store.Clear(no, claim, by, c.Why) != nil {
 			d.giveBack(no, claim, "what its operator says can't be written")
 			return
 		}
 		d.hand(no, claim, false)
 	default:
-		d.hand(no, claim, v.Do == resend.SendDoubted)
+		d.hand(no, claim, v.Action == resend.SendInDoubt)
 	}
 }
 
 // done says that an entry is not being sent any more.
-func (d *Desk) done(no uint64, f resend.Fared) {
+func (d *Desk) done(no uint64, f resend.SendResult) {
 	if dest, ok := d.sending[no]; ok {
 		delete(d.sending, no)
-		d.plan.Done(dest, d.store.Now(), f)
+		d.plan.Completed(dest, d.store.Now(), f)
 	}
 }
 
 // giveBack releases a claim under which nothing went out, and tries again later.
 func (d *Desk) giveBack(no, claim uint64, why string) {
 	d.store.Release(no, claim, why)
-	d.done(no, resend.Nothing)
+	d.done(no, resend.Inconclusive)
 	if s, ok := d.store.Get(no); ok && s.State == undelivered.Waiting {
-		d.plan.Put(s.Node(), d.store.Now()+later)
+		d.plan.Schedule(s.Node(), d.store.Now()+later)
 	}
 }
 
@@ -255,7 +255,7 @@
 		return
 	}
 	q := &Question{No: no, Claim: claim, Dest: dest, Asked: d.store.Now(), IDs: e.Doubt.IDs, Key: e.Key}
-	if c := d.class(e.Class); c == nil || c.InOrder { // there others have the same key
+	if c := d.class(e.Class); c == nil || c.Ordered { // there others have the same key
 		q.Key = ""
 	}
 	d.Ask(q)
@@ -274,33 +274,33 @@
 	c := d.store.Claimant(q.No)
 	s, ok := d.store.Get(q.No)
 	if !ok || c == nil || c.No != q.Claim || c.ID != "" { // its claim's time was over meanwhile
-		d.done(q.No, resend.Nothing)
+		d.done(q.No, resend.Inconclusive)
 		d.consider(q.No)
 		return
 	}
 	d.store.Asked(q.No, q.Claim, a, why)
-	switch v := d.set.Rules.Answered(&s.Item, q.Asked, d.store.Now(), a); v.Do {
-	case resend.Took:
+	switch v := d.set.Rules.DecideInquiry(&s.Item, q.Asked, d.store.Now(), a); v.Action {
+	case resend.MarkDelivered:
 		d.store.End(q.No, undelivered.EndTook, "inquiry", why, "")
-		d.done(q.No, resend.Good)
-	case resend.Clear:
+		d.done(q.No, resend.Success)
+	case resend.ClearDoubt:
 		if d.store.Clear(q.No, q.Claim, "inquiry", why) != nil {
 			d.giveBack(q.No, q.Claim, "the answer can't be written")
 			return
 		}
 		d.hand(q.No, q.Claim, false)
 	case resend.Wait:
-		d.done(q.No, resend.Nothing)
+		d.done(q.No, resend.Inconclusive)
 		if !c.Hand { // an operator's claim stays: it is tried again as long as that lasts
-			d.store.Release(q.No, q.Claim, v.Why)
+			d.store.Release(q.No, q.Claim, v.Reason)
 		}
 		if s, ok = d.store.Get(q.No); ok {
-			d.plan.Put(s.Node(), v.At)
+			d.plan.Schedule(s.Node(), v.At)
 		}
 	default:
-		d.store.Hold(q.No, "inquiry", v.Why)
-		d.store.Release(q.No, q.Claim, v.Why)
-		d.done(q.No, resend.Nothing)
+		d.store.Hold(q.No, "inquiry", v.Reason)
+		d.store.Release(q.No, q.Claim, v.Reason)
+		d.done(q.No, resend.Inconclusive)
 	}
 }
 
@@ -319,7 +319,7 @@
 
 // claimAndHand is what a rule does with an entry that needs no inquiry.
 func (d *Desk) claimAndHand(s *undelivered.Summary, by string, doubted bool) {
-	claim, m, err := d.store.ClaimAndHand(s.No, undelivered.Claim{By: by})
+	claim, m, err := d.store.ClaimAndHand(s.Number, undelivered.Claim{By: by})
 	if err != nil {
 		d.unclaimed(s, err)
 		return
@@ -329,19 +329,19 @@
 
 // unclaimed says that a claim came to nothing.
 func (d *Desk) unclaimed(s *undelivered.Summary, err error) {
-	d.done(s.No, resend.Nothing)
+	d.done(s.Number, resend.Inconclusive)
 	if !errors.Is(err, undelivered.ErrNone) && !errors.Is(err, undelivered.ErrEnded) {
-		d.plan.Put(s.Node(), d.store.Now()+sweepEvery)
+		d.plan.Schedule(s.Node(), d.store.Now()+sweepEvery)
 	}
 }
 
 // send hands a message in that the store says is away.
 func (d *Desk) send(s *undelivered.Summary, claim uint64, m engine.Message, doubted bool) {
-	in := &engine.HandIn{Message: m, Resent: true, From: &ledger.Key{Class: s.Class, Dest: s.Dest, Tenant: s.Tenant}}
+	in := &engine.Submit{Message: m, Resent: true, ResentFrom: &ledger.Key{Class: s.Class, Destination: s.Destination, Tenant: s.Tenant}}
 	if doubted {
-		in.DoubtAge, in.DoubtZone = max(d.store.Now()-s.Doubt.At, 1), s.Doubt.Zone
+		in.DoubtAge, in.DoubtZone = max(d.store.Now()-s.Doubt.FirstSent, 1), s.Doubt.Zone
 	}
-	no := s.No
+	no := s.Number
 	life := Time(0)
 	if c := d.class(m.Class); c != nil {
 		life = c.Deadline
@@ -353,15 +353,15 @@
 func (d *Desk) told(no, claim uint64, v engine.Verdict) {
 	defer d.arm()
 	switch v.Kind {
-	case engine.Taken:
-	case engine.Unsure, engine.Spent:
+	case engine.Accepted:
+	case engine.Unconfirmed, engine.AlreadyEnded:
 		// The journal may have it. The engine ends it there, and its end comes by the keeper; or the process ends first,
 		// and the next one reads what the journal has.
 	case engine.Invalid, engine.Conflict:
-		d.store.Hold(no, "dispatcher", v.Why)
-		d.giveBack(no, claim, v.Why)
+		d.store.Hold(no, "dispatcher", v.Reason)
+		d.giveBack(no, claim, v.Reason)
 	default:
-		d.giveBack(no, claim, v.Why)
+		d.giveBack(no, claim, v.Reason)
 	}
 }
 
@@ -369,11 +369,11 @@
 func (d *Desk) Over(no uint64, how string, tried bool) {
 	switch {
 	case how == undelivered.EndDelivered:
-		d.done(no, resend.Good)
+		d.done(no, resend.Success)
 	case tried && (how == "failed" || how == "refused"):
-		d.done(no, resend.Bad)
+		d.done(no, resend.Failure)
 	default: // one whose call was out when an earlier process ended fails for that alone
-		d.done(no, resend.Nothing)
+		d.done(no, resend.Inconclusive)
 	}
 	d.arm()
 }
--- a/internal/redeliver/service.go
+++ b/internal/redeliver/service.go
@@ -126,14 +126,14 @@
 
 // fits tells whether an entry is meant, as far as that shows without its file.
 func (f *Filter) fits(s *undelivered.Summary, now Time) bool {
-	age := int64((now - s.Kept) / control.Second)
+	age := int64((now - s.KeptAt) / control.Second)
 	switch {
-	case len(f.Numbers) > 0 && !slices.Contains(f.Numbers, s.No),
+	case len(f.Numbers) > 0 && !slices.Contains(f.Numbers, s.Number),
 		len(f.Classes) > 0 && !slices.Contains(f.Classes, s.Class),
 		len(f.Tenants) > 0 && !slices.Contains(f.Tenants, s.Tenant),
-		len(f.Dests) > 0 && !slices.Contains(f.Dests, s.Dest),
+		len(f.Dests) > 0 && !slices.Contains(f.Dests, s.Destination),
 		len(f.Causes) > 0 && !slices.Contains(f.Causes, s.Cause),
-		f.Doubt != "" && (f.Doubt == "only") != (s.Doubt.At != 0),
+		f.Doubt != "" && (f.Doubt == "only") != (s.Doubt.FirstSent != 0),
 		f.Older > 0 && age < f.Older, f.Younger > 0 && age >= f.Younger:
 		return false
 	case len(f.States) > 0:
@@ -211,9 +211,9 @@
 					more = true
 					return false
 				}
-				next = e.No + 1
-				if f.fits(&e, now) && (len(f.IDs) == 0 || numbers[e.No]) {
-					one := pick{Summary: e, file: s.Desk.store.FileName(e.No)}
+				next = e.Number + 1
+				if f.fits(&e, now) && (len(f.IDs) == 0 || numbers[e.Number]) {
+					one := pick{Summary: e, file: s.Desk.store.FileName(e.Number)}
 					if outlook {
 						one.outlook = s.Desk.Outlook(&e)
 					}
@@ -252,12 +252,12 @@
 			sum[string(p.State)]++
 			e, err := undelivered.Read(s.Dir, p.file)
 			if errors.Is(err, fs.ErrNotExist) { // it was written anew, or went
-				if s.do(ctx, func() { e, err = s.Desk.store.Entry(p.No) }) != nil || err != nil {
+				if s.do(ctx, func() { e, err = s.Desk.store.Entry(p.Number) }) != nil || err != nil {
 					continue
 				}
 			}
 			if err != nil {
-				e = &undelivered.Entry{No: p.No, State: undelivered.Damaged}
+				e = &undelivered.Entry{No: p.Number, State: undelivered.Damaged}
 			}
 			if e.Claim != nil {
 				p.outlook = (&undelivered.ClaimedError{Claim: *e.Claim}).Error()
@@ -273,7 +273,7 @@
 	}
 	var counts undelivered.Counts
 	used, out := int64(0), 0
-	if err := s.do(ctx, func() { counts, used, out = s.Desk.store.Counts, s.Desk.store.Used(), s.Desk.plan.Out() }); err != nil {
+	if err := s.do(ctx, func() { counts, used, out = s.Desk.store.Counts, s.Desk.store.Used(), s.Desk.plan.InFlight() }); err != nil {
 		return err
 	}
 	text, err := json.Marshal(counts)
@@ -344,7 +344,7 @@
 	for _, e := range list {
 		one := e.Summary()
 		age := Time(time.Since(e.KeptAt).Microseconds())
-		if !r.Filter.fits(&one, one.Kept+age) || len(r.Filter.IDs) > 0 && !e.Was(r.Filter.IDs) {
+		if !r.Filter.fits(&one, one.KeptAt+age) || len(r.Filter.IDs) > 0 && !e.Was(r.Filter.IDs) {
 			continue
 		}
 		sum[string(e.State)]++
@@ -363,7 +363,7 @@
 	var list []uint64
 	err := s.picks(ctx, &r.Filter, false, func(p []pick) error {
 		for i := range p {
-			list = append(list, p[i].No)
+			list = append(list, p[i].Number)
 		}
 		return nil
 	})
--- a/internal/sim/breaks.go
+++ b/internal/sim/breaks.go
@@ -25,8 +25,8 @@
 	Host    func(*Dispatcher, host.Host) host.Host
 	Dir     func(*Dispatcher, journal.Dir) journal.Dir
 	Intake  func(*Dispatcher, engine.Intake) engine.Intake
-	Listing func(*Dispatcher, engine.Listing) engine.Listing
-	Seams   func(*Dispatcher, driver.Seams) driver.Seams
+	Listing func(*Dispatcher, engine.MembershipReceiver) engine.MembershipReceiver
+	Seams   func(*Dispatcher, driver.Components) driver.Components
 	Config  func(*node.Config)
 	Posting func(*dice) func(ledger.Posting) []ledger.Posting // what is posted in place of what is to be: see ledger.Settings
 }
@@ -81,17 +81,17 @@
 		{Name: "wait-dropped", Rule: waits, About: "told waits are not passed on", Seams: outcomes(noWait)},
 		{Name: "wait-halved", Rule: waits, About: "half of a told wait is waited", Seams: outcomes(halfWait)},
 
-		{Name: "taken-not-posted", Rule: figures, About: "now and then a message that is taken is not posted", Posting: posts(left, ledger.Taken)},
-		{Name: "taken-posted-twice", Rule: figures, About: "now and then it is posted twice", Posting: posts(double, ledger.Taken)},
-		{Name: "taken-for-another", Rule: figures, About: "now and then it is posted to another account", Posting: posts(elsewhere, ledger.Taken)},
-		{Name: "end-not-posted", Rule: figures, About: "now and then an end is not posted", Posting: posts(left, ledger.Served, ledger.Refused, ledger.Failed)},
-		{Name: "end-posted-twice", Rule: figures, About: "now and then it is posted twice", Posting: posts(double, ledger.Served, ledger.Refused, ledger.Failed)},
-		{Name: "end-for-another", Rule: figures, About: "now and then it is posted to another account", Posting: posts(elsewhere, ledger.Served, ledger.Refused, ledger.Failed)},
-		{Name: "end-misnamed", Rule: figures, About: "now and then a delivery is posted as a failure", Posting: posts(as(ledger.Failed), ledger.Served)},
-		{Name: "attempt-not-posted", Rule: figures, About: "now and then an attempt is not posted", Posting: posts(left, ledger.Sent)},
-		{Name: "attempt-posted-twice", Rule: figures, About: "now and then it is posted twice", Posting: posts(double, ledger.Sent)},
-		{Name: "outcome-not-posted", Rule: figures, About: "now and then how an attempt ended is not posted", Posting: posts(left, ledger.Answered)},
-		{Name: "outcome-for-another", Rule: figures, About: "now and then it is posted to another account", Posting: posts(elsewhere, ledger.Answered)},
+		{Name: "taken-not-posted", Rule: figures, About: "now and then a message that is taken is not posted", Posting: posts(left, ledger.Accepted)},
+		{Name: "taken-posted-twice", Rule: figures, About: "now and then it is posted twice", Posting: posts(double, ledger.Accepted)},
+		{Name: "taken-for-another", Rule: figures, About: "now and then it is posted to another account", Posting: posts(elsewhere, ledger.Accepted)},
+		{Name: "end-not-posted", Rule: figures, About: "now and then an end is not posted", Posting: posts(left, ledger.Delivered, ledger.Refused, ledger.Failed)},
+		{Name: "end-posted-twice", Rule: figures, About: "now and then it is posted twice", Posting: posts(double, ledger.Delivered, ledger.Refused, ledger.Failed)},
+		{Name: "end-for-another", Rule: figures, About: "now and then it is posted to another account", Posting: posts(elsewhere, ledger.Delivered, ledger.Refused, ledger.Failed)},
+		{Name: "end-misnamed", Rule: figures, About: "now and then a delivery is posted as a failure", Posting: posts(as(ledger.Failed), ledger.Delivered)},
+		{Name: "attempt-not-posted", Rule: figures, About: "now and then an attempt is not posted", Posting: posts(left, ledger.AttemptSent)},
+		{Name: "attempt-posted-twice", Rule: figures, About: "now and then it is posted twice", Posting: posts(double, ledger.AttemptSent)},
+		{Name: "outcome-not-posted", Rule: figures, About: "now and then how an attempt ended is not posted", Posting: posts(left, ledger.AttemptAnswered)},
+		{Name: "outcome-for-another", Rule: figures, About: "now and then it is posted to another account", Posting: posts(elsewhere, ledger.AttemptAnswered)},
 		{Name: "leaf-not-written", Rule: figures, About: "of every other account only the first leaf reaches the journal: figures are lost over a restart", Seams: leaves(false)},
 		{Name: "leaf-of-before", Rule: figures, About: "every other account is written as it was at first", Seams: leaves(true)},
 	}
@@ -108,7 +108,7 @@
 }
 func as(what ledger.Entry) func(p ledger.Posting) []ledger.Posting {
 	return func(p ledger.Posting) []ledger.Posting {
-		p.What = what
+		p.Entry = what
 		return []ledger.Posting{p}
 	}
 }
@@ -117,7 +117,7 @@
 func posts(wrong func(ledger.Posting) []ledger.Posting, kinds ...ledger.Entry) func(*dice) func(ledger.Posting) []ledger.Posting {
 	return func(d *dice) func(ledger.Posting) []ledger.Posting {
 		return func(p ledger.Posting) []ledger.Posting {
-			if slices.Contains(kinds, p.What) && d.chance(0.1) {
+			if slices.Contains(kinds, p.Entry) && d.chance(0.1) {
 				return wrong(p)
 			}
 			return []ledger.Posting{p}
@@ -126,11 +126,11 @@
 }
 
 // leaves drops all that is written of every other leaf on its way to the journal, or puts its first text in its place.
-func leaves(before bool) func(*Dispatcher, driver.Seams) driver.Seams {
-	return func(d *Dispatcher, s driver.Seams) driver.Seams {
+func leaves(before bool) func(*Dispatcher, driver.Components) driver.Components {
+	return func(d *Dispatcher, s driver.Components) driver.Components {
 		dice, old, lost := stream(d.f.seed, "break", d.starts), map[uint64][]byte{}, map[uint64]bool{}
 		s.Store = &store{s.Store, func(r engine.Record) engine.Record {
-			l, ok := r.(*engine.RecLeaf)
+			l, ok := r.(*engine.RecLedgerLeaf)
 			if !ok {
 				return r
 			}
@@ -143,7 +143,7 @@
 			case !lost[l.Number] || bytes.Equal(was, l.Text):
 			case before:
 				d.injected()
-				return &engine.RecLeaf{Number: l.Number, Text: was}
+				return &engine.RecLedgerLeaf{Number: l.Number, Text: was}
 			default:
 				d.injected()
 				return nil
@@ -158,13 +158,13 @@
 
 type intake func(m *engine.Message, deadline time.Time) engine.Verdict
 
-func (f intake) HandIn(m *engine.Message, deadline time.Time) engine.Verdict { return f(m, deadline) }
+func (f intake) Submit(m *engine.Message, deadline time.Time) engine.Verdict { return f(m, deadline) }
 
 func takenThoughBusy(_ *Dispatcher, next engine.Intake) engine.Intake {
 	return intake(func(m *engine.Message, deadline time.Time) engine.Verdict {
-		v := next.HandIn(m, deadline)
+		v := next.Submit(m, deadline)
 		if v.Kind == engine.Busy {
-			v = engine.Verdict{Kind: engine.Taken}
+			v = engine.Verdict{Kind: engine.Accepted}
 		}
 		return v
 	})
@@ -176,7 +176,7 @@
 
 func (f listing) Members(m *engine.Members) bool { return f(m) }
 
-func unheard(_ *Dispatcher, next engine.Listing) engine.Listing {
+func unheard(_ *Dispatcher, next engine.MembershipReceiver) engine.MembershipReceiver {
 	return listing(func(m *engine.Members) bool {
 		for i := range m.List {
 			m.List[i].Phase = engine.Active
@@ -185,9 +185,9 @@
 	})
 }
 
-func late(d *Dispatcher, next engine.Listing) engine.Listing {
+func late(d *Dispatcher, next engine.MembershipReceiver) engine.MembershipReceiver {
 	return listing(func(m *engine.Members) bool {
-		if m.Whole || m.Failed {
+		if m.FullList || m.Failed {
 			return next.Members(m)
 		}
 		d.p.AfterFunc(2500*ms, func() { next.Members(m) })
@@ -210,14 +210,14 @@
 		}
 	}
 	if len(kept) == 0 {
-		kept = append(kept, &engine.RecMark{})
+		kept = append(kept, &engine.RecNoop{})
 	}
 	return s.Store.Append(b, kept)
 }
 
 // records wraps the store by a filter that is made anew for each process.
-func records(filter func(*dice) func(engine.Record) engine.Record) func(*Dispatcher, driver.Seams) driver.Seams {
-	return func(d *Dispatcher, s driver.Seams) driver.Seams {
+func records(filter func(*dice) func(engine.Record) engine.Record) func(*Dispatcher, driver.Components) driver.Components {
+	return func(d *Dispatcher, s driver.Components) driver.Components {
 		s.Store = &store{s.Store, filter(stream(d.f.seed, "break", d.starts))}
 		return s
 	}
@@ -227,7 +227,7 @@
 	gone := map[string]bool{}
 	return func(r engine.Record) engine.Record {
 		switch r := r.(type) {
-		case *engine.RecTaken:
+		case *engine.RecAccepted:
 			if d.chance(0.25) {
 				gone[r.Message.ID] = true
 				return nil
@@ -236,7 +236,7 @@
 			return unlessGone(gone, r.ID, r)
 		case *engine.RecState:
 			return unlessGone(gone, r.ID, r)
-		case *engine.RecOwed:
+		case *engine.RecPendingResult:
 			return unlessGone(gone, r.ID, r)
 		case *engine.RecEnded:
 			return unlessGone(gone, r.ID, r)
@@ -275,7 +275,7 @@
 }
 
 // settled records behind each attempt that it never ran.
-func settled(_ *Dispatcher, s driver.Seams) driver.Seams {
+func settled(_ *Dispatcher, s driver.Components) driver.Components {
 	s.Store = &settledStore{s.Store}
 	return s
 }
@@ -299,10 +299,10 @@
 
 type sinkFunc func(d *engine.Done)
 
-func (f sinkFunc) Done(d *engine.Done) { f(d) }
+func (f sinkFunc) Completed(d *engine.Done) { f(d) }
 
-func sink(wrap func(d *dice, next engine.Sink) engine.Sink) func(*Dispatcher, driver.Seams) driver.Seams {
-	return func(d *Dispatcher, s driver.Seams) driver.Seams {
+func sink(wrap func(d *dice, next engine.Sink) engine.Sink) func(*Dispatcher, driver.Components) driver.Components {
+	return func(d *Dispatcher, s driver.Components) driver.Components {
 		s.Sink = wrap(stream(d.f.seed, "break", d.starts), s.Sink)
 		return s
 	}
@@ -311,19 +311,19 @@
 func notTold(dice *dice, next engine.Sink) engine.Sink {
 	return sinkFunc(func(d *engine.Done) {
 		if !dice.chance(0.1) {
-			next.Done(d)
+			next.Completed(d)
 		}
 	})
 }
 
 func deferred(_ *dice, next engine.Sink) engine.Sink {
 	return sinkFunc(func(d *engine.Done) {
-		if d.How == engine.Failed {
+		if d.Disposition == engine.Failed {
 			told := *d
-			told.How = engine.Refused
+			told.Disposition = engine.Refused
 			d = &told
 		}
-		next.Done(d)
+		next.Completed(d)
 	})
 }
 
@@ -344,8 +344,8 @@
 func (e *callEvents) Ended(id engine.CallID, outs []engine.Outcome) { e.ended(e.CallEvents, id, outs) }
 
 // outcomes changes each outcome that a transport tells.
-func outcomes(change func(o *engine.Outcome)) func(*Dispatcher, driver.Seams) driver.Seams {
-	return func(_ *Dispatcher, s driver.Seams) driver.Seams {
+func outcomes(change func(o *engine.Outcome)) func(*Dispatcher, driver.Components) driver.Components {
+	return func(_ *Dispatcher, s driver.Components) driver.Components {
 		s.Transport = &transport{s.Transport, func(next engine.Transport, c *engine.Call, on engine.CallEvents) {
 			next.Start(c, &callEvents{on, func(on engine.CallEvents, id engine.CallID, outs []engine.Outcome) {
 				for i := range outs {
@@ -359,20 +359,20 @@
 }
 
 func imagined(o *engine.Outcome) {
-	if o.Result == control.Full {
-		o.Result, o.Wait = control.OK, 0
+	if o.Result == control.Refused {
+		o.Result, o.RetryAfter = control.OK, 0
 	}
 }
 
 func certain(o *engine.Outcome) {
-	if !o.Open && (o.Result == control.TimedOut || o.Result == control.Reset) {
+	if !o.CallOpen && (o.Result == control.TimedOut || o.Result == control.Reset) {
 		o.Result = control.ConnectFailed
 	}
 }
 
 func unlearnt(o *engine.Outcome) {
-	if o.Result == control.ConnectFailed || o.Result == control.Full {
-		o.Result, o.Wait = control.Moot, 0
+	if o.Result == control.ConnectFailed || o.Result == control.Refused {
+		o.Result, o.RetryAfter = control.Moot, 0
 	}
 }
 
@@ -382,11 +382,11 @@
 	}
 }
 
-func noWait(o *engine.Outcome)   { o.Wait = 0 }
-func halfWait(o *engine.Outcome) { o.Wait /= 2 }
+func noWait(o *engine.Outcome)   { o.RetryAfter = 0 }
+func halfWait(o *engine.Outcome) { o.RetryAfter /= 2 }
 
 // swapped gives a call the outcome of the one that ended before it, where each has one message.
-func swapped(_ *Dispatcher, s driver.Seams) driver.Seams {
+func swapped(_ *Dispatcher, s driver.Components) driver.Components {
 	last := engine.Outcome{Result: control.OK}
 	s.Transport = &transport{s.Transport, func(next engine.Transport, c *engine.Call, on engine.CallEvents) {
 		single := len(c.Items) == 1
@@ -402,7 +402,7 @@
 }
 
 // copied makes one call in ten twice.
-func copied(d *Dispatcher, s driver.Seams) driver.Seams {
+func copied(d *Dispatcher, s driver.Components) driver.Components {
 	dice := stream(d.f.seed, "break", d.starts)
 	s.Transport = &transport{s.Transport, func(next engine.Transport, c *engine.Call, on engine.CallEvents) {
 		next.Start(c, on)
@@ -430,10 +430,10 @@
 func (deaf) Ended(engine.CallID, []engine.Outcome) {}
 
 // slowStart starts calls late, and asks nobody any more whether they may still be written.
-func slowStart(d *Dispatcher, s driver.Seams) driver.Seams {
+func slowStart(d *Dispatcher, s driver.Components) driver.Components {
 	p := d.m.Process()
 	s.Transport = &transport{s.Transport, func(next engine.Transport, c *engine.Call, on engine.CallEvents) {
-		if d.f.leaving[c.Name] {
+		if d.f.leaving[c.EndpointID] {
 			p.AfterFunc(1500*ms, func() { next.Start(c, &willing{on, len(c.Items)}) })
 			return
 		}
--- a/internal/sim/ends.go
+++ b/internal/sim/ends.go
@@ -53,7 +53,7 @@
 	defer j.Close()
 	d.leafs(state.Leaves)
 	for _, m := range state.Live {
-		f.violation("leftovers", "d%d's folder still has %s (its end is decided: %t)", d.n, m.Message.ID, m.Owed != nil)
+		f.violation("leftovers", "d%d's folder still has %s (its end is decided: %t)", d.n, m.Message.ID, m.Pending != nil)
 	}
 }
 
--- a/internal/sim/farm.go
+++ b/internal/sim/farm.go
@@ -270,14 +270,14 @@
 		}
 		return intake(func(m *engine.Message, deadline time.Time) engine.Verdict {
 			f.fate(m.ID).deadline = f.w.Now() + deadline.Sub(d.m.Process().Now())
-			return next.HandIn(m, deadline)
+			return next.Submit(m, deadline)
 		})
 	}}
 	if b.Listing != nil {
-		p.Listing = func(l engine.Listing) engine.Listing { return b.Listing(d, l) }
+		p.Listing = func(l engine.MembershipReceiver) engine.MembershipReceiver { return b.Listing(d, l) }
 	}
 	if b.Seams != nil {
-		p.Seams = func(s driver.Seams) driver.Seams { return b.Seams(d, s) }
+		p.Seams = func(s driver.Components) driver.Components { return b.Seams(d, s) }
 	}
 	return p
 }
--- a/internal/sim/ledger.go
+++ b/internal/sim/ledger.go
@@ -64,7 +64,7 @@
 		d.f.w.After(foundWithin, func() { d.overdue(p, again) })
 		return
 	}
-	if s := d.shown; s != nil && slices.ContainsFunc(s.Breaches, func(b ledger.Breach) bool { return b.What == ledger.InStore && b.Healed == 0 }) {
+	if s := d.shown; s != nil && slices.ContainsFunc(s.Breaches, func(b ledger.Breach) bool { return b.Check == ledger.CheckStore && b.ResolvedAt == 0 }) {
 		return // the same as in the process before, which is on record and stands
 	}
 	d.f.violation(inTime, "%s: an error that was put into its books at %v was not found", d.name, at)
@@ -73,18 +73,18 @@
 
 // breached is told of a breach that a dispatcher found, or that has healed.
 func (d *Dispatcher) breached(b ledger.Breach) {
-	if d.wrong > 0 && b.Healed == 0 {
+	if d.wrong > 0 && b.ResolvedAt == 0 {
 		d.f.count("breach found")
 		d.wrong = -1 // it stays found: what comes on top may cancel it
 	}
-	if b.Healed == 0 && !d.lostSome(&b) {
-		d.f.violation(figures, "%s: %v: %s: books %d, counted %d", d.name, b.Key, b.What, b.Books, b.Counted)
+	if b.ResolvedAt == 0 && !d.lostSome(&b) {
+		d.f.violation(figures, "%s: %v: %s: books %d, counted %d", d.name, b.Key, b.Check, b.Booked, b.Counted)
 	}
 }
 
 // lostSome tells that a breach is of messages that a power failure took: then it is true.
 func (d *Dispatcher) lostSome(b *ledger.Breach) bool {
-	if len(d.losses) == 0 || b.What != ledger.Restarted && b.What != ledger.LiveDoubt {
+	if len(d.losses) == 0 || b.Check != ledger.CheckRestart && b.Check != ledger.CheckLiveDoubt {
 		return false
 	}
 	d.f.count("what a power failure took is told as a breach")
@@ -119,7 +119,7 @@
 		t := f.tallyOf(e.ID)
 		t.handIns++
 		if m := f.byID[e.ID]; m != nil {
-			t.key = ledger.Key{Class: wire.Plain(m.Class.Name), Dest: m.Dest, Tenant: wire.Plain(m.Tenant)}
+			t.key = ledger.Key{Class: wire.Plain(m.Class.Name), Destination: m.Dest, Tenant: wire.Plain(m.Tenant)}
 		}
 	case judge.ClientAnswer:
 		switch t := f.tallyOf(e.ID); e.Status {
@@ -139,7 +139,7 @@
 }
 
 // bounds are what an account's figures may be by what is known from outside.
-type bounds struct{ least, most ledger.Figures }
+type bounds struct{ least, most ledger.Counts }
 
 // add adds what is known of one id. What became known after the moment given need not be in the figures yet.
 func (b *bounds) add(t *tally, at time.Duration, over bool) {
@@ -151,14 +151,14 @@
 	if t.unclear {
 		lives = 8
 	}
-	b.most.Taken += lives
+	b.most.Accepted += lives
 	if t.taken > 0 && t.taken < at {
-		b.least.Taken++
+		b.least.Accepted++
 	}
 	if t.served {
-		b.most.Served += lives
+		b.most.Delivered += lives
 		if over && t.taken > 0 && t.deferred == 0 && t.undeliver == 0 && !t.unclear {
-			b.least.Served++
+			b.least.Delivered++
 		}
 	}
 	if !over || t.deferred > 0 || t.unclear {
@@ -211,8 +211,8 @@
 		switch diff, err := ledger.Diff(old, s); {
 		case err != nil:
 			f.violation(figures, "%s: %v", d.name, err)
-		case len(diff.Back) > 0:
-			f.violation(figures, "%s: figures step back: %+v", d.name, diff.Back[0])
+		case len(diff.Decreases) > 0:
+			f.violation(figures, "%s: figures step back: %+v", d.name, diff.Decreases[0])
 		}
 	}
 	d.shown = s
@@ -253,7 +253,7 @@
 			name              string
 			least, most, have ledger.Count
 		}{
-			{"taken", b.least.Taken, b.most.Taken, a.Taken}, {"served", b.least.Served, b.most.Served, a.Served},
+			{"taken", b.least.Accepted, b.most.Accepted, a.Accepted}, {"served", b.least.Delivered, b.most.Delivered, a.Delivered},
 			{"refused", b.least.Refused, b.most.Refused, a.Refused}, {"failed", b.least.Failed, b.most.Failed, a.Failed},
 		} {
 			if c.have < c.least || c.have > c.most {
--- a/internal/sim/memory_test.go
+++ b/internal/sim/memory_test.go
@@ -55,7 +55,7 @@
 	o.Break = Break{Seams: records(func(*dice) func(engine.Record) engine.Record {
 		var kept [][]byte
 		return func(r engine.Record) engine.Record {
-			if _, ok := r.(*engine.RecTaken); ok {
+			if _, ok := r.(*engine.RecAccepted); ok {
 				kept = append(kept, make([]byte, 4<<10))
 			}
 			return r
--- a/internal/sim/sliceagent.go
+++ b/internal/sim/sliceagent.go
@@ -14,8 +14,8 @@
 // sliceTiming are a source's times, for seeds that last 45 s.
 func sliceTiming() endpointslice.Timing {
 	return endpointslice.Timing{
-		Watch: 5 * time.Second, Silence: 2500 * ms, Sync: 2 * time.Second, Page: 2 * time.Second, Least: 50 * ms, Most: time.Second,
-		Plain: 8 * time.Second, Recheck: 200 * ms,
+		WatchDuration: 5 * time.Second, WatchIdleTimeout: 2500 * ms, InitialListIdleTimeout: 2 * time.Second, PageTimeout: 2 * time.Second, MinBackoff: 50 * ms, MaxBackoff: time.Second,
+		StreamingRetryInterval: 8 * time.Second, EmptyListRecheck: 200 * ms,
 	}
 }
 
@@ -47,17 +47,17 @@
 			panic(fmt.Sprintf("the agent of %s: %v", a.d.name, err))
 		}
 	}
-	client, err := endpointslice.NewClientOn(h, endpointslice.Access{Server: "http://" + f.api.m.Addr(apiPort)})
+	client, err := endpointslice.NewClientWithHost(h, endpointslice.Access{Server: "http://" + f.api.m.Addr(apiPort)})
 	fatal(err)
 	var sources []*endpointslice.Source
 	var names []string
 	for _, t := range f.dests {
 		s, err := endpointslice.New(client, endpointslice.Partner{
-			Name: fmt.Sprintf("p%d", t.n), Namespace: "default", Selector: fmt.Sprintf("dest=%d", t.n), Dest: t.n, Kind: t.kind.Name,
+			Name: fmt.Sprintf("p%d", t.n), Namespace: "default", Selector: fmt.Sprintf("dest=%d", t.n), Destination: t.n, Kind: t.kind.Name,
 			Weight: t.site.Rate, Grace: sliceGrace, EmptyHold: sliceHold,
 		}, slog.New(&logs{d: a.d}))
 		fatal(err)
-		s.Simulated(sliceTiming(), stream(f.seed, "source "+a.d.name, life*100+t.n).next)
+		s.ConfigureSimulation(sliceTiming(), stream(f.seed, "source "+a.d.name, life*100+t.n).next)
 		sources, names = append(sources, s), append(names, s.Name())
 	}
 	table, err := membership.New(membership.Settings{Sources: names})
@@ -73,7 +73,7 @@
 	for {
 		for _, v := range inbox.Take(nil, time.Time{}) {
 			t := v.(told)
-			changes, refused, err := table.Tell(h.Now(), t.name, t.u)
+			changes, refused, err := table.Apply(h.Now(), t.name, t.u)
 			fatal(err)
 			for _, r := range refused {
 				f.violation("leftovers", "the agent of %s refuses endpoint %s: %v", a.d.name, r.ID, r.Err)
--- a/internal/suite/daemon.go
+++ b/internal/suite/daemon.go
@@ -121,7 +121,7 @@
 			d.withdraw = in.(interface{ Withdraw(string) }).Withdraw
 			return in
 		},
-		Seams: func(s driver.Seams) driver.Seams {
+		Seams: func(s driver.Components) driver.Components {
 			s.Transport, s.Sink = &wrongly{s.Transport, d.opt.Wrong}, &ending{s.Sink, d}
 			return s
 		},
@@ -140,13 +140,13 @@
 	d *daemon
 }
 
-func (e *ending) Done(x *engine.Done) {
-	e.d.fate(x.ID).Final = finals[x.How]
-	e.Sink.Done(x)
+func (e *ending) Completed(x *engine.Done) {
+	e.d.fate(x.ID).Final = finals[x.Disposition]
+	e.Sink.Completed(x)
 }
 
-var finals = map[engine.How]string{
-	engine.Delivered: "answered", engine.Over: "answered", engine.Refused: "refused", engine.Failed: "failed", engine.Withdrawn: "cancelled",
+var finals = map[engine.Disposition]string{
+	engine.Delivered: "answered", engine.Closed: "answered", engine.Refused: "refused", engine.Failed: "failed", engine.Withdrawn: "cancelled",
 }
 
 func (d *daemon) entry(name string, p engine.Phase, at string) partnerlist.Entry {
@@ -323,7 +323,7 @@
 
 func (c counting) Dial(addr string, limit time.Duration, abort *host.Abort) (net.Conn, error) {
 	nc, err := c.Host.Dial(addr, limit, abort)
-	if err != nil && !abort.Done() && addr != c.d.platform.Addr(7000) {
+	if err != nil && !abort.Completed() && addr != c.d.platform.Addr(7000) {
 		c.d.unmet++
 	}
 	return nc, err
--- a/internal/suite/plugin.go
+++ b/internal/suite/plugin.go
@@ -161,7 +161,7 @@
 func (s *source) Name() string { return "suite" }
 
 func (s *source) Run(ctx context.Context, tell func(membership.Update)) error {
-	tell(membership.Update{Kind: membership.Whole, Endpoints: s.list})
+	tell(membership.Update{Kind: membership.FullList, Endpoints: s.list})
 	s.to = tell
 	close(s.begun)
 	<-ctx.Done()
--- a/internal/suite/suite_test.go
+++ b/internal/suite/suite_test.go
@@ -93,7 +93,7 @@
 	if lines, _ := Diff(d, p); len(lines) > 0 {
 		t.Fatal(lines)
 	}
-	wrong, err := Daemon(s, Options{Wrong: map[control.Result]control.Result{control.Errored: control.Full}})
+	wrong, err := Daemon(s, Options{Wrong: map[control.Result]control.Result{control.Errored: control.Refused}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/transport/grpc/attempt.go
+++ b/internal/transport/grpc/attempt.go
@@ -137,11 +137,11 @@
 	case s.replied && !ours: // the partner has replied; that this side can't take it (a size limit) changes nothing
 		return verdict{engine.Outcome{Result: control.OK}, true}
 	case never && s.refused:
-		return outcome(control.Full)
+		return outcome(control.Refused)
 	case never && (ctx.Err() != nil || s.above):
 		return outcome(control.Moot)
 	case !ours && !s.reset && !s.answered: // this side's gRPC won't send it (too large, credentials): no endpoint can help
-		o := verdict{engine.Outcome{Result: control.Cancelled, Over: true}, true}
+		o := verdict{engine.Outcome{Result: control.Cancelled, Closed: true}, true}
 		if never {
 			o.Result = control.Moot
 		}
@@ -161,18 +161,18 @@
 	if !s.replied {
 		if code == codes.ResourceExhausted || code == codes.Unavailable {
 			if wait, told := toldWait(err, s.trailer); told {
-				return verdict{Outcome: engine.Outcome{Result: control.Full, Wait: wait}}
+				return verdict{Outcome: engine.Outcome{Result: control.Refused, RetryAfter: wait}}
 			}
 		}
 		if slices.Contains(turnsAway, code) {
-			return verdict{Outcome: engine.Outcome{Result: control.Full}}
+			return verdict{Outcome: engine.Outcome{Result: control.Refused}}
 		}
 	}
 	switch code {
 	case codes.Unavailable: // a server's own, a proxy's, or an application's: it may have run
 		return verdict{Outcome: engine.Outcome{Result: control.Errored}}
 	case codes.Unknown, codes.Internal, codes.DataLoss, codes.DeadlineExceeded, codes.Canceled:
-		return verdict{engine.Outcome{Result: control.Errored, Over: true}, true} // an answer, but no sign of health
+		return verdict{engine.Outcome{Result: control.Errored, Closed: true}, true} // an answer, but no sign of health
 	}
 	return verdict{engine.Outcome{Result: control.OK}, true}
 }
--- a/internal/transport/grpc/transport.go
+++ b/internal/transport/grpc/transport.go
@@ -120,7 +120,7 @@
 }
 
 // Leave is engine.Transport's: attempts of which nothing is written yet end as Moot.
-func (t *Transport) Leave(l *engine.Leave) {
+func (t *Transport) RemoveEndpoint(l *engine.RemoveEndpoint) {
 	for _, cl := range t.all() {
 		cl.leave(place{l.Endpoint, l.Addr})
 	}
--- a/internal/transport/http/answer.go
+++ b/internal/transport/http/answer.go
@@ -17,7 +17,7 @@
 // answered turns an answer into the outcomes of the items left.
 func (k *call) answered(a *http1.Answer) {
 	o := engine.Outcome{
-		Wait: retryAfter(a.Get("Retry-After")), Report: loadReport(a.Get("Endpoint-Load-Metrics"), k.t.set.Reports),
+		RetryAfter: retryAfter(a.Get("Retry-After")), LoadReport: loadReport(a.Get("Endpoint-Load-Metrics"), k.t.set.Reports),
 	}
 	switch {
 	case a.Status == http.StatusOK && k.batch:
@@ -26,15 +26,15 @@
 	case a.Status == http.StatusOK:
 		o.Result = control.OK
 	case a.Status == http.StatusTooManyRequests:
-		o.Result = control.Full
+		o.Result = control.Refused
 	case a.Status == http.StatusServiceUnavailable:
-		if o.Result = control.Full; a.Get("Slots-Taken") == "1" {
+		if o.Result = control.Refused; a.Get("Slots-Taken") == "1" {
 			o.Result = control.Moot
 		}
 	case a.Status == http.StatusGatewayTimeout: // spent: its end is still owed
 		o.Result = control.Moot
 	case a.Status == http.StatusGone:
-		o.Result, o.Over = control.Moot, true
+		o.Result, o.Closed = control.Moot, true
 	case k.batch && (a.Status == http.StatusBadRequest || a.Status == http.StatusRequestEntityTooLarge):
 		o.Result = control.Moot // none has run
 	default:
@@ -61,9 +61,9 @@
 		case "delivered":
 			one.Result = control.OK
 		case "refused":
-			one.Result = control.Full
+			one.Result = control.Refused
 		case "over":
-			one.Result, one.Over = control.Moot, true
+			one.Result, one.Closed = control.Moot, true
 		case "spent":
 			one.Result = control.Moot
 		default:
--- a/internal/transport/http/bench_test.go
+++ b/internal/transport/http/bench_test.go
@@ -47,7 +47,7 @@
 	t := New(host.System{}, clock, Settings{ConnectTimeout: time.Second, ConnIdle: 5 * time.Second, MostIdle: 8})
 	defer t.Close(generous)
 	o := &one{make(chan control.Result)}
-	items := []engine.Item{{ID: "9b1f03aa5c7e2d41", Key: "k-a", Body: []byte("body a"), Due: clock.At(time.Now().Add(time.Hour))}}
+	items := []engine.Item{{ID: "9b1f03aa5c7e2d41", Key: "k-a", Body: []byte("body a"), Deadline: clock.At(time.Now().Add(time.Hour))}}
 	addr, id := l.Addr().String(), engine.CallID(0)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/transport/http/call.go
+++ b/internal/transport/http/call.go
@@ -76,7 +76,7 @@
 
 // unwritten ends a call whose write failed: at the endpoint, or because we broke it off.
 func (k *call) unwritten() {
-	if k.abort.Done() {
+	if k.abort.Completed() {
 		k.end(control.Moot)
 	} else {
 		k.end(control.ConnectFailed)
@@ -90,11 +90,11 @@
 	for {
 		now := k.t.clock.At(k.t.host.Now())
 		for i := range k.left {
-			if k.Items[i].Due <= now {
+			if k.Items[i].Deadline <= now {
 				k.add(i, engine.Outcome{Result: control.Moot})
 			}
 		}
-		if k.open == 0 || k.abort.Done() {
+		if k.open == 0 || k.abort.Completed() {
 			k.end(control.Moot)
 			return nil, nil
 		}
@@ -151,7 +151,7 @@
 	switch {
 	case err == nil:
 		return newConn(k.t.host, nc, k.peer)
-	case k.abort.Done(), due && errors.As(err, &timeout) && timeout.Timeout(), !k.t.host.Now().Before(last), ours(err):
+	case k.abort.Completed(), due && errors.As(err, &timeout) && timeout.Timeout(), !k.t.host.Now().Before(last), ours(err):
 		k.end(control.Moot) // it says nothing about the endpoint
 	default:
 		k.end(control.ConnectFailed)
@@ -171,7 +171,7 @@
 		Until: k.t.clock.Time(k.due()), Span: answerSpan, Body: answerBody, Discard: !k.batch, Progress: k,
 	})
 	k.abort.On(nil)
-	called := k.abort.Done() // then its connection is closed, or is about to be
+	called := k.abort.Completed() // then its connection is closed, or is about to be
 	switch {
 	case err == nil:
 		if a.More {
@@ -231,8 +231,8 @@
 // due is when the next item is given up, last when the last is.
 func (k *call) due() (at engine.Time) {
 	for i, l := range k.left {
-		if l && (at == 0 || k.Items[i].Due < at) {
-			at = k.Items[i].Due
+		if l && (at == 0 || k.Items[i].Deadline < at) {
+			at = k.Items[i].Deadline
 		}
 	}
 	return at
@@ -241,7 +241,7 @@
 func (k *call) last() (at engine.Time) {
 	for i, l := range k.left {
 		if l {
-			at = max(at, k.Items[i].Due)
+			at = max(at, k.Items[i].Deadline)
 		}
 	}
 	return at
