--- a/internal/transport/http/call_test.go
+++ b/internal/transport/http/call_test.go
@@ -53,13 +53,13 @@
 		{status("500 x"), engine.Outcome{Result: control.Errored}},
 		{status("418 x"), engine.Outcome{Result: control.Errored}},
 		{status("400 x"), engine.Outcome{Result: control.Errored}},
-		{status("429 x", "Retry-After: 0.25"), engine.Outcome{Result: control.Full, Wait: 250 * time.Millisecond}},
-		{status("503 x"), engine.Outcome{Result: control.Full}},
-		{status("503 x", "Retry-After: 2"), engine.Outcome{Result: control.Full, Wait: 2 * time.Second}},
+		{status("429 x", "Retry-After: 0.25"), engine.Outcome{Result: control.Refused, RetryAfter: 250 * time.Millisecond}},
+		{status("503 x"), engine.Outcome{Result: control.Refused}},
+		{status("503 x", "Retry-After: 2"), engine.Outcome{Result: control.Refused, RetryAfter: 2 * time.Second}},
 		{status("503 x", "Slots-Taken: 1"), engine.Outcome{Result: control.Moot}},
 		{status("504 x"), engine.Outcome{Result: control.Moot}},
-		{status("410 x"), engine.Outcome{Result: control.Moot, Over: true}},
-		{status("503 x", "Endpoint-Load-Metrics: TEXT x0=0.5, x1=25"), engine.Outcome{Result: control.Full, Report: []float32{0.5, 25}}},
+		{status("410 x"), engine.Outcome{Result: control.Moot, Closed: true}},
+		{status("503 x", "Endpoint-Load-Metrics: TEXT x0=0.5, x1=25"), engine.Outcome{Result: control.Refused, LoadReport: []float32{0.5, 25}}},
 		{"", engine.Outcome{Result: control.Reset}},
 		{"garbage\r\n\r\n", engine.Outcome{Result: control.Errored}},
 		{"HTTP/1.1 200 OK\r\nContent-Le", engine.Outcome{Result: control.OK}},
@@ -73,8 +73,8 @@
 		})
 		b := newBench(t)
 		got := b.run(s.addr, b.items("a")...)[0]
-		if got.Result != c.want.Result || got.Wait != c.want.Wait || got.Over != c.want.Over || got.Open ||
-			!slices.Equal(got.Report, c.want.Report) || (got.At != 0) != (got.Result == control.OK) {
+		if got.Result != c.want.Result || got.RetryAfter != c.want.RetryAfter || got.Closed != c.want.Closed || got.CallOpen ||
+			!slices.Equal(got.LoadReport, c.want.LoadReport) || (got.At != 0) != (got.Result == control.OK) {
 			t.Errorf("%q: %+v, want %+v", c.answer, got, c.want)
 		}
 	}
@@ -88,10 +88,10 @@
 		name, answer string
 		want         []control.Result
 	}{
-		{"each its own", "", []control.Result{control.OK, control.Errored, control.Full, control.Moot, control.Moot, control.Errored}},
+		{"each its own", "", []control.Result{control.OK, control.Errored, control.Refused, control.Moot, control.Moot, control.Errored}},
 		{"unreadable", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n[{]", slices.Repeat([]control.Result{control.Errored}, 6)},
 		{"cut short", "HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n[", slices.Repeat([]control.Result{control.Errored}, 6)},
-		{"all full", status("429 x", "Retry-After: 1.5"), slices.Repeat([]control.Result{control.Full}, 6)},
+		{"all full", status("429 x", "Retry-After: 1.5"), slices.Repeat([]control.Result{control.Refused}, 6)},
 		{"all failed", status("500 x"), slices.Repeat([]control.Result{control.Errored}, 6)},
 		{"not read", status("400 x"), slices.Repeat([]control.Result{control.Moot}, 6)},
 		{"too many", status("413 x"), slices.Repeat([]control.Result{control.Moot}, 6)},
@@ -114,7 +114,7 @@
 				t.Errorf("%s: item %d: %v, want %v", c.name, i, outs[i].Result, want)
 			}
 		}
-		if c.name == "each its own" && (!outs[3].Over || outs[4].Over || outs[0].Wait != 1500*time.Millisecond) {
+		if c.name == "each its own" && (!outs[3].Closed || outs[4].Closed || outs[0].RetryAfter != 1500*time.Millisecond) {
 			t.Errorf("%s: %+v", c.name, outs)
 		}
 		r := within(t, s.seen)
@@ -173,7 +173,7 @@
 	}
 	call := func(due time.Duration, end func(o *out)) control.Result {
 		its := b.items("a")
-		its[0].Due = b.in(due)
+		its[0].Deadline = b.in(due)
 		o := b.start("cut.off:1", nil, its...)
 		within(t, dialling)
 		end(o)
@@ -261,7 +261,7 @@
 	o := b.start(s.addr, nil, b.items("a")...)
 	within(t, s.seen)
 	b.pass(time.Hour)
-	if u := o.wait()[0]; u.Result != control.TimedOut || u.Open {
+	if u := o.wait()[0]; u.Result != control.TimedOut || u.CallOpen {
 		t.Errorf("outcome %+v, want timed out", u)
 	}
 	within(t, gone)
@@ -282,7 +282,7 @@
 	s, _, gone := held(t)
 	b := newBench(t)
 	its := b.items("a", "b", "c")
-	its[1].Due = b.in(time.Minute)
+	its[1].Deadline = b.in(time.Minute)
 	o := b.start(s.addr, nil, its...)
 	r := within(t, s.seen)
 	if ms, err := strconv.Atoi(r.Header.Get("X-Expires-In-Ms")); err != nil || ms > 60_000 {
@@ -291,7 +291,7 @@
 	b.pass(time.Minute)
 	within(t, gone)
 	for i, out := range o.wait() {
-		if out.Result != control.TimedOut || out.Open {
+		if out.Result != control.TimedOut || out.CallOpen {
 			t.Errorf("message %d: %+v", i, out)
 		}
 	}
@@ -303,7 +303,7 @@
 	s := newScript(t, always(ok200))
 	b := newBench(t)
 	its := b.items("a", "b")
-	its[0].Due = b.in(-time.Second)
+	its[0].Deadline = b.in(-time.Second)
 	outs := b.run(s.addr, its...)
 	if r := within(t, s.seen); outs[0].Result != control.Moot || outs[1].Result != control.OK || r.Header.Get("X-Trace-Id") != "b" {
 		t.Errorf("%+v, sent %v", outs, r.Header)
@@ -419,11 +419,11 @@
 			})
 			b := newBench(t)
 			b.speed = 20
-			if o := b.run(s.addr, b.items("a")...)[0]; o.Result != c.single || o.Wait != 0 || o.Report != nil || o.Over {
+			if o := b.run(s.addr, b.items("a")...)[0]; o.Result != c.single || o.RetryAfter != 0 || o.LoadReport != nil || o.Closed {
 				t.Errorf("a single call: %+v, want %v and nothing else", o, c.single)
 			}
 			for _, o := range b.run(s.addr, b.items("b", "c")...) {
-				if o.Result != control.Errored || o.Wait != 0 || o.Report != nil || o.At != 0 {
+				if o.Result != control.Errored || o.RetryAfter != 0 || o.LoadReport != nil || o.At != 0 {
 					t.Errorf("a batch: %+v", o)
 				}
 			}
@@ -451,7 +451,7 @@
 		t.Error("it was told of another call")
 	}
 	told <- true
-	if u := o.wait()[0]; u.Result != control.OK || u.At == 0 || u.Wait != 1500*time.Millisecond || b.idleCount() != 1 {
+	if u := o.wait()[0]; u.Result != control.OK || u.At == 0 || u.RetryAfter != 1500*time.Millisecond || b.idleCount() != 1 {
 		t.Errorf("%+v, %d connections kept", u, b.idleCount())
 	}
 }
@@ -497,7 +497,7 @@
 	b.pass(200 * time.Millisecond)
 	time.Sleep(5 * time.Millisecond) // lets a call that gives up do so; one that does not needs no time
 	rest <- true
-	if u := o.wait()[0]; u.Result != control.OK || u.Wait != 1500*time.Millisecond || b.idleCount() != 1 {
+	if u := o.wait()[0]; u.Result != control.OK || u.RetryAfter != 1500*time.Millisecond || b.idleCount() != 1 {
 		t.Errorf("%+v, %d connections kept", u, b.idleCount())
 	}
 }
@@ -509,7 +509,7 @@
 	s := newScript(t, always(early+status("429 x", "Retry-After: 0.25", "Endpoint-Load-Metrics: TEXT x0=NaN, x1=7")))
 	b := newBench(t)
 	for range 2 {
-		if o := b.run(s.addr, b.items("a")...)[0]; o.Result != control.Full || o.Wait != 250*time.Millisecond || o.Report != nil {
+		if o := b.run(s.addr, b.items("a")...)[0]; o.Result != control.Refused || o.RetryAfter != 250*time.Millisecond || o.LoadReport != nil {
 			t.Errorf("%+v", o)
 		}
 	}
@@ -559,7 +559,7 @@
 		tr := New(host.System{}, engine.Clock{Start: time.Now()}, Settings{MostIdle: 1})
 		defer tr.Close(generous)
 		due := engine.Epoch + 60*control.Second
-		spec := &engine.Call{Items: []engine.Item{{ID: "a", Due: due}, {ID: "b", Due: due}}}
+		spec := &engine.Call{Items: []engine.Item{{ID: "a", Deadline: due}, {ID: "b", Deadline: due}}}
 		if !batch {
 			spec.Items = spec.Items[:1]
 		}
@@ -572,11 +572,11 @@
 		}
 		for i, o := range e.outs {
 			switch {
-			case o.Item != i || o.Open || o.Wait < 0:
+			case o.Item != i || o.CallOpen || o.RetryAfter < 0:
 				t.Errorf("outcomes %+v", e.outs)
 			case !batch && (o.Result == control.OK) != (e.lines > 0):
 				t.Error("delivered without being told at the first line, or the other way round")
-			case (o.Result == control.Reset || o.Result == control.Errored && k.open > 0) && (o.Wait != 0 || o.Over):
+			case (o.Result == control.Reset || o.Result == control.Errored && k.open > 0) && (o.RetryAfter != 0 || o.Closed):
 				t.Errorf("believed of no answer: %+v", o)
 			case o.Result == control.TimedOut || o.Result == control.Cancelled || o.Result == control.ConnectFailed:
 				t.Errorf("result %v of an answer or a reset", o.Result)
@@ -604,7 +604,7 @@
 				(!strings.Contains(string(body), id) && !strings.Contains(string(body), `\u`) || !strings.Contains(string(body), "d")) {
 				t.Errorf("%q: %+v", body, o)
 			}
-			if o.Over && o.Result != control.Moot {
+			if o.Closed && o.Result != control.Moot {
 				t.Errorf("%q: %+v", body, o)
 			}
 		}
--- a/internal/transport/http/dial_test.go
+++ b/internal/transport/http/dial_test.go
@@ -47,7 +47,7 @@
 	var outs []*out
 	for i := range all {
 		items := b.items(fmt.Sprint(i))
-		items[0].Due = b.in(100 * time.Hour)
+		items[0].Deadline = b.in(100 * time.Hour)
 		outs = append(outs, b.start(s.addr, nil, items...))
 	}
 	for range burst {
@@ -103,7 +103,7 @@
 	t.Parallel()
 	for name, end := range map[string]func(b *bench, o *out){
 		"abort": func(b *bench, o *out) { b.Abort(o.ID) },
-		"leave": func(b *bench, o *out) { b.Leave(&engine.Leave{Endpoint: 1, Addr: o.Addr}) },
+		"leave": func(b *bench, o *out) { b.RemoveEndpoint(&engine.RemoveEndpoint{Endpoint: 1, Addr: o.Addr}) },
 		"time":  func(b *bench, _ *out) {},
 	} {
 		s := newScript(t, always(ok200))
@@ -112,7 +112,7 @@
 		b.run(s.addr, b.items("first")...) // its connection is not kept
 		items := b.items("second")
 		if name == "time" {
-			items[0].Due = b.in(20 * time.Millisecond)
+			items[0].Deadline = b.in(20 * time.Millisecond)
 		}
 		o := b.start(s.addr, nil, items...)
 		if name != "time" {
--- a/internal/transport/http/pool_test.go
+++ b/internal/transport/http/pool_test.go
@@ -213,8 +213,8 @@
 	release <- ok200
 	newcomer.wait()
 	late := call(3)
-	b.Leave(&engine.Leave{Endpoint: 1, Addr: s.addr})
-	b.Leave(&engine.Leave{Endpoint: 3, Addr: s.addr})
+	b.RemoveEndpoint(&engine.RemoveEndpoint{Endpoint: 1, Addr: s.addr})
+	b.RemoveEndpoint(&engine.RemoveEndpoint{Endpoint: 3, Addr: s.addr})
 	release <- ok200 // a call that is out goes on; its connection closes behind it
 	if o := late.wait()[0]; o.Result != control.OK {
 		t.Errorf("a call that was out when its endpoint left: %v", o.Result)
@@ -267,12 +267,12 @@
 		}, b.items("a")...)
 		within(t, dialling)
 		if when == "dialling" {
-			b.Leave(&engine.Leave{Endpoint: 1, Addr: s.addr})
+			b.RemoveEndpoint(&engine.RemoveEndpoint{Endpoint: 1, Addr: s.addr})
 		}
 		up <- true
 		within(t, asking)
 		if when == "asking" {
-			b.Leave(&engine.Leave{Endpoint: 1, Addr: s.addr})
+			b.RemoveEndpoint(&engine.RemoveEndpoint{Endpoint: 1, Addr: s.addr})
 		}
 		answer <- true
 		if u := o.wait()[0]; u.Result != control.Moot || len(s.seen) > 0 || b.idleCount() > 0 {
@@ -292,8 +292,8 @@
 	leaves, stays := b.startTo(1, "cut.off:1", nil, b.items("a")...), b.startTo(2, "cut.off:1", nil, b.items("b")...)
 	within(t, dialling)
 	within(t, dialling)
-	b.Leave(&engine.Leave{Endpoint: 1, Addr: "cut.off:2"})
-	b.Leave(&engine.Leave{Endpoint: 1, Addr: "cut.off:1"})
+	b.RemoveEndpoint(&engine.RemoveEndpoint{Endpoint: 1, Addr: "cut.off:2"})
+	b.RemoveEndpoint(&engine.RemoveEndpoint{Endpoint: 1, Addr: "cut.off:1"})
 	if o := leaves.wait()[0]; o.Result != control.Moot {
 		t.Errorf("outcome %v, want moot", o.Result)
 	}
--- a/internal/transport/http/request.go
+++ b/internal/transport/http/request.go
@@ -26,7 +26,7 @@
 		path = "/v1/messages:batch"
 	}
 	b = http1.AppendRequest(b, http.MethodPost, k.Addr, path)
-	rest := engine.Span(k.due() - k.t.clock.At(k.t.host.Now()))
+	rest := engine.Duration(k.due() - k.t.clock.At(k.t.host.Now()))
 	b = http1.AppendInt(b, "X-Expires-In-Ms", max(rest.Milliseconds(), 1))
 	if k.batch {
 		return http1.AppendBody(http1.AppendField(b, "Content-Type", "application/json"), list)
--- a/internal/transport/http/rig_test.go
+++ b/internal/transport/http/rig_test.go
@@ -207,7 +207,7 @@
 // items are messages that may take an hour.
 func (b *bench) items(ids ...string) (out []engine.Item) {
 	for _, id := range ids {
-		out = append(out, engine.Item{ID: id, Key: "k-" + id, Body: []byte("body " + id), Due: b.in(time.Hour)})
+		out = append(out, engine.Item{ID: id, Key: "k-" + id, Body: []byte("body " + id), Deadline: b.in(time.Hour)})
 	}
 	return out
 }
--- a/internal/transport/mail/call.go
+++ b/internal/transport/mail/call.go
@@ -87,11 +87,11 @@
 func (k *call) sweep() bool {
 	now := k.t.clock.At(k.t.host.Now())
 	for i, l := range k.left {
-		if l && k.Items[i].Due <= now {
+		if l && k.Items[i].Deadline <= now {
 			k.add(i, engine.Outcome{Result: control.Moot})
 		}
 	}
-	if k.abort.Done() {
+	if k.abort.Completed() {
 		k.end(engine.Outcome{Result: control.Moot})
 	}
 	k.tell()
@@ -137,8 +137,8 @@
 // due is when the next of the items given is given up, last when the last of all is.
 func (k *call) due(items []int) (at engine.Time) {
 	for _, i := range items {
-		if k.left[i] && (at == 0 || k.Items[i].Due < at) {
-			at = k.Items[i].Due
+		if k.left[i] && (at == 0 || k.Items[i].Deadline < at) {
+			at = k.Items[i].Deadline
 		}
 	}
 	return at
@@ -147,7 +147,7 @@
 func (k *call) last() (at engine.Time) {
 	for i, l := range k.left {
 		if l {
-			at = max(at, k.Items[i].Due)
+			at = max(at, k.Items[i].Deadline)
 		}
 	}
 	return at
@@ -168,7 +168,7 @@
 
 // never notes that an item can't be delivered, now or later.
 func (k *call) never(i int, why string) {
-	k.add(i, engine.Outcome{Result: control.Moot, Never: true, Why: why})
+	k.add(i, engine.Outcome{Result: control.Moot, Permanent: true, Reason: why})
 }
 
 // no notes what a reply says by which a server refuses an item: it has not run.
@@ -178,7 +178,7 @@
 		return
 	}
 	p := k.t.set.Partners[k.Kind]
-	k.add(i, engine.Outcome{Result: control.Full, Wait: p.wait(r.Code)})
+	k.add(i, engine.Outcome{Result: control.Refused, RetryAfter: p.wait(r.Code)})
 }
 
 // tell tells the outcomes that were noted since it last did. What was delivered comes first: the first outcome of a call
@@ -211,11 +211,11 @@
 func (k *call) lost(items []int, committed bool, err error) {
 	var r control.Result
 	switch {
-	case !committed && k.abort.Done():
+	case !committed && k.abort.Completed():
 		r = control.Moot
 	case !committed:
 		r = control.ConnectFailed
-	case k.abort.Done():
+	case k.abort.Completed():
 		r = control.Cancelled
 	case errors.Is(err, errSlow):
 		r = control.TimedOut
@@ -236,7 +236,7 @@
 		now := max(k.t.clock.At(k.t.host.Now()), k.due(items))
 		waiting := 0
 		for _, i := range items {
-			if k.left[i] && k.Items[i].Due > now {
+			if k.left[i] && k.Items[i].Deadline > now {
 				waiting++
 			}
 		}
@@ -244,8 +244,8 @@
 			return time.Time{}
 		}
 		for _, i := range items {
-			if k.left[i] && k.Items[i].Due <= now { // its mail may yet be delivered with the others'
-				k.add(i, engine.Outcome{Result: control.TimedOut, Open: true})
+			if k.left[i] && k.Items[i].Deadline <= now { // its mail may yet be delivered with the others'
+				k.add(i, engine.Outcome{Result: control.TimedOut, CallOpen: true})
 			}
 		}
 		k.tell()
--- a/internal/transport/mail/call_test.go
+++ b/internal/transport/mail/call_test.go
@@ -357,8 +357,8 @@
 			standin.Act{Say: "421 4.3.2 closing", Close: true})})
 		m.play(func() {
 			for i, o := range m.run(m.rcpts(3, time.Minute)...) {
-				if o.Result != control.Full || o.Wait != time.Second {
-					t.Errorf("%s: item %d ended as %s, wait %v", stage, i, nameOf(o), o.Wait)
+				if o.Result != control.Refused || o.RetryAfter != time.Second {
+					t.Errorf("%s: item %d ended as %s, wait %v", stage, i, nameOf(o), o.RetryAfter)
 				}
 			}
 		})
@@ -404,13 +404,13 @@
 				from, fromArgs, _ := strings.Cut(c.from, " ")
 				to, toArgs, _ := strings.Cut(c.to, " ")
 				body := fmt.Sprintf("MAIL FROM:<%s> %s\r\nRCPT TO:<%s> %s\r\n\r\n%s", from, fromArgs, to, toArgs, c.content)
-				o := m.run(engine.Item{ID: "m", Body: []byte(body), Due: m.clock.At(m.host.Now().Add(time.Minute))})[0]
+				o := m.run(engine.Item{ID: "m", Body: []byte(body), Deadline: m.clock.At(m.host.Now().Add(time.Minute))})[0]
 				want := "moot!"
 				if c.why == "" {
 					want = "ok"
 				}
-				if nameOf(o) != want || !strings.Contains(o.Why, c.why) {
-					t.Errorf("outcome %s (%s), want %s with %q", nameOf(o), o.Why, want, c.why)
+				if nameOf(o) != want || !strings.Contains(o.Reason, c.why) {
+					t.Errorf("outcome %s (%s), want %s with %q", nameOf(o), o.Reason, want, c.why)
 				}
 			})
 			list := s.Accepted()
@@ -433,11 +433,11 @@
 			"", "hello", "MAIL FROM:<a@b.example>\r\n\r\n", "MAIL FROM:<a@b.example>\r\nRCPT TO:<>\r\n\r\n", "MAIL FROM:<a@b.example>\r\nRCPT TO:<b@c.example>\r\n",
 			"MAIL FROM:a@b.example\r\nRCPT TO:<b@c.example>\r\n\r\n", "MAIL FROM:<a@b.example>\r\nRCPT TO:<b@c.example>\r\nDATA\r\n\r\n",
 		} {
-			list = append(list, engine.Item{ID: "m", Body: []byte(body), Due: m.clock.At(m.host.Now().Add(time.Minute))})
+			list = append(list, engine.Item{ID: "m", Body: []byte(body), Deadline: m.clock.At(m.host.Now().Add(time.Minute))})
 		}
 		for i, o := range m.run(list...) {
-			if nameOf(o) != "moot!" || !strings.Contains(o.Why, "envelope") {
-				t.Errorf("%q: %s (%s)", list[i].Body, nameOf(o), o.Why)
+			if nameOf(o) != "moot!" || !strings.Contains(o.Reason, "envelope") {
+				t.Errorf("%q: %s (%s)", list[i].Body, nameOf(o), o.Reason)
 			}
 		}
 	})
--- a/internal/transport/mail/cut_test.go
+++ b/internal/transport/mail/cut_test.go
@@ -144,7 +144,7 @@
 		m.play(func() {
 			o := m.start(nil, m.item("a@x.example", time.Minute), m.itemOf("", "b@x.example", content, time.Minute))
 			m.host.NewInbox().Take(nil, m.host.Now().Add(time.Duration(us)*50*time.Microsecond))
-			m.tr.Leave(&engine.Leave{Endpoint: 1, Addr: "far:25"})
+			m.tr.RemoveEndpoint(&engine.RemoveEndpoint{Endpoint: 1, Addr: "far:25"})
 			for i, u := range o.wait() {
 				switch u.Result {
 				case control.Moot:
@@ -203,11 +203,11 @@
 	h = func() host.Host { return s.Host }
 	m.play(func() {
 		list := m.rcpts(3, time.Minute)
-		list[1].Due = m.clock.At(m.host.Now().Add(time.Second))
+		list[1].Deadline = m.clock.At(m.host.Now().Add(time.Second))
 		o := m.start(nil, list...)
 		began := m.host.Now()
 		first := o.told.Take(nil, time.Time{})[0].([]engine.Outcome)
-		if len(first) != 1 || first[0].Item != 1 || first[0].Result != control.TimedOut || !first[0].Open ||
+		if len(first) != 1 || first[0].Item != 1 || first[0].Result != control.TimedOut || !first[0].CallOpen ||
 			m.host.Now().Sub(began) != time.Second {
 			t.Errorf("told %+v after %v", first, m.host.Now().Sub(began))
 		}
--- a/internal/transport/mail/engine_test.go
+++ b/internal/transport/mail/engine_test.go
@@ -27,13 +27,13 @@
 	left int
 }
 
-func (l *ledger) Done(d *engine.Done) {
+func (l *ledger) Completed(d *engine.Done) {
 	if _, twice := l.ends[d.ID]; twice {
 		l.t.Errorf("%s has two ends", d.ID)
 	}
 	l.ends[d.ID] = *d
 	l.left--
-	if d.How == engine.Refused || d.How == engine.Failed {
+	if d.Disposition == engine.Refused || d.Disposition == engine.Failed {
 		l.tell(d.ID)
 	}
 }
@@ -134,15 +134,15 @@
 		tr := New(h, clock, Settings{Name: "mux.example.org", Partners: map[int]Partner{0: {
 			Protocol: protocol, PerConnection: 1 + dice.IntN(3), BusyWait: 500 * ms, GreyWait: time.Second,
 		}}, ConnectTimeout: time.Second, MostIdle: 8})
-		ends.tell = func(id string) { d.Through([]string{id}) }
-		d.Seams = driver.Seams{Transport: tr, Sink: ends}
+		ends.tell = func(id string) { d.Notified([]string{id}) }
+		d.Components = driver.Components{Transport: tr, Sink: ends}
 		over := h.NewInbox()
 		h.Go(func() {
 			d.Run()
 			over.Put(nil)
 		})
-		d.Members(&engine.Members{Source: "list", Whole: true, List: []engine.Member{
-			{ID: "a", Addr: "far:25", Dest: 1, Phase: engine.Active, Weight: 1000},
+		d.Members(&engine.Members{Source: "list", FullList: true, List: []engine.Member{
+			{ID: "a", Addr: "far:25", Destination: 1, Phase: engine.Active, Weight: 1000},
 		}})
 		for mailNo := range 8 + dice.IntN(12) {
 			var list []*engine.Message
@@ -152,14 +152,14 @@
 				env := mail.Envelope{From: mail.Path{Addr: "a@x.example"}, To: mail.Path{Addr: fmt.Sprintf("r%d@x.example", r)}}
 				id := fmt.Sprintf("m%d-r%d", mailNo, r)
 				env.Content = fmt.Appendf(nil, "Message-ID: <%d>\r\n\r\n", mailNo)
-				list = append(list, &engine.Message{ID: id, Class: class, Dest: 1, Key: id, Body: env.Bytes()})
+				list = append(list, &engine.Message{ID: id, Class: class, Destination: 1, Key: id, Body: env.Bytes()})
 				until = append(until, h.Now().Add(time.Duration(1+dice.IntN(15))*time.Second))
 			}
 			ends.left += len(list)
 			for _, m := range list {
 				taken[m.ID] = m.Class
 			}
-			if v := d.HandInAll(list, until); v.Kind != engine.Taken {
+			if v := d.SubmitAll(list, until); v.Kind != engine.Accepted {
 				ends.left -= len(list)
 				for _, m := range list {
 					delete(taken, m.ID)
@@ -170,7 +170,7 @@
 		for ends.left > 0 {
 			h.NewInbox().Take(nil, h.Now().Add(100*ms))
 		}
-		d.Idle(h.Now().Add(time.Minute))
+		d.WaitIdle(h.Now().Add(time.Minute))
 		if err := tr.Close(generous); err != nil {
 			t.Error(err)
 		}
@@ -197,13 +197,13 @@
 		d, n := ends.ends[id], had[id]
 		wrong := ""
 		switch {
-		case d.How == 0:
+		case d.Disposition == 0:
 			wrong = "has no end"
 		case class == "unsafe" && n > 1:
 			wrong = "took effect twice"
-		case d.How == engine.Delivered && n == 0:
+		case d.Disposition == engine.Delivered && n == 0:
 			wrong = "is said to be delivered and never was"
-		case d.How != engine.Delivered && !d.Doubt && n > 0:
+		case d.Disposition != engine.Delivered && !d.InDoubt && n > 0:
 			wrong = "is said never to have run, and did"
 		}
 		if wrong != "" {
@@ -213,11 +213,11 @@
 			sum["sent again"]++
 		}
 		switch {
-		case d.Why != "":
+		case d.Reason != "":
 			sum["never"]++
 		}
-		sum[[]string{"", "delivered", "refused", "failed"}[d.How]]++
-		if d.How == engine.Failed && d.Doubt {
+		sum[[]string{"", "delivered", "refused", "failed"}[d.Disposition]]++
+		if d.Disposition == engine.Failed && d.InDoubt {
 			sum["failed in doubt"]++
 		}
 	}
--- a/internal/transport/mail/outcomes_test.go
+++ b/internal/transport/mail/outcomes_test.go
@@ -54,7 +54,7 @@
 
 func nameOf(o engine.Outcome) string {
 	s := names[o.Result]
-	if o.Never {
+	if o.Permanent {
 		s += "!"
 	}
 	return s
@@ -79,12 +79,12 @@
 						m.play(func() {
 							o := m.run(m.rcpts(1, time.Minute)...)[0]
 							if nameOf(o) != want {
-								t.Errorf("outcome %s (%s), want %s", nameOf(o), o.Why, want)
+								t.Errorf("outcome %s (%s), want %s", nameOf(o), o.Reason, want)
 							}
-							if o.Result == control.Full && o.Wait != 3*time.Second {
-								t.Errorf("told to wait %v", o.Wait)
+							if o.Result == control.Refused && o.RetryAfter != 3*time.Second {
+								t.Errorf("told to wait %v", o.RetryAfter)
 							}
-							if o.Never && o.Why == "" {
+							if o.Permanent && o.Reason == "" {
 								t.Error("the refusal has no reason")
 							}
 						})
--- a/internal/transport/mail/rig_test.go
+++ b/internal/transport/mail/rig_test.go
@@ -170,7 +170,7 @@
 
 func (m *sim) itemOf(from, rcpt, content string, within time.Duration) engine.Item {
 	e := mail.Envelope{From: mail.Path{Addr: from}, To: mail.Path{Addr: rcpt}, Content: []byte(content)}
-	return engine.Item{ID: "id-" + rcpt, Body: e.Bytes(), Due: m.clock.At(m.host.Now().Add(within))}
+	return engine.Item{ID: "id-" + rcpt, Body: e.Bytes(), Deadline: m.clock.At(m.host.Now().Add(within))}
 }
 
 // rcpts are mails with one content.
--- a/internal/transport/mail/socket_test.go
+++ b/internal/transport/mail/socket_test.go
@@ -60,7 +60,7 @@
 		c := &engine.Call{ID: 1, Endpoint: 1, Addr: l.Addr().String()}
 		for i := range n {
 			e := mail.Envelope{From: mail.Path{Addr: "a@x.example"}, To: mail.Path{Addr: fmt.Sprintf("r%d@x.example", i)}, Content: []byte(content)}
-			c.Items = append(c.Items, engine.Item{ID: fmt.Sprint(i), Body: e.Bytes(), Due: clock.At(h.Now().Add(generous))})
+			c.Items = append(c.Items, engine.Item{ID: fmt.Sprint(i), Body: e.Bytes(), Deadline: clock.At(h.Now().Add(generous))})
 		}
 		on := &heard{n: n, ends: make(chan engine.Outcome, 2*n)}
 		tr.Start(c, on)
--- a/internal/transport/mail/transport.go
+++ b/internal/transport/mail/transport.go
@@ -134,7 +134,7 @@
 func (t *Transport) mayCommit(k *call) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if k.abort.Done() || k.peer.gone {
+	if k.abort.Completed() || k.peer.gone {
 		return false
 	}
 	k.committed()
@@ -198,7 +198,7 @@
 
 // Leave forgets an endpoint at an address: its idle connections close, calls of which no MAIL is written yet end as Moot,
 // and the others end their transaction. A later call there begins anew.
-func (t *Transport) Leave(l *engine.Leave) {
+func (t *Transport) RemoveEndpoint(l *engine.RemoveEndpoint) {
 	at := place{l.Endpoint, l.Addr}
 	t.mu.Lock()
 	p := t.peers[at]
--- a/internal/vnet/folder_test.go
+++ b/internal/vnet/folder_test.go
@@ -227,7 +227,7 @@
 					}
 					for b := engine.Batch(1); ; b++ {
 						m := engine.Message{ID: fmt.Sprint(boot, "/", b), Class: "c", Body: []byte("body")}
-						if bad(j.Append(b, []engine.Record{&engine.RecTaken{Message: m, Deadline: 1 << 60}})) {
+						if bad(j.Append(b, []engine.Record{&engine.RecAccepted{Message: m, Deadline: 1 << 60}})) {
 							return
 						}
 						upTo, err := j.Flush()
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -204,18 +204,18 @@
 		c.u8()
 		e.Class = int(c.u8())
 		c.u32()
-		e.Grace, e.Dest, e.Key = c.us(), int(c.f32()), c.u64()
+		e.TimeLeft, e.Destination, e.Key = c.us(), int(c.f32()), c.u64()
 	case evFlowing:
 		e.Kind, e.Message, e.Attempt, e.Endpoint = control.Started, control.MessageID(c.u64()), int(c.u16()), c.endpoint()
-		e.Lag = c.us()
+		e.Latency = c.us()
 	case evResolved:
 		return r, c.resolved(e)
 	case evWithdrawn:
 		e.Kind, e.Message = control.Withdrawn, control.MessageID(c.u64())
 	case evTickDue:
-		e.Kind, e.Mark = control.Tick, c.u64()
+		e.Kind, e.TimerID = control.Tick, c.u64()
 	case evProbed:
-		e.Kind, e.Lag, e.Endpoint = control.Probed, c.us(), c.endpoint()
+		e.Kind, e.Latency, e.Endpoint = control.Probed, c.us(), c.endpoint()
 		var err error
 		if e.Result, err = result(c.u8()); err != nil && !c.short {
 			return r, err
@@ -240,10 +240,10 @@
 func (c *cursor) resolved(e *control.Event) error {
 	e.Kind, e.Message, e.Attempt, e.Endpoint = control.Outcome, control.MessageID(c.u64()), int(c.u16()), c.endpoint()
 	res, err := result(c.u8())
-	e.Result, e.Lag, e.Closed = res, c.us(), c.u8() != 0
+	e.Result, e.Latency, e.Closed = res, c.us(), c.u8() != 0
 	note := c.u32()
-	if res == control.Full {
-		e.Wait = control.Time(note) * control.Millisecond
+	if res == control.Refused {
+		e.RetryAfter = control.Time(note) * control.Millisecond
 	}
 	e.Report = c.report()
 	if c.short {
@@ -262,7 +262,7 @@
 	list := make([]control.Entry, n)
 	for i := range list {
 		l := &list[i]
-		l.Endpoint, l.Zone, l.Kind, l.Dest = c.endpoint(), int(c.u8()), int(c.u8()), int(c.u16())
+		l.Endpoint, l.Zone, l.Kind, l.Destination = c.endpoint(), int(c.u8()), int(c.u8()), int(c.u16())
 		l.Health = control.Health(c.u8())
 		l.Weight = float64(c.f32())
 		c.u64()
@@ -285,7 +285,7 @@
 	case 13:
 		return control.Errored, nil
 	case 8:
-		return control.Full, nil
+		return control.Refused, nil
 	case 4:
 		return control.TimedOut, nil
 	case 14:
@@ -363,7 +363,7 @@
 	case control.Timer:
 		r.head(acTimer, who)
 		r.span(a.After)
-		r.body = le.AppendUint64(r.body, a.Mark)
+		r.body = le.AppendUint64(r.body, a.TimerID)
 	case control.Probe:
 		r.head(acAskLoad, who)
 		r.endpoint(a.Endpoint)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -36,10 +36,10 @@
 		t.Fatalf("batch %+v", b)
 	}
 	e := b.Records[0].Event
-	if e.Kind != control.Arrival || e.Message != 0xcc1825d3a91c4 || e.Dest != 57 || e.Grace != 240000 || e.Key == 0 {
+	if e.Kind != control.Arrival || e.Message != 0xcc1825d3a91c4 || e.Destination != 57 || e.TimeLeft != 240000 || e.Key == 0 {
 		t.Errorf("arrival %+v", e)
 	}
-	if b.Records[1].Event.Mark != 77 || b.Records[2].Instance != 5 {
+	if b.Records[1].Event.TimerID != 77 || b.Records[2].Instance != 5 {
 		t.Errorf("records %+v", b.Records)
 	}
 	if _, err := d.Next(); !errors.Is(err, io.EOF) {
@@ -52,7 +52,7 @@
 	r.Add(3, control.Action{
 		Kind: control.Send, Message: 0xcc1825d3a91c4, Endpoint: control.Endpoint(0x074a120a)<<16 | 0x1f93, After: 80000,
 	})
-	r.Add(3, control.Action{Kind: control.Timer, After: 500000, Mark: 77})
+	r.Add(3, control.Action{Kind: control.Timer, After: 500000, TimerID: 77})
 	r.Add(5, control.Action{Kind: control.Note, Text: "two servers unknown"[:17]})
 	var out bytes.Buffer
 	if err := r.Write(&out, 12); err != nil {
--- a/ledger/breach.go
+++ b/ledger/breach.go
@@ -2,29 +2,29 @@
 
 // What a breach is of. The first figure is the books', the second the other side's.
 const (
-	Messages   = "messages"          // what came in, and what went out or is open
-	AttemptsOf = "attempts"          // sent, and answered, refused, silent or out
-	DoubtOf    = "doubt"             // opened, and twice, unsure or open
-	MovesOf    = "moves"             // what came in from other accounts, and what left them
-	LiveOpen   = "open messages"     // open in the books, and live messages counted
-	LiveDoubt  = "open doubt"        // in doubt in the books, and live messages counted that are
-	LiveOut    = "attempts out"      // out in the books, and items counted of calls that are out
-	Restarted  = "open at the start" // open in the books that the store had, and live messages that it had
-	ServedAs   = "served"            // posted by this process, and messages that ended so, counted; the same for the next two
-	RefusedAs  = "refused"
-	FailedAs   = "failed"
-	InStore    = "store"  // the first figure that differs, as it was written and as the store has it
-	Totals     = "totals" // of a snapshot: its total, and its accounts
+	CheckMessages     = "messages"          // what came in, and what went out or is open
+	CheckAttempts     = "attempts"          // sent, and answered, refused, silent or out
+	CheckDoubt        = "doubt"             // opened, and twice, unsure or open
+	CheckTransfers    = "moves"             // what came in from other accounts, and what left them
+	CheckLiveOpen     = "open messages"     // open in the books, and live messages counted
+	CheckLiveDoubt    = "open doubt"        // in doubt in the books, and live messages counted that are
+	CheckLiveAttempts = "attempts out"      // out in the books, and items counted of calls that are out
+	CheckRestart      = "open at the start" // open in the books that the store had, and live messages that it had
+	CheckDelivered    = "served"            // posted by this process, and messages that ended so, counted; the same for the next two
+	CheckRefused      = "refused"
+	CheckFailed       = "failed"
+	CheckStore        = "store"  // the first figure that differs, as it was written and as the store has it
+	CheckTotals       = "totals" // of a snapshot: its total, and its accounts
 )
 
 // Breach is figures that do not add up, and since when.
 type Breach struct {
-	Key     Key    `json:"account"`
-	What    string `json:"what"`
-	Books   Count  `json:"books"`
-	Counted Count  `json:"counted"`
-	At      int64  `json:"at,string"`               // wall time in microseconds since 1970, like Healed
-	Healed  int64  `json:"healed,string,omitempty"` // 0: it stands
+	Key        Key    `json:"account"`
+	Check      string `json:"what"`
+	Booked     Count  `json:"books"`
+	Counted    Count  `json:"counted"`
+	FoundAt    int64  `json:"at,string"`               // wall time in microseconds since 1970, like Healed
+	ResolvedAt int64  `json:"healed,string,omitempty"` // 0: it stands
 }
 
 // place is where a breach may be.
@@ -47,10 +47,10 @@
 	at, stands := l.standing[p]
 	if stands {
 		b := &l.breaches[at]
-		if books != counted && books-counted == b.Books-b.Counted {
+		if books != counted && books-counted == b.Booked-b.Counted {
 			return
 		}
-		b.Healed = max(l.wall, 1)
+		b.ResolvedAt = max(l.wall, 1)
 		if books == counted {
 			l.fresh = append(l.fresh, *b)
 		}
@@ -60,7 +60,7 @@
 	if books == counted {
 		return
 	}
-	b := Breach{Key: k, What: what, Books: books, Counted: counted, At: l.wall}
+	b := Breach{Key: k, Check: what, Booked: books, Counted: counted, FoundAt: l.wall}
 	if len(l.fresh) < mostBreaches {
 		l.fresh = append(l.fresh, b)
 	}
@@ -74,12 +74,12 @@
 	l.breaches = append(l.breaches, b)
 }
 
-// Fresh are the breaches that were found or healed since it was last called.
-func (l *Ledger) Fresh() []Breach {
+// TakeNewBreaches are the breaches that were found or healed since it was last called.
+func (l *Ledger) TakeNewBreaches() []Breach {
 	out := l.fresh
 	l.fresh = nil
 	return out
 }
 
-// Standing is how many breaches there are now.
-func (l *Ledger) Standing() int { return len(l.standing) + len(l.beyond) }
+// StandingBreaches is how many breaches there are now.
+func (l *Ledger) StandingBreaches() int { return len(l.standing) + len(l.beyond) }
--- a/ledger/count.go
+++ b/ledger/count.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// Count is a figure. In JSON it is a string, as many readers hold 53 bits only; a number is read, too.
+// CountOpen is a figure. In JSON it is a string, as many readers hold 53 bits only; a number is read, too.
 type Count uint64
 
 // MarshalJSON writes it as a string of decimal digits.
--- a/ledger/fleet.go
+++ b/ledger/fleet.go
@@ -6,31 +6,31 @@
 	"slices"
 )
 
-// Back is a figure that stepped back within an epoch, which none ever may.
-type Back struct {
-	Key    Key    `json:"account"`
-	Figure string `json:"figure"`
-	Before Count  `json:"before"`
-	After  Count  `json:"after"`
+// Decreases is a figure that stepped back within an epoch, which none ever may.
+type Decrease struct {
+	Key     Key    `json:"account"`
+	Counter string `json:"figure"`
+	Before  Count  `json:"before"`
+	After   Count  `json:"after"`
 }
 
 // Change is an account in two snapshots.
 type Change struct {
-	Key    Key     `json:"account"`
-	Before Figures `json:"before"`
-	After  Figures `json:"after"`
+	Key    Key    `json:"account"`
+	Before Counts `json:"before"`
+	After  Counts `json:"after"`
 }
 
 // Difference is what changed between two snapshots.
 type Difference struct {
-	Instance string   `json:"instance"`
-	Span     int64    `json:"span,string"` // wall time from the first to the second, in microseconds; a stepped clock may make it negative
-	Anew     bool     `json:"anew"`        // the epochs differ: figures began anew in between, and Back is empty
-	Epochs   [2]Epoch `json:"epochs"`
-	Changes  []Change `json:"changes"` // accounts that changed
-	Total    Change   `json:"total"`
-	Back     []Back   `json:"back"`
-	Excused  bool     `json:"excused"` // the first one was provisional: a crash may have taken figures back
+	Instance         string     `json:"instance"`
+	Elapsed          int64      `json:"span,string"` // wall time from the first to the second, in microseconds; a stepped clock may make it negative
+	EpochChanged     bool       `json:"anew"`        // the epochs differ: figures began anew in between, and Back is empty
+	Epochs           [2]Epoch   `json:"epochs"`
+	Changes          []Change   `json:"changes"` // accounts that changed
+	Total            Change     `json:"total"`
+	Decreases        []Decrease `json:"back"`
+	OlderProvisional bool       `json:"excused"` // the first one was provisional: a crash may have taken figures back
 }
 
 // Diff compares two snapshots of one dispatcher, the older first. It fails where they are of two.
@@ -39,8 +39,8 @@
 		return nil, fmt.Errorf("diff: snapshots of two dispatchers, %q and %q", a.Instance, b.Instance)
 	}
 	d := &Difference{
-		Instance: a.Instance, Span: b.Wall - a.Wall, Anew: a.Epoch.ID != b.Epoch.ID, Epochs: [2]Epoch{a.Epoch, b.Epoch},
-		Changes: []Change{}, Back: []Back{}, Total: Change{Before: a.Total, After: b.Total}, Excused: a.Provisional,
+		Instance: a.Instance, Elapsed: b.Wall - a.Wall, EpochChanged: a.Epoch.ID != b.Epoch.ID, Epochs: [2]Epoch{a.Epoch, b.Epoch},
+		Changes: []Change{}, Decreases: []Decrease{}, Total: Change{Before: a.Total, After: b.Total}, OlderProvisional: a.Provisional,
 	}
 	list := map[Key]*Change{}
 	at := func(k Key) *Change {
@@ -52,10 +52,10 @@
 		return c
 	}
 	for _, l := range a.Accounts {
-		at(l.Key).Before = l.Figures
+		at(l.Key).Before = l.Counts
 	}
 	for _, l := range b.Accounts {
-		at(l.Key).After = l.Figures
+		at(l.Key).After = l.Counts
 	}
 	for _, c := range list {
 		if c.Before != c.After {
@@ -66,38 +66,38 @@
 	for _, c := range d.Changes {
 		before, after := c.Before.all(), c.After.all()
 		for i := range levels {
-			if !d.Anew && *after[i] < *before[i] {
-				d.Back = append(d.Back, Back{c.Key, columnNames[i], *before[i], *after[i]})
+			if !d.EpochChanged && *after[i] < *before[i] {
+				d.Decreases = append(d.Decreases, Decrease{c.Key, columnNames[i], *before[i], *after[i]})
 			}
 		}
 	}
 	return d, nil
 }
 
-// Part is what one ledger of a fleet brings to its sum.
-type Part struct {
-	Instance string `json:"instance"`
-	Epoch    Epoch  `json:"epoch"`
-	Wall     int64  `json:"wall,string"`
-	Behind   int64  `json:"behind,string"` // microseconds by which it is older than the newest of all
-	Open     Count  `json:"open"`          // when it was taken
-	Left     Count  `json:"left"`          // of an epoch that is over: open then, and not brought into the next one
-	Standing int    `json:"standing"`      // breaches
+// FleetPart is what one ledger of a fleet brings to its sum.
+type FleetPart struct {
+	Instance         string `json:"instance"`
+	Epoch            Epoch  `json:"epoch"`
+	Wall             int64  `json:"wall,string"`
+	Behind           int64  `json:"behind,string"` // microseconds by which it is older than the newest of all
+	Open             Count  `json:"open"`          // when it was taken
+	Unaccounted      Count  `json:"left"`          // of an epoch that is over: open then, and not brought into the next one
+	StandingBreaches int    `json:"standing"`      // breaches
 }
 
 // Fleet is the sum over several ledgers. In Total and Accounts Open is of ledgers that go on; what epochs that are over
 // left open is in Left. So Brought + Taken + In = Served + Refused + Failed + Out + Open + Left, less what was brought from
 // an epoch that is summed as well, which counts once.
 type Fleet struct {
-	Format   int     `json:"format"`
-	Accounts []Line  `json:"accounts"`
-	Total    Figures `json:"total"`
-	Parts    []Part  `json:"parts"` // by instance, then by begin
-	Left     []Left  `json:"left"`  // by account
+	Format      int             `json:"format"`
+	Accounts    []AccountCounts `json:"accounts"`
+	Total       Counts          `json:"total"`
+	Parts       []FleetPart     `json:"parts"` // by instance, then by begin
+	Unaccounted []Unaccounted   `json:"left"`  // by account
 }
 
-// Left is what epochs that are over left open in an account: nobody knows what became of these messages.
-type Left struct {
+// Unaccounted is what epochs that are over left open in an account: nobody knows what became of these messages.
+type Unaccounted struct {
 	Key      Key    `json:"account"`
 	Instance string `json:"instance"`
 	Epoch    string `json:"epoch"`
@@ -129,24 +129,24 @@
 	slices.SortFunc(all, func(a, b *Snapshot) int {
 		return cmp.Or(cmp.Compare(a.Instance, b.Instance), cmp.Compare(a.Epoch.Began, b.Epoch.Began), cmp.Compare(a.Epoch.ID, b.Epoch.ID))
 	})
-	f := &Fleet{Format: Format, Parts: []Part{}, Left: []Left{}, Accounts: []Line{}}
-	sums := map[Key]*Figures{}
+	f := &Fleet{Format: Format, Parts: []FleetPart{}, Unaccounted: []Unaccounted{}, Accounts: []AccountCounts{}}
+	sums := map[Key]*Counts{}
 	for i, s := range all {
-		p := Part{Instance: s.Instance, Epoch: s.Epoch, Wall: s.Wall, Behind: last - s.Wall, Open: s.Total.Open}
+		p := FleetPart{Instance: s.Instance, Epoch: s.Epoch, Wall: s.Wall, Behind: last - s.Wall, Open: s.Total.Open}
 		for _, b := range s.Breaches {
-			if b.Healed == 0 {
-				p.Standing++
+			if b.ResolvedAt == 0 {
+				p.StandingBreaches++
 			}
 		}
 		over := i+1 < len(all) && all[i+1].Instance == s.Instance
 		brought := map[Key]Count{}
-		if over && all[i+1].Epoch.Before == s.Epoch.ID {
+		if over && all[i+1].Epoch.Previous == s.Epoch.ID {
 			for _, a := range all[i+1].Accounts {
-				brought[a.Key] = a.Brought
+				brought[a.Key] = a.CarriedOver
 			}
 		}
 		before := map[Key]Count{} // what the epoch before had open: it is among what that one took
-		if i > 0 && all[i-1].Instance == s.Instance && s.Epoch.Before == all[i-1].Epoch.ID {
+		if i > 0 && all[i-1].Instance == s.Instance && s.Epoch.Previous == all[i-1].Epoch.ID {
 			for _, a := range all[i-1].Accounts {
 				before[a.Key] = a.Open
 			}
@@ -154,27 +154,27 @@
 		for _, a := range s.Accounts {
 			sum := sums[a.Key]
 			if sum == nil {
-				sum = &Figures{}
+				sum = &Counts{}
 				sums[a.Key] = sum
 			}
 			if over {
 				if left := a.Open - min(a.Open, brought[a.Key]); left > 0 {
-					p.Left += left
-					f.Left = append(f.Left, Left{a.Key, s.Instance, s.Epoch.ID, left})
+					p.Unaccounted += left
+					f.Unaccounted = append(f.Unaccounted, Unaccounted{a.Key, s.Instance, s.Epoch.ID, left})
 				}
 				a.Open = 0
 			}
-			a.Brought -= min(a.Brought, before[a.Key])
-			sum.Add(&a.Figures)
+			a.CarriedOver -= min(a.CarriedOver, before[a.Key])
+			sum.Add(&a.Counts)
 		}
 		f.Parts = append(f.Parts, p)
 	}
 	for k, v := range sums {
-		f.Accounts = append(f.Accounts, Line{k, *v})
+		f.Accounts = append(f.Accounts, AccountCounts{k, *v})
 		f.Total.Add(v)
 	}
-	slices.SortFunc(f.Accounts, func(a, b Line) int { return a.Key.Compare(b.Key) })
-	slices.SortFunc(f.Left, func(a, b Left) int {
+	slices.SortFunc(f.Accounts, func(a, b AccountCounts) int { return a.Key.Compare(b.Key) })
+	slices.SortFunc(f.Unaccounted, func(a, b Unaccounted) int {
 		return cmp.Or(a.Key.Compare(b.Key), cmp.Compare(a.Instance, b.Instance), cmp.Compare(a.Epoch, b.Epoch))
 	})
 	return f, nil
--- a/ledger/leaf.go
+++ b/ledger/leaf.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// Leaf is a page of the books as a store keeps it: the newest text of a number counts. A text is at most LeafMost bytes.
+// Leaf is a page of the books as a store keeps it: the newest text of a number counts. A text is at most MaxLeafBytes bytes.
 type Leaf struct {
 	Number uint64
 	Text   []byte
@@ -25,10 +25,10 @@
 // ErrLeaf is in the chain of what Restore returns for a leaf that can't be read.
 var ErrLeaf = errors.New("leaf can't be read")
 
-// Leaves calls put with what is to be written for all that was posted since, up to so many accounts, and takes it as
+// WriteLeaves calls put with what is to be written for all that was posted since, up to so many accounts, and takes it as
 // written: with a posting that is awaited as if it were made. Whoever writes calls Soil with the numbers of those that
 // do not get into the store. It returns false where more is left.
-func (l *Ledger) Leaves(most int, put func(Leaf)) bool {
+func (l *Ledger) WriteLeaves(most int, put func(Leaf)) bool {
 	if l.head {
 		l.head = false
 		put(Leaf{epochLeaf, l.epochText()})
@@ -51,8 +51,8 @@
 	return l.head || len(l.dirty) > 0 || l.stored < min(len(l.breaches), mostStored)
 }
 
-// Soil says that a leaf is not in the store: it is to be written anew.
-func (l *Ledger) Soil(number uint64) {
+// MarkUnwritten says that a leaf is not in the store: it is to be written anew.
+func (l *Ledger) MarkUnwritten(number uint64) {
 	switch {
 	case number == epochLeaf:
 		l.head = true
@@ -63,14 +63,14 @@
 	}
 }
 
-// Kept compares what the store has of an account, by its place in the list, with the books. clean tells whether the store
+// CompareStored compares what the store has of an account, by its place in the list, with the books. clean tells whether the store
 // is to have its newest leaf by now; others are left alone.
-func (l *Ledger) Kept(at int, clean func(number uint64) bool, store func(number uint64) []byte) {
+func (l *Ledger) CompareStored(at int, clean func(number uint64) bool, store func(number uint64) []byte) {
 	a := l.list[at]
 	if a.dirty || !clean(a.number) {
 		return
 	}
-	var have Figures
+	var have Counts
 	if text := store(a.number); text != nil {
 		if k, f, err := l.readAccount(text); err == nil && k == a.key {
 			have = f
@@ -81,11 +81,11 @@
 	x, y := want.all(), have.all()
 	for i := range x { // sums would not do: an end that is missing leaves them as they are
 		if *x[i] != *y[i] {
-			l.Compare(a.key, InStore, *x[i], *y[i])
+			l.Compare(a.key, CheckStore, *x[i], *y[i])
 			return
 		}
 	}
-	l.Compare(a.key, InStore, 0, 0)
+	l.Compare(a.key, CheckStore, 0, 0)
 }
 
 func putText(b []byte, s string) []byte { return append(binary.AppendUvarint(b, uint64(len(s))), s...) }
@@ -94,13 +94,13 @@
 	if k.Other {
 		return append(b, 1)
 	}
-	return binary.AppendVarint(putText(putText(append(b, 0), k.Class), k.Tenant), int64(k.Dest))
+	return binary.AppendVarint(putText(putText(append(b, 0), k.Class), k.Tenant), int64(k.Destination))
 }
 
 // text is an account's leaf. It begins with its epoch's mark: one of an epoch that is over counts no more.
 func (l *Ledger) text(a *Account) []byte {
 	f := a.now
-	if a.due != (Figures{}) {
+	if a.due != (Counts{}) {
 		f.Add(&a.due)
 	}
 	b := putKey(binary.LittleEndian.AppendUint32(make([]byte, 0, 64), l.marked), a.key)
@@ -121,19 +121,19 @@
 
 func (l *Ledger) epochText() []byte {
 	b := binary.AppendVarint(putText(nil, l.epoch.ID), l.epoch.Began)
-	b = putText(putText(putText(b, l.epoch.Why), l.epoch.Before), l.set.Boot)
-	if l.set.Lasting {
+	b = putText(putText(putText(b, l.epoch.Reason), l.epoch.Previous), l.set.BootID)
+	if l.set.Durable {
 		b = append(b, 1)
 	} else {
 		b = append(b, 0)
 	}
-	return binary.AppendUvarint(binary.AppendUvarint(b, uint64(l.set.Most)), uint64(l.more))
+	return binary.AppendUvarint(binary.AppendUvarint(b, uint64(l.set.MaxAccounts)), uint64(l.more))
 }
 
 func (l *Ledger) breachText(b *Breach) []byte {
-	t := putText(putKey(nil, b.Key), b.What)
-	t = binary.AppendUvarint(binary.AppendUvarint(t, uint64(b.Books)), uint64(b.Counted))
-	return binary.AppendVarint(binary.AppendVarint(t, b.At), b.Healed)
+	t := putText(putKey(nil, b.Key), b.Check)
+	t = binary.AppendUvarint(binary.AppendUvarint(t, uint64(b.Booked)), uint64(b.Counted))
+	return binary.AppendVarint(binary.AppendVarint(t, b.FoundAt), b.ResolvedAt)
 }
 
 // reader reads fields; after a short read all is zero and bad is set.
@@ -181,7 +181,7 @@
 	k.Other, r.b = r.b[0] == 1, r.b[1:]
 	if !k.Other {
 		k.Class, k.Tenant = r.text(), r.text()
-		k.Dest = int(r.signed())
+		k.Destination = int(r.signed())
 	}
 	return k
 }
@@ -201,7 +201,7 @@
 
 var errOver = errors.New("of an epoch that is over")
 
-func (l *Ledger) readAccount(text []byte) (k Key, f Figures, err error) {
+func (l *Ledger) readAccount(text []byte) (k Key, f Counts, err error) {
 	if len(text) < 4 {
 		return k, f, ErrLeaf
 	}
@@ -233,12 +233,12 @@
 	}
 	l.head, l.restored = false, true
 	r := &reader{b: leaves[at].Text}
-	l.epoch = Epoch{ID: r.text(), Began: r.signed(), Why: r.text(), Before: r.text()}
+	l.epoch = Epoch{ID: r.text(), Began: r.signed(), Reason: r.text(), Previous: r.text()}
 	l.marked = l.epoch.mark()
 	boot, lasting := r.text(), r.num() == 1
-	l.set.Most, l.more = int(min(r.num(), MostAccounts)), Count(r.num())
-	l.rebooted = boot != "" && s.Boot != "" && boot != l.set.Boot && !lasting
-	l.head = boot != l.set.Boot || lasting != s.Lasting
+	l.set.MaxAccounts, l.more = int(min(r.num(), MaxAccountsLimit)), Count(r.num())
+	l.rebooted = boot != "" && s.BootID != "" && boot != l.set.BootID && !lasting
+	l.head = boot != l.set.BootID || lasting != s.Durable
 	if err := r.end("epoch"); err != nil {
 		return nil, err
 	}
@@ -249,12 +249,12 @@
 		case f.Number == epochLeaf:
 		case f.Number < firstAccount:
 			r := &reader{b: f.Text}
-			b := Breach{Key: r.key(), What: r.text(), Books: Count(r.num()), Counted: Count(r.num()), At: r.signed(), Healed: r.signed()}
+			b := Breach{Key: r.key(), Check: r.text(), Booked: Count(r.num()), Counted: Count(r.num()), FoundAt: r.signed(), ResolvedAt: r.signed()}
 			if err := r.end("breach"); err != nil {
 				return nil, err
 			}
-			if b.Healed == 0 {
-				l.standing[place{b.Key, b.What}] = len(l.breaches)
+			if b.ResolvedAt == 0 {
+				l.standing[place{b.Key, b.Check}] = len(l.breaches)
 			}
 			l.breaches = append(l.breaches, b)
 		default:
@@ -291,9 +291,9 @@
 // Epoch is the ledger's.
 func (l *Ledger) Epoch() Epoch { return l.epoch }
 
-// Anew begins a new epoch with what is on record of breaches; all accounts are empty.
-func (l *Ledger) Anew(s Settings, e Epoch) (*Ledger, error) {
-	e.Before = l.epoch.ID
+// EpochChanged begins a new epoch with what is on record of breaches; all accounts are empty.
+func (l *Ledger) NextEpoch(s Settings, e Epoch) (*Ledger, error) {
+	e.Previous = l.epoch.ID
 	n, err := New(s, e)
 	if err != nil {
 		return nil, err
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -11,10 +11,10 @@
 
 // Key names an account.
 type Key struct {
-	Class  string `json:"class"`
-	Dest   int    `json:"dest"` // the partner
-	Tenant string `json:"tenant"`
-	Other  bool   `json:"other,omitempty"` // the account of all that have none of their own; the rest is empty
+	Class       string `json:"class"`
+	Destination int    `json:"dest"` // the partner
+	Tenant      string `json:"tenant"`
+	Other       bool   `json:"other,omitempty"` // the account of all that have none of their own; the rest is empty
 }
 
 // String is a key for people.
@@ -22,7 +22,7 @@
 	if k.Other {
 		return "other"
 	}
-	return fmt.Sprintf("%s/%d/%s", k.Class, k.Dest, k.Tenant)
+	return fmt.Sprintf("%s/%d/%s", k.Class, k.Destination, k.Tenant)
 }
 
 // Compare orders keys; other comes last.
@@ -33,7 +33,7 @@
 		}
 		return -1
 	}
-	return cmp.Or(cmp.Compare(k.Class, o.Class), cmp.Compare(k.Dest, o.Dest), cmp.Compare(k.Tenant, o.Tenant))
+	return cmp.Or(cmp.Compare(k.Class, o.Class), cmp.Compare(k.Destination, o.Destination), cmp.Compare(k.Tenant, o.Tenant))
 }
 
 // Entry is what a posting says. Each one moves one thing.
@@ -41,23 +41,23 @@
 
 // Entries. The first group is of messages, the second of attempts, the third of doubt.
 const (
-	Brought Entry = iota + 1 // open when the epoch began
-	Taken
-	In // from another account, or sent again after its end: it is open here
-	Served
-	Refused // handed back: it never ran or may be repeated, or nobody wanted it any more
-	Failed  // nothing is promised
-	Out     // open here until now, open in another account from now on
-	Again   // refused or failed here once, open again under a new id from now on
-
-	Sent     // an attempt begins
-	Answered // it was answered, well or not
-	Declined // it provably never ran
-	Silent   // it was cut off or timed out, or its process ended: nobody knows
-
-	Doubted // an open message may have taken effect
-	Twice   // it was delivered all the same: its effect may have happened twice
-	Unsure  // it ended otherwise: its effect may have happened or not
+	CarriedOver Entry = iota + 1 // open when the epoch began
+	Accepted
+	MovedIn // from another account, or sent again after its end: it is open here
+	Delivered
+	Refused  // handed back: it never ran or may be repeated, or nobody wanted it any more
+	Failed   // nothing is promised
+	MovedOut // open here until now, open in another account from now on
+	Reopened // refused or failed here once, open again under a new id from now on
+
+	AttemptSent       // an attempt begins
+	AttemptAnswered   // it was answered, well or not
+	AttemptRefused    // it provably never ran
+	AttemptUnanswered // it was cut off or timed out, or its process ended: nobody knows
+
+	DoubtOpened     // an open message may have taken effect
+	DoubtTwice      // it was delivered all the same: its effect may have happened twice
+	DoubtUnresolved // it ended otherwise: its effect may have happened or not
 	entries
 )
 
@@ -76,26 +76,26 @@
 
 // Posting is one entry in one account.
 type Posting struct {
-	Key  Key
-	What Entry
+	Key   Key
+	Entry Entry
 }
 
-// Figures are an account's. All but Open, Attempts.Out and Doubt.Open only grow within an epoch.
+// Counts are an account's. All but Open, Attempts.Out and Doubt.Open only grow within an epoch.
 //
 //	Brought + Taken + In = Served + Refused + Failed + Out + Open
 //
 // Over all accounts the sum of In is that of Out and Again. So taken = served + refused + failed - again + open, counting
 // a message that is sent again as one.
-type Figures struct {
-	Brought Count `json:"brought"`
-	Taken   Count `json:"taken"`
-	In      Count `json:"in"`
-	Served  Count `json:"served"`
-	Refused Count `json:"refused"`
-	Failed  Count `json:"failed"`
-	Out     Count `json:"out"`
-	Again   Count `json:"again"`
-	Open    Count `json:"open"`
+type Counts struct {
+	CarriedOver Count `json:"brought"`
+	Accepted    Count `json:"taken"`
+	MovedIn     Count `json:"in"`
+	Delivered   Count `json:"served"`
+	Refused     Count `json:"refused"`
+	Failed      Count `json:"failed"`
+	MovedOut    Count `json:"out"`
+	Reopened    Count `json:"again"`
+	Open        Count `json:"open"`
 
 	Attempts Attempts `json:"attempts"`
 	Doubt    Doubt    `json:"doubt"`
@@ -103,29 +103,29 @@
 
 // Attempts are figures of attempts: Sent = Answered + Refused + Silent + Out.
 type Attempts struct {
-	Sent     Count `json:"sent"`
-	Answered Count `json:"answered"`
-	Refused  Count `json:"refused"` // they provably never ran
-	Silent   Count `json:"silent"`
-	Out      Count `json:"out"`
+	Sent       Count `json:"sent"`
+	Answered   Count `json:"answered"`
+	Refused    Count `json:"refused"` // they provably never ran
+	Unanswered Count `json:"silent"`
+	Out        Count `json:"out"`
 }
 
 // Doubt are figures of effects that may have happened twice or not at all: Opened = Twice + Unsure + Open.
 type Doubt struct {
-	Opened Count `json:"opened"`
-	Twice  Count `json:"twice"`
-	Unsure Count `json:"unsure"`
-	Open   Count `json:"open"`
+	Opened     Count `json:"opened"`
+	Twice      Count `json:"twice"`
+	Unresolved Count `json:"unsure"`
+	Open       Count `json:"open"`
 }
 
 const columns = 18
 
 // all are the figures in the order in which they are stored; those from levels on may fall.
-func (f *Figures) all() [columns]*Count {
+func (f *Counts) all() [columns]*Count {
 	return [columns]*Count{
-		&f.Brought, &f.Taken, &f.In, &f.Served, &f.Refused, &f.Failed, &f.Out, &f.Again,
-		&f.Attempts.Sent, &f.Attempts.Answered, &f.Attempts.Refused, &f.Attempts.Silent,
-		&f.Doubt.Opened, &f.Doubt.Twice, &f.Doubt.Unsure,
+		&f.CarriedOver, &f.Accepted, &f.MovedIn, &f.Delivered, &f.Refused, &f.Failed, &f.MovedOut, &f.Reopened,
+		&f.Attempts.Sent, &f.Attempts.Answered, &f.Attempts.Refused, &f.Attempts.Unanswered,
+		&f.Doubt.Opened, &f.Doubt.Twice, &f.Doubt.Unresolved,
 		&f.Open, &f.Attempts.Out, &f.Doubt.Open,
 	}
 }
@@ -140,14 +140,14 @@
 
 // Each calls f with each figure by its name, always in the same order. A level may fall, the others only grow within an
 // epoch.
-func (f *Figures) Each(call func(name string, v Count, level bool)) {
+func (f *Counts) Each(call func(name string, v Count, level bool)) {
 	for i, c := range f.all() {
 		call(columnNames[i], *c, i >= levels)
 	}
 }
 
 // Add adds other figures.
-func (f *Figures) Add(o *Figures) {
+func (f *Counts) Add(o *Counts) {
 	to, from := f.all(), o.all()
 	for i := range to {
 		*to[i] += *from[i]
@@ -155,8 +155,8 @@
 }
 
 // Sides are both sides of the equation of messages: what came in, and what went out or is there.
-func (f *Figures) Sides() (in, out Count) {
-	return f.Brought + f.Taken + f.In, f.Served + f.Refused + f.Failed + f.Out + f.Open
+func (f *Counts) Sides() (in, out Count) {
+	return f.CarriedOver + f.Accepted + f.MovedIn, f.Delivered + f.Refused + f.Failed + f.MovedOut + f.Open
 }
 
 // down lowers a level; one that is 0 stays 0, and then the equation no longer holds.
@@ -167,19 +167,19 @@
 }
 
 // post makes both entries of one posting.
-func (f *Figures) post(e Entry) {
+func (f *Counts) post(e Entry) {
 	switch e {
-	case Brought:
-		f.Brought++
+	case CarriedOver:
+		f.CarriedOver++
 		f.Open++
-	case Taken:
-		f.Taken++
+	case Accepted:
+		f.Accepted++
 		f.Open++
-	case In:
-		f.In++
+	case MovedIn:
+		f.MovedIn++
 		f.Open++
-	case Served:
-		f.Served++
+	case Delivered:
+		f.Delivered++
 		down(&f.Open)
 	case Refused:
 		f.Refused++
@@ -187,31 +187,31 @@
 	case Failed:
 		f.Failed++
 		down(&f.Open)
-	case Out:
-		f.Out++
+	case MovedOut:
+		f.MovedOut++
 		down(&f.Open)
-	case Again:
-		f.Again++
-	case Sent:
+	case Reopened:
+		f.Reopened++
+	case AttemptSent:
 		f.Attempts.Sent++
 		f.Attempts.Out++
-	case Answered:
+	case AttemptAnswered:
 		f.Attempts.Answered++
 		down(&f.Attempts.Out)
-	case Declined:
+	case AttemptRefused:
 		f.Attempts.Refused++
 		down(&f.Attempts.Out)
-	case Silent:
-		f.Attempts.Silent++
+	case AttemptUnanswered:
+		f.Attempts.Unanswered++
 		down(&f.Attempts.Out)
-	case Doubted:
+	case DoubtOpened:
 		f.Doubt.Opened++
 		f.Doubt.Open++
-	case Twice:
+	case DoubtTwice:
 		f.Doubt.Twice++
 		down(&f.Doubt.Open)
-	case Unsure:
-		f.Doubt.Unsure++
+	case DoubtUnresolved:
+		f.Doubt.Unresolved++
 		down(&f.Doubt.Open)
 	}
 }
@@ -219,10 +219,10 @@
 // Account is one account of a ledger.
 type Account struct {
 	key    Key
-	now    Figures
-	due    Figures // postings that wait for the store: they count once it has them, and stand in leaves before
-	number uint64  // of its leaf
-	dirty  bool    // the store has not been told its newest figures
+	now    Counts
+	due    Counts // postings that wait for the store: they count once it has them, and stand in leaves before
+	number uint64 // of its leaf
+	dirty  bool   // the store has not been told its newest figures
 
 	// Live messages as a sweep counts them; see Sweep.
 	open, doubt, out Count
@@ -233,26 +233,26 @@
 
 // Settings of a ledger. The zero value is ready for use.
 type Settings struct {
-	Instance string // the dispatcher's name
-	Most     int    // accounts that there are at most, other not counted; 0: DefaultMost, MostAccounts at most
+	Instance    string // the dispatcher's name
+	MaxAccounts int    // accounts that there are at most, other not counted; 0: DefaultMaxAccounts, MaxAccountsLimit at most
 
 	// What was written and not synced is lost where the machine starts anew. Boot names the time that it runs, "" if that
 	// is not known; Lasting says that all counts only once it is synced.
-	Boot    string
-	Lasting bool
+	BootID  string
+	Durable bool
 
-	// Post, where a rig sets it, stands between who posts and the books: what it returns is posted in place of what it is
+	// InterceptPost, where a rig sets it, stands between who posts and the books: what it returns is posted in place of what it is
 	// given. Nothing else may set it.
-	Post func(Posting) []Posting
+	InterceptPost func(Posting) []Posting
 }
 
 // Bounds.
 const (
-	DefaultMost  = 256
-	MostAccounts = 1 << 16
-	mostName     = 64  // bytes of a class or tenant that has an account of its own
-	mostBreaches = 64  // that are kept
-	LeafMost     = 384 // bytes of a leaf
+	DefaultMaxAccounts = 256
+	MaxAccountsLimit   = 1 << 16
+	mostName           = 64  // bytes of a class or tenant that has an account of its own
+	mostBreaches       = 64  // that are kept
+	MaxLeafBytes       = 384 // bytes of a leaf
 )
 
 // Ledger is the books of one dispatcher.
@@ -264,8 +264,8 @@
 	near   [nearby]*Account
 	list   []*Account // by number
 	other  *Account
-	total  Figures
-	base   Figures // total when this process began to post
+	total  Counts
+	base   Counts // total when this process began to post
 	wall   int64
 
 	breaches []Breach
@@ -283,20 +283,20 @@
 
 // New begins a ledger anew.
 func New(s Settings, e Epoch) (*Ledger, error) {
-	if s.Most < 0 || s.Most > MostAccounts {
-		return nil, fmt.Errorf("most accounts: %d is out of range, 1 to %d", s.Most, MostAccounts)
+	if s.MaxAccounts < 0 || s.MaxAccounts > MaxAccountsLimit {
+		return nil, fmt.Errorf("most accounts: %d is out of range, 1 to %d", s.MaxAccounts, MaxAccountsLimit)
 	}
-	if s.Most == 0 {
-		s.Most = DefaultMost
+	if s.MaxAccounts == 0 {
+		s.MaxAccounts = DefaultMaxAccounts
 	}
-	if len(s.Boot) > mostName {
-		s.Boot = s.Boot[:mostName]
+	if len(s.BootID) > mostName {
+		s.BootID = s.BootID[:mostName]
 	}
 	return &Ledger{set: s, epoch: e, marked: e.mark(), byKey: map[Key]*Account{}, standing: map[place]int{}, beyond: map[place]Count{}, head: true}, nil
 }
 
-// At says what the wall clock shows (microseconds since 1970), for breaches.
-func (l *Ledger) At(wall int64) { l.wall = wall }
+// FoundAt says what the wall clock shows (microseconds since 1970), for breaches.
+func (l *Ledger) SetWallTime(wall int64) { l.wall = wall }
 
 // Account is the account of a key. Where there are as many as may be, or a name is too long, it is other.
 func (l *Ledger) Account(k Key) *Account {
@@ -308,7 +308,7 @@
 		*near = a
 		return a
 	}
-	if k.Other || len(l.list)-l.others() >= l.set.Most || len(k.Class) > mostName || len(k.Tenant) > mostName {
+	if k.Other || len(l.list)-l.others() >= l.set.MaxAccounts || len(k.Class) > mostName || len(k.Tenant) > mostName {
 		if l.other == nil {
 			l.other = l.open(Key{Other: true})
 		}
@@ -319,7 +319,7 @@
 
 // near is where an account is looked for first: most lookups are of few accounts, and a map of texts is slow.
 func (k *Key) near() int {
-	n := k.Dest*7 + len(k.Class) + 3*len(k.Tenant)
+	n := k.Destination*7 + len(k.Class) + 3*len(k.Tenant)
 	if len(k.Class) > 0 {
 		n += int(k.Class[len(k.Class)-1])
 	}
@@ -346,18 +346,18 @@
 // Accounts is how many accounts there are, other counted.
 func (l *Ledger) Accounts() int { return len(l.list) }
 
-// Posts is how many postings were made, for whoever wants to know whether there was one.
-func (l *Ledger) Posts() uint64 { return l.posts }
+// PostingCount is how many postings were made, for whoever wants to know whether there was one.
+func (l *Ledger) PostingCount() uint64 { return l.posts }
 
-// Post makes one posting and checks what it touched.
+// InterceptPost makes one posting and checks what it touched.
 func (l *Ledger) Post(a *Account, e Entry) {
 	l.posts++
-	if l.set.Post == nil {
+	if l.set.InterceptPost == nil {
 		l.post(a, e)
 		return
 	}
-	for _, p := range l.set.Post(Posting{a.key, e}) {
-		l.post(l.Account(p.Key), p.What)
+	for _, p := range l.set.InterceptPost(Posting{a.key, e}) {
+		l.post(l.Account(p.Key), p.Entry)
 	}
 }
 
@@ -376,22 +376,22 @@
 // Transfer moves one open message from one account to another.
 func (l *Ledger) Transfer(from, to *Account) {
 	if from != to {
-		l.Post(from, Out)
-		l.Post(to, In)
+		l.Post(from, MovedOut)
+		l.Post(to, MovedIn)
 	}
 }
 
-// Await notes a posting that counts once the store has the batch that goes with it, and stands in leaves from now on.
+// PostPending notes a posting that counts once the store has the batch that goes with it, and stands in leaves from now on.
 // Settle or Drop follows.
-func (l *Ledger) Await(a *Account, e Entry) {
+func (l *Ledger) PostPending(a *Account, e Entry) {
 	a.due.post(e)
 	l.touch(a)
 }
 
-// Settle makes a posting that was awaited.
-func (l *Ledger) Settle(a *Account, e Entry) {
+// ConfirmPending makes a posting that was awaited.
+func (l *Ledger) ConfirmPending(a *Account, e Entry) {
 	a.forgo(e)
-	if l.set.Post != nil {
+	if l.set.InterceptPost != nil {
 		l.Post(a, e)
 		return
 	}
@@ -399,23 +399,23 @@
 	l.enter(a, e) // its leaf stays as it was
 }
 
-// Drop forgets a posting that was awaited: its batch never got into the store.
-func (l *Ledger) Drop(a *Account, e Entry) {
+// DropPending forgets a posting that was awaited: its batch never got into the store.
+func (l *Ledger) DropPending(a *Account, e Entry) {
 	a.forgo(e)
 	l.touch(a)
 }
 
 func (a *Account) forgo(e Entry) {
 	switch e {
-	case Taken:
-		down(&a.due.Taken)
+	case Accepted:
+		down(&a.due.Accepted)
 		down(&a.due.Open)
-	case In:
-		down(&a.due.In)
+	case MovedIn:
+		down(&a.due.MovedIn)
 		down(&a.due.Open)
-	case Again:
-		down(&a.due.Again)
-	case Doubted:
+	case Reopened:
+		down(&a.due.Reopened)
+	case DoubtOpened:
 		down(&a.due.Doubt.Opened)
 		down(&a.due.Doubt.Open)
 	}
@@ -432,12 +432,12 @@
 func (l *Ledger) audit(a *Account) {
 	f := &a.now
 	in, out := f.Sides()
-	l.Compare(a.key, Messages, in, out)
-	l.Compare(a.key, AttemptsOf, f.Attempts.Sent, f.Attempts.Answered+f.Attempts.Refused+f.Attempts.Silent+f.Attempts.Out)
-	l.Compare(a.key, DoubtOf, f.Doubt.Opened, f.Doubt.Twice+f.Doubt.Unsure+f.Doubt.Open)
+	l.Compare(a.key, CheckMessages, in, out)
+	l.Compare(a.key, CheckAttempts, f.Attempts.Sent, f.Attempts.Answered+f.Attempts.Refused+f.Attempts.Unanswered+f.Attempts.Out)
+	l.Compare(a.key, CheckDoubt, f.Doubt.Opened, f.Doubt.Twice+f.Doubt.Unresolved+f.Doubt.Open)
 }
 
-// Moves checks that what went out of accounts came into others. Whoever posts calls it once both sides are posted.
-func (l *Ledger) Moves() {
-	l.Compare(Key{}, MovesOf, l.total.In, l.total.Out+l.total.Again)
+// CompareTransfers checks that what went out of accounts came into others. Whoever posts calls it once both sides are posted.
+func (l *Ledger) CompareTransfers() {
+	l.Compare(Key{}, CheckTransfers, l.total.MovedIn, l.total.MovedOut+l.total.Reopened)
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-var epoch = NewEpoch(7, 1, WhyNew, "")
+var epoch = NewEpoch(7, 1, ReasonNoLedger, "")
 
 func book(t *testing.T, s Settings) *Ledger {
 	t.Helper()
@@ -23,7 +23,7 @@
 	return l
 }
 
-func key(n int) Key { return Key{Class: fmt.Sprintf("c%d", n%3), Dest: n, Tenant: "t"} }
+func key(n int) Key { return Key{Class: fmt.Sprintf("c%d", n%3), Destination: n, Tenant: "t"} }
 
 // Any order of postings that messages can make keeps all equations, also over a store that takes all leaves, and where
 // there are more keys than accounts.
@@ -31,7 +31,7 @@
 	t.Parallel()
 	for seed := range uint64(30) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		l := book(t, Settings{Instance: "d", Most: 5})
+		l := book(t, Settings{Instance: "d", MaxAccounts: 5})
 		store := map[uint64][]byte{}
 		var open []*Account
 		var before *Snapshot
@@ -39,16 +39,16 @@
 			switch n := r.IntN(12); {
 			case n < 5:
 				a := l.Account(key(r.IntN(9)))
-				l.Await(a, Taken)
+				l.PostPending(a, Accepted)
 				if r.IntN(5) == 0 {
-					l.Drop(a, Taken)
+					l.DropPending(a, Accepted)
 				} else {
-					l.Settle(a, Taken)
+					l.ConfirmPending(a, Accepted)
 					open = append(open, a)
 				}
 			case n < 10 && len(open) > 0:
 				i := r.IntN(len(open))
-				l.Post(open[i], []Entry{Served, Refused, Failed}[r.IntN(3)])
+				l.Post(open[i], []Entry{Delivered, Refused, Failed}[r.IntN(3)])
 				open = slices.Delete(open, i, i+1)
 			case n == 10 && len(open) > 0:
 				i := r.IntN(len(open))
@@ -57,24 +57,24 @@
 				open[i] = to
 			case n == 11:
 				a := l.Account(key(r.IntN(9)))
-				l.Post(a, Sent)
-				l.Post(a, []Entry{Answered, Declined, Silent}[r.IntN(3)])
+				l.Post(a, AttemptSent)
+				l.Post(a, []Entry{AttemptAnswered, AttemptRefused, AttemptUnanswered}[r.IntN(3)])
 			}
-			l.Moves()
+			l.CompareTransfers()
 			if r.IntN(50) != 0 {
 				continue
 			}
-			for !l.Leaves(2, func(f Leaf) { store[f.Number] = f.Text }) {
+			for !l.WriteLeaves(2, func(f Leaf) { store[f.Number] = f.Text }) {
 			}
 			var leaves []Leaf
 			for n, text := range store {
-				if len(text) > LeafMost {
+				if len(text) > MaxLeafBytes {
 					t.Fatalf("a leaf of %d bytes", len(text))
 				}
 				leaves = append(leaves, Leaf{n, text})
 			}
 			was := l.Snapshot(int64(step))
-			after, err := Restore(Settings{Instance: "d", Most: 50}, leaves, NewEpoch(9, 9, WhyNew, ""))
+			after, err := Restore(Settings{Instance: "d", MaxAccounts: 50}, leaves, NewEpoch(9, 9, ReasonNoLedger, ""))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -91,7 +91,7 @@
 				t.Fatalf("seed %d: %+v", seed, bad)
 			}
 			if before != nil {
-				if d, err := Diff(before, is); err != nil || d.Anew || len(d.Back) > 0 {
+				if d, err := Diff(before, is); err != nil || d.EpochChanged || len(d.Decreases) > 0 {
 					t.Fatalf("seed %d: %v %+v", seed, err, d)
 				}
 			}
@@ -110,15 +110,15 @@
 
 func TestHostileNamesTakeNoAccountsBeyondTheBound(t *testing.T) {
 	t.Parallel()
-	l := book(t, Settings{Most: 100})
+	l := book(t, Settings{MaxAccounts: 100})
 	for i := range 100_000 {
-		l.Post(l.Account(Key{Class: fmt.Sprint("x", i), Tenant: strings.Repeat("y", i%100)}), Taken)
+		l.Post(l.Account(Key{Class: fmt.Sprint("x", i), Tenant: strings.Repeat("y", i%100)}), Accepted)
 	}
 	s := l.Snapshot(0)
-	if len(s.Accounts) != 101 || s.Total.Taken != 100_000 || len(s.Check()) > 0 {
-		t.Errorf("%d accounts, %d taken, %v", len(s.Accounts), s.Total.Taken, s.Check())
+	if len(s.Accounts) != 101 || s.Total.Accepted != 100_000 || len(s.Check()) > 0 {
+		t.Errorf("%d accounts, %d taken, %v", len(s.Accounts), s.Total.Accepted, s.Check())
 	}
-	if last := s.Accounts[100]; !last.Key.Other || last.Taken < 99_900 {
+	if last := s.Accounts[100]; !last.Key.Other || last.Accepted < 99_900 {
 		t.Errorf("the last account is %+v", last)
 	}
 }
@@ -139,17 +139,17 @@
 			t.Errorf("%s is read as %d", text, c)
 		}
 	}
-	s := &Snapshot{Format: Format, Epoch: epoch, Total: Figures{Taken: math.MaxUint64}}
+	s := &Snapshot{Format: Format, Epoch: epoch, Total: Counts{Accepted: math.MaxUint64}}
 	out, err := json.Marshal(s)
 	if err != nil || !bytes.Contains(out, []byte(`"taken":"18446744073709551615"`)) {
 		t.Fatalf("%v %s", err, out)
 	}
-	back, err := Read(bytes.NewReader(out))
+	back, err := ReadSnapshot(bytes.NewReader(out))
 	if err != nil || back.Total != s.Total {
 		t.Errorf("%v %+v", err, back)
 	}
 	for _, text := range []string{"", "{}", `{"format":2}`, `{"format":1,"epoch":{"id":"zz"}}`} {
-		if _, err := Read(strings.NewReader(text)); !errors.Is(err, ErrFormat) {
+		if _, err := ReadSnapshot(strings.NewReader(text)); !errors.Is(err, ErrFormat) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
@@ -158,91 +158,91 @@
 func TestBreachesStayOnRecord(t *testing.T) {
 	t.Parallel()
 	l := book(t, Settings{})
-	l.At(10)
+	l.SetWallTime(10)
 	a, b := l.Account(key(1)), l.Account(key(2))
-	l.Compare(a.key, LiveOpen, 1, 2)
-	l.At(20)
-	l.Compare(b.key, LiveOpen, 5, 2) // while the first stands
-	l.Compare(a.key, LiveOpen, 2, 3) // the same one
-	l.At(30)
-	l.Compare(a.key, LiveOpen, 4, 4) // heals
-	l.Compare(a.key, LiveOpen, 4, 5) // a further one
+	l.Compare(a.key, CheckLiveOpen, 1, 2)
+	l.SetWallTime(20)
+	l.Compare(b.key, CheckLiveOpen, 5, 2) // while the first stands
+	l.Compare(a.key, CheckLiveOpen, 2, 3) // the same one
+	l.SetWallTime(30)
+	l.Compare(a.key, CheckLiveOpen, 4, 4) // heals
+	l.Compare(a.key, CheckLiveOpen, 4, 5) // a further one
 	var leaves []Leaf
-	l.Leaves(10, func(f Leaf) { leaves = append(leaves, f) })
+	l.WriteLeaves(10, func(f Leaf) { leaves = append(leaves, f) })
 	after, err := Restore(Settings{}, leaves, epoch)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := []Breach{
-		{a.key, LiveOpen, 1, 2, 10, 30}, {b.key, LiveOpen, 5, 2, 20, 0}, {a.key, LiveOpen, 4, 5, 30, 0},
+		{a.key, CheckLiveOpen, 1, 2, 10, 30}, {b.key, CheckLiveOpen, 5, 2, 20, 0}, {a.key, CheckLiveOpen, 4, 5, 30, 0},
 	}
 	for _, l := range []*Ledger{l, after} {
 		if got := l.Snapshot(0).Breaches; !slices.Equal(got, want) {
 			t.Errorf("on record: %+v", got)
 		}
-		if n := len(l.Snapshot(0).Check()); n != 2 || l.Standing() != 2 {
+		if n := len(l.Snapshot(0).Check()); n != 2 || l.StandingBreaches() != 2 {
 			t.Errorf("%d stand", n)
 		}
 	}
-	if fresh := l.Fresh(); len(fresh) != 4 || l.Fresh() != nil {
+	if fresh := l.TakeNewBreaches(); len(fresh) != 4 || l.TakeNewBreaches() != nil {
 		t.Errorf("told: %+v", fresh)
 	}
 	for i := range 1000 {
-		l.Compare(key(i), LiveOut, 0, 1)
+		l.Compare(key(i), CheckLiveAttempts, 0, 1)
 	}
-	if s := l.Snapshot(0); len(s.Breaches) != mostBreaches || s.More != 1000+3-mostBreaches {
-		t.Errorf("%d breaches and %d more", len(s.Breaches), s.More)
+	if s := l.Snapshot(0); len(s.Breaches) != mostBreaches || s.MoreBreaches != 1000+3-mostBreaches {
+		t.Errorf("%d breaches and %d more", len(s.Breaches), s.MoreBreaches)
 	}
-	l.Fresh()
-	l.Compare(key(999), LiveOut, 3, 4) // one that is not kept, as it was
-	if fresh := l.Fresh(); fresh != nil || l.Standing() != 2+1000 {
-		t.Errorf("told again: %+v, %d stand", fresh, l.Standing())
+	l.TakeNewBreaches()
+	l.Compare(key(999), CheckLiveAttempts, 3, 4) // one that is not kept, as it was
+	if fresh := l.TakeNewBreaches(); fresh != nil || l.StandingBreaches() != 2+1000 {
+		t.Errorf("told again: %+v, %d stand", fresh, l.StandingBreaches())
 	}
 }
 
 func TestSumKnowsEpochsAndWhatIsLeftOpen(t *testing.T) {
 	t.Parallel()
-	shot := func(instance string, e Epoch, wall int64, f Figures) *Snapshot {
-		return &Snapshot{Format: Format, Instance: instance, Epoch: e, Wall: wall, Total: f, Accounts: []Line{{key(1), f}}}
+	shot := func(instance string, e Epoch, wall int64, f Counts) *Snapshot {
+		return &Snapshot{Format: Format, Instance: instance, Epoch: e, Wall: wall, Total: f, Accounts: []AccountCounts{{key(1), f}}}
 	}
-	first, second := NewEpoch(1, 1, WhyNew, ""), NewEpoch(2, 50, WhyDamage, NewEpoch(1, 0, "", "").ID)
+	first, second := NewEpoch(1, 1, ReasonNoLedger, ""), NewEpoch(2, 50, ReasonDamage, NewEpoch(1, 0, "", "").ID)
 	f, err := Sum(
-		shot("a", first, 10, Figures{Taken: 5, Served: 1, Open: 4}),
-		shot("a", first, 5, Figures{Taken: 10, Served: 3, Open: 7}), // later, though its clock shows less
-		shot("a", second, 100, Figures{Brought: 5, Taken: 1, Failed: 2, Open: 4}),
-		shot("b", first, 30, Figures{Taken: 3, Open: 3}),
+		shot("a", first, 10, Counts{Accepted: 5, Delivered: 1, Open: 4}),
+		shot("a", first, 5, Counts{Accepted: 10, Delivered: 3, Open: 7}), // later, though its clock shows less
+		shot("a", second, 100, Counts{CarriedOver: 5, Accepted: 1, Failed: 2, Open: 4}),
+		shot("b", first, 30, Counts{Accepted: 3, Open: 3}),
 	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if in, out := f.Total.Sides(); in != 14 || in != out+f.Parts[0].Left || f.Parts[0].Left != 2 || f.Total.Open != 7 {
+	if in, out := f.Total.Sides(); in != 14 || in != out+f.Parts[0].Unaccounted || f.Parts[0].Unaccounted != 2 || f.Total.Open != 7 {
 		t.Errorf("%d came in, %d went out: %+v", in, out, f)
 	}
 	if p := f.Parts[2]; p.Instance != "b" || p.Behind != 70 || p.Open != 3 {
 		t.Errorf("what a machine left that is lost: %+v", p)
 	}
-	d, err := Diff(shot("a", first, 1, Figures{Taken: 5}), shot("a", first, 2, Figures{Taken: 4}))
-	if err != nil || len(d.Back) != 1 || d.Back[0].Figure != "taken" {
+	d, err := Diff(shot("a", first, 1, Counts{Accepted: 5}), shot("a", first, 2, Counts{Accepted: 4}))
+	if err != nil || len(d.Decreases) != 1 || d.Decreases[0].Counter != "taken" {
 		t.Errorf("%v %+v", err, d)
 	}
-	d, err = Diff(shot("a", first, 1, Figures{Taken: 5}), shot("a", second, 2, Figures{Taken: 4}))
-	if err != nil || !d.Anew || len(d.Back) != 0 {
+	d, err = Diff(shot("a", first, 1, Counts{Accepted: 5}), shot("a", second, 2, Counts{Accepted: 4}))
+	if err != nil || !d.EpochChanged || len(d.Decreases) != 0 {
 		t.Errorf("%v %+v", err, d)
 	}
 }
 
 func TestCheckFindsWhatDoesNotAddUp(t *testing.T) {
 	t.Parallel()
-	for name, f := range map[string]Figures{
-		Messages: {Taken: 2, Open: 1}, AttemptsOf: {Attempts: Attempts{Sent: 1}}, DoubtOf: {Doubt: Doubt{Open: 1}}, MovesOf: {In: 1, Open: 1},
+	for name, f := range map[string]Counts{
+		CheckMessages: {Accepted: 2, Open: 1}, CheckAttempts: {Attempts: Attempts{Sent: 1}}, CheckDoubt: {Doubt: Doubt{Open: 1}}, CheckTransfers: {MovedIn: 1, Open: 1},
 	} {
-		s := &Snapshot{Format: Format, Epoch: epoch, Total: f, Accounts: []Line{{key(1), f}}}
-		if bad := s.Check(); len(bad) != 1 || bad[0].What != name {
+		s := &Snapshot{Format: Format, Epoch: epoch, Total: f, Accounts: []AccountCounts{{key(1), f}}}
+		if bad := s.Check(); len(bad) != 1 || bad[0].Check != name {
 			t.Errorf("%s: %+v", name, bad)
 		}
 	}
-	s := &Snapshot{Format: Format, Epoch: epoch, Total: Figures{Taken: 1, Open: 1}}
-	if bad := s.Check(); len(bad) != 2 || !strings.HasPrefix(bad[0].What, Totals) {
+	s := &Snapshot{Format: Format, Epoch: epoch, Total: Counts{Accepted: 1, Open: 1}}
+	if bad := s.Check(); len(bad) != 2 || !strings.HasPrefix(bad[0].Check, CheckTotals) {
 		t.Errorf("%+v", bad)
 	}
 }
--- a/ledger/snapshot.go
+++ b/ledger/snapshot.go
@@ -14,28 +14,28 @@
 
 // Epoch is a time in which figures never step back: from when a ledger began anew until its folder is lost, or damaged.
 type Epoch struct {
-	ID     string `json:"id"`               // drawn at random, 16 hexadecimal digits
-	Began  int64  `json:"began,string"`     // wall time in microseconds since 1970
-	Why    string `json:"why"`              // see WhyNew and the others
-	Before string `json:"before,omitempty"` // the epoch that ended with it, if one is known
+	ID       string `json:"id"`               // drawn at random, 16 hexadecimal digits
+	Began    int64  `json:"began,string"`     // wall time in microseconds since 1970
+	Reason   string `json:"why"`              // see ReasonNoLedger and the others
+	Previous string `json:"before,omitempty"` // the epoch that ended with it, if one is known
 }
 
 // Why an epoch began.
 const (
-	WhyNew    = "no ledger was found"
-	WhyDamage = "the folder was damaged"
-	WhyPower  = "the machine started anew, and what was not synced may be lost"
+	ReasonNoLedger = "no ledger was found"
+	ReasonDamage   = "the folder was damaged"
+	ReasonReboot   = "the machine started anew, and what was not synced may be lost"
 )
 
 // NewEpoch is an epoch with the number given as its id.
 func NewEpoch(id uint64, began int64, why, before string) Epoch {
-	return Epoch{ID: fmt.Sprintf("%016x", id), Began: began, Why: why, Before: before}
+	return Epoch{ID: fmt.Sprintf("%016x", id), Began: began, Reason: why, Previous: before}
 }
 
-// Line is an account in a snapshot.
-type Line struct {
+// AccountCounts is an account in a snapshot.
+type AccountCounts struct {
 	Key
-	Figures
+	Counts
 }
 
 // Snapshot is one consistent cut through a ledger.
@@ -48,22 +48,22 @@
 	// Provisional says that the store does not have all of these postings: a crash may take some back.
 	Provisional bool `json:"provisional,omitempty"`
 
-	Accounts []Line   `json:"accounts"` // sorted by Key.Compare
-	Total    Figures  `json:"total"`
-	Breaches []Breach `json:"breaches"` // all on record, oldest first
-	More     Count    `json:"more_breaches"`
+	Accounts     []AccountCounts `json:"accounts"` // sorted by Key.Compare
+	Total        Counts          `json:"total"`
+	Breaches     []Breach        `json:"breaches"` // all on record, oldest first
+	MoreBreaches Count           `json:"more_breaches"`
 }
 
 // Snapshot is a copy of all that is in the books, with the wall time of the cut (microseconds since 1970).
 func (l *Ledger) Snapshot(wall int64) *Snapshot {
 	s := &Snapshot{
-		Format: Format, Instance: l.set.Instance, Epoch: l.epoch, Wall: wall, Total: l.total, More: l.more,
-		Accounts: make([]Line, 0, len(l.list)), Breaches: append([]Breach{}, l.breaches...),
+		Format: Format, Instance: l.set.Instance, Epoch: l.epoch, Wall: wall, Total: l.total, MoreBreaches: l.more,
+		Accounts: make([]AccountCounts, 0, len(l.list)), Breaches: append([]Breach{}, l.breaches...),
 	}
 	for _, a := range l.list {
-		s.Accounts = append(s.Accounts, Line{a.key, a.now})
+		s.Accounts = append(s.Accounts, AccountCounts{a.key, a.now})
 	}
-	slices.SortFunc(s.Accounts, func(a, b Line) int { return a.Key.Compare(b.Key) })
+	slices.SortFunc(s.Accounts, func(a, b AccountCounts) int { return a.Key.Compare(b.Key) })
 	return s
 }
 
@@ -72,11 +72,11 @@
 	ErrFormat = errors.New("not a ledger snapshot that this program knows")
 )
 
-// mostSnapshot is how many bytes Read reads at most: MostAccounts accounts and their breaches.
+// mostSnapshot is how many bytes Read reads at most: MaxAccountsLimit accounts and their breaches.
 const mostSnapshot = 64 << 20
 
-// Read reads a snapshot as JSON. An error wraps ErrFormat where it is JSON of something else or of a newer format.
-func Read(r io.Reader) (*Snapshot, error) {
+// ReadSnapshot reads a snapshot as JSON. An error wraps ErrFormat where it is JSON of something else or of a newer format.
+func ReadSnapshot(r io.Reader) (*Snapshot, error) {
 	text, err := io.ReadAll(io.LimitReader(r, mostSnapshot+1))
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
@@ -96,16 +96,16 @@
 
 // Check tells what in a snapshot does not add up now: breaches on record that stand, and what is found by adding up anew.
 func (s *Snapshot) Check() []Breach {
-	l, err := New(Settings{Most: MostAccounts}, s.Epoch)
+	l, err := New(Settings{MaxAccounts: MaxAccountsLimit}, s.Epoch)
 	if err != nil {
 		return nil // the settings are this package's own
 	}
 	l.wall = s.Wall
 	var out []Breach
 	for _, b := range s.Breaches {
-		if b.Healed == 0 {
+		if b.ResolvedAt == 0 {
 			out = append(out, b)
-			l.standing[place{b.Key, b.What}] = len(l.breaches)
+			l.standing[place{b.Key, b.Check}] = len(l.breaches)
 			l.breaches = append(l.breaches, b)
 		}
 	}
@@ -114,16 +114,16 @@
 	for i := range s.Accounts {
 		a := &s.Accounts[i]
 		if seen[a.Key] {
-			l.breaches = append(l.breaches, Breach{Key: a.Key, What: Totals, Books: 1, Counted: 2, At: s.Wall})
+			l.breaches = append(l.breaches, Breach{Key: a.Key, Check: CheckTotals, Booked: 1, Counted: 2, FoundAt: s.Wall})
 		}
 		seen[a.Key] = true
-		l.total.Add(&a.Figures)
-		l.audit(&Account{key: a.Key, now: a.Figures})
+		l.total.Add(&a.Counts)
+		l.audit(&Account{key: a.Key, now: a.Counts})
 	}
-	l.Moves()
+	l.CompareTransfers()
 	sum, total := l.total.all(), s.Total.all()
 	for i := range sum {
-		l.Compare(Key{}, Totals+": "+columnNames[i], *total[i], *sum[i])
+		l.Compare(Key{}, CheckTotals+": "+columnNames[i], *total[i], *sum[i])
 	}
 	for _, b := range l.breaches[known:] {
 		out = append(out, b)
--- a/membership/endpointslice/bench_test.go
+++ b/membership/endpointslice/bench_test.go
@@ -13,7 +13,7 @@
 func BenchmarkChange(b *testing.B) {
 	line := sample(100)
 	at := bytes.Index(line, []byte("0b0a5b0e-1111-4444-8888-000000000050")) + 24
-	set := NewSet(Partner{Name: "archive", Port: "http"})
+	set := NewSet(Partner{Name: "archive", PortName: "http"})
 	table, err := membership.New(membership.Settings{Sources: []string{"s"}})
 	if err != nil {
 		b.Fatal(err)
@@ -28,8 +28,8 @@
 		}
 		now = now.Add(time.Millisecond)
 		set.Put(now, ev.Slice)
-		changes, _ := set.Take(now, 0)
-		if _, _, err := table.Tell(now, "s", membership.Update{Endpoints: changes}); err != nil {
+		changes, _ := set.TakeChanges(now, 0)
+		if _, _, err := table.Apply(now, "s", membership.Update{Endpoints: changes}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/membership/endpointslice/client.go
+++ b/membership/endpointslice/client.go
@@ -40,9 +40,9 @@
 	return c, nil
 }
 
-// NewClientOn makes a client whose sources run on a host, such as a simulated one. It speaks plain HTTP, one request to a
+// NewClientWithHost makes a client whose sources run on a host, such as a simulated one. It speaks plain HTTP, one request to a
 // connection.
-func NewClientOn(h host.Host, a Access) (*Client, error) {
+func NewClientWithHost(h host.Host, a Access) (*Client, error) {
 	if err := a.Check(); err != nil {
 		return nil, err
 	}
--- a/membership/endpointslice/decode.go
+++ b/membership/endpointslice/decode.go
@@ -10,13 +10,13 @@
 
 // Slice is what is used of an EndpointSlice (discovery.k8s.io/v1).
 type Slice struct {
-	Namespace, Name string
-	Family          string // addressType: IPv4, IPv6 or FQDN
-	Entries         []Entry
-	Ports           []Port
-	Bad             int   // entries that could not be read; they are left out
-	Err             error // why the first of them, or the slice as a whole, could not be read
-	sums            []sum // of the entries' texts
+	Namespace, Name   string
+	AddressType       string // addressType: IPv4, IPv6 or FQDN
+	Entries           []Entry
+	Ports             []Port
+	UnreadableEntries int   // entries that could not be read; they are left out
+	Err               error // why the first of them, or the slice as a whole, could not be read
+	sums              []sum // of the entries' texts
 }
 
 // sum tells whether a text is the one that was read before, without keeping it. Two texts of one length are taken for the
@@ -41,7 +41,7 @@
 	Terminating bool   // false if absent
 }
 
-// Port is one of a slice's ports.
+// PortName is one of a slice's ports.
 type Port struct {
 	Name   string // "" if absent
 	Number int    // 0 if absent
@@ -261,9 +261,9 @@
 				}
 			})
 		case "addressType":
-			s.Family = strings.Clone(d.textOf("addressType"))
+			s.AddressType = strings.Clone(d.textOf("addressType"))
 		case "endpoints":
-			s.Entries, s.sums, s.Bad = nil, nil, 0
+			s.Entries, s.sums, s.UnreadableEntries = nil, nil, 0
 			if d.like, d.at = (Slice{}), 0; d.prior != nil && s.Name != "" {
 				d.like = d.prior(s.key())
 			}
@@ -287,8 +287,8 @@
 					d.at++
 					return
 				}
-				if s.Bad++; first == nil {
-					first = fmt.Errorf("endpoint %d: %w", len(s.Entries)+s.Bad, d.bad)
+				if s.UnreadableEntries++; first == nil {
+					first = fmt.Errorf("endpoint %d: %w", len(s.Entries)+s.UnreadableEntries, d.bad)
 				}
 				d.bad = nil
 			})
--- a/membership/endpointslice/example_test.go
+++ b/membership/endpointslice/example_test.go
@@ -23,7 +23,7 @@
 	}
 	defer client.Close()
 	source, err := endpointslice.New(client, endpointslice.Partner{
-		Name: "archive", Namespace: "partners", Selector: "kubernetes.io/service-name=archive", Port: "http", Dest: 7, Kind: "big-archives",
+		Name: "archive", Namespace: "partners", Selector: "kubernetes.io/service-name=archive", PortName: "http", Destination: 7, Kind: "big-archives",
 	}, slog.Default())
 	if err != nil {
 		return
@@ -36,7 +36,7 @@
 	source.Run(context.Background(), func(u membership.Update) {
 		mu.Lock()
 		defer mu.Unlock()
-		changes, refused, err := table.Tell(time.Now(), source.Name(), u)
+		changes, refused, err := table.Apply(time.Now(), source.Name(), u)
 		slog.Info("endpoints", "changed", len(changes), "refused", len(refused), "error", err)
 	})
 }
--- a/membership/endpointslice/fuzz_test.go
+++ b/membership/endpointslice/fuzz_test.go
@@ -23,7 +23,7 @@
 	ev.Kind, ev.Version = str(o["kind"]), str(meta["resourceVersion"])
 	ev.InitialEnd = str(obj(meta["annotations"])[initialEventsEnd]) == "true"
 	s := &ev.Slice
-	s.Namespace, s.Name, s.Family = str(meta["namespace"]), str(meta["name"]), str(o["addressType"])
+	s.Namespace, s.Name, s.AddressType = str(meta["namespace"]), str(meta["name"]), str(o["addressType"])
 	ev.Status = Status{Code: num(o["code"]), Reason: str(o["reason"]), Message: str(o["message"])}
 	details := obj(o["details"])
 	ev.Status.RetryAfter = num(details["retryAfterSeconds"])
@@ -156,7 +156,7 @@
 		}
 		set := NewSet(partner)
 		set.Put(start, ev.Slice)
-		set.Whole(start)
+		set.All(start)
 	})
 }
 
--- a/membership/endpointslice/set.go
+++ b/membership/endpointslice/set.go
@@ -91,7 +91,7 @@
 // NewSet makes an empty set; the partner's settings must have been checked.
 func NewSet(p Partner) *Set {
 	p.Grace, p.EmptyHold = cmp.Or(p.Grace, defaultGrace), cmp.Or(p.EmptyHold, defaultEmptyHold)
-	p.Most = cmp.Or(p.Most, defaultMost)
+	p.MaxEndpoints = cmp.Or(p.MaxEndpoints, defaultMost)
 	return &Set{
 		p: p, slices: map[string]*slice{}, entries: map[string]*endpoint{},
 		changed: map[*endpoint]struct{}{}, ended: map[string]struct{}{},
@@ -112,15 +112,15 @@
 	s.endedList = append(s.endedList, e.id)
 }
 
-// Begin says that a whole list begins, or begins anew.
-func (s *Set) Begin() {
+// BeginList says that a whole list begins, or begins anew.
+func (s *Set) BeginList() {
 	s.listing = true
 	s.round++
 }
 
-// End says that the list has come to its end: slices that it did not name are gone. It tells whether it left nobody where
+// EndList says that the list has come to its end: slices that it did not name are gone. It tells whether it left nobody where
 // somebody was known before.
-func (s *Set) End(now time.Time) (emptied bool) {
+func (s *Set) EndList(now time.Time) (emptied bool) {
 	for key, in := range s.slices {
 		if in.round != s.round {
 			s.Remove(now, key)
@@ -148,15 +148,15 @@
 func (s *Set) Put(now time.Time, new Slice) {
 	key := new.key()
 	in := s.slices[key]
-	whole := new.Err == nil || new.Bad > 0 // else it can't be read at all
-	if !whole || in == nil && len(s.slices) >= s.p.Most {
+	whole := new.Err == nil || new.UnreadableEntries > 0 // else it can't be read at all
+	if !whole || in == nil && len(s.slices) >= s.p.MaxEndpoints {
 		s.refused++
 		if in != nil {
 			in.round = s.round // as with a source that fails, what was read last stays
 		}
 		return
 	}
-	s.refused += new.Bad
+	s.refused += new.UnreadableEntries
 	if in == nil {
 		in = &slice{key: key}
 		s.slices[key] = in
@@ -176,7 +176,7 @@
 // replace puts another state of a slice in place of the one at hand. Entries that have not changed cost a comparison.
 func (s *Set) replace(now time.Time, in *slice, new Slice) {
 	port := s.p.port(&new)
-	alike := port == in.port && new.Family == in.Family
+	alike := port == in.port && new.AddressType == in.AddressType
 	var touched []*endpoint
 	differs := make([]int, 0, 8)
 	for i := range max(len(in.Entries), len(new.Entries)) {
@@ -218,10 +218,10 @@
 	if name == "" {
 		name = address(entry, &in.Slice, in.port)
 	}
-	id := fmt.Sprintf("%d/%s", s.p.Dest, name)
+	id := fmt.Sprintf("%d/%s", s.p.Destination, name)
 	e := s.entries[id]
 	if e == nil {
-		if name == "" || len(s.entries) >= s.p.Most {
+		if name == "" || len(s.entries) >= s.p.MaxEndpoints {
 			s.refused++
 			return nil
 		}
@@ -295,16 +295,16 @@
 
 // before tells whether m's address counts before o's.
 func (s *Set) before(m, o *mention) bool {
-	if m6, o6 := m.by.Family == "IPv6", o.by.Family == "IPv6"; m6 != o6 {
-		return m6 == s.p.PreferV6
+	if m6, o6 := m.by.AddressType == "IPv6", o.by.AddressType == "IPv6"; m6 != o6 {
+		return m6 == s.p.PreferIPv6
 	}
 	return cmp.Or(cmp.Compare(m.by.key, o.by.key), cmp.Compare(m.at, o.at)) < 0
 }
 
-// Take hands out the endpoints that changed since they were last taken, each in its newest state: what takes work away
+// TakeChanges hands out the endpoints that changed since they were last taken, each in its newest state: what takes work away
 // first, by ID within that. It holds back what is Active beyond most (0 or less: all of it) for the next call and tells
 // so with more: what takes work away never waits for it.
-func (s *Set) Take(now time.Time, most int) (changes []membership.Endpoint, more bool) {
+func (s *Set) TakeChanges(now time.Time, most int) (changes []membership.Endpoint, more bool) {
 	if !s.listing {
 		s.dropped = s.expire(now, s.dropped, s.p.Grace)
 		s.held = s.expire(now, s.held, s.p.EmptyHold)
@@ -333,9 +333,9 @@
 	return changes, false
 }
 
-// Whole is all endpoints in the order of IDs; nothing is left for Take after it but what comes due.
-func (s *Set) Whole(now time.Time) []membership.Endpoint {
-	s.Take(now, 0)
+// All is all endpoints in the order of IDs; nothing is left for Take after it but what comes due.
+func (s *Set) All(now time.Time) []membership.Endpoint {
+	s.TakeChanges(now, 0)
 	all := make([]membership.Endpoint, 0, len(s.entries))
 	for _, e := range s.entries {
 		if e.addr != "" {
@@ -364,8 +364,8 @@
 	return queue
 }
 
-// Due tells when Take has something to hand out though nothing is put in.
-func (s *Set) Due() (at time.Time, some bool) {
+// NextDue tells when Take has something to hand out though nothing is put in.
+func (s *Set) NextDue() (at time.Time, some bool) {
 	if s.listing {
 		return at, false
 	}
@@ -395,12 +395,12 @@
 func (s *Set) Refused() int { return s.refused }
 
 func (s *Set) out(e *endpoint) membership.Endpoint {
-	zone := cmp.Or(e.zone, s.p.Zone)
-	if mapped, ok := s.p.Zones[zone]; ok {
+	zone := cmp.Or(e.zone, s.p.DefaultZone)
+	if mapped, ok := s.p.ZoneNames[zone]; ok {
 		zone = mapped
 	}
 	return membership.Endpoint{
-		ID: e.id, Addr: e.addr, Dest: s.p.Dest, Zone: zone, Kind: s.p.Kind, Phase: e.phase, Weight: s.p.Weight,
+		ID: e.id, Addr: e.addr, Dest: s.p.Destination, Zone: zone, Kind: s.p.Kind, Phase: e.phase, Weight: s.p.Weight,
 		Started: e.started, Hints: e.hints, Note: e.note,
 	}
 }
--- a/membership/endpointslice/set_test.go
+++ b/membership/endpointslice/set_test.go
@@ -18,16 +18,16 @@
 
 func at(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
 
-var partner = Partner{Name: "archive", Namespace: "partners", Selector: "kubernetes.io/service-name=archive", Port: "http", Dest: 7, Kind: "hooks"}
+var partner = Partner{Name: "archive", Namespace: "partners", Selector: "kubernetes.io/service-name=archive", PortName: "http", Destination: 7, Kind: "hooks"}
 
 // slc is a slice with entries as "uid@host" and a letter for each condition: n not ready, t terminating.
 func slc(name string, entries ...string) Slice {
-	s := Slice{Namespace: "partners", Name: name, Family: "IPv4", Ports: []Port{{"http", 80, true}}}
+	s := Slice{Namespace: "partners", Name: name, AddressType: "IPv4", Ports: []Port{{"http", 80, true}}}
 	for _, text := range entries {
 		who, flags, _ := strings.Cut(text, " ")
 		uid, host, _ := strings.Cut(who, "@")
 		if strings.Contains(host, ":") {
-			s.Family = "IPv6"
+			s.AddressType = "IPv6"
 		}
 		s.Entries = append(s.Entries, Entry{
 			Addr: host, UID: uid, Pod: uid != "", Zone: "east", Ready: !strings.Contains(flags, "n"), Terminating: strings.Contains(flags, "t"),
@@ -45,7 +45,7 @@
 
 func (r setRig) took(s float64, want string) {
 	r.Helper()
-	changes, _ := r.s.Take(at(s), 0)
+	changes, _ := r.s.TakeChanges(at(s), 0)
 	if got := show(changes); got != want {
 		r.Errorf("at %g s: got %q, want %q", s, got, want)
 	}
@@ -132,18 +132,18 @@
 			for i, step := range steps {
 				now := at(1 + 0.2*float64(i))
 				step(r.s, now)
-				changes, _ := r.s.Take(now, 0)
+				changes, _ := r.s.TakeChanges(now, 0)
 				for _, e := range changes {
 					if e.Phase == membership.Left {
 						t.Errorf("step %d: %s counts as gone", i, e.ID)
 					}
 				}
-				if got := len(r.s.Whole(now)); got != 2 {
+				if got := len(r.s.All(now)); got != 2 {
 					t.Errorf("step %d: %d endpoints", i, got)
 				}
 			}
 			r.took(10, "")
-			if got := show(r.s.Whole(at(10))); got != "u1 active, u2 active" {
+			if got := show(r.s.All(at(10))); got != "u1 active, u2 active" {
 				t.Error(got)
 			}
 		})
@@ -169,17 +169,17 @@
 		many = append(many, fmt.Sprintf("v%02d@10.0.1.%d", i, i))
 	}
 	r.s.Put(at(1), slc("b", many...))
-	changes, more := r.s.Take(at(1), 10)
+	changes, more := r.s.TakeChanges(at(1), 10)
 	if len(changes) != 10 || !more {
 		t.Fatal(len(changes), more)
 	}
 	r.s.Put(at(1), slc("a", "u1@10.0.0.1 t"))
-	changes, more = r.s.Take(at(1), 10)
+	changes, more = r.s.TakeChanges(at(1), 10)
 	if len(changes) != 11 || !more || changes[0].ID != "7/u1" {
 		t.Errorf("%v, more %v", show(changes), more)
 	}
 	r.s.Put(at(1), slc("b")) // those that still wait have gone again: nothing is left of them
-	changes, more = r.s.Take(at(1), 10)
+	changes, more = r.s.TakeChanges(at(1), 10)
 	if more || len(r.s.changed) > 0 {
 		t.Errorf("%v, more %v", show(changes), more)
 	}
@@ -188,18 +188,18 @@
 func TestAListTakesAwayBeforeItsEndAndGivesUpOnlyThen(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
-	r.s.Begin()
+	r.s.BeginList()
 	r.s.Put(at(0), slc("a", "u1@10.0.0.1", "u2@10.0.0.2"))
 	r.s.Put(at(0), slc("b", "u3@10.0.0.3"))
-	r.s.End(at(0))
+	r.s.EndList(at(0))
 	r.took(0, "u1 active, u2 active, u3 active")
-	r.s.Begin()
+	r.s.BeginList()
 	r.s.Put(at(1), slc("a", "u1@10.0.0.1 t"))
 	r.took(1, "u1 leaving, u2 leaving")
 	r.took(60, "") // a long list: u2 may stand in a slice that is still to come
 	r.s.Put(at(60), slc("c", "u2@10.0.0.2"))
 	r.took(60, "u2 active")
-	if r.s.End(at(61)) {
+	if r.s.EndList(at(61)) {
 		t.Error("emptied")
 	}
 	r.took(61, "u3 leaving")
@@ -209,17 +209,17 @@
 func TestAListThatBreaksOffTakesNobodyOut(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
-	r.s.Begin()
+	r.s.BeginList()
 	r.s.Put(at(0), slc("a", "u1@10.0.0.1"))
 	r.s.Put(at(0), slc("b", "u2@10.0.0.2"))
-	r.s.End(at(0))
+	r.s.EndList(at(0))
 	r.took(0, "u1 active, u2 active")
-	r.s.Begin()
+	r.s.BeginList()
 	r.s.Put(at(1), slc("a", "u1@10.0.0.1"))
-	r.s.Begin() // the first broke off
+	r.s.BeginList() // the first broke off
 	r.s.Put(at(2), slc("b", "u2@10.0.0.2"))
 	r.took(3, "")
-	r.s.End(at(3))
+	r.s.EndList(at(3))
 	r.took(3, "u1 leaving")
 }
 
@@ -227,11 +227,11 @@
 	t.Parallel()
 	r := newSet(t)
 	list := func(s float64, all ...Slice) bool {
-		r.s.Begin()
+		r.s.BeginList()
 		for _, one := range all {
 			r.s.Put(at(s), one)
 		}
-		return r.s.End(at(s))
+		return r.s.EndList(at(s))
 	}
 	if list(0) {
 		t.Error("a first list that is empty empties nothing")
@@ -265,13 +265,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o.Slice.Bad != 2 || !errors.Is(o.Slice.Err, errShape) {
-		t.Errorf("bad %d: %v", o.Slice.Bad, o.Slice.Err)
+	if o.Slice.UnreadableEntries != 2 || !errors.Is(o.Slice.Err, errShape) {
+		t.Errorf("bad %d: %v", o.Slice.UnreadableEntries, o.Slice.Err)
 	}
 	r := newSet(t)
 	r.s.Put(at(0), o.Slice)
 	r.took(0, "10.0.0.4:80 leaving, 10.0.0.1:80 active, 10.0.0.2:80 active, 10.0.0.3:80 active, 10.0.0.8:80 active")
-	if e := r.s.Whole(at(0))[4]; e.Zone != "west" || e.Hints != "east,north" || e.Dest != 7 || e.Kind != "hooks" {
+	if e := r.s.All(at(0))[4]; e.Zone != "west" || e.Hints != "east,north" || e.Dest != 7 || e.Kind != "hooks" {
 		t.Errorf("%+v", e)
 	}
 	if r.s.Refused() != 7 {
@@ -283,7 +283,7 @@
 	t.Parallel()
 	for _, v6 := range []bool{false, true} {
 		p := partner
-		p.PreferV6 = v6
+		p.PreferIPv6 = v6
 		s := NewSet(p)
 		s.Put(at(0), slc("b6", "u1@fd00::1", "u2@fd00::2"))
 		s.Put(at(0), slc("a4", "u1@10.0.0.1"))
@@ -292,7 +292,7 @@
 			want[0] = "[fd00::1]:80"
 		}
 		var got []string
-		for _, e := range s.Whole(at(0)) {
+		for _, e := range s.All(at(0)) {
 			got = append(got, e.Addr)
 		}
 		if !slices.Equal(got, want) {
@@ -304,7 +304,7 @@
 func TestTheOnlyPortNeedsNoName(t *testing.T) {
 	t.Parallel()
 	p := partner
-	p.Port = ""
+	p.PortName = ""
 	s := slc("a", "u1@10.0.0.1")
 	s.Ports = []Port{{"web", 8080, true}}
 	if got := p.port(&s); got != 8080 {
@@ -329,9 +329,9 @@
 	if err != nil || o.Slice.Err == nil {
 		t.Fatal(err, o)
 	}
-	r.s.Begin()
+	r.s.BeginList()
 	r.s.Put(at(1), o.Slice)
-	r.s.End(at(1))
+	r.s.EndList(at(1))
 	r.took(1, "")
 	if r.s.Refused() != 1 {
 		t.Error("not counted")
@@ -347,7 +347,7 @@
 	s.Ports[0].Number = 81
 	r.s.Put(at(1), s)
 	r.took(1, "u1 active, u2 active")
-	if got := r.s.Whole(at(1))[1].Addr; got != "10.0.0.2:81" {
+	if got := r.s.All(at(1))[1].Addr; got != "10.0.0.2:81" {
 		t.Error(got)
 	}
 }
@@ -376,7 +376,7 @@
 func TestTheSetIsBounded(t *testing.T) {
 	t.Parallel()
 	p := partner
-	p.Most = 100
+	p.MaxEndpoints = 100
 	s := NewSet(p)
 	for round := range 30 {
 		for i := range 40 {
@@ -386,7 +386,7 @@
 			}
 			s.Put(at(float64(round)), slc(fmt.Sprint("s", i), entries...))
 		}
-		s.Take(at(float64(round)), 5)
+		s.TakeChanges(at(float64(round)), 5)
 		if len(s.entries) > 100 || len(s.changed) > 200 || len(s.slices) > 100 {
 			t.Fatalf("%d entries, %d changed", len(s.entries), len(s.changed))
 		}
@@ -457,14 +457,14 @@
 				set.Remove(now, key)
 				delete(all, key)
 			case "begin":
-				set.Begin()
+				set.BeginList()
 				listing = true
 				clear(seen)
 			case "end":
 				if !listing {
 					continue
 				}
-				set.End(now)
+				set.EndList(now)
 				listing = false
 				maps.DeleteFunc(all, func(key string, _ Slice) bool { return !seen[key] })
 			}
@@ -482,11 +482,11 @@
 					delete(want, uid)
 				}
 			}
-			changes, more := set.Take(now, 0)
+			changes, more := set.TakeChanges(now, 0)
 			if more {
 				t.Fatal("something was held back")
 			}
-			if _, refused, err := table.Tell(now, "s", membership.Update{Endpoints: changes}); err != nil || len(refused) > 0 {
+			if _, refused, err := table.Apply(now, "s", membership.Update{Endpoints: changes}); err != nil || len(refused) > 0 {
 				t.Fatal(err, refused)
 			}
 			got := map[string]membership.Phase{}
--- a/membership/endpointslice/source.go
+++ b/membership/endpointslice/source.go
@@ -72,21 +72,21 @@
 
 // Timing are the source's times; tests and simulations shorten them.
 type Timing struct {
-	Watch   time.Duration // how long the server is asked to keep a watch: so long to twice that
-	Silence time.Duration // a watch that says nothing for so long is begun anew; bookmarks come once a minute
-	Sync    time.Duration // the same within a streaming list
-	Page    time.Duration // for one page of a list
-	Least   time.Duration // pause after a failure, doubled with each further one ...
-	Most    time.Duration // ... up to this; a Retry-After may be longer, up to mostRetryAfter
-	Plain   time.Duration // after so long streaming lists are tried again where the server did not know them
-	Recheck time.Duration // first pause before an empty list is looked at again
-}
-
-// UsualTiming are the times that New sets.
-func UsualTiming() Timing {
+	WatchDuration          time.Duration // how long the server is asked to keep a watch: so long to twice that
+	WatchIdleTimeout       time.Duration // a watch that says nothing for so long is begun anew; bookmarks come once a minute
+	InitialListIdleTimeout time.Duration // the same within a streaming list
+	PageTimeout            time.Duration // for one page of a list
+	MinBackoff             time.Duration // pause after a failure, doubled with each further one ...
+	MaxBackoff             time.Duration // ... up to this; a Retry-After may be longer, up to mostRetryAfter
+	StreamingRetryInterval time.Duration // after so long streaming lists are tried again where the server did not know them
+	EmptyListRecheck       time.Duration // first pause before an empty list is looked at again
+}
+
+// DefaultTiming are the times that New sets.
+func DefaultTiming() Timing {
 	return Timing{
-		Watch: 5 * time.Minute, Silence: 90 * time.Second, Sync: 20 * time.Second, Page: 30 * time.Second,
-		Least: 200 * time.Millisecond, Most: 30 * time.Second, Plain: 10 * time.Minute, Recheck: time.Second,
+		WatchDuration: 5 * time.Minute, WatchIdleTimeout: 90 * time.Second, InitialListIdleTimeout: 20 * time.Second, PageTimeout: 30 * time.Second,
+		MinBackoff: 200 * time.Millisecond, MaxBackoff: 30 * time.Second, StreamingRetryInterval: 10 * time.Minute, EmptyListRecheck: time.Second,
 	}
 }
 
@@ -107,19 +107,19 @@
 	errRecheck = errors.New("an empty list is looked at again")
 )
 
-// New makes a source. Its error wraps ErrPartner.
+// New makes a source. Its error wraps ErrPartnerSettings.
 func New(c *Client, p Partner, log *slog.Logger) (*Source, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
 	return &Source{
-		p: p, c: c, log: log.With("partner", p.Name), t: UsualTiming(), set: NewSet(p), host: c.host, random: rand.Uint64,
+		p: p, c: c, log: log.With("partner", p.Name), t: DefaultTiming(), set: NewSet(p), host: c.host, random: rand.Uint64,
 		logged: map[string]time.Time{}, wake: c.host.NewInbox(), rest: c.host.NewInbox(),
 	}, nil
 }
 
-// Simulated gives the source times and random numbers of a simulation's. It comes before Run.
-func (s *Source) Simulated(t Timing, random func() uint64) { s.t, s.random = t, random }
+// ConfigureSimulation gives the source times and random numbers of a simulation's. It comes before Run.
+func (s *Source) ConfigureSimulation(t Timing, random func() uint64) { s.t, s.random = t, random }
 
 // upTo draws a time from 0 to just below d.
 func (s *Source) upTo(d time.Duration) time.Duration {
@@ -170,20 +170,20 @@
 	switch o := &s.owed; {
 	case o.whole: // a list's end also tells that the source is heard
 		o.whole, o.heard = false, false
-		return membership.Update{Kind: membership.Whole, Endpoints: s.set.Whole(now)}, due, true
+		return membership.Update{Kind: membership.FullList, Endpoints: s.set.All(now)}, due, true
 	case o.heard:
 		o.heard = false
-		changes, _ := s.set.Take(now, batch)
+		changes, _ := s.set.TakeChanges(now, batch)
 		return membership.Update{Endpoints: changes}, due, true
 	}
-	if changes, _ := s.set.Take(now, batch); len(changes) > 0 {
+	if changes, _ := s.set.TakeChanges(now, batch); len(changes) > 0 {
 		return membership.Update{Endpoints: changes}, due, true
 	}
 	if err := s.owed.failed; err != nil {
 		s.owed.failed = nil
 		return membership.Update{Kind: membership.Failed, Err: err}, due, true
 	}
-	due, _ = s.set.Due()
+	due, _ = s.set.NextDue()
 	return u, due, false
 }
 
@@ -293,9 +293,9 @@
 
 // pause waits after failures in a row, with jitter so that dispatchers don't come back all at once.
 func (s *Source) pause(ctx context.Context, failures int, se *StatusError) bool {
-	d := s.t.Most
+	d := s.t.MaxBackoff
 	if n := failures - 1; n < 20 {
-		d = min(d, s.t.Least<<n)
+		d = min(d, s.t.MinBackoff<<n)
 	}
 	d = d/2 + s.upTo(d/2+1)
 	if se != nil && se.RetryAfter > 0 { // never sooner than we were told
@@ -323,7 +323,7 @@
 			return version, err
 		}
 		s.log.Info("the API server knows no streaming lists; pages are read instead", "error", err)
-		s.plainUntil = s.host.Now().Add(s.t.Plain)
+		s.plainUntil = s.host.Now().Add(s.t.StreamingRetryInterval)
 	}
 	return s.pages(ctx)
 }
@@ -345,12 +345,12 @@
 	q := s.query()
 	q.Set("watch", "true")
 	q.Set("allowWatchBookmarks", "true")
-	q.Set("timeoutSeconds", strconv.Itoa(int((s.t.Watch + s.upTo(s.t.Watch)).Seconds())))
-	silence, why := s.t.Silence, errSilent
+	q.Set("timeoutSeconds", strconv.Itoa(int((s.t.WatchDuration + s.upTo(s.t.WatchDuration)).Seconds())))
+	silence, why := s.t.WatchIdleTimeout, errSilent
 	if initial {
 		q.Set("sendInitialEvents", "true")
 		q.Set("resourceVersionMatch", "NotOlderThan") // than now, since no version is named
-		silence, why = s.t.Sync, errNoEnd
+		silence, why = s.t.InitialListIdleTimeout, errNoEnd
 	} else {
 		q.Set("resourceVersion", version)
 	}
@@ -359,7 +359,7 @@
 	s.do(func() {
 		s.stats.Watches++
 		if initial {
-			s.set.Begin()
+			s.set.BeginList()
 		}
 	})
 	body, err := s.c.get(r, s.path(), q)
@@ -411,7 +411,7 @@
 				s.end(now)
 				initial, version = false, ev.Version
 				guard.stop()
-				guard = s.guard(r, s.t.Silence, errSilent)
+				guard = s.guard(r, s.t.WatchIdleTimeout, errSilent)
 				if s.recheck > 0 {
 					t := s.host.AfterFunc(s.recheck, func() { r.end(errRecheck) })
 					defer t.Stop()
@@ -539,15 +539,15 @@
 	s.do(func() {
 		s.stats.Lists++
 		first = s.stats.Lists == 1
-		emptied = s.set.End(now)
+		emptied = s.set.EndList(now)
 		s.owed.whole = true
 	})
 	switch {
 	case emptied:
 		s.alarm(&s.stats.Emptied, "the list names nobody any more: no new work for this partner", errRecheck)
-		s.recheck = s.t.Recheck
+		s.recheck = s.t.EmptyListRecheck
 	case s.Stats().Named == 0: // the first one, too, and for ever: a watch from a wrong list would never tell
-		s.recheck = min(max(2*s.recheck, s.t.Recheck), s.t.Most)
+		s.recheck = min(max(2*s.recheck, s.t.EmptyListRecheck), s.t.MaxBackoff)
 	default:
 		s.recheck = 0
 	}
@@ -571,7 +571,7 @@
 }
 
 func (s *Source) allPages(ctx context.Context, limit int) (version string, err error) {
-	s.do(s.set.Begin)
+	s.do(s.set.BeginList)
 	q := s.query()
 	if limit > 0 {
 		q.Set("limit", strconv.Itoa(limit))
@@ -610,7 +610,7 @@
 func (s *Source) page(ctx context.Context, q url.Values, take func(o *object, bytes int)) (p page, err error) {
 	r := newRequest(ctx)
 	defer r.end(nil)
-	t := s.host.AfterFunc(s.t.Page, func() { r.end(context.DeadlineExceeded) })
+	t := s.host.AfterFunc(s.t.PageTimeout, func() { r.end(context.DeadlineExceeded) })
 	defer t.Stop()
 	body, err := s.c.get(r, s.path(), q)
 	if err != nil {
--- a/membership/endpointslice/source_test.go
+++ b/membership/endpointslice/source_test.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		w.Fatal(err)
 	}
-	s.t.Least, s.t.Most, s.t.Recheck = 5*time.Millisecond, 50*time.Millisecond, 20*time.Millisecond
+	s.t.MinBackoff, s.t.MaxBackoff, s.t.EmptyListRecheck = 5*time.Millisecond, 50*time.Millisecond, 20*time.Millisecond
 	return s
 }
 
@@ -96,7 +96,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	changes, refused, err := w.table.Tell(time.Now(), w.src.Name(), u)
+	changes, refused, err := w.table.Apply(time.Now(), w.src.Name(), u)
 	if err != nil || len(refused) > 0 {
 		w.Error(err, refused)
 	}
@@ -286,7 +286,7 @@
 func TestASilentWatchIsBegunAnew(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, kubeapi.Options{})
-	w.src.t.Silence = 100 * time.Millisecond
+	w.src.t.WatchIdleTimeout = 100 * time.Millisecond
 	w.put("a", "u1@10.0.0.1")
 	w.run().await("u1 active")
 	w.api.Mute()
@@ -302,7 +302,7 @@
 func TestAStreamingListWithoutAnEndFallsBackToPages(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, kubeapi.Options{})
-	w.src.t.Sync = 50 * time.Millisecond
+	w.src.t.InitialListIdleTimeout = 50 * time.Millisecond
 	w.put("a", "u1@10.0.0.1")
 	w.api.Chop(1, time.Second) // the first event takes minutes
 	w.run().await("u1 active")
--- a/membership/fixed/fixed.go
+++ b/membership/fixed/fixed.go
@@ -20,7 +20,7 @@
 
 // Run implements membership.Source.
 func (s *Source) Run(ctx context.Context, tell func(membership.Update)) error {
-	tell(membership.Update{Kind: membership.Restated, Endpoints: s.list})
+	tell(membership.Update{Kind: membership.Replacement, Endpoints: s.list})
 	<-ctx.Done()
 	return ctx.Err()
 }
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -80,10 +80,10 @@
 
 // Kinds of update. The zero touches nothing that it does not name.
 const (
-	Changes  UpdateKind = iota // the endpoints named, in the order in which they changed
-	Whole                      // all endpoints that the source has; what it leaves out has left
-	Failed                     // nothing can be learnt from the source now; its claims stay
-	Restated                   // all that the source has a word on; on what it leaves out it takes its word back
+	Changes     UpdateKind = iota // the endpoints named, in the order in which they changed
+	FullList                      // all endpoints that the source has; what it leaves out has left
+	Failed                        // nothing can be learnt from the source now; its claims stay
+	Replacement                   // all that the source has a word on; on what it leaves out it takes its word back
 )
 
 // Update is one thing that a source tells.
--- a/membership/model_test.go
+++ b/membership/model_test.go
@@ -26,14 +26,14 @@
 	next := map[string]Endpoint{}
 	for id, e := range old {
 		switch u.Kind {
-		case Whole:
+		case FullList:
 			e.Phase = Left
-		case Restated:
+		case Replacement:
 			continue
 		}
 		next[id] = e
 	}
-	whole := u.Kind == Whole || u.Kind == Restated
+	whole := u.Kind == FullList || u.Kind == Replacement
 	seen := map[string]Phase{}
 	for _, e := range u.Endpoints {
 		c, known := next[e.ID]
@@ -197,7 +197,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		sources := []string{"x", "y", "z"}
 		const remember = 10 * time.Second
-		table, err := New(Settings{Sources: sources, Remember: remember})
+		table, err := New(Settings{Sources: sources, RememberLeft: remember})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -208,10 +208,10 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 4).Draw(t, "seconds")) * time.Second)
 			source := rapid.SampledFrom(sources).Draw(t, "source")
 			u := Update{
-				Kind:      rapid.SampledFrom([]UpdateKind{Changes, Changes, Whole, Failed, Restated}).Draw(t, "kind"),
+				Kind:      rapid.SampledFrom([]UpdateKind{Changes, Changes, FullList, Failed, Replacement}).Draw(t, "kind"),
 				Endpoints: rapid.SliceOfN(rapid.Custom(drawEndpoint), 0, 5).Draw(t, "endpoints"),
 			}
-			changes, _, err := table.Tell(now, source, u)
+			changes, _, err := table.Apply(now, source, u)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -225,8 +225,8 @@
 				t.Fatalf("changes add up to %+v\nmodel            %+v", got, want)
 			}
 			for _, e := range want {
-				x, known := table.Why(e.ID)
-				if !known || x.Endpoint != e || x.Because == "" || len(x.Claims) == 0 {
+				x, known := table.Explain(e.ID)
+				if !known || x.Endpoint != e || x.Reason == "" || len(x.Claims) == 0 {
 					t.Fatalf("why %s: %+v", e.ID, x)
 				}
 			}
@@ -244,7 +244,7 @@
 			in = in[:400]
 		}
 		play := func() (trace string) {
-			table, err := New(Settings{Sources: []string{"x", "y"}, Remember: 5 * time.Second, Most: 6})
+			table, err := New(Settings{Sources: []string{"x", "y"}, RememberLeft: 5 * time.Second, MaxEndpoints: 6})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -260,7 +260,7 @@
 						Phase: Phase(b % 4), Weight: float64(b>>2) - 2, Started: int64(b % 2),
 					})
 				}
-				changes, refused, err := table.Tell(now, []string{"x", "y"}[rest[0]>>7], u)
+				changes, refused, err := table.Apply(now, []string{"x", "y"}[rest[0]>>7], u)
 				checkChanges(t.Fatalf, given, changes)
 				if got, want := inIDOrder(given), table.List(); !slices.Equal(got, want) {
 					t.Fatalf("changes add up to %v, the list is %v", got, want)
--- a/membership/partnerlist/list.go
+++ b/membership/partnerlist/list.go
@@ -43,9 +43,9 @@
 	UpSince  int64   `json:"up_since_ms"` // when it last started, Unix time; 0 for long ago
 }
 
-// Names give the numbers that the settings have for zones and kinds, -1 for those they don't know. Names come as the
+// NameIndex give the numbers that the settings have for zones and kinds, -1 for those they don't know. Names come as the
 // settings have them, with underscores for spaces and commas.
-type Names struct {
+type NameIndex struct {
 	Zone, Kind func(name string) int
 }
 
@@ -83,8 +83,8 @@
 	return l, nil
 }
 
-// Of is an endpoint in discovery's form.
-func Of(e membership.Endpoint) Entry {
+// EntryOf is an endpoint in discovery's form.
+func EntryOf(e membership.Endpoint) Entry {
 	return Entry{
 		ID: e.ID, HostPort: e.Addr, Locality: e.Zone, Flavor: e.Kind, Cell: e.Dest, Phase: e.Phase.String(), Size: e.Weight,
 		UpSince: e.Started,
@@ -100,25 +100,25 @@
 }
 
 // Members is what the list says to the engine.
-func (l *List) Members(names Names) *engine.Members {
-	m := &engine.Members{Source: Name, Whole: l.Complete}
+func (l *List) Members(names NameIndex) *engine.Members {
+	m := &engine.Members{Source: Name, FullList: l.Complete}
 	if len(l.Entries) > 0 {
 		m.List = make([]engine.Member, len(l.Entries))
 	}
 	for i := range l.Entries {
 		e := &l.Entries[i]
 		m.List[i] = engine.Member{
-			ID: e.ID, Addr: e.HostPort, Dest: e.Cell, Zone: names.Zone(wire.Plain(e.Locality)), Kind: names.Kind(wire.Plain(e.Flavor)),
+			ID: e.ID, Addr: e.HostPort, Destination: e.Cell, Zone: names.Zone(wire.Plain(e.Locality)), Kind: names.Kind(wire.Plain(e.Flavor)),
 			Phase: phase(e.Phase), Weight: e.Size,
 		}
 	}
 	return m
 }
 
-// Cached is what the list says when it comes from before this process began.
-func (l *List) Cached(names Names) *engine.Members {
+// CachedMembers is what the list says when it comes from before this process began.
+func (l *List) CachedMembers(names NameIndex) *engine.Members {
 	m := l.Members(names)
-	m.Whole, m.Cached = true, true
+	m.FullList, m.Cached = true, true
 	return m
 }
 
--- a/membership/partnerlist/listing.go
+++ b/membership/partnerlist/listing.go
@@ -8,9 +8,9 @@
 	"curlewmux/internal/host"
 )
 
-// Listing is a teller for Watch.Start that passes on to an engine's listing what discovery says. Now and then it logs
+// ListingCallback is a teller for Watch.Start that passes on to an engine's listing what discovery says. Now and then it logs
 // names of zones and kinds that the settings don't have. It returns false once the listing does.
-func Listing(to engine.Listing, names Names, h host.Host, log *slog.Logger) func(*List, error) bool {
+func ListingCallback(to engine.MembershipReceiver, names NameIndex, h host.Host, log *slog.Logger) func(*List, error) bool {
 	var warned time.Time
 	return func(l *List, err error) bool {
 		if err != nil {
--- a/membership/partnerlist/notices.go
+++ b/membership/partnerlist/notices.go
@@ -56,18 +56,18 @@
 
 // Done takes an end. It does not block. Of what was delivered, is over or was withdrawn nobody is told, and the engine
 // waits for nothing.
-func (n *Notices) Done(d *engine.Done) {
-	switch d.How {
+func (n *Notices) Completed(d *engine.Done) {
+	switch d.Disposition {
 	case engine.Refused:
-		n.agent.inbox.Put(&notice{id: d.ID, deferred: true, again: d.Again})
+		n.agent.inbox.Put(&notice{id: d.ID, deferred: true, again: d.RetryAfter})
 	case engine.Failed:
 		n.agent.inbox.Put(&notice{id: d.ID})
 	}
 }
 
-// Move makes another address of the agent count for all that is not through, and tells whether it is another. It does
+// SetAddress makes another address of the agent count for all that is not through, and tells whether it is another. It does
 // not block.
-func (n *Notices) Move(addr string) bool { return n.agent.move(addr) }
+func (n *Notices) SetAddress(addr string) bool { return n.agent.move(addr) }
 
 // Close ends the deliveries and waits until the goroutine has ended. What is not through is dropped: the store still has
 // it. It must not be called from through.
--- a/membership/partnerlist/notices_test.go
+++ b/membership/partnerlist/notices_test.go
@@ -31,10 +31,10 @@
 }
 
 func refused(id string, again time.Duration) *engine.Done {
-	return &engine.Done{ID: id, How: engine.Refused, Again: again}
+	return &engine.Done{ID: id, Disposition: engine.Refused, RetryAfter: again}
 }
 
-func failed(id string) *engine.Done { return &engine.Done{ID: id, How: engine.Failed} }
+func failed(id string) *engine.Done { return &engine.Done{ID: id, Disposition: engine.Failed} }
 
 // idsOf are the ids in a body of notices, which must be readable.
 func idsOf(t *testing.T, body string) (ids []string) {
@@ -82,7 +82,7 @@
 	case <-time.After(generous):
 		t.Fatal("not through")
 	}
-	n.Done(refused("c", 0))
+	n.Completed(refused("c", 0))
 	if ids := <-through; !slices.Equal(ids, []string{"c"}) {
 		t.Errorf("%v through", ids)
 	}
@@ -97,8 +97,8 @@
 	t.Parallel()
 	s := newScript(func(call) reply { return reply{text: status(204, "")} })
 	n, through := delivered(s)
-	for i, how := range []engine.How{engine.Delivered, engine.Over, engine.Withdrawn} {
-		n.Done(&engine.Done{ID: fmt.Sprint(i), How: how})
+	for i, how := range []engine.Disposition{engine.Delivered, engine.Closed, engine.Withdrawn} {
+		n.Completed(&engine.Done{ID: fmt.Sprint(i), Disposition: how})
 	}
 	n.run()
 	if len(s.calls) > 0 || len(*through) > 0 {
@@ -125,7 +125,7 @@
 	end := func(i int) {
 		id := fmt.Sprintf("%04d%s", i, strings.Repeat("x", 100))
 		want = append(want, id)
-		n.Done(failed(id))
+		n.Completed(failed(id))
 	}
 	for i := range 3000 {
 		end(i)
@@ -168,7 +168,7 @@
 			if all = append(all, id); !isBad(id) {
 				good = append(good, id)
 			}
-			n.Done(failed(id))
+			n.Completed(failed(id))
 		}
 		n.run()
 		if !slices.Equal(got, good) || !slices.Equal(*through, all) {
@@ -186,7 +186,7 @@
 	s := newScript(func(call) reply { return reply{text: status(400, "")} })
 	n, through := delivered(s)
 	for i := range 100 {
-		n.Done(failed(fmt.Sprint(i)))
+		n.Completed(failed(fmt.Sprint(i)))
 	}
 	begun := s.now
 	n.run()
@@ -222,12 +222,12 @@
 			return reply{text: status(204, "")}
 		}
 		s.in(5*time.Millisecond, func() {
-			if !n.Move("agent:2") {
+			if !n.SetAddress("agent:2") {
 				t.Errorf("%s: another address is not told as one", name)
 			}
 		})
 		for _, id := range []string{"a", "b", "c", "d"} {
-			n.Done(failed(id))
+			n.Completed(failed(id))
 		}
 		n.run()
 		if !slices.Equal(got, []string{"a", "b", "c", "d"}) || !slices.Equal(*through, got) {
@@ -246,7 +246,7 @@
 func TestNoConnectionIsLeftBehind(t *testing.T) {
 	t.Parallel()
 	for name, leave := range map[string]func(*Notices){
-		"move": func(n *Notices) { n.Move("127.0.0.1:1") }, "close": func(n *Notices) { n.Close() },
+		"move": func(n *Notices) { n.SetAddress("127.0.0.1:1") }, "close": func(n *Notices) { n.Close() },
 	} {
 		l, err := host.System{}.Listen("127.0.0.1:0")
 		must(t, err)
@@ -255,7 +255,7 @@
 		through := make(chan []string, 1)
 		n.Start(func(ids []string) { through <- ids })
 		defer n.Close()
-		n.Done(failed("a"))
+		n.Completed(failed("a"))
 		c, err := l.Accept()
 		must(t, err)
 		defer c.Close()
@@ -297,8 +297,8 @@
 	defer s.Close()
 	n := NewNotices(host.System{}, s.Listener.Addr().String(), quiet())
 	n.Start(func(ids []string) { t.Errorf("%v through", ids) })
-	n.Done(failed("a"))
+	n.Completed(failed("a"))
 	<-asked
 	n.Close()
-	n.Done(failed("b"))
+	n.Completed(failed("b"))
 }
--- a/membership/partnerlist/script_test.go
+++ b/membership/partnerlist/script_test.go
@@ -36,11 +36,11 @@
 func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 // names know the zone "east" as 0 and "far west" as 1, and the kind "hooks" as 0.
-func names() Names {
+func names() NameIndex {
 	index := func(list ...string) func(string) int {
 		return func(name string) int { return slices.Index(list, name) }
 	}
-	return Names{Zone: index("east", "far_west"), Kind: index("hooks")}
+	return NameIndex{Zone: index("east", "far_west"), Kind: index("hooks")}
 }
 
 // script is a host for one goroutine, on which time passes only where that goroutine waits. What it asks of the agent is
@@ -102,7 +102,7 @@
 func (s *script) NewInbox() host.Inbox                       { return &scriptInbox{script: s} }
 
 func (s *script) Dial(addr string, limit time.Duration, abort *host.Abort) (net.Conn, error) {
-	if abort.Done() {
+	if abort.Completed() {
 		return nil, host.ErrAborted
 	}
 	if limit <= 0 {
@@ -244,7 +244,7 @@
 func (l *listing) text() string {
 	var out []string
 	for _, m := range l.list {
-		s := cmp.Or(map[bool]string{true: "failed"}[m.Failed], map[bool]string{true: "whole"}[m.Whole], "changes")
+		s := cmp.Or(map[bool]string{true: "failed"}[m.Failed], map[bool]string{true: "whole"}[m.FullList], "changes")
 		for _, e := range m.List {
 			s += " " + e.ID
 		}
--- a/membership/partnerlist/source.go
+++ b/membership/partnerlist/source.go
@@ -46,7 +46,7 @@
 	}
 	u := membership.Update{Kind: membership.Changes, Endpoints: make([]membership.Endpoint, len(l.Entries))}
 	if l.Complete {
-		u.Kind = membership.Whole
+		u.Kind = membership.FullList
 	}
 	for i := range l.Entries {
 		u.Endpoints[i] = l.Entries[i].Endpoint()
--- a/membership/partnerlist/watch.go
+++ b/membership/partnerlist/watch.go
@@ -30,9 +30,9 @@
 // Watch tells what discovery says of endpoints: the whole list first, then changes. While discovery does not answer it
 // says so once and tries on.
 type Watch struct {
-	// Draw, if set before Start, gives numbers from 0 up to 1 that spread the calls after a failure: discovery may be one
+	// Random, if set before Start, gives numbers from 0 up to 1 that spread the calls after a failure: discovery may be one
 	// service for all dispatchers.
-	Draw func() float64
+	Random func() float64
 
 	agent               *agent
 	log                 *slog.Logger
@@ -52,9 +52,9 @@
 	w.agent.start(w.run)
 }
 
-// Move makes another address of the agent count, at which all begins anew, and tells whether it is another. It does not
+// SetAddress makes another address of the agent count, at which all begins anew, and tells whether it is another. It does not
 // block.
-func (w *Watch) Move(addr string) bool { return w.agent.move(addr) }
+func (w *Watch) SetAddress(addr string) bool { return w.agent.move(addr) }
 
 // Close ends the watch and waits until its goroutine has ended. It must not be called from the listing.
 func (w *Watch) Close() { w.agent.close() }
@@ -72,9 +72,9 @@
 			return
 		}
 		if p != at {
-			at, known, turns = p, false, subscription.Subscription{Draw: w.Draw}
+			at, known, turns = p, false, subscription.Subscription{Random: w.Random}
 		}
-		turns.Ask(w.agent.host.Now()) // it is time: the pause is over
+		turns.StartCall(w.agent.host.Now()) // it is time: the pause is over
 		path, limit := "/api/targets", w.whole
 		if known {
 			path = fmt.Sprintf("/api/targets?after=%d&wait_ms=%d", after, w.wait.Milliseconds())
@@ -96,10 +96,10 @@
 				}
 			}
 			down = true
-			w.agent.wait(at, turns.Failed(w.agent.host.Now()), nil)
+			w.agent.wait(at, turns.CallFailed(w.agent.host.Now()), nil)
 			continue
 		}
-		turns.Answered()
+		turns.CallSucceeded()
 		if down {
 			w.log.Info("discovery answers again", "revision", l.Revision)
 		}
--- a/membership/partnerlist/watch_test.go
+++ b/membership/partnerlist/watch_test.go
@@ -21,7 +21,7 @@
 func watched(s *script) (*Watch, *listing) {
 	to := &listing{}
 	w := NewWatch(s, "agent:1", quiet())
-	w.tell = Listing(to, names(), s, quiet())
+	w.tell = ListingCallback(to, names(), s, quiet())
 	return w, to
 }
 
@@ -32,16 +32,16 @@
 		{"id":"b","host_port":"10.1.0.19:9000","locality":"moon","flavor":"?","cell":4,"phase":"leaving"},
 		{"id":"c","locality":"east","phase":"left"}, {"id":"d","phase":"unheard of"}]}`))
 	must(t, err)
-	want := &engine.Members{Source: "partner-list", Whole: true, List: []engine.Member{
-		{ID: "a", Addr: "10.1.0.18:9000", Dest: 3, Zone: 1, Kind: 0, Phase: engine.Active, Weight: 1.5},
-		{ID: "b", Addr: "10.1.0.19:9000", Dest: 4, Zone: -1, Kind: -1, Phase: engine.Leaving},
+	want := &engine.Members{Source: "partner-list", FullList: true, List: []engine.Member{
+		{ID: "a", Addr: "10.1.0.18:9000", Destination: 3, Zone: 1, Kind: 0, Phase: engine.Active, Weight: 1.5},
+		{ID: "b", Addr: "10.1.0.19:9000", Destination: 4, Zone: -1, Kind: -1, Phase: engine.Leaving},
 		{ID: "c", Zone: 0, Kind: -1, Phase: engine.Gone},
 		{ID: "d", Zone: -1, Kind: -1, Phase: engine.Leaving},
 	}}
 	if got := l.Members(names()); !reflect.DeepEqual(got, want) || l.Revision != 41 {
 		t.Errorf("%+v", got)
 	}
-	if got := l.Cached(names()); !got.Cached || !got.Whole || len(got.List) != 4 {
+	if got := l.CachedMembers(names()); !got.Cached || !got.FullList || len(got.List) != 4 {
 		t.Errorf("cached: %+v", got)
 	}
 }
@@ -244,7 +244,7 @@
 			return old
 		}
 		s.in(30*time.Millisecond, func() {
-			if !w.Move("agent:2") || w.Move("agent:2") {
+			if !w.SetAddress("agent:2") || w.SetAddress("agent:2") {
 				t.Errorf("%s: Move does not tell whether the address is another", name)
 			}
 		})
@@ -281,7 +281,7 @@
 	run := func() (string, string) {
 		s := newScript(nil)
 		w, to := watched(s)
-		s.in(7*time.Second, func() { w.Move("agent:2") })
+		s.in(7*time.Second, func() { w.SetAddress("agent:2") })
 		s.in(80*time.Second, w.Close)
 		s.serve = func(c call) reply {
 			n := len(s.calls)
@@ -390,7 +390,7 @@
 	w := NewWatch(host.System{}, a.addr(), quiet())
 	w.wait, w.margin = 100*time.Millisecond, 200*time.Millisecond
 	to := make(teller, 10)
-	w.Start(Listing(to, names(), host.System{}, quiet()))
+	w.Start(ListingCallback(to, names(), host.System{}, quiet()))
 	defer w.Close()
 	to.want(t, "whole", 1)
 	a.set(func() { a.revision = 2 })
@@ -402,7 +402,7 @@
 	to.want(t, "changes", 1)
 	a.set(func() { a.mute = true })
 	b.set(func() { b.revision = 5 })
-	if !w.Move(b.addr()) {
+	if !w.SetAddress(b.addr()) {
 		t.Error("another address is not told as one")
 	}
 	for m := range to {
@@ -419,9 +419,9 @@
 	t.Parallel()
 	w := NewWatch(host.System{}, "127.0.0.1:1", quiet())
 	w.Close()
-	w.Start(Listing(make(teller), names(), host.System{}, quiet()))
+	w.Start(ListingCallback(make(teller), names(), host.System{}, quiet()))
 	w.Close()
-	if w.Move("127.0.0.1:2") {
+	if w.SetAddress("127.0.0.1:2") {
 		t.Error("a closed watch moves")
 	}
 }
@@ -438,7 +438,7 @@
 			return
 		}
 		m := l.Members(names())
-		if m.Source != Name || m.Whole != l.Complete || m.Failed || len(m.List) != len(l.Entries) || len(m.List) > membersMost {
+		if m.Source != Name || m.FullList != l.Complete || m.Failed || len(m.List) != len(l.Entries) || len(m.List) > membersMost {
 			t.Fatalf("%+v of %q", m, text)
 		}
 		for i, e := range m.List {
@@ -465,7 +465,7 @@
 		return reply{}
 	}
 	w.run()
-	if len(to.list) < 2 || !to.list[0].Failed || !to.list[1].Whole {
+	if len(to.list) < 2 || !to.list[0].Failed || !to.list[1].FullList {
 		t.Errorf("told %+v", to.list)
 	}
 }
@@ -482,7 +482,7 @@
 		ended <- NewSource(host.System{}, a.addr(), quiet()).Run(ctx, func(u membership.Update) { updates <- u })
 	}()
 	u := <-updates
-	if u.Kind != membership.Whole || len(u.Endpoints) == 0 || u.Endpoints[0].ID == "" {
+	if u.Kind != membership.FullList || len(u.Endpoints) == 0 || u.Endpoints[0].ID == "" {
 		t.Errorf("told %+v", u)
 	}
 	cancel()
--- a/membership/subscription/subscription.go
+++ b/membership/subscription/subscription.go
@@ -9,16 +9,16 @@
 // every call that it turns away, or that is given up while it waits, takes time from those of others. So the pause grows
 // quickly; but until a call succeeds it isn't known who drains, so it does not grow far.
 const (
-	Least = 50 * time.Millisecond // before the second call ...
-	Most  = time.Second           // ... and, after doublings, before any other; a drawn half of each is left out
+	MinPause = 50 * time.Millisecond // before the second call ...
+	MaxPause = time.Second           // ... and, after doublings, before any other; a drawn half of each is left out
 )
 
 // Subscription is one dispatcher's standing at one discovery. The zero value is not subscribed and may ask at once.
 // It is not safe for concurrent use.
 type Subscription struct {
-	// Draw gives numbers from 0 up to 1; without it nothing is left out of a pause. Dispatchers that were turned away
+	// Random gives numbers from 0 up to 1; without it nothing is left out of a pause. Dispatchers that were turned away
 	// together should not come back together.
-	Draw func() float64
+	Random func() float64
 
 	state state
 	pause time.Duration
@@ -33,8 +33,8 @@
 	subscribed              // changes come by themselves
 )
 
-// Ask tells whether to ask for changes now. If so it counts as done, and Answered or Failed must follow.
-func (s *Subscription) Ask(now time.Time) bool {
+// StartCall tells whether to ask for changes now. If so it counts as done, and Answered or Failed must follow.
+func (s *Subscription) StartCall(now time.Time) bool {
 	if s.state != idle || now.Before(s.due) {
 		return false
 	}
@@ -42,19 +42,19 @@
 	return true
 }
 
-// Answered takes an answer to a call, or a change that came by itself.
-func (s *Subscription) Answered() { s.state, s.pause = subscribed, 0 }
+// CallSucceeded takes an answer to a call, or a change that came by itself.
+func (s *Subscription) CallSucceeded() { s.state, s.pause = subscribed, 0 }
 
-// Failed takes the failure of a call, or the end of a subscription, and tells when to ask again.
-func (s *Subscription) Failed(now time.Time) time.Time {
+// CallFailed takes the failure of a call, or the end of a subscription, and tells when to ask again.
+func (s *Subscription) CallFailed(now time.Time) time.Time {
 	if s.state == idle { // one cause may be told twice
 		return s.due
 	}
 	s.state = idle
-	s.pause = min(max(2*s.pause, Least), Most)
+	s.pause = min(max(2*s.pause, MinPause), MaxPause)
 	pause := s.pause
-	if s.Draw != nil {
-		pause -= time.Duration(s.Draw() * float64(pause) / 2)
+	if s.Random != nil {
+		pause -= time.Duration(s.Random() * float64(pause) / 2)
 	}
 	s.due = now.Add(pause)
 	return s.due
--- a/membership/subscription/subscription_test.go
+++ b/membership/subscription/subscription_test.go
@@ -10,14 +10,14 @@
 func TestTheFirstCallGoesAtOnceAndOnlyOne(t *testing.T) {
 	t.Parallel()
 	var s Subscription
-	if !s.Ask(start) {
+	if !s.StartCall(start) {
 		t.Error("the first call does not go")
 	}
-	if s.Ask(start.Add(time.Hour)) {
+	if s.StartCall(start.Add(time.Hour)) {
 		t.Error("a second call goes while the first is out")
 	}
-	s.Answered()
-	if s.Ask(start.Add(time.Hour)) {
+	s.CallSucceeded()
+	if s.StartCall(start.Add(time.Hour)) {
 		t.Error("a call goes while changes come by themselves")
 	}
 }
@@ -28,11 +28,11 @@
 	now := start
 	fail := func() time.Duration {
 		t.Helper()
-		if !s.Ask(now) {
+		if !s.StartCall(now) {
 			t.Fatal("what is due does not go")
 		}
-		due := s.Failed(now)
-		if s.Ask(due.Add(-time.Nanosecond)) {
+		due := s.CallFailed(now)
+		if s.StartCall(due.Add(-time.Nanosecond)) {
 			t.Fatal("a call goes before the pause is over")
 		}
 		pause := due.Sub(now)
@@ -40,19 +40,19 @@
 		return pause
 	}
 	last := time.Duration(0)
-	for want := Least; want < Most; want *= 2 {
+	for want := MinPause; want < MaxPause; want *= 2 {
 		if last = fail(); last != want {
 			t.Errorf("pause %v, want %v", last, want)
 		}
 	}
 	for range 3 {
-		if p := fail(); p != Most {
-			t.Errorf("pause %v, want the most, %v", p, Most)
+		if p := fail(); p != MaxPause {
+			t.Errorf("pause %v, want the most, %v", p, MaxPause)
 		}
 	}
-	s.Ask(now)
-	s.Answered()
-	if due := s.Failed(now); due.Sub(now) != Least { // the subscription broke
+	s.StartCall(now)
+	s.CallSucceeded()
+	if due := s.CallFailed(now); due.Sub(now) != MinPause { // the subscription broke
 		t.Errorf("after an answer the pause is %v", due.Sub(now))
 	}
 }
@@ -61,21 +61,21 @@
 func TestOneCauseToldTwiceCountsOnce(t *testing.T) {
 	t.Parallel()
 	var s Subscription
-	s.Ask(start)
-	due := s.Failed(start)
-	if again := s.Failed(start.Add(time.Millisecond)); !again.Equal(due) {
+	s.StartCall(start)
+	due := s.CallFailed(start)
+	if again := s.CallFailed(start.Add(time.Millisecond)); !again.Equal(due) {
 		t.Errorf("due at %v, told again at %v", due, again)
 	}
 }
 
 func TestThoseTurnedAwayTogetherDoNotComeBackTogether(t *testing.T) {
 	t.Parallel()
-	a, b := Subscription{Draw: func() float64 { return 0 }}, Subscription{Draw: func() float64 { return 0.9 }}
+	a, b := Subscription{Random: func() float64 { return 0 }}, Subscription{Random: func() float64 { return 0.9 }}
 	for _, s := range []*Subscription{&a, &b} {
-		s.Ask(start)
+		s.StartCall(start)
 	}
-	x, y := a.Failed(start), b.Failed(start)
-	if !y.Before(x) || y.Sub(start) < Least/2 {
-		t.Errorf("pauses %v and %v of %v", x.Sub(start), y.Sub(start), Least)
+	x, y := a.CallFailed(start), b.CallFailed(start)
+	if !y.Before(x) || y.Sub(start) < MinPause/2 {
+		t.Errorf("pauses %v and %v of %v", x.Sub(start), y.Sub(start), MinPause)
 	}
 }
--- a/membership/table.go
+++ b/membership/table.go
@@ -10,9 +10,9 @@
 
 // Settings of a Table. Their zeros are safe.
 type Settings struct {
-	Sources  []string      // the names, from the one whose word on fields counts first
-	Most     int           // endpoints known at once, at most; 0 is 100,000
-	Remember time.Duration // how long who has left stays known; 0 is 10 minutes. At most mostGone do, whatever this says
+	Sources      []string      // the names, from the one whose word on fields counts first
+	MaxEndpoints int           // endpoints known at once, at most; 0 is 100,000
+	RememberLeft time.Duration // how long who has left stays known; 0 is 10 minutes. At most mostGone do, whatever this says
 }
 
 const (
@@ -69,8 +69,8 @@
 	r  *record
 }
 
-// Refused is one endpoint of an update that was not taken as told.
-type Refused struct {
+// Rejection is one endpoint of an update that was not taken as told.
+type Rejection struct {
 	ID  string
 	Err error // wraps ErrMalformed or ErrFull
 }
@@ -81,11 +81,11 @@
 // New makes an empty table.
 func New(s Settings) (*Table, error) {
 	t := &Table{
-		most: cmp.Or(s.Most, defaultMost), remember: cmp.Or(s.Remember, defaultRemember),
+		most: cmp.Or(s.MaxEndpoints, defaultMost), remember: cmp.Or(s.RememberLeft, defaultRemember),
 		records: map[string]*record{}, byAddr: map[addrKey][]*record{},
 	}
 	if t.most < 0 || t.remember < 0 {
-		return nil, fmt.Errorf("membership: most %d, remember %v: out of range", s.Most, s.Remember)
+		return nil, fmt.Errorf("membership: most %d, remember %v: out of range", s.MaxEndpoints, s.RememberLeft)
 	}
 	if _, err := t.SetSources(time.Time{}, s.Sources); err != nil {
 		return nil, err
@@ -129,10 +129,10 @@
 	return nil
 }
 
-// Tell takes what a source tells. It returns the endpoints whose merged state changed by it, what takes work away first
+// Apply takes what a source tells. It returns the endpoints whose merged state changed by it, what takes work away first
 // (Left, Leaving, Active) and by ID within that, and what could not be taken as told: an endpoint that is known but now
 // malformed is Leaving, one that is not known is left out, and neither spoils the others.
-func (t *Table) Tell(now time.Time, name string, u Update) (changes []Endpoint, refused []Refused, err error) {
+func (t *Table) Apply(now time.Time, name string, u Update) (changes []Endpoint, refused []Rejection, err error) {
 	s := t.source(name)
 	if s == nil {
 		return nil, nil, fmt.Errorf("membership: source %q is not in the table's order", name)
@@ -148,7 +148,7 @@
 		return nil, nil, nil
 	}
 	s.told, s.failed, s.err = now, time.Time{}, ""
-	whole := u.Kind == Whole || u.Kind == Restated
+	whole := u.Kind == FullList || u.Kind == Replacement
 	if whole {
 		s.listed = true
 		s.gen++
@@ -157,7 +157,7 @@
 	for _, e := range u.Endpoints {
 		r, err := t.claim(now, s, e, whole)
 		if err != nil {
-			refused = append(refused, Refused{e.ID, err})
+			refused = append(refused, Rejection{e.ID, err})
 		}
 		if r != nil {
 			touched = append(touched, r)
@@ -169,7 +169,7 @@
 			switch {
 			case c == nil || c.gen == s.gen:
 				continue
-			case u.Kind == Restated:
+			case u.Kind == Replacement:
 				r.claims = slices.DeleteFunc(r.claims, func(c claim) bool { return c.by == s })
 			case c.says.Phase == Left:
 				continue
@@ -184,7 +184,7 @@
 
 // Restore takes what a cache holds of a source's claims, as Dump gave them. It is for the start: the claims count until
 // the source speaks of them, and the source's first whole list settles all of them.
-func (t *Table) Restore(now time.Time, name string, claims []Endpoint) (changes []Endpoint, refused []Refused, err error) {
+func (t *Table) Restore(now time.Time, name string, claims []Endpoint) (changes []Endpoint, refused []Rejection, err error) {
 	s := t.source(name)
 	if s == nil {
 		return nil, nil, fmt.Errorf("membership: source %q is not in the table's order", name)
@@ -196,7 +196,7 @@
 	for _, e := range claims {
 		r, err := t.claim(now, s, e, false)
 		if err != nil {
-			refused = append(refused, Refused{e.ID, err})
+			refused = append(refused, Rejection{e.ID, err})
 		}
 		if r != nil {
 			r.claimOf(s).cached = true
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -26,7 +26,7 @@
 
 func newRig(t *testing.T, sources ...string) rig {
 	t.Helper()
-	table, err := New(Settings{Sources: sources, Remember: time.Minute})
+	table, err := New(Settings{Sources: sources, RememberLeft: time.Minute})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 // tell tells an update and returns the changes as "id phase" in their order.
 func (r rig) tell(s float64, source string, kind UpdateKind, list ...Endpoint) string {
 	r.Helper()
-	changes, refused, err := r.t.Tell(at(s), source, Update{Kind: kind, Endpoints: list})
+	changes, refused, err := r.t.Apply(at(s), source, Update{Kind: kind, Endpoints: list})
 	if err != nil || len(refused) > 0 {
 		r.Fatal(err, refused)
 	}
@@ -61,7 +61,7 @@
 func TestTheWorstClaimCounts(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
-	r.want(r.tell(0, "a", Whole, ep("e1", Active)), "e1 active")
+	r.want(r.tell(0, "a", FullList, ep("e1", Active)), "e1 active")
 	r.want(r.tell(1, "b", Changes, ep("e1", Leaving)), "e1 leaving")
 	r.want(r.tell(2, "a", Changes, ep("e1", Active)), "")
 	r.want(r.tell(3, "b", Changes, ep("e1", Active)), "e1 active")
@@ -71,32 +71,32 @@
 func TestASourceThatNeverToldOfAnEndpointHasNoClaimOnIt(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
-	r.want(r.tell(0, "a", Whole, ep("e1", Active)), "e1 active")
-	r.want(r.tell(1, "b", Whole, ep("e2", Active)), "e2 active")
-	r.want(r.tell(2, "b", Whole), "e2 left")
+	r.want(r.tell(0, "a", FullList, ep("e1", Active)), "e1 active")
+	r.want(r.tell(1, "b", FullList, ep("e2", Active)), "e2 active")
+	r.want(r.tell(2, "b", FullList), "e2 left")
 	r.want(show(r.t.List()), "e1 active")
 }
 
 func TestAWholeListWithoutAnEndpointIsItsClaimThatItHasLeft(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
-	r.tell(0, "a", Whole, ep("e1", Active))
-	r.tell(0, "b", Whole, ep("e1", Active))
-	r.want(r.tell(1, "b", Whole), "e1 left")
-	r.want(r.tell(2, "a", Whole, ep("e1", Active)), "") // it lags
-	r.want(r.tell(500, "a", Whole, ep("e1", Active)), "")
+	r.tell(0, "a", FullList, ep("e1", Active))
+	r.tell(0, "b", FullList, ep("e1", Active))
+	r.want(r.tell(1, "b", FullList), "e1 left")
+	r.want(r.tell(2, "a", FullList, ep("e1", Active)), "") // it lags
+	r.want(r.tell(500, "a", FullList, ep("e1", Active)), "")
 	r.want(r.tell(501, "b", Changes, ep("e1", Active)), "e1 active")
 }
 
 func TestASourceThatLagsDoesNotBringBackWhoHasLeft(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
-	r.tell(0, "a", Whole, ep("e1", Active))
-	r.tell(0, "b", Whole)
+	r.tell(0, "a", FullList, ep("e1", Active))
+	r.tell(0, "b", FullList)
 	r.want(r.tell(1, "a", Changes, Endpoint{ID: "e1", Phase: Left}), "e1 left")
 	r.want(r.tell(2, "b", Changes, ep("e1", Active)), "")
-	x, known := r.t.Why("e1")
-	if !known || len(x.Claims) != 2 || x.Endpoint.Phase != Left || !strings.Contains(x.Because, "which is a") {
+	x, known := r.t.Explain("e1")
+	if !known || len(x.Claims) != 2 || x.Endpoint.Phase != Left || !strings.Contains(x.Reason, "which is a") {
 		t.Errorf("why: %v", x)
 	}
 }
@@ -113,17 +113,17 @@
 func TestASourceThatRestatesItsWordTakesTheRestBack(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "hand", "a")
-	r.tell(0, "a", Whole, ep("e1", Active), ep("e2", Active))
-	r.want(r.tell(1, "hand", Restated, ep("e1", Leaving), ep("e3", Active)), "e1 leaving, e3 active")
-	r.want(r.tell(2, "hand", Restated), "e3 left, e1 active")
+	r.tell(0, "a", FullList, ep("e1", Active), ep("e2", Active))
+	r.want(r.tell(1, "hand", Replacement, ep("e1", Leaving), ep("e3", Active)), "e1 leaving, e3 active")
+	r.want(r.tell(2, "hand", Replacement), "e3 left, e1 active")
 	r.want(show(r.t.List()), "e1 active, e2 active")
 }
 
 func TestASilentSourceKeepsItsList(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a")
-	r.tell(0, "a", Whole, ep("e1", Active))
-	if _, _, err := r.t.Tell(at(5), "a", Update{Kind: Failed, Err: errors.New("connection refused")}); err != nil {
+	r.tell(0, "a", FullList, ep("e1", Active))
+	if _, _, err := r.t.Apply(at(5), "a", Update{Kind: Failed, Err: errors.New("connection refused")}); err != nil {
 		t.Fatal(err)
 	}
 	r.want(show(r.t.List()), "e1 active")
@@ -131,7 +131,7 @@
 	if !s.Failed.Equal(at(5)) || s.Err != "connection refused" || !s.Told.Equal(at(0)) || s.Named != 1 || !s.Listed {
 		t.Errorf("state %+v", s)
 	}
-	if x, _ := r.t.Why("e1"); !x.Claims[0].Silent.Equal(at(5)) || !strings.Contains(x.String(), "can't be heard") {
+	if x, _ := r.t.Explain("e1"); !x.Claims[0].FailingSince.Equal(at(5)) || !strings.Contains(x.String(), "can't be heard") {
 		t.Errorf("why: %v", x)
 	}
 	r.tell(6, "a", Changes)
@@ -144,9 +144,9 @@
 	t.Parallel()
 	r := newRig(t, "a", "b")
 	b := Endpoint{ID: "e1", Addr: "10.0.0.2:80", Dest: 1, Zone: "west", Kind: "hooks", Phase: Active, Weight: 3, Started: 20, Hints: "west"}
-	r.tell(0, "b", Whole, b)
+	r.tell(0, "b", FullList, b)
 	a := Endpoint{ID: "e1", Addr: "10.0.0.1:80", Dest: 1, Kind: "archives", Phase: Active, Started: 10}
-	r.tell(1, "a", Whole, a)
+	r.tell(1, "a", FullList, a)
 	want := Endpoint{ID: "e1", Addr: "10.0.0.1:80", Dest: 1, Zone: "west", Kind: "archives", Phase: Active, Weight: 3, Started: 20, Hints: "west"}
 	if got := r.t.List()[0]; got != want {
 		t.Errorf("got %+v, want %+v", got, want)
@@ -156,11 +156,11 @@
 func TestSourcesThatDisagreeOnTheDestinationStopWork(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
-	r.tell(0, "a", Whole, ep("e1", Active))
+	r.tell(0, "a", FullList, ep("e1", Active))
 	other := ep("e1", Active)
 	other.Dest = 2
-	r.want(r.tell(1, "b", Whole, other), "e1 leaving")
-	if x, _ := r.t.Why("e1"); !strings.Contains(x.Because, "different destinations") {
+	r.want(r.tell(1, "b", FullList, other), "e1 leaving")
+	if x, _ := r.t.Explain("e1"); !strings.Contains(x.Reason, "different destinations") {
 		t.Errorf("why: %v", x)
 	}
 }
@@ -170,9 +170,9 @@
 	r := newRig(t, "a")
 	old, fresh := ep("e1", Active), ep("f1", Active)
 	fresh.Started = 5
-	r.want(r.tell(0, "a", Whole, old), "e1 active")
+	r.want(r.tell(0, "a", FullList, old), "e1 active")
 	r.want(r.tell(1, "a", Changes, fresh), "e1 leaving, f1 active")
-	if x, _ := r.t.Why("e1"); !strings.Contains(x.Because, "held by f1") {
+	if x, _ := r.t.Explain("e1"); !strings.Contains(x.Reason, "held by f1") {
 		t.Errorf("why: %v", x)
 	}
 	r.want(r.tell(2, "a", Changes, ep("f1", Left)), "f1 left, e1 active")
@@ -185,12 +185,12 @@
 func TestAMalformedEndpointSpoilsNoOther(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a")
-	r.tell(0, "a", Whole, ep("e1", Active), ep("e2", Active))
+	r.tell(0, "a", FullList, ep("e1", Active), ep("e2", Active))
 	bad := ep("e1", Active)
 	bad.Addr = "nowhere"
 	unknown := ep("e3", Active)
 	unknown.Weight = math.NaN()
-	changes, refused, err := r.t.Tell(at(1), "a", Update{Kind: Whole, Endpoints: []Endpoint{bad, unknown, {ID: "e 4"}, ep("e2", Active), ep("e5", Active)}})
+	changes, refused, err := r.t.Apply(at(1), "a", Update{Kind: FullList, Endpoints: []Endpoint{bad, unknown, {ID: "e 4"}, ep("e2", Active), ep("e5", Active)}})
 	if err != nil || len(refused) != 3 || !errors.Is(refused[0].Err, ErrMalformed) {
 		t.Fatal(err, refused)
 	}
@@ -200,24 +200,24 @@
 func TestTheWorseOfTwoEntriesInOneListCounts(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a")
-	r.want(r.tell(0, "a", Whole, ep("e1", Leaving), ep("e1", Active)), "e1 leaving")
+	r.want(r.tell(0, "a", FullList, ep("e1", Leaving), ep("e1", Active)), "e1 leaving")
 	r.want(r.tell(1, "a", Changes, ep("e1", Leaving), ep("e1", Active)), "e1 active") // one after the other
 }
 
 func TestTheTableIsBounded(t *testing.T) {
 	t.Parallel()
-	table, err := New(Settings{Sources: []string{"a"}, Most: 3})
+	table, err := New(Settings{Sources: []string{"a"}, MaxEndpoints: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, refused, _ := table.Tell(at(0), "a", Update{Kind: Whole, Endpoints: []Endpoint{ep("e1", Active), ep("e2", Active), ep("e3", Active), ep("e4", Active)}})
+	_, refused, _ := table.Apply(at(0), "a", Update{Kind: FullList, Endpoints: []Endpoint{ep("e1", Active), ep("e2", Active), ep("e3", Active), ep("e4", Active)}})
 	if len(refused) != 1 || !errors.Is(refused[0].Err, ErrFull) {
 		t.Fatal(refused)
 	}
 	for i := range 1000 {
 		id := fmt.Sprint("x", i)
-		table.Tell(at(1), "a", Update{Endpoints: []Endpoint{{ID: "e1", Phase: Left}, {ID: id, Phase: Left}}})
-		if _, refused, _ := table.Tell(at(1), "a", Update{Endpoints: []Endpoint{ep("e1", Active)}}); len(refused) > 0 {
+		table.Apply(at(1), "a", Update{Endpoints: []Endpoint{{ID: "e1", Phase: Left}, {ID: id, Phase: Left}}})
+		if _, refused, _ := table.Apply(at(1), "a", Update{Endpoints: []Endpoint{ep("e1", Active)}}); len(refused) > 0 {
 			t.Fatal(refused) // who has left makes room
 		}
 		if len(table.records) > 3 || len(table.gone) > mostGone+2 {
@@ -242,7 +242,7 @@
 func TestTheCacheCountsUntilItsSourceSpeaks(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
-	r.tell(0, "a", Whole, ep("e1", Active), ep("e2", Leaving), ep("e3", Active))
+	r.tell(0, "a", FullList, ep("e1", Active), ep("e2", Leaving), ep("e3", Active))
 	r.tell(0, "a", Changes, ep("e3", Left))
 	dump := r.t.Dump("a")
 
@@ -255,12 +255,12 @@
 	if r.t.Complete() {
 		t.Error("a cache is no list")
 	}
-	r.want(r.tell(101, "b", Whole, ep("e3", Active)), "") // e3 had left, as the cache knows
-	if x, _ := r.t.Why("e1"); !x.Claims[0].Cached || !strings.Contains(x.String(), "cache") {
+	r.want(r.tell(101, "b", FullList, ep("e3", Active)), "") // e3 had left, as the cache knows
+	if x, _ := r.t.Explain("e1"); !x.Claims[0].Cached || !strings.Contains(x.String(), "cache") {
 		t.Errorf("why: %v", x)
 	}
 	r.want(r.tell(102, "a", Changes, ep("e2", Leaving)), "")
-	r.want(r.tell(103, "a", Whole, ep("e2", Leaving)), "e1 left")
+	r.want(r.tell(103, "a", FullList, ep("e2", Leaving)), "e1 left")
 	if !r.t.Complete() {
 		t.Error("all have told a whole list")
 	}
@@ -272,14 +272,14 @@
 func TestASourceThatIsTakenOutLosesItsClaims(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
-	r.tell(0, "a", Whole, ep("e1", Active), ep("e2", Leaving))
-	r.tell(0, "b", Whole, ep("e2", Active))
+	r.tell(0, "a", FullList, ep("e1", Active), ep("e2", Leaving))
+	r.tell(0, "b", FullList, ep("e2", Active))
 	changes, err := r.t.SetSources(at(1), []string{"c", "b"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.want(show(changes), "e1 left, e2 active")
-	if _, _, err := r.t.Tell(at(2), "a", Update{}); err == nil {
+	if _, _, err := r.t.Apply(at(2), "a", Update{}); err == nil {
 		t.Error("a source that is out was heard")
 	}
 	if _, err := r.t.SetSources(at(3), []string{"b", "b"}); err == nil {
--- a/membership/why.go
+++ b/membership/why.go
@@ -90,42 +90,42 @@
 
 // Claim is what one source says of an endpoint.
 type Claim struct {
-	Source string
-	Says   Endpoint
-	At     time.Time // when it said so
-	Cached bool      // only a cache says so: the source has not spoken of it since the start
-	Silent time.Time // since when the source fails, zero if it does not
+	Source       string
+	Endpoint     Endpoint
+	ReportedAt   time.Time // when it said so
+	Cached       bool      // only a cache says so: the source has not spoken of it since the start
+	FailingSince time.Time // since when the source fails, zero if it does not
 }
 
 // Explanation says why an endpoint is in its state.
 type Explanation struct {
 	Endpoint Endpoint // as it was given out
 	Claims   []Claim  // in the sources' order
-	Because  string   // the rule that decided its phase
+	Reason   string   // the rule that decided its phase
 }
 
 // String is the explanation in a few lines for people.
 func (x Explanation) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s is %s: %s\n", x.Endpoint.ID, x.Endpoint.Phase, x.Because)
+	fmt.Fprintf(&b, "%s is %s: %s\n", x.Endpoint.ID, x.Endpoint.Phase, x.Reason)
 	for _, c := range x.Claims {
-		fmt.Fprintf(&b, "  %s said %s at %s", c.Source, c.Says.Phase, c.At.UTC().Format(time.RFC3339Nano))
-		if c.Says.Note != "" {
-			fmt.Fprintf(&b, " (%s)", c.Says.Note)
+		fmt.Fprintf(&b, "  %s said %s at %s", c.Source, c.Endpoint.Phase, c.ReportedAt.UTC().Format(time.RFC3339Nano))
+		if c.Endpoint.Note != "" {
+			fmt.Fprintf(&b, " (%s)", c.Endpoint.Note)
 		}
 		if c.Cached {
 			b.WriteString(", as the cache has it")
 		}
-		if !c.Silent.IsZero() {
-			fmt.Fprintf(&b, ", and can't be heard since %s", c.Silent.UTC().Format(time.RFC3339Nano))
+		if !c.FailingSince.IsZero() {
+			fmt.Fprintf(&b, ", and can't be heard since %s", c.FailingSince.UTC().Format(time.RFC3339Nano))
 		}
 		b.WriteString("\n")
 	}
 	return b.String()
 }
 
-// Why explains an endpoint's state. It knows those that have left for as long as they are remembered.
-func (t *Table) Why(id string) (x Explanation, known bool) {
+// Explain explains an endpoint's state. It knows those that have left for as long as they are remembered.
+func (t *Table) Explain(id string) (x Explanation, known bool) {
 	r := t.records[id]
 	if r == nil {
 		return x, false
@@ -134,7 +134,7 @@
 	decided := ""
 	dests := map[int]bool{}
 	for _, c := range r.claims {
-		x.Claims = append(x.Claims, Claim{Source: c.by.name, Says: c.says, At: c.at, Cached: c.cached, Silent: c.by.failed})
+		x.Claims = append(x.Claims, Claim{Source: c.by.name, Endpoint: c.says, ReportedAt: c.at, Cached: c.cached, FailingSince: c.by.failed})
 		if c.says.Phase == r.merged.Phase && decided == "" {
 			decided = c.by.name
 		}
@@ -144,16 +144,16 @@
 	}
 	switch {
 	case r.rival != "":
-		x.Because = fmt.Sprintf("its address %s is held by %s, which started later or comes first", r.merged.Addr, r.rival)
+		x.Reason = fmt.Sprintf("its address %s is held by %s, which started later or comes first", r.merged.Addr, r.rival)
 	case decided == "":
-		x.Because = "its sources name different destinations"
+		x.Reason = "its sources name different destinations"
 	case r.merged.Phase == Active:
-		x.Because = "no source says otherwise"
+		x.Reason = "no source says otherwise"
 	default:
-		x.Because = fmt.Sprintf("the worst that a source says of it, which is %s", decided)
+		x.Reason = fmt.Sprintf("the worst that a source says of it, which is %s", decided)
 	}
 	if len(dests) > 1 && decided != "" {
-		x.Because += "; its sources name different destinations"
+		x.Reason += "; its sources name different destinations"
 	}
 	return x, true
 }
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -47,8 +47,8 @@
 // The zero Rate permits nothing. Rates are in tokens a second; neither From nor End is negative.
 type Rate struct{ From, Rise, End float64 }
 
-// Steady is a rate that does not change.
-func Steady(r float64) Rate { return Rate{From: r, End: r} }
+// Constant is a rate that does not change.
+func Constant(r float64) Rate { return Rate{From: r, End: r} }
 
 // changes is for how many seconds it does.
 func (r Rate) changes() float64 {
@@ -68,8 +68,8 @@
 	return r.From + r.Rise*s
 }
 
-// Sum is how many tokens come in the first s seconds.
-func (r Rate) Sum(s float64) float64 {
+// Tokens is how many tokens come in the first s seconds.
+func (r Rate) Tokens(s float64) float64 {
 	turn := r.changes()
 	if s <= turn {
 		return s * (r.From + r.Rise*s/2)
@@ -77,8 +77,8 @@
 	return turn*(r.From+r.End)/2 + (s-turn)*r.End
 }
 
-// When is after how many seconds n tokens have come; +Inf if they never do.
-func (r Rate) When(n float64) float64 {
+// SecondsUntil is after how many seconds n tokens have come; +Inf if they never do.
+func (r Rate) SecondsUntil(n float64) float64 {
 	if n <= 0 {
 		return 0
 	}
@@ -107,10 +107,10 @@
 	return Bucket{level: level, most: max(level, 1), at: now}
 }
 
-// Set changes the rate and the most tokens that are held, from a moment on. What has gathered by now stays, as far as it
+// SetRate changes the rate and the most tokens that are held, from a moment on. What has gathered by now stays, as far as it
 // may. Where from is later than now, what the rate gives at first is credited for the time in between at once, as far as
 // that was not done before: a user who can't take anything before from (a wait binds it) has it when that comes.
-func (b *Bucket) Set(now, from Time, r Rate, most float64) {
+func (b *Bucket) SetRate(now, from Time, r Rate, most float64) {
 	b.settle(now)
 	if ahead := from.Since(b.at); ahead > 0 {
 		b.level = max(b.level, min(b.level+r.At(0)*ahead.Seconds(), most))
@@ -125,14 +125,14 @@
 	if now <= b.at {
 		return b.level
 	}
-	return min(b.level+b.rate.Sum(now.Since(b.at).Seconds()), max(b.most, b.level))
+	return min(b.level+b.rate.Tokens(now.Since(b.at).Seconds()), max(b.most, b.level))
 }
 
 // Full tells that no more tokens are held.
 func (b *Bucket) Full(now Time) bool { return b.Level(now) >= b.most }
 
-// Has tells whether a call may go.
-func (b *Bucket) Has(now Time) bool { return b.Level(now) >= 1 }
+// HasToken tells whether a call may go.
+func (b *Bucket) HasToken(now Time) bool { return b.Level(now) >= 1 }
 
 // Take takes n tokens, whether they are there or not.
 func (b *Bucket) Take(now Time, n float64) {
@@ -140,14 +140,14 @@
 	b.level -= n
 }
 
-// Give puts n tokens back, as far as they may be held.
-func (b *Bucket) Give(now Time, n float64) {
+// PutBack puts n tokens back, as far as they may be held.
+func (b *Bucket) PutBack(now Time, n float64) {
 	b.settle(now)
 	b.level = max(b.level, min(b.level+n, b.most))
 }
 
-// Limit takes away what is above a level.
-func (b *Bucket) Limit(now Time, level float64) {
+// Cap takes away what is above a level.
+func (b *Bucket) Cap(now Time, level float64) {
 	b.settle(now)
 	b.level = min(b.level, level)
 }
@@ -164,28 +164,28 @@
 
 // NextAt is the first moment, now or later, at which Has tells true while nothing changes; Never if there is none.
 func (b *Bucket) NextAt(now Time) Time {
-	if b.Has(now) {
+	if b.HasToken(now) {
 		return now
 	}
 	if b.most < 1 {
 		return Never
 	}
-	s := b.rate.When(1 - b.level)
+	s := b.rate.SecondsUntil(1 - b.level)
 	if !(s < float64(Never/2)/float64(Second)) {
 		return Never
 	}
 	at := max(now, b.at.After(Time(s*float64(Second))))
 	// The root and the sum may differ in their last bits: by so much at most, which a few steps of doubled length bridge.
 	step := Time(1)
-	for !b.Has(at) {
+	for !b.HasToken(at) {
 		if at == Never || step > Second {
 			return at
 		}
 		at, step = at.After(step), 2*step
 	}
-	for step = 1; at > now && b.Has(at-1); {
+	for step = 1; at > now && b.HasToken(at-1); {
 		back := max(now, at-step)
-		if step *= 2; !b.Has(back) {
+		if step *= 2; !b.HasToken(back) {
 			step = 1
 			back = at - 1
 		}
--- a/pace/pace_test.go
+++ b/pace/pace_test.go
@@ -23,7 +23,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		start := Time(rapid.Int64Range(0, 1<<50).Draw(t, "start"))
 		one := NewBucket(start, rapid.Float64Range(-3, 1).Draw(t, "level"))
-		one.Set(start, start, drawRate(t), rapid.Float64Range(1, 500).Draw(t, "most"))
+		one.SetRate(start, start, drawRate(t), rapid.Float64Range(1, 500).Draw(t, "most"))
 		looked, settled := one, one
 		now, cuts := start, rapid.SliceOfN(rapid.Int64Range(0, 5e6), 1, 200).Draw(t, "cuts")
 		for _, c := range cuts {
@@ -48,17 +48,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		start := Time(rapid.Int64Range(0, 1<<50).Draw(t, "start"))
 		b := NewBucket(start, rapid.Float64Range(-3, 0.99).Draw(t, "level"))
-		b.Set(start, start, drawRate(t), rapid.Float64Range(1, 3).Draw(t, "most"))
+		b.SetRate(start, start, drawRate(t), rapid.Float64Range(1, 3).Draw(t, "most"))
 		now := start + Time(rapid.Int64Range(0, 5e6).Draw(t, "look"))
 		at := b.NextAt(now)
 		switch {
 		case at == Never:
-			if b.Has(now + 1e6*Second) {
+			if b.HasToken(now + 1e6*Second) {
 				t.Fatalf("%+v: never, but it has one later", b)
 			}
-		case !b.Has(at):
+		case !b.HasToken(at):
 			t.Fatalf("%+v: none at %d", b, at)
-		case at > now && b.Has(at-1):
+		case at > now && b.HasToken(at-1):
 			t.Fatalf("%+v: one before %d", b, at)
 		}
 	})
@@ -71,26 +71,26 @@
 		s, sum float64
 	}{
 		"nothing":                  {Rate{}, 100, 0},
-		"steady":                   {Steady(3), 2, 6},
+		"steady":                   {Constant(3), 2, 6},
 		"rises":                    {Rate{From: 1, Rise: 2, End: 9}, 2, 6},
 		"rises to its top":         {Rate{From: 0, Rise: 1, End: 2}, 5, 2 + 6},
 		"no more than its top":     {Rate{From: 5, Rise: 1, End: 2}, 3, 6},
 		"from nothing":             {Rate{From: 0, Rise: 0.5, End: 100}, 4, 4},
-		"one message in 10 min":    {Steady(1.0 / 600), 600, 1},
+		"one message in 10 min":    {Constant(1.0 / 600), 600, 1},
 		"hardly rises":             {Rate{From: 1, Rise: 1e-300, End: 2}, 7, 7},
 		"falls":                    {Rate{From: 4, Rise: -2, End: 0}, 1, 3},
 		"falls to its end":         {Rate{From: 4, Rise: -2, End: 1}, 3.5, 3.75 + 2},
 		"falls from its end":       {Rate{From: 1, Rise: -1, End: 2}, 2, 4},
 		"does not rise to its top": {Rate{From: 1, End: 2}, 7, 7},
 	} {
-		if got := c.r.Sum(c.s); math.Abs(got-c.sum) > 1e-9 {
+		if got := c.r.Tokens(c.s); math.Abs(got-c.sum) > 1e-9 {
 			t.Errorf("%s: %v tokens in %v s, want %v", name, got, c.s, c.sum)
 		}
 		if c.sum > 0 {
-			if got := c.r.When(c.sum); math.Abs(got-c.s) > 1e-9 {
+			if got := c.r.SecondsUntil(c.sum); math.Abs(got-c.s) > 1e-9 {
 				t.Errorf("%s: %v tokens after %v s, want %v", name, c.sum, got, c.s)
 			}
-		} else if got := c.r.When(1); !math.IsInf(got, 1) {
+		} else if got := c.r.SecondsUntil(1); !math.IsInf(got, 1) {
 			t.Errorf("%s: one token after %v s", name, got)
 		}
 	}
@@ -107,20 +107,20 @@
 		}
 	}
 	level("nothing comes before Set", 100*Second, 1)
-	b.Set(0, 0, Steady(2), 3)
+	b.SetRate(0, 0, Constant(2), 3)
 	level("a second", Second, 3)
 	level("no more than the most", 50*Second, 3)
 	b.Take(50*Second, 5)
 	level("below zero", 50*Second, -2)
-	b.Give(50*Second, 1)
+	b.PutBack(50*Second, 1)
 	level("given back", 50*Second, -1)
-	b.Set(50*Second, 52*Second, Steady(10), 3)
+	b.SetRate(50*Second, 52*Second, Constant(10), 3)
 	level("what comes until a wait ends is there at its end", 52*Second, 3)
-	b.Limit(52*Second, 0.5)
+	b.Cap(52*Second, 0.5)
 	level("limited", 52*Second, 0.5)
-	b.Give(52*Second, 100)
+	b.PutBack(52*Second, 100)
 	level("not more than the most is given back", 52*Second, 3)
-	b.Set(51*Second, 51*Second, Steady(1), 2)
+	b.SetRate(51*Second, 51*Second, Constant(1), 2)
 	level("a clock that went back", 52*Second, 2)
 	b.Take(52*Second, 2)
 	for range 100_000 {
@@ -128,7 +128,7 @@
 	}
 	level("a clock that stands still", 52*Second, 0)
 	level("a look that is late by a second", 54*Second, 2)
-	b.Set(54*Second, 54*Second, Steady(1), 0.5)
+	b.SetRate(54*Second, 54*Second, Constant(1), 0.5)
 	if at := b.NextAt(54 * Second); at != Never {
 		t.Errorf("one token at %d of a bucket that holds half of one", at)
 	}
@@ -138,12 +138,12 @@
 	t.Parallel()
 	late := Never - 10
 	b := NewBucket(late, 0)
-	b.Set(late, late, Steady(1), 5)
+	b.SetRate(late, late, Constant(1), 5)
 	if at := b.NextAt(late); at != Never {
 		t.Errorf("a token at %d, of a time that is no more", at)
 	}
 	b = NewBucket(math.MinInt64, 0)
-	b.Set(math.MinInt64, math.MinInt64, Steady(1e-3), 5)
+	b.SetRate(math.MinInt64, math.MinInt64, Constant(1e-3), 5)
 	if got := b.Level(Never); got != 5 {
 		t.Errorf("%v tokens after all of time", got)
 	}
--- a/resend/planner.go
+++ b/resend/planner.go
@@ -9,21 +9,21 @@
 
 // Node is a message's place in a Planner. Whoever keeps the message embeds it; its zero value is in no planner.
 type Node struct {
-	Due  Time // not before
-	No   uint64
-	dest int32
-	pos  int32 // in its lane's heap, from 1; 0: in none
+	Due    Time // not before
+	Number uint64
+	dest   int32
+	pos    int32 // in its lane's heap, from 1; 0: in none
 }
 
-// SetDest says whose message it is, before the first Put.
-func (n *Node) SetDest(dest int) {
+// SetDestination says whose message it is, before the first Put.
+func (n *Node) SetDestination(dest int) {
 	if n.pos == 0 {
 		n.dest = int32(dest)
 	}
 }
 
-// Dest is whose message it is.
-func (n *Node) Dest() int { return int(n.dest) }
+// Destination is whose message it is.
+func (n *Node) Destination() int { return int(n.dest) }
 
 // Planner has the messages that are to be looked at, by destination, and says which of them come next: never more at a
 // time than their share of the slots, and to a destination no more than it takes well. It is not safe for concurrent use.
@@ -59,20 +59,20 @@
 	return &Planner{slots: max(slots, 1), share: share, trial: trial, lanes: map[int]*lane{}}
 }
 
-// Put adds a message, or moves it, to be looked at when it is due.
-func (p *Planner) Put(n *Node, due Time) {
-	p.Drop(n)
-	l := p.lane(n.Dest())
+// Schedule adds a message, or moves it, to be looked at when it is due.
+func (p *Planner) Schedule(n *Node, due Time) {
+	p.Remove(n)
+	l := p.lane(n.Destination())
 	n.Due = due
 	heap.Push(&l.nodes, n)
 }
 
-// Drop takes a message out; one that is in no planner is left as it is.
-func (p *Planner) Drop(n *Node) {
+// Remove takes a message out; one that is in no planner is left as it is.
+func (p *Planner) Remove(n *Node) {
 	if n.pos == 0 {
 		return
 	}
-	l := p.lanes[n.Dest()]
+	l := p.lanes[n.Destination()]
 	heap.Remove(&l.nodes, int(n.pos)-1)
 	p.forget(l)
 }
@@ -99,8 +99,8 @@
 	}
 }
 
-// Next is when Pick is worth calling next; false: not before something is put or ends.
-func (p *Planner) Next() (at Time, ok bool) {
+// NextDue is when Pick is worth calling next; false: not before something is put or ends.
+func (p *Planner) NextDue() (at Time, ok bool) {
 	if p.out >= p.slots {
 		return 0, false
 	}
@@ -137,8 +137,8 @@
 	}
 	c, rate := how(l.dest)
 	switch c {
-	case control.Well:
-	case control.Ailing:
+	case control.Healthy:
+	case control.Unhealthy:
 		l.window = 1
 		if l.out > 0 || now < l.trial {
 			l.next = now + lookAgain
@@ -160,30 +160,30 @@
 }
 
 // How a message that was picked fared.
-type Fared uint8
+type SendResult uint8
 
 // How it fared.
 const (
-	Nothing Fared = iota // nothing was learned of the destination
-	Good
-	Bad
+	Inconclusive SendResult = iota // nothing was learned of the destination
+	Success
+	Failure
 )
 
-// Took counts one as being sent that was not picked: it was when the process began.
-func (p *Planner) Took(dest int) {
+// AddInFlight counts one as being sent that was not picked: it was when the process began.
+func (p *Planner) AddInFlight(dest int) {
 	p.lane(dest).out++
 	p.out++
 }
 
 // Done says that a message that was picked is not being sent any more.
-func (p *Planner) Done(dest int, now Time, f Fared) {
+func (p *Planner) Completed(dest int, now Time, f SendResult) {
 	l := p.lane(dest)
 	l.out--
 	p.out--
 	switch f {
-	case Good:
+	case Success:
 		l.window, l.fails = min(l.window+1, p.slots), 0
-	case Bad:
+	case Failure:
 		l.window = 1
 		l.fails = min(l.fails+1, 10)
 		l.next = max(l.next, now+min(firstPause<<(l.fails-1), max(p.trial, firstPause)))
@@ -191,15 +191,15 @@
 	p.forget(l)
 }
 
-// Out is how many messages are being sent again.
-func (p *Planner) Out() int { return p.out }
+// InFlight is how many messages are being sent again.
+func (p *Planner) InFlight() int { return p.out }
 
 // nodes is a heap by due time, then number.
 type nodes []*Node
 
 func (h nodes) Len() int { return len(h) }
 func (h nodes) Less(i, j int) bool {
-	return h[i].Due < h[j].Due || h[i].Due == h[j].Due && h[i].No < h[j].No
+	return h[i].Due < h[j].Due || h[i].Due == h[j].Due && h[i].Number < h[j].Number
 }
 func (h nodes) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
--- a/resend/planner_test.go
+++ b/resend/planner_test.go
@@ -18,13 +18,13 @@
 func newBench(slots, dests, each int) *bench {
 	b := &bench{Planner: NewPlanner(slots, 0.5, 60*second), how: map[int]control.Condition{}}
 	for d := range dests {
-		b.how[d] = control.Well
+		b.how[d] = control.Healthy
 	}
 	for i := range dests * each {
-		n := &Node{No: uint64(i)}
-		n.SetDest(i % dests)
+		n := &Node{Number: uint64(i)}
+		n.SetDestination(i % dests)
 		b.nodes = append(b.nodes, n)
-		b.Put(n, now)
+		b.Schedule(n, now)
 	}
 	return b
 }
@@ -38,19 +38,19 @@
 	b := newBench(4, 1, 20)
 	for _, want := range []int{1, 2, 4} {
 		got := b.pick(now)
-		if len(got) != want || b.Out() != want {
-			t.Fatalf("%d picked, %d out, want %d", len(got), b.Out(), want)
+		if len(got) != want || b.InFlight() != want {
+			t.Fatalf("%d picked, %d out, want %d", len(got), b.InFlight(), want)
 		}
 		for range got {
-			b.Done(0, now, Good)
+			b.Completed(0, now, Success)
 		}
 	}
 	if got := b.pick(now); len(got) != 4 {
 		t.Fatalf("%d picked with a share of 4 slots", len(got))
 	}
-	b.Done(0, now, Bad)
+	b.Completed(0, now, Failure)
 	for range 3 {
-		b.Done(0, now, Nothing)
+		b.Completed(0, now, Inconclusive)
 	}
 	if got := b.pick(now + second - 1); len(got) != 0 {
 		t.Errorf("%d picked in the pause after a failure", len(got))
@@ -63,12 +63,12 @@
 func TestOnlyADestinationThatIsWellGetsMessages(t *testing.T) {
 	t.Parallel()
 	b := newBench(4, 3, 10)
-	b.how[0], b.how[1], b.how[2] = control.Pressed, control.Unserved, control.Ailing
+	b.how[0], b.how[1], b.how[2] = control.Busy, control.Unavailable, control.Unhealthy
 	got := b.pick(now)
-	if len(got) != 1 || got[0].Dest() != 2 {
+	if len(got) != 1 || got[0].Destination() != 2 {
 		t.Fatalf("picked %v", got)
 	}
-	b.Done(2, now, Nothing)
+	b.Completed(2, now, Inconclusive)
 	for at := now; at < now+60*second; at += second {
 		if got := b.pick(at); len(got) > 0 {
 			t.Fatalf("another trial after %d s", (at-now)/second)
@@ -77,11 +77,11 @@
 	if got := b.pick(now + 61*second); len(got) != 1 {
 		t.Errorf("%d trials after a minute", len(got))
 	}
-	if at, ok := b.Next(); !ok || at > now+63*second {
+	if at, ok := b.NextDue(); !ok || at > now+63*second {
 		t.Errorf("next look %v %v", at-now, ok)
 	}
-	b.how[0] = control.Well
-	if got := b.pick(now + 62*second); len(got) != 1 || got[0].Dest() != 0 {
+	b.how[0] = control.Healthy
+	if got := b.pick(now + 62*second); len(got) != 1 || got[0].Destination() != 0 {
 		t.Errorf("picked %v when destination 0 was well", got)
 	}
 }
@@ -94,7 +94,7 @@
 	for at := now; at < now+60*second; at += 10 * control.Millisecond {
 		for _, n := range b.pick(at) {
 			sent++
-			b.Done(n.Dest(), at, Good)
+			b.Completed(n.Destination(), at, Success)
 		}
 	}
 	if sent > 301 || sent < 290 { // half of ten a second
@@ -108,8 +108,8 @@
 	count := map[int]int{}
 	for range 50 {
 		for _, n := range b.pick(now) {
-			count[n.Dest()]++
-			b.Done(n.Dest(), now, Nothing)
+			count[n.Destination()]++
+			b.Completed(n.Destination(), now, Inconclusive)
 		}
 	}
 	for d := range 5 {
@@ -137,34 +137,34 @@
 			case 0:
 				n := b.nodes[dice.IntN(len(b.nodes))]
 				if !out[n] {
-					b.Put(n, at+Time(dice.IntN(int(20*second))))
+					b.Schedule(n, at+Time(dice.IntN(int(20*second))))
 					in[n] = true
 				}
 			case 1:
 				n := b.nodes[dice.IntN(len(b.nodes))]
 				if in[n] {
-					b.Drop(n)
+					b.Remove(n)
 					delete(in, n)
 				}
 			case 2:
 				b.how[dice.IntN(4)] = control.Condition(dice.IntN(4))
 			case 3:
 				for n := range out {
-					b.Done(n.Dest(), at, Fared(dice.IntN(3)))
+					b.Completed(n.Destination(), at, SendResult(dice.IntN(3)))
 					delete(out, n)
 					break
 				}
 			default:
 				for _, n := range b.pick(at) {
 					if !in[n] || out[n] || n.Due > at {
-						t.Fatalf("seed %d: message %d picked when it could not be", seed, n.No)
+						t.Fatalf("seed %d: message %d picked when it could not be", seed, n.Number)
 					}
 					delete(in, n)
 					out[n] = true
 				}
 			}
-			if b.Out() != len(out) || b.Out() > b.slots {
-				t.Fatalf("seed %d: %d out, %d known", seed, b.Out(), len(out))
+			if b.InFlight() != len(out) || b.InFlight() > b.slots {
+				t.Fatalf("seed %d: %d out, %d known", seed, b.InFlight(), len(out))
 			}
 			left := 0
 			for _, l := range b.lanes {
--- a/resend/resend.go
+++ b/resend/resend.go
@@ -16,13 +16,13 @@
 
 // Class is what a class of messages allows.
 type Class struct {
-	Name      string
-	Effect    control.Effect
-	ZoneGroup bool // Guarded: only endpoints of one zone drop repeats
-	InOrder   bool // its keys tell order, not identity
-	Window    Time // Guarded: how long repeats are dropped, from the first send that may have run
-	Deadline  Time // how long a message lives at most
-	Worth     float64
+	Name        string
+	Effect      control.Effect
+	ZoneGroup   bool // Guarded: only endpoints of one zone drop repeats
+	Ordered     bool // its keys tell order, not identity
+	DedupWindow Time // Guarded: how long repeats are dropped, from the first send that may have run
+	Deadline    Time // how long a message lives at most
+	Worth       float64
 }
 
 // Proof is how it can be known whether a message took effect at a partner.
@@ -37,27 +37,27 @@
 
 // Partner is what is known of a destination. Those that are not named have NoProof.
 type Partner struct {
-	Dest      int
-	Proof     Proof
-	Settle    Time // how long a call may still run at the partner after it was given up here
-	Remembers Time // how long the partner remembers a key, or what took effect, from when it did
+	Destination  int
+	Proof        Proof
+	SettleTime   Time // how long a call may still run at the partner after it was given up here
+	RememberTime Time // how long the partner remembers a key, or what took effect, from when it did
 }
 
 // Rule says what is sent again, and when. The first that fits a message counts.
 type Rule struct {
-	Name    string
-	Classes []string // none: all; the same for the next three
-	Dests   []int
-	Tenants []string
-	Causes  []string
-	Doubt   DoubtFilter
-	MaxAge  Time // older messages are left to operators; 0: none are
-
-	Tries  int     // lives after the first, at most
-	First  Time    // how long after a life's end the next begins ...
-	Factor float64 // ... growing by this with each ...
-	Most   Time    // ... up to this
-	Jitter float64 // and longer by a random part of it, up to this share
+	Name         string
+	Classes      []string // none: all; the same for the next three
+	Destinations []int
+	Tenants      []string
+	Causes       []string
+	Doubt        DoubtFilter
+	MaxAge       Time // older messages are left to operators; 0: none are
+
+	MaxResends int     // lives after the first, at most
+	FirstDelay Time    // how long after a life's end the next begins ...
+	Factor     float64 // ... growing by this with each ...
+	MaxDelay   Time    // ... up to this
+	Jitter     float64 // and longer by a random part of it, up to this share
 }
 
 // DoubtFilter is which messages a rule fits.
@@ -76,58 +76,58 @@
 	Tenants  []string // none: there are no tenants
 	Partners []Partner
 	Rules    []Rule
-	Body     int // bytes that a body may hold today; 0: any
+	MaxBody  int // bytes that a body may hold today; 0: any
 }
 
 // Item is what is known of a kept message.
 type Item struct {
-	No            uint64
-	Class, Tenant string
-	Dest          int
-	Cause         string
-	Body          int // bytes
-	HasKey        bool
-	Kept          Time   // when it was kept first
-	Last          Time   // when its newest life ended
-	Tries         int    // lives after the first
-	Asked         Time   // when the newest inquiry failed
-	Asks          int    // inquiries that failed, in a row
-	Held          string // why no rule may send it, "" if one may
-	Doubt         Doubt
+	Number            uint64
+	Class, Tenant     string
+	Destination       int
+	Cause             string
+	Body              int // bytes
+	HasKey            bool
+	KeptAt            Time   // when it was kept first
+	LastEnd           Time   // when its newest life ended
+	Resends           int    // lives after the first
+	LastFailedInquiry Time   // when the newest inquiry failed
+	FailedInquiries   int    // inquiries that failed, in a row
+	HoldReason        string // why no rule may send it, "" if one may
+	Doubt             Doubt
 }
 
 // Doubt says that a message may have taken effect.
 type Doubt struct {
-	At      Time // send of the first attempt that may have run, 0 if none may have
-	Zone    int  // which it went to
-	Quiet   Time // from then on no call of it is out here
-	Ageless bool // At can't be trusted: the clock was set back meanwhile
+	FirstSent  Time // send of the first attempt that may have run, 0 if none may have
+	Zone       int  // which it went to
+	QuietFrom  Time // from then on no call of it is out here
+	AgeUnknown bool // At can't be trusted: the clock was set back meanwhile
 }
 
-// Do is what is to be done with a message.
-type Do uint8
+// Action is what is to be done with a message.
+type Action uint8
 
 // What is to be done.
 const (
-	Wait        Do = iota + 1 // look again At
-	Ask                       // ask the partner whether it took effect; Answered judges the answer
-	Send                      // as a message that never ran
-	SendDoubted               // with the doubt of its earlier lives
-	Leave                     // to operators
-	Took                      // it took effect: it is delivered
-	Clear                     // it took no effect, and no earlier call can run any more
+	Wait          Action = iota + 1 // look again At
+	Ask                             // ask the partner whether it took effect; Answered judges the answer
+	Send                            // as a message that never ran
+	SendInDoubt                     // with the doubt of its earlier lives
+	Leave                           // to operators
+	MarkDelivered                   // it took effect: it is delivered
+	ClearDoubt                      // it took no effect, and no earlier call can run any more
 )
 
-func (d Do) String() string {
+func (d Action) String() string {
 	return [...]string{"?", "wait", "ask", "send", "send-doubted", "leave", "took", "clear"}[d]
 }
 
-// Verdict is what is to be done with a message, and why.
-type Verdict struct {
-	Do   Do
-	At   Time
-	Rule string
-	Why  string // of Wait and Leave, for people
+// Decision is what is to be done with a message, and why.
+type Decision struct {
+	Action Action
+	At     Time
+	Rule   string
+	Reason string // of Wait and Leave, for people
 }
 
 // Answer is what a partner answered to an inquiry.
@@ -159,84 +159,84 @@
 
 // Partner is what is known of a destination.
 func (s *Settings) Partner(dest int) Partner {
-	if i := slices.IndexFunc(s.Partners, func(p Partner) bool { return p.Dest == dest }); i >= 0 {
+	if i := slices.IndexFunc(s.Partners, func(p Partner) bool { return p.Destination == dest }); i >= 0 {
 		return s.Partners[i]
 	}
-	return Partner{Dest: dest}
+	return Partner{Destination: dest}
 }
 
-// Judge says what a rule does with a message now.
-func (s *Settings) Judge(it *Item, now Time) Verdict {
+// Decide says what a rule does with a message now.
+func (s *Settings) Decide(it *Item, now Time) Decision {
 	c, why := s.possible(it)
 	switch {
-	case it.Held != "":
-		return Verdict{Do: Leave, Why: it.Held}
+	case it.HoldReason != "":
+		return Decision{Action: Leave, Reason: it.HoldReason}
 	case why != "":
-		return Verdict{Do: Leave, Why: why}
+		return Decision{Action: Leave, Reason: why}
 	}
 	i := slices.IndexFunc(s.Rules, func(r Rule) bool { return r.fits(it) })
 	if i < 0 {
-		return Verdict{Do: Leave, Why: "no rule fits it"}
+		return Decision{Action: Leave, Reason: "no rule fits it"}
 	}
 	r := &s.Rules[i]
-	leave := func(format string, args ...any) Verdict {
-		return Verdict{Do: Leave, Rule: r.Name, Why: fmt.Sprintf(format, args...)}
+	leave := func(format string, args ...any) Decision {
+		return Decision{Action: Leave, Rule: r.Name, Reason: fmt.Sprintf(format, args...)}
 	}
 	switch {
-	case c.InOrder:
+	case c.Ordered:
 		return leave("its class is in order: what came since would be overtaken")
-	case it.Tries >= r.Tries:
-		return leave("it had all %d tries of rule %q", r.Tries, r.Name)
-	case r.MaxAge > 0 && now-it.Kept > r.MaxAge:
+	case it.Resends >= r.MaxResends:
+		return leave("it had all %d tries of rule %q", r.MaxResends, r.Name)
+	case r.MaxAge > 0 && now-it.KeptAt > r.MaxAge:
 		return leave("it is older than rule %q allows", r.Name)
-	case it.Asks >= mostAsks:
-		return leave("%d inquiries in a row brought no answer", it.Asks)
+	case it.FailedInquiries >= mostAsks:
+		return leave("%d inquiries in a row brought no answer", it.FailedInquiries)
 	}
-	due := it.Last + grown(r.First, r.Most, r.Factor, r.Jitter, it.No, it.Tries)
-	if it.Asks > 0 {
-		due = max(due, it.Asked+grown(askFirst, askMost, 2, 0.5, it.No, it.Asks-1))
+	due := it.LastEnd + grown(r.FirstDelay, r.MaxDelay, r.Factor, r.Jitter, it.Number, it.Resends)
+	if it.FailedInquiries > 0 {
+		due = max(due, it.LastFailedInquiry+grown(askFirst, askMost, 2, 0.5, it.Number, it.FailedInquiries-1))
 	}
 	if now < due {
-		return Verdict{Do: Wait, At: due, Rule: r.Name, Why: "its next try is due later"}
+		return Decision{Action: Wait, At: due, Rule: r.Name, Reason: "its next try is due later"}
 	}
 	v := s.safe(it, c, now)
 	v.Rule = r.Name
 	return v
 }
 
-// ByHand says what becomes of a message that an operator wants sent; vouched: who says that it did not take effect.
-func (s *Settings) ByHand(it *Item, now Time, vouched bool) Verdict {
+// DecideManual says what becomes of a message that an operator wants sent; vouched: who says that it did not take effect.
+func (s *Settings) DecideManual(it *Item, now Time, vouched bool) Decision {
 	c, why := s.possible(it)
 	if why != "" {
-		return Verdict{Do: Leave, Why: why}
+		return Decision{Action: Leave, Reason: why}
 	}
-	if quiet := s.quiet(it); vouched && it.Doubt.At != 0 {
+	if quiet := s.quiet(it); vouched && it.Doubt.FirstSent != 0 {
 		if now < quiet {
-			return Verdict{Do: Wait, At: quiet, Why: "an earlier call may still be running at the partner"}
+			return Decision{Action: Wait, At: quiet, Reason: "an earlier call may still be running at the partner"}
 		}
-		return Verdict{Do: Clear}
+		return Decision{Action: ClearDoubt}
 	}
 	return s.safe(it, c, now)
 }
 
-// Answered says what an answer to an inquiry comes to that was begun at asked and is here now.
-func (s *Settings) Answered(it *Item, asked, now Time, a Answer) Verdict {
-	p := s.Partner(it.Dest)
+// DecideInquiry says what an answer to an inquiry comes to that was begun at asked and is here now.
+func (s *Settings) DecideInquiry(it *Item, asked, now Time, a Answer) Decision {
+	p := s.Partner(it.Destination)
 	switch a {
 	case Yes:
-		return Verdict{Do: Took}
+		return Decision{Action: MarkDelivered}
 	case Unknown:
-		return Verdict{Do: Leave, Why: "the partner can't tell whether it took effect"}
+		return Decision{Action: Leave, Reason: "the partner can't tell whether it took effect"}
 	case Unanswered:
-		return Verdict{Do: Wait, At: now + grown(askFirst, askMost, 2, 0.5, it.No, it.Asks), Why: "the partner did not answer"}
+		return Decision{Action: Wait, At: now + grown(askFirst, askMost, 2, 0.5, it.Number, it.FailedInquiries), Reason: "the partner did not answer"}
 	}
 	switch quiet := s.quiet(it); {
 	case asked < quiet: // it may have run since
-		return Verdict{Do: Wait, At: quiet, Why: "an earlier call may still be running at the partner"}
-	case it.Doubt.Ageless || now+slack >= it.Doubt.At+p.Remembers: // one that has forgotten says no, too
-		return Verdict{Do: Leave, Why: forgotten}
+		return Decision{Action: Wait, At: quiet, Reason: "an earlier call may still be running at the partner"}
+	case it.Doubt.AgeUnknown || now+slack >= it.Doubt.FirstSent+p.RememberTime: // one that has forgotten says no, too
+		return Decision{Action: Leave, Reason: forgotten}
 	}
-	return Verdict{Do: Clear}
+	return Decision{Action: ClearDoubt}
 }
 
 const forgotten = "the partner may have forgotten whether it took effect"
@@ -249,45 +249,47 @@
 		return nil, fmt.Sprintf("class %q is not among the settings", it.Class)
 	case len(s.Tenants) > 0 && !slices.Contains(s.Tenants, it.Tenant):
 		return nil, fmt.Sprintf("tenant %q is not among the settings", it.Tenant)
-	case s.Body > 0 && it.Body > s.Body:
-		return nil, fmt.Sprintf("its body of %d bytes is over today's limit of %d", it.Body, s.Body)
+	case s.MaxBody > 0 && it.Body > s.MaxBody:
+		return nil, fmt.Sprintf("its body of %d bytes is over today's limit of %d", it.Body, s.MaxBody)
 	}
 	return c, ""
 }
 
 // quiet is from when on no earlier call can run any more, neither here nor at the partner.
-func (s *Settings) quiet(it *Item) Time { return it.Doubt.Quiet + s.Partner(it.Dest).Settle }
+func (s *Settings) quiet(it *Item) Time {
+	return it.Doubt.QuietFrom + s.Partner(it.Destination).SettleTime
+}
 
 // safe says whether sending a message now can take effect a second time.
-func (s *Settings) safe(it *Item, c *Class, now Time) Verdict {
-	d, p := &it.Doubt, s.Partner(it.Dest)
-	if d.At == 0 || c.Effect == control.Free {
-		return Verdict{Do: Send}
+func (s *Settings) safe(it *Item, c *Class, now Time) Decision {
+	d, p := &it.Doubt, s.Partner(it.Destination)
+	if d.FirstSent == 0 || c.Effect == control.Free {
+		return Decision{Action: Send}
 	}
-	key := it.HasKey && !c.InOrder && !d.Ageless
+	key := it.HasKey && !c.Ordered && !d.AgeUnknown
 	switch {
-	case key && p.Proof == ByKey && now+c.Deadline+p.Settle+slack < d.At+p.Remembers:
-		return Verdict{Do: Send} // whatever its new life does falls into the time for which the key is remembered
-	case key && c.Effect == control.Guarded && now+slack < d.At+c.Window:
-		return Verdict{Do: SendDoubted} // the module's gate closes with the window
+	case key && p.Proof == ByKey && now+c.Deadline+p.SettleTime+slack < d.FirstSent+p.RememberTime:
+		return Decision{Action: Send} // whatever its new life does falls into the time for which the key is remembered
+	case key && c.Effect == control.Guarded && now+slack < d.FirstSent+c.DedupWindow:
+		return Decision{Action: SendInDoubt} // the module's gate closes with the window
 	case p.Proof == ByInquiry:
-		if d.Ageless || now+slack >= d.At+p.Remembers {
-			return Verdict{Do: Leave, Why: forgotten}
+		if d.AgeUnknown || now+slack >= d.FirstSent+p.RememberTime {
+			return Decision{Action: Leave, Reason: forgotten}
 		}
 		if quiet := s.quiet(it); now < quiet {
-			return Verdict{Do: Wait, At: quiet, Why: "an earlier call may still be running at the partner"}
+			return Decision{Action: Wait, At: quiet, Reason: "an earlier call may still be running at the partner"}
 		}
-		return Verdict{Do: Ask}
+		return Decision{Action: Ask}
 	case p.Proof == ByKey:
-		return Verdict{Do: Leave, Why: "it may have taken effect, and the partner may not remember its key for long enough"}
+		return Decision{Action: Leave, Reason: "it may have taken effect, and the partner may not remember its key for long enough"}
 	}
-	return Verdict{Do: Leave, Why: "it may have taken effect, and only an operator can say that it did not"}
+	return Decision{Action: Leave, Reason: "it may have taken effect, and only an operator can say that it did not"}
 }
 
 // fits tells whether a rule is for a message.
 func (r *Rule) fits(it *Item) bool {
-	return among(r.Classes, it.Class) && among(r.Dests, it.Dest) && among(r.Tenants, it.Tenant) && among(r.Causes, it.Cause) &&
-		(r.Doubt == AnyDoubt || (r.Doubt == OnlyDoubt) == (it.Doubt.At != 0))
+	return among(r.Classes, it.Class) && among(r.Destinations, it.Destination) && among(r.Tenants, it.Tenant) && among(r.Causes, it.Cause) &&
+		(r.Doubt == AnyDoubt || (r.Doubt == OnlyDoubt) == (it.Doubt.FirstSent != 0))
 }
 
 func among[T comparable](list []T, v T) bool { return len(list) == 0 || slices.Contains(list, v) }
--- a/undelivered/change.go
+++ b/undelivered/change.go
@@ -22,11 +22,11 @@
 	ev = s.now(ev)
 	e.apply(ev)
 	if err = s.write(r, e, &ev); err != nil {
-		s.dirty[r.No] = e
+		s.dirty[r.Number] = e
 		s.Counts.Unwritten++
 		s.fault("what happened to an entry can't be written; it is tried again", err)
 	} else {
-		delete(s.dirty, r.No)
+		delete(s.dirty, r.Number)
 	}
 	e.Body = nil
 	s.settle(r, e)
@@ -44,27 +44,27 @@
 // settle takes up how an entry stands.
 func (s *Store) settle(r *row, e *Entry) {
 	s.fill(r, e, int64(r.size)*block)
-	delete(s.open, r.No)
-	delete(s.until, r.No)
+	delete(s.open, r.Number)
+	delete(s.until, r.Number)
 	switch {
 	case e.Claim == nil:
 	case e.Claim.Hand && e.Claim.ID == "": // there may be many: their files have the rest
-		s.until[r.No] = e.Claim.Until
+		s.until[r.Number] = e.Claim.Until
 	default:
 		e.Body = nil
-		s.open[r.No] = e
+		s.open[r.Number] = e
 	}
 }
 
 // write writes an event, or the whole entry anew where its file lacks more than this event. The body of one that ended goes
 // with a later sweep: to make a file and remove one takes longer than a line in one.
 func (s *Store) write(r *row, e *Entry, ev *Event) error {
-	if s.dirty[r.No] != nil || e.damage {
+	if s.dirty[r.Number] != nil || e.damage {
 		return s.rewrite(r, e)
 	}
 	err := s.append(r, e, ev)
 	if err == nil && e.State == Ended {
-		s.fat[r.No] = true
+		s.fat[r.Number] = true
 	}
 	return err
 }
@@ -79,7 +79,7 @@
 	if grown > 0 && s.used+grown > s.set.Disk {
 		return ErrNoRoom
 	}
-	f, err := s.dir.Reopen(fileName(r.No, r.id, int(r.gen)))
+	f, err := s.dir.Reopen(fileName(r.Number, r.id, int(r.gen)))
 	if err != nil {
 		return err
 	}
@@ -132,7 +132,7 @@
 		e.gen = was
 		return err
 	}
-	if err := s.dir.Remove(fileName(r.No, r.id, was)); err != nil {
+	if err := s.dir.Remove(fileName(r.Number, r.id, was)); err != nil {
 		s.fault("an old file stays", err) // it goes with the next start
 	}
 	r.gen = uint8(e.gen)
@@ -371,35 +371,35 @@
 // Again says what speaks against a message that a client hands in (engine.Settings.Kept).
 func (s *Store) Again(m *engine.Message) (engine.VerdictKind, string) {
 	if len(s.rows) == s.gone {
-		return engine.Taken, ""
+		return engine.Accepted, ""
 	}
 	if s.Owns(m.ID) {
-		return engine.Spent, "id: it is one of those under which undelivered messages are sent again"
+		return engine.AlreadyEnded, "id: it is one of those under which undelivered messages are sent again"
 	}
 	if r := s.byID[hashID(m.ID)]; r != nil {
-		return engine.Spent, fmt.Sprintf("id: its message failed and is kept as number %d", r.No)
+		return engine.AlreadyEnded, fmt.Sprintf("id: its message failed and is kept as number %d", r.Number)
 	}
 	if m.Key == "" || s.orderly(m) {
-		return engine.Taken, ""
+		return engine.Accepted, ""
 	}
 	r := s.same(m)
 	if r == nil {
-		return engine.Taken, ""
+		return engine.Accepted, ""
 	}
 	switch state := states[r.state]; {
 	case state == Claimed || state == Away:
-		return engine.Busy, fmt.Sprintf("key: its message is kept as number %d, and is being sent again", r.No)
+		return engine.Busy, fmt.Sprintf("key: its message is kept as number %d, and is being sent again", r.Number)
 	case state == Ended && r.flags&took != 0:
-		return engine.Spent, fmt.Sprintf("key: its message was kept as number %d, and took effect", r.No)
+		return engine.AlreadyEnded, fmt.Sprintf("key: its message was kept as number %d, and took effect", r.Number)
 	case state != Ended && r.doubtAt != 0:
-		return engine.Spent, fmt.Sprintf("key: its message failed and is kept as number %d; it may have taken effect", r.No)
+		return engine.AlreadyEnded, fmt.Sprintf("key: its message failed and is kept as number %d; it may have taken effect", r.Number)
 	}
-	return engine.Taken, ""
+	return engine.Accepted, ""
 }
 
 func (s *Store) orderly(m *engine.Message) bool {
 	c := s.class(m.Class)
-	return c == nil || c.InOrder
+	return c == nil || c.Ordered
 }
 
 func (s *Store) same(m *engine.Message) *row {
@@ -420,12 +420,12 @@
 	}
 	why := fmt.Sprintf("its client may have handed it in again, as %.100q", m.ID)
 	if s.shared == 0 {
-		s.Hold(first.No, "dispatcher", why)
+		s.Hold(first.Number, "dispatcher", why)
 		return
 	}
 	for _, r := range slices.Clone(s.rows) {
 		if r != nil && r.same == first.same {
-			s.Hold(r.No, "dispatcher", why)
+			s.Hold(r.Number, "dispatcher", why)
 		}
 	}
 }
@@ -434,16 +434,16 @@
 
 // Reconcile settles what the journal and the store say of the same messages: live and ended are what the journal has. It
 // comes once, before anything else.
-func (s *Store) Reconcile(live []*engine.Restored, ended []*engine.RestoredEnd) {
-	alive := map[string]*engine.Restored{}
+func (s *Store) Reconcile(live []*engine.RestoredMessage, ended []*engine.RestoredEnd) {
+	alive := map[string]*engine.RestoredMessage{}
 	for _, m := range live {
 		alive[m.Message.ID] = m
 		r := s.byID[hashID(m.Message.ID)]
-		if m.Owed != nil || r == nil {
+		if m.Pending != nil || r == nil {
 			continue
 		}
 		// The move was not made: the journal has it.
-		if e := s.open[r.No]; states[r.state] == Damaged || e == nil && r.tries == 0 {
+		if e := s.open[r.Number]; states[r.state] == Damaged || e == nil && r.tries == 0 {
 			s.Counts.Void++
 			s.remove(r)
 		}
@@ -457,7 +457,7 @@
 	for _, m := range live { // also of those whose end is written here already, or whose record of being handed in was lost
 		id := m.Message.ID
 		store, no, claim, ok := parseLife(id)
-		if r := s.row(no); ok && store == s.meta.store && r != nil && s.open[no] == nil && m.Owed == nil {
+		if r := s.row(no); ok && store == s.meta.store && r != nil && s.open[no] == nil && m.Pending == nil {
 			if e, err := s.read(r); err == nil && e.State != Ended {
 				c := Claim{No: claim, By: "dispatcher", At: s.set.Wall().UTC()}
 				s.change(r, Event{Kind: WasClaimed, Claim: &c, Why: "the journal has it"})
@@ -474,7 +474,7 @@
 			r.kept = s.Now()
 			continue
 		}
-		e := s.open[r.No]
+		e := s.open[r.Number]
 		if e == nil {
 			continue
 		}
@@ -504,7 +504,7 @@
 }
 
 // resume takes up an entry that somebody had when the process before ended.
-func (s *Store) resume(r *row, e *Entry, alive map[string]*engine.Restored, ends map[string]*engine.RestoredEnd) {
+func (s *Store) resume(r *row, e *Entry, alive map[string]*engine.RestoredMessage, ends map[string]*engine.RestoredEnd) {
 	s.settle(r, e)
 	c := e.Claim
 	switch {
@@ -518,16 +518,16 @@
 	}
 	l := Life{ID: c.ID, Ended: s.set.Wall().UTC(), Quiet: s.Now()}
 	if m := alive[c.ID]; m != nil {
-		if m.Owed == nil {
+		if m.Pending == nil {
 			return // the engine goes on with it
 		}
-		l.Tries, l.How, l.Zone = m.Tries, howOf(m.Owed.How), m.DoubtZone
+		l.Tries, l.How, l.Zone = m.Tries, howOf(m.Pending.Disposition), m.DoubtZone
 		if m.DoubtAt != 0 {
 			l.DoubtAt = s.handedAt(e)
 		}
 	} else if p := ends[c.ID]; p != nil {
-		l.How = howOf(p.How)
-		if p.How == engine.Failed || p.How == engine.Withdrawn {
+		l.How = howOf(p.Disposition)
+		if p.Disposition == engine.Failed || p.Disposition == engine.Withdrawn {
 			l.DoubtAt = s.handedAt(e)
 		}
 	} else {
@@ -540,7 +540,7 @@
 		l.DoubtAt = 0
 	}
 	s.Over(c.ID, l)
-	delete(s.early, r.No)
+	delete(s.early, r.Number)
 }
 
 // handedAt is when an entry's newest life was handed in: no attempt at it can be older.
@@ -553,11 +553,11 @@
 	return max(e.Kept, 1)
 }
 
-func howOf(h engine.How) string {
+func howOf(h engine.Disposition) string {
 	switch h {
 	case engine.Delivered:
 		return EndDelivered
-	case engine.Over:
+	case engine.Closed:
 		return EndOver
 	case engine.Refused:
 		return "refused"
@@ -644,7 +644,7 @@
 				keep = k
 			}
 		}
-		if keep > 0 && now-since > keep && !s.Early(r.No) && s.remove(r) == nil {
+		if keep > 0 && now-since > keep && !s.Early(r.Number) && s.remove(r) == nil {
 			s.Counts.Removed++
 		}
 	}
@@ -678,19 +678,19 @@
 
 func (s *Store) summary(r *row) Summary {
 	out := Summary{State: states[r.state], Took: r.flags&took != 0, node: &r.Node, Item: resend.Item{
-		No: r.No, Dest: r.Dest(), Body: int(r.body), HasKey: r.flags&hasKey != 0, Kept: r.kept, Last: r.last,
-		Tries: int(r.tries), Asks: int(r.asks),
-		Doubt: resend.Doubt{At: r.doubtAt, Zone: int(r.zone), Quiet: r.quiet, Ageless: r.flags&ageless != 0},
+		Number: r.Number, Destination: r.Destination(), Body: int(r.body), HasKey: r.flags&hasKey != 0, KeptAt: r.kept, LastEnd: r.last,
+		Resends: int(r.tries), FailedInquiries: int(r.asks),
+		Doubt: resend.Doubt{FirstSent: r.doubtAt, Zone: int(r.zone), QuietFrom: r.quiet, AgeUnknown: r.flags&ageless != 0},
 	}}
 	if out.State != Damaged {
-		out.Class, out.Tenant, out.Cause, out.Held = s.texts.list[r.class], s.texts.list[r.tenant], s.texts.list[r.cause], s.texts.list[r.held]
+		out.Class, out.Tenant, out.Cause, out.HoldReason = s.texts.list[r.class], s.texts.list[r.tenant], s.texts.list[r.cause], s.texts.list[r.held]
 	}
-	if out.Doubt.At != 0 { // calls of an earlier process may run on, whatever the wall clock says of its age
-		out.Doubt.Quiet = max(out.Doubt.Quiet, s.base)
+	if out.Doubt.FirstSent != 0 { // calls of an earlier process may run on, whatever the wall clock says of its age
+		out.Doubt.QuietFrom = max(out.Doubt.QuietFrom, s.base)
 	}
-	if out.Asks > 0 {
+	if out.FailedInquiries > 0 {
 		if e, err := s.entry(r); err == nil {
-			out.Asked = e.Asked
+			out.LastFailedInquiry = e.Asked
 		}
 	}
 	return out
@@ -700,7 +700,7 @@
 func (s *Store) Each(from uint64, f func(Summary) bool) {
 	i, _ := s.at(from)
 	for ; i < len(s.rows); i++ {
-		if r := s.rows[i]; r != nil && r.No >= from && !f(s.summary(r)) {
+		if r := s.rows[i]; r != nil && r.Number >= from && !f(s.summary(r)) {
 			return
 		}
 	}
@@ -721,7 +721,7 @@
 // FileName is the file of an entry, "" if there is none.
 func (s *Store) FileName(no uint64) string {
 	if r := s.row(no); r != nil {
-		return fileName(r.No, r.id, int(r.gen))
+		return fileName(r.Number, r.id, int(r.gen))
 	}
 	return ""
 }
@@ -760,9 +760,9 @@
 // Summary is how an entry stands that was read from a file.
 func (e *Entry) Summary() Summary {
 	out := Summary{State: e.State, Took: e.End == EndDelivered || e.End == EndTook, Item: resend.Item{
-		No: e.No, Class: e.Class, Tenant: e.Tenant, Dest: e.Dest, Cause: e.life().Cause, Body: e.Bytes, HasKey: e.Key != "",
-		Kept: e.Kept, Last: e.Last, Tries: e.Tries, Asks: e.Asks, Asked: e.Asked, Held: e.Held,
+		Number: e.No, Class: e.Class, Tenant: e.Tenant, Destination: e.Dest, Cause: e.life().Cause, Body: e.Bytes, HasKey: e.Key != "",
+		KeptAt: e.Kept, LastEnd: e.Last, Resends: e.Tries, FailedInquiries: e.Asks, LastFailedInquiry: e.Asked, HoldReason: e.Held,
 	}}
-	out.Doubt = resend.Doubt{At: e.Doubt.At, Zone: e.Doubt.Zone, Quiet: e.Doubt.Quiet, Ageless: e.Doubt.Ageless}
+	out.Doubt = resend.Doubt{FirstSent: e.Doubt.At, Zone: e.Doubt.Zone, QuietFrom: e.Doubt.Quiet, AgeUnknown: e.Doubt.Ageless}
 	return out
 }
--- a/undelivered/damage_test.go
+++ b/undelivered/damage_test.go
@@ -50,8 +50,8 @@
 	other := r.keep("other", "unsafe")
 	whole, disk := r.disk.Read(name), r.disk
 	rules := &resend.Settings{
-		Classes: r.set.Classes, Rules: []resend.Rule{{Name: "x", Tries: 9}},
-		Partners: []resend.Partner{{Dest: 3, Proof: resend.ByInquiry, Remembers: 1 << 50}},
+		Classes: r.set.Classes, Rules: []resend.Rule{{Name: "x", MaxResends: 9}},
+		Partners: []resend.Partner{{Destination: 3, Proof: resend.ByInquiry, RememberTime: 1 << 50}},
 	}
 	states := map[State]int{}
 	for at := 0; at < len(whole)+512; at += 3 {
@@ -81,10 +81,10 @@
 					}
 					continue
 				}
-				if v := rules.Judge(&s.Item, r.s.Now()+1000*second); s.State != Held || v.Do != resend.Leave {
+				if v := rules.Decide(&s.Item, r.s.Now()+1000*second); s.State != Held || v.Action != resend.Leave {
 					t.Fatalf("%s at %d of %d: %s, %v", how, at, len(whole), s.State, v)
 				}
-				if v := rules.ByHand(&s.Item, r.s.Now()+1000*second, false); v.Do != resend.Leave {
+				if v := rules.DecideManual(&s.Item, r.s.Now()+1000*second, false); v.Action != resend.Leave {
 					t.Fatalf("%s at %d: by hand, nobody vouching: %v", how, at, v)
 				}
 			}
@@ -115,7 +115,7 @@
 		n, _ := slices.BinarySearch(ends, size+1) // events that are whole
 		if n == 0 {
 			r.want(no, Damaged, false)
-			r.open([]*engine.Restored{{Message: engine.Message{ID: "u"}}})
+			r.open([]*engine.RestoredMessage{{Message: engine.Message{ID: "u"}}})
 			if r.s.Len() != 0 {
 				t.Fatalf("cut at %d: it is in both", size)
 			}
@@ -151,8 +151,8 @@
 		r.open(nil)
 		s := r.get(no)
 		n, err := r.s.number()
-		if s.Doubt.Ageless != c.ageless || r.s.ID() != id || err != nil || n <= no {
-			t.Errorf("ages known %v, store %x (was %x), number %d after %d: %v", !s.Doubt.Ageless, r.s.ID(), id, n, no, err)
+		if s.Doubt.AgeUnknown != c.ageless || r.s.ID() != id || err != nil || n <= no {
+			t.Errorf("ages known %v, store %x (was %x), number %d after %d: %v", !s.Doubt.AgeUnknown, r.s.ID(), id, n, no, err)
 		}
 	}
 }
