--- a/undelivered/entry.go
+++ b/undelivered/entry.go
@@ -233,7 +233,7 @@
 
 // Message is what is handed in again, under a new id.
 func (e *Entry) Message(id string) engine.Message {
-	return engine.Message{ID: id, Class: e.Class, Tenant: e.Tenant, Dest: e.Dest, Key: e.Key, Body: e.Body}
+	return engine.Message{ID: id, Class: e.Class, Tenant: e.Tenant, Destination: e.Dest, Key: e.Key, Body: e.Body}
 }
 
 // lifeID is the id of a new life: it names the store, the entry and the claim, so that whoever meets it finds the entry.
--- a/undelivered/keeper.go
+++ b/undelivered/keeper.go
@@ -29,8 +29,8 @@
 }
 
 var (
-	_ engine.Store = (*Keeper)(nil)
-	_ engine.Aging = (*Keeper)(nil)
+	_ engine.Store         = (*Keeper)(nil)
+	_ engine.ExpiringStore = (*Keeper)(nil)
 )
 
 // NewKeeper makes a keeper round the journal.
@@ -44,11 +44,11 @@
 	k.batch = k.batch[:0]
 	for _, r := range records {
 		switch r := r.(type) {
-		case *engine.RecOwed:
+		case *engine.RecPendingResult:
 			k.owed(r)
 		case *engine.RecEnded:
-			if k.store.Owns(r.ID) && r.How != engine.Refused && r.How != engine.Failed {
-				k.ended(r.ID, Life{ID: r.ID, How: howOf(r.How)})
+			if k.store.Owns(r.ID) && r.Disposition != engine.Refused && r.Disposition != engine.Failed {
+				k.ended(r.ID, Life{ID: r.ID, How: howOf(r.Disposition)})
 			}
 		}
 	}
@@ -57,7 +57,7 @@
 	}
 	k.store.await(b, k.batch...)
 	for _, r := range records {
-		if r, ok := r.(*engine.RecTaken); ok {
+		if r, ok := r.(*engine.RecAccepted); ok {
 			k.store.Taken(&r.Message)
 		}
 	}
@@ -85,9 +85,9 @@
 }
 
 // Tick is engine.Aging's.
-func (k *Keeper) Tick(now engine.Stamp) {
+func (k *Keeper) Tick(now engine.Timestamp) {
 	k.store.Tick()
-	if a, ok := k.Store.(engine.Aging); ok {
+	if a, ok := k.Store.(engine.ExpiringStore); ok {
 		a.Tick(now)
 	}
 }
@@ -103,24 +103,24 @@
 }
 
 // owed takes up a message that is given up.
-func (k *Keeper) owed(r *engine.RecOwed) {
-	g := r.GivenUp
+func (k *Keeper) owed(r *engine.RecPendingResult) {
+	g := r.Undelivered
 	if g == nil { // it was given up in an earlier process
 		return
 	}
-	l := k.life(g, r.How)
+	l := k.life(g, r.Disposition)
 	switch {
 	case k.store.Owns(r.ID):
 		k.ended(r.ID, l)
-	case r.How == engine.Refused && !g.Again:
+	case r.Disposition == engine.Refused && !g.Rewritten:
 		k.store.Refuse(Handed{
-			ID: r.ID, Class: g.Message.Class, Tenant: g.Message.Tenant, Dest: g.Message.Dest, Cause: string(g.Cause), Tries: g.Tries,
+			ID: r.ID, Class: g.Message.Class, Tenant: g.Message.Tenant, Dest: g.Message.Destination, Cause: string(g.Cause), Tries: g.Tries,
 		})
-	case r.How == engine.Failed && g.Again:
+	case r.Disposition == engine.Failed && g.Rewritten:
 		if no, ok := k.store.kept(r.ID); ok {
 			k.batch = append(k.batch, no)
 		}
-	case r.How == engine.Failed:
+	case r.Disposition == engine.Failed:
 		no, err := k.store.Keep(&g.Message, l)
 		if err != nil {
 			k.store.fault("message "+r.ID+" is not kept", err)
@@ -130,15 +130,15 @@
 	}
 }
 
-func (k *Keeper) life(g *engine.GivenUp, how engine.How) Life {
+func (k *Keeper) life(g *engine.Undelivered, how engine.Disposition) Life {
 	at := func(t engine.Time) Time { return k.store.At(k.clock.Time(t)) }
-	l := Life{ID: g.Message.ID, How: howOf(how), Cause: string(g.Cause), Why: g.Why, Tries: g.Tries, Ended: k.wall(g.At), Quiet: at(g.Quiet)}
+	l := Life{ID: g.Message.ID, How: howOf(how), Cause: string(g.Cause), Why: g.Reason, Tries: g.Tries, Ended: k.wall(g.At), Quiet: at(g.CallsOverAt)}
 	if g.DoubtAt != 0 {
-		l.DoubtAt, l.Zone = max(at(g.DoubtAt), 1), g.Zone
+		l.DoubtAt, l.Zone = max(at(g.DoubtAt), 1), g.DoubtZone
 	}
 	l.Earlier = max(g.Tries-len(g.Attempts), 0)
 	for _, a := range g.Attempts {
-		one := Attempt{Sent: k.wall(a.Sent), Endpoint: a.Endpoint, Addr: a.Addr, How: "no outcome yet", WaitMS: int64(a.Wait / control.Millisecond)}
+		one := Attempt{Sent: k.wall(a.Sent), Endpoint: a.Endpoint, Addr: a.Addr, How: "no outcome yet", WaitMS: int64(a.RetryAfter / control.Millisecond)}
 		if a.End != 0 {
 			one.Ended, one.How = k.wall(a.End), resultName(a.Result)
 		}
--- a/undelivered/keeper_test.go
+++ b/undelivered/keeper_test.go
@@ -42,7 +42,7 @@
 	return b.stored, nil
 }
 
-func (b *book) Tick(engine.Stamp) { b.ticks++ }
+func (b *book) Tick(engine.Timestamp) { b.ticks++ }
 
 // heard is what a keeper tells.
 type heard struct{ list []string }
@@ -61,12 +61,12 @@
 }
 
 // owed is the record of a message that is given up in doubt.
-func owed(m *engine.Message, how engine.How) *engine.RecOwed {
-	g := &engine.GivenUp{
-		Message: *m, At: engine.Epoch + 3*second, Cause: engine.CauseTime, Tries: 2, DoubtAt: engine.Epoch + second, Quiet: engine.Epoch + 9*second,
+func owed(m *engine.Message, how engine.Disposition) *engine.RecPendingResult {
+	g := &engine.Undelivered{
+		Message: *m, At: engine.Epoch + 3*second, Cause: engine.CauseDeadline, Tries: 2, DoubtAt: engine.Epoch + second, CallsOverAt: engine.Epoch + 9*second,
 		Attempts: []engine.Attempt{{Sent: engine.Epoch + second, Endpoint: "e", Result: control.TimedOut, End: engine.Epoch + 2*second}, {Sent: engine.Epoch + 2*second}},
 	}
-	return &engine.RecOwed{ID: m.ID, Owed: engine.Owed{How: how}, GivenUp: g}
+	return &engine.RecPendingResult{ID: m.ID, PendingResult: engine.PendingResult{Disposition: how}, Undelivered: g}
 }
 
 func TestAMessageIsInTheStoreBeforeTheJournalHasItsEnd(t *testing.T) {
@@ -113,16 +113,16 @@
 		if _, err := k.Flush(); where == "flush" && err == nil {
 			t.Fatal("the journal's error is lost")
 		}
-		if err := k.Append(2, []engine.Record{&engine.RecMark{}}); err != nil {
+		if err := k.Append(2, []engine.Record{&engine.RecNoop{}}); err != nil {
 			t.Fatal(err)
 		}
 		k.Flush()
 		if len(h.list) > 0 {
 			t.Errorf("%s: heard %v", where, h.list)
 		}
-		again := *rec.GivenUp
-		again.Again, again.Message.Body = true, nil
-		k.Append(3, []engine.Record{&engine.RecOwed{ID: "u", Owed: rec.Owed, GivenUp: &again}})
+		again := *rec.Undelivered
+		again.Rewritten, again.Message.Body = true, nil
+		k.Append(3, []engine.Record{&engine.RecPendingResult{ID: "u", PendingResult: rec.PendingResult, Undelivered: &again}})
 		k.Flush()
 		no, _ := r.s.kept("u")
 		if !slices.Equal(h.list, []string{fmt.Sprint("free ", no)}) || r.s.Len() != 1 || string(r.entry(no).Body) != "body of u" {
@@ -145,22 +145,22 @@
 	if list, err := ReadRefused(r.dir()); err != nil || len(list) != 1 || list[0].ID != "r" || r.s.Len() != 0 {
 		t.Errorf("refused: %v %v, %d entries", list, err, r.s.Len())
 	}
-	put(&engine.RecOwed{ID: "x", Owed: engine.Owed{How: engine.Failed}}) // of an earlier process
+	put(&engine.RecPendingResult{ID: "x", PendingResult: engine.PendingResult{Disposition: engine.Failed}}) // of an earlier process
 	if r.s.Len() != 0 {
 		t.Error("what was given up by an earlier process is kept")
 	}
 	put(owed(message("u", "unsafe"), engine.Failed))
 	no, _ := r.s.kept("u")
-	for _, end := range []engine.How{engine.Refused, engine.Failed, engine.Withdrawn, engine.Delivered} {
+	for _, end := range []engine.Disposition{engine.Refused, engine.Failed, engine.Withdrawn, engine.Delivered} {
 		_, id := r.hand(no)
 		h.list = nil
 		m := message(id, "unsafe")
 		switch end {
 		case engine.Refused, engine.Failed:
 			put(owed(m, end))
-			put(&engine.RecEnded{ID: id, How: end}) // once it was told
+			put(&engine.RecEnded{ID: id, Disposition: end}) // once it was told
 		default:
-			put(&engine.RecEnded{ID: id, How: end})
+			put(&engine.RecEnded{ID: id, Disposition: end})
 		}
 		want := []string{fmt.Sprint("over ", no, " ", howOf(end)), fmt.Sprint("free ", no)}
 		if end == engine.Delivered {
@@ -180,11 +180,11 @@
 	same := message("w", "unsafe")
 	same.Body = []byte("body of v")
 	b.err = engine.ErrFull
-	if err := k.Append(b.newest+1, []engine.Record{&engine.RecTaken{Message: *same}}); !errors.Is(err, engine.ErrFull) {
+	if err := k.Append(b.newest+1, []engine.Record{&engine.RecAccepted{Message: *same}}); !errors.Is(err, engine.ErrFull) {
 		t.Fatal(err)
 	}
 	r.want(v, Waiting, true)
-	put(&engine.RecTaken{Message: *same})
+	put(&engine.RecAccepted{Message: *same})
 	r.want(v, Held, true)
 }
 
--- a/undelivered/rig_test.go
+++ b/undelivered/rig_test.go
@@ -32,7 +32,7 @@
 			{Name: "unsafe", Effect: control.SingleShot, Worth: 5},
 			{Name: "keyed", Effect: control.Guarded, Worth: 1},
 			{Name: "free", Effect: control.Free, Worth: 2},
-			{Name: "ordered", Effect: control.SingleShot, InOrder: true, Worth: 5},
+			{Name: "ordered", Effect: control.SingleShot, Ordered: true, Worth: 5},
 		},
 		Now: func() time.Time { return r.now }, Wall: func() time.Time { return r.wall },
 		Random: func() uint64 { r.salt++; return r.salt * 0x9E3779B97F4A7C15 },
@@ -41,7 +41,7 @@
 }
 
 // open opens the store as a new process does, with what the journal has.
-func (r *rig) open(live []*engine.Restored, ended ...*engine.RestoredEnd) *Store {
+func (r *rig) open(live []*engine.RestoredMessage, ended ...*engine.RestoredEnd) *Store {
 	r.t.Helper()
 	s, err := r.tryOpen(live, ended...)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return s
 }
 
-func (r *rig) tryOpen(live []*engine.Restored, ended ...*engine.RestoredEnd) (*Store, error) {
+func (r *rig) tryOpen(live []*engine.RestoredMessage, ended ...*engine.RestoredEnd) (*Store, error) {
 	r.disk.Crash()
 	s, err := Open(r.disk.Dir(), r.set)
 	if err != nil {
@@ -65,7 +65,7 @@
 func (r *rig) pass(d time.Duration) { r.now, r.wall = r.now.Add(d), r.wall.Add(d) }
 
 func message(id, class string) *engine.Message {
-	return &engine.Message{ID: id, Class: class, Tenant: "core", Dest: 3, Body: []byte("body of " + id)}
+	return &engine.Message{ID: id, Class: class, Tenant: "core", Destination: 3, Body: []byte("body of " + id)}
 }
 
 // keep keeps a message that may have run, and tells that the journal has its end.
@@ -119,8 +119,8 @@
 
 func (r *rig) want(no uint64, state State, doubt bool) {
 	r.t.Helper()
-	if s := r.get(no); s.State != state || (s.Doubt.At != 0) != doubt {
-		r.t.Errorf("entry %d is %s, in doubt %v; want %s, %v", no, s.State, s.Doubt.At != 0, state, doubt)
+	if s := r.get(no); s.State != state || (s.Doubt.FirstSent != 0) != doubt {
+		r.t.Errorf("entry %d is %s, in doubt %v; want %s, %v", no, s.State, s.Doubt.FirstSent != 0, state, doubt)
 	}
 }
 
--- a/undelivered/store.go
+++ b/undelivered/store.go
@@ -310,7 +310,7 @@
 		s.last = max(s.last, no)
 		e, fat, err := decodeFat(no, b)
 		if err != nil {
-			if before != nil && before.No == no { // it was being written anew, and the older one is whole
+			if before != nil && before.Number == no { // it was being written anew, and the older one is whole
 				old = append(old, name)
 				continue
 			}
@@ -318,7 +318,7 @@
 		}
 		e.gen = gen
 		r := &row{id: id}
-		r.No = no
+		r.Number = no
 		s.fill(r, e, int64(len(b)))
 		if e.State != Damaged {
 			m := e.Message("")
@@ -330,7 +330,7 @@
 				}
 			}
 		}
-		if before != nil && before.No == no {
+		if before != nil && before.Number == no {
 			old = append(old, fileName(no, before.id, int(before.gen)))
 			s.forget(before)
 		}
@@ -370,7 +370,7 @@
 	r.class, r.tenant = s.texts.add(e.Class), s.texts.add(e.Tenant)
 	r.cause, r.held = s.texts.add(e.life().Cause), s.texts.add(e.Held)
 	r.tries, r.asks = uint8(min(e.Tries, 255)), uint8(min(e.Asks, 255))
-	r.SetDest(e.Dest)
+	r.SetDestination(e.Dest)
 	if e.Key != "" {
 		r.flags |= hasKey
 	}
@@ -397,10 +397,10 @@
 	if c == nil || c.Effect == control.Free {
 		return 0
 	}
-	if m.Key != "" && !c.InOrder {
-		return hashID("k\x00"+m.Tenant+"\x00"+strconv.Itoa(m.Dest)+"\x00"+m.Key) | 1
+	if m.Key != "" && !c.Ordered {
+		return hashID("k\x00"+m.Tenant+"\x00"+strconv.Itoa(m.Destination)+"\x00"+m.Key) | 1
 	}
-	return m.Print() | 1
+	return m.Fingerprint() | 1
 }
 
 func (s *Store) class(name string) *resend.Class {
@@ -443,12 +443,12 @@
 			}
 		}
 	}
-	delete(s.open, r.No)
-	delete(s.early, r.No)
-	delete(s.dirty, r.No)
-	delete(s.until, r.No)
-	delete(s.fat, r.No)
-	if i, ok := s.at(r.No); ok && s.rows[i] == r {
+	delete(s.open, r.Number)
+	delete(s.early, r.Number)
+	delete(s.dirty, r.Number)
+	delete(s.until, r.Number)
+	delete(s.fat, r.Number)
+	if i, ok := s.at(r.Number); ok && s.rows[i] == r {
 		s.rows[i] = nil
 		s.gone++
 	}
@@ -471,9 +471,9 @@
 		switch {
 		case i == hi:
 			hi = mid
-		case s.rows[i].No < no:
+		case s.rows[i].Number < no:
 			lo = i + 1
-		case s.rows[i].No == no:
+		case s.rows[i].Number == no:
 			return i, true
 		default:
 			hi = mid
@@ -491,11 +491,11 @@
 
 // read reads an entry's file.
 func (s *Store) read(r *row) (*Entry, error) {
-	b, err := readFile(s.dir, fileName(r.No, r.id, int(r.gen)))
+	b, err := readFile(s.dir, fileName(r.Number, r.id, int(r.gen)))
 	if err != nil {
 		return nil, err
 	}
-	e, err := decode(r.No, b)
+	e, err := decode(r.Number, b)
 	if err != nil {
 		return nil, err
 	}
@@ -505,10 +505,10 @@
 
 // entry is an entry as it stands.
 func (s *Store) entry(r *row) (*Entry, error) {
-	if e := s.open[r.No]; e != nil {
+	if e := s.open[r.Number]; e != nil {
 		return e, nil
 	}
-	if e := s.dirty[r.No]; e != nil {
+	if e := s.dirty[r.Number]; e != nil {
 		return e, nil
 	}
 	return s.read(r)
@@ -548,14 +548,14 @@
 	}
 	at := s.Now()
 	e := &Entry{
-		No: no, Store: strconv.FormatUint(s.meta.store, 16), ID: m.ID, Class: m.Class, Tenant: m.Tenant, Dest: m.Dest, Key: m.Key,
+		No: no, Store: strconv.FormatUint(s.meta.store, 16), ID: m.ID, Class: m.Class, Tenant: m.Tenant, Dest: m.Destination, Key: m.Key,
 		Bytes: len(m.Body), Body: m.Body, Kept: at, KeptAt: s.set.Wall().UTC(),
 	}
 	e.lived(&l, at)
 	e.History = []Event{{Kind: WasKept, At: at, Wall: e.KeptAt, By: "dispatcher", Why: l.Cause}}
 	e.State = e.state()
 	r := &row{id: hashID(m.ID)}
-	r.No = no
+	r.Number = no
 	size, err := s.create(r, e, true)
 	if err != nil {
 		s.Counts.NotKept++
@@ -575,7 +575,7 @@
 	if r == nil {
 		return 0, false
 	}
-	return r.No, true
+	return r.Number, true
 }
 
 // create makes the file of an entry as it stands. What is new is kept only within the disk.
@@ -645,7 +645,7 @@
 	}
 	lies := func(r *row) bool {
 		st := states[r.state]
-		return (st == Waiting || st == Held) && !s.Early(r.No)
+		return (st == Waiting || st == Held) && !s.Early(r.Number)
 	}
 	free(func(r *row) bool { return states[r.state] == Ended })
 	if s.set.LeastWorth {
@@ -681,7 +681,7 @@
 
 // remove removes an entry with its file.
 func (s *Store) remove(r *row) error {
-	if err := s.dir.Remove(fileName(r.No, r.id, int(r.gen))); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := s.dir.Remove(fileName(r.Number, r.id, int(r.gen))); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		s.fault("an entry can't be removed", err)
 		return err
 	}
--- a/undelivered/store_test.go
+++ b/undelivered/store_test.go
@@ -157,48 +157,48 @@
 // A message that the journal has alive is nowhere else; what it has as ended stays here.
 func TestTheJournalsWordCountsAtAStart(t *testing.T) {
 	t.Parallel()
-	alive := func(id string, owed *engine.Owed) *engine.Restored {
-		return &engine.Restored{Message: engine.Message{ID: id, Class: "unsafe"}, Owed: owed}
+	alive := func(id string, owed *engine.PendingResult) *engine.RestoredMessage {
+		return &engine.RestoredMessage{Message: engine.Message{ID: id, Class: "unsafe"}, Pending: owed}
 	}
-	failed := &engine.Owed{How: engine.Failed}
+	failed := &engine.PendingResult{Disposition: engine.Failed}
 	for name, c := range map[string]struct {
 		do    func(r *rig, no uint64) string // returns the id of a new life
-		live  func(id string) []*engine.Restored
+		live  func(id string) []*engine.RestoredMessage
 		ended func(id string) *engine.RestoredEnd
 		state State // "": gone
 		doubt bool  // of the new life
 	}{
-		"kept, and alive there": {live: func(string) []*engine.Restored { return []*engine.Restored{alive("u", nil)} }},
-		"kept, and owed there":  {live: func(string) []*engine.Restored { return []*engine.Restored{alive("u", failed)} }, state: Waiting},
+		"kept, and alive there": {live: func(string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive("u", nil)} }},
+		"kept, and owed there":  {live: func(string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive("u", failed)} }, state: Waiting},
 		"kept, and ended there": {state: Waiting},
 		"handed in, unknown there": {
 			do: func(r *rig, no uint64) string { _, id := r.hand(no); return id }, state: Waiting, doubt: true,
 		},
 		"handed in, alive there": {
 			do:   func(r *rig, no uint64) string { _, id := r.hand(no); return id },
-			live: func(id string) []*engine.Restored { return []*engine.Restored{alive(id, nil)} }, state: Away,
+			live: func(id string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive(id, nil)} }, state: Away,
 		},
 		"handed in, owed there in doubt": {
 			do: func(r *rig, no uint64) string { _, id := r.hand(no); return id },
-			live: func(id string) []*engine.Restored {
+			live: func(id string) []*engine.RestoredMessage {
 				m := alive(id, failed)
 				m.DoubtAt = 1
-				return []*engine.Restored{m}
+				return []*engine.RestoredMessage{m}
 			}, state: Waiting, doubt: true,
 		},
 		"handed in, refused there": {
 			do: func(r *rig, no uint64) string { _, id := r.hand(no); return id },
-			live: func(id string) []*engine.Restored {
-				return []*engine.Restored{alive(id, &engine.Owed{How: engine.Refused})}
+			live: func(id string) []*engine.RestoredMessage {
+				return []*engine.RestoredMessage{alive(id, &engine.PendingResult{Disposition: engine.Refused})}
 			}, state: Waiting,
 		},
 		"handed in, delivered there": {
 			do:    func(r *rig, no uint64) string { _, id := r.hand(no); return id },
-			ended: func(id string) *engine.RestoredEnd { return &engine.RestoredEnd{ID: id, How: engine.Delivered} }, state: Ended,
+			ended: func(id string) *engine.RestoredEnd { return &engine.RestoredEnd{ID: id, Disposition: engine.Delivered} }, state: Ended,
 		},
 		"handed in, failed there": {
 			do:    func(r *rig, no uint64) string { _, id := r.hand(no); return id },
-			ended: func(id string) *engine.RestoredEnd { return &engine.RestoredEnd{ID: id, How: engine.Failed} }, state: Waiting, doubt: true,
+			ended: func(id string) *engine.RestoredEnd { return &engine.RestoredEnd{ID: id, Disposition: engine.Failed} }, state: Waiting, doubt: true,
 		},
 		"its end here, alive there": {
 			do: func(r *rig, no uint64) string {
@@ -208,7 +208,7 @@
 				r.s.Over(id, l)
 				return id
 			},
-			live: func(id string) []*engine.Restored { return []*engine.Restored{alive(id, nil)} }, state: Away,
+			live: func(id string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive(id, nil)} }, state: Away,
 		},
 		"delivered here, alive there": {
 			do: func(r *rig, no uint64) string {
@@ -216,7 +216,7 @@
 				r.s.Over(id, Life{ID: id, How: EndDelivered})
 				return id
 			},
-			live: func(id string) []*engine.Restored { return []*engine.Restored{alive(id, nil)} }, state: Ended,
+			live: func(id string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive(id, nil)} }, state: Ended,
 		},
 	} {
 		r := newRig(t)
@@ -226,7 +226,7 @@
 		if c.do != nil {
 			id = c.do(r, no)
 		}
-		var live []*engine.Restored
+		var live []*engine.RestoredMessage
 		if c.live != nil {
 			live = c.live(id)
 		}
@@ -307,9 +307,9 @@
 				did = did[:len(did)-1]
 			}
 			r.disk.Fault = nil
-			var live []*engine.Restored
+			var live []*engine.RestoredMessage
 			if !slices.Contains(did, "kept") { // the journal has it still
-				live = append(live, &engine.Restored{Message: engine.Message{ID: "u"}})
+				live = append(live, &engine.RestoredMessage{Message: engine.Message{ID: "u"}})
 			}
 			s := r.open(live)
 			at := fmt.Sprintf("operation %d, %d bytes landed, after %v", op, land, did)
@@ -456,8 +456,8 @@
 		oldest := uint64(1 << 60)
 		r.s.Each(0, func(s Summary) bool {
 			count[s.Class]++
-			if s.No != away {
-				oldest = min(oldest, s.No)
+			if s.Number != away {
+				oldest = min(oldest, s.Number)
 			}
 			return true
 		})
@@ -487,7 +487,7 @@
 		t.Helper()
 		r.s.Sweep()
 		var got []uint64
-		r.s.Each(0, func(s Summary) bool { got = append(got, s.No); return true })
+		r.s.Each(0, func(s Summary) bool { got = append(got, s.Number); return true })
 		if !slices.Equal(got, want) {
 			t.Errorf("after %v: %v, want %v", r.now.Sub(time.Unix(1000, 0)), got, want)
 		}
@@ -530,11 +530,11 @@
 		before := s.Now()
 		claim, _ := r.hand(no)
 		s.Release(no, claim, "x")
-		if sum := r.get(no); sum.Doubt.Ageless || s.Now() != before {
-			t.Fatalf("age known %v", !sum.Doubt.Ageless)
+		if sum := r.get(no); sum.Doubt.AgeUnknown || s.Now() != before {
+			t.Fatalf("age known %v", !sum.Doubt.AgeUnknown)
 		}
 	}
-	if age := r.s.Now() - r.get(no).Doubt.At; age < 14*second || age > 15*second {
+	if age := r.s.Now() - r.get(no).Doubt.FirstSent; age < 14*second || age > 15*second {
 		t.Errorf("an age of %d s after 14", age/second)
 	}
 }
@@ -568,16 +568,16 @@
 		r.now, r.wall = r.now.Add(c.down), r.wall.Add(c.down+c.skew)
 		r.open(nil)
 		s := r.get(no)
-		age := r.s.Now() - s.Doubt.At
+		age := r.s.Now() - s.Doubt.FirstSent
 		least := Time((2*c.run + c.down + min(c.skew, 0)).Microseconds())
-		if s.Doubt.Ageless != c.ageless || !c.ageless && age < least {
-			t.Errorf("%s: age %d s, known %v", name, age/second, !s.Doubt.Ageless)
+		if s.Doubt.AgeUnknown != c.ageless || !c.ageless && age < least {
+			t.Errorf("%s: age %d s, known %v", name, age/second, !s.Doubt.AgeUnknown)
 		}
-		if s.Doubt.Quiet < r.s.Now() {
+		if s.Doubt.QuietFrom < r.s.Now() {
 			t.Errorf("%s: calls of an earlier process count as over for longer than this one runs", name)
 		}
 		r.open(nil)
-		if r.get(no).Doubt.Ageless != c.ageless {
+		if r.get(no).Doubt.AgeUnknown != c.ageless {
 			t.Errorf("%s: the next start knows better", name)
 		}
 	}
@@ -598,17 +598,17 @@
 		verdict engine.VerdictKind
 		held    bool
 	}{
-		"same id":                         {again: with("u", ""), verdict: engine.Spent},
-		"same id, away":                   {do: func(r *rig, no uint64) { r.hand(no) }, again: with("u", ""), verdict: engine.Spent},
-		"same key, in doubt":              {key: "k", doubt: true, again: with("v", "k"), verdict: engine.Spent},
-		"same key, never ran":             {key: "k", again: with("v", "k"), verdict: engine.Taken, held: true},
+		"same id":                         {again: with("u", ""), verdict: engine.AlreadyEnded},
+		"same id, away":                   {do: func(r *rig, no uint64) { r.hand(no) }, again: with("u", ""), verdict: engine.AlreadyEnded},
+		"same key, in doubt":              {key: "k", doubt: true, again: with("v", "k"), verdict: engine.AlreadyEnded},
+		"same key, never ran":             {key: "k", again: with("v", "k"), verdict: engine.Accepted, held: true},
 		"same key, away":                  {key: "k", do: func(r *rig, no uint64) { r.hand(no) }, again: with("v", "k"), verdict: engine.Busy},
-		"another key":                     {key: "k", doubt: true, again: with("v", "l"), verdict: engine.Taken},
-		"same content without a key":      {doubt: true, again: with("v", ""), verdict: engine.Taken, held: true},
-		"another content without a key":   {doubt: true, again: message("v", "unsafe"), verdict: engine.Taken},
-		"the id of a new life":            {again: with(lifeID(0x9E3779B97F4A7C15, 1, 2), ""), verdict: engine.Spent},
-		"same key, took effect from here": {key: "k", do: func(r *rig, no uint64) { _, id := r.hand(no); r.s.Over(id, Life{ID: id, How: EndDelivered}) }, again: with("v", "k"), verdict: engine.Spent},
-		"same key, dropped":               {key: "k", doubt: true, do: func(r *rig, no uint64) { r.s.End(no, EndDropped, "ana", "x", "") }, again: with("v", "k"), verdict: engine.Taken},
+		"another key":                     {key: "k", doubt: true, again: with("v", "l"), verdict: engine.Accepted},
+		"same content without a key":      {doubt: true, again: with("v", ""), verdict: engine.Accepted, held: true},
+		"another content without a key":   {doubt: true, again: message("v", "unsafe"), verdict: engine.Accepted},
+		"the id of a new life":            {again: with(lifeID(0x9E3779B97F4A7C15, 1, 2), ""), verdict: engine.AlreadyEnded},
+		"same key, took effect from here": {key: "k", do: func(r *rig, no uint64) { _, id := r.hand(no); r.s.Over(id, Life{ID: id, How: EndDelivered}) }, again: with("v", "k"), verdict: engine.AlreadyEnded},
+		"same key, dropped":               {key: "k", doubt: true, do: func(r *rig, no uint64) { r.s.End(no, EndDropped, "ana", "x", "") }, again: with("v", "k"), verdict: engine.Accepted},
 	} {
 		r := newRig(t)
 		r.open(nil)
@@ -636,11 +636,11 @@
 				t.Errorf("%s, %s: %v %s", name, when, kind, why)
 			}
 		}
-		if c.verdict == engine.Taken {
+		if c.verdict == engine.Accepted {
 			r.s.Taken(c.again)
 		}
-		if s := r.get(no); (s.Held != "") != c.held {
-			t.Errorf("%s: held %q", name, s.Held)
+		if s := r.get(no); (s.HoldReason != "") != c.held {
+			t.Errorf("%s: held %q", name, s.HoldReason)
 		}
 	}
 	// Harmless ones, and the keys of a class in order, are not looked at.
@@ -657,14 +657,14 @@
 	again := message("g", "free")
 	again.Body = []byte("body of f")
 	for _, m := range []*engine.Message{other, again} {
-		if kind, why := r.s.Again(m); kind != engine.Taken {
+		if kind, why := r.s.Again(m); kind != engine.Accepted {
 			t.Errorf("%s: %s", m.ID, why)
 		}
 		r.s.Taken(m)
 	}
 	r.s.Each(0, func(s Summary) bool {
-		if s.Held != "" {
-			t.Errorf("%s: held %q", s.Class, s.Held)
+		if s.HoldReason != "" {
+			t.Errorf("%s: held %q", s.Class, s.HoldReason)
 		}
 		return true
 	})
