--- a/engine/same_test.go
+++ b/engine/same_test.go
@@ -63,7 +63,7 @@
 				n++
 				write(t, h, f)
 			}
-			at, ok := e.Next()
+			at, ok := e.NextWake()
 			fmt.Fprintln(h, at, ok)
 		}
 	}
@@ -86,7 +86,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(h, "%T %d %s\n", f, f.Needs(), b)
+	fmt.Fprintf(h, "%T %d %s\n", f, f.RequiredBatch(), b)
 }
 
 // The same events give the same effects, byte for byte, in one process and in two.
--- a/internal/driver/load.go
+++ b/internal/driver/load.go
@@ -23,7 +23,7 @@
 	d.door.mu.Lock()
 	defer d.door.mu.Unlock()
 	ok, after := d.door.gate.Admit(d.clock.At(now))
-	return engine.Span(after), ok
+	return engine.Duration(after), ok
 }
 
 // newWork is the number of submissions that one round handles. The rest waits for later rounds, so that events of accepted
@@ -71,8 +71,8 @@
 	case *handIn:
 		ids = []string{v.Message.ID}
 	case *handInAll:
-		for i := range v.List {
-			ids = append(ids, v.List[i].Message.ID)
+		for i := range v.Submissions {
+			ids = append(ids, v.Submissions[i].Message.ID)
 		}
 	case *engine.Withdraw:
 		ids = []string{v.ID}
@@ -108,7 +108,7 @@
 
 // MeasureLag has the driver measure how late the process is, if the host supports it. A runtime that has the process for
 // itself calls it before Run. Without it the delay counts as zero.
-func (d *Driver) Watch() {
+func (d *Driver) MeasureLag() {
 	p, ok := d.host.(host.Prober)
 	if !ok {
 		return
@@ -181,11 +181,11 @@
 		d.door.mu.Lock()
 		defer d.door.mu.Unlock()
 		if l.done > 0 {
-			d.door.gate.Done(d.now.At, l.done)
+			d.door.gate.Completed(d.now.At, l.done)
 			l.done = 0
 		}
 		if out > 0 {
-			d.door.gate.Late(d.now.At, out)
+			d.door.gate.ObserveDelay(d.now.At, out)
 		}
 	}
 }
@@ -195,5 +195,5 @@
 	d.load.out, d.load.started = false, 0
 	d.door.mu.Lock()
 	defer d.door.mu.Unlock()
-	d.door.gate.Late(d.now.At, p.late)
+	d.door.gate.ObserveDelay(d.now.At, p.late)
 }
--- a/internal/driver/share.go
+++ b/internal/driver/share.go
@@ -27,7 +27,7 @@
 // ShareRounds lets callers of SubmitAsync, Withdraw, Ended and MayWrite make rounds. They must not hold a lock that the
 // driver's components take. It must be called before all other methods, and only for a driver without a store, because a
 // round must not block.
-func (d *Driver) Share() { d.shared = true }
+func (d *Driver) ShareRounds() { d.shared = true }
 
 // crowded is the number of open messages above which Run alone makes rounds. One round for the values of many callers costs
 // less than a round for each.
@@ -98,7 +98,7 @@
 		return true
 	}
 	d.taken, d.queue = d.queue, d.taken[:0]
-	d.crowd = d.e.Open() > crowded
+	d.crowd = d.e.OpenMessages() > crowded
 	d.mu.Unlock()
 	return d.makeRound(d.taken)
 }
--- a/internal/figures/command.go
+++ b/internal/figures/command.go
@@ -4,7 +4,7 @@
 const (
 	CommandLedger  = "ledger"  // a snapshot
 	CommandMetrics = "metrics" // the OpenMetrics text as a string
-	CommandHeld    = "held"    // a QueuesReply
+	CommandQueues  = "held"    // a QueuesReply
 )
 
 // Request is one of these commands. They have no arguments.
@@ -13,14 +13,14 @@
 }
 
 // QueuesReply describes the open messages.
-type HeldReply struct {
-	Held []Held `json:"held"` // by destination
-	More bool   `json:"more"` // not all messages were looked at: other destinations may have some
+type QueuesReply struct {
+	Queues     []DestinationQueue `json:"held"` // by destination
+	Incomplete bool               `json:"more"` // not all messages were looked at: other destinations may have some
 }
 
 // DestinationQueue describes the open messages of a destination.
-type Held struct {
-	Dest      int     `json:"dest"`
-	Oldest    float64 `json:"oldest_s"`  // for how many seconds its oldest message has been open in this process
-	Condition string  `json:"condition"` // unserved, pressed, ailing or well
+type DestinationQueue struct {
+	Destination   int     `json:"dest"`
+	OldestSeconds float64 `json:"oldest_s"`  // for how many seconds its oldest message has been open in this process
+	Condition     string  `json:"condition"` // unserved, pressed, ailing or well
 }
--- a/internal/figures/exporter/exporter.go
+++ b/internal/figures/exporter/exporter.go
@@ -13,8 +13,8 @@
 
 // Collector is a prometheus.Collector that takes one snapshot for each scrape, so that all metrics of a scrape agree.
 type Collector struct {
-	// Cut returns a snapshot for a scrape. It is called by one goroutine at a time and may block. An error fails the scrape.
-	Cut func() (*ledger.Snapshot, error)
+	// Snapshot returns a snapshot for a scrape. It is called by one goroutine at a time and may block. An error fails the scrape.
+	Snapshot func() (*ledger.Snapshot, error)
 
 	mu     sync.Mutex
 	series figures.Series
@@ -27,30 +27,30 @@
 func (c *Collector) Collect(to chan<- prometheus.Metric) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cut, err := c.Cut()
+	cut, err := c.Snapshot()
 	if err != nil {
 		to <- prometheus.NewInvalidMetric(desc(&figures.Family{Name: "curlewmux_ledger", Help: "The ledger."}), err)
 		return
 	}
-	list := make([]*prometheus.Desc, len(figures.Families))
+	list := make([]*prometheus.Desc, len(figures.AccountFamilies))
 	for i := range list {
-		list[i] = desc(&figures.Families[i], figures.Labels[:]...)
+		list[i] = desc(&figures.AccountFamilies[i], figures.AccountLabels[:]...)
 	}
-	for _, s := range c.series.Of(cut) {
+	for _, s := range c.series.Select(cut) {
 		at := 0
 		s.Each(func(_ string, v ledger.Count, _ bool) {
-			to <- metric(list[at], &figures.Families[at], float64(v), s.Labels[:])
+			to <- metric(list[at], &figures.AccountFamilies[at], float64(v), s.Labels[:])
 			at++
 		})
 	}
-	for _, w := range figures.Wholes(cut) {
-		to <- metric(desc(&w.Family, w.Names...), &w.Family, w.Value, w.Values)
+	for _, w := range figures.LedgerMetrics(cut) {
+		to <- metric(desc(&w.Family, w.LabelNames...), &w.Family, w.Value, w.LabelValues)
 	}
 }
 
 func desc(f *figures.Family, labels ...string) *prometheus.Desc {
 	name := f.Name
-	if !f.Level {
+	if !f.Gauge {
 		name += "_total"
 	}
 	return prometheus.NewDesc(name, f.Help, labels, nil)
@@ -58,7 +58,7 @@
 
 func metric(d *prometheus.Desc, f *figures.Family, v float64, labels []string) prometheus.Metric {
 	kind := prometheus.CounterValue
-	if f.Level {
+	if f.Gauge {
 		kind = prometheus.GaugeValue
 	}
 	m, err := prometheus.NewConstMetric(d, kind, v, labels...)
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -20,28 +20,28 @@
 }
 
 // ContentTypeJSON is the media type of a snapshot.
-const TypeJSON = "application/json"
+const ContentTypeJSON = "application/json"
 
 // Limits of a Cache.
 const (
-	// Keep is how long a page is served before a new one is made from a new snapshot. It bounds both the age of what readers
+	// MaxAge is how long a page is served before a new one is made from a new snapshot. It bounds both the age of what readers
 	// see and the number of snapshots and pages that are made.
-	Keep = 250 * time.Millisecond
+	MaxAge = 250 * time.Millisecond
 
 	patience = 2 * time.Second // limit of the wait for a snapshot, whose postings must be stored first
 	share    = 50              // making pages takes at most 1/share of the time
 	rate     = 64 << 20        // bytes served per second; copying more would delay messages
-	burst    = Keep            // span whose share of rate may be used at once
+	burst    = MaxAge          // span whose share of rate may be used at once
 )
 
 // Errors.
 var (
-	ErrNone = errors.New("no figures")                      // there is no snapshot or page now
-	ErrBusy = errors.New("figures are asked for too often") // the limit of bytes per second is used up; retry after MaxAge
+	ErrUnavailable = errors.New("no figures")                      // there is no snapshot or page now
+	ErrBusy        = errors.New("figures are asked for too often") // the limit of bytes per second is used up; retry after MaxAge
 )
 
 // Cache makes pages and caches the newest ones. Its methods are safe for concurrent use. They block only in the source.
-type Board struct {
+type Cache struct {
 	source Source
 	now    func() time.Time
 
@@ -61,28 +61,28 @@
 }
 
 // New returns a cache of pages about source. now is a monotonic clock.
-func New(source Source, now func() time.Time) *Board {
-	return &Board{source: source, now: now}
+func New(source Source, now func() time.Time) *Cache {
+	return &Cache{source: source, now: now}
 }
 
 // JSON returns a snapshot of the ledger as one line of JSON, which must not be modified. It is at most MaxAge old, or older
 // if making a page takes long. The error wraps ErrUnavailable or ErrBusy.
-func (b *Board) JSON() ([]byte, error) {
+func (b *Cache) JSON() ([]byte, error) {
 	return b.page(&b.json, func(s *ledger.Snapshot) ([]byte, error) { return json.Marshal(s) })
 }
 
 // Metrics is like JSON in the OpenMetrics text format, with series for at most MaxSeries accounts and the rest. Counts are
 // written with all digits. A reader that converts them to floating-point numbers is exact up to 2^53.
-func (b *Board) Metrics() ([]byte, error) {
+func (b *Cache) Metrics() ([]byte, error) {
 	return b.page(&b.metrics, func(s *ledger.Snapshot) ([]byte, error) {
 		var text bytes.Buffer
 		text.Grow(len(b.metrics.text) + len(b.metrics.text)/16)
-		metrics(&text, s, b.series.Of(s))
+		metrics(&text, s, b.series.Select(s))
 		return text.Bytes(), nil
 	})
 }
 
-func (b *Board) page(p *page, write func(*ledger.Snapshot) ([]byte, error)) ([]byte, error) {
+func (b *Cache) page(p *page, write func(*ledger.Snapshot) ([]byte, error)) ([]byte, error) {
 	b.mu.Lock()
 	now := b.now()
 	if b.paid.Sub(now) > burst {
@@ -99,7 +99,7 @@
 	}
 	cut, err := b.source.Ledger(patience)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNone, err)
+		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -110,16 +110,16 @@
 		return p.text, nil
 	}
 	if text, err = write(cut); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNone, err)
+		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	made := b.now()
-	*p = page{text, cut, now, made.Add(max(Keep, share*made.Sub(began)))}
+	*p = page{text, cut, now, made.Add(max(MaxAge, share*made.Sub(began)))}
 	b.pay(made, text)
 	return text, nil
 }
 
 // pay charges a served text to the rate limit. The caller holds the lock.
-func (b *Board) pay(now time.Time, text []byte) {
+func (b *Cache) pay(now time.Time, text []byte) {
 	if b.paid.Before(now) {
 		b.paid = now
 	}
--- a/internal/host/roundtrip.go
+++ b/internal/host/roundtrip.go
@@ -10,7 +10,7 @@
 
 // MinRoundTrip returns the minimum round-trip time of a connection as the kernel has measured it, or 0 if it is unknown. Data
 // that arrives sooner after a write cannot be a response to it. MinRoundTrip does not block.
-func RoundTrip(nc net.Conn) time.Duration {
+func MinRoundTrip(nc net.Conn) time.Duration {
 	if r, ok := nc.(interface{ RoundTrip() time.Duration }); ok {
 		return r.RoundTrip()
 	}
--- a/ledger/breach.go
+++ b/ledger/breach.go
@@ -2,29 +2,29 @@
 
 // Checks that a breach can be about. Breach.Booked is the first value named here, Breach.Counted the second.
 const (
-	Messages   = "messages"          // what came in; what ended, moved out or is open
-	AttemptsOf = "attempts"          // sent; answered, refused, unanswered or out
-	DoubtOf    = "doubt"             // opened; twice, unresolved or open
-	MovesOf    = "moves"             // moved into accounts; moved out of accounts or reopened
-	LiveOpen   = "open messages"     // open in the ledger; live messages counted by the audit
-	LiveDoubt  = "open doubt"        // in doubt in the ledger; live messages in doubt counted by the audit
-	LiveOut    = "attempts out"      // out in the ledger; items of calls under way counted by the audit
-	Restarted  = "open at the start" // open in the stored ledger; live messages in the store
-	ServedAs   = "served"            // posted by this process; messages that the engine counted as they ended; the next two likewise
-	RefusedAs  = "refused"
-	FailedAs   = "failed"
-	InStore    = "store"  // the first count that differs: as written; as stored
-	Totals     = "totals" // the total of a snapshot; the sum of its accounts
+	CheckMessages     = "messages"          // what came in; what ended, moved out or is open
+	CheckAttempts     = "attempts"          // sent; answered, refused, unanswered or out
+	CheckDoubt        = "doubt"             // opened; twice, unresolved or open
+	CheckTransfers    = "moves"             // moved into accounts; moved out of accounts or reopened
+	CheckLiveOpen     = "open messages"     // open in the ledger; live messages counted by the audit
+	CheckLiveDoubt    = "open doubt"        // in doubt in the ledger; live messages in doubt counted by the audit
+	CheckLiveAttempts = "attempts out"      // out in the ledger; items of calls under way counted by the audit
+	CheckRestart      = "open at the start" // open in the stored ledger; live messages in the store
+	CheckDelivered    = "served"            // posted by this process; messages that the engine counted as they ended; the next two likewise
+	CheckRefused      = "refused"
+	CheckFailed       = "failed"
+	CheckStore        = "store"  // the first count that differs: as written; as stored
+	CheckTotals       = "totals" // the total of a snapshot; the sum of its accounts
 )
 
 // Breach is a failed check of the ledger: two values that must be equal and are not.
 type Breach struct {
-	Key     Key    `json:"account"`
-	What    string `json:"what"`
-	Books   Count  `json:"books"`
-	Counted Count  `json:"counted"`
-	At      int64  `json:"at,string"`               // when it was found: wall time in microseconds since 1970
-	Healed  int64  `json:"healed,string,omitempty"` // when the values agreed again or changed; 0 while the breach stands
+	Key        Key    `json:"account"`
+	Check      string `json:"what"`
+	Booked     Count  `json:"books"`
+	Counted    Count  `json:"counted"`
+	FoundAt    int64  `json:"at,string"`               // when it was found: wall time in microseconds since 1970
+	ResolvedAt int64  `json:"healed,string,omitempty"` // when the values agreed again or changed; 0 while the breach stands
 }
 
 // place identifies what a check compares: a check of an account, or of all accounts if the key is zero.
@@ -48,10 +48,10 @@
 	at, stands := l.standing[p]
 	if stands {
 		b := &l.breaches[at]
-		if books != counted && books-counted == b.Books-b.Counted {
+		if books != counted && books-counted == b.Booked-b.Counted {
 			return
 		}
-		b.Healed = max(l.wall, 1)
+		b.ResolvedAt = max(l.wall, 1)
 		if books == counted {
 			l.fresh = append(l.fresh, *b)
 		}
@@ -61,7 +61,7 @@
 	if books == counted {
 		return
 	}
-	b := Breach{Key: k, What: what, Books: books, Counted: counted, At: l.wall}
+	b := Breach{Key: k, Check: what, Booked: books, Counted: counted, FoundAt: l.wall}
 	if len(l.fresh) < mostBreaches {
 		l.fresh = append(l.fresh, b)
 	}
@@ -76,11 +76,11 @@
 }
 
 // TakeNewBreaches returns the breaches that were found or resolved since the last call.
-func (l *Ledger) Fresh() []Breach {
+func (l *Ledger) TakeNewBreaches() []Breach {
 	out := l.fresh
 	l.fresh = nil
 	return out
 }
 
 // StandingBreaches returns the number of breaches that are not resolved.
-func (l *Ledger) Standing() int { return len(l.standing) + len(l.beyond) }
+func (l *Ledger) StandingBreaches() int { return len(l.standing) + len(l.beyond) }
--- a/ledger/fleet.go
+++ b/ledger/fleet.go
@@ -7,30 +7,30 @@
 )
 
 // Decrease is a count that fell within an epoch although it may only grow.
-type Back struct {
-	Key    Key    `json:"account"`
-	Figure string `json:"figure"`
-	Before Count  `json:"before"`
-	After  Count  `json:"after"`
+type Decrease struct {
+	Key     Key    `json:"account"`
+	Counter string `json:"figure"`
+	Before  Count  `json:"before"`
+	After   Count  `json:"after"`
 }
 
 // Change holds the counts of an account in two snapshots.
 type Change struct {
-	Key    Key     `json:"account"`
-	Before Figures `json:"before"`
-	After  Figures `json:"after"`
+	Key    Key    `json:"account"`
+	Before Counts `json:"before"`
+	After  Counts `json:"after"`
 }
 
 // Difference describes what changed between two snapshots of one dispatcher.
 type Difference struct {
-	Instance string   `json:"instance"`
-	Span     int64    `json:"span,string"` // wall time from the older to the newer one, in microseconds; negative if the clock was stepped back
-	Anew     bool     `json:"anew"`        // the epochs differ: counting began again in between, so Decreases is empty
-	Epochs   [2]Epoch `json:"epochs"`
-	Changes  []Change `json:"changes"` // accounts that changed, sorted by Key.Compare
-	Total    Change   `json:"total"`
-	Back     []Back   `json:"back"`
-	Excused  bool     `json:"excused"` // the older one was provisional, so that a crash may explain decreases
+	Instance         string     `json:"instance"`
+	Elapsed          int64      `json:"span,string"` // wall time from the older to the newer one, in microseconds; negative if the clock was stepped back
+	EpochChanged     bool       `json:"anew"`        // the epochs differ: counting began again in between, so Decreases is empty
+	Epochs           [2]Epoch   `json:"epochs"`
+	Changes          []Change   `json:"changes"` // accounts that changed, sorted by Key.Compare
+	Total            Change     `json:"total"`
+	Decreases        []Decrease `json:"back"`
+	OlderProvisional bool       `json:"excused"` // the older one was provisional, so that a crash may explain decreases
 }
 
 // Diff compares two snapshots of one dispatcher, the older first. It fails if they are of different dispatchers.
@@ -39,8 +39,8 @@
 		return nil, fmt.Errorf("diff: snapshots of two dispatchers, %q and %q", a.Instance, b.Instance)
 	}
 	d := &Difference{
-		Instance: a.Instance, Span: b.Wall - a.Wall, Anew: a.Epoch.ID != b.Epoch.ID, Epochs: [2]Epoch{a.Epoch, b.Epoch},
-		Changes: []Change{}, Back: []Back{}, Total: Change{Before: a.Total, After: b.Total}, Excused: a.Provisional,
+		Instance: a.Instance, Elapsed: b.Wall - a.Wall, EpochChanged: a.Epoch.ID != b.Epoch.ID, Epochs: [2]Epoch{a.Epoch, b.Epoch},
+		Changes: []Change{}, Decreases: []Decrease{}, Total: Change{Before: a.Total, After: b.Total}, OlderProvisional: a.Provisional,
 	}
 	list := map[Key]*Change{}
 	at := func(k Key) *Change {
@@ -52,10 +52,10 @@
 		return c
 	}
 	for _, l := range a.Accounts {
-		at(l.Key).Before = l.Figures
+		at(l.Key).Before = l.Counts
 	}
 	for _, l := range b.Accounts {
-		at(l.Key).After = l.Figures
+		at(l.Key).After = l.Counts
 	}
 	for _, c := range list {
 		if c.Before != c.After {
@@ -66,8 +66,8 @@
 	for _, c := range d.Changes {
 		before, after := c.Before.all(), c.After.all()
 		for i := range levels {
-			if !d.Anew && *after[i] < *before[i] {
-				d.Back = append(d.Back, Back{c.Key, columnNames[i], *before[i], *after[i]})
+			if !d.EpochChanged && *after[i] < *before[i] {
+				d.Decreases = append(d.Decreases, Decrease{c.Key, columnNames[i], *before[i], *after[i]})
 			}
 		}
 	}
@@ -75,14 +75,14 @@
 }
 
 // FleetPart describes one ledger in the sum over a fleet: one epoch of one instance.
-type Part struct {
-	Instance string `json:"instance"`
-	Epoch    Epoch  `json:"epoch"`
-	Wall     int64  `json:"wall,string"`
-	Behind   int64  `json:"behind,string"` // microseconds by which its snapshot is older than the newest one of the fleet
-	Open     Count  `json:"open"`          // messages open in the snapshot
-	Left     Count  `json:"left"`          // open messages of an ended epoch that were not carried over into the next one
-	Standing int    `json:"standing"`      // breaches that stand
+type FleetPart struct {
+	Instance         string `json:"instance"`
+	Epoch            Epoch  `json:"epoch"`
+	Wall             int64  `json:"wall,string"`
+	Behind           int64  `json:"behind,string"` // microseconds by which its snapshot is older than the newest one of the fleet
+	Open             Count  `json:"open"`          // messages open in the snapshot
+	Unaccounted      Count  `json:"left"`          // open messages of an ended epoch that were not carried over into the next one
+	StandingBreaches int    `json:"standing"`      // breaches that stand
 }
 
 // Fleet is the sum over several ledgers. Open counts messages of current epochs only. What ended epochs left open is in
@@ -90,15 +90,15 @@
 //
 //	CarriedOver + Accepted + MovedIn = Delivered + Refused + Failed + MovedOut + Open + Unaccounted
 type Fleet struct {
-	Format   int     `json:"format"`
-	Accounts []Line  `json:"accounts"`
-	Total    Figures `json:"total"`
-	Parts    []Part  `json:"parts"` // by instance, then by the time at which the epoch began
-	Left     []Left  `json:"left"`  // by account
+	Format      int             `json:"format"`
+	Accounts    []AccountCounts `json:"accounts"`
+	Total       Counts          `json:"total"`
+	Parts       []FleetPart     `json:"parts"` // by instance, then by the time at which the epoch began
+	Unaccounted []Unaccounted   `json:"left"`  // by account
 }
 
 // Unaccounted counts messages of an account that an ended epoch left open. What became of them is unknown.
-type Left struct {
+type Unaccounted struct {
 	Key      Key    `json:"account"`
 	Instance string `json:"instance"`
 	Epoch    string `json:"epoch"`
@@ -130,24 +130,24 @@
 	slices.SortFunc(all, func(a, b *Snapshot) int {
 		return cmp.Or(cmp.Compare(a.Instance, b.Instance), cmp.Compare(a.Epoch.Began, b.Epoch.Began), cmp.Compare(a.Epoch.ID, b.Epoch.ID))
 	})
-	f := &Fleet{Format: Format, Parts: []Part{}, Left: []Left{}, Accounts: []Line{}}
-	sums := map[Key]*Figures{}
+	f := &Fleet{Format: Format, Parts: []FleetPart{}, Unaccounted: []Unaccounted{}, Accounts: []AccountCounts{}}
+	sums := map[Key]*Counts{}
 	for i, s := range all {
-		p := Part{Instance: s.Instance, Epoch: s.Epoch, Wall: s.Wall, Behind: last - s.Wall, Open: s.Total.Open}
+		p := FleetPart{Instance: s.Instance, Epoch: s.Epoch, Wall: s.Wall, Behind: last - s.Wall, Open: s.Total.Open}
 		for _, b := range s.Breaches {
-			if b.Healed == 0 {
-				p.Standing++
+			if b.ResolvedAt == 0 {
+				p.StandingBreaches++
 			}
 		}
 		over := i+1 < len(all) && all[i+1].Instance == s.Instance
 		brought := map[Key]Count{}
-		if over && all[i+1].Epoch.Before == s.Epoch.ID {
+		if over && all[i+1].Epoch.Previous == s.Epoch.ID {
 			for _, a := range all[i+1].Accounts {
-				brought[a.Key] = a.Brought
+				brought[a.Key] = a.CarriedOver
 			}
 		}
 		before := map[Key]Count{} // what the previous epoch had open: it counted these messages already
-		if i > 0 && all[i-1].Instance == s.Instance && s.Epoch.Before == all[i-1].Epoch.ID {
+		if i > 0 && all[i-1].Instance == s.Instance && s.Epoch.Previous == all[i-1].Epoch.ID {
 			for _, a := range all[i-1].Accounts {
 				before[a.Key] = a.Open
 			}
@@ -155,27 +155,27 @@
 		for _, a := range s.Accounts {
 			sum := sums[a.Key]
 			if sum == nil {
-				sum = &Figures{}
+				sum = &Counts{}
 				sums[a.Key] = sum
 			}
 			if over {
 				if left := a.Open - min(a.Open, brought[a.Key]); left > 0 {
-					p.Left += left
-					f.Left = append(f.Left, Left{a.Key, s.Instance, s.Epoch.ID, left})
+					p.Unaccounted += left
+					f.Unaccounted = append(f.Unaccounted, Unaccounted{a.Key, s.Instance, s.Epoch.ID, left})
 				}
 				a.Open = 0
 			}
-			a.Brought -= min(a.Brought, before[a.Key])
-			sum.Add(&a.Figures)
+			a.CarriedOver -= min(a.CarriedOver, before[a.Key])
+			sum.Add(&a.Counts)
 		}
 		f.Parts = append(f.Parts, p)
 	}
 	for k, v := range sums {
-		f.Accounts = append(f.Accounts, Line{k, *v})
+		f.Accounts = append(f.Accounts, AccountCounts{k, *v})
 		f.Total.Add(v)
 	}
-	slices.SortFunc(f.Accounts, func(a, b Line) int { return a.Key.Compare(b.Key) })
-	slices.SortFunc(f.Left, func(a, b Left) int {
+	slices.SortFunc(f.Accounts, func(a, b AccountCounts) int { return a.Key.Compare(b.Key) })
+	slices.SortFunc(f.Unaccounted, func(a, b Unaccounted) int {
 		return cmp.Or(a.Key.Compare(b.Key), cmp.Compare(a.Instance, b.Instance), cmp.Compare(a.Epoch, b.Epoch))
 	})
 	return f, nil
--- a/ledger/leaf.go
+++ b/ledger/leaf.go
@@ -29,7 +29,7 @@
 // WriteLeaves calls put with each leaf that changed since it was last written, with at most most accounts, and regards them
 // as written. Pending postings are included. The caller calls MarkUnwritten with the number of each leaf that the store does
 // not accept. It returns false if accounts are left to be written.
-func (l *Ledger) Leaves(most int, put func(Leaf)) bool {
+func (l *Ledger) WriteLeaves(most int, put func(Leaf)) bool {
 	if l.head {
 		l.head = false
 		put(Leaf{epochLeaf, l.epochText()})
@@ -53,7 +53,7 @@
 }
 
 // MarkUnwritten notes that the store does not have a leaf, so that it is written again.
-func (l *Ledger) Soil(number uint64) {
+func (l *Ledger) MarkUnwritten(number uint64) {
 	switch {
 	case number == epochLeaf:
 		l.head = true
@@ -66,12 +66,12 @@
 
 // CompareStored compares the stored leaf of an account with the ledger. at is the index of the account, from 0 to Accounts()-1.
 // Accounts whose newest leaf the store does not have yet, as clean reports, are skipped.
-func (l *Ledger) Kept(at int, clean func(number uint64) bool, store func(number uint64) []byte) {
+func (l *Ledger) CompareStored(at int, clean func(number uint64) bool, store func(number uint64) []byte) {
 	a := l.list[at]
 	if a.dirty || !clean(a.number) {
 		return
 	}
-	var have Figures
+	var have Counts
 	if text := store(a.number); text != nil {
 		if k, f, err := l.readAccount(text); err == nil && k == a.key {
 			have = f
@@ -82,11 +82,11 @@
 	x, y := want.all(), have.all()
 	for i := range x { // each count by itself: a missing end leaves the sums in balance
 		if *x[i] != *y[i] {
-			l.Compare(a.key, InStore, *x[i], *y[i])
+			l.Compare(a.key, CheckStore, *x[i], *y[i])
 			return
 		}
 	}
-	l.Compare(a.key, InStore, 0, 0)
+	l.Compare(a.key, CheckStore, 0, 0)
 }
 
 func putText(b []byte, s string) []byte { return append(binary.AppendUvarint(b, uint64(len(s))), s...) }
@@ -95,13 +95,13 @@
 	if k.Other {
 		return append(b, 1)
 	}
-	return binary.AppendVarint(putText(putText(append(b, 0), k.Class), k.Tenant), int64(k.Dest))
+	return binary.AppendVarint(putText(putText(append(b, 0), k.Class), k.Tenant), int64(k.Destination))
 }
 
 // text encodes an account as a leaf. It begins with the mark of its epoch, so that leaves of earlier epochs are ignored.
 func (l *Ledger) text(a *Account) []byte {
 	f := a.now
-	if a.due != (Figures{}) {
+	if a.due != (Counts{}) {
 		f.Add(&a.due)
 	}
 	b := putKey(binary.LittleEndian.AppendUint32(make([]byte, 0, 64), l.marked), a.key)
@@ -122,19 +122,19 @@
 
 func (l *Ledger) epochText() []byte {
 	b := binary.AppendVarint(putText(nil, l.epoch.ID), l.epoch.Began)
-	b = putText(putText(putText(b, l.epoch.Why), l.epoch.Before), l.set.Boot)
-	if l.set.Lasting {
+	b = putText(putText(putText(b, l.epoch.Reason), l.epoch.Previous), l.set.BootID)
+	if l.set.Durable {
 		b = append(b, 1)
 	} else {
 		b = append(b, 0)
 	}
-	return binary.AppendUvarint(binary.AppendUvarint(b, uint64(l.set.Most)), uint64(l.more))
+	return binary.AppendUvarint(binary.AppendUvarint(b, uint64(l.set.MaxAccounts)), uint64(l.more))
 }
 
 func (l *Ledger) breachText(b *Breach) []byte {
-	t := putText(putKey(nil, b.Key), b.What)
-	t = binary.AppendUvarint(binary.AppendUvarint(t, uint64(b.Books)), uint64(b.Counted))
-	return binary.AppendVarint(binary.AppendVarint(t, b.At), b.Healed)
+	t := putText(putKey(nil, b.Key), b.Check)
+	t = binary.AppendUvarint(binary.AppendUvarint(t, uint64(b.Booked)), uint64(b.Counted))
+	return binary.AppendVarint(binary.AppendVarint(t, b.FoundAt), b.ResolvedAt)
 }
 
 // reader decodes fields. After a short read bad is set and all further fields are zero.
@@ -182,7 +182,7 @@
 	k.Other, r.b = r.b[0] == 1, r.b[1:]
 	if !k.Other {
 		k.Class, k.Tenant = r.text(), r.text()
-		k.Dest = int(r.signed())
+		k.Destination = int(r.signed())
 	}
 	return k
 }
@@ -202,7 +202,7 @@
 
 var errOver = errors.New("leaf of an earlier epoch")
 
-func (l *Ledger) readAccount(text []byte) (k Key, f Figures, err error) {
+func (l *Ledger) readAccount(text []byte) (k Key, f Counts, err error) {
 	if len(text) < 4 {
 		return k, f, ErrLeaf
 	}
@@ -234,12 +234,12 @@
 	}
 	l.head, l.restored = false, true
 	r := &reader{b: leaves[at].Text}
-	l.epoch = Epoch{ID: r.text(), Began: r.signed(), Why: r.text(), Before: r.text()}
+	l.epoch = Epoch{ID: r.text(), Began: r.signed(), Reason: r.text(), Previous: r.text()}
 	l.marked = l.epoch.mark()
 	boot, lasting := r.text(), r.num() == 1
-	l.set.Most, l.more = int(min(r.num(), MostAccounts)), Count(r.num())
-	l.rebooted = boot != "" && s.Boot != "" && boot != l.set.Boot && !lasting
-	l.head = boot != l.set.Boot || lasting != s.Lasting
+	l.set.MaxAccounts, l.more = int(min(r.num(), MaxAccountsLimit)), Count(r.num())
+	l.rebooted = boot != "" && s.BootID != "" && boot != l.set.BootID && !lasting
+	l.head = boot != l.set.BootID || lasting != s.Durable
 	if err := r.end("epoch"); err != nil {
 		return nil, err
 	}
@@ -250,12 +250,12 @@
 		case f.Number == epochLeaf:
 		case f.Number < firstAccount:
 			r := &reader{b: f.Text}
-			b := Breach{Key: r.key(), What: r.text(), Books: Count(r.num()), Counted: Count(r.num()), At: r.signed(), Healed: r.signed()}
+			b := Breach{Key: r.key(), Check: r.text(), Booked: Count(r.num()), Counted: Count(r.num()), FoundAt: r.signed(), ResolvedAt: r.signed()}
 			if err := r.end("breach"); err != nil {
 				return nil, err
 			}
-			if b.Healed == 0 {
-				l.standing[place{b.Key, b.What}] = len(l.breaches)
+			if b.ResolvedAt == 0 {
+				l.standing[place{b.Key, b.Check}] = len(l.breaches)
 			}
 			l.breaches = append(l.breaches, b)
 		default:
@@ -294,8 +294,8 @@
 func (l *Ledger) Epoch() Epoch { return l.epoch }
 
 // NextEpoch returns a ledger that begins a new epoch. It keeps the breaches on record, and its accounts are empty.
-func (l *Ledger) Anew(s Settings, e Epoch) (*Ledger, error) {
-	e.Before = l.epoch.ID
+func (l *Ledger) NextEpoch(s Settings, e Epoch) (*Ledger, error) {
+	e.Previous = l.epoch.ID
 	n, err := New(s, e)
 	if err != nil {
 		return nil, err
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -12,10 +12,10 @@
 
 // Key identifies an account.
 type Key struct {
-	Class  string `json:"class"`
-	Dest   int    `json:"dest"` // the partner that runs it
-	Tenant string `json:"tenant"`
-	Other  bool   `json:"other,omitempty"` // the shared account of all keys without one of their own; the other fields are empty then
+	Class       string `json:"class"`
+	Destination int    `json:"dest"` // the partner that runs it
+	Tenant      string `json:"tenant"`
+	Other       bool   `json:"other,omitempty"` // the shared account of all keys without one of their own; the other fields are empty then
 }
 
 // String formats the key for people.
@@ -23,7 +23,7 @@
 	if k.Other {
 		return "other"
 	}
-	return fmt.Sprintf("%s/%d/%s", k.Class, k.Dest, k.Tenant)
+	return fmt.Sprintf("%s/%d/%s", k.Class, k.Destination, k.Tenant)
 }
 
 // Compare orders keys by class, destination and tenant. The shared account comes last.
@@ -34,7 +34,7 @@
 		}
 		return -1
 	}
-	return cmp.Or(cmp.Compare(k.Class, o.Class), cmp.Compare(k.Dest, o.Dest), cmp.Compare(k.Tenant, o.Tenant))
+	return cmp.Or(cmp.Compare(k.Class, o.Class), cmp.Compare(k.Destination, o.Destination), cmp.Compare(k.Tenant, o.Tenant))
 }
 
 // Entry is the kind of a posting.
@@ -42,38 +42,38 @@
 
 // Entries. The first group is about messages, the second about attempts, the third about messages in doubt.
 const (
-	// Brought: the message was open already when the epoch began.
-	Brought Entry = iota + 1
-	// Taken: the message was accepted and is open.
-	Taken
-	// In: the message came from another account, or is resent after its end. It is open here.
-	In
-	// Served: the message was delivered.
-	Served
+	// CarriedOver: the message was open already when the epoch began.
+	CarriedOver Entry = iota + 1
+	// Accepted: the message was accepted and is open.
+	Accepted
+	// MovedIn: the message came from another account, or is resent after its end. It is open here.
+	MovedIn
+	// Delivered: the message was delivered.
+	Delivered
 	// Refused: the message was handed back to the client: it never ran, may be repeated or was withdrawn.
 	Refused
 	// Failed: the message ended without a promise about its effect.
 	Failed
-	// Out: the message was open here and is now open in another account.
-	Out
-	// Again: a message that was refused or failed here is open again under a new id.
-	Again
-
-	// Sent: an attempt began.
-	Sent
-	// Answered: the endpoint responded to the attempt, with success or an error.
-	Answered
-	// Declined: the attempt provably never ran.
-	Declined
-	// Silent: the attempt was cut off or timed out, or the process ended during it. Its effect is unknown.
-	Silent
-
-	// Doubted: an open message may have taken effect.
-	Doubted
-	// Twice: a message in doubt was delivered, so it may have taken effect twice.
-	Twice
-	// Unsure: a message in doubt ended in another way, so it may have taken effect or not.
-	Unsure
+	// MovedOut: the message was open here and is now open in another account.
+	MovedOut
+	// Reopened: a message that was refused or failed here is open again under a new id.
+	Reopened
+
+	// AttemptSent: an attempt began.
+	AttemptSent
+	// AttemptAnswered: the endpoint responded to the attempt, with success or an error.
+	AttemptAnswered
+	// AttemptRefused: the attempt provably never ran.
+	AttemptRefused
+	// AttemptUnanswered: the attempt was cut off or timed out, or the process ended during it. Its effect is unknown.
+	AttemptUnanswered
+
+	// DoubtOpened: an open message may have taken effect.
+	DoubtOpened
+	// DoubtTwice: a message in doubt was delivered, so it may have taken effect twice.
+	DoubtTwice
+	// DoubtUnresolved: a message in doubt ended in another way, so it may have taken effect or not.
+	DoubtUnresolved
 	entries
 )
 
@@ -92,8 +92,8 @@
 
 // Posting is one entry in one account.
 type Posting struct {
-	Key  Key
-	What Entry
+	Key   Key
+	Entry Entry
 }
 
 // Counts are the counts of one account. All except Open, Attempts.Out and Doubt.Open only grow within an epoch.
@@ -105,16 +105,16 @@
 //	CarriedOver + Accepted = Delivered + Refused + Failed - Reopened + Open
 //
 // where a message and its resends count as one.
-type Figures struct {
-	Brought Count `json:"brought"`
-	Taken   Count `json:"taken"`
-	In      Count `json:"in"`
-	Served  Count `json:"served"`
-	Refused Count `json:"refused"`
-	Failed  Count `json:"failed"`
-	Out     Count `json:"out"`
-	Again   Count `json:"again"`
-	Open    Count `json:"open"`
+type Counts struct {
+	CarriedOver Count `json:"brought"`
+	Accepted    Count `json:"taken"`
+	MovedIn     Count `json:"in"`
+	Delivered   Count `json:"served"`
+	Refused     Count `json:"refused"`
+	Failed      Count `json:"failed"`
+	MovedOut    Count `json:"out"`
+	Reopened    Count `json:"again"`
+	Open        Count `json:"open"`
 
 	Attempts Attempts `json:"attempts"`
 	Doubt    Doubt    `json:"doubt"`
@@ -122,29 +122,29 @@
 
 // Attempts counts attempts: Sent = Answered + Refused + Unanswered + Out.
 type Attempts struct {
-	Sent     Count `json:"sent"`
-	Answered Count `json:"answered"`
-	Refused  Count `json:"refused"` // provably never ran
-	Silent   Count `json:"silent"`  // effect unknown
-	Out      Count `json:"out"`     // still running
+	Sent       Count `json:"sent"`
+	Answered   Count `json:"answered"`
+	Refused    Count `json:"refused"` // provably never ran
+	Unanswered Count `json:"silent"`  // effect unknown
+	Out        Count `json:"out"`     // still running
 }
 
 // Doubt counts messages that may have taken effect twice or not at all: Opened = Twice + Unresolved + Open.
 type Doubt struct {
-	Opened Count `json:"opened"`
-	Twice  Count `json:"twice"`
-	Unsure Count `json:"unsure"`
-	Open   Count `json:"open"`
+	Opened     Count `json:"opened"`
+	Twice      Count `json:"twice"`
+	Unresolved Count `json:"unsure"`
+	Open       Count `json:"open"`
 }
 
 const columns = 18
 
 // all returns the counts in the order in which they are stored. Those from firstGauge on may fall, the others only grow.
-func (f *Figures) all() [columns]*Count {
+func (f *Counts) all() [columns]*Count {
 	return [columns]*Count{
-		&f.Brought, &f.Taken, &f.In, &f.Served, &f.Refused, &f.Failed, &f.Out, &f.Again,
-		&f.Attempts.Sent, &f.Attempts.Answered, &f.Attempts.Refused, &f.Attempts.Silent,
-		&f.Doubt.Opened, &f.Doubt.Twice, &f.Doubt.Unsure,
+		&f.CarriedOver, &f.Accepted, &f.MovedIn, &f.Delivered, &f.Refused, &f.Failed, &f.MovedOut, &f.Reopened,
+		&f.Attempts.Sent, &f.Attempts.Answered, &f.Attempts.Refused, &f.Attempts.Unanswered,
+		&f.Doubt.Opened, &f.Doubt.Twice, &f.Doubt.Unresolved,
 		&f.Open, &f.Attempts.Out, &f.Doubt.Open,
 	}
 }
@@ -159,14 +159,14 @@
 
 // Each calls call with the name and value of each count, always in the same order. A gauge may fall. The other counts only
 // grow within an epoch.
-func (f *Figures) Each(call func(name string, v Count, level bool)) {
+func (f *Counts) Each(call func(name string, v Count, level bool)) {
 	for i, c := range f.all() {
 		call(columnNames[i], *c, i >= levels)
 	}
 }
 
 // Add adds the counts of o.
-func (f *Figures) Add(o *Figures) {
+func (f *Counts) Add(o *Counts) {
 	to, from := f.all(), o.all()
 	for i := range to {
 		*to[i] += *from[i]
@@ -174,8 +174,8 @@
 }
 
 // Sides returns both sides of the equation of messages: what came in, and what ended, moved out or is open.
-func (f *Figures) Sides() (in, out Count) {
-	return f.Brought + f.Taken + f.In, f.Served + f.Refused + f.Failed + f.Out + f.Open
+func (f *Counts) Sides() (in, out Count) {
+	return f.CarriedOver + f.Accepted + f.MovedIn, f.Delivered + f.Refused + f.Failed + f.MovedOut + f.Open
 }
 
 // down decrements a gauge. One that is 0 stays 0, and the account no longer balances.
@@ -186,19 +186,19 @@
 }
 
 // post changes both counts that a posting affects.
-func (f *Figures) post(e Entry) {
+func (f *Counts) post(e Entry) {
 	switch e {
-	case Brought:
-		f.Brought++
+	case CarriedOver:
+		f.CarriedOver++
 		f.Open++
-	case Taken:
-		f.Taken++
+	case Accepted:
+		f.Accepted++
 		f.Open++
-	case In:
-		f.In++
+	case MovedIn:
+		f.MovedIn++
 		f.Open++
-	case Served:
-		f.Served++
+	case Delivered:
+		f.Delivered++
 		down(&f.Open)
 	case Refused:
 		f.Refused++
@@ -206,31 +206,31 @@
 	case Failed:
 		f.Failed++
 		down(&f.Open)
-	case Out:
-		f.Out++
+	case MovedOut:
+		f.MovedOut++
 		down(&f.Open)
-	case Again:
-		f.Again++
-	case Sent:
+	case Reopened:
+		f.Reopened++
+	case AttemptSent:
 		f.Attempts.Sent++
 		f.Attempts.Out++
-	case Answered:
+	case AttemptAnswered:
 		f.Attempts.Answered++
 		down(&f.Attempts.Out)
-	case Declined:
+	case AttemptRefused:
 		f.Attempts.Refused++
 		down(&f.Attempts.Out)
-	case Silent:
-		f.Attempts.Silent++
+	case AttemptUnanswered:
+		f.Attempts.Unanswered++
 		down(&f.Attempts.Out)
-	case Doubted:
+	case DoubtOpened:
 		f.Doubt.Opened++
 		f.Doubt.Open++
-	case Twice:
+	case DoubtTwice:
 		f.Doubt.Twice++
 		down(&f.Doubt.Open)
-	case Unsure:
-		f.Doubt.Unsure++
+	case DoubtUnresolved:
+		f.Doubt.Unresolved++
 		down(&f.Doubt.Open)
 	}
 }
@@ -238,10 +238,10 @@
 // Account is one account of a ledger.
 type Account struct {
 	key    Key
-	now    Figures
-	due    Figures // postings that wait for the store: written to leaves already, counted once they are stored
-	number uint64  // of its leaf
-	dirty  bool    // its newest counts have not been written
+	now    Counts
+	due    Counts // postings that wait for the store: written to leaves already, counted once they are stored
+	number uint64 // of its leaf
+	dirty  bool   // its newest counts have not been written
 
 	open  Count // live messages that the current audit has counted
 	doubt Count // those among them that are in doubt
@@ -255,28 +255,28 @@
 type Settings struct {
 	Instance string // the dispatcher's name
 
-	// Most is the number of accounts beside the shared one, up to MaxAccountsLimit. 0 means DefaultMaxAccounts.
-	Most int
+	// MaxAccounts is the number of accounts beside the shared one, up to MaxAccountsLimit. 0 means DefaultMaxAccounts.
+	MaxAccounts int
 
-	// Boot identifies the current boot of the machine, "" if it is unknown. A reboot loses what was written and not synced.
-	Boot string
-	// Lasting tells that the store reports a batch as stored only after syncing it, so that a reboot loses nothing.
-	Lasting bool
+	// BootID identifies the current boot of the machine, "" if it is unknown. A reboot loses what was written and not synced.
+	BootID string
+	// Durable tells that the store reports a batch as stored only after syncing it, so that a reboot loses nothing.
+	Durable bool
 
-	// Post replaces a posting by what it returns. Only tests and the simulation set it, to inject faults.
-	Post func(Posting) []Posting
+	// InterceptPost replaces a posting by what it returns. Only tests and the simulation set it, to inject faults.
+	InterceptPost func(Posting) []Posting
 }
 
 // Bounds.
 const (
-	// DefaultMost is the number of accounts where Settings name none.
-	DefaultMost = 256
-	// MostAccounts is the largest number of accounts that Settings may ask for.
-	MostAccounts = 1 << 16
-	mostName     = 64 // bytes of a class or tenant; keys with longer ones use the shared account
-	mostBreaches = 64 // kept on record; further ones are only counted
-	// LeafMost is the largest size of a leaf in bytes.
-	LeafMost = 384
+	// DefaultMaxAccounts is the number of accounts where Settings name none.
+	DefaultMaxAccounts = 256
+	// MaxAccountsLimit is the largest number of accounts that Settings may ask for.
+	MaxAccountsLimit = 1 << 16
+	mostName         = 64 // bytes of a class or tenant; keys with longer ones use the shared account
+	mostBreaches     = 64 // kept on record; further ones are only counted
+	// MaxLeafBytes is the largest size of a leaf in bytes.
+	MaxLeafBytes = 384
 )
 
 // Ledger holds the accounts of one dispatcher.
@@ -288,9 +288,9 @@
 	near   [nearby]*Account // cache in front of byKey, see Key.near
 	list   []*Account       // by number
 	other  *Account         // the shared account, nil until it is needed
-	total  Figures
-	base   Figures // total when this process began to post
-	wall   int64   // wall time in microseconds since 1970
+	total  Counts
+	base   Counts // total when this process began to post
+	wall   int64  // wall time in microseconds since 1970
 
 	breaches []Breach        // on record, oldest first
 	stored   int             // number of breaches whose leaf has been written
@@ -307,20 +307,20 @@
 
 // New returns an empty ledger that begins in epoch e.
 func New(s Settings, e Epoch) (*Ledger, error) {
-	if s.Most < 0 || s.Most > MostAccounts {
-		return nil, fmt.Errorf("maximum number of accounts: %d is out of range, 1 to %d", s.Most, MostAccounts)
+	if s.MaxAccounts < 0 || s.MaxAccounts > MaxAccountsLimit {
+		return nil, fmt.Errorf("maximum number of accounts: %d is out of range, 1 to %d", s.MaxAccounts, MaxAccountsLimit)
 	}
-	if s.Most == 0 {
-		s.Most = DefaultMost
+	if s.MaxAccounts == 0 {
+		s.MaxAccounts = DefaultMaxAccounts
 	}
-	if len(s.Boot) > mostName {
-		s.Boot = s.Boot[:mostName]
+	if len(s.BootID) > mostName {
+		s.BootID = s.BootID[:mostName]
 	}
 	return &Ledger{set: s, epoch: e, marked: e.mark(), byKey: map[Key]*Account{}, standing: map[place]int{}, beyond: map[place]Count{}, head: true}, nil
 }
 
 // SetWallTime sets the time at which breaches are recorded, in microseconds since 1970.
-func (l *Ledger) At(wall int64) { l.wall = wall }
+func (l *Ledger) SetWallTime(wall int64) { l.wall = wall }
 
 // Account returns the account of a key and opens it if need be. It returns the shared account once the limit of accounts is
 // reached, and for a key whose class or tenant is too long.
@@ -333,7 +333,7 @@
 		*near = a
 		return a
 	}
-	if k.Other || len(l.list)-l.others() >= l.set.Most || len(k.Class) > mostName || len(k.Tenant) > mostName {
+	if k.Other || len(l.list)-l.others() >= l.set.MaxAccounts || len(k.Class) > mostName || len(k.Tenant) > mostName {
 		if l.other == nil {
 			l.other = l.open(Key{Other: true})
 		}
@@ -345,7 +345,7 @@
 // near returns the slot of the key in the cache in front of the map of accounts. Most lookups are for a few accounts, and
 // hashing their strings for the map is slow.
 func (k *Key) near() int {
-	n := k.Dest*7 + len(k.Class) + 3*len(k.Tenant)
+	n := k.Destination*7 + len(k.Class) + 3*len(k.Tenant)
 	if len(k.Class) > 0 {
 		n += int(k.Class[len(k.Class)-1])
 	}
@@ -373,17 +373,17 @@
 func (l *Ledger) Accounts() int { return len(l.list) }
 
 // PostingCount returns the number of postings made so far. Callers compare two results to see whether anything was posted.
-func (l *Ledger) Posts() uint64 { return l.posts }
+func (l *Ledger) PostingCount() uint64 { return l.posts }
 
-// Post makes one posting and checks that the account still balances.
+// InterceptPost makes one posting and checks that the account still balances.
 func (l *Ledger) Post(a *Account, e Entry) {
 	l.posts++
-	if l.set.Post == nil {
+	if l.set.InterceptPost == nil {
 		l.post(a, e)
 		return
 	}
-	for _, p := range l.set.Post(Posting{a.key, e}) {
-		l.post(l.Account(p.Key), p.What)
+	for _, p := range l.set.InterceptPost(Posting{a.key, e}) {
+		l.post(l.Account(p.Key), p.Entry)
 	}
 }
 
@@ -402,22 +402,22 @@
 // Transfer moves one open message from one account to another.
 func (l *Ledger) Transfer(from, to *Account) {
 	if from != to {
-		l.Post(from, Out)
-		l.Post(to, In)
+		l.Post(from, MovedOut)
+		l.Post(to, MovedIn)
 	}
 }
 
 // PostPending notes a posting that counts only once the store has its batch. Leaves written from now on include it.
 // ConfirmPending or DropPending must follow.
-func (l *Ledger) Await(a *Account, e Entry) {
+func (l *Ledger) PostPending(a *Account, e Entry) {
 	a.due.post(e)
 	l.touch(a)
 }
 
 // ConfirmPending makes a pending posting, whose batch is now stored.
-func (l *Ledger) Settle(a *Account, e Entry) {
+func (l *Ledger) ConfirmPending(a *Account, e Entry) {
 	a.forgo(e)
-	if l.set.Post != nil {
+	if l.set.InterceptPost != nil {
 		l.Post(a, e)
 		return
 	}
@@ -426,22 +426,22 @@
 }
 
 // DropPending cancels a pending posting whose batch was not stored.
-func (l *Ledger) Drop(a *Account, e Entry) {
+func (l *Ledger) DropPending(a *Account, e Entry) {
 	a.forgo(e)
 	l.touch(a)
 }
 
 func (a *Account) forgo(e Entry) {
 	switch e {
-	case Taken:
-		down(&a.due.Taken)
+	case Accepted:
+		down(&a.due.Accepted)
 		down(&a.due.Open)
-	case In:
-		down(&a.due.In)
+	case MovedIn:
+		down(&a.due.MovedIn)
 		down(&a.due.Open)
-	case Again:
-		down(&a.due.Again)
-	case Doubted:
+	case Reopened:
+		down(&a.due.Reopened)
+	case DoubtOpened:
 		down(&a.due.Doubt.Opened)
 		down(&a.due.Doubt.Open)
 	}
@@ -458,13 +458,13 @@
 func (l *Ledger) audit(a *Account) {
 	f := &a.now
 	in, out := f.Sides()
-	l.Compare(a.key, Messages, in, out)
-	l.Compare(a.key, AttemptsOf, f.Attempts.Sent, f.Attempts.Answered+f.Attempts.Refused+f.Attempts.Silent+f.Attempts.Out)
-	l.Compare(a.key, DoubtOf, f.Doubt.Opened, f.Doubt.Twice+f.Doubt.Unsure+f.Doubt.Open)
+	l.Compare(a.key, CheckMessages, in, out)
+	l.Compare(a.key, CheckAttempts, f.Attempts.Sent, f.Attempts.Answered+f.Attempts.Refused+f.Attempts.Unanswered+f.Attempts.Out)
+	l.Compare(a.key, CheckDoubt, f.Doubt.Opened, f.Doubt.Twice+f.Doubt.Unresolved+f.Doubt.Open)
 }
 
 // CompareTransfers checks that every message that left an account came into another. Callers use it once both sides of a
 // transfer are posted.
-func (l *Ledger) Moves() {
-	l.Compare(Key{}, MovesOf, l.total.In, l.total.Out+l.total.Again)
+func (l *Ledger) CompareTransfers() {
+	l.Compare(Key{}, CheckTransfers, l.total.MovedIn, l.total.MovedOut+l.total.Reopened)
 }
--- a/ledger/snapshot.go
+++ b/ledger/snapshot.go
@@ -15,28 +15,28 @@
 // Epoch is a span in which counts never go back. It lasts until the folder with the ledger is lost or damaged, or postings
 // may have been lost in a reboot.
 type Epoch struct {
-	ID     string `json:"id"`               // drawn at random, 16 hexadecimal digits
-	Began  int64  `json:"began,string"`     // wall time in microseconds since 1970
-	Why    string `json:"why"`              // why the epoch began: ReasonNoLedger, ReasonDamage or ReasonReboot
-	Before string `json:"before,omitempty"` // id of the epoch that ended with it, if one is known
+	ID       string `json:"id"`               // drawn at random, 16 hexadecimal digits
+	Began    int64  `json:"began,string"`     // wall time in microseconds since 1970
+	Reason   string `json:"why"`              // why the epoch began: ReasonNoLedger, ReasonDamage or ReasonReboot
+	Previous string `json:"before,omitempty"` // id of the epoch that ended with it, if one is known
 }
 
 // Reasons why an epoch began.
 const (
-	WhyNew    = "no ledger was found"
-	WhyDamage = "the folder was damaged"
-	WhyPower  = "the machine started anew, and what was not synced may be lost"
+	ReasonNoLedger = "no ledger was found"
+	ReasonDamage   = "the folder was damaged"
+	ReasonReboot   = "the machine started anew, and what was not synced may be lost"
 )
 
 // NewEpoch returns an epoch with the given number as its id.
 func NewEpoch(id uint64, began int64, why, before string) Epoch {
-	return Epoch{ID: fmt.Sprintf("%016x", id), Began: began, Why: why, Before: before}
+	return Epoch{ID: fmt.Sprintf("%016x", id), Began: began, Reason: why, Previous: before}
 }
 
 // AccountCounts is an account in a snapshot.
-type Line struct {
+type AccountCounts struct {
 	Key
-	Figures
+	Counts
 }
 
 // Snapshot is a consistent copy of a ledger at one moment.
@@ -49,22 +49,22 @@
 	// Provisional tells that some of the postings are not stored yet, so that a crash may undo them.
 	Provisional bool `json:"provisional,omitempty"`
 
-	Accounts []Line   `json:"accounts"` // sorted by Key.Compare
-	Total    Figures  `json:"total"`
-	Breaches []Breach `json:"breaches"`      // on record, oldest first
-	More     Count    `json:"more_breaches"` // counted and not recorded
+	Accounts     []AccountCounts `json:"accounts"` // sorted by Key.Compare
+	Total        Counts          `json:"total"`
+	Breaches     []Breach        `json:"breaches"`      // on record, oldest first
+	MoreBreaches Count           `json:"more_breaches"` // counted and not recorded
 }
 
 // Snapshot copies the ledger. wall is the current wall time in microseconds since 1970.
 func (l *Ledger) Snapshot(wall int64) *Snapshot {
 	s := &Snapshot{
-		Format: Format, Instance: l.set.Instance, Epoch: l.epoch, Wall: wall, Total: l.total, More: l.more,
-		Accounts: make([]Line, 0, len(l.list)), Breaches: append([]Breach{}, l.breaches...),
+		Format: Format, Instance: l.set.Instance, Epoch: l.epoch, Wall: wall, Total: l.total, MoreBreaches: l.more,
+		Accounts: make([]AccountCounts, 0, len(l.list)), Breaches: append([]Breach{}, l.breaches...),
 	}
 	for _, a := range l.list {
-		s.Accounts = append(s.Accounts, Line{a.key, a.now})
+		s.Accounts = append(s.Accounts, AccountCounts{a.key, a.now})
 	}
-	slices.SortFunc(s.Accounts, func(a, b Line) int { return a.Key.Compare(b.Key) })
+	slices.SortFunc(s.Accounts, func(a, b AccountCounts) int { return a.Key.Compare(b.Key) })
 	return s
 }
 
@@ -77,7 +77,7 @@
 const mostSnapshot = 64 << 20
 
 // ReadSnapshot reads a snapshot as JSON. The error wraps ErrFormat if the input is something else or of another format.
-func Read(r io.Reader) (*Snapshot, error) {
+func ReadSnapshot(r io.Reader) (*Snapshot, error) {
 	text, err := io.ReadAll(io.LimitReader(r, mostSnapshot+1))
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
@@ -97,16 +97,16 @@
 
 // Check returns the recorded breaches that stand and those that a recalculation of the snapshot finds.
 func (s *Snapshot) Check() []Breach {
-	l, err := New(Settings{Most: MostAccounts}, s.Epoch)
+	l, err := New(Settings{MaxAccounts: MaxAccountsLimit}, s.Epoch)
 	if err != nil {
 		return nil // unreachable: these settings are valid
 	}
 	l.wall = s.Wall
 	var out []Breach
 	for _, b := range s.Breaches {
-		if b.Healed == 0 {
+		if b.ResolvedAt == 0 {
 			out = append(out, b)
-			l.standing[place{b.Key, b.What}] = len(l.breaches)
+			l.standing[place{b.Key, b.Check}] = len(l.breaches)
 			l.breaches = append(l.breaches, b)
 		}
 	}
@@ -115,16 +115,16 @@
 	for i := range s.Accounts {
 		a := &s.Accounts[i]
 		if seen[a.Key] {
-			l.breaches = append(l.breaches, Breach{Key: a.Key, What: Totals, Books: 1, Counted: 2, At: s.Wall})
+			l.breaches = append(l.breaches, Breach{Key: a.Key, Check: CheckTotals, Booked: 1, Counted: 2, FoundAt: s.Wall})
 		}
 		seen[a.Key] = true
-		l.total.Add(&a.Figures)
-		l.audit(&Account{key: a.Key, now: a.Figures})
+		l.total.Add(&a.Counts)
+		l.audit(&Account{key: a.Key, now: a.Counts})
 	}
-	l.Moves()
+	l.CompareTransfers()
 	sum, total := l.total.all(), s.Total.all()
 	for i := range sum {
-		l.Compare(Key{}, Totals+": "+columnNames[i], *total[i], *sum[i])
+		l.Compare(Key{}, CheckTotals+": "+columnNames[i], *total[i], *sum[i])
 	}
 	for _, b := range l.breaches[known:] {
 		out = append(out, b)
--- a/ledger/sweep.go
+++ b/ledger/sweep.go
@@ -4,14 +4,14 @@
 // message that has been counted already. At the end the results are compared with the ledger.
 
 // BeginAudit begins an audit.
-func (l *Ledger) Begin() {
+func (l *Ledger) BeginAudit() {
 	for _, a := range l.list {
 		a.open, a.doubt = 0, 0
 	}
 }
 
 // CountOpen counts a live message. With by = -1 it removes one that was counted.
-func (a *Account) Count(by int) { a.open += Count(by) }
+func (a *Account) CountOpen(by int) { a.open += Count(by) }
 
 // CountDoubt counts a live message that may have taken effect. With by = -1 it removes one that was counted.
 func (a *Account) CountDoubt(by int) { a.doubt += Count(by) }
@@ -20,41 +20,41 @@
 func (a *Account) CountOut() { a.out++ }
 
 // FinishAudit compares the messages that the audit counted with the ledger.
-func (l *Ledger) Finish() {
+func (l *Ledger) FinishAudit() {
 	for _, a := range l.list {
-		l.Compare(a.key, LiveOpen, a.now.Open, a.open)
-		l.Compare(a.key, LiveDoubt, a.now.Doubt.Open, a.doubt)
+		l.Compare(a.key, CheckLiveOpen, a.now.Open, a.open)
+		l.Compare(a.key, CheckLiveDoubt, a.now.Doubt.Open, a.doubt)
 	}
-	l.Moves()
+	l.CompareTransfers()
 }
 
 // CompareDispositions compares how many messages ended in each way since this process began, as the caller counted them,
 // with the ledger. It finds an end that was posted as another one, which leaves all accounts in balance.
-func (l *Ledger) Ends(served, refused, failed uint64) {
-	l.Compare(Key{}, ServedAs, l.total.Served-l.base.Served, Count(served))
-	l.Compare(Key{}, RefusedAs, l.total.Refused-l.base.Refused, Count(refused))
-	l.Compare(Key{}, FailedAs, l.total.Failed-l.base.Failed, Count(failed))
+func (l *Ledger) CompareDispositions(served, refused, failed uint64) {
+	l.Compare(Key{}, CheckDelivered, l.total.Delivered-l.base.Delivered, Count(served))
+	l.Compare(Key{}, CheckRefused, l.total.Refused-l.base.Refused, Count(refused))
+	l.Compare(Key{}, CheckFailed, l.total.Failed-l.base.Failed, Count(failed))
 }
 
 // FinishAttemptAudit compares the attempts that the audit counted with the ledger, and resets their counts.
-func (l *Ledger) FinishOut() {
+func (l *Ledger) FinishAttemptAudit() {
 	for _, a := range l.list {
-		l.Compare(a.key, LiveOut, a.now.Attempts.Out, a.out)
+		l.Compare(a.key, CheckLiveAttempts, a.now.Attempts.Out, a.out)
 		a.out = 0
 	}
 }
 
 // ReconcileRestart compares the ledger with the live messages that the store had, counted since BeginAudit, and closes what
 // the previous process left open: attempts under way become unanswered, and their messages are in doubt from now on.
-func (l *Ledger) Start() {
+func (l *Ledger) ReconcileRestart() {
 	for _, a := range l.list {
-		l.Compare(a.key, Restarted, a.now.Open, a.open)
+		l.Compare(a.key, CheckRestart, a.now.Open, a.open)
 		for a.now.Attempts.Out > 0 {
-			l.Post(a, Silent)
+			l.Post(a, AttemptUnanswered)
 		}
 		for a.now.Doubt.Open < a.doubt {
-			l.Post(a, Doubted)
+			l.Post(a, DoubtOpened)
 		}
-		l.Compare(a.key, LiveDoubt, a.now.Doubt.Open, a.doubt)
+		l.Compare(a.key, CheckLiveDoubt, a.now.Doubt.Open, a.doubt)
 	}
 }
