--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -20,34 +20,34 @@
 
 // Driver runs an engine. Its exported methods may be called from any goroutine unless they say otherwise.
 type Driver struct {
-	host  host.Host
-	clock engine.Clock
-	log   *slog.Logger
-	e     *engine.Engine
+	host   host.Host
+	clock  engine.Clock
+	log    *slog.Logger
+	engine *engine.Engine
 	Components
 
-	inbox host.Inbox
-	pool  replies
-	share
-	door door // admission of new messages
+	inbox   host.Inbox
+	replies inboxPool
+	sharedRounds
+	admission admissionGate // admission of new messages
 
 	// The fields from here on belong to the driver's goroutine, or to whoever holds turn (share.go).
-	gate     engine.Gate
-	now      engine.Now
-	round    uint64
-	made     map[engine.CallID]uint64 // calls that wait for the store, with the round in which the engine made them
-	appended engine.Batch             // newest batch that the store has accepted
-	answered engine.Batch             // newest batch that the store has reported as stored or failed
-	refused  []engine.Batch           // batches that the store did not accept in this round
-	full     bool                     // the store refused the newest of them for lack of room
-	tickets  map[engine.Ticket]host.Inbox
-	ticket   engine.Ticket
-	permits  map[engine.CallID]host.Inbox
-	permit   []bool       // the newest permit that no other goroutine waits for
-	idle     []host.Inbox // callers of WaitIdle
-	later    later
-	load     load
-	cuts     cuts // ledger.go
+	gate           engine.Gate
+	now            engine.Now
+	round          uint64
+	madeInRound    map[engine.CallID]uint64 // calls that wait for the store, with the round in which the engine made them
+	appended       engine.Batch             // newest batch that the store has accepted
+	settled        engine.Batch             // newest batch that the store has reported as stored or failed
+	refusedBatches []engine.Batch           // batches that the store did not accept in this round
+	storeFull      bool                     // the store refused the newest of them for lack of room
+	verdictWaiters map[engine.Ticket]host.Inbox
+	lastTicket     engine.Ticket
+	permitWaiters  map[engine.CallID]host.Inbox
+	lastPermit     []bool       // the newest permit that no other goroutine waits for
+	idleWaiters    []host.Inbox // callers of WaitIdle
+	deferred       deferredWork
+	load           load
+	snapshots      snapshotReaders // ledger.go
 
 	// OnBreach is called with each breach of the ledger that is found or resolved, on the driver's goroutine. It must not
 	// block, and must be set before the first event.
@@ -72,44 +72,44 @@
 // the host returns from now on.
 func New(h host.Host, clock engine.Clock, e *engine.Engine, log *slog.Logger) *Driver {
 	return &Driver{
-		host: h, clock: clock, log: log, e: e, inbox: h.NewInbox(), pool: replies{host: h},
-		door:    door{gate: admission.New(admission.Settings{})},
-		made:    map[engine.CallID]uint64{},
-		tickets: map[engine.Ticket]host.Inbox{}, permits: map[engine.CallID]host.Inbox{},
+		host: h, clock: clock, log: log, engine: e, inbox: h.NewInbox(), replies: inboxPool{host: h},
+		admission:      admissionGate{gate: admission.New(admission.Settings{})},
+		madeInRound:    map[engine.CallID]uint64{},
+		verdictWaiters: map[engine.Ticket]host.Inbox{}, permitWaiters: map[engine.CallID]host.Inbox{},
 	}
 }
 
 // Requests that are put into the inbox beside events.
 type (
-	handIn struct {
+	submission struct {
 		engine.Submit
 		deadline time.Time
 		reply    host.Inbox
 	}
-	handInAll struct {
+	groupSubmission struct {
 		engine.SubmitAll
 		deadlines []time.Time
 		reply     host.Inbox
 	}
-	mayWrite struct {
+	permitRequest struct {
 		call  engine.CallID
 		reply host.Inbox
 	}
-	whenIdle struct{ reply host.Inbox }
+	idleRequest struct{ reply host.Inbox }
 )
 
 // HandIn implements engine.Intake.
 func (d *Driver) Submit(m *engine.Message, deadline time.Time) engine.Verdict {
-	in := &handIn{Submit: engine.Submit{Message: *m}, deadline: deadline, reply: d.pool.get()}
-	return d.verdict(d.put(in), in.reply)
+	in := &submission{Submit: engine.Submit{Message: *m}, deadline: deadline, reply: d.replies.get()}
+	return d.verdict(d.enqueue(in), in.reply)
 }
 
 // HandInEach implements engine.GroupIntake.
 func (d *Driver) SubmitEach(list []*engine.Message, deadlines []time.Time) []engine.Verdict {
 	replies, put := make([]host.Inbox, len(list)), make([]bool, len(list))
 	for i, m := range list {
-		replies[i] = d.pool.get()
-		put[i] = d.put(&handIn{Submit: engine.Submit{Message: *m}, deadline: deadlines[i], reply: replies[i]})
+		replies[i] = d.replies.get()
+		put[i] = d.enqueue(&submission{Submit: engine.Submit{Message: *m}, deadline: deadlines[i], reply: replies[i]})
 	}
 	out := make([]engine.Verdict, len(list))
 	for i := range list {
@@ -120,11 +120,11 @@
 
 // HandInAll implements engine.GroupIntake.
 func (d *Driver) SubmitAll(list []*engine.Message, deadlines []time.Time) engine.Verdict {
-	in := &handInAll{deadlines: deadlines, reply: d.pool.get()}
+	in := &groupSubmission{deadlines: deadlines, reply: d.replies.get()}
 	for _, m := range list {
 		in.Submissions = append(in.Submissions, engine.Submit{Message: *m})
 	}
-	return d.verdict(d.put(in), in.reply)
+	return d.verdict(d.enqueue(in), in.reply)
 }
 
 // verdict waits for the verdict on a request. put tells whether the request got into the inbox.
@@ -133,11 +133,11 @@
 	if !put {
 		return stopped
 	}
-	v, ok := take(reply, time.Time{}).(*engine.Verdict)
+	v, ok := takeOne(reply, time.Time{}).(*engine.Verdict)
 	if !ok {
 		return stopped
 	}
-	d.pool.put(reply)
+	d.replies.put(reply)
 	return *v
 }
 
@@ -145,87 +145,87 @@
 // of the message starts and before its engine.Done. A driver that stops without a verdict closes reply. once promises that
 // nobody else submits the same id. SubmitAsync returns false if the driver has stopped, and reply is not used then.
 func (d *Driver) SubmitAsync(m *engine.Message, deadline time.Time, once bool, reply host.Inbox) bool {
-	return d.serve(&handIn{Submit: engine.Submit{Message: *m, UniqueID: once}, deadline: deadline, reply: reply})
+	return d.runOrEnqueue(&submission{Submit: engine.Submit{Message: *m, UniqueID: once}, deadline: deadline, reply: reply})
 }
 
 // Withdraw tells the engine that the client no longer wants a message.
-func (d *Driver) Withdraw(id string) { d.serve(&engine.Withdraw{ID: id}) }
+func (d *Driver) Withdraw(id string) { d.runOrEnqueue(&engine.Withdraw{ID: id}) }
 
 // Members implements engine.Listing.
-func (d *Driver) Members(m *engine.Members) bool { return d.put(m) }
+func (d *Driver) Members(m *engine.Members) bool { return d.enqueue(m) }
 
 // Notified reports that the clients were notified of how these messages ended.
-func (d *Driver) Notified(ids []string) { d.put(&engine.Notified{IDs: ids}) }
+func (d *Driver) Notified(ids []string) { d.enqueue(&engine.Notified{IDs: ids}) }
 
 // Stored is called by a store that writes asynchronously. All batches up to b are stored. With an error, the later ones up
 // to the newest appended batch are not.
-func (d *Driver) Stored(b engine.Batch, err error) { d.put(&storeTold{b, err}) }
+func (d *Driver) Stored(b engine.Batch, err error) { d.enqueue(&storeReport{b, err}) }
 
-type storeTold struct {
+type storeReport struct {
 	batch engine.Batch
 	err   error
 }
 
 // MayWrite implements engine.CallEvents.
 func (d *Driver) MayWrite(id engine.CallID) []bool {
-	q := &mayWrite{call: id, reply: d.pool.get()}
-	if !d.serve(q) {
+	q := &permitRequest{call: id, reply: d.replies.get()}
+	if !d.runOrEnqueue(q) {
 		return nil
 	}
-	ok, _ := take(q.reply, time.Time{}).([]bool)
-	d.pool.put(q.reply)
+	ok, _ := takeOne(q.reply, time.Time{}).([]bool)
+	d.replies.put(q.reply)
 	return ok
 }
 
 // FirstLine implements engine.CallEvents.
-func (d *Driver) FirstLine(id engine.CallID) { d.put(&engine.FirstLine{Call: id}) }
+func (d *Driver) FirstLine(id engine.CallID) { d.enqueue(&engine.FirstLine{Call: id}) }
 
 // Ended implements engine.CallEvents.
 func (d *Driver) Ended(id engine.CallID, outs []engine.Outcome) {
-	d.serve(&engine.Ended{Call: id, Outcomes: outs})
+	d.runOrEnqueue(&engine.Ended{Call: id, Outcomes: outs})
 }
 
 // Post queues an event for the engine behind all earlier ones.
-func (d *Driver) Post(ev engine.Event) { d.put(ev) }
+func (d *Driver) Post(ev engine.Event) { d.enqueue(ev) }
 
 // Resend submits a message from the store of undelivered messages without blocking. told is called once with the verdict, on
 // the driver's goroutine. A driver that stops may never call it.
 func (d *Driver) Resend(in *engine.Submit, deadline time.Time, told func(engine.Verdict)) {
-	d.put(&handIn{Submit: *in, deadline: deadline, reply: tell(told)})
+	d.enqueue(&submission{Submit: *in, deadline: deadline, reply: verdictFunc(told)})
 }
 
-// tell is an inbox that passes its only value to a function at once.
-type tell func(engine.Verdict)
+// verdictFunc is an inbox that passes its only value to a function at once.
+type verdictFunc func(engine.Verdict)
 
-func (f tell) Put(v any) bool {
+func (f verdictFunc) Put(v any) bool {
 	f(*v.(*engine.Verdict))
 	return true
 }
-func (tell) Take(into []any, _ time.Time) []any { return into }
-func (tell) Close() []any                       { return nil }
+func (verdictFunc) Take(into []any, _ time.Time) []any { return into }
+func (verdictFunc) Close() []any                       { return nil }
 
 // Do runs f on the driver's goroutine between two events. f may read the engine. It must not block, except for writes of the
 // driver's own store. Do returns false if the driver has stopped. f is not run then, nor if the driver stops before its turn.
-func (d *Driver) Do(f func()) bool { return d.put(do(f)) }
+func (d *Driver) Do(f func()) bool { return d.enqueue(doRequest(f)) }
 
-type do func()
+type doRequest func()
 
 // Stop begins a planned stop: no further call starts.
-func (d *Driver) Stop() { d.put(&engine.Stop{}) }
+func (d *Driver) Stop() { d.enqueue(&engine.Stop{}) }
 
 // WaitIdle waits until no call is under way, or until the given time. It reports whether no call was left.
 func (d *Driver) WaitIdle(until time.Time) bool {
-	q := &whenIdle{d.host.NewInbox()}
-	if !d.put(q) {
+	q := &idleRequest{d.host.NewInbox()}
+	if !d.enqueue(q) {
 		return true
 	}
-	return take(q.reply, until) != nil
+	return takeOne(q.reply, until) != nil
 }
 
 // Quit ends Run. Submissions without a verdict are answered that the driver is stopping.
-func (d *Driver) Quit() { d.put(quit{}) }
+func (d *Driver) Quit() { d.enqueue(quitRequest{}) }
 
-type quit struct{}
+type quitRequest struct{}
 
 // Run handles events until Quit. Events from before Run are given to Handle.
 func (d *Driver) Run() {
@@ -238,7 +238,7 @@
 	}
 	var list []any
 	for {
-		list = d.inbox.Take(list[:0], d.until())
+		list = d.inbox.Take(list[:0], d.nextRound())
 		if d.makeRound(list) {
 			return
 		}
@@ -247,53 +247,53 @@
 
 // makeRound handles the values that were taken from the inbox. It returns true after a quit: the driver has ended then.
 func (d *Driver) makeRound(list []any) (over bool) {
-	d.begin()
+	d.beginRound()
 	took := 0
 	for i, v := range list {
 		list[i] = nil
 		switch v := v.(type) {
-		case quit:
-			d.finish(append(d.later.take(len(d.later.list)), list[i+1:]...))
+		case quitRequest:
+			d.finish(append(d.deferred.take(len(d.deferred.list)), list[i+1:]...))
 			return true
-		case *handIn, *handInAll:
-			if took == newWork || len(d.later.list) > 0 {
-				d.later.add(v)
+		case *submission, *groupSubmission:
+			if took == maxSubmissionsPerRound || len(d.deferred.list) > 0 {
+				d.deferred.add(v)
 				continue
 			}
 			took++
 		case *engine.Withdraw:
-			if d.later.has(v.ID) {
-				d.later.add(v)
+			if d.deferred.has(v.ID) {
+				d.deferred.add(v)
 				continue
 			}
 		}
-		d.take(v)
+		d.handleValue(v)
 	}
-	if len(d.later.list) > 0 {
+	if len(d.deferred.list) > 0 {
 		d.wake()
-		for _, v := range d.later.take(newWork - took) {
-			d.take(v)
+		for _, v := range d.deferred.take(maxSubmissionsPerRound - took) {
+			d.handleValue(v)
 		}
 	}
 	d.wake()
 	d.flush()
-	d.measure()
-	if len(d.idle) > 0 && d.e.CallsOut() == 0 {
-		for _, r := range d.idle {
+	d.endRound()
+	if len(d.idleWaiters) > 0 && d.engine.CallsOut() == 0 {
+		for _, r := range d.idleWaiters {
 			r.Put(true)
 		}
-		d.idle = nil
+		d.idleWaiters = nil
 	}
 	return false
 }
 
-// until returns the time at which the next round is due even if nothing arrives. Zero means never.
-func (d *Driver) until() time.Time {
-	switch at, ok := d.e.NextWake(); {
-	case len(d.later.list) > 0:
+// nextRound returns the time at which the next round is due even if nothing arrives. Zero means never.
+func (d *Driver) nextRound() time.Time {
+	switch at, ok := d.engine.NextWake(); {
+	case len(d.deferred.list) > 0:
 		return d.clock.Start // is past: do not wait
-	case len(d.load.waiting) > 0:
-		return d.clock.Time(engine.Time(d.load.sent.Load())).Add(probeLost)
+	case len(d.load.queuedCalls) > 0:
+		return d.clock.Time(engine.Time(d.load.probeSent.Load())).Add(probeTimeout)
 	case ok:
 		return d.clock.Time(at)
 	}
@@ -303,10 +303,10 @@
 // wake lets the engine do what is due. It waits until all calls of the engine's last step have started. Otherwise the engine
 // would make ever more calls that wait here, and would count them as calls under way.
 func (d *Driver) wake() {
-	if len(d.load.waiting) > 0 {
+	if len(d.load.queuedCalls) > 0 {
 		return
 	}
-	if at, ok := d.e.NextWake(); ok && at <= d.now.At {
+	if at, ok := d.engine.NextWake(); ok && at <= d.now.At {
 		d.handle(&engine.Wake{})
 	}
 }
@@ -315,52 +315,52 @@
 func (d *Driver) Handle(events ...engine.Event) {
 	d.turn.Lock() // events that the components report meanwhile wait for Run
 	defer d.turn.Unlock()
-	d.begin()
+	d.beginRound()
 	for _, ev := range events {
 		d.handle(ev)
 	}
 	d.flush()
-	d.measure()
+	d.endRound()
 }
 
 // Engine returns the engine, for reading it before or after Run.
-func (d *Driver) Engine() *engine.Engine { return d.e }
+func (d *Driver) Engine() *engine.Engine { return d.engine }
 
-// begin starts a round. The clocks are read once for the whole round.
-func (d *Driver) begin() {
+// beginRound starts a round. The clocks are read once for the whole round.
+func (d *Driver) beginRound() {
 	d.round++
 	d.now = engine.Now{At: d.clock.At(d.host.Now()), Wall: engine.TimestampOf(d.host.Wall())}
 }
 
-// take handles one value from the inbox.
-func (d *Driver) take(v any) {
+// handleValue handles one value from the inbox.
+func (d *Driver) handleValue(v any) {
 	switch v := v.(type) {
-	case *handIn:
-		d.load.handIns++
-		d.ticket++
-		d.tickets[d.ticket] = v.reply
-		v.Ticket, v.ExpiresIn = d.ticket, d.clock.At(v.deadline)-d.now.At
+	case *submission:
+		d.load.submissions++
+		d.lastTicket++
+		d.verdictWaiters[d.lastTicket] = v.reply
+		v.Ticket, v.ExpiresIn = d.lastTicket, d.clock.At(v.deadline)-d.now.At
 		d.handle(&v.Submit)
-	case *handInAll:
-		d.ticket++
-		d.tickets[d.ticket] = v.reply
-		v.Ticket = d.ticket
+	case *groupSubmission:
+		d.lastTicket++
+		d.verdictWaiters[d.lastTicket] = v.reply
+		v.Ticket = d.lastTicket
 		for i := range v.Submissions {
 			v.Submissions[i].ExpiresIn = d.clock.At(v.deadlines[i]) - d.now.At
 		}
 		d.handle(&v.SubmitAll)
-	case *mayWrite:
-		d.permits[v.call] = v.reply
+	case *permitRequest:
+		d.permitWaiters[v.call] = v.reply
 		d.handle(&engine.MayWrite{Call: v.call})
-	case *probeBack:
-		d.back(v)
-	case *whenIdle:
-		d.idle = append(d.idle, v.reply)
-	case *whenCut:
-		d.cut(v.reply)
-	case *storeTold:
-		d.told(v.batch, v.err)
-	case do:
+	case *probeReturn:
+		d.probeReturned(v)
+	case *idleRequest:
+		d.idleWaiters = append(d.idleWaiters, v.reply)
+	case *snapshotRequest:
+		d.addSnapshotReader(v.reply)
+	case *storeReport:
+		d.handleStoreReport(v.batch, v.err)
+	case doRequest:
 		v()
 	case engine.Event:
 		d.handle(v)
@@ -371,18 +371,18 @@
 func (d *Driver) handle(ev engine.Event) {
 	var buf [8]engine.Effect
 	free := buf[:0]
-	for _, f := range d.e.Handle(d.now, ev) {
+	for _, f := range d.engine.Handle(d.now, ev) {
 		switch f := f.(type) {
 		case *engine.Append:
 			if err := d.Store.Append(f.Batch, f.Records); err != nil {
-				d.refused = append(d.refused, f.Batch)
-				d.full = errors.Is(err, engine.ErrFull)
+				d.refusedBatches = append(d.refusedBatches, f.Batch)
+				d.storeFull = errors.Is(err, engine.ErrFull)
 				continue
 			}
 			d.appended = f.Batch
 		case *engine.Call:
-			if f.RequiredBatch() > d.answered {
-				d.made[f.ID] = d.round
+			if f.RequiredBatch() > d.settled {
+				d.madeInRound[f.ID] = d.round
 			}
 			free = d.gate.Pass(free, []engine.Effect{f})
 		default:
@@ -390,9 +390,9 @@
 		}
 	}
 	d.carryOut(free)
-	for len(d.refused) > 0 {
-		b, full := d.refused[0], d.full
-		d.refused = d.refused[1:]
+	for len(d.refusedBatches) > 0 {
+		b, full := d.refusedBatches[0], d.storeFull
+		d.refusedBatches = d.refusedBatches[1:]
 		d.gate.Failed(b)
 		d.handle(&engine.StoreFailed{Batch: b, Full: full})
 	}
@@ -403,20 +403,20 @@
 	if s, ok := d.Store.(engine.ExpiringStore); ok {
 		s.Tick(d.now.Wall)
 	}
-	for d.Store != nil && d.appended > d.answered {
+	for d.Store != nil && d.appended > d.settled {
 		newest := d.appended
 		b, err := d.Store.Flush()
-		d.told(b, err)
+		d.handleStoreReport(b, err)
 		if err == nil && b < newest {
 			return // the store calls Stored later
 		}
 	}
 }
 
-// told handles a report of the store: batches up to b are stored, and with an error all later ones failed.
-func (d *Driver) told(b engine.Batch, err error) {
-	if b > d.answered {
-		d.answered = b
+// handleStoreReport handles a report of the store: batches up to b are stored, and with an error all later ones failed.
+func (d *Driver) handleStoreReport(b engine.Batch, err error) {
+	if b > d.settled {
+		d.settled = b
 		d.handle(&engine.Stored{Batch: b})
 		var buf [8]engine.Effect
 		d.carryOut(d.gate.Stored(buf[:0], b))
@@ -426,11 +426,11 @@
 	}
 	d.log.Debug("store write failed", "error", err)
 	last := d.appended
-	for lost := d.answered + 1; lost <= last; lost++ {
+	for lost := d.settled + 1; lost <= last; lost++ {
 		d.gate.Failed(lost)
 		d.handle(&engine.StoreFailed{Batch: lost})
 	}
-	d.answered = max(d.answered, last)
+	d.settled = max(d.settled, last)
 }
 
 // carryOut carries out effects.
@@ -438,19 +438,19 @@
 	for _, f := range effects {
 		switch f := f.(type) {
 		case *engine.Answer:
-			if r := d.tickets[f.Ticket]; r != nil {
-				delete(d.tickets, f.Ticket)
+			if r := d.verdictWaiters[f.Ticket]; r != nil {
+				delete(d.verdictWaiters, f.Ticket)
 				r.Put(&f.Verdict)
 			}
 		case *engine.Permit:
-			if r := d.permits[f.Call]; r != nil {
-				delete(d.permits, f.Call)
+			if r := d.permitWaiters[f.Call]; r != nil {
+				delete(d.permitWaiters, f.Call)
 				r.Put(f.Items)
 			} else {
-				d.permit = f.Items
+				d.lastPermit = f.Items
 			}
 		case *engine.Call:
-			d.start(f)
+			d.startOrQueue(f)
 		case *engine.Abort:
 			d.Transport.Abort(f.Call)
 		case *engine.CloseIdle:
@@ -459,13 +459,13 @@
 			d.Transport.RemoveEndpoint(f)
 		case *engine.Done:
 			if f.Disposition != engine.Refused {
-				d.load.done++
+				d.load.endedMessages++
 			}
 			d.Sink.Completed(f)
 		case *engine.LedgerBreach:
-			d.breached(f)
+			d.reportBreach(f)
 		case *engine.LedgerSnapshot:
-			d.shown(f)
+			d.deliverSnapshot(f)
 		case *engine.Note:
 			if d.shared {
 				d.notes = append(d.notes, f)
@@ -488,21 +488,21 @@
 	}
 }
 
-// call starts a call. A call that waited beyond the round that made it needs a new permit of the engine first, because its
-// endpoint or its messages may have changed meanwhile.
-func (d *Driver) call(c *engine.Call) {
-	made, waited := d.made[c.ID]
-	delete(d.made, c.ID)
+// startCall starts a call. A call that waited beyond the round that made it needs a new permit of the engine first, because
+// its endpoint or its messages may have changed meanwhile.
+func (d *Driver) startCall(c *engine.Call) {
+	made, waited := d.madeInRound[c.ID]
+	delete(d.madeInRound, c.ID)
 	if !waited || made == d.round {
 		d.Transport.Start(c, d)
 		return
 	}
-	ok := d.ask(c.ID)
+	ok := d.requestPermit(c.ID)
 	var outs []engine.Outcome
 	for i := range c.Items {
 		if i >= len(ok) || !ok[i] {
 			c.Items[i].Skip = true
-			outs = append(outs, moot(i))
+			outs = append(outs, mootOutcome(i))
 		}
 	}
 	if len(outs) < len(c.Items) {
@@ -513,63 +513,63 @@
 	}
 }
 
-// ask returns the engine's permit for each item of a call. It is for the driver's own goroutine.
-func (d *Driver) ask(id engine.CallID) []bool {
-	d.permit = nil
+// requestPermit returns the engine's permit for each item of a call. It is for the driver's own goroutine.
+func (d *Driver) requestPermit(id engine.CallID) []bool {
+	d.lastPermit = nil
 	d.handle(&engine.MayWrite{Call: id})
-	return d.permit
+	return d.lastPermit
 }
 
 // finish ends the driver and answers all who still wait. left are values from the inbox that no round has handled.
 func (d *Driver) finish(left []any) {
 	d.handle(&engine.Stop{}) // records a step of the wall clock since the last event, which the next process could not notice
 	d.flush()
-	left = append(left, d.shut()...)
+	left = append(left, d.closeQueue()...)
 	for _, v := range left {
 		switch v := v.(type) {
-		case *handIn:
+		case *submission:
 			v.reply.Close()
-		case *handInAll:
+		case *groupSubmission:
 			v.reply.Close()
-		case *mayWrite:
+		case *permitRequest:
 			v.reply.Close()
-		case *whenIdle:
+		case *idleRequest:
 			v.reply.Put(true)
-		case *whenCut:
+		case *snapshotRequest:
 			v.reply.Close()
 		case engine.Event: // still recorded if possible
 			d.handle(v)
 		}
 	}
 	d.flush()
-	for _, t := range slices.Sorted(maps.Keys(d.tickets)) {
+	for _, t := range slices.Sorted(maps.Keys(d.verdictWaiters)) {
 		// Its record may still get into the store, so nothing can be promised.
-		d.tickets[t].Put(&engine.Verdict{Kind: engine.Unconfirmed, Reason: "stopping while the store has not answered"})
-		delete(d.tickets, t)
+		d.verdictWaiters[t].Put(&engine.Verdict{Kind: engine.Unconfirmed, Reason: "stopping while the store has not answered"})
+		delete(d.verdictWaiters, t)
 	}
-	for _, r := range d.idle {
+	for _, r := range d.idleWaiters {
 		r.Put(true)
 	}
-	d.cuts.close()
+	d.snapshots.close()
 }
 
-func take(b host.Inbox, until time.Time) any {
+func takeOne(b host.Inbox, until time.Time) any {
 	if list := b.Take(nil, until); len(list) > 0 {
 		return list[0]
 	}
 	return nil
 }
 
-// replies is a pool of inboxes that receive one reply at a time.
-type replies struct {
+// inboxPool is a pool of inboxes that receive one reply at a time.
+type inboxPool struct {
 	host host.Host
 	mu   sync.Mutex
 	free []host.Inbox
 }
 
-const mostReplies = 64 // inboxes that the pool keeps
+const maxPooledInboxes = 64 // inboxes that the pool keeps
 
-func (p *replies) get() host.Inbox {
+func (p *inboxPool) get() host.Inbox {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if last := len(p.free) - 1; last >= 0 {
@@ -580,12 +580,12 @@
 	return p.host.NewInbox()
 }
 
-func (p *replies) put(b host.Inbox) {
+func (p *inboxPool) put(b host.Inbox) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.free) < mostReplies {
+	if len(p.free) < maxPooledInboxes {
 		p.free = append(p.free, b)
 	}
 }
 
-func moot(item int) engine.Outcome { return engine.Outcome{Item: item, Result: control.Moot} }
+func mootOutcome(item int) engine.Outcome { return engine.Outcome{Item: item, Result: control.Moot} }
--- a/internal/driver/driver_test.go
+++ b/internal/driver/driver_test.go
@@ -24,18 +24,18 @@
 	*Driver
 	ran chan struct{} // closed when Run has returned
 
-	mu      sync.Mutex
-	changed chan struct{}
-	late    bool  // Flush reports nothing as stored
-	refuses error // returned by Append
-	fails   error // returned by Flush
-	batches []engine.Batch
-	told    engine.Batch
-	calls   []*engine.Call
-	dones   []*engine.Done
-	records []engine.Record
-	hold    chan struct{} // if set, Append blocks until it is closed
-	held    bool          // Append is blocked
+	mu            sync.Mutex
+	changed       chan struct{}
+	storeLate     bool  // Flush reports nothing as stored
+	appendErr     error // returned by Append
+	flushErr      error // returned by Flush
+	batches       []engine.Batch
+	stored        engine.Batch
+	calls         []*engine.Call
+	dones         []*engine.Done
+	records       []engine.Record
+	blockAppend   chan struct{} // if set, Append blocks until it is closed
+	appendBlocked bool          // Append is blocked
 }
 
 func newRig(t *testing.T) *rig { return newRigOn(t, host.System{}, 4) }
@@ -109,31 +109,31 @@
 func (r *rig) Append(b engine.Batch, list []engine.Record) error {
 	defer r.set(func() {})
 	r.mu.Lock()
-	hold := r.hold
+	hold := r.blockAppend
 	r.mu.Unlock()
 	if hold != nil {
-		r.set(func() { r.held = true })
+		r.set(func() { r.appendBlocked = true })
 		<-hold
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.refuses == nil {
+	if r.appendErr == nil {
 		r.batches = append(r.batches, b)
 		r.records = append(r.records, list...)
 	}
-	return r.refuses
+	return r.appendErr
 }
 
 func (r *rig) Flush() (engine.Batch, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.fails != nil {
-		return r.told, r.fails
+	if r.flushErr != nil {
+		return r.stored, r.flushErr
 	}
-	if !r.late && len(r.batches) > 0 {
-		r.told = r.batches[len(r.batches)-1]
+	if !r.storeLate && len(r.batches) > 0 {
+		r.stored = r.batches[len(r.batches)-1]
 	}
-	return r.told, nil
+	return r.stored, nil
 }
 
 func (r *rig) Start(c *engine.Call, _ engine.CallEvents) {
@@ -144,11 +144,11 @@
 func (r *rig) RemoveEndpoint(*engine.RemoveEndpoint) {}
 func (r *rig) Completed(d *engine.Done)              { r.set(func() { r.dones = append(r.dones, d) }) }
 
-// answer reports all batches as stored.
-func (r *rig) answer() {
+// reportStored reports all batches as stored.
+func (r *rig) reportStored() {
 	r.mu.Lock()
 	last := r.batches[len(r.batches)-1]
-	r.told = last
+	r.stored = last
 	r.mu.Unlock()
 	r.Stored(last, nil)
 }
@@ -157,25 +157,25 @@
 	return &engine.Message{ID: id, Class: "unsafe", Destination: 1, Body: []byte("body")}
 }
 
-// handIn submits a message on a goroutine of its own.
-func (r *rig) handIn(id string) <-chan engine.Verdict {
+// submit submits a message on a goroutine of its own.
+func (r *rig) submit(id string) <-chan engine.Verdict {
 	v := make(chan engine.Verdict, 1)
 	go func() { v <- r.Submit(message(id), time.Now().Add(time.Minute)) }()
 	return v
 }
 
-func TestNothingIsAnsweredOrCalledBeforeTheStoreHasIt(t *testing.T) {
+func TestVerdictAndCallWaitForStore(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	r.set(func() { r.late = true })
-	answered := r.handIn("m")
+	r.set(func() { r.storeLate = true })
+	answered := r.submit("m")
 	r.await("the batch with its record", func() bool { return len(r.batches) == 1 })
 	select {
 	case v := <-answered:
 		t.Fatalf("answered %+v before the store had it", v)
 	default:
 	}
-	r.answer()
+	r.reportStored()
 	if v := <-answered; v.Kind != engine.Accepted {
 		t.Fatalf("answered %+v", v)
 	}
@@ -185,26 +185,26 @@
 			t.Error("called before the store had the attempt")
 		}
 	})
-	r.answer()
+	r.reportStored()
 	r.await("the call", func() bool { return len(r.calls) == 1 })
 }
 
 // A call that waited for the store needs a new permit, so that it is not made to an endpoint that has left meanwhile.
-func TestACallThatWaitedForTheStoreIsNotMadeToAnEndpointThatHasLeft(t *testing.T) {
+func TestCallThatWaitedForStoreSkipsEndpointThatLeft(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	if v := <-r.handIn("first"); v.Kind != engine.Accepted {
+	if v := <-r.submit("first"); v.Kind != engine.Accepted {
 		t.Fatalf("answered %+v", v)
 	}
 	r.await("a call", func() bool { return len(r.calls) == 1 })
-	r.set(func() { r.late = true })
-	answered := r.handIn("m")
+	r.set(func() { r.storeLate = true })
+	answered := r.submit("m")
 	r.await("the batch with its record", func() bool { return len(r.batches) == 3 })
-	r.answer()
+	r.reportStored()
 	<-answered
 	r.await("the batch with its attempt", func() bool { return len(r.batches) == 4 })
 	r.Members(&engine.Members{Source: "list", FullList: true, List: []engine.Member{{ID: "e", Addr: "h:1", Destination: 1, Phase: engine.Leaving}}})
-	r.answer()
+	r.reportStored()
 	r.await("the batch that records that it never ran", func() bool { return len(r.batches) == 5 })
 	r.set(func() {
 		if len(r.calls) != 1 {
@@ -213,32 +213,32 @@
 	})
 }
 
-func TestWhatTheStoreRefusesIsTurnedAwayAndWhatItFailsIsNotCalled(t *testing.T) {
+func TestStoreErrorsRejectMessages(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	r.set(func() { r.refuses = engine.ErrFull })
-	if v := <-r.handIn("full"); v.Kind != engine.Busy || v.RetryAfter == 0 {
+	r.set(func() { r.appendErr = engine.ErrFull })
+	if v := <-r.submit("full"); v.Kind != engine.Busy || v.RetryAfter == 0 {
 		t.Errorf("with a full store: %+v", v)
 	}
-	r.set(func() { r.refuses, r.fails = nil, errors.New("no disk") })
-	if v := <-r.handIn("failing"); v.Kind != engine.Busy || v.RetryAfter == 0 {
+	r.set(func() { r.appendErr, r.flushErr = nil, errors.New("no disk") })
+	if v := <-r.submit("failing"); v.Kind != engine.Busy || v.RetryAfter == 0 {
 		t.Errorf("with a failing store: %+v", v)
 	}
-	r.set(func() { r.fails = nil })
+	r.set(func() { r.flushErr = nil })
 	for { // messages are accepted again once the store has been retried
-		if v := <-r.handIn("good"); v.Kind == engine.Accepted {
+		if v := <-r.submit("good"); v.Kind == engine.Accepted {
 			break
 		}
 	}
 	r.await("the call of the accepted message", func() bool { return len(r.calls) == 1 && r.calls[0].Items[0].ID == "good" })
 }
 
-func TestAnEndIsToldOnceItsRecordIsStored(t *testing.T) {
+func TestSinkWaitsForStoredEnd(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	<-r.handIn("m")
+	<-r.submit("m")
 	r.await("the call", func() bool { return len(r.calls) == 1 })
-	r.set(func() { r.late = true })
+	r.set(func() { r.storeLate = true })
 	r.Ended(r.calls[0].ID, []engine.Outcome{{Result: control.Errored}})
 	r.await("the batch with the record of its end", func() bool { return len(r.batches) == 3 })
 	r.set(func() {
@@ -246,15 +246,15 @@
 			t.Error("the sink was called before the store had the end")
 		}
 	})
-	r.answer()
+	r.reportStored()
 	r.await("its end", func() bool { return len(r.dones) == 1 && r.dones[0].Disposition == engine.Failed && r.dones[0].InDoubt })
 }
 
-func TestWhoWaitsWhenTheDriverEndsIsTold(t *testing.T) {
+func TestQuitAnswersWaitingCallers(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	r.set(func() { r.late = true })
-	answered := r.handIn("m")
+	r.set(func() { r.storeLate = true })
+	answered := r.submit("m")
 	r.await("the batch with its record", func() bool { return len(r.batches) == 1 })
 	r.Quit()
 	<-r.ran
@@ -275,7 +275,7 @@
 func TestIdleWaitsForCallsOut(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	<-r.handIn("m")
+	<-r.submit("m")
 	r.await("the call", func() bool { return len(r.calls) == 1 })
 	if r.WaitIdle(time.Now().Add(10 * time.Millisecond)) {
 		t.Error("idle during a call")
@@ -288,15 +288,15 @@
 	}
 }
 
-func TestMessagesHandedInTogetherHaveOneBatchAndOneAnswer(t *testing.T) {
+func TestGroupSubmissionHasOneBatchAndOneVerdict(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	until := []time.Time{time.Now().Add(time.Minute), time.Now().Add(time.Minute)}
-	r.set(func() { r.late = true })
+	r.set(func() { r.storeLate = true })
 	answered := make(chan engine.Verdict, 1)
 	go func() { answered <- r.SubmitAll([]*engine.Message{message("a"), message("b")}, until) }()
 	r.await("the batch with their records", func() bool { return len(r.batches) == 1 })
-	r.answer()
+	r.reportStored()
 	if v := <-answered; v.Kind != engine.Accepted {
 		t.Fatalf("answered %+v", v)
 	}
@@ -306,11 +306,11 @@
 		t.Errorf("with an invalid message: %+v", v)
 	}
 	r.await("attempts of the first two", func() bool { return len(r.batches) == 2 })
-	r.answer()
+	r.reportStored()
 	r.await("their calls", func() bool { return len(r.calls) == 2 })
 }
 
-func TestMessagesHandedInEachForItselfHaveTheirOwnAnswers(t *testing.T) {
+func TestListSubmissionHasOneVerdictPerMessage(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	wrong := message("b")
@@ -339,13 +339,13 @@
 
 // A step of the wall clock while the driver is idle must be recorded before the driver ends, because the next process relies
 // on the records.
-func TestAStepOfTheClockWhileIdleIsRecordedAtTheEnd(t *testing.T) {
+func TestClockStepWhileIdleIsRecordedOnQuit(t *testing.T) {
 	t.Parallel()
 	h := &steppedHost{}
 	r := newRigOn(t, h, 4)
-	answer := r.handIn("a")
+	answer := r.submit("a")
 	r.await("the record", func() bool { return len(r.records) > 0 })
-	r.answer()
+	r.reportStored()
 	<-answer
 	h.by.Store(-int64(time.Hour))
 	r.Quit()
--- a/internal/driver/ledger.go
+++ b/internal/driver/ledger.go
@@ -9,86 +9,88 @@
 	"curlewmux/ledger"
 )
 
-// cuts tracks snapshots of the engine's ledger that readers wait for. One snapshot at a time is taken, for all readers that
-// asked before it, so that many readers cost no more than a few.
-type cuts struct {
-	out, next []host.Inbox // readers that wait for the snapshot under way, and for the one after it
-	ticket    engine.Ticket
-	asked     engine.Time // when the snapshot under way was requested
-	last      *ledger.Snapshot
-	lastAt    engine.Time // when last was requested
+// snapshotReaders tracks snapshots of the engine's ledger that readers wait for. One snapshot at a time is taken, for all
+// readers that asked before it, so that many readers cost no more than a few.
+type snapshotReaders struct {
+	waiting, next []host.Inbox // readers that wait for the snapshot under way, and for the one after it
+	ticket        engine.Ticket
+	requestedAt   engine.Time // when the snapshot under way was requested
+	latest        *ledger.Snapshot
+	latestAt      engine.Time // when latest was requested
 }
 
-type whenCut struct{ reply host.Inbox }
+type snapshotRequest struct{ reply host.Inbox }
 
 const (
-	mostCuts = 256                       // readers that wait at once
-	cutYoung = 10 * control.Millisecond  // for which a snapshot is given to further readers
-	cutLost  = 500 * control.Millisecond // after which a snapshot is requested again: its batch may have failed
+	maxSnapshotReaders = 256                       // readers that wait at once
+	snapshotReuse      = 10 * control.Millisecond  // for which a snapshot is given to further readers
+	snapshotTimeout    = 500 * control.Millisecond // after which a snapshot is requested again: its batch may have failed
 )
 
 // Ledger returns a snapshot of the engine's ledger. Concurrent readers share it, so it must not be modified. It contains only
 // what is stored, unless it is marked as provisional. The result is nil if the engine keeps no ledger, if the store has not
 // responded by the given time, or if too many readers wait. Ledger may be called from any goroutine, and blocks.
 func (d *Driver) Ledger(until time.Time) *ledger.Snapshot {
-	q := &whenCut{d.host.NewInbox()}
-	if !d.put(q) {
+	q := &snapshotRequest{d.host.NewInbox()}
+	if !d.enqueue(q) {
 		return nil
 	}
-	s, _ := take(q.reply, until).(*ledger.Snapshot)
+	s, _ := takeOne(q.reply, until).(*ledger.Snapshot)
 	return s
 }
 
 // LedgerAsync requests a snapshot without blocking: told is called with it on the driver's goroutine, and must not block. It
 // may never be called if the store does not respond or the driver stops.
-func (d *Driver) LedgerAsync(told func(*ledger.Snapshot)) bool { return d.put(&whenCut{tellCut(told)}) }
+func (d *Driver) LedgerAsync(told func(*ledger.Snapshot)) bool {
+	return d.enqueue(&snapshotRequest{snapshotFunc(told)})
+}
 
-// tellCut is an inbox that passes its only value to a function at once.
-type tellCut func(*ledger.Snapshot)
+// snapshotFunc is an inbox that passes its only value to a function at once.
+type snapshotFunc func(*ledger.Snapshot)
 
-func (f tellCut) Put(v any) bool {
+func (f snapshotFunc) Put(v any) bool {
 	f(v.(*ledger.Snapshot))
 	return true
 }
-func (tellCut) Take(into []any, _ time.Time) []any { return into }
-func (tellCut) Close() []any                       { return nil }
+func (snapshotFunc) Take(into []any, _ time.Time) []any { return into }
+func (snapshotFunc) Close() []any                       { return nil }
 
-// cut answers a reader with a recent snapshot or has it wait for the next one.
-func (d *Driver) cut(reply host.Inbox) {
-	c := &d.cuts
-	switch lost := d.now.At-c.asked > cutLost; {
-	case c.last != nil && d.now.At-c.lastAt < cutYoung:
-		reply.Put(c.last)
-	case len(c.out)+len(c.next) >= mostCuts && !lost:
+// addSnapshotReader answers a reader with a recent snapshot or has it wait for the next one.
+func (d *Driver) addSnapshotReader(reply host.Inbox) {
+	c := &d.snapshots
+	switch lost := d.now.At-c.requestedAt > snapshotTimeout; {
+	case c.latest != nil && d.now.At-c.latestAt < snapshotReuse:
+		reply.Put(c.latest)
+	case len(c.waiting)+len(c.next) >= maxSnapshotReaders && !lost:
 		reply.Close()
-	case len(c.out) == 0 || lost:
-		c.out = append(append(c.out, c.next...), reply)
-		if c.next = nil; len(c.out) > mostCuts {
-			for _, r := range c.out[:len(c.out)-1] { // these readers have stopped waiting long ago
+	case len(c.waiting) == 0 || lost:
+		c.waiting = append(append(c.waiting, c.next...), reply)
+		if c.next = nil; len(c.waiting) > maxSnapshotReaders {
+			for _, r := range c.waiting[:len(c.waiting)-1] { // these readers have stopped waiting long ago
 				r.Close()
 			}
-			c.out = c.out[len(c.out)-1:]
+			c.waiting = c.waiting[len(c.waiting)-1:]
 		}
-		d.askLedger()
+		d.requestSnapshot()
 	default:
 		c.next = append(c.next, reply)
 	}
 }
 
-func (d *Driver) askLedger() {
-	d.ticket++
-	d.cuts.ticket, d.cuts.asked = d.ticket, d.now.At
-	d.handle(&engine.RequestLedger{Ticket: d.ticket})
+func (d *Driver) requestSnapshot() {
+	d.lastTicket++
+	d.snapshots.ticket, d.snapshots.requestedAt = d.lastTicket, d.now.At
+	d.handle(&engine.RequestLedger{Ticket: d.lastTicket})
 }
 
-// shown passes a snapshot to the readers that wait for it.
-func (d *Driver) shown(f *engine.LedgerSnapshot) {
-	c := &d.cuts
+// deliverSnapshot passes a snapshot to the readers that wait for it.
+func (d *Driver) deliverSnapshot(f *engine.LedgerSnapshot) {
+	c := &d.snapshots
 	if f.Ticket != c.ticket {
 		return // a newer one was requested since
 	}
-	out := c.out
-	c.out, c.next, c.last, c.lastAt = c.next, nil, f.Snapshot, c.asked
+	out := c.waiting
+	c.waiting, c.next, c.latest, c.latestAt = c.next, nil, f.Snapshot, c.requestedAt
 	for _, r := range out {
 		if f.Snapshot == nil {
 			r.Close()
@@ -96,20 +98,20 @@
 			r.Put(f.Snapshot)
 		}
 	}
-	if len(c.out) > 0 {
-		d.askLedger()
+	if len(c.waiting) > 0 {
+		d.requestSnapshot()
 	}
 }
 
-func (c *cuts) close() {
-	for _, r := range append(c.out, c.next...) {
+func (c *snapshotReaders) close() {
+	for _, r := range append(c.waiting, c.next...) {
 		r.Close()
 	}
-	c.out, c.next = nil, nil
+	c.waiting, c.next = nil, nil
 }
 
-// breached logs a breach that was found or resolved.
-func (d *Driver) breached(f *engine.LedgerBreach) {
+// reportBreach logs a breach that was found or resolved.
+func (d *Driver) reportBreach(f *engine.LedgerBreach) {
 	list := []any{
 		"class", f.Key.Class, "dest", f.Key.Destination, "tenant", f.Key.Tenant, "other", f.Key.Other, "of", f.Check,
 		"books", uint64(f.Booked), "counted", uint64(f.Counted),
--- a/internal/driver/load.go
+++ b/internal/driver/load.go
@@ -11,8 +11,8 @@
 	"curlewmux/internal/host"
 )
 
-// door guards the admission gate, which decides whether the process has the CPU for another message.
-type door struct {
+// admissionGate guards the admission gate, which decides whether the process has the CPU for another message.
+type admissionGate struct {
 	mu   sync.Mutex
 	gate *admission.Gate
 }
@@ -20,23 +20,23 @@
 // Admit reports whether the process has the CPU for one more message, and if not, after how long the client may retry.
 // Fronts call it before they read a body, from any goroutine. It does not block. now is the time of the host.
 func (d *Driver) Admit(now time.Time) (again time.Duration, ok bool) {
-	d.door.mu.Lock()
-	defer d.door.mu.Unlock()
-	ok, after := d.door.gate.Admit(d.clock.At(now))
+	d.admission.mu.Lock()
+	defer d.admission.mu.Unlock()
+	ok, after := d.admission.gate.Admit(d.clock.At(now))
 	return engine.Duration(after), ok
 }
 
-// newWork is the number of submissions that one round handles. The rest waits for later rounds, so that events of accepted
-// messages never wait behind new ones.
-const newWork = 256
+// maxSubmissionsPerRound is the number of submissions that one round handles. The rest waits for later rounds, so that events
+// of accepted messages never wait behind new ones.
+const maxSubmissionsPerRound = 256
 
-// later holds submissions that wait for the next rounds, oldest first, and withdrawals of these messages.
-type later struct {
+// deferredWork holds submissions that wait for the next rounds, oldest first, and withdrawals of these messages.
+type deferredWork struct {
 	list []any
 	ids  map[string]int // how often each message id is in the list
 }
 
-func (l *later) add(v any) {
+func (l *deferredWork) add(v any) {
 	if l.ids == nil {
 		l.ids = map[string]int{}
 	}
@@ -46,10 +46,10 @@
 	}
 }
 
-func (l *later) has(id string) bool { return l.ids[id] > 0 }
+func (l *deferredWork) has(id string) bool { return l.ids[id] > 0 }
 
 // take removes and returns up to n of the oldest values.
-func (l *later) take(n int) []any {
+func (l *deferredWork) take(n int) []any {
 	n = min(n, len(l.list))
 	out := l.list[:n:n]
 	for _, v := range out {
@@ -68,9 +68,9 @@
 // idsOf returns the ids of the messages that a submission or withdrawal is about.
 func idsOf(v any) (ids []string) {
 	switch v := v.(type) {
-	case *handIn:
+	case *submission:
 		ids = []string{v.Message.ID}
-	case *handInAll:
+	case *groupSubmission:
 		for i := range v.Submissions {
 			ids = append(ids, v.Submissions[i].Message.ID)
 		}
@@ -85,26 +85,26 @@
 // start, the others wait here. If more started than the CPU can serve, each would take longer, and each would need a
 // connection of its own meanwhile.
 type load struct {
-	probe   host.Probe     // nil: delay is not measured
-	out     bool           // the probe is under way
-	sent    atomic.Int64   // engine.Time at which it was sent
-	seen    engine.Time    // when the gate was last informed that the probe is still under way
-	handIns int            // submissions since the last probe was sent, or found unnecessary
-	started int            // calls started since then
-	waiting []*engine.Call // to be started, oldest first
-	done    int            // messages that ended since the gate was last informed
+	probe          host.Probe     // nil: delay is not measured
+	probeOut       bool           // the probe is under way
+	probeSent      atomic.Int64   // engine.Time at which it was sent
+	lastLateReport engine.Time    // when the gate was last informed that the probe is still under way
+	submissions    int            // submissions since the last probe was sent, or found unnecessary
+	callsStarted   int            // calls started since then
+	queuedCalls    []*engine.Call // to be started, oldest first
+	endedMessages  int            // messages that ended since the gate was last informed
 }
 
 const (
-	lot       = 256                      // calls that start between two probes
-	fewEach   = 8                        // calls and submissions since the last probe; fewer need no new one
-	probeGap  = 5 * control.Millisecond  // between two probes
-	probeSeen = 50 * control.Millisecond // between two reports to the gate that a probe is still under way
-	probeLost = 1 * time.Second          // after which a probe is taken to be lost
+	callsPerProbe      = 256                      // calls that start between two probes
+	minWorkForProbe    = 8                        // calls and submissions since the last probe; fewer need no new one
+	probeInterval      = 5 * control.Millisecond  // between two probes
+	lateReportInterval = 50 * control.Millisecond // between two reports to the gate that a probe is still under way
+	probeTimeout       = 1 * time.Second          // after which a probe is taken to be lost
 )
 
-// probeBack reports that the probe is back.
-type probeBack struct{ late engine.Time }
+// probeReturn reports that the probe is back.
+type probeReturn struct{ delay engine.Time }
 
 // MeasureLag has the driver measure how late the process is, if the host supports it. A runtime that has the process for
 // itself calls it before Run. Without it the delay counts as zero.
@@ -114,7 +114,7 @@
 		return
 	}
 	probe, err := p.NewProbe(func() {
-		d.inbox.Put(&probeBack{d.clock.At(d.host.Now()) - engine.Time(d.load.sent.Load())})
+		d.inbox.Put(&probeReturn{d.clock.At(d.host.Now()) - engine.Time(d.load.probeSent.Load())})
 	})
 	if err != nil {
 		d.log.Warn("the delay of the process can't be measured", "error", err)
@@ -125,75 +125,75 @@
 
 // mayStart reports whether another call may start before the next probe.
 func (l *load) mayStart() bool {
-	return l.probe == nil || l.started < lot
+	return l.probe == nil || l.callsStarted < callsPerProbe
 }
 
-// start starts a call or queues it.
-func (d *Driver) start(c *engine.Call) {
-	if l := &d.load; len(l.waiting) > 0 || !l.mayStart() {
-		if _, held := d.made[c.ID]; !held {
-			d.made[c.ID] = 0 // no round has this number, so the call needs a new permit before it starts
+// startOrQueue starts a call or queues it.
+func (d *Driver) startOrQueue(c *engine.Call) {
+	if l := &d.load; len(l.queuedCalls) > 0 || !l.mayStart() {
+		if _, held := d.madeInRound[c.ID]; !held {
+			d.madeInRound[c.ID] = 0 // no round has this number, so the call needs a new permit before it starts
 		}
-		l.waiting = append(l.waiting, c)
+		l.queuedCalls = append(l.queuedCalls, c)
 		return
 	}
-	d.load.started++
-	d.call(c)
+	d.load.callsStarted++
+	d.startCall(c)
 }
 
-// startWaiting starts as many queued calls as are allowed.
-func (d *Driver) startWaiting() {
+// startQueued starts as many queued calls as are allowed.
+func (d *Driver) startQueued() {
 	l := &d.load
 	n := 0
-	for ; n < len(l.waiting) && l.mayStart(); n++ {
-		c := l.waiting[n]
-		l.waiting[n] = nil
-		l.started++
-		d.call(c)
+	for ; n < len(l.queuedCalls) && l.mayStart(); n++ {
+		c := l.queuedCalls[n]
+		l.queuedCalls[n] = nil
+		l.callsStarted++
+		d.startCall(c)
 	}
-	if l.waiting = l.waiting[n:]; len(l.waiting) == 0 {
-		l.waiting = nil
+	if l.queuedCalls = l.queuedCalls[n:]; len(l.queuedCalls) == 0 {
+		l.queuedCalls = nil
 	}
 }
 
-// measure ends a round. It starts queued calls, sends the probe if there is work whose delay can be measured, and informs the
+// endRound ends a round. It starts queued calls, sends the probe if there is work whose delay can be measured, and informs the
 // gate of messages that ended and of a probe that is late.
-func (d *Driver) measure() {
+func (d *Driver) endRound() {
 	l := &d.load
-	d.startWaiting()
-	if l.out && d.now.At-engine.Time(l.sent.Load()) > engine.Time(probeLost.Microseconds()) {
-		l.out = false
+	d.startQueued()
+	if l.probeOut && d.now.At-engine.Time(l.probeSent.Load()) > engine.Time(probeTimeout.Microseconds()) {
+		l.probeOut = false
 	}
-	if since := d.now.At - engine.Time(l.sent.Load()); l.probe != nil && !l.out && (since >= probeGap || l.started >= lot) {
-		if l.started+l.handIns >= fewEach {
-			l.out = true
-			l.sent.Store(int64(d.clock.At(d.host.Now())))
+	if since := d.now.At - engine.Time(l.probeSent.Load()); l.probe != nil && !l.probeOut && (since >= probeInterval || l.callsStarted >= callsPerProbe) {
+		if l.callsStarted+l.submissions >= minWorkForProbe {
+			l.probeOut = true
+			l.probeSent.Store(int64(d.clock.At(d.host.Now())))
 			l.probe.Send()
 		}
-		l.started, l.handIns = 0, 0
-		d.startWaiting() // the next lot runs behind the probe
+		l.callsStarted, l.submissions = 0, 0
+		d.startQueued() // the next lot runs behind the probe
 	}
 	out := engine.Time(0) // how long the probe has been under way, if the gate is to be informed
-	if sent := engine.Time(l.sent.Load()); l.out && d.now.At-max(sent, l.seen) >= probeSeen {
-		l.seen, out = d.now.At, d.now.At-sent
+	if sent := engine.Time(l.probeSent.Load()); l.probeOut && d.now.At-max(sent, l.lastLateReport) >= lateReportInterval {
+		l.lastLateReport, out = d.now.At, d.now.At-sent
 	}
-	if l.done > 0 || out > 0 {
-		d.door.mu.Lock()
-		defer d.door.mu.Unlock()
-		if l.done > 0 {
-			d.door.gate.Completed(d.now.At, l.done)
-			l.done = 0
+	if l.endedMessages > 0 || out > 0 {
+		d.admission.mu.Lock()
+		defer d.admission.mu.Unlock()
+		if l.endedMessages > 0 {
+			d.admission.gate.Completed(d.now.At, l.endedMessages)
+			l.endedMessages = 0
 		}
 		if out > 0 {
-			d.door.gate.ObserveDelay(d.now.At, out)
+			d.admission.gate.ObserveDelay(d.now.At, out)
 		}
 	}
 }
 
-// back handles the return of the probe.
-func (d *Driver) back(p *probeBack) {
-	d.load.out, d.load.started = false, 0
-	d.door.mu.Lock()
-	defer d.door.mu.Unlock()
-	d.door.gate.ObserveDelay(d.now.At, p.late)
+// probeReturned handles the return of the probe.
+func (d *Driver) probeReturned(p *probeReturn) {
+	d.load.probeOut, d.load.callsStarted = false, 0
+	d.admission.mu.Lock()
+	defer d.admission.mu.Unlock()
+	d.admission.gate.ObserveDelay(d.now.At, p.delay)
 }
--- a/internal/driver/load_test.go
+++ b/internal/driver/load_test.go
@@ -27,8 +27,8 @@
 
 func (h *lateHost) Close() {}
 
-// handAll submits n messages concurrently and waits until all are accepted.
-func (r *rig) handAll(name string, n int) {
+// submitAll submits n messages concurrently and waits until all are accepted.
+func (r *rig) submitAll(name string, n int) {
 	r.t.Helper()
 	var all sync.WaitGroup
 	for i := range n {
@@ -41,8 +41,8 @@
 	all.Wait()
 }
 
-// answered lets the probe come back until the given number of calls has started.
-func (r *rig) answered(h *lateHost, calls int) {
+// returnProbesUntil lets the probe come back until the given number of calls has started.
+func (r *rig) returnProbesUntil(h *lateHost, calls int) {
 	r.t.Helper()
 	for limit := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) { // between two probes
 		h.back()
@@ -60,36 +60,36 @@
 
 // While the probe is under way, at most lot calls start beside those from before it was sent. The others start once it is
 // back.
-func TestNoMoreCallsStartThanGetTheirTurn(t *testing.T) {
+func TestCallsStartInLotsBetweenProbes(t *testing.T) {
 	t.Parallel()
 	h := &lateHost{}
-	r := newRigOn(t, h, 8*lot)
-	r.handAll("m", 3*lot)
-	r.await("lot calls", func() bool { return len(r.calls) >= lot })
-	r.handAll("n", 2) // makes further rounds
+	r := newRigOn(t, h, 8*callsPerProbe)
+	r.submitAll("m", 3*callsPerProbe)
+	r.await("lot calls", func() bool { return len(r.calls) >= callsPerProbe })
+	r.submitAll("n", 2) // makes further rounds
 	r.mu.Lock()
-	if len(r.calls) > 2*lot {
-		t.Errorf("%d calls have started, want %d at most", len(r.calls), 2*lot)
+	if len(r.calls) > 2*callsPerProbe {
+		t.Errorf("%d calls have started, want %d at most", len(r.calls), 2*callsPerProbe)
 	}
 	r.mu.Unlock()
-	r.answered(h, 3*lot+2)
+	r.returnProbesUntil(h, 3*callsPerProbe+2)
 }
 
 // A call that waited for a probe needs a new permit: a message that was withdrawn meanwhile must not be sent.
-func TestACallThatWaitedForItsTurnAsksAgain(t *testing.T) {
+func TestQueuedCallNeedsNewPermit(t *testing.T) {
 	t.Parallel()
 	for _, stored := range []bool{true, false} {
-		asksAgain(t, stored)
+		withdrawQueuedCall(t, stored)
 	}
 }
 
-func asksAgain(t *testing.T, stored bool) {
+func withdrawQueuedCall(t *testing.T, stored bool) {
 	t.Helper()
 	h := &lateHost{}
-	r := newRigWith(t, h, 8*lot, stored)
-	r.handAll("m", 3*lot)
-	r.await("lot calls", func() bool { return len(r.calls) >= lot })
-	r.handAll("n", 2) // makes further rounds
+	r := newRigWith(t, h, 8*callsPerProbe, stored)
+	r.submitAll("m", 3*callsPerProbe)
+	r.await("lot calls", func() bool { return len(r.calls) >= callsPerProbe })
+	r.submitAll("n", 2) // makes further rounds
 	started := map[string]bool{}
 	r.mu.Lock()
 	for _, c := range r.calls {
@@ -97,7 +97,7 @@
 	}
 	r.mu.Unlock()
 	gone := ""
-	for i := range 3 * lot {
+	for i := range 3 * callsPerProbe {
 		if id := fmt.Sprint("m", i); !started[id] {
 			gone = id
 			break
@@ -105,7 +105,7 @@
 	}
 	r.Withdraw(gone)
 	r.await("its end", func() bool { return len(r.dones) > 0 })
-	r.answered(h, 3*lot+1)
+	r.returnProbesUntil(h, 3*callsPerProbe+1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.calls {
@@ -116,22 +116,22 @@
 }
 
 // An outcome must not wait behind more submissions than one round handles.
-func TestOutcomesGoBeforeNewWork(t *testing.T) {
+func TestOutcomesAreHandledBeforeDeferredSubmissions(t *testing.T) {
 	t.Parallel()
-	r := newRigOn(t, host.System{}, 4*newWork)
-	r.handAll("first", 1)
+	r := newRigOn(t, host.System{}, 4*maxSubmissionsPerRound)
+	r.submitAll("first", 1)
 	r.await("its call", func() bool { return len(r.calls) == 1 })
 	id, hold := r.calls[0].ID, make(chan struct{})
-	r.set(func() { r.hold = hold })
-	blocker := r.handIn("blocker")
-	r.await("the driver is busy", func() bool { return r.held })
-	replies := make([]host.Inbox, 3*newWork)
+	r.set(func() { r.blockAppend = hold })
+	blocker := r.submit("blocker")
+	r.await("the driver is busy", func() bool { return r.appendBlocked })
+	replies := make([]host.Inbox, 3*maxSubmissionsPerRound)
 	for i := range replies {
 		replies[i] = host.System{}.NewInbox()
 		r.SubmitAsync(message(fmt.Sprint("new", i)), time.Now().Add(time.Minute), false, replies[i])
 	}
 	r.Ended(id, []engine.Outcome{{}})
-	r.set(func() { r.hold = nil })
+	r.set(func() { r.blockAppend = nil })
 	close(hold)
 	<-blocker
 	for i, b := range replies {
@@ -145,7 +145,7 @@
 	for _, x := range r.records {
 		switch x.(type) {
 		case *engine.RecEnded:
-			if before > newWork+2 {
+			if before > maxSubmissionsPerRound+2 {
 				t.Errorf("the outcome was handled behind %d submissions", before-2)
 			}
 			return
@@ -157,10 +157,10 @@
 }
 
 // A withdrawal stays behind the submission of its message and ahead of later values, however many submissions wait.
-func TestAWithdrawalKeepsItsPlace(t *testing.T) {
+func TestWithdrawalStaysBehindItsMessage(t *testing.T) {
 	t.Parallel()
-	l := &later{}
-	first, group := &handIn{}, &handInAll{}
+	l := &deferredWork{}
+	first, group := &submission{}, &groupSubmission{}
 	first.Message.ID = "a"
 	group.Submissions = []engine.Submit{{Message: *message("b")}, {Message: *message("c")}}
 	l.add(first)
@@ -180,7 +180,7 @@
 }
 
 // A process that stays late for a while must reject new messages. A short delay must not be enough.
-func TestWhileTheProcessIsLateNewWorkIsTurnedAway(t *testing.T) {
+func TestLateProcessRejectsNewMessages(t *testing.T) {
 	t.Parallel()
 	h := &lateHost{}
 	r := newRigOn(t, h, 400)
@@ -203,7 +203,7 @@
 		if time.Since(began) > 20*time.Second {
 			t.Fatal("the process is late, but nothing is rejected")
 		}
-		r.load.sent.Store(int64(r.clock.At(time.Now()) - 30*control.Millisecond))
+		r.load.probeSent.Store(int64(r.clock.At(time.Now()) - 30*control.Millisecond))
 		h.back() // 30 ms late
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -213,20 +213,20 @@
 }
 
 // A probe that does not come back must count as late, too.
-func TestAProbeThatStaysOutTellsThatAllIsLate(t *testing.T) {
+func TestProbeThatStaysOutCountsAsLate(t *testing.T) {
 	t.Parallel()
 	h := &lateHost{}
 	r := newRigOn(t, h, 400)
 	limited := func() bool {
-		r.door.mu.Lock()
-		defer r.door.mu.Unlock()
-		return r.door.gate.Limited()
+		r.admission.mu.Lock()
+		defer r.admission.mu.Unlock()
+		return r.admission.gate.Limited()
 	}
 	for i, began := 0, time.Now(); !limited(); i++ {
 		if time.Since(began) > 20*time.Second {
 			t.Fatal("the probe does not come back, but nothing is rejected")
 		}
-		r.handAll(fmt.Sprint("m", i, "-"), fewEach) // enough work for a probe to be sent
-		time.Sleep(20 * time.Millisecond)           // so that the delay lasts
+		r.submitAll(fmt.Sprint("m", i, "-"), minWorkForProbe) // enough work for a probe to be sent
+		time.Sleep(20 * time.Millisecond)                     // so that the delay lasts
 	}
 }
--- a/internal/driver/share.go
+++ b/internal/driver/share.go
@@ -7,21 +7,21 @@
 	"curlewmux/engine"
 )
 
-// share lets the goroutines that call a driver make its rounds themselves. This saves the switch to another goroutine, whose
-// thread may have to be woken first. Run makes the remaining rounds: those at times that the engine asked for, and those for
+// sharedRounds lets the goroutines that call a driver make its rounds themselves. This saves the switch to another
+// goroutine, whose thread may have to be woken first. Run makes the remaining rounds: those at times that the engine asked for, and those for
 // callers that must not be delayed.
-type share struct {
+type sharedRounds struct {
 	shared bool
 
-	turn   sync.Mutex     // held by the goroutine that makes rounds; guards the next three fields
-	sleeps time.Time      // Run sleeps until then unless it is woken; zero before Run has begun
-	taken  []any          // buffer for the values that a round handles
-	notes  []*engine.Note // for Run to log
+	turn        sync.Mutex     // held by the goroutine that makes rounds; guards the next three fields
+	sleepsUntil time.Time      // Run sleeps until then unless it is woken; zero before Run has begun
+	taken       []any          // buffer for the values that a round handles
+	notes       []*engine.Note // for Run to log
 
-	mu    sync.Mutex
-	queue []any // values that no round has taken yet
-	over  bool  // the driver has stopped: nothing is queued any more
-	crowd bool  // more than crowded messages were open at the newest round
+	mu      sync.Mutex
+	queue   []any // values that no round has taken yet
+	stopped bool  // the driver has stopped: nothing is queued any more
+	crowded bool  // more than crowdedAbove messages were open at the newest round
 }
 
 // ShareRounds lets callers of SubmitAsync, Withdraw, Ended and MayWrite make rounds. They must not hold a lock that the
@@ -29,43 +29,43 @@
 // round must not block.
 func (d *Driver) ShareRounds() { d.shared = true }
 
-// crowded is the number of open messages above which Run alone makes rounds. One round for the values of many callers costs
+// crowdedAbove is the number of open messages above which Run alone makes rounds. One round for the values of many callers costs
 // less than a round for each.
-const crowded = 16
+const crowdedAbove = 16
 
-// passes is the number of rounds that one caller makes at most. All but the first are mostly for others.
-const passes = 4
+// maxRoundsPerCaller is the number of rounds that one caller makes at most. All but the first are mostly for others.
+const maxRoundsPerCaller = 4
 
-// woken is put into the inbox to wake Run, which then handles the queue.
-type woken struct{}
+// wakeRun is put into the inbox to wake Run, which then handles the queue.
+type wakeRun struct{}
 
-// put queues a value for Run. It returns false if the driver has stopped.
-func (d *Driver) put(v any) bool {
+// enqueue queues a value for Run. It returns false if the driver has stopped.
+func (d *Driver) enqueue(v any) bool {
 	if !d.shared {
 		return d.inbox.Put(v)
 	}
-	ok, _ := d.add(v)
-	return ok && d.inbox.Put(woken{})
+	ok, _ := d.addToQueue(v)
+	return ok && d.inbox.Put(wakeRun{})
 }
 
-// serve queues a value and makes the round that handles it, unless another goroutine is making rounds. It returns false if
+// runOrEnqueue queues a value and makes the round that handles it, unless another goroutine is making rounds. It returns false if
 // the driver has stopped.
-func (d *Driver) serve(v any) bool {
+func (d *Driver) runOrEnqueue(v any) bool {
 	if !d.shared {
 		return d.inbox.Put(v)
 	}
-	ok, crowd := d.add(v)
+	ok, crowd := d.addToQueue(v)
 	if !ok || crowd {
-		return ok && d.inbox.Put(woken{})
+		return ok && d.inbox.Put(wakeRun{})
 	}
 	// A caller that finds the turn taken leaves its value to the holder, who checks the queue again after releasing the turn.
 	// The same holds for values that components queue from within a round.
-	for n := 1; d.waiting() && d.turn.TryLock(); n++ {
-		leave := d.makeRounds() || n == passes
-		late := d.sleeps.IsZero() || d.until().Before(d.sleeps) || len(d.notes) > 0 // Run would sleep too long
+	for n := 1; d.hasQueued() && d.turn.TryLock(); n++ {
+		leave := d.makeRounds() || n == maxRoundsPerCaller
+		late := d.sleepsUntil.IsZero() || d.nextRound().Before(d.sleepsUntil) || len(d.notes) > 0 // Run would sleep too long
 		d.turn.Unlock()
 		if leave || late {
-			d.inbox.Put(woken{})
+			d.inbox.Put(wakeRun{})
 		}
 		if leave {
 			break
@@ -74,17 +74,17 @@
 	return true
 }
 
-func (d *Driver) add(v any) (ok, crowd bool) {
+func (d *Driver) addToQueue(v any) (ok, crowd bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.over {
+	if d.stopped {
 		return false, false
 	}
 	d.queue = append(d.queue, v)
-	return true, d.crowd
+	return true, d.crowded
 }
 
-func (d *Driver) waiting() bool {
+func (d *Driver) hasQueued() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.queue) > 0
@@ -93,12 +93,12 @@
 // makeRounds makes a round for the values in the queue. The caller holds turn. It returns true once the driver has ended.
 func (d *Driver) makeRounds() (over bool) {
 	d.mu.Lock()
-	if d.over {
+	if d.stopped {
 		d.mu.Unlock()
 		return true
 	}
 	d.taken, d.queue = d.queue, d.taken[:0]
-	d.crowd = d.e.OpenMessages() > crowded
+	d.crowded = d.engine.OpenMessages() > crowdedAbove
 	d.mu.Unlock()
 	return d.makeRound(d.taken)
 }
@@ -109,8 +109,8 @@
 	for {
 		d.turn.Lock()
 		over := d.makeRounds()
-		until := d.until()
-		d.sleeps = until
+		until := d.nextRound()
+		d.sleepsUntil = until
 		notes := d.notes
 		d.notes = nil
 		d.turn.Unlock()
@@ -120,20 +120,20 @@
 		if over {
 			return
 		}
-		if !d.waiting() { // values may have been queued while the turn was taken
+		if !d.hasQueued() { // values may have been queued while the turn was taken
 			list = d.inbox.Take(list[:0], until)
 		}
 	}
 }
 
-// shut stops queueing and returns the values that no round has taken.
-func (d *Driver) shut() []any {
+// closeQueue stops queueing and returns the values that no round has taken.
+func (d *Driver) closeQueue() []any {
 	if !d.shared {
 		return d.inbox.Close()
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	left := d.queue
-	d.over, d.queue = true, nil
+	d.stopped, d.queue = true, nil
 	return left
 }
--- a/internal/driver/share_test.go
+++ b/internal/driver/share_test.go
@@ -13,47 +13,47 @@
 	"curlewmux/internal/host"
 )
 
-// direct is the transport and sink of a driver with shared rounds.
-type direct struct {
-	mu    sync.Mutex
-	by    map[string]chan any // by message id: receives its calls and its engine.Done
-	calls func(*engine.Call)  // if set, receives all calls instead
+// directTransport is the transport and sink of a driver with shared rounds.
+type directTransport struct {
+	mu     sync.Mutex
+	events map[string]chan any // by message id: receives its calls and its engine.Done
+	onCall func(*engine.Call)  // if set, receives all calls instead
 }
 
-func (r *direct) expect(id string) chan any {
+func (r *directTransport) expect(id string) chan any {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := make(chan any, 8)
-	r.by[id] = c
+	r.events[id] = c
 	return c
 }
 
-func (r *direct) tell(id string, v any) {
+func (r *directTransport) record(id string, v any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if c := r.by[id]; c != nil {
+	if c := r.events[id]; c != nil {
 		c <- v
 	}
 }
 
-func (r *direct) Start(c *engine.Call, _ engine.CallEvents) {
-	if r.calls != nil {
-		r.calls(c)
+func (r *directTransport) Start(c *engine.Call, _ engine.CallEvents) {
+	if r.onCall != nil {
+		r.onCall(c)
 		return
 	}
-	r.tell(c.Items[0].ID, c)
+	r.record(c.Items[0].ID, c)
 }
-func (r *direct) Abort(engine.CallID)                   {}
-func (r *direct) CloseIdle(*engine.CloseIdle)           {}
-func (r *direct) RemoveEndpoint(*engine.RemoveEndpoint) {}
-func (r *direct) Completed(d *engine.Done)              { r.tell(d.ID, d) }
+func (r *directTransport) Abort(engine.CallID)                   {}
+func (r *directTransport) CloseIdle(*engine.CloseIdle)           {}
+func (r *directTransport) RemoveEndpoint(*engine.RemoveEndpoint) {}
+func (r *directTransport) Completed(d *engine.Done)              { r.record(d.ID, d) }
 
-// verdicts is a reply inbox that discards its values.
-type verdicts struct{ host.Inbox }
+// discardInbox is a reply inbox that discards its values.
+type discardInbox struct{ host.Inbox }
 
-func (verdicts) Put(any) bool { return true }
+func (discardInbox) Put(any) bool { return true }
 
-func newShared(t testing.TB, slots int, members ...engine.Member) (*Driver, *direct) {
+func newShared(t testing.TB, slots int, members ...engine.Member) (*Driver, *directTransport) {
 	t.Helper()
 	const s = control.Second
 	e, err := engine.New(engine.Settings{
@@ -69,16 +69,16 @@
 	}
 	h := host.System{}
 	d := New(h, engine.Clock{Start: h.Now()}, e, slog.New(slog.DiscardHandler))
-	to := &direct{by: map[string]chan any{}}
+	to := &directTransport{events: map[string]chan any{}}
 	d.Components = Components{Transport: to, Sink: to}
 	d.ShareRounds()
 	d.Handle(&engine.Members{Source: "list", FullList: true, List: members}, &engine.Wake{})
 	return d, to
 }
 
-var active = engine.Member{ID: "e", Addr: "h:1", Destination: 1, Phase: engine.Active}
+var activeMember = engine.Member{ID: "e", Addr: "h:1", Destination: 1, Phase: engine.Active}
 
-func run(t testing.TB, d *Driver) {
+func startDriver(t testing.TB, d *Driver) {
 	ran := make(chan struct{})
 	go func() {
 		defer close(ran)
@@ -90,17 +90,17 @@
 	})
 }
 
-func single(id string) *engine.Message {
+func newMessage(id string) *engine.Message {
 	return &engine.Message{ID: id, Class: "unsafe", Destination: 1}
 }
 
 // Without Run, callers must make the rounds for their own events.
-func TestACallerMakesTheRoundsOfWhatItTells(t *testing.T) {
+func TestCallersMakeTheirOwnRounds(t *testing.T) {
 	t.Parallel()
-	d, to := newShared(t, 1, active)
+	d, to := newShared(t, 1, activeMember)
 	first, second := to.expect("a"), to.expect("b")
 	in := time.Now().Add(time.Minute)
-	if !d.SubmitAsync(single("a"), in, true, verdicts{}) || !d.SubmitAsync(single("b"), in, true, verdicts{}) || len(first) != 1 || len(second) != 0 {
+	if !d.SubmitAsync(newMessage("a"), in, true, discardInbox{}) || !d.SubmitAsync(newMessage("b"), in, true, discardInbox{}) || len(first) != 1 || len(second) != 0 {
 		t.Fatalf("with one slot: %d and %d events", len(first), len(second))
 	}
 	call := (<-first).(*engine.Call)
@@ -116,23 +116,23 @@
 	if e := d.Engine(); e.OpenMessages() != 0 || e.CallsOut() != 0 {
 		t.Errorf("%d messages open, %d calls out", e.OpenMessages(), e.CallsOut())
 	}
-	run(t, d)
+	startDriver(t, d)
 }
 
 // If a caller's round leaves something due earlier than Run would wake up, Run must be woken.
-func TestRunIsWokenForWhatACallersRoundLeavesDue(t *testing.T) {
+func TestRunWakesForDeadlineSetInCallersRound(t *testing.T) {
 	t.Parallel()
-	leaving := active
+	leaving := activeMember
 	leaving.Phase = engine.Leaving
 	d, to := newShared(t, 1, leaving)
-	run(t, d)
-	for d.turn.Lock(); time.Until(d.sleeps) < time.Second; d.turn.Lock() { // until Run sleeps for seconds
+	startDriver(t, d)
+	for d.turn.Lock(); time.Until(d.sleepsUntil) < time.Second; d.turn.Lock() { // until Run sleeps for seconds
 		d.turn.Unlock()
 		time.Sleep(time.Millisecond) // polling interval
 	}
 	d.turn.Unlock()
 	end := to.expect("a")
-	if !d.SubmitAsync(single("a"), time.Now().Add(50*time.Millisecond), true, verdicts{}) {
+	if !d.SubmitAsync(newMessage("a"), time.Now().Add(50*time.Millisecond), true, discardInbox{}) {
 		t.Fatal("the driver has stopped")
 	}
 	select {
@@ -146,39 +146,39 @@
 }
 
 // A transport may end a call from within the round that starts it.
-func TestWhatIsToldFromWithinARoundIsTakenUpBehindIt(t *testing.T) {
+func TestEventFromWithinRoundIsHandledAfterIt(t *testing.T) {
 	t.Parallel()
-	d, to := newShared(t, 1, active)
-	to.calls = func(c *engine.Call) { d.Ended(c.ID, []engine.Outcome{{Result: control.OK}}) }
+	d, to := newShared(t, 1, activeMember)
+	to.onCall = func(c *engine.Call) { d.Ended(c.ID, []engine.Outcome{{Result: control.OK}}) }
 	end := to.expect("a")
-	d.SubmitAsync(single("a"), time.Now().Add(time.Minute), true, verdicts{})
+	d.SubmitAsync(newMessage("a"), time.Now().Add(time.Minute), true, discardInbox{})
 	if len(end) != 1 {
 		t.Fatal("the outcome was not handled")
 	}
-	run(t, d)
+	startDriver(t, d)
 }
 
-// asleep is an inbox that fails the test if Run sleeps with values in the queue.
-type asleep struct {
+// sleepCheck is an inbox that fails the test if Run sleeps with values in the queue.
+type sleepCheck struct {
 	host.Inbox
 	d *Driver
 	t *testing.T
 }
 
-func (a asleep) Take(into []any, until time.Time) []any {
-	if a.d.waiting() {
+func (a sleepCheck) Take(into []any, until time.Time) []any {
+	if a.d.hasQueued() {
 		a.t.Error("Run goes to sleep with values in the queue")
 	}
 	return a.Inbox.Take(into, until)
 }
 
-func TestRunTakesUpWhatItHadTheTurnFor(t *testing.T) {
+func TestRunHandlesValuesQueuedDuringItsRound(t *testing.T) {
 	t.Parallel()
-	d, to := newShared(t, 4, active)
-	d.inbox = asleep{d.inbox, d, t}
+	d, to := newShared(t, 4, activeMember)
+	d.inbox = sleepCheck{d.inbox, d, t}
 	begun, goOn := make(chan struct{}), make(chan struct{})
 	second := make(chan struct{})
-	to.calls = func(c *engine.Call) {
+	to.onCall = func(c *engine.Call) {
 		if c.Items[0].ID == "b" {
 			close(second)
 			return
@@ -186,10 +186,10 @@
 		close(begun)
 		<-goOn
 	}
-	run(t, d)
-	d.Post(&engine.Submit{Message: *single("a"), ExpiresIn: control.Second}) // handled by Run
+	startDriver(t, d)
+	d.Post(&engine.Submit{Message: *newMessage("a"), ExpiresIn: control.Second}) // handled by Run
 	<-begun
-	if !d.SubmitAsync(single("b"), time.Now().Add(time.Minute), true, verdicts{}) {
+	if !d.SubmitAsync(newMessage("b"), time.Now().Add(time.Minute), true, discardInbox{}) {
 		t.Fatal("the driver has stopped")
 	}
 	close(goOn)
@@ -201,19 +201,19 @@
 }
 
 // With many open messages callers leave the rounds to Run, which handles the values of all of them in one round.
-func TestManyCallersLeaveTheRoundsToRun(t *testing.T) {
+func TestCrowdedCallersLeaveRoundsToRun(t *testing.T) {
 	t.Parallel()
-	d, to := newShared(t, 1, active)
+	d, to := newShared(t, 1, activeMember)
 	first := to.expect("0")
-	for i := range 2 * crowded {
-		d.SubmitAsync(single(fmt.Sprint(i)), time.Now().Add(time.Minute), true, verdicts{})
+	for i := range 2 * crowdedAbove {
+		d.SubmitAsync(newMessage(fmt.Sprint(i)), time.Now().Add(time.Minute), true, discardInbox{})
 	}
-	if got := d.Engine().OpenMessages(); got != crowded+1 && got != crowded+2 {
+	if got := d.Engine().OpenMessages(); got != crowdedAbove+1 && got != crowdedAbove+2 {
 		t.Errorf("%d messages are open without Run", got)
 	}
 	call := (<-first).(*engine.Call)
 	end := to.expect("0")
-	run(t, d)
+	startDriver(t, d)
 	d.Ended(call.ID, []engine.Outcome{{Result: control.OK}})
 	if _, ok := (<-end).(*engine.Done); !ok {
 		t.Error("the message did not end")
@@ -221,17 +221,17 @@
 }
 
 // A caller that finds the turn taken leaves its value to another goroutine. No value may be forgotten.
-func TestNoneOfManyCallersIsLeftWaiting(t *testing.T) {
+func TestNoValueOfConcurrentCallersIsForgotten(t *testing.T) {
 	t.Parallel()
-	d, to := newShared(t, 4, active)
-	run(t, d)
+	d, to := newShared(t, 4, activeMember)
+	startDriver(t, d)
 	var all sync.WaitGroup
 	for i := range 32 {
 		all.Go(func() {
 			for j := range 200 {
 				id := fmt.Sprint(i, "/", j)
 				told := to.expect(id)
-				d.SubmitAsync(single(id), time.Now().Add(time.Minute), true, verdicts{})
+				d.SubmitAsync(newMessage(id), time.Now().Add(time.Minute), true, discardInbox{})
 				for out := false; ; {
 					select {
 					case v := <-told:
@@ -259,15 +259,15 @@
 	all.Wait()
 }
 
-// calling is a log handler that calls into the driver whose log it handles.
-type calling struct {
+// callingHandler is a log handler that calls into the driver whose log it handles.
+type callingHandler struct {
 	slog.Handler
 	call func()
 }
 
-func (calling) Enabled(context.Context, slog.Level) bool { return true }
+func (callingHandler) Enabled(context.Context, slog.Level) bool { return true }
 
-func (c calling) Handle(context.Context, slog.Record) error {
+func (c callingHandler) Handle(context.Context, slog.Record) error {
 	c.call()
 	return nil
 }
@@ -275,23 +275,23 @@
 // The logger belongs to the program: it may be slow, or make a call through the same driver.
 func TestNothingIsLoggedWithinARound(t *testing.T) {
 	t.Parallel()
-	d, to := newShared(t, 1, active)
+	d, to := newShared(t, 1, activeMember)
 	told, logged := to.expect("a"), make(chan struct{})
-	d.log = slog.New(calling{call: func() {
-		d.SubmitAsync(single("a"), time.Now().Add(time.Minute), true, verdicts{})
+	d.log = slog.New(callingHandler{call: func() {
+		d.SubmitAsync(newMessage("a"), time.Now().Add(time.Minute), true, discardInbox{})
 		<-told
 		close(logged)
 	}})
-	to.calls = func(c *engine.Call) {
+	to.onCall = func(c *engine.Call) {
 		if c.Items[0].ID == "first" {
 			d.carryOut([]engine.Effect{&engine.Note{Text: "a note of this round"}})
 			return
 		}
-		to.tell(c.Items[0].ID, c)
+		to.record(c.Items[0].ID, c)
 		d.Ended(c.ID, []engine.Outcome{{Result: control.OK}})
 	}
-	run(t, d)
-	d.SubmitAsync(single("first"), time.Now().Add(time.Minute), true, verdicts{})
+	startDriver(t, d)
+	d.SubmitAsync(newMessage("first"), time.Now().Add(time.Minute), true, discardInbox{})
 	d.Ended(1, []engine.Outcome{{Result: control.OK}})
 	select {
 	case <-logged:
@@ -300,27 +300,27 @@
 	}
 }
 
-func TestASharedDriverThatEndsTellsWhoComes(t *testing.T) {
+func TestSharedDriverRejectsCallsAfterQuit(t *testing.T) {
 	t.Parallel()
-	d, _ := newShared(t, 1, active)
+	d, _ := newShared(t, 1, activeMember)
 	d.Quit()
 	d.Run()
-	if d.SubmitAsync(single("a"), time.Now().Add(time.Minute), true, verdicts{}) || d.MayWrite(1) != nil || d.Members(&engine.Members{Source: "list", Failed: true}) {
+	if d.SubmitAsync(newMessage("a"), time.Now().Add(time.Minute), true, discardInbox{}) || d.MayWrite(1) != nil || d.Members(&engine.Members{Source: "list", Failed: true}) {
 		t.Error("the driver accepts values after it has ended")
 	}
 }
 
 // BenchmarkSharedRounds measures a call from its submission to its end if its caller makes the rounds.
 func BenchmarkSharedRounds(b *testing.B) {
-	d, to := newShared(b, 4, active)
+	d, to := newShared(b, 4, activeMember)
 	calls := make(chan *engine.Call, 1)
-	to.calls = func(c *engine.Call) { calls <- c }
-	run(b, d)
+	to.onCall = func(c *engine.Call) { calls <- c }
+	startDriver(b, d)
 	b.ReportAllocs()
 	n := 0
 	for b.Loop() {
 		n++
-		if !d.SubmitAsync(single(fmt.Sprint(n)), time.Now().Add(time.Second), true, verdicts{}) {
+		if !d.SubmitAsync(newMessage(fmt.Sprint(n)), time.Now().Add(time.Second), true, discardInbox{}) {
 			b.Fatal("the driver has stopped")
 		}
 		d.Ended((<-calls).ID, []engine.Outcome{{Result: control.OK}})
--- a/internal/figures/exporter/exporter.go
+++ b/internal/figures/exporter/exporter.go
@@ -29,26 +29,26 @@
 	defer c.mu.Unlock()
 	cut, err := c.Snapshot()
 	if err != nil {
-		to <- prometheus.NewInvalidMetric(desc(&figures.Family{Name: "curlewmux_ledger", Help: "The ledger."}), err)
+		to <- prometheus.NewInvalidMetric(newDesc(&figures.Family{Name: "curlewmux_ledger", Help: "The ledger."}), err)
 		return
 	}
 	list := make([]*prometheus.Desc, len(figures.AccountFamilies))
 	for i := range list {
-		list[i] = desc(&figures.AccountFamilies[i], figures.AccountLabels[:]...)
+		list[i] = newDesc(&figures.AccountFamilies[i], figures.AccountLabels[:]...)
 	}
 	for _, s := range c.series.Select(cut) {
 		at := 0
 		s.Each(func(_ string, v ledger.Count, _ bool) {
-			to <- metric(list[at], &figures.AccountFamilies[at], float64(v), s.Labels[:])
+			to <- newMetric(list[at], &figures.AccountFamilies[at], float64(v), s.Labels[:])
 			at++
 		})
 	}
 	for _, w := range figures.LedgerMetrics(cut) {
-		to <- metric(desc(&w.Family, w.LabelNames...), &w.Family, w.Value, w.LabelValues)
+		to <- newMetric(newDesc(&w.Family, w.LabelNames...), &w.Family, w.Value, w.LabelValues)
 	}
 }
 
-func desc(f *figures.Family, labels ...string) *prometheus.Desc {
+func newDesc(f *figures.Family, labels ...string) *prometheus.Desc {
 	name := f.Name
 	if !f.Gauge {
 		name += "_total"
@@ -56,7 +56,7 @@
 	return prometheus.NewDesc(name, f.Help, labels, nil)
 }
 
-func metric(d *prometheus.Desc, f *figures.Family, v float64, labels []string) prometheus.Metric {
+func newMetric(d *prometheus.Desc, f *figures.Family, v float64, labels []string) prometheus.Metric {
 	kind := prometheus.CounterValue
 	if f.Gauge {
 		kind = prometheus.GaugeValue
--- a/internal/figures/exporter/exporter_test.go
+++ b/internal/figures/exporter/exporter_test.go
@@ -56,7 +56,7 @@
 	return out
 }
 
-func cut(names ...string) *ledger.Snapshot {
+func testSnapshot(names ...string) *ledger.Snapshot {
 	s := &ledger.Snapshot{
 		Format: ledger.Format, Instance: "a \"b\"\n", Epoch: ledger.NewEpoch(7, 1_800_000_000_000_001, ledger.ReasonNoLedger, ""), Wall: 1_800_000_123_456_789,
 		Provisional: true, Breaches: []ledger.Breach{{Check: ledger.CheckMessages, FoundAt: 1}, {Check: ledger.CheckMessages, FoundAt: 1, ResolvedAt: 2}}, MoreBreaches: 3,
@@ -78,8 +78,8 @@
 		many[i] = fmt.Sprint("class-", i)
 	}
 	for name, s := range map[string]*ledger.Snapshot{
-		"empty": cut(), "usual": cut("mail", "hooks"), "more accounts than series": cut(many...),
-		"hostile": cut(`a"b\c`+"\n", "{x=\"y\"} 1\n# EOF", "\xff\xfe", "\xff\xff", "�", "", "other", strings.Repeat("é", 30), "\x00\r\t"),
+		"empty": testSnapshot(), "usual": testSnapshot("mail", "hooks"), "more accounts than series": testSnapshot(many...),
+		"hostile": testSnapshot(`a"b\c`+"\n", "{x=\"y\"} 1\n# EOF", "\xff\xfe", "\xff\xff", "�", "", "other", strings.Repeat("é", 30), "\x00\r\t"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestWithoutACutAScrapeFails(t *testing.T) {
+func TestScrapeFailsWithoutSnapshot(t *testing.T) {
 	t.Parallel()
 	if code, text := scrape(t, func() (*ledger.Snapshot, error) { return nil, errors.New("nobody there") }); code != 500 || !strings.Contains(text, "nobody there") {
 		t.Errorf("%d %s", code, text)
@@ -123,7 +123,7 @@
 	for i := range names {
 		names[i] = fmt.Sprint("class-", i)
 	}
-	s := cut(names...)
+	s := testSnapshot(names...)
 	b.Run("library", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -28,10 +28,10 @@
 	// see and the number of snapshots and pages that are made.
 	MaxAge = 250 * time.Millisecond
 
-	patience = 2 * time.Second // limit of the wait for a snapshot, whose postings must be stored first
-	share    = 50              // making pages takes at most 1/share of the time
-	rate     = 64 << 20        // bytes served per second; copying more would delay messages
-	burst    = MaxAge          // span whose share of rate may be used at once
+	snapshotTimeout = 2 * time.Second // limit of the wait for a snapshot, whose postings must be stored first
+	idlePerWork     = 50              // making pages takes at most 1/idlePerWork of the time
+	bytesPerSecond  = 64 << 20        // bytes served per second; copying more would delay messages
+	maxBurst        = MaxAge          // span whose share of bytesPerSecond may be used at once
 )
 
 // Errors.
@@ -45,19 +45,19 @@
 	source Source
 	now    func() time.Time
 
-	mu      sync.Mutex
-	json    page
-	metrics page
-	series  Series
-	paid    time.Time // when the bytes served so far will have used up the rate limit; ahead of now during a burst
+	mu        sync.Mutex
+	json      page
+	metrics   page
+	series    Series
+	paidUntil time.Time // when the bytes served so far will have used up the rate limit; ahead of now during a burst
 }
 
 // page is a cached page. Its text is never modified, only replaced.
 type page struct {
-	text []byte
-	cut  *ledger.Snapshot // from which the text was made; nil if there is no page yet
-	ask  time.Time        // when the snapshot was requested
-	till time.Time        // when the page expires
+	text        []byte
+	snapshot    *ledger.Snapshot // from which the text was made; nil if there is no page yet
+	requestedAt time.Time        // when the snapshot was requested
+	expiresAt   time.Time        // when the page expires
 }
 
 // New returns a cache of pages about source. now is a monotonic clock.
@@ -77,7 +77,7 @@
 	return b.page(&b.metrics, func(s *ledger.Snapshot) ([]byte, error) {
 		var text bytes.Buffer
 		text.Grow(len(b.metrics.text) + len(b.metrics.text)/16)
-		metrics(&text, s, b.series.Select(s))
+		writeMetrics(&text, s, b.series.Select(s))
 		return text.Bytes(), nil
 	})
 }
@@ -85,19 +85,19 @@
 func (b *Cache) page(p *page, write func(*ledger.Snapshot) ([]byte, error)) ([]byte, error) {
 	b.mu.Lock()
 	now := b.now()
-	if b.paid.Sub(now) > burst {
+	if b.paidUntil.Sub(now) > maxBurst {
 		b.mu.Unlock()
 		return nil, ErrBusy
 	}
-	text, fresh := p.text, p.cut != nil && now.Before(p.till)
+	text, fresh := p.text, p.snapshot != nil && now.Before(p.expiresAt)
 	if fresh {
-		b.pay(now, text)
+		b.charge(now, text)
 	}
 	b.mu.Unlock()
 	if fresh {
 		return text, nil
 	}
-	cut, err := b.source.Ledger(patience)
+	cut, err := b.source.Ledger(snapshotTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
@@ -105,23 +105,23 @@
 	defer b.mu.Unlock()
 	began := b.now()
 	// Another reader may have replaced the page meanwhile. An older snapshot must not follow a newer one.
-	if p.cut != nil && (p.cut == cut || p.ask.After(now) || began.Before(p.till)) {
-		b.pay(began, p.text)
+	if p.snapshot != nil && (p.snapshot == cut || p.requestedAt.After(now) || began.Before(p.expiresAt)) {
+		b.charge(began, p.text)
 		return p.text, nil
 	}
 	if text, err = write(cut); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	made := b.now()
-	*p = page{text, cut, now, made.Add(max(MaxAge, share*made.Sub(began)))}
-	b.pay(made, text)
+	*p = page{text, cut, now, made.Add(max(MaxAge, idlePerWork*made.Sub(began)))}
+	b.charge(made, text)
 	return text, nil
 }
 
-// pay charges a served text to the rate limit. The caller holds the lock.
-func (b *Cache) pay(now time.Time, text []byte) {
-	if b.paid.Before(now) {
-		b.paid = now
+// charge charges a served text to the rate limit. The caller holds the lock.
+func (b *Cache) charge(now time.Time, text []byte) {
+	if b.paidUntil.Before(now) {
+		b.paidUntil = now
 	}
-	b.paid = b.paid.Add(time.Duration(len(text)) * time.Second / rate)
+	b.paidUntil = b.paidUntil.Add(time.Duration(len(text)) * time.Second / bytesPerSecond)
 }
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -15,38 +15,38 @@
 	"curlewmux/ledger"
 )
 
-// books is a source whose ledger a test fills. A lock takes the place of the engine's goroutine.
-type books struct {
-	mu   sync.Mutex
-	l    *ledger.Ledger
-	cuts int
-	none error
+// ledgerSource is a source whose ledger a test fills. A lock takes the place of the engine's goroutine.
+type ledgerSource struct {
+	mu        sync.Mutex
+	ledger    *ledger.Ledger
+	snapshots int
+	err       error
 }
 
-func newBooks(t testing.TB, most int) *books {
+func newLedgerSource(t testing.TB, most int) *ledgerSource {
 	t.Helper()
 	l, err := ledger.New(ledger.Settings{Instance: "n0", MaxAccounts: most}, ledger.NewEpoch(7, 1, ledger.ReasonNoLedger, ""))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &books{l: l}
+	return &ledgerSource{ledger: l}
 }
 
-func (b *books) Ledger(time.Duration) (*ledger.Snapshot, error) {
+func (b *ledgerSource) Ledger(time.Duration) (*ledger.Snapshot, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.cuts++
-	if b.none != nil {
-		return nil, b.none
+	b.snapshots++
+	if b.err != nil {
+		return nil, b.err
 	}
-	return b.l.Snapshot(int64(b.cuts)), nil
+	return b.ledger.Snapshot(int64(b.snapshots)), nil
 }
 
-func (b *books) post(k ledger.Key, list ...ledger.Entry) {
+func (b *ledgerSource) post(k ledger.Key, list ...ledger.Entry) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range list {
-		b.l.Post(b.l.Account(k), e)
+		b.ledger.Post(b.ledger.Account(k), e)
 	}
 }
 
@@ -57,9 +57,9 @@
 func (c *clock) advance(d time.Duration) { c.ns.Add(int64(d)) }
 
 // However many scrapes there are, each page takes one snapshot per MaxAge.
-func TestAThousandScrapesASecondCostAFewCuts(t *testing.T) {
+func TestFrequentScrapesShareSnapshots(t *testing.T) {
 	t.Parallel()
-	b, c := newBooks(t, 10), &clock{}
+	b, c := newLedgerSource(t, 10), &clock{}
 	c.advance(time.Hour)
 	b.post(ledger.Key{Class: "free"}, ledger.Accepted)
 	board := New(b, c.now)
@@ -72,15 +72,15 @@
 		b.post(ledger.Key{Class: "free"}, ledger.Accepted)
 		c.advance(time.Millisecond)
 	}
-	if most := 2 * int(3*time.Second/MaxAge); b.cuts > most || b.cuts < most/2 {
-		t.Errorf("%d snapshots in 3 s, want %d at most", b.cuts, most)
+	if most := 2 * int(3*time.Second/MaxAge); b.snapshots > most || b.snapshots < most/2 {
+		t.Errorf("%d snapshots in 3 s, want %d at most", b.snapshots, most)
 	}
 }
 
 // A page that is MaxAge old must be replaced by one from a new snapshot.
-func TestWhatIsShownIsNoOlderThanSaid(t *testing.T) {
+func TestPagesAreNoOlderThanMaxAge(t *testing.T) {
 	t.Parallel()
-	b, c := newBooks(t, 10), &clock{}
+	b, c := newLedgerSource(t, 10), &clock{}
 	board := New(b, c.now)
 	for i := range 20 {
 		b.post(ledger.Key{Class: "free"}, ledger.Accepted)
@@ -96,9 +96,9 @@
 }
 
 // Scrapes during postings must show balanced snapshots, and counts must never go back.
-func TestEachScrapeIsOneCut(t *testing.T) {
+func TestEachScrapeIsOneSnapshot(t *testing.T) {
 	t.Parallel()
-	b, c := newBooks(t, 10), &clock{}
+	b, c := newLedgerSource(t, 10), &clock{}
 	board := New(b, c.now)
 	done := make(chan struct{})
 	go func() {
@@ -145,12 +145,12 @@
 	readers.Wait()
 }
 
-func TestFiguresBeyondTheReachOfFloatsAreExact(t *testing.T) {
+func TestCountsBeyondFloatPrecisionAreExact(t *testing.T) {
 	t.Parallel()
 	s := &ledger.Snapshot{Format: ledger.Format, Epoch: ledger.NewEpoch(1, math.MaxInt64, ledger.ReasonNoLedger, "")}
 	f := ledger.Counts{Accepted: 1<<53 + 1, Open: math.MaxUint64}
 	s.Accounts, s.Total = []ledger.AccountCounts{{Key: ledger.Key{Class: "free"}, Counts: f}}, f
-	board := New(given{s}, time.Now)
+	board := New(fixedSource{s}, time.Now)
 	text, err := board.JSON()
 	if err != nil {
 		t.Fatal(err)
@@ -167,21 +167,21 @@
 	}
 }
 
-type given struct{ *ledger.Snapshot }
+type fixedSource struct{ *ledger.Snapshot }
 
-func (g given) Ledger(time.Duration) (*ledger.Snapshot, error) { return g.Snapshot, nil }
+func (g fixedSource) Ledger(time.Duration) (*ledger.Snapshot, error) { return g.Snapshot, nil }
 
 // The number of series is bounded, accounts keep their series over scrapes, and the sum over all series is the total.
 func TestSeriesAreBoundedAndAddUp(t *testing.T) {
 	t.Parallel()
-	b := newBooks(t, 5000)
+	b := newLedgerSource(t, 5000)
 	var series Series
 	first := map[[3]string]bool{}
 	for round := range 3 {
 		for i := range 1000 {
 			b.post(ledger.Key{Class: fmt.Sprintf("%03d-\xff%d", 999-i, round), Tenant: "\xfe"}, ledger.Accepted)
 		}
-		s := b.l.Snapshot(0)
+		s := b.ledger.Snapshot(0)
 		var sum ledger.Counts
 		list := series.Select(s)
 		for _, one := range list {
@@ -202,9 +202,9 @@
 }
 
 // The bytes served per second are bounded. After a pause of MaxAge pages are served again.
-func TestWhoAsksTooOftenIsTurnedAway(t *testing.T) {
+func TestBytesServedPerSecondAreBounded(t *testing.T) {
 	t.Parallel()
-	b, c := newBooks(t, 1000), &clock{}
+	b, c := newLedgerSource(t, 1000), &clock{}
 	for i := range 1000 {
 		b.post(ledger.Key{Class: fmt.Sprint(i)}, ledger.Accepted)
 	}
@@ -220,7 +220,7 @@
 		given += len(text)
 		c.advance(100 * time.Microsecond)
 	}
-	if most := rate + rate/4 + len(board.json.text); given > most || turned == 0 || given < rate/2 {
+	if most := bytesPerSecond + bytesPerSecond/4 + len(board.json.text); given > most || turned == 0 || given < bytesPerSecond/2 {
 		t.Errorf("%d bytes served in a second, want %d at most; %d requests were rejected", given, most, turned)
 	}
 	c.advance(MaxAge)
@@ -229,41 +229,41 @@
 	}
 }
 
-func TestWithoutACutThereIsNoText(t *testing.T) {
+func TestNoPageWithoutSnapshot(t *testing.T) {
 	t.Parallel()
-	b, c := newBooks(t, 10), &clock{}
-	b.none = errors.New("the store does not answer")
+	b, c := newLedgerSource(t, 10), &clock{}
+	b.err = errors.New("the store does not answer")
 	board := New(b, c.now)
-	if text, err := board.Metrics(); !errors.Is(err, ErrUnavailable) || !errors.Is(err, b.none) || text != nil {
+	if text, err := board.Metrics(); !errors.Is(err, ErrUnavailable) || !errors.Is(err, b.err) || text != nil {
 		t.Errorf("%q %v", text, err)
 	}
-	b.none = nil
+	b.err = nil
 	if _, err := board.Metrics(); err != nil {
 		t.Error(err)
 	}
 }
 
-// slow is a source that delays the snapshot of its first caller, so that it is old when it is returned.
-type slow struct {
-	*books
-	first chan struct{} // closed when the first caller may get its snapshot
-	asked chan struct{} // closed when the snapshot of the first caller was taken
-	later atomic.Bool
+// delayedSource is a source that delays the snapshot of its first caller, so that it is old when it is returned.
+type delayedSource struct {
+	*ledgerSource
+	release chan struct{} // closed when the first caller may get its snapshot
+	taken   chan struct{} // closed when the snapshot of the first caller was taken
+	delayed atomic.Bool
 }
 
-func (s *slow) Ledger(wait time.Duration) (*ledger.Snapshot, error) {
-	cut, err := s.books.Ledger(wait)
-	if !s.later.Swap(true) {
-		close(s.asked)
-		<-s.first
+func (s *delayedSource) Ledger(wait time.Duration) (*ledger.Snapshot, error) {
+	cut, err := s.ledgerSource.Ledger(wait)
+	if !s.delayed.Swap(true) {
+		close(s.taken)
+		<-s.release
 	}
 	return cut, err
 }
 
 // A snapshot that was delayed must not replace a newer one.
-func TestNoOlderCutComesBehindANewerOne(t *testing.T) {
+func TestDelayedSnapshotDoesNotReplaceNewerPage(t *testing.T) {
 	t.Parallel()
-	b, c := &slow{books: newBooks(t, 10), first: make(chan struct{}), asked: make(chan struct{})}, &clock{}
+	b, c := &delayedSource{ledgerSource: newLedgerSource(t, 10), release: make(chan struct{}), taken: make(chan struct{})}, &clock{}
 	board := New(b, c.now)
 	late := make(chan []byte)
 	go func() {
@@ -273,7 +273,7 @@
 		}
 		late <- text
 	}()
-	<-b.asked
+	<-b.taken
 	b.post(ledger.Key{Class: "free"}, ledger.Accepted)
 	c.advance(time.Second)
 	newer, err := board.JSON()
@@ -281,30 +281,30 @@
 		t.Fatal(err)
 	}
 	c.advance(2 * MaxAge) // even if the newer page has expired
-	close(b.first)
+	close(b.release)
 	if text := <-late; !bytes.Equal(text, newer) {
 		t.Errorf("%s after %s", text, newer)
 	}
 }
 
-// crowd is a source that returns no snapshot before all expected callers have asked.
-type crowd struct {
-	*books
-	all sync.WaitGroup
+// crowdSource is a source that returns no snapshot before all expected callers have asked.
+type crowdSource struct {
+	*ledgerSource
+	callers sync.WaitGroup
 }
 
-func (c *crowd) Ledger(wait time.Duration) (*ledger.Snapshot, error) {
-	c.all.Done()
-	c.all.Wait()
-	return c.books.Ledger(wait)
+func (c *crowdSource) Ledger(wait time.Duration) (*ledger.Snapshot, error) {
+	c.callers.Done()
+	c.callers.Wait()
+	return c.ledgerSource.Ledger(wait)
 }
 
 // Readers that ask at the same time share one page, even if they got different snapshots.
-func TestThoseWhoAskTogetherShareOneText(t *testing.T) {
+func TestConcurrentReadersShareOnePage(t *testing.T) {
 	t.Parallel()
 	const n = 20
-	b, c := &crowd{books: newBooks(t, 10)}, &clock{}
-	b.all.Add(n)
+	b, c := &crowdSource{ledgerSource: newLedgerSource(t, 10)}, &clock{}
+	b.callers.Add(n)
 	board := New(b, c.now)
 	texts := make(chan *byte, n)
 	for range n {
@@ -327,9 +327,9 @@
 }
 
 // Making pages must take at most a fiftieth of the time, so a page that takes longer is made less often.
-func TestTextsThatTakeLongAreMadeSeldom(t *testing.T) {
+func TestSlowPagesAreMadeLessOften(t *testing.T) {
 	t.Parallel()
-	b, c := newBooks(t, 10), &clock{}
+	b, c := newLedgerSource(t, 10), &clock{}
 	board := New(b, func() time.Time { // each reading of the clock takes 20 ms
 		c.advance(20 * time.Millisecond)
 		return c.now()
@@ -339,7 +339,7 @@
 			t.Fatal(err)
 		}
 	}
-	if b.cuts > 11 {
-		t.Errorf("%d pages in 10 s, at 20 ms each", b.cuts)
+	if b.snapshots > 11 {
+		t.Errorf("%d pages in 10 s, at 20 ms each", b.snapshots)
 	}
 }
--- a/internal/figures/metrics.go
+++ b/internal/figures/metrics.go
@@ -10,9 +10,9 @@
 // ContentTypeMetrics is the media type of metrics.
 const ContentTypeMetrics = "application/openmetrics-text; version=1.0.0; charset=utf-8"
 
-// metrics writes a snapshot in the OpenMetrics text format. Package exporter produces the same with prometheus/client_golang,
+// writeMetrics writes a snapshot in the OpenMetrics text format. Package exporter produces the same with prometheus/client_golang,
 // and its tests compare both. A dispatcher does not link that library, see docs/design/ledger-shown.md.
-func metrics(b *bytes.Buffer, s *ledger.Snapshot, series []AccountSeries) {
+func writeMetrics(b *bytes.Buffer, s *ledger.Snapshot, series []AccountSeries) {
 	figures := make([]ledger.Count, 0, len(series)*len(AccountFamilies)) // the counts of one series after the other
 	labels := make([]string, len(series))
 	var buf []byte
@@ -21,24 +21,24 @@
 		buf = appendLabels(buf[:0], AccountLabels[:], series[i].Labels[:])
 		labels[i] = string(buf)
 	}
-	names(LedgerMetrics(s), func(at int) {
+	visitByName(LedgerMetrics(s), func(at int) {
 		f := &AccountFamilies[at]
-		head(b, f)
+		writeHeader(b, f)
 		for i := range series {
-			buf = append(append(sample(buf[:0], f), labels[i]...), ' ')
+			buf = append(append(appendSampleName(buf[:0], f), labels[i]...), ' ')
 			buf = append(strconv.AppendUint(buf, uint64(figures[i*len(AccountFamilies)+at]), 10), '\n')
 			b.Write(buf)
 		}
 	}, func(w *LedgerMetric) {
-		head(b, &w.Family)
-		buf = append(appendLabels(sample(buf[:0], &w.Family), w.LabelNames, w.LabelValues), ' ')
+		writeHeader(b, &w.Family)
+		buf = append(appendLabels(appendSampleName(buf[:0], &w.Family), w.LabelNames, w.LabelValues), ' ')
 		buf = append(strconv.AppendFloat(buf, w.Value, 'f', -1, 64), '\n')
 		b.Write(buf)
 	})
 	b.WriteString("# EOF\n")
 }
 
-func head(b *bytes.Buffer, f *Family) {
+func writeHeader(b *bytes.Buffer, f *Family) {
 	kind := " counter\n"
 	if f.Gauge {
 		kind = " gauge\n"
@@ -48,7 +48,7 @@
 	}
 }
 
-func sample(b []byte, f *Family) []byte {
+func appendSampleName(b []byte, f *Family) []byte {
 	b = append(b, f.Name...)
 	if !f.Gauge {
 		b = append(b, "_total"...)
--- a/internal/figures/rest_test.go
+++ b/internal/figures/rest_test.go
@@ -11,7 +11,7 @@
 )
 
 // Reading a folder returns its ledger, with a breach if the ledger and the live messages in the journal differ.
-func TestAFolderAtRestIsCountedAgainstItsMessages(t *testing.T) {
+func TestReadFolderComparesLedgerWithLiveMessages(t *testing.T) {
 	t.Parallel()
 	for live, breaches := range []int{1, 1, 0, 1} { // 2 messages are open in the ledger
 		dir := journal.OSDir(t.TempDir())
@@ -19,11 +19,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := newBooks(t, 10)
+		b := newLedgerSource(t, 10)
 		k := ledger.Key{Class: "free", Destination: 7, Tenant: "core"}
 		b.post(k, ledger.Accepted, ledger.Accepted, ledger.Accepted, ledger.Delivered)
 		var records []engine.Record
-		b.l.WriteLeaves(10, func(l ledger.Leaf) { records = append(records, &engine.RecLedgerLeaf{Number: l.Number, Text: l.Text}) })
+		b.ledger.WriteLeaves(10, func(l ledger.Leaf) { records = append(records, &engine.RecLedgerLeaf{Number: l.Number, Text: l.Text}) })
 		for i := range live {
 			records = append(records, &engine.RecAccepted{
 				Message: engine.Message{ID: fmt.Sprint("m", i), Class: k.Class, Destination: k.Destination, Tenant: k.Tenant}, Deadline: 1 << 50,
--- a/internal/figures/series.go
+++ b/internal/figures/series.go
@@ -122,9 +122,9 @@
 	}
 }
 
-// names visits all metrics of a snapshot in the order of their names: account gets an index of AccountFamilies, whole a
+// visitByName visits all metrics of a snapshot in the order of their names: account gets an index of AccountFamilies, whole a
 // metric of the ledger as a whole.
-func names(wholes []LedgerMetric, account func(at int), whole func(w *LedgerMetric)) {
+func visitByName(wholes []LedgerMetric, account func(at int), whole func(w *LedgerMetric)) {
 	type entry struct {
 		name string
 		at   int
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -69,19 +69,19 @@
 // Abort cancels an operation. The operation registers with On how it is cancelled. The zero value is ready for use and must
 // not be copied.
 type Abort struct {
-	mu   sync.Mutex
-	done bool
-	f    func()
+	mu     sync.Mutex
+	done   bool
+	cancel func()
 }
 
 // Do cancels the operation: it runs the function that On set last, on the caller's goroutine. A second call does nothing.
 func (a *Abort) Do() {
 	a.mu.Lock()
-	f := a.f
+	f := a.cancel
 	if a.done {
 		f = nil
 	}
-	a.done, a.f = true, nil
+	a.done, a.cancel = true, nil
 	a.mu.Unlock()
 	if f != nil {
 		f()
@@ -94,7 +94,7 @@
 	a.mu.Lock()
 	done := a.done
 	if !done {
-		a.f = f
+		a.cancel = f
 	}
 	a.mu.Unlock()
 	if done && f != nil {
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func TestAnInboxKeepsTheOrderOfEachPutter(t *testing.T) {
+func TestInboxKeepsOrderOfEachPutter(t *testing.T) {
 	t.Parallel()
 	b := System{}.NewInbox()
 	var all sync.WaitGroup
@@ -38,7 +38,7 @@
 	all.Wait()
 }
 
-func TestAWaitAtAnInboxEndsByItsTimeAndByClose(t *testing.T) {
+func TestInboxWaitEndsAtTimeoutAndClose(t *testing.T) {
 	t.Parallel()
 	b := System{}.NewInbox()
 	if got := b.Take([]any{1}, time.Now().Add(time.Millisecond)); !slices.Equal(got, []any{1}) {
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestAnAbortedDialComesBack(t *testing.T) {
+func TestAbortedDialReturns(t *testing.T) {
 	t.Parallel()
 	// A dial that is aborted before it starts must not connect.
 	abort := &Abort{}
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestAbortRunsWhatWasSetLastOnce(t *testing.T) {
+func TestAbortRunsLastFunctionOnce(t *testing.T) {
 	t.Parallel()
 	var a Abort
 	first, second, late := 0, 0, 0
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestReadableSeesBytesAndTheEnd(t *testing.T) {
+func TestReadableReportsDataAndEnd(t *testing.T) {
 	t.Parallel()
 	l, err := System{}.Listen("127.0.0.1:0")
 	if err != nil {
@@ -101,15 +101,15 @@
 	if Readable(c) {
 		t.Error("readable without data")
 	}
-	await(t, c, func() error { _, err := far.Write([]byte("x")); return err })
+	awaitReadable(t, c, func() error { _, err := far.Write([]byte("x")); return err })
 	if _, err := c.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	await(t, c, far.Close)
+	awaitReadable(t, c, far.Close)
 }
 
-// await runs an action of the peer and waits until the connection is readable.
-func await(t *testing.T, c net.Conn, do func() error) {
+// awaitReadable runs an action of the peer and waits until the connection is readable.
+func awaitReadable(t *testing.T, c net.Conn, do func() error) {
 	t.Helper()
 	if err := do(); err != nil {
 		t.Fatal(err)
--- a/internal/host/probe.go
+++ b/internal/host/probe.go
@@ -38,10 +38,10 @@
 			back()
 		}
 	}()
-	return pipe{w}, nil
+	return pipeProbe{w}, nil
 }
 
-type pipe struct{ w *os.File }
+type pipeProbe struct{ w *os.File }
 
-func (p pipe) Send()  { p.w.Write([]byte{0}) } // does not block, as the pipe is empty; on a closed pipe the probe does not come back
-func (p pipe) Close() { p.w.Close() }
+func (p pipeProbe) Send()  { p.w.Write([]byte{0}) } // does not block, as the pipe is empty; on a closed pipe the probe does not come back
+func (p pipeProbe) Close() { p.w.Close() }
--- a/internal/host/probe_test.go
+++ b/internal/host/probe_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestAProbeComesBackOnceForEachSend(t *testing.T) {
+func TestProbeReturnsOncePerSend(t *testing.T) {
 	t.Parallel()
 	back := make(chan bool)
 	p, err := System{}.NewProbe(func() { back <- true })
--- a/internal/host/roundtrip_test.go
+++ b/internal/host/roundtrip_test.go
@@ -7,7 +7,7 @@
 )
 
 // The kernel's minimum must not exceed the duration of any round trip that was measured here.
-func TestTheRoundTripIsNoLongerThanOneThatWasSeen(t *testing.T) {
+func TestMinRoundTripIsAtMostMeasured(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/host/system.go
+++ b/internal/host/system.go
@@ -142,11 +142,11 @@
 		return false
 	}
 	rc, err := sc.SyscallConn()
-	return err == nil && rc.Read(peeked) == nil // the caller gets an error from its own read
+	return err == nil && rc.Read(readReady) == nil // the caller gets an error from its own read
 }
 
-// peeked reports whether a read from a socket would return without blocking.
-func peeked(fd uintptr) bool {
+// readReady reports whether a read from a socket would return without blocking.
+func readReady(fd uintptr) bool {
 	for {
 		var b [1]byte
 		if _, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); err != syscall.EINTR {
@@ -171,7 +171,7 @@
 	}
 	seen := false
 	err = rc.Control(func(fd uintptr) {
-		seen = peeked(fd)
+		seen = readReady(fd)
 	})
 	return seen || err != nil
 }
--- a/ledger/breach.go
+++ b/ledger/breach.go
@@ -27,24 +27,24 @@
 	ResolvedAt int64  `json:"healed,string,omitempty"` // when the values agreed again or changed; 0 while the breach stands
 }
 
-// place identifies what a check compares: a check of an account, or of all accounts if the key is zero.
-type place struct {
-	key  Key
-	what string
+// comparison identifies what a check compares: a check of an account, or of all accounts if the key is zero.
+type comparison struct {
+	key   Key
+	check string
 }
 
 // Compare checks two values that must be equal and records a breach if they are not. A standing breach with the same
 // difference is left as it is. If the difference has changed, the old breach is resolved and a new one recorded. Resolved
 // breaches stay on record.
 func (l *Ledger) Compare(k Key, what string, books, counted Count) {
-	if books == counted && len(l.standing) == 0 && len(l.beyond) == 0 {
+	if books == counted && len(l.standing) == 0 && len(l.unrecorded) == 0 {
 		return
 	}
-	p := place{k, what}
-	if off, told := l.beyond[p]; told && off == books-counted {
+	p := comparison{k, what}
+	if off, told := l.unrecorded[p]; told && off == books-counted {
 		return
 	}
-	delete(l.beyond, p)
+	delete(l.unrecorded, p)
 	at, stands := l.standing[p]
 	if stands {
 		b := &l.breaches[at]
@@ -53,22 +53,22 @@
 		}
 		b.ResolvedAt = max(l.wall, 1)
 		if books == counted {
-			l.fresh = append(l.fresh, *b)
+			l.newBreaches = append(l.newBreaches, *b)
 		}
 		delete(l.standing, p)
-		l.stored = min(l.stored, at)
+		l.storedBreaches = min(l.storedBreaches, at)
 	}
 	if books == counted {
 		return
 	}
 	b := Breach{Key: k, Check: what, Booked: books, Counted: counted, FoundAt: l.wall}
-	if len(l.fresh) < mostBreaches {
-		l.fresh = append(l.fresh, b)
+	if len(l.newBreaches) < maxBreaches {
+		l.newBreaches = append(l.newBreaches, b)
 	}
-	if len(l.breaches) == mostBreaches {
-		l.more++
-		l.head = true
-		l.beyond[p] = books - counted
+	if len(l.breaches) == maxBreaches {
+		l.moreBreaches++
+		l.epochDirty = true
+		l.unrecorded[p] = books - counted
 		return
 	}
 	l.standing[p] = len(l.breaches)
@@ -77,10 +77,10 @@
 
 // TakeNewBreaches returns the breaches that were found or resolved since the last call.
 func (l *Ledger) TakeNewBreaches() []Breach {
-	out := l.fresh
-	l.fresh = nil
+	out := l.newBreaches
+	l.newBreaches = nil
 	return out
 }
 
 // StandingBreaches returns the number of breaches that are not resolved.
-func (l *Ledger) StandingBreaches() int { return len(l.standing) + len(l.beyond) }
+func (l *Ledger) StandingBreaches() int { return len(l.standing) + len(l.unrecorded) }
--- a/ledger/count.go
+++ b/ledger/count.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// CountOpen is a 64-bit count. It is written to JSON as a string, because many JSON readers keep only 53 bits of a number.
+// Count is a 64-bit count. It is written to JSON as a string, because many JSON readers keep only 53 bits of a number.
 // Reading accepts strings and numbers.
 type Count uint64
 
--- a/ledger/fleet.go
+++ b/ledger/fleet.go
@@ -64,10 +64,10 @@
 	}
 	slices.SortFunc(d.Changes, func(a, b Change) int { return a.Key.Compare(b.Key) })
 	for _, c := range d.Changes {
-		before, after := c.Before.all(), c.After.all()
-		for i := range levels {
+		before, after := c.Before.fields(), c.After.fields()
+		for i := range firstGauge {
 			if !d.EpochChanged && *after[i] < *before[i] {
-				d.Decreases = append(d.Decreases, Decrease{c.Key, columnNames[i], *before[i], *after[i]})
+				d.Decreases = append(d.Decreases, Decrease{c.Key, countNames[i], *before[i], *after[i]})
 			}
 		}
 	}
@@ -119,7 +119,7 @@
 		}
 		last = max(last, s.Wall)
 		k := id{s.Instance, s.Epoch.ID}
-		if old := newest[k]; old == nil || further(s, old) {
+		if old := newest[k]; old == nil || moreAdvanced(s, old) {
 			newest[k] = s
 		}
 	}
@@ -181,12 +181,12 @@
 	return f, nil
 }
 
-// further reports whether a is more advanced than b, a snapshot of the same epoch. Counts decide before wall times, because
+// moreAdvanced reports whether a is more advanced than b, a snapshot of the same epoch. Counts decide before wall times, because
 // clocks may be stepped.
-func further(a, b *Snapshot) bool {
-	x, y := a.Total.all(), b.Total.all()
+func moreAdvanced(a, b *Snapshot) bool {
+	x, y := a.Total.fields(), b.Total.fields()
 	var sa, sb Count
-	for i := range levels {
+	for i := range firstGauge {
 		sa, sb = sa+*x[i], sb+*y[i]
 	}
 	if sa != sb {
--- a/ledger/leaf.go
+++ b/ledger/leaf.go
@@ -17,10 +17,10 @@
 
 // Numbers of leaves: the epoch, then breaches, then accounts.
 const (
-	epochLeaf    = 1
-	firstBreach  = 2
-	firstAccount = firstBreach + mostStored
-	mostStored   = 16 // breaches that are kept across restarts
+	epochLeaf         = 1
+	firstBreach       = 2
+	firstAccount      = firstBreach + maxStoredBreaches
+	maxStoredBreaches = 16 // breaches that are kept across restarts
 )
 
 // ErrLeaf is wrapped by the error that Restore returns for a leaf that can't be read.
@@ -30,44 +30,44 @@
 // as written. Pending postings are included. The caller calls MarkUnwritten with the number of each leaf that the store does
 // not accept. It returns false if accounts are left to be written.
 func (l *Ledger) WriteLeaves(most int, put func(Leaf)) bool {
-	if l.head {
-		l.head = false
+	if l.epochDirty {
+		l.epochDirty = false
 		put(Leaf{epochLeaf, l.epochText()})
 	}
-	for ; l.stored < min(len(l.breaches), mostStored); l.stored++ {
-		put(Leaf{firstBreach + uint64(l.stored), l.breachText(&l.breaches[l.stored])})
+	for ; l.storedBreaches < min(len(l.breaches), maxStoredBreaches); l.storedBreaches++ {
+		put(Leaf{firstBreach + uint64(l.storedBreaches), l.breachText(&l.breaches[l.storedBreaches])})
 	}
 	for n := len(l.dirty); n > 0 && most > 0; n = len(l.dirty) {
 		a := l.dirty[n-1]
 		l.dirty = l.dirty[:n-1]
 		a.dirty = false
 		most--
-		put(Leaf{a.number, l.text(a)})
+		put(Leaf{a.number, l.accountText(a)})
 	}
 	return len(l.dirty) == 0
 }
 
 // Dirty reports whether a leaf has to be written.
 func (l *Ledger) Dirty() bool {
-	return l.head || len(l.dirty) > 0 || l.stored < min(len(l.breaches), mostStored)
+	return l.epochDirty || len(l.dirty) > 0 || l.storedBreaches < min(len(l.breaches), maxStoredBreaches)
 }
 
 // MarkUnwritten notes that the store does not have a leaf, so that it is written again.
 func (l *Ledger) MarkUnwritten(number uint64) {
 	switch {
 	case number == epochLeaf:
-		l.head = true
+		l.epochDirty = true
 	case number < firstAccount:
-		l.stored = min(l.stored, int(number-firstBreach))
-	case number-firstAccount < uint64(len(l.list)):
-		l.touch(l.list[number-firstAccount])
+		l.storedBreaches = min(l.storedBreaches, int(number-firstBreach))
+	case number-firstAccount < uint64(len(l.accounts)):
+		l.markDirty(l.accounts[number-firstAccount])
 	}
 }
 
 // CompareStored compares the stored leaf of an account with the ledger. at is the index of the account, from 0 to Accounts()-1.
 // Accounts whose newest leaf the store does not have yet, as clean reports, are skipped.
 func (l *Ledger) CompareStored(at int, clean func(number uint64) bool, store func(number uint64) []byte) {
-	a := l.list[at]
+	a := l.accounts[at]
 	if a.dirty || !clean(a.number) {
 		return
 	}
@@ -77,9 +77,9 @@
 			have = f
 		}
 	}
-	want := a.now
-	want.Add(&a.due)
-	x, y := want.all(), have.all()
+	want := a.counts
+	want.Add(&a.pending)
+	x, y := want.fields(), have.fields()
 	for i := range x { // each count by itself: a missing end leaves the sums in balance
 		if *x[i] != *y[i] {
 			l.Compare(a.key, CheckStore, *x[i], *y[i])
@@ -89,23 +89,25 @@
 	l.Compare(a.key, CheckStore, 0, 0)
 }
 
-func putText(b []byte, s string) []byte { return append(binary.AppendUvarint(b, uint64(len(s))), s...) }
+func appendText(b []byte, s string) []byte {
+	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
+}
 
-func putKey(b []byte, k Key) []byte {
+func appendKey(b []byte, k Key) []byte {
 	if k.Other {
 		return append(b, 1)
 	}
-	return binary.AppendVarint(putText(putText(append(b, 0), k.Class), k.Tenant), int64(k.Destination))
+	return binary.AppendVarint(appendText(appendText(append(b, 0), k.Class), k.Tenant), int64(k.Destination))
 }
 
-// text encodes an account as a leaf. It begins with the mark of its epoch, so that leaves of earlier epochs are ignored.
-func (l *Ledger) text(a *Account) []byte {
-	f := a.now
-	if a.due != (Counts{}) {
-		f.Add(&a.due)
+// accountText encodes an account as a leaf. It begins with the mark of its epoch, so that leaves of earlier epochs are ignored.
+func (l *Ledger) accountText(a *Account) []byte {
+	f := a.counts
+	if a.pending != (Counts{}) {
+		f.Add(&a.pending)
 	}
-	b := putKey(binary.LittleEndian.AppendUint32(make([]byte, 0, 64), l.marked), a.key)
-	all, mask := f.all(), uint64(0) // bit i is set if count i is not 0; only these follow
+	b := appendKey(binary.LittleEndian.AppendUint32(make([]byte, 0, 64), l.epochMark), a.key)
+	all, mask := f.fields(), uint64(0) // bit i is set if count i is not 0; only these follow
 	for i, c := range all {
 		if *c != 0 {
 			mask |= 1 << i
@@ -121,74 +123,74 @@
 }
 
 func (l *Ledger) epochText() []byte {
-	b := binary.AppendVarint(putText(nil, l.epoch.ID), l.epoch.Began)
-	b = putText(putText(putText(b, l.epoch.Reason), l.epoch.Previous), l.set.BootID)
-	if l.set.Durable {
+	b := binary.AppendVarint(appendText(nil, l.epoch.ID), l.epoch.Began)
+	b = appendText(appendText(appendText(b, l.epoch.Reason), l.epoch.Previous), l.settings.BootID)
+	if l.settings.Durable {
 		b = append(b, 1)
 	} else {
 		b = append(b, 0)
 	}
-	return binary.AppendUvarint(binary.AppendUvarint(b, uint64(l.set.MaxAccounts)), uint64(l.more))
+	return binary.AppendUvarint(binary.AppendUvarint(b, uint64(l.settings.MaxAccounts)), uint64(l.moreBreaches))
 }
 
 func (l *Ledger) breachText(b *Breach) []byte {
-	t := putText(putKey(nil, b.Key), b.Check)
+	t := appendText(appendKey(nil, b.Key), b.Check)
 	t = binary.AppendUvarint(binary.AppendUvarint(t, uint64(b.Booked)), uint64(b.Counted))
 	return binary.AppendVarint(binary.AppendVarint(t, b.FoundAt), b.ResolvedAt)
 }
 
 // reader decodes fields. After a short read bad is set and all further fields are zero.
 type reader struct {
-	b   []byte
-	bad bool
+	rest []byte
+	bad  bool
 }
 
 func (r *reader) take(n int) {
 	if n <= 0 {
-		r.b, r.bad = nil, true
+		r.rest, r.bad = nil, true
 		return
 	}
-	r.b = r.b[n:]
+	r.rest = r.rest[n:]
 }
 
-func (r *reader) num() uint64 {
-	v, n := binary.Uvarint(r.b)
+func (r *reader) uvarint() uint64 {
+	v, n := binary.Uvarint(r.rest)
 	r.take(n)
 	return v
 }
 
-func (r *reader) signed() int64 {
-	v, n := binary.Varint(r.b)
+func (r *reader) varint() int64 {
+	v, n := binary.Varint(r.rest)
 	r.take(n)
 	return v
 }
 
 func (r *reader) text() string {
-	n := r.num()
-	if n > uint64(len(r.b)) {
-		r.b, r.bad = nil, true
+	n := r.uvarint()
+	if n > uint64(len(r.rest)) {
+		r.rest, r.bad = nil, true
 		return ""
 	}
-	s := string(r.b[:n])
-	r.b = r.b[n:]
+	s := string(r.rest[:n])
+	r.rest = r.rest[n:]
 	return s
 }
 
 func (r *reader) key() (k Key) {
-	if len(r.b) == 0 {
+	if len(r.rest) == 0 {
 		r.bad = true
 		return k
 	}
-	k.Other, r.b = r.b[0] == 1, r.b[1:]
+	k.Other, r.rest = r.rest[0] == 1, r.rest[1:]
 	if !k.Other {
 		k.Class, k.Tenant = r.text(), r.text()
-		k.Destination = int(r.signed())
+		k.Destination = int(r.varint())
 	}
 	return k
 }
 
-func (r *reader) end(what string) error {
-	if r.bad || len(r.b) > 0 {
+func (r *reader) finish(what string) error {
+	if r.bad || len(r.rest) > 0 {
 		return fmt.Errorf("%s: %w", what, ErrLeaf)
 	}
 	return nil
@@ -200,24 +202,24 @@
 	return uint32(v>>32 ^ v)
 }
 
-var errOver = errors.New("leaf of an earlier epoch")
+var errOldEpoch = errors.New("leaf of an earlier epoch")
 
 func (l *Ledger) readAccount(text []byte) (k Key, f Counts, err error) {
 	if len(text) < 4 {
 		return k, f, ErrLeaf
 	}
-	if binary.LittleEndian.Uint32(text) != l.marked {
-		return k, f, errOver
+	if binary.LittleEndian.Uint32(text) != l.epochMark {
+		return k, f, errOldEpoch
 	}
-	r := &reader{b: text[4:]}
+	r := &reader{rest: text[4:]}
 	k = r.key()
-	mask := r.num()
-	for i, c := range f.all() {
+	mask := r.uvarint()
+	for i, c := range f.fields() {
 		if mask&(1<<i) != 0 {
-			*c = Count(r.num())
+			*c = Count(r.uvarint())
 		}
 	}
-	return k, f, r.end("account")
+	return k, f, r.finish("account")
 }
 
 // Restore rebuilds a ledger from the leaves that a store had. Without the leaf of an epoch it returns an empty ledger in the
@@ -232,15 +234,15 @@
 	if at < 0 {
 		return l, nil
 	}
-	l.head, l.restored = false, true
-	r := &reader{b: leaves[at].Text}
-	l.epoch = Epoch{ID: r.text(), Began: r.signed(), Reason: r.text(), Previous: r.text()}
-	l.marked = l.epoch.mark()
-	boot, lasting := r.text(), r.num() == 1
-	l.set.MaxAccounts, l.more = int(min(r.num(), MaxAccountsLimit)), Count(r.num())
-	l.rebooted = boot != "" && s.BootID != "" && boot != l.set.BootID && !lasting
-	l.head = boot != l.set.BootID || lasting != s.Durable
-	if err := r.end("epoch"); err != nil {
+	l.epochDirty, l.restored = false, true
+	r := &reader{rest: leaves[at].Text}
+	l.epoch = Epoch{ID: r.text(), Began: r.varint(), Reason: r.text(), Previous: r.text()}
+	l.epochMark = l.epoch.mark()
+	boot, lasting := r.text(), r.uvarint() == 1
+	l.settings.MaxAccounts, l.moreBreaches = int(min(r.uvarint(), MaxAccountsLimit)), Count(r.uvarint())
+	l.rebooted = boot != "" && s.BootID != "" && boot != l.settings.BootID && !lasting
+	l.epochDirty = boot != l.settings.BootID || lasting != s.Durable
+	if err := r.finish("epoch"); err != nil {
 		return nil, err
 	}
 	leaves = slices.Clone(leaves)
@@ -249,37 +251,37 @@
 		switch {
 		case f.Number == epochLeaf:
 		case f.Number < firstAccount:
-			r := &reader{b: f.Text}
-			b := Breach{Key: r.key(), Check: r.text(), Booked: Count(r.num()), Counted: Count(r.num()), FoundAt: r.signed(), ResolvedAt: r.signed()}
-			if err := r.end("breach"); err != nil {
+			r := &reader{rest: f.Text}
+			b := Breach{Key: r.key(), Check: r.text(), Booked: Count(r.uvarint()), Counted: Count(r.uvarint()), FoundAt: r.varint(), ResolvedAt: r.varint()}
+			if err := r.finish("breach"); err != nil {
 				return nil, err
 			}
 			if b.ResolvedAt == 0 {
-				l.standing[place{b.Key, b.Check}] = len(l.breaches)
+				l.standing[comparison{b.Key, b.Check}] = len(l.breaches)
 			}
 			l.breaches = append(l.breaches, b)
 		default:
 			k, figures, err := l.readAccount(f.Text)
-			if errors.Is(err, errOver) {
+			if errors.Is(err, errOldEpoch) {
 				continue
 			}
 			if err != nil {
 				return nil, err
 			}
-			if f.Number != firstAccount+uint64(len(l.list)) || l.byKey[k] != nil {
+			if f.Number != firstAccount+uint64(len(l.accounts)) || l.byKey[k] != nil {
 				return nil, fmt.Errorf("account %v: number %d: %w", k, f.Number, ErrLeaf)
 			}
-			a := l.open(k)
+			a := l.openAccount(k)
 			a.dirty, l.dirty = false, nil
 			if k.Other {
-				l.other = a
+				l.shared = a
 			}
-			a.now = figures
+			a.counts = figures
 			l.total.Add(&figures)
 		}
 	}
-	l.stored = min(len(l.breaches), mostStored)
-	l.base = l.total
+	l.storedBreaches = min(len(l.breaches), maxStoredBreaches)
+	l.startTotal = l.total
 	return l, nil
 }
 
@@ -300,6 +302,6 @@
 	if err != nil {
 		return nil, err
 	}
-	n.breaches, n.more, n.standing = l.breaches, l.more, l.standing
+	n.breaches, n.moreBreaches, n.standing = l.breaches, l.moreBreaches, l.standing
 	return n, nil
 }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -137,11 +137,11 @@
 	Open       Count `json:"open"`
 }
 
-const columns = 18
+const numCounts = 18
 
-// all returns the counts in the order in which they are stored. Those from firstGauge on may fall, the others only grow.
-func (f *Counts) all() [columns]*Count {
-	return [columns]*Count{
+// fields returns the counts in the order in which they are stored. Those from firstGauge on may fall, the others only grow.
+func (f *Counts) fields() [numCounts]*Count {
+	return [numCounts]*Count{
 		&f.CarriedOver, &f.Accepted, &f.MovedIn, &f.Delivered, &f.Refused, &f.Failed, &f.MovedOut, &f.Reopened,
 		&f.Attempts.Sent, &f.Attempts.Answered, &f.Attempts.Refused, &f.Attempts.Unanswered,
 		&f.Doubt.Opened, &f.Doubt.Twice, &f.Doubt.Unresolved,
@@ -149,9 +149,9 @@
 	}
 }
 
-const levels = columns - 3
+const firstGauge = numCounts - 3
 
-var columnNames = [columns]string{
+var countNames = [numCounts]string{
 	"brought", "taken", "in", "served", "refused", "failed", "out", "again",
 	"attempts.sent", "attempts.answered", "attempts.refused", "attempts.silent",
 	"doubt.opened", "doubt.twice", "doubt.unsure", "open", "attempts.out", "doubt.open",
@@ -160,14 +160,14 @@
 // Each calls call with the name and value of each count, always in the same order. A gauge may fall. The other counts only
 // grow within an epoch.
 func (f *Counts) Each(call func(name string, v Count, level bool)) {
-	for i, c := range f.all() {
-		call(columnNames[i], *c, i >= levels)
+	for i, c := range f.fields() {
+		call(countNames[i], *c, i >= firstGauge)
 	}
 }
 
 // Add adds the counts of o.
 func (f *Counts) Add(o *Counts) {
-	to, from := f.all(), o.all()
+	to, from := f.fields(), o.fields()
 	for i := range to {
 		*to[i] += *from[i]
 	}
@@ -178,8 +178,8 @@
 	return f.CarriedOver + f.Accepted + f.MovedIn, f.Delivered + f.Refused + f.Failed + f.MovedOut + f.Open
 }
 
-// down decrements a gauge. One that is 0 stays 0, and the account no longer balances.
-func down(c *Count) {
+// decrement decrements a gauge. One that is 0 stays 0, and the account no longer balances.
+func decrement(c *Count) {
 	if *c > 0 {
 		*c--
 	}
@@ -199,16 +199,16 @@
 		f.Open++
 	case Delivered:
 		f.Delivered++
-		down(&f.Open)
+		decrement(&f.Open)
 	case Refused:
 		f.Refused++
-		down(&f.Open)
+		decrement(&f.Open)
 	case Failed:
 		f.Failed++
-		down(&f.Open)
+		decrement(&f.Open)
 	case MovedOut:
 		f.MovedOut++
-		down(&f.Open)
+		decrement(&f.Open)
 	case Reopened:
 		f.Reopened++
 	case AttemptSent:
@@ -216,32 +216,32 @@
 		f.Attempts.Out++
 	case AttemptAnswered:
 		f.Attempts.Answered++
-		down(&f.Attempts.Out)
+		decrement(&f.Attempts.Out)
 	case AttemptRefused:
 		f.Attempts.Refused++
-		down(&f.Attempts.Out)
+		decrement(&f.Attempts.Out)
 	case AttemptUnanswered:
 		f.Attempts.Unanswered++
-		down(&f.Attempts.Out)
+		decrement(&f.Attempts.Out)
 	case DoubtOpened:
 		f.Doubt.Opened++
 		f.Doubt.Open++
 	case DoubtTwice:
 		f.Doubt.Twice++
-		down(&f.Doubt.Open)
+		decrement(&f.Doubt.Open)
 	case DoubtUnresolved:
 		f.Doubt.Unresolved++
-		down(&f.Doubt.Open)
+		decrement(&f.Doubt.Open)
 	}
 }
 
 // Account is one account of a ledger.
 type Account struct {
-	key    Key
-	now    Counts
-	due    Counts // postings that wait for the store: written to leaves already, counted once they are stored
-	number uint64 // of its leaf
-	dirty  bool   // its newest counts have not been written
+	key     Key
+	counts  Counts
+	pending Counts // postings that wait for the store: written to leaves already, counted once they are stored
+	number  uint64 // of its leaf
+	dirty   bool   // its newest counts have not been written
 
 	open  Count // live messages that the current audit has counted
 	doubt Count // those among them that are in doubt
@@ -273,36 +273,36 @@
 	DefaultMaxAccounts = 256
 	// MaxAccountsLimit is the largest number of accounts that Settings may ask for.
 	MaxAccountsLimit = 1 << 16
-	mostName         = 64 // bytes of a class or tenant; keys with longer ones use the shared account
-	mostBreaches     = 64 // kept on record; further ones are only counted
+	maxNameBytes     = 64 // bytes of a class or tenant; keys with longer ones use the shared account
+	maxBreaches      = 64 // kept on record; further ones are only counted
 	// MaxLeafBytes is the largest size of a leaf in bytes.
 	MaxLeafBytes = 384
 )
 
 // Ledger holds the accounts of one dispatcher.
 type Ledger struct {
-	set    Settings
-	epoch  Epoch
-	marked uint32 // Epoch.mark
-	byKey  map[Key]*Account
-	near   [nearby]*Account // cache in front of byKey, see Key.near
-	list   []*Account       // by number
-	other  *Account         // the shared account, nil until it is needed
-	total  Counts
-	base   Counts // total when this process began to post
-	wall   int64  // wall time in microseconds since 1970
-
-	breaches []Breach        // on record, oldest first
-	stored   int             // number of breaches whose leaf has been written
-	more     Count           // breaches that were counted and not recorded
-	standing map[place]int   // index in breaches of those that stand
-	beyond   map[place]Count // breaches that stand and were not recorded: booked minus counted
-	fresh    []Breach        // for the next TakeNewBreaches
-	dirty    []*Account
-	head     bool // the leaf of the epoch has to be written
-	posts    uint64
-	restored bool
-	rebooted bool
+	settings   Settings
+	epoch      Epoch
+	epochMark  uint32 // Epoch.mark
+	byKey      map[Key]*Account
+	cache      [cacheSlots]*Account // cache in front of byKey, see Key.near
+	accounts   []*Account           // by number
+	shared     *Account             // the shared account, nil until it is needed
+	total      Counts
+	startTotal Counts // total when this process began to post
+	wall       int64  // wall time in microseconds since 1970
+
+	breaches       []Breach             // on record, oldest first
+	storedBreaches int                  // number of breaches whose leaf has been written
+	moreBreaches   Count                // breaches that were counted and not recorded
+	standing       map[comparison]int   // index in breaches of those that stand
+	unrecorded     map[comparison]Count // breaches that stand and were not recorded: booked minus counted
+	newBreaches    []Breach             // for the next TakeNewBreaches
+	dirty          []*Account
+	epochDirty     bool // the leaf of the epoch has to be written
+	postings       uint64
+	restored       bool
+	rebooted       bool
 }
 
 // New returns an empty ledger that begins in epoch e.
@@ -313,10 +313,10 @@
 	if s.MaxAccounts == 0 {
 		s.MaxAccounts = DefaultMaxAccounts
 	}
-	if len(s.BootID) > mostName {
-		s.BootID = s.BootID[:mostName]
+	if len(s.BootID) > maxNameBytes {
+		s.BootID = s.BootID[:maxNameBytes]
 	}
-	return &Ledger{set: s, epoch: e, marked: e.mark(), byKey: map[Key]*Account{}, standing: map[place]int{}, beyond: map[place]Count{}, head: true}, nil
+	return &Ledger{settings: s, epoch: e, epochMark: e.mark(), byKey: map[Key]*Account{}, standing: map[comparison]int{}, unrecorded: map[comparison]Count{}, epochDirty: true}, nil
 }
 
 // SetWallTime sets the time at which breaches are recorded, in microseconds since 1970.
@@ -325,7 +325,7 @@
 // Account returns the account of a key and opens it if need be. It returns the shared account once the limit of accounts is
 // reached, and for a key whose class or tenant is too long.
 func (l *Ledger) Account(k Key) *Account {
-	near := &l.near[k.near()]
+	near := &l.cache[k.cacheSlot()]
 	if a := *near; a != nil && a.key == k {
 		return a
 	}
@@ -333,70 +333,70 @@
 		*near = a
 		return a
 	}
-	if k.Other || len(l.list)-l.others() >= l.set.MaxAccounts || len(k.Class) > mostName || len(k.Tenant) > mostName {
-		if l.other == nil {
-			l.other = l.open(Key{Other: true})
+	if k.Other || len(l.accounts)-l.sharedAccounts() >= l.settings.MaxAccounts || len(k.Class) > maxNameBytes || len(k.Tenant) > maxNameBytes {
+		if l.shared == nil {
+			l.shared = l.openAccount(Key{Other: true})
 		}
-		return l.other
+		return l.shared
 	}
-	return l.open(k)
+	return l.openAccount(k)
 }
 
-// near returns the slot of the key in the cache in front of the map of accounts. Most lookups are for a few accounts, and
+// cacheSlot returns the slot of the key in the cache in front of the map of accounts. Most lookups are for a few accounts, and
 // hashing their strings for the map is slow.
-func (k *Key) near() int {
+func (k *Key) cacheSlot() int {
 	n := k.Destination*7 + len(k.Class) + 3*len(k.Tenant)
 	if len(k.Class) > 0 {
 		n += int(k.Class[len(k.Class)-1])
 	}
-	return n & (nearby - 1)
+	return n & (cacheSlots - 1)
 }
 
-const nearby = 512 // slots of the cache; a power of two
+const cacheSlots = 512 // slots of the cache; a power of two
 
-func (l *Ledger) others() int {
-	if l.other != nil {
+func (l *Ledger) sharedAccounts() int {
+	if l.shared != nil {
 		return 1
 	}
 	return 0
 }
 
-func (l *Ledger) open(k Key) *Account {
-	a := &Account{key: k, number: firstAccount + uint64(len(l.list))}
+func (l *Ledger) openAccount(k Key) *Account {
+	a := &Account{key: k, number: firstAccount + uint64(len(l.accounts))}
 	l.byKey[k] = a
-	l.list = append(l.list, a)
-	l.touch(a) // Restore expects account numbers without gaps
+	l.accounts = append(l.accounts, a)
+	l.markDirty(a) // Restore expects account numbers without gaps
 	return a
 }
 
 // Accounts returns the number of accounts, the shared one included.
-func (l *Ledger) Accounts() int { return len(l.list) }
+func (l *Ledger) Accounts() int { return len(l.accounts) }
 
 // PostingCount returns the number of postings made so far. Callers compare two results to see whether anything was posted.
-func (l *Ledger) PostingCount() uint64 { return l.posts }
+func (l *Ledger) PostingCount() uint64 { return l.postings }
 
-// InterceptPost makes one posting and checks that the account still balances.
+// Post makes one posting and checks that the account still balances.
 func (l *Ledger) Post(a *Account, e Entry) {
-	l.posts++
-	if l.set.InterceptPost == nil {
+	l.postings++
+	if l.settings.InterceptPost == nil {
 		l.post(a, e)
 		return
 	}
-	for _, p := range l.set.InterceptPost(Posting{a.key, e}) {
+	for _, p := range l.settings.InterceptPost(Posting{a.key, e}) {
 		l.post(l.Account(p.Key), p.Entry)
 	}
 }
 
 func (l *Ledger) post(a *Account, e Entry) {
-	l.enter(a, e)
-	l.touch(a)
+	l.apply(a, e)
+	l.markDirty(a)
 }
 
-// enter applies a posting to the account and the total, and checks the account.
-func (l *Ledger) enter(a *Account, e Entry) {
-	a.now.post(e)
+// apply applies a posting to the account and the total, and checks the account.
+func (l *Ledger) apply(a *Account, e Entry) {
+	a.counts.post(e)
 	l.total.post(e)
-	l.audit(a)
+	l.checkBalance(a)
 }
 
 // Transfer moves one open message from one account to another.
@@ -410,53 +410,53 @@
 // PostPending notes a posting that counts only once the store has its batch. Leaves written from now on include it.
 // ConfirmPending or DropPending must follow.
 func (l *Ledger) PostPending(a *Account, e Entry) {
-	a.due.post(e)
-	l.touch(a)
+	a.pending.post(e)
+	l.markDirty(a)
 }
 
 // ConfirmPending makes a pending posting, whose batch is now stored.
 func (l *Ledger) ConfirmPending(a *Account, e Entry) {
-	a.forgo(e)
-	if l.set.InterceptPost != nil {
+	a.removePending(e)
+	if l.settings.InterceptPost != nil {
 		l.Post(a, e)
 		return
 	}
-	l.posts++
-	l.enter(a, e) // the leaf included this posting already
+	l.postings++
+	l.apply(a, e) // the leaf included this posting already
 }
 
 // DropPending cancels a pending posting whose batch was not stored.
 func (l *Ledger) DropPending(a *Account, e Entry) {
-	a.forgo(e)
-	l.touch(a)
+	a.removePending(e)
+	l.markDirty(a)
 }
 
-func (a *Account) forgo(e Entry) {
+func (a *Account) removePending(e Entry) {
 	switch e {
 	case Accepted:
-		down(&a.due.Accepted)
-		down(&a.due.Open)
+		decrement(&a.pending.Accepted)
+		decrement(&a.pending.Open)
 	case MovedIn:
-		down(&a.due.MovedIn)
-		down(&a.due.Open)
+		decrement(&a.pending.MovedIn)
+		decrement(&a.pending.Open)
 	case Reopened:
-		down(&a.due.Reopened)
+		decrement(&a.pending.Reopened)
 	case DoubtOpened:
-		down(&a.due.Doubt.Opened)
-		down(&a.due.Doubt.Open)
+		decrement(&a.pending.Doubt.Opened)
+		decrement(&a.pending.Doubt.Open)
 	}
 }
 
-func (l *Ledger) touch(a *Account) {
+func (l *Ledger) markDirty(a *Account) {
 	if !a.dirty {
 		a.dirty = true
 		l.dirty = append(l.dirty, a)
 	}
 }
 
-// audit checks that the counts of an account balance.
-func (l *Ledger) audit(a *Account) {
-	f := &a.now
+// checkBalance checks that the counts of an account balance.
+func (l *Ledger) checkBalance(a *Account) {
+	f := &a.counts
 	in, out := f.Sides()
 	l.Compare(a.key, CheckMessages, in, out)
 	l.Compare(a.key, CheckAttempts, f.Attempts.Sent, f.Attempts.Answered+f.Attempts.Refused+f.Attempts.Unanswered+f.Attempts.Out)
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -14,7 +14,7 @@
 
 var epoch = NewEpoch(7, 1, ReasonNoLedger, "")
 
-func book(t *testing.T, s Settings) *Ledger {
+func newLedger(t *testing.T, s Settings) *Ledger {
 	t.Helper()
 	l, err := New(s, epoch)
 	if err != nil {
@@ -27,11 +27,11 @@
 
 // Random postings that messages can cause must keep all accounts in balance, also after restarts from the stored leaves, and
 // with more keys than accounts.
-func TestFiguresAddUpWhateverIsPostedAndOutlastTheProcess(t *testing.T) {
+func TestAccountsStayBalancedAcrossPostingsAndRestarts(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(30) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		l := book(t, Settings{Instance: "d", MaxAccounts: 5})
+		l := newLedger(t, Settings{Instance: "d", MaxAccounts: 5})
 		store := map[uint64][]byte{}
 		var open []*Account
 		var before *Snapshot
@@ -108,9 +108,9 @@
 	}
 }
 
-func TestHostileNamesTakeNoAccountsBeyondTheBound(t *testing.T) {
+func TestNumberOfAccountsIsBounded(t *testing.T) {
 	t.Parallel()
-	l := book(t, Settings{MaxAccounts: 100})
+	l := newLedger(t, Settings{MaxAccounts: 100})
 	for i := range 100_000 {
 		l.Post(l.Account(Key{Class: fmt.Sprint("x", i), Tenant: strings.Repeat("y", i%100)}), Accepted)
 	}
@@ -157,7 +157,7 @@
 
 func TestBreachesStayOnRecord(t *testing.T) {
 	t.Parallel()
-	l := book(t, Settings{})
+	l := newLedger(t, Settings{})
 	l.SetWallTime(10)
 	a, b := l.Account(key(1)), l.Account(key(2))
 	l.Compare(a.key, CheckLiveOpen, 1, 2)
@@ -190,7 +190,7 @@
 	for i := range 1000 {
 		l.Compare(key(i), CheckLiveAttempts, 0, 1)
 	}
-	if s := l.Snapshot(0); len(s.Breaches) != mostBreaches || s.MoreBreaches != 1000+3-mostBreaches {
+	if s := l.Snapshot(0); len(s.Breaches) != maxBreaches || s.MoreBreaches != 1000+3-maxBreaches {
 		t.Errorf("%d breaches and %d more", len(s.Breaches), s.MoreBreaches)
 	}
 	l.TakeNewBreaches()
@@ -200,7 +200,7 @@
 	}
 }
 
-func TestSumKnowsEpochsAndWhatIsLeftOpen(t *testing.T) {
+func TestSumReportsMessagesThatEndedEpochsLeftOpen(t *testing.T) {
 	t.Parallel()
 	shot := func(instance string, e Epoch, wall int64, f Counts) *Snapshot {
 		return &Snapshot{Format: Format, Instance: instance, Epoch: e, Wall: wall, Total: f, Accounts: []AccountCounts{{key(1), f}}}
@@ -231,7 +231,7 @@
 	}
 }
 
-func TestCheckFindsWhatDoesNotAddUp(t *testing.T) {
+func TestCheckFindsImbalances(t *testing.T) {
 	t.Parallel()
 	for name, f := range map[string]Counts{
 		CheckMessages: {Accepted: 2, Open: 1}, CheckAttempts: {Attempts: Attempts{Sent: 1}}, CheckDoubt: {Doubt: Doubt{Open: 1}}, CheckTransfers: {MovedIn: 1, Open: 1},
--- a/ledger/snapshot.go
+++ b/ledger/snapshot.go
@@ -58,11 +58,11 @@
 // Snapshot copies the ledger. wall is the current wall time in microseconds since 1970.
 func (l *Ledger) Snapshot(wall int64) *Snapshot {
 	s := &Snapshot{
-		Format: Format, Instance: l.set.Instance, Epoch: l.epoch, Wall: wall, Total: l.total, MoreBreaches: l.more,
-		Accounts: make([]AccountCounts, 0, len(l.list)), Breaches: append([]Breach{}, l.breaches...),
+		Format: Format, Instance: l.settings.Instance, Epoch: l.epoch, Wall: wall, Total: l.total, MoreBreaches: l.moreBreaches,
+		Accounts: make([]AccountCounts, 0, len(l.accounts)), Breaches: append([]Breach{}, l.breaches...),
 	}
-	for _, a := range l.list {
-		s.Accounts = append(s.Accounts, AccountCounts{a.key, a.now})
+	for _, a := range l.accounts {
+		s.Accounts = append(s.Accounts, AccountCounts{a.key, a.counts})
 	}
 	slices.SortFunc(s.Accounts, func(a, b AccountCounts) int { return a.Key.Compare(b.Key) })
 	return s
@@ -73,17 +73,17 @@
 	ErrFormat = errors.New("not a ledger snapshot of a known format")
 )
 
-// mostSnapshot is the largest snapshot in bytes that is read. It has room for MaxAccountsLimit accounts and their breaches.
-const mostSnapshot = 64 << 20
+// maxSnapshotBytes is the largest snapshot in bytes that is read. It has room for MaxAccountsLimit accounts and their breaches.
+const maxSnapshotBytes = 64 << 20
 
 // ReadSnapshot reads a snapshot as JSON. The error wraps ErrFormat if the input is something else or of another format.
 func ReadSnapshot(r io.Reader) (*Snapshot, error) {
-	text, err := io.ReadAll(io.LimitReader(r, mostSnapshot+1))
+	text, err := io.ReadAll(io.LimitReader(r, maxSnapshotBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	if len(text) > mostSnapshot {
-		return nil, fmt.Errorf("snapshot: over %d bytes: %w", mostSnapshot, ErrFormat)
+	if len(text) > maxSnapshotBytes {
+		return nil, fmt.Errorf("snapshot: over %d bytes: %w", maxSnapshotBytes, ErrFormat)
 	}
 	s := &Snapshot{}
 	if err := json.Unmarshal(text, s); err != nil {
@@ -106,7 +106,7 @@
 	for _, b := range s.Breaches {
 		if b.ResolvedAt == 0 {
 			out = append(out, b)
-			l.standing[place{b.Key, b.Check}] = len(l.breaches)
+			l.standing[comparison{b.Key, b.Check}] = len(l.breaches)
 			l.breaches = append(l.breaches, b)
 		}
 	}
@@ -119,12 +119,12 @@
 		}
 		seen[a.Key] = true
 		l.total.Add(&a.Counts)
-		l.audit(&Account{key: a.Key, now: a.Counts})
+		l.checkBalance(&Account{key: a.Key, counts: a.Counts})
 	}
 	l.CompareTransfers()
-	sum, total := l.total.all(), s.Total.all()
+	sum, total := l.total.fields(), s.Total.fields()
 	for i := range sum {
-		l.Compare(Key{}, CheckTotals+": "+columnNames[i], *total[i], *sum[i])
+		l.Compare(Key{}, CheckTotals+": "+countNames[i], *total[i], *sum[i])
 	}
 	for _, b := range l.breaches[known:] {
 		out = append(out, b)
--- a/ledger/sweep.go
+++ b/ledger/sweep.go
@@ -5,7 +5,7 @@
 
 // BeginAudit begins an audit.
 func (l *Ledger) BeginAudit() {
-	for _, a := range l.list {
+	for _, a := range l.accounts {
 		a.open, a.doubt = 0, 0
 	}
 }
@@ -21,9 +21,9 @@
 
 // FinishAudit compares the messages that the audit counted with the ledger.
 func (l *Ledger) FinishAudit() {
-	for _, a := range l.list {
-		l.Compare(a.key, CheckLiveOpen, a.now.Open, a.open)
-		l.Compare(a.key, CheckLiveDoubt, a.now.Doubt.Open, a.doubt)
+	for _, a := range l.accounts {
+		l.Compare(a.key, CheckLiveOpen, a.counts.Open, a.open)
+		l.Compare(a.key, CheckLiveDoubt, a.counts.Doubt.Open, a.doubt)
 	}
 	l.CompareTransfers()
 }
@@ -31,15 +31,15 @@
 // CompareDispositions compares how many messages ended in each way since this process began, as the caller counted them,
 // with the ledger. It finds an end that was posted as another one, which leaves all accounts in balance.
 func (l *Ledger) CompareDispositions(served, refused, failed uint64) {
-	l.Compare(Key{}, CheckDelivered, l.total.Delivered-l.base.Delivered, Count(served))
-	l.Compare(Key{}, CheckRefused, l.total.Refused-l.base.Refused, Count(refused))
-	l.Compare(Key{}, CheckFailed, l.total.Failed-l.base.Failed, Count(failed))
+	l.Compare(Key{}, CheckDelivered, l.total.Delivered-l.startTotal.Delivered, Count(served))
+	l.Compare(Key{}, CheckRefused, l.total.Refused-l.startTotal.Refused, Count(refused))
+	l.Compare(Key{}, CheckFailed, l.total.Failed-l.startTotal.Failed, Count(failed))
 }
 
 // FinishAttemptAudit compares the attempts that the audit counted with the ledger, and resets their counts.
 func (l *Ledger) FinishAttemptAudit() {
-	for _, a := range l.list {
-		l.Compare(a.key, CheckLiveAttempts, a.now.Attempts.Out, a.out)
+	for _, a := range l.accounts {
+		l.Compare(a.key, CheckLiveAttempts, a.counts.Attempts.Out, a.out)
 		a.out = 0
 	}
 }
@@ -47,14 +47,14 @@
 // ReconcileRestart compares the ledger with the live messages that the store had, counted since BeginAudit, and closes what
 // the previous process left open: attempts under way become unanswered, and their messages are in doubt from now on.
 func (l *Ledger) ReconcileRestart() {
-	for _, a := range l.list {
-		l.Compare(a.key, CheckRestart, a.now.Open, a.open)
-		for a.now.Attempts.Out > 0 {
+	for _, a := range l.accounts {
+		l.Compare(a.key, CheckRestart, a.counts.Open, a.open)
+		for a.counts.Attempts.Out > 0 {
 			l.Post(a, AttemptUnanswered)
 		}
-		for a.now.Doubt.Open < a.doubt {
+		for a.counts.Doubt.Open < a.doubt {
 			l.Post(a, DoubtOpened)
 		}
-		l.Compare(a.key, CheckLiveDoubt, a.now.Doubt.Open, a.doubt)
+		l.Compare(a.key, CheckLiveDoubt, a.counts.Doubt.Open, a.doubt)
 	}
 }
