--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -70,9 +70,9 @@
 
 // New returns a driver for an engine that has handled no event yet. The clock's Start must not be later than any time that
 // the host returns from now on.
-func New(h host.Host, clock engine.Clock, e *engine.Engine, log *slog.Logger) *Driver {
+func New(machine host.Host, clock engine.Clock, e *engine.Engine, log *slog.Logger) *Driver {
 	return &Driver{
-		host: h, clock: clock, log: log, engine: e, inbox: h.NewInbox(), replies: inboxPool{host: h},
+		host: machine, clock: clock, log: log, engine: e, inbox: machine.NewInbox(), replies: inboxPool{host: machine},
 		admission:      admissionGate{gate: admission.New(admission.Settings{})},
 		madeInRound:    map[engine.CallID]uint64{},
 		verdictWaiters: map[engine.Ticket]host.Inbox{}, permitWaiters: map[engine.CallID]host.Inbox{},
@@ -167,14 +167,14 @@
 }
 
 // MayWrite implements engine.CallEvents.
-func (d *Driver) MayWrite(id engine.CallID) []bool {
-	q := &permitRequest{call: id, reply: d.replies.get()}
-	if !d.runOrEnqueue(q) {
+func (d *Driver) MayWrite(call engine.CallID) []bool {
+	request := &permitRequest{call: call, reply: d.replies.get()}
+	if !d.runOrEnqueue(request) {
 		return nil
 	}
-	ok, _ := takeOne(q.reply, time.Time{}).([]bool)
-	d.replies.put(q.reply)
-	return ok
+	permit, _ := takeOne(request.reply, time.Time{}).([]bool)
+	d.replies.put(request.reply)
+	return permit
 }
 
 // FirstLine implements engine.CallEvents.
@@ -215,11 +215,11 @@
 
 // WaitIdle waits until no call is under way, or until the given time. It reports whether no call was left.
 func (d *Driver) WaitIdle(until time.Time) bool {
-	q := &idleRequest{d.host.NewInbox()}
-	if !d.enqueue(q) {
+	request := &idleRequest{d.host.NewInbox()}
+	if !d.enqueue(request) {
 		return true
 	}
-	return takeOne(q.reply, until) != nil
+	return takeOne(request.reply, until) != nil
 }
 
 // Quit ends Run. Submissions without a verdict are answered that the driver is stopping.
@@ -236,10 +236,10 @@
 		d.runShared()
 		return
 	}
-	var list []any
+	var values []any
 	for {
-		list = d.inbox.Take(list[:0], d.nextRound())
-		if d.makeRound(list) {
+		values = d.inbox.Take(values[:0], d.nextRound())
+		if d.makeRound(values) {
 			return
 		}
 	}
@@ -248,7 +248,7 @@
 // makeRound handles the values that were taken from the inbox. It returns true after a quit: the driver has ended then.
 func (d *Driver) makeRound(list []any) (over bool) {
 	d.beginRound()
-	took := 0
+	submissions := 0
 	for i, v := range list {
 		list[i] = nil
 		switch v := v.(type) {
@@ -256,11 +256,11 @@
 			d.finish(append(d.deferred.take(len(d.deferred.list)), list[i+1:]...))
 			return true
 		case *submission, *groupSubmission:
-			if took == maxSubmissionsPerRound || len(d.deferred.list) > 0 {
+			if submissions == maxSubmissionsPerRound || len(d.deferred.list) > 0 {
 				d.deferred.add(v)
 				continue
 			}
-			took++
+			submissions++
 		case *engine.Withdraw:
 			if d.deferred.has(v.ID) {
 				d.deferred.add(v)
@@ -271,7 +271,7 @@
 	}
 	if len(d.deferred.list) > 0 {
 		d.wake()
-		for _, v := range d.deferred.take(maxSubmissionsPerRound - took) {
+		for _, v := range d.deferred.take(maxSubmissionsPerRound - submissions) {
 			d.handleValue(v)
 		}
 	}
@@ -391,10 +391,10 @@
 	}
 	d.carryOut(free)
 	for len(d.refusedBatches) > 0 {
-		b, full := d.refusedBatches[0], d.storeFull
+		batch, full := d.refusedBatches[0], d.storeFull
 		d.refusedBatches = d.refusedBatches[1:]
-		d.gate.Failed(b)
-		d.handle(&engine.StoreFailed{Batch: b, Full: full})
+		d.gate.Failed(batch)
+		d.handle(&engine.StoreFailed{Batch: batch, Full: full})
 	}
 }
 
@@ -405,9 +405,9 @@
 	}
 	for d.Store != nil && d.appended > d.settled {
 		newest := d.appended
-		b, err := d.Store.Flush()
-		d.handleStoreReport(b, err)
-		if err == nil && b < newest {
+		batch, err := d.Store.Flush()
+		d.handleStoreReport(batch, err)
+		if err == nil && batch < newest {
 			return // the store calls Stored later
 		}
 	}
@@ -490,26 +490,26 @@
 
 // startCall starts a call. A call that waited beyond the round that made it needs a new permit of the engine first, because
 // its endpoint or its messages may have changed meanwhile.
-func (d *Driver) startCall(c *engine.Call) {
-	made, waited := d.madeInRound[c.ID]
-	delete(d.madeInRound, c.ID)
-	if !waited || made == d.round {
-		d.Transport.Start(c, d)
+func (d *Driver) startCall(call *engine.Call) {
+	round, waited := d.madeInRound[call.ID]
+	delete(d.madeInRound, call.ID)
+	if !waited || round == d.round {
+		d.Transport.Start(call, d)
 		return
 	}
-	ok := d.requestPermit(c.ID)
-	var outs []engine.Outcome
-	for i := range c.Items {
-		if i >= len(ok) || !ok[i] {
-			c.Items[i].Skip = true
-			outs = append(outs, mootOutcome(i))
+	permit := d.requestPermit(call.ID)
+	var skipped []engine.Outcome
+	for i := range call.Items {
+		if i >= len(permit) || !permit[i] {
+			call.Items[i].Skip = true
+			skipped = append(skipped, mootOutcome(i))
 		}
 	}
-	if len(outs) < len(c.Items) {
-		d.Transport.Start(c, d)
+	if len(skipped) < len(call.Items) {
+		d.Transport.Start(call, d)
 	}
-	if len(outs) > 0 {
-		d.handle(&engine.Ended{Call: c.ID, Outcomes: outs})
+	if len(skipped) > 0 {
+		d.handle(&engine.Ended{Call: call.ID, Outcomes: skipped})
 	}
 }
 
@@ -520,12 +520,12 @@
 	return d.lastPermit
 }
 
-// finish ends the driver and answers all who still wait. left are values from the inbox that no round has handled.
-func (d *Driver) finish(left []any) {
+// finish ends the driver and answers all who still wait. unhandled are values from the inbox that no round has handled.
+func (d *Driver) finish(unhandled []any) {
 	d.handle(&engine.Stop{}) // records a step of the wall clock since the last event, which the next process could not notice
 	d.flush()
-	left = append(left, d.closeQueue()...)
-	for _, v := range left {
+	unhandled = append(unhandled, d.closeQueue()...)
+	for _, v := range unhandled {
 		switch v := v.(type) {
 		case *submission:
 			v.reply.Close()
@@ -553,8 +553,8 @@
 	d.snapshots.close()
 }
 
-func takeOne(b host.Inbox, until time.Time) any {
-	if list := b.Take(nil, until); len(list) > 0 {
+func takeOne(inbox host.Inbox, deadline time.Time) any {
+	if list := inbox.Take(nil, deadline); len(list) > 0 {
 		return list[0]
 	}
 	return nil
--- a/internal/driver/ledger.go
+++ b/internal/driver/ledger.go
@@ -31,11 +31,11 @@
 // what is stored, unless it is marked as provisional. The result is nil if the engine keeps no ledger, if the store has not
 // responded by the given time, or if too many readers wait. Ledger may be called from any goroutine, and blocks.
 func (d *Driver) Ledger(until time.Time) *ledger.Snapshot {
-	q := &snapshotRequest{d.host.NewInbox()}
-	if !d.enqueue(q) {
+	request := &snapshotRequest{d.host.NewInbox()}
+	if !d.enqueue(request) {
 		return nil
 	}
-	s, _ := takeOne(q.reply, until).(*ledger.Snapshot)
+	s, _ := takeOne(request.reply, until).(*ledger.Snapshot)
 	return s
 }
 
@@ -57,23 +57,23 @@
 
 // addSnapshotReader answers a reader with a recent snapshot or has it wait for the next one.
 func (d *Driver) addSnapshotReader(reply host.Inbox) {
-	c := &d.snapshots
-	switch lost := d.now.At-c.requestedAt > snapshotTimeout; {
-	case c.latest != nil && d.now.At-c.latestAt < snapshotReuse:
-		reply.Put(c.latest)
-	case len(c.waiting)+len(c.next) >= maxSnapshotReaders && !lost:
+	readers := &d.snapshots
+	switch timedOut := d.now.At-readers.requestedAt > snapshotTimeout; {
+	case readers.latest != nil && d.now.At-readers.latestAt < snapshotReuse:
+		reply.Put(readers.latest)
+	case len(readers.waiting)+len(readers.next) >= maxSnapshotReaders && !timedOut:
 		reply.Close()
-	case len(c.waiting) == 0 || lost:
-		c.waiting = append(append(c.waiting, c.next...), reply)
-		if c.next = nil; len(c.waiting) > maxSnapshotReaders {
-			for _, r := range c.waiting[:len(c.waiting)-1] { // these readers have stopped waiting long ago
+	case len(readers.waiting) == 0 || timedOut:
+		readers.waiting = append(append(readers.waiting, readers.next...), reply)
+		if readers.next = nil; len(readers.waiting) > maxSnapshotReaders {
+			for _, r := range readers.waiting[:len(readers.waiting)-1] { // these readers have stopped waiting long ago
 				r.Close()
 			}
-			c.waiting = c.waiting[len(c.waiting)-1:]
+			readers.waiting = readers.waiting[len(readers.waiting)-1:]
 		}
 		d.requestSnapshot()
 	default:
-		c.next = append(c.next, reply)
+		readers.next = append(readers.next, reply)
 	}
 }
 
@@ -112,14 +112,14 @@
 
 // reportBreach logs a breach that was found or resolved.
 func (d *Driver) reportBreach(f *engine.LedgerBreach) {
-	list := []any{
+	fields := []any{
 		"class", f.Key.Class, "dest", f.Key.Destination, "tenant", f.Key.Tenant, "other", f.Key.Other, "of", f.Check,
 		"books", uint64(f.Booked), "counted", uint64(f.Counted),
 	}
 	if f.ResolvedAt == 0 {
-		d.log.Error("ledger: figures do not add up", list...)
+		d.log.Error("ledger: figures do not add up", fields...)
 	} else {
-		d.log.Warn("ledger: figures add up again", list...)
+		d.log.Warn("ledger: figures add up again", fields...)
 	}
 	if d.OnBreach != nil {
 		d.OnBreach(f.Breach)
--- a/internal/driver/load.go
+++ b/internal/driver/load.go
@@ -129,16 +129,16 @@
 }
 
 // startOrQueue starts a call or queues it.
-func (d *Driver) startOrQueue(c *engine.Call) {
+func (d *Driver) startOrQueue(call *engine.Call) {
 	if l := &d.load; len(l.queuedCalls) > 0 || !l.mayStart() {
-		if _, held := d.madeInRound[c.ID]; !held {
-			d.madeInRound[c.ID] = 0 // no round has this number, so the call needs a new permit before it starts
+		if _, waited := d.madeInRound[call.ID]; !waited {
+			d.madeInRound[call.ID] = 0 // no round has this number, so the call needs a new permit before it starts
 		}
-		l.queuedCalls = append(l.queuedCalls, c)
+		l.queuedCalls = append(l.queuedCalls, call)
 		return
 	}
 	d.load.callsStarted++
-	d.startCall(c)
+	d.startCall(call)
 }
 
 // startQueued starts as many queued calls as are allowed.
@@ -146,10 +146,10 @@
 	l := &d.load
 	n := 0
 	for ; n < len(l.queuedCalls) && l.mayStart(); n++ {
-		c := l.queuedCalls[n]
+		call := l.queuedCalls[n]
 		l.queuedCalls[n] = nil
 		l.callsStarted++
-		d.startCall(c)
+		d.startCall(call)
 	}
 	if l.queuedCalls = l.queuedCalls[n:]; len(l.queuedCalls) == 0 {
 		l.queuedCalls = nil
@@ -164,7 +164,7 @@
 	if l.probeOut && d.now.At-engine.Time(l.probeSent.Load()) > engine.Time(probeTimeout.Microseconds()) {
 		l.probeOut = false
 	}
-	if since := d.now.At - engine.Time(l.probeSent.Load()); l.probe != nil && !l.probeOut && (since >= probeInterval || l.callsStarted >= callsPerProbe) {
+	if sinceProbe := d.now.At - engine.Time(l.probeSent.Load()); l.probe != nil && !l.probeOut && (sinceProbe >= probeInterval || l.callsStarted >= callsPerProbe) {
 		if l.callsStarted+l.submissions >= minWorkForProbe {
 			l.probeOut = true
 			l.probeSent.Store(int64(d.clock.At(d.host.Now())))
@@ -173,19 +173,19 @@
 		l.callsStarted, l.submissions = 0, 0
 		d.startQueued() // the next lot runs behind the probe
 	}
-	out := engine.Time(0) // how long the probe has been under way, if the gate is to be informed
+	probeAge := engine.Time(0) // how long the probe has been under way, if the gate is to be informed
 	if sent := engine.Time(l.probeSent.Load()); l.probeOut && d.now.At-max(sent, l.lastLateReport) >= lateReportInterval {
-		l.lastLateReport, out = d.now.At, d.now.At-sent
+		l.lastLateReport, probeAge = d.now.At, d.now.At-sent
 	}
-	if l.endedMessages > 0 || out > 0 {
+	if l.endedMessages > 0 || probeAge > 0 {
 		d.admission.mu.Lock()
 		defer d.admission.mu.Unlock()
 		if l.endedMessages > 0 {
 			d.admission.gate.Completed(d.now.At, l.endedMessages)
 			l.endedMessages = 0
 		}
-		if out > 0 {
-			d.admission.gate.ObserveDelay(d.now.At, out)
+		if probeAge > 0 {
+			d.admission.gate.ObserveDelay(d.now.At, probeAge)
 		}
 	}
 }
--- a/internal/driver/share.go
+++ b/internal/driver/share.go
@@ -54,27 +54,27 @@
 	if !d.shared {
 		return d.inbox.Put(v)
 	}
-	ok, crowd := d.addToQueue(v)
-	if !ok || crowd {
+	ok, crowded := d.addToQueue(v)
+	if !ok || crowded {
 		return ok && d.inbox.Put(wakeRun{})
 	}
 	// A caller that finds the turn taken leaves its value to the holder, who checks the queue again after releasing the turn.
 	// The same holds for values that components queue from within a round.
 	for n := 1; d.hasQueued() && d.turn.TryLock(); n++ {
-		leave := d.makeRounds() || n == maxRoundsPerCaller
-		late := d.sleepsUntil.IsZero() || d.nextRound().Before(d.sleepsUntil) || len(d.notes) > 0 // Run would sleep too long
+		handOver := d.makeRounds() || n == maxRoundsPerCaller
+		wakeEarlier := d.sleepsUntil.IsZero() || d.nextRound().Before(d.sleepsUntil) || len(d.notes) > 0 // Run would sleep too long
 		d.turn.Unlock()
-		if leave || late {
+		if handOver || wakeEarlier {
 			d.inbox.Put(wakeRun{})
 		}
-		if leave {
+		if handOver {
 			break
 		}
 	}
 	return true
 }
 
-func (d *Driver) addToQueue(v any) (ok, crowd bool) {
+func (d *Driver) addToQueue(v any) (ok, crowded bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.stopped {
--- a/internal/figures/exporter/exporter.go
+++ b/internal/figures/exporter/exporter.go
@@ -27,23 +27,23 @@
 func (c *Collector) Collect(to chan<- prometheus.Metric) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cut, err := c.Snapshot()
+	snapshot, err := c.Snapshot()
 	if err != nil {
 		to <- prometheus.NewInvalidMetric(newDesc(&figures.Family{Name: "curlewmux_ledger", Help: "The ledger."}), err)
 		return
 	}
-	list := make([]*prometheus.Desc, len(figures.AccountFamilies))
-	for i := range list {
-		list[i] = newDesc(&figures.AccountFamilies[i], figures.AccountLabels[:]...)
+	descriptions := make([]*prometheus.Desc, len(figures.AccountFamilies))
+	for i := range descriptions {
+		descriptions[i] = newDesc(&figures.AccountFamilies[i], figures.AccountLabels[:]...)
 	}
-	for _, s := range c.series.Select(cut) {
+	for _, s := range c.series.Select(snapshot) {
 		at := 0
 		s.Each(func(_ string, v ledger.Count, _ bool) {
-			to <- newMetric(list[at], &figures.AccountFamilies[at], float64(v), s.Labels[:])
+			to <- newMetric(descriptions[at], &figures.AccountFamilies[at], float64(v), s.Labels[:])
 			at++
 		})
 	}
-	for _, w := range figures.LedgerMetrics(cut) {
+	for _, w := range figures.LedgerMetrics(snapshot) {
 		to <- newMetric(newDesc(&w.Family, w.LabelNames...), &w.Family, w.Value, w.LabelValues)
 	}
 }
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -82,39 +82,39 @@
 	})
 }
 
-func (b *Cache) page(p *page, write func(*ledger.Snapshot) ([]byte, error)) ([]byte, error) {
+func (b *Cache) page(cached *page, render func(*ledger.Snapshot) ([]byte, error)) ([]byte, error) {
 	b.mu.Lock()
 	now := b.now()
 	if b.paidUntil.Sub(now) > maxBurst {
 		b.mu.Unlock()
 		return nil, ErrBusy
 	}
-	text, fresh := p.text, p.snapshot != nil && now.Before(p.expiresAt)
-	if fresh {
+	text, valid := cached.text, cached.snapshot != nil && now.Before(cached.expiresAt)
+	if valid {
 		b.charge(now, text)
 	}
 	b.mu.Unlock()
-	if fresh {
+	if valid {
 		return text, nil
 	}
-	cut, err := b.source.Ledger(snapshotTimeout)
+	snapshot, err := b.source.Ledger(snapshotTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	began := b.now()
+	started := b.now()
 	// Another reader may have replaced the page meanwhile. An older snapshot must not follow a newer one.
-	if p.snapshot != nil && (p.snapshot == cut || p.requestedAt.After(now) || began.Before(p.expiresAt)) {
-		b.charge(began, p.text)
-		return p.text, nil
+	if cached.snapshot != nil && (cached.snapshot == snapshot || cached.requestedAt.After(now) || started.Before(cached.expiresAt)) {
+		b.charge(started, cached.text)
+		return cached.text, nil
 	}
-	if text, err = write(cut); err != nil {
+	if text, err = render(snapshot); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	made := b.now()
-	*p = page{text, cut, now, made.Add(max(MaxAge, idlePerWork*made.Sub(began)))}
-	b.charge(made, text)
+	finished := b.now()
+	*cached = page{text, snapshot, now, finished.Add(max(MaxAge, idlePerWork*finished.Sub(started)))}
+	b.charge(finished, text)
 	return text, nil
 }
 
--- a/internal/figures/metrics.go
+++ b/internal/figures/metrics.go
@@ -12,45 +12,45 @@
 
 // writeMetrics writes a snapshot in the OpenMetrics text format. Package exporter produces the same with prometheus/client_golang,
 // and its tests compare both. A dispatcher does not link that library, see docs/design/ledger-shown.md.
-func writeMetrics(b *bytes.Buffer, s *ledger.Snapshot, series []AccountSeries) {
-	figures := make([]ledger.Count, 0, len(series)*len(AccountFamilies)) // the counts of one series after the other
+func writeMetrics(out *bytes.Buffer, snapshot *ledger.Snapshot, series []AccountSeries) {
+	counts := make([]ledger.Count, 0, len(series)*len(AccountFamilies)) // the counts of one series after the other
 	labels := make([]string, len(series))
 	var buf []byte
 	for i := range series {
-		series[i].Each(func(_ string, v ledger.Count, _ bool) { figures = append(figures, v) })
+		series[i].Each(func(_ string, v ledger.Count, _ bool) { counts = append(counts, v) })
 		buf = appendLabels(buf[:0], AccountLabels[:], series[i].Labels[:])
 		labels[i] = string(buf)
 	}
-	visitByName(LedgerMetrics(s), func(at int) {
-		f := &AccountFamilies[at]
-		writeHeader(b, f)
+	visitByName(LedgerMetrics(snapshot), func(at int) {
+		family := &AccountFamilies[at]
+		writeHeader(out, family)
 		for i := range series {
-			buf = append(append(appendSampleName(buf[:0], f), labels[i]...), ' ')
-			buf = append(strconv.AppendUint(buf, uint64(figures[i*len(AccountFamilies)+at]), 10), '\n')
-			b.Write(buf)
+			buf = append(append(appendSampleName(buf[:0], family), labels[i]...), ' ')
+			buf = append(strconv.AppendUint(buf, uint64(counts[i*len(AccountFamilies)+at]), 10), '\n')
+			out.Write(buf)
 		}
 	}, func(w *LedgerMetric) {
-		writeHeader(b, &w.Family)
+		writeHeader(out, &w.Family)
 		buf = append(appendLabels(appendSampleName(buf[:0], &w.Family), w.LabelNames, w.LabelValues), ' ')
 		buf = append(strconv.AppendFloat(buf, w.Value, 'f', -1, 64), '\n')
-		b.Write(buf)
+		out.Write(buf)
 	})
-	b.WriteString("# EOF\n")
+	out.WriteString("# EOF\n")
 }
 
-func writeHeader(b *bytes.Buffer, f *Family) {
+func writeHeader(out *bytes.Buffer, family *Family) {
 	kind := " counter\n"
-	if f.Gauge {
+	if family.Gauge {
 		kind = " gauge\n"
 	}
-	for _, s := range [...]string{"# HELP ", f.Name, " ", f.Help, "\n# TYPE ", f.Name, kind} {
-		b.WriteString(s)
+	for _, s := range [...]string{"# HELP ", family.Name, " ", family.Help, "\n# TYPE ", family.Name, kind} {
+		out.WriteString(s)
 	}
 }
 
-func appendSampleName(b []byte, f *Family) []byte {
-	b = append(b, f.Name...)
-	if !f.Gauge {
+func appendSampleName(b []byte, family *Family) []byte {
+	b = append(b, family.Name...)
+	if !family.Gauge {
 		b = append(b, "_total"...)
 	}
 	return b
--- a/internal/figures/rest.go
+++ b/internal/figures/rest.go
@@ -17,31 +17,31 @@
 // under way when the process ended still count as such. The error wraps ErrNoLedger or ledger.ErrLeaf, or tells why the
 // folder can't be read.
 func ReadFolder(dir journal.Dir) (*ledger.Snapshot, error) {
-	r, err := journal.Check(dir)
+	state, err := journal.Check(dir)
 	if err != nil {
 		return nil, err
 	}
-	if len(r.Leaves) == 0 {
+	if len(state.Leaves) == 0 {
 		return nil, ErrNoLedger
 	}
-	l, err := ledger.Restore(ledger.Settings{Instance: r.Owner, MaxAccounts: ledger.MaxAccountsLimit}, r.Leaves, ledger.Epoch{})
+	restored, err := ledger.Restore(ledger.Settings{Instance: state.Owner, MaxAccounts: ledger.MaxAccountsLimit}, state.Leaves, ledger.Epoch{})
 	if err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
 	}
-	if l.Epoch().ID == "" {
+	if restored.Epoch().ID == "" {
 		return nil, fmt.Errorf("%w: the leaf of its epoch is missing", ErrNoLedger)
 	}
-	wall := int64(r.Last.LatestTimestamp)
-	l.SetWallTime(wall)
+	wall := int64(state.Last.LatestTimestamp)
+	restored.SetWallTime(wall)
 	live := map[ledger.Key]ledger.Count{}
-	for _, m := range r.Live {
+	for _, m := range state.Live {
 		if m.Pending == nil {
 			k := ledger.Key{Class: wire.Plain(m.Message.Class), Destination: m.Message.Destination, Tenant: wire.Plain(m.Message.Tenant)}
-			live[l.Account(k).Key()]++
+			live[restored.Account(k).Key()]++
 		}
 	}
-	for _, a := range l.Snapshot(wall).Accounts {
-		l.Compare(a.Key, ledger.CheckRestart, a.Open, live[a.Key])
+	for _, a := range restored.Snapshot(wall).Accounts {
+		restored.Compare(a.Key, ledger.CheckRestart, a.Open, live[a.Key])
 	}
-	return l.Snapshot(wall), nil
+	return restored.Snapshot(wall), nil
 }
--- a/internal/figures/series.go
+++ b/internal/figures/series.go
@@ -29,14 +29,14 @@
 }
 
 // Select returns all series of a snapshot. Their labels are unique, and their sum is the total of the snapshot.
-func (s *Series) Select(cut *ledger.Snapshot) []AccountSeries {
+func (s *Series) Select(snapshot *ledger.Snapshot) []AccountSeries {
 	if s.own == nil {
 		s.own = map[ledger.Key]bool{}
 	}
-	out := make([]AccountSeries, 0, min(len(cut.Accounts), MaxSeries+1))
-	at := map[[len(AccountLabels)]string]int{}
-	for i := range cut.Accounts {
-		a := &cut.Accounts[i]
+	out := make([]AccountSeries, 0, min(len(snapshot.Accounts), MaxSeries+1))
+	indexes := map[[len(AccountLabels)]string]int{}
+	for i := range snapshot.Accounts {
+		a := &snapshot.Accounts[i]
 		if !a.Other && len(s.own) < MaxSeries {
 			s.own[a.Key] = true
 		}
@@ -44,13 +44,13 @@
 		if !a.Other && s.own[a.Key] {
 			labels = [...]string{ValidLabel(a.Class), strconv.Itoa(a.Destination), ValidLabel(a.Tenant)}
 		}
-		n, there := at[labels] // also if two names differ only in invalid UTF-8, which labels cannot have
-		if !there {
-			n = len(out)
-			at[labels] = n
+		index, exists := indexes[labels] // also if two names differ only in invalid UTF-8, which labels cannot have
+		if !exists {
+			index = len(out)
+			indexes[labels] = index
 			out = append(out, AccountSeries{Labels: labels})
 		}
-		out[n].Counts.Add(&a.Counts)
+		out[index].Counts.Add(&a.Counts)
 	}
 	return out
 }
@@ -98,27 +98,27 @@
 }
 
 // LedgerMetrics returns the metrics of a snapshot as a whole.
-func LedgerMetrics(s *ledger.Snapshot) []LedgerMetric {
+func LedgerMetrics(snapshot *ledger.Snapshot) []LedgerMetric {
 	standing := 0
-	for _, b := range s.Breaches {
+	for _, b := range snapshot.Breaches {
 		if b.ResolvedAt == 0 {
 			standing++
 		}
 	}
 	provisional := 0.0
-	if s.Provisional {
+	if snapshot.Provisional {
 		provisional = 1
 	}
-	const p = "curlewmux_ledger_"
+	const prefix = "curlewmux_ledger_"
 	return []LedgerMetric{
-		{Family{p + "epoch_info", "The epoch: within one, no counter steps back.", true}, []string{"epoch", "instance", "why"},
-			[]string{s.Epoch.ID, ValidLabel(s.Instance), ValidLabel(s.Epoch.Reason)}, 1},
-		{Family{p + "epoch_began_seconds", "When the epoch began, since 1970.", true}, nil, nil, float64(s.Epoch.Began) / 1e6},
-		{Family{p + "cut_seconds", "When all of these figures were taken, at one moment, since 1970.", true}, nil, nil, float64(s.Wall) / 1e6},
-		{Family{p + "accounts", "Accounts that there are.", true}, nil, nil, float64(len(s.Accounts))},
-		{Family{p + "breaches_standing", "Figures that do not add up now.", true}, nil, nil, float64(standing)},
-		{Family{p + "breaches", "Figures that were found not to add up.", false}, nil, nil, float64(len(s.Breaches)) + float64(s.MoreBreaches)},
-		{Family{p + "provisional", "1 where the store lacks some of these figures: a crash may take them back.", true}, nil, nil, provisional},
+		{Family{prefix + "epoch_info", "The epoch: within one, no counter steps back.", true}, []string{"epoch", "instance", "why"},
+			[]string{snapshot.Epoch.ID, ValidLabel(snapshot.Instance), ValidLabel(snapshot.Epoch.Reason)}, 1},
+		{Family{prefix + "epoch_began_seconds", "When the epoch began, since 1970.", true}, nil, nil, float64(snapshot.Epoch.Began) / 1e6},
+		{Family{prefix + "cut_seconds", "When all of these figures were taken, at one moment, since 1970.", true}, nil, nil, float64(snapshot.Wall) / 1e6},
+		{Family{prefix + "accounts", "Accounts that there are.", true}, nil, nil, float64(len(snapshot.Accounts))},
+		{Family{prefix + "breaches_standing", "Figures that do not add up now.", true}, nil, nil, float64(standing)},
+		{Family{prefix + "breaches", "Figures that were found not to add up.", false}, nil, nil, float64(len(snapshot.Breaches)) + float64(snapshot.MoreBreaches)},
+		{Family{prefix + "provisional", "1 where the store lacks some of these figures: a crash may take them back.", true}, nil, nil, provisional},
 	}
 }
 
--- a/internal/host/roundtrip.go
+++ b/internal/host/roundtrip.go
@@ -22,14 +22,14 @@
 	if err != nil {
 		return 0
 	}
-	least := uint32(0)
+	minimum := uint32(0)
 	err = rc.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			least = info.Min_rtt
+			minimum = info.Min_rtt
 		}
 	})
-	if err != nil || least == ^uint32(0) { // ^0: not measured yet
+	if err != nil || minimum == ^uint32(0) { // ^0: not measured yet
 		return 0
 	}
-	return time.Duration(least) * time.Microsecond
+	return time.Duration(minimum) * time.Microsecond
 }
--- a/internal/host/system.go
+++ b/internal/host/system.go
@@ -169,9 +169,9 @@
 	if err != nil {
 		return true
 	}
-	seen := false
+	ready := false
 	err = rc.Control(func(fd uintptr) {
-		seen = readReady(fd)
+		ready = readReady(fd)
 	})
-	return seen || err != nil
+	return ready || err != nil
 }
--- a/ledger/breach.go
+++ b/ledger/breach.go
@@ -36,42 +36,42 @@
 // Compare checks two values that must be equal and records a breach if they are not. A standing breach with the same
 // difference is left as it is. If the difference has changed, the old breach is resolved and a new one recorded. Resolved
 // breaches stay on record.
-func (l *Ledger) Compare(k Key, what string, books, counted Count) {
-	if books == counted && len(l.standing) == 0 && len(l.unrecorded) == 0 {
+func (l *Ledger) Compare(key Key, check string, booked, counted Count) {
+	if booked == counted && len(l.standing) == 0 && len(l.unrecorded) == 0 {
 		return
 	}
-	p := comparison{k, what}
-	if off, told := l.unrecorded[p]; told && off == books-counted {
+	compared := comparison{key, check}
+	if difference, known := l.unrecorded[compared]; known && difference == booked-counted {
 		return
 	}
-	delete(l.unrecorded, p)
-	at, stands := l.standing[p]
+	delete(l.unrecorded, compared)
+	index, stands := l.standing[compared]
 	if stands {
-		b := &l.breaches[at]
-		if books != counted && books-counted == b.Booked-b.Counted {
+		b := &l.breaches[index]
+		if booked != counted && booked-counted == b.Booked-b.Counted {
 			return
 		}
 		b.ResolvedAt = max(l.wall, 1)
-		if books == counted {
+		if booked == counted {
 			l.newBreaches = append(l.newBreaches, *b)
 		}
-		delete(l.standing, p)
-		l.storedBreaches = min(l.storedBreaches, at)
+		delete(l.standing, compared)
+		l.storedBreaches = min(l.storedBreaches, index)
 	}
-	if books == counted {
+	if booked == counted {
 		return
 	}
-	b := Breach{Key: k, Check: what, Booked: books, Counted: counted, FoundAt: l.wall}
+	b := Breach{Key: key, Check: check, Booked: booked, Counted: counted, FoundAt: l.wall}
 	if len(l.newBreaches) < maxBreaches {
 		l.newBreaches = append(l.newBreaches, b)
 	}
 	if len(l.breaches) == maxBreaches {
 		l.moreBreaches++
 		l.epochDirty = true
-		l.unrecorded[p] = books - counted
+		l.unrecorded[compared] = booked - counted
 		return
 	}
-	l.standing[p] = len(l.breaches)
+	l.standing[compared] = len(l.breaches)
 	l.breaches = append(l.breaches, b)
 }
 
--- a/ledger/fleet.go
+++ b/ledger/fleet.go
@@ -34,44 +34,44 @@
 }
 
 // Diff compares two snapshots of one dispatcher, the older first. It fails if they are of different dispatchers.
-func Diff(a, b *Snapshot) (*Difference, error) {
-	if a.Instance != b.Instance {
-		return nil, fmt.Errorf("diff: snapshots of two dispatchers, %q and %q", a.Instance, b.Instance)
+func Diff(older, newer *Snapshot) (*Difference, error) {
+	if older.Instance != newer.Instance {
+		return nil, fmt.Errorf("diff: snapshots of two dispatchers, %q and %q", older.Instance, newer.Instance)
 	}
-	d := &Difference{
-		Instance: a.Instance, Elapsed: b.Wall - a.Wall, EpochChanged: a.Epoch.ID != b.Epoch.ID, Epochs: [2]Epoch{a.Epoch, b.Epoch},
-		Changes: []Change{}, Decreases: []Decrease{}, Total: Change{Before: a.Total, After: b.Total}, OlderProvisional: a.Provisional,
+	difference := &Difference{
+		Instance: older.Instance, Elapsed: newer.Wall - older.Wall, EpochChanged: older.Epoch.ID != newer.Epoch.ID, Epochs: [2]Epoch{older.Epoch, newer.Epoch},
+		Changes: []Change{}, Decreases: []Decrease{}, Total: Change{Before: older.Total, After: newer.Total}, OlderProvisional: older.Provisional,
 	}
-	list := map[Key]*Change{}
-	at := func(k Key) *Change {
-		c := list[k]
+	changes := map[Key]*Change{}
+	changeOf := func(k Key) *Change {
+		c := changes[k]
 		if c == nil {
 			c = &Change{Key: k}
-			list[k] = c
+			changes[k] = c
 		}
 		return c
 	}
-	for _, l := range a.Accounts {
-		at(l.Key).Before = l.Counts
+	for _, l := range older.Accounts {
+		changeOf(l.Key).Before = l.Counts
 	}
-	for _, l := range b.Accounts {
-		at(l.Key).After = l.Counts
+	for _, l := range newer.Accounts {
+		changeOf(l.Key).After = l.Counts
 	}
-	for _, c := range list {
+	for _, c := range changes {
 		if c.Before != c.After {
-			d.Changes = append(d.Changes, *c)
+			difference.Changes = append(difference.Changes, *c)
 		}
 	}
-	slices.SortFunc(d.Changes, func(a, b Change) int { return a.Key.Compare(b.Key) })
-	for _, c := range d.Changes {
+	slices.SortFunc(difference.Changes, func(a, b Change) int { return a.Key.Compare(b.Key) })
+	for _, c := range difference.Changes {
 		before, after := c.Before.fields(), c.After.fields()
 		for i := range firstGauge {
-			if !d.EpochChanged && *after[i] < *before[i] {
-				d.Decreases = append(d.Decreases, Decrease{c.Key, countNames[i], *before[i], *after[i]})
+			if !difference.EpochChanged && *after[i] < *before[i] {
+				difference.Decreases = append(difference.Decreases, Decrease{c.Key, countNames[i], *before[i], *after[i]})
 			}
 		}
 	}
-	return d, nil
+	return difference, nil
 }
 
 // FleetPart describes one ledger in the sum over a fleet: one epoch of one instance.
@@ -109,47 +109,47 @@
 // epoch of an instance that began last is its current one, the others have ended: messages that they had open and the next
 // epoch did not carry over are unaccounted for. An instance whose machine is lost has no next epoch. Its part tells how old
 // its newest snapshot is and how many messages were open then.
-func Sum(list ...*Snapshot) (*Fleet, error) {
-	type id struct{ instance, epoch string }
-	newest := map[id]*Snapshot{}
-	var last int64
-	for _, s := range list {
+func Sum(snapshots ...*Snapshot) (*Fleet, error) {
+	type ledgerID struct{ instance, epoch string }
+	newest := map[ledgerID]*Snapshot{}
+	var newestWall int64
+	for _, s := range snapshots {
 		if s.Format != Format {
 			return nil, fmt.Errorf("sum: %q: format %d: %w", s.Instance, s.Format, ErrFormat)
 		}
-		last = max(last, s.Wall)
-		k := id{s.Instance, s.Epoch.ID}
+		newestWall = max(newestWall, s.Wall)
+		k := ledgerID{s.Instance, s.Epoch.ID}
 		if old := newest[k]; old == nil || moreAdvanced(s, old) {
 			newest[k] = s
 		}
 	}
-	var all []*Snapshot
+	var epochs []*Snapshot
 	for _, s := range newest {
-		all = append(all, s)
+		epochs = append(epochs, s)
 	}
-	slices.SortFunc(all, func(a, b *Snapshot) int {
+	slices.SortFunc(epochs, func(a, b *Snapshot) int {
 		return cmp.Or(cmp.Compare(a.Instance, b.Instance), cmp.Compare(a.Epoch.Began, b.Epoch.Began), cmp.Compare(a.Epoch.ID, b.Epoch.ID))
 	})
-	f := &Fleet{Format: Format, Parts: []FleetPart{}, Unaccounted: []Unaccounted{}, Accounts: []AccountCounts{}}
+	fleet := &Fleet{Format: Format, Parts: []FleetPart{}, Unaccounted: []Unaccounted{}, Accounts: []AccountCounts{}}
 	sums := map[Key]*Counts{}
-	for i, s := range all {
-		p := FleetPart{Instance: s.Instance, Epoch: s.Epoch, Wall: s.Wall, Behind: last - s.Wall, Open: s.Total.Open}
+	for i, s := range epochs {
+		part := FleetPart{Instance: s.Instance, Epoch: s.Epoch, Wall: s.Wall, Behind: newestWall - s.Wall, Open: s.Total.Open}
 		for _, b := range s.Breaches {
 			if b.ResolvedAt == 0 {
-				p.StandingBreaches++
+				part.StandingBreaches++
 			}
 		}
-		over := i+1 < len(all) && all[i+1].Instance == s.Instance
-		brought := map[Key]Count{}
-		if over && all[i+1].Epoch.Previous == s.Epoch.ID {
-			for _, a := range all[i+1].Accounts {
-				brought[a.Key] = a.CarriedOver
+		ended := i+1 < len(epochs) && epochs[i+1].Instance == s.Instance
+		carriedOver := map[Key]Count{}
+		if ended && epochs[i+1].Epoch.Previous == s.Epoch.ID {
+			for _, a := range epochs[i+1].Accounts {
+				carriedOver[a.Key] = a.CarriedOver
 			}
 		}
-		before := map[Key]Count{} // what the previous epoch had open: it counted these messages already
-		if i > 0 && all[i-1].Instance == s.Instance && s.Epoch.Previous == all[i-1].Epoch.ID {
-			for _, a := range all[i-1].Accounts {
-				before[a.Key] = a.Open
+		counted := map[Key]Count{} // what the previous epoch had open: it counted these messages already
+		if i > 0 && epochs[i-1].Instance == s.Instance && s.Epoch.Previous == epochs[i-1].Epoch.ID {
+			for _, a := range epochs[i-1].Accounts {
+				counted[a.Key] = a.Open
 			}
 		}
 		for _, a := range s.Accounts {
@@ -158,39 +158,39 @@
 				sum = &Counts{}
 				sums[a.Key] = sum
 			}
-			if over {
-				if left := a.Open - min(a.Open, brought[a.Key]); left > 0 {
-					p.Unaccounted += left
-					f.Unaccounted = append(f.Unaccounted, Unaccounted{a.Key, s.Instance, s.Epoch.ID, left})
+			if ended {
+				if left := a.Open - min(a.Open, carriedOver[a.Key]); left > 0 {
+					part.Unaccounted += left
+					fleet.Unaccounted = append(fleet.Unaccounted, Unaccounted{a.Key, s.Instance, s.Epoch.ID, left})
 				}
 				a.Open = 0
 			}
-			a.CarriedOver -= min(a.CarriedOver, before[a.Key])
+			a.CarriedOver -= min(a.CarriedOver, counted[a.Key])
 			sum.Add(&a.Counts)
 		}
-		f.Parts = append(f.Parts, p)
+		fleet.Parts = append(fleet.Parts, part)
 	}
 	for k, v := range sums {
-		f.Accounts = append(f.Accounts, AccountCounts{k, *v})
-		f.Total.Add(v)
+		fleet.Accounts = append(fleet.Accounts, AccountCounts{k, *v})
+		fleet.Total.Add(v)
 	}
-	slices.SortFunc(f.Accounts, func(a, b AccountCounts) int { return a.Key.Compare(b.Key) })
-	slices.SortFunc(f.Unaccounted, func(a, b Unaccounted) int {
+	slices.SortFunc(fleet.Accounts, func(a, b AccountCounts) int { return a.Key.Compare(b.Key) })
+	slices.SortFunc(fleet.Unaccounted, func(a, b Unaccounted) int {
 		return cmp.Or(a.Key.Compare(b.Key), cmp.Compare(a.Instance, b.Instance), cmp.Compare(a.Epoch, b.Epoch))
 	})
-	return f, nil
+	return fleet, nil
 }
 
 // moreAdvanced reports whether a is more advanced than b, a snapshot of the same epoch. Counts decide before wall times, because
 // clocks may be stepped.
 func moreAdvanced(a, b *Snapshot) bool {
-	x, y := a.Total.fields(), b.Total.fields()
-	var sa, sb Count
+	countsA, countsB := a.Total.fields(), b.Total.fields()
+	var sumA, sumB Count
 	for i := range firstGauge {
-		sa, sb = sa+*x[i], sb+*y[i]
+		sumA, sumB = sumA+*countsA[i], sumB+*countsB[i]
 	}
-	if sa != sb {
-		return sa > sb
+	if sumA != sumB {
+		return sumA > sumB
 	}
 	return a.Wall > b.Wall
 }
--- a/ledger/leaf.go
+++ b/ledger/leaf.go
@@ -26,10 +26,10 @@
 // ErrLeaf is wrapped by the error that Restore returns for a leaf that can't be read.
 var ErrLeaf = errors.New("malformed leaf")
 
-// WriteLeaves calls put with each leaf that changed since it was last written, with at most most accounts, and regards them
+// WriteLeaves calls put with each leaf that changed since it was last written, with at most maxAccounts accounts, and regards them
 // as written. Pending postings are included. The caller calls MarkUnwritten with the number of each leaf that the store does
 // not accept. It returns false if accounts are left to be written.
-func (l *Ledger) WriteLeaves(most int, put func(Leaf)) bool {
+func (l *Ledger) WriteLeaves(maxAccounts int, put func(Leaf)) bool {
 	if l.epochDirty {
 		l.epochDirty = false
 		put(Leaf{epochLeaf, l.epochText()})
@@ -37,11 +37,11 @@
 	for ; l.storedBreaches < min(len(l.breaches), maxStoredBreaches); l.storedBreaches++ {
 		put(Leaf{firstBreach + uint64(l.storedBreaches), l.breachText(&l.breaches[l.storedBreaches])})
 	}
-	for n := len(l.dirty); n > 0 && most > 0; n = len(l.dirty) {
+	for n := len(l.dirty); n > 0 && maxAccounts > 0; n = len(l.dirty) {
 		a := l.dirty[n-1]
 		l.dirty = l.dirty[:n-1]
 		a.dirty = false
-		most--
+		maxAccounts--
 		put(Leaf{a.number, l.accountText(a)})
 	}
 	return len(l.dirty) == 0
@@ -64,25 +64,25 @@
 	}
 }
 
-// CompareStored compares the stored leaf of an account with the ledger. at is the index of the account, from 0 to Accounts()-1.
-// Accounts whose newest leaf the store does not have yet, as clean reports, are skipped.
-func (l *Ledger) CompareStored(at int, clean func(number uint64) bool, store func(number uint64) []byte) {
-	a := l.accounts[at]
-	if a.dirty || !clean(a.number) {
+// CompareStored compares the stored leaf of an account with the ledger. index is from 0 to Accounts()-1.
+// Accounts whose newest leaf the store does not have yet, as upToDate reports, are skipped.
+func (l *Ledger) CompareStored(index int, upToDate func(number uint64) bool, stored func(number uint64) []byte) {
+	a := l.accounts[index]
+	if a.dirty || !upToDate(a.number) {
 		return
 	}
 	var have Counts
-	if text := store(a.number); text != nil {
+	if text := stored(a.number); text != nil {
 		if k, f, err := l.readAccount(text); err == nil && k == a.key {
 			have = f
 		}
 	}
 	want := a.counts
 	want.Add(&a.pending)
-	x, y := want.fields(), have.fields()
-	for i := range x { // each count by itself: a missing end leaves the sums in balance
-		if *x[i] != *y[i] {
-			l.Compare(a.key, CheckStore, *x[i], *y[i])
+	wanted, found := want.fields(), have.fields()
+	for i := range wanted { // each count by itself: a missing end leaves the sums in balance
+		if *wanted[i] != *found[i] {
+			l.Compare(a.key, CheckStore, *wanted[i], *found[i])
 			return
 		}
 	}
@@ -225,23 +225,23 @@
 // Restore rebuilds a ledger from the leaves that a store had. Without the leaf of an epoch it returns an empty ledger in the
 // epoch given. The limit of accounts stays what it was when the epoch began: with a higher one, messages counted in the
 // shared account would now find an account of their own. An error about a leaf wraps ErrLeaf.
-func Restore(s Settings, leaves []Leaf, anew Epoch) (*Ledger, error) {
-	l, err := New(s, anew)
+func Restore(settings Settings, leaves []Leaf, fallback Epoch) (*Ledger, error) {
+	l, err := New(settings, fallback)
 	if err != nil {
 		return nil, err
 	}
-	at := slices.IndexFunc(leaves, func(f Leaf) bool { return f.Number == epochLeaf })
-	if at < 0 {
+	epochAt := slices.IndexFunc(leaves, func(f Leaf) bool { return f.Number == epochLeaf })
+	if epochAt < 0 {
 		return l, nil
 	}
 	l.epochDirty, l.restored = false, true
-	r := &reader{rest: leaves[at].Text}
+	r := &reader{rest: leaves[epochAt].Text}
 	l.epoch = Epoch{ID: r.text(), Began: r.varint(), Reason: r.text(), Previous: r.text()}
 	l.epochMark = l.epoch.mark()
 	boot, lasting := r.text(), r.uvarint() == 1
 	l.settings.MaxAccounts, l.moreBreaches = int(min(r.uvarint(), MaxAccountsLimit)), Count(r.uvarint())
-	l.rebooted = boot != "" && s.BootID != "" && boot != l.settings.BootID && !lasting
-	l.epochDirty = boot != l.settings.BootID || lasting != s.Durable
+	l.rebooted = boot != "" && settings.BootID != "" && boot != l.settings.BootID && !lasting
+	l.epochDirty = boot != l.settings.BootID || lasting != settings.Durable
 	if err := r.finish("epoch"); err != nil {
 		return nil, err
 	}
@@ -296,12 +296,12 @@
 func (l *Ledger) Epoch() Epoch { return l.epoch }
 
 // NextEpoch returns a ledger that begins a new epoch. It keeps the breaches on record, and its accounts are empty.
-func (l *Ledger) NextEpoch(s Settings, e Epoch) (*Ledger, error) {
-	e.Previous = l.epoch.ID
-	n, err := New(s, e)
+func (l *Ledger) NextEpoch(settings Settings, epoch Epoch) (*Ledger, error) {
+	epoch.Previous = l.epoch.ID
+	next, err := New(settings, epoch)
 	if err != nil {
 		return nil, err
 	}
-	n.breaches, n.moreBreaches, n.standing = l.breaches, l.moreBreaches, l.standing
-	return n, nil
+	next.breaches, next.moreBreaches, next.standing = l.breaches, l.moreBreaches, l.standing
+	return next, nil
 }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -157,19 +157,19 @@
 	"doubt.opened", "doubt.twice", "doubt.unsure", "open", "attempts.out", "doubt.open",
 }
 
-// Each calls call with the name and value of each count, always in the same order. A gauge may fall. The other counts only
+// Each calls visit with the name and value of each count, always in the same order. A gauge may fall. The other counts only
 // grow within an epoch.
-func (f *Counts) Each(call func(name string, v Count, level bool)) {
-	for i, c := range f.fields() {
-		call(countNames[i], *c, i >= firstGauge)
+func (f *Counts) Each(visit func(name string, v Count, level bool)) {
+	for i, count := range f.fields() {
+		visit(countNames[i], *count, i >= firstGauge)
 	}
 }
 
 // Add adds the counts of o.
-func (f *Counts) Add(o *Counts) {
-	to, from := f.fields(), o.fields()
-	for i := range to {
-		*to[i] += *from[i]
+func (f *Counts) Add(other *Counts) {
+	sums, addends := f.fields(), other.fields()
+	for i := range sums {
+		*sums[i] += *addends[i]
 	}
 }
 
@@ -306,17 +306,17 @@
 }
 
 // New returns an empty ledger that begins in epoch e.
-func New(s Settings, e Epoch) (*Ledger, error) {
-	if s.MaxAccounts < 0 || s.MaxAccounts > MaxAccountsLimit {
-		return nil, fmt.Errorf("maximum number of accounts: %d is out of range, 1 to %d", s.MaxAccounts, MaxAccountsLimit)
+func New(settings Settings, epoch Epoch) (*Ledger, error) {
+	if settings.MaxAccounts < 0 || settings.MaxAccounts > MaxAccountsLimit {
+		return nil, fmt.Errorf("maximum number of accounts: %d is out of range, 1 to %d", settings.MaxAccounts, MaxAccountsLimit)
 	}
-	if s.MaxAccounts == 0 {
-		s.MaxAccounts = DefaultMaxAccounts
+	if settings.MaxAccounts == 0 {
+		settings.MaxAccounts = DefaultMaxAccounts
 	}
-	if len(s.BootID) > maxNameBytes {
-		s.BootID = s.BootID[:maxNameBytes]
+	if len(settings.BootID) > maxNameBytes {
+		settings.BootID = settings.BootID[:maxNameBytes]
 	}
-	return &Ledger{settings: s, epoch: e, epochMark: e.mark(), byKey: map[Key]*Account{}, standing: map[comparison]int{}, unrecorded: map[comparison]Count{}, epochDirty: true}, nil
+	return &Ledger{settings: settings, epoch: epoch, epochMark: epoch.mark(), byKey: map[Key]*Account{}, standing: map[comparison]int{}, unrecorded: map[comparison]Count{}, epochDirty: true}, nil
 }
 
 // SetWallTime sets the time at which breaches are recorded, in microseconds since 1970.
@@ -324,32 +324,32 @@
 
 // Account returns the account of a key and opens it if need be. It returns the shared account once the limit of accounts is
 // reached, and for a key whose class or tenant is too long.
-func (l *Ledger) Account(k Key) *Account {
-	near := &l.cache[k.cacheSlot()]
-	if a := *near; a != nil && a.key == k {
+func (l *Ledger) Account(key Key) *Account {
+	cached := &l.cache[key.cacheSlot()]
+	if a := *cached; a != nil && a.key == key {
 		return a
 	}
-	if a := l.byKey[k]; a != nil {
-		*near = a
+	if a := l.byKey[key]; a != nil {
+		*cached = a
 		return a
 	}
-	if k.Other || len(l.accounts)-l.sharedAccounts() >= l.settings.MaxAccounts || len(k.Class) > maxNameBytes || len(k.Tenant) > maxNameBytes {
+	if key.Other || len(l.accounts)-l.sharedAccounts() >= l.settings.MaxAccounts || len(key.Class) > maxNameBytes || len(key.Tenant) > maxNameBytes {
 		if l.shared == nil {
 			l.shared = l.openAccount(Key{Other: true})
 		}
 		return l.shared
 	}
-	return l.openAccount(k)
+	return l.openAccount(key)
 }
 
 // cacheSlot returns the slot of the key in the cache in front of the map of accounts. Most lookups are for a few accounts, and
 // hashing their strings for the map is slow.
 func (k *Key) cacheSlot() int {
-	n := k.Destination*7 + len(k.Class) + 3*len(k.Tenant)
+	hash := k.Destination*7 + len(k.Class) + 3*len(k.Tenant)
 	if len(k.Class) > 0 {
-		n += int(k.Class[len(k.Class)-1])
+		hash += int(k.Class[len(k.Class)-1])
 	}
-	return n & (cacheSlots - 1)
+	return hash & (cacheSlots - 1)
 }
 
 const cacheSlots = 512 // slots of the cache; a power of two
@@ -361,9 +361,9 @@
 	return 0
 }
 
-func (l *Ledger) openAccount(k Key) *Account {
-	a := &Account{key: k, number: firstAccount + uint64(len(l.accounts))}
-	l.byKey[k] = a
+func (l *Ledger) openAccount(key Key) *Account {
+	a := &Account{key: key, number: firstAccount + uint64(len(l.accounts))}
+	l.byKey[key] = a
 	l.accounts = append(l.accounts, a)
 	l.markDirty(a) // Restore expects account numbers without gaps
 	return a
--- a/ledger/snapshot.go
+++ b/ledger/snapshot.go
@@ -29,8 +29,8 @@
 )
 
 // NewEpoch returns an epoch with the given number as its id.
-func NewEpoch(id uint64, began int64, why, before string) Epoch {
-	return Epoch{ID: fmt.Sprintf("%016x", id), Began: began, Reason: why, Previous: before}
+func NewEpoch(id uint64, began int64, reason, previous string) Epoch {
+	return Epoch{ID: fmt.Sprintf("%016x", id), Began: began, Reason: reason, Previous: previous}
 }
 
 // AccountCounts is an account in a snapshot.
@@ -102,15 +102,15 @@
 		return nil // unreachable: these settings are valid
 	}
 	l.wall = s.Wall
-	var out []Breach
+	var breaches []Breach
 	for _, b := range s.Breaches {
 		if b.ResolvedAt == 0 {
-			out = append(out, b)
+			breaches = append(breaches, b)
 			l.standing[comparison{b.Key, b.Check}] = len(l.breaches)
 			l.breaches = append(l.breaches, b)
 		}
 	}
-	known := len(l.breaches)
+	recorded := len(l.breaches)
 	seen := map[Key]bool{}
 	for i := range s.Accounts {
 		a := &s.Accounts[i]
@@ -126,8 +126,8 @@
 	for i := range sum {
 		l.Compare(Key{}, CheckTotals+": "+countNames[i], *total[i], *sum[i])
 	}
-	for _, b := range l.breaches[known:] {
-		out = append(out, b)
+	for _, b := range l.breaches[recorded:] {
+		breaches = append(breaches, b)
 	}
-	return out
+	return breaches
 }
