--- a/internal/driver/load.go
+++ b/internal/driver/load.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// endRound ends a round. It starts queued calls, sends the probe if there is work whose delay can be measured, and informs the
-// gate of messages that ended and of a probe that is late.
+// endRound ends a round. It starts queued calls, sends the probe if there is work whose delay can be measured, and
+// informs the gate of messages that ended and of a probe that is late.
 func (d *Driver) endRound() {
 	l := &d.load
 	d.startQueued()
--- a/internal/driver/share.go
+++ b/internal/driver/share.go
@@ -8,8 +8,8 @@
 )
 
 // sharedRounds lets the goroutines that call a driver make its rounds themselves. This saves the switch to another
-// goroutine, whose thread may have to be woken first. Run makes the remaining rounds: those at times that the engine asked for, and those for
-// callers that must not be delayed.
+// goroutine, whose thread may have to be woken first. Run makes the remaining rounds: those at times that the engine
+// asked for, and those for callers that must not be delayed.
 type sharedRounds struct {
 	shared bool
 
@@ -29,8 +29,8 @@
 // round must not block.
 func (d *Driver) ShareRounds() { d.shared = true }
 
-// crowdedAbove is the number of open messages above which Run alone makes rounds. One round for the values of many callers costs
-// less than a round for each.
+// crowdedAbove is the number of open messages above which Run alone makes rounds. One round for the values of many
+// callers costs less than a round for each.
 const crowdedAbove = 16
 
 // maxRoundsPerCaller is the number of rounds that one caller makes at most. All but the first are mostly for others.
@@ -48,8 +48,8 @@
 	return ok && d.inbox.Put(wakeRun{})
 }
 
-// runOrEnqueue queues a value and makes the round that handles it, unless another goroutine is making rounds. It returns false if
-// the driver has stopped.
+// runOrEnqueue queues a value and makes the round that handles it, unless another goroutine is making rounds. It returns
+// false if the driver has stopped.
 func (d *Driver) runOrEnqueue(v any) bool {
 	if !d.shared {
 		return d.inbox.Put(v)
--- a/internal/figures/exporter/exporter.go
+++ b/internal/figures/exporter/exporter.go
@@ -13,7 +13,8 @@
 
 // Collector is a prometheus.Collector that takes one snapshot for each scrape, so that all metrics of a scrape agree.
 type Collector struct {
-	// Snapshot returns a snapshot for a scrape. It is called by one goroutine at a time and may block. An error fails the scrape.
+	// Snapshot returns a snapshot for a scrape. It is called by one goroutine at a time and may block. An error fails
+	// the scrape.
 	Snapshot func() (*ledger.Snapshot, error)
 
 	mu     sync.Mutex
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -24,8 +24,8 @@
 
 // Limits of a Cache.
 const (
-	// MaxAge is how long a page is served before a new one is made from a new snapshot. It bounds both the age of what readers
-	// see and the number of snapshots and pages that are made.
+	// MaxAge is how long a page is served before a new one is made from a new snapshot. It bounds both the age of what
+	// readers see and the number of snapshots and pages that are made.
 	MaxAge = 250 * time.Millisecond
 
 	snapshotTimeout = 2 * time.Second // limit of the wait for a snapshot, whose postings must be stored first
--- a/internal/figures/metrics.go
+++ b/internal/figures/metrics.go
@@ -10,8 +10,9 @@
 // ContentTypeMetrics is the media type of metrics.
 const ContentTypeMetrics = "application/openmetrics-text; version=1.0.0; charset=utf-8"
 
-// writeMetrics writes a snapshot in the OpenMetrics text format. Package exporter produces the same with prometheus/client_golang,
-// and its tests compare both. A dispatcher does not link that library, see docs/design/ledger-shown.md.
+// writeMetrics writes a snapshot in the OpenMetrics text format. Package exporter produces the same with
+// prometheus/client_golang, and its tests compare both. A dispatcher does not link that library, see
+// docs/design/ledger-shown.md.
 func writeMetrics(out *bytes.Buffer, snapshot *ledger.Snapshot, series []AccountSeries) {
 	counts := make([]ledger.Count, 0, len(series)*len(AccountFamilies)) // the counts of one series after the other
 	labels := make([]string, len(series))
--- a/internal/host/probe.go
+++ b/internal/host/probe.go
@@ -7,8 +7,9 @@
 
 // Prober is a Host that can measure how late its work is. A simulated host is never late by itself and is no Prober.
 type Prober interface {
-	// NewProbe returns a probe. For each Send, back runs on the probe's goroutine once everything has run that was ready to
-	// run, or had data to read, at the time of Send. back must not block. An error means that the machine lacks the resources.
+	// NewProbe returns a probe. For each Send, back runs on the probe's goroutine once everything has run that was ready
+	// to run, or had data to read, at the time of Send. back must not block. An error means that the machine lacks the
+	// resources.
 	NewProbe(back func()) (Probe, error)
 }
 
--- a/ledger/fleet.go
+++ b/ledger/fleet.go
@@ -181,8 +181,8 @@
 	return fleet, nil
 }
 
-// moreAdvanced reports whether a is more advanced than b, a snapshot of the same epoch. Counts decide before wall times, because
-// clocks may be stepped.
+// moreAdvanced reports whether a is more advanced than b, a snapshot of the same epoch. Counts decide before wall times,
+// because clocks may be stepped.
 func moreAdvanced(a, b *Snapshot) bool {
 	countsA, countsB := a.Total.fields(), b.Total.fields()
 	var sumA, sumB Count
--- a/ledger/leaf.go
+++ b/ledger/leaf.go
@@ -26,9 +26,9 @@
 // ErrLeaf is wrapped by the error that Restore returns for a leaf that can't be read.
 var ErrLeaf = errors.New("malformed leaf")
 
-// WriteLeaves calls put with each leaf that changed since it was last written, with at most maxAccounts accounts, and regards them
-// as written. Pending postings are included. The caller calls MarkUnwritten with the number of each leaf that the store does
-// not accept. It returns false if accounts are left to be written.
+// WriteLeaves calls put with each leaf that changed since it was last written, with at most maxAccounts accounts, and
+// regards them as written. Pending postings are included. The caller calls MarkUnwritten with the number of each leaf
+// that the store does not accept. It returns false if accounts are left to be written.
 func (l *Ledger) WriteLeaves(maxAccounts int, put func(Leaf)) bool {
 	if l.epochDirty {
 		l.epochDirty = false
@@ -100,7 +100,8 @@
 	return binary.AppendVarint(appendText(appendText(append(b, 0), k.Class), k.Tenant), int64(k.Destination))
 }
 
-// accountText encodes an account as a leaf. It begins with the mark of its epoch, so that leaves of earlier epochs are ignored.
+// accountText encodes an account as a leaf. It begins with the mark of its epoch, so that leaves of earlier epochs are
+// ignored.
 func (l *Ledger) accountText(a *Account) []byte {
 	f := a.counts
 	if a.pending != (Counts{}) {
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -342,8 +342,8 @@
 	return l.openAccount(key)
 }
 
-// cacheSlot returns the slot of the key in the cache in front of the map of accounts. Most lookups are for a few accounts, and
-// hashing their strings for the map is slow.
+// cacheSlot returns the slot of the key in the cache in front of the map of accounts. Most lookups are for a few
+// accounts, and hashing their strings for the map is slow.
 func (k *Key) cacheSlot() int {
 	hash := k.Destination*7 + len(k.Class) + 3*len(k.Tenant)
 	if len(k.Class) > 0 {
--- a/ledger/snapshot.go
+++ b/ledger/snapshot.go
@@ -73,7 +73,8 @@
 	ErrFormat = errors.New("not a ledger snapshot of a known format")
 )
 
-// maxSnapshotBytes is the largest snapshot in bytes that is read. It has room for MaxAccountsLimit accounts and their breaches.
+// maxSnapshotBytes is the largest snapshot in bytes that is read. It has room for MaxAccountsLimit accounts and their
+// breaches.
 const maxSnapshotBytes = 64 << 20
 
 // ReadSnapshot reads a snapshot as JSON. The error wraps ErrFormat if the input is something else or of another format.
