--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -285,7 +285,7 @@
 	epoch      Epoch
 	epochMark  uint32 // Epoch.mark
 	byKey      map[Key]*Account
-	cache      [cacheSlots]*Account // cache in front of byKey, see Key.near
+	cache      [cacheSlots]*Account // cache in front of byKey, see Key.cacheSlot
 	accounts   []*Account           // by number
 	shared     *Account             // the shared account, nil until it is needed
 	total      Counts
