--- a/internal/driver/share.go
+++ b/internal/driver/share.go
@@ -7,132 +7,133 @@
 	"curlewmux/engine"
 )
 
-// share lets the goroutines that tell a driver something make its rounds themselves: a caller who can be answered at once
-// hands over to no other goroutine, whose thread may first have to be woken. Run makes the rounds that nobody else does:
-// those at times that the engine names, and those of what is told by callers who must not be kept.
-type share struct {
+// sharedRounds lets the goroutines that call a driver make its rounds themselves. This saves the switch to another
+// goroutine, whose thread may have to be woken first. Run makes the remaining rounds: those at times that the engine
+// asked for, and those for callers that must not be delayed.
+type sharedRounds struct {
 	shared bool
 
-	turn   sync.Mutex     // held by whoever makes rounds
-	sleeps time.Time      // under turn: Run waits until then unless it is woken; zero: it has not begun
-	taken  []any          // under turn: room for what a round takes
-	notes  []*engine.Note // under turn: for Run to log
+	turn        sync.Mutex     // held by the goroutine that makes rounds; guards the next three fields
+	sleepsUntil time.Time      // Run sleeps until then unless it is woken; zero before Run has begun
+	taken       []any          // buffer for the values that a round handles
+	notes       []*engine.Note // for Run to log
 
-	mu    sync.Mutex
-	queue []any // of no round yet
-	over  bool  // nothing is taken any more
-	crowd bool  // as of the newest round
+	mu      sync.Mutex
+	queue   []any // values that no round has taken yet
+	stopped bool  // the driver has stopped: nothing is queued any more
+	crowded bool  // more than crowdedAbove messages were open at the newest round
 }
 
-// ShareRounds lets callers of Offer, Withdraw, Ended and MayWrite make rounds, so these must hold no lock then that the seams
-// take. It is called before all else, and where there is no store: in a round nothing may block.
+// ShareRounds lets callers of SubmitAsync, Withdraw, Ended and MayWrite make rounds. They must not hold a lock that the
+// driver's components take. It must be called before all other methods, and only for a driver without a store, because a
+// round must not block.
 func (d *Driver) ShareRounds() { d.shared = true }
 
-// crowded is from how many open messages on rounds are Run's alone: it takes what many have told in one of them, which
-// costs them less together than a round for each.
-const crowded = 16
+// crowdedAbove is the number of open messages above which Run alone makes rounds. One round for the values of many
+// callers costs less than a round for each.
+const crowdedAbove = 16
 
-// passes bounds the rounds that one caller makes, most of them for others.
-const passes = 4
+// maxRoundsPerCaller is the number of rounds that one caller makes at most. All but the first are mostly for others.
+const maxRoundsPerCaller = 4
 
-// woken is put into the inbox to wake Run, which then takes from the queue.
-type woken struct{}
+// wakeRun is put into the inbox to wake Run, which then handles the queue.
+type wakeRun struct{}
 
-// put leaves something to Run. It returns false once the driver has stopped.
-func (d *Driver) put(v any) bool {
+// enqueue queues a value for Run. It returns false if the driver has stopped.
+func (d *Driver) enqueue(v any) bool {
 	if !d.shared {
 		return d.inbox.Put(v)
 	}
-	ok, _ := d.add(v)
-	return ok && d.inbox.Put(woken{})
+	ok, _ := d.addToQueue(v)
+	return ok && d.inbox.Put(wakeRun{})
 }
 
-// serve makes the round that takes something up, unless somebody else is at it. It returns false once the driver has
-// stopped.
-func (d *Driver) serve(v any) bool {
+// runOrEnqueue queues a value and makes the round that handles it, unless another goroutine is making rounds. It returns
+// false if the driver has stopped.
+func (d *Driver) runOrEnqueue(v any) bool {
 	if !d.shared {
 		return d.inbox.Put(v)
 	}
-	ok, crowd := d.add(v)
-	if !ok || crowd {
-		return ok && d.inbox.Put(woken{})
+	ok, crowded := d.addToQueue(v)
+	if !ok || crowded {
+		return ok && d.inbox.Put(wakeRun{})
 	}
-	// Who finds the turn taken leaves it to the holder, who looks into the queue again once the turn is given back. That is
-	// so for what the seams tell from within a round, too.
-	for n := 1; d.waiting() && d.turn.TryLock(); n++ {
-		leave := d.makeRounds() || n == passes
-		late := d.sleeps.IsZero() || d.until().Before(d.sleeps) || len(d.notes) > 0 // Run would sleep too long
+	// A caller that finds the turn taken leaves its value to the holder, who checks the queue again after releasing the turn.
+	// The same holds for values that components queue from within a round.
+	for n := 1; d.hasQueued() && d.turn.TryLock(); n++ {
+		handOver := d.makeRounds() || n == maxRoundsPerCaller
+		wakeEarlier := d.sleepsUntil.IsZero() || d.nextRound().Before(d.sleepsUntil) || len(d.notes) > 0 // Run would sleep too long
 		d.turn.Unlock()
-		if leave || late {
-			d.inbox.Put(woken{})
+		if handOver || wakeEarlier {
+			d.inbox.Put(wakeRun{})
 		}
-		if leave {
+		if handOver {
 			break
 		}
 	}
 	return true
 }
 
-func (d *Driver) add(v any) (ok, crowd bool) {
+func (d *Driver) addToQueue(v any) (ok, crowded bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.over {
+	if d.stopped {
 		return false, false
 	}
 	d.queue = append(d.queue, v)
-	return true, d.crowd
+	return true, d.crowded
 }
 
-func (d *Driver) waiting() bool {
+func (d *Driver) hasQueued() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.queue) > 0
 }
 
-// makeRounds makes a round of what is in the queue, by whoever has the turn. It returns true once the driver has ended.
+// makeRounds makes a round for the values in the queue. The caller holds turn. It returns true once the driver has ended.
 func (d *Driver) makeRounds() (over bool) {
 	d.mu.Lock()
-	if d.over {
+	if d.stopped {
 		d.mu.Unlock()
 		return true
 	}
 	d.taken, d.queue = d.queue, d.taken[:0]
-	d.crowd = d.e.OpenMessages() > crowded
+	d.crowded = d.engine.OpenMessages() > crowdedAbove
 	d.mu.Unlock()
 	return d.makeRound(d.taken)
 }
 
-// runShared is Run where rounds are shared.
+// runShared is Run for a driver whose rounds are shared.
 func (d *Driver) runShared() {
 	var list []any
 	for {
 		d.turn.Lock()
 		over := d.makeRounds()
-		until := d.until()
-		d.sleeps = until
+		until := d.nextRound()
+		d.sleepsUntil = until
 		notes := d.notes
 		d.notes = nil
 		d.turn.Unlock()
-		for _, f := range notes { // the logger may be a program's: what it does is no part of a round
+		for _, f := range notes { // outside of the round, as the logger may belong to the program and block
 			d.note(f)
 		}
 		if over {
 			return
 		}
-		if !d.waiting() { // by somebody who found the turn taken
+		if !d.hasQueued() { // values may have been queued while the turn was taken
 			list = d.inbox.Take(list[:0], until)
 		}
 	}
 }
 
-// shut takes nothing more, and returns what is of no round.
-func (d *Driver) shut() []any {
+// closeQueue stops queueing and returns the values that no round has taken.
+func (d *Driver) closeQueue() []any {
 	if !d.shared {
 		return d.inbox.Close()
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	left := d.queue
-	d.over, d.queue = true, nil
+	d.stopped, d.queue = true, nil
 	return left
 }
--- a/internal/figures/exporter/exporter.go
+++ b/internal/figures/exporter/exporter.go
@@ -1,4 +1,5 @@
-// Package exporter shows ledgers by prometheus/client_golang: for programs beside a dispatcher, which does not link it.
+// Package exporter shows ledgers with prometheus/client_golang. It is for other programs than the dispatcher, which does not
+// link that library.
 package exporter
 
 import (
@@ -10,44 +11,45 @@
 	"curlewmux/ledger"
 )
 
-// Collector tells one snapshot a scrape: all of its metrics are of one cut. It is a prometheus.Collector.
+// Collector is a prometheus.Collector that takes one snapshot for each scrape, so that all metrics of a scrape agree.
 type Collector struct {
-	// Snapshot is asked for a snapshot at each scrape, by one goroutine at a time. It may block; its error fails the scrape.
+	// Snapshot returns a snapshot for a scrape. It is called by one goroutine at a time and may block. An error fails
+	// the scrape.
 	Snapshot func() (*ledger.Snapshot, error)
 
 	mu     sync.Mutex
 	series figures.Series
 }
 
-// Describe tells nothing: what a scrape brings is checked when it is there.
+// Describe sends nothing, which makes this an unchecked collector: its metrics are checked at each scrape.
 func (c *Collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect asks for a cut and tells it.
+// Collect sends the metrics of a new snapshot.
 func (c *Collector) Collect(to chan<- prometheus.Metric) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cut, err := c.Snapshot()
+	snapshot, err := c.Snapshot()
 	if err != nil {
-		to <- prometheus.NewInvalidMetric(desc(&figures.Family{Name: "curlewmux_ledger", Help: "The ledger."}), err)
+		to <- prometheus.NewInvalidMetric(newDesc(&figures.Family{Name: "curlewmux_ledger", Help: "The ledger."}), err)
 		return
 	}
-	list := make([]*prometheus.Desc, len(figures.AccountFamilies))
-	for i := range list {
-		list[i] = desc(&figures.AccountFamilies[i], figures.AccountLabels[:]...)
+	descriptions := make([]*prometheus.Desc, len(figures.AccountFamilies))
+	for i := range descriptions {
+		descriptions[i] = newDesc(&figures.AccountFamilies[i], figures.AccountLabels[:]...)
 	}
-	for _, s := range c.series.Select(cut) {
+	for _, s := range c.series.Select(snapshot) {
 		at := 0
 		s.Each(func(_ string, v ledger.Count, _ bool) {
-			to <- metric(list[at], &figures.AccountFamilies[at], float64(v), s.Labels[:])
+			to <- newMetric(descriptions[at], &figures.AccountFamilies[at], float64(v), s.Labels[:])
 			at++
 		})
 	}
-	for _, w := range figures.LedgerMetrics(cut) {
-		to <- metric(desc(&w.Family, w.LabelNames...), &w.Family, w.Value, w.LabelValues)
+	for _, w := range figures.LedgerMetrics(snapshot) {
+		to <- newMetric(newDesc(&w.Family, w.LabelNames...), &w.Family, w.Value, w.LabelValues)
 	}
 }
 
-func desc(f *figures.Family, labels ...string) *prometheus.Desc {
+func newDesc(f *figures.Family, labels ...string) *prometheus.Desc {
 	name := f.Name
 	if !f.Gauge {
 		name += "_total"
@@ -55,7 +57,7 @@
 	return prometheus.NewDesc(name, f.Help, labels, nil)
 }
 
-func metric(d *prometheus.Desc, f *figures.Family, v float64, labels []string) prometheus.Metric {
+func newMetric(d *prometheus.Desc, f *figures.Family, v float64, labels []string) prometheus.Metric {
 	kind := prometheus.CounterValue
 	if f.Gauge {
 		kind = prometheus.GaugeValue
--- a/internal/figures/rest.go
+++ b/internal/figures/rest.go
@@ -9,38 +9,39 @@
 	"curlewmux/ledger"
 )
 
-// ErrNoLedger says that a folder has no ledger.
+// ErrNoLedger means that a folder has no ledger.
 var ErrNoLedger = errors.New("the folder has no ledger")
 
-// ReadFolder is the ledger that a dispatcher's folder holds, which is not changed and may be in use: then it is as it was a
-// moment ago. What is open in the books is compared with the journal's live messages; attempts that were out when the
-// process ended are out still. The error wraps ErrNoLedger, ledger.ErrLeaf, or says why the folder can't be read.
+// ReadFolder reads the ledger in a dispatcher's folder without changing it. If a dispatcher runs on the folder, the result
+// may be a moment old. The open messages of each account are compared with the journal's live messages. Attempts that were
+// under way when the process ended still count as such. The error wraps ErrNoLedger or ledger.ErrLeaf, or tells why the
+// folder can't be read.
 func ReadFolder(dir journal.Dir) (*ledger.Snapshot, error) {
-	r, err := journal.Check(dir)
+	state, err := journal.Check(dir)
 	if err != nil {
 		return nil, err
 	}
-	if len(r.Leaves) == 0 {
+	if len(state.Leaves) == 0 {
 		return nil, ErrNoLedger
 	}
-	l, err := ledger.Restore(ledger.Settings{Instance: r.Owner, MaxAccounts: ledger.MaxAccountsLimit}, r.Leaves, ledger.Epoch{})
+	restored, err := ledger.Restore(ledger.Settings{Instance: state.Owner, MaxAccounts: ledger.MaxAccountsLimit}, state.Leaves, ledger.Epoch{})
 	if err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
 	}
-	if l.Epoch().ID == "" {
-		return nil, fmt.Errorf("%w: its epoch is not there", ErrNoLedger)
+	if restored.Epoch().ID == "" {
+		return nil, fmt.Errorf("%w: the leaf of its epoch is missing", ErrNoLedger)
 	}
-	wall := int64(r.Last.LatestTimestamp)
-	l.SetWallTime(wall)
+	wall := int64(state.Last.LatestTimestamp)
+	restored.SetWallTime(wall)
 	live := map[ledger.Key]ledger.Count{}
-	for _, m := range r.Live {
+	for _, m := range state.Live {
 		if m.Pending == nil {
 			k := ledger.Key{Class: wire.Plain(m.Message.Class), Destination: m.Message.Destination, Tenant: wire.Plain(m.Message.Tenant)}
-			live[l.Account(k).Key()]++
+			live[restored.Account(k).Key()]++
 		}
 	}
-	for _, a := range l.Snapshot(wall).Accounts {
-		l.Compare(a.Key, ledger.CheckRestart, a.Open, live[a.Key])
+	for _, a := range restored.Snapshot(wall).Accounts {
+		restored.Compare(a.Key, ledger.CheckRestart, a.Open, live[a.Key])
 	}
-	return l.Snapshot(wall), nil
+	return restored.Snapshot(wall), nil
 }
--- a/internal/figures/series.go
+++ b/internal/figures/series.go
@@ -8,34 +8,35 @@
 	"curlewmux/ledger"
 )
 
-// MaxSeries is how many accounts have series of their own in metrics; a ledger may have more. What is beyond is summed
-// up in other. Those that were seen first stay, so that no series moves while a process runs.
+// MaxSeries is the number of accounts that have series of their own in metrics. A ledger may have more accounts, which are
+// summed up in one further series. The accounts that were seen first keep their series while a process runs.
 const MaxSeries = 256
 
-// OtherDestination is the value of label dest for all accounts without series of their own; the other labels are empty there.
+// OtherDestination is the value of the label dest in the sum of the accounts without series of their own. The other labels
+// are empty there.
 const OtherDestination = "other"
 
-// AccountLabels are the names of the labels of an account's series.
+// AccountLabels are the label names of an account's series.
 var AccountLabels = [...]string{"class", "dest", "tenant"}
 
-// Series picks the accounts that have series of their own. The zero value is ready for use, by one goroutine at a time.
+// Series selects the accounts that have series of their own. The zero value is ready for use by one goroutine at a time.
 type Series struct{ own map[ledger.Key]bool }
 
-// AccountSeries is the series of one account.
+// AccountSeries holds the label values and counts of one account.
 type AccountSeries struct {
-	Labels [len(AccountLabels)]string // values
+	Labels [len(AccountLabels)]string // values of AccountLabels
 	ledger.Counts
 }
 
-// Select are all series of a snapshot. No two have the same labels, and their sums are the snapshot's.
-func (s *Series) Select(cut *ledger.Snapshot) []AccountSeries {
+// Select returns all series of a snapshot. Their labels are unique, and their sum is the total of the snapshot.
+func (s *Series) Select(snapshot *ledger.Snapshot) []AccountSeries {
 	if s.own == nil {
 		s.own = map[ledger.Key]bool{}
 	}
-	out := make([]AccountSeries, 0, min(len(cut.Accounts), MaxSeries+1))
-	at := map[[len(AccountLabels)]string]int{}
-	for i := range cut.Accounts {
-		a := &cut.Accounts[i]
+	out := make([]AccountSeries, 0, min(len(snapshot.Accounts), MaxSeries+1))
+	indexes := map[[len(AccountLabels)]string]int{}
+	for i := range snapshot.Accounts {
+		a := &snapshot.Accounts[i]
 		if !a.Other && len(s.own) < MaxSeries {
 			s.own[a.Key] = true
 		}
@@ -43,28 +44,28 @@
 		if !a.Other && s.own[a.Key] {
 			labels = [...]string{ValidLabel(a.Class), strconv.Itoa(a.Destination), ValidLabel(a.Tenant)}
 		}
-		n, there := at[labels] // also where two names differ in bytes only that no label can have
-		if !there {
-			n = len(out)
-			at[labels] = n
+		index, exists := indexes[labels] // also if two names differ only in invalid UTF-8, which labels cannot have
+		if !exists {
+			index = len(out)
+			indexes[labels] = index
 			out = append(out, AccountSeries{Labels: labels})
 		}
-		out[n].Counts.Add(&a.Counts)
+		out[index].Counts.Add(&a.Counts)
 	}
 	return out
 }
 
-// ValidLabel is a name as a label may have it: those of clients may hold any bytes.
+// ValidLabel makes a name valid as a label value. Names come from clients and may hold any bytes.
 func ValidLabel(name string) string { return strings.ToValidUTF8(name, "\uFFFD") }
 
-// Family is one metric.
+// Family describes one metric.
 type Family struct {
 	Name  string // without the suffix _total
 	Help  string
-	Gauge bool // a gauge; else a counter
+	Gauge bool // a gauge, otherwise a counter
 }
 
-// AccountFamilies are the metrics of an account's figures, in the order of ledger.Figures.Each.
+// AccountFamilies are the metrics of an account's counts, in the order of ledger.Counts.Each.
 var AccountFamilies = func() []Family {
 	help := map[string]string{
 		"brought": "Messages that were open when the epoch began.", "taken": "Messages taken on.",
@@ -88,40 +89,42 @@
 	return out
 }()
 
-// LedgerMetric is a metric of the ledger as a whole, with its value in a snapshot.
+// LedgerMetric is a metric of the ledger as a whole with its value in a snapshot.
 type LedgerMetric struct {
 	Family
-	LabelNames, LabelValues []string // of its labels
-	Value                   float64
+	LabelNames  []string // label names
+	LabelValues []string // label values
+	Value       float64
 }
 
-// LedgerMetrics are the metrics of a snapshot as a whole.
-func LedgerMetrics(s *ledger.Snapshot) []LedgerMetric {
+// LedgerMetrics returns the metrics of a snapshot as a whole.
+func LedgerMetrics(snapshot *ledger.Snapshot) []LedgerMetric {
 	standing := 0
-	for _, b := range s.Breaches {
+	for _, b := range snapshot.Breaches {
 		if b.ResolvedAt == 0 {
 			standing++
 		}
 	}
 	provisional := 0.0
-	if s.Provisional {
+	if snapshot.Provisional {
 		provisional = 1
 	}
-	const p = "curlewmux_ledger_"
+	const prefix = "curlewmux_ledger_"
 	return []LedgerMetric{
-		{Family{p + "epoch_info", "The epoch: within one, no counter steps back.", true}, []string{"epoch", "instance", "why"},
-			[]string{s.Epoch.ID, ValidLabel(s.Instance), ValidLabel(s.Epoch.Reason)}, 1},
-		{Family{p + "epoch_began_seconds", "When the epoch began, since 1970.", true}, nil, nil, float64(s.Epoch.Began) / 1e6},
-		{Family{p + "cut_seconds", "When all of these figures were taken, at one moment, since 1970.", true}, nil, nil, float64(s.Wall) / 1e6},
-		{Family{p + "accounts", "Accounts that there are.", true}, nil, nil, float64(len(s.Accounts))},
-		{Family{p + "breaches_standing", "Figures that do not add up now.", true}, nil, nil, float64(standing)},
-		{Family{p + "breaches", "Figures that were found not to add up.", false}, nil, nil, float64(len(s.Breaches)) + float64(s.MoreBreaches)},
-		{Family{p + "provisional", "1 where the store lacks some of these figures: a crash may take them back.", true}, nil, nil, provisional},
+		{Family{prefix + "epoch_info", "The epoch: within one, no counter steps back.", true}, []string{"epoch", "instance", "why"},
+			[]string{snapshot.Epoch.ID, ValidLabel(snapshot.Instance), ValidLabel(snapshot.Epoch.Reason)}, 1},
+		{Family{prefix + "epoch_began_seconds", "When the epoch began, since 1970.", true}, nil, nil, float64(snapshot.Epoch.Began) / 1e6},
+		{Family{prefix + "cut_seconds", "When all of these figures were taken, at one moment, since 1970.", true}, nil, nil, float64(snapshot.Wall) / 1e6},
+		{Family{prefix + "accounts", "Accounts that there are.", true}, nil, nil, float64(len(snapshot.Accounts))},
+		{Family{prefix + "breaches_standing", "Figures that do not add up now.", true}, nil, nil, float64(standing)},
+		{Family{prefix + "breaches", "Figures that were found not to add up.", false}, nil, nil, float64(len(snapshot.Breaches)) + float64(snapshot.MoreBreaches)},
+		{Family{prefix + "provisional", "1 where the store lacks some of these figures: a crash may take them back.", true}, nil, nil, provisional},
 	}
 }
 
-// names puts all metrics of a snapshot in the order of their names, as scrapers are used to; each is called with one.
-func names(wholes []LedgerMetric, account func(at int), whole func(w *LedgerMetric)) {
+// visitByName visits all metrics of a snapshot in the order of their names: account gets an index of AccountFamilies, whole a
+// metric of the ledger as a whole.
+func visitByName(wholes []LedgerMetric, account func(at int), whole func(w *LedgerMetric)) {
 	type entry struct {
 		name string
 		at   int
--- a/ledger/breach.go
+++ b/ledger/breach.go
@@ -1,85 +1,86 @@
 package ledger
 
-// What a breach is of. The first figure is the books', the second the other side's.
+// Checks that a breach can be about. Breach.Booked is the first value named here, Breach.Counted the second.
 const (
-	CheckMessages     = "messages"          // what came in, and what went out or is open
-	CheckAttempts     = "attempts"          // sent, and answered, refused, silent or out
-	CheckDoubt        = "doubt"             // opened, and twice, unsure or open
-	CheckTransfers    = "moves"             // what came in from other accounts, and what left them
-	CheckLiveOpen     = "open messages"     // open in the books, and live messages counted
-	CheckLiveDoubt    = "open doubt"        // in doubt in the books, and live messages counted that are
-	CheckLiveAttempts = "attempts out"      // out in the books, and items counted of calls that are out
-	CheckRestart      = "open at the start" // open in the books that the store had, and live messages that it had
-	CheckDelivered    = "served"            // posted by this process, and messages that ended so, counted; the same for the next two
+	CheckMessages     = "messages"          // what came in; what ended, moved out or is open
+	CheckAttempts     = "attempts"          // sent; answered, refused, unanswered or out
+	CheckDoubt        = "doubt"             // opened; twice, unresolved or open
+	CheckTransfers    = "moves"             // moved into accounts; moved out of accounts or reopened
+	CheckLiveOpen     = "open messages"     // open in the ledger; live messages counted by the audit
+	CheckLiveDoubt    = "open doubt"        // in doubt in the ledger; live messages in doubt counted by the audit
+	CheckLiveAttempts = "attempts out"      // out in the ledger; items of calls under way counted by the audit
+	CheckRestart      = "open at the start" // open in the stored ledger; live messages in the store
+	CheckDelivered    = "served"            // posted by this process; messages that the engine counted as they ended; the next two likewise
 	CheckRefused      = "refused"
 	CheckFailed       = "failed"
-	CheckStore        = "store"  // the first figure that differs, as it was written and as the store has it
-	CheckTotals       = "totals" // of a snapshot: its total, and its accounts
+	CheckStore        = "store"  // the first count that differs: as written; as stored
+	CheckTotals       = "totals" // the total of a snapshot; the sum of its accounts
 )
 
-// Breach is figures that do not add up, and since when.
+// Breach is a failed check of the ledger: two values that must be equal and are not.
 type Breach struct {
 	Key        Key    `json:"account"`
 	Check      string `json:"what"`
 	Booked     Count  `json:"books"`
 	Counted    Count  `json:"counted"`
-	FoundAt    int64  `json:"at,string"`               // wall time in microseconds since 1970, like Healed
-	ResolvedAt int64  `json:"healed,string,omitempty"` // 0: it stands
+	FoundAt    int64  `json:"at,string"`               // when it was found: wall time in microseconds since 1970
+	ResolvedAt int64  `json:"healed,string,omitempty"` // when the values agreed again or changed; 0 while the breach stands
 }
 
-// place is where a breach may be.
-type place struct {
-	key  Key
-	what string
+// comparison identifies what a check compares: a check of an account, or of all accounts if the key is zero.
+type comparison struct {
+	key   Key
+	check string
 }
 
-// Compare takes up two figures that must be equal. A breach that stands and has not changed is left as it is; one that
-// has is a further one; one that has gone stays on record.
-func (l *Ledger) Compare(k Key, what string, books, counted Count) {
-	if books == counted && len(l.standing) == 0 && len(l.beyond) == 0 {
+// Compare checks two values that must be equal and records a breach if they are not. A standing breach with the same
+// difference is left as it is. If the difference has changed, the old breach is resolved and a new one recorded. Resolved
+// breaches stay on record.
+func (l *Ledger) Compare(key Key, check string, booked, counted Count) {
+	if booked == counted && len(l.standing) == 0 && len(l.unrecorded) == 0 {
 		return
 	}
-	p := place{k, what}
-	if off, told := l.beyond[p]; told && off == books-counted {
+	compared := comparison{key, check}
+	if difference, known := l.unrecorded[compared]; known && difference == booked-counted {
 		return
 	}
-	delete(l.beyond, p)
-	at, stands := l.standing[p]
+	delete(l.unrecorded, compared)
+	index, stands := l.standing[compared]
 	if stands {
-		b := &l.breaches[at]
-		if books != counted && books-counted == b.Booked-b.Counted {
+		b := &l.breaches[index]
+		if booked != counted && booked-counted == b.Booked-b.Counted {
 			return
 		}
 		b.ResolvedAt = max(l.wall, 1)
-		if books == counted {
-			l.fresh = append(l.fresh, *b)
+		if booked == counted {
+			l.newBreaches = append(l.newBreaches, *b)
 		}
-		delete(l.standing, p)
-		l.stored = min(l.stored, at)
+		delete(l.standing, compared)
+		l.storedBreaches = min(l.storedBreaches, index)
 	}
-	if books == counted {
+	if booked == counted {
 		return
 	}
-	b := Breach{Key: k, Check: what, Booked: books, Counted: counted, FoundAt: l.wall}
-	if len(l.fresh) < mostBreaches {
-		l.fresh = append(l.fresh, b)
+	b := Breach{Key: key, Check: check, Booked: booked, Counted: counted, FoundAt: l.wall}
+	if len(l.newBreaches) < maxBreaches {
+		l.newBreaches = append(l.newBreaches, b)
 	}
-	if len(l.breaches) == mostBreaches {
-		l.more++
-		l.head = true
-		l.beyond[p] = books - counted
+	if len(l.breaches) == maxBreaches {
+		l.moreBreaches++
+		l.epochDirty = true
+		l.unrecorded[compared] = booked - counted
 		return
 	}
-	l.standing[p] = len(l.breaches)
+	l.standing[compared] = len(l.breaches)
 	l.breaches = append(l.breaches, b)
 }
 
-// TakeNewBreaches are the breaches that were found or healed since it was last called.
+// TakeNewBreaches returns the breaches that were found or resolved since the last call.
 func (l *Ledger) TakeNewBreaches() []Breach {
-	out := l.fresh
-	l.fresh = nil
+	out := l.newBreaches
+	l.newBreaches = nil
 	return out
 }
 
-// StandingBreaches is how many breaches there are now.
-func (l *Ledger) StandingBreaches() int { return len(l.standing) + len(l.beyond) }
+// StandingBreaches returns the number of breaches that are not resolved.
+func (l *Ledger) StandingBreaches() int { return len(l.standing) + len(l.unrecorded) }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,7 +1,8 @@
-// Package ledger keeps figures that add up: how many messages a dispatcher has taken, how each of them ended and how many
-// are open, by class, partner and tenant; the same of attempts and of doubt. Postings are double entries: each moves one
-// thing from one figure to another, so that what came in always equals what went out and what is there. It does no I/O,
-// reads no clock and starts no goroutine; it is not safe for concurrent use.
+// Package ledger counts messages by class, partner and tenant: how many a dispatcher has accepted, how they ended and how
+// many are open. It counts attempts and messages in doubt in the same way. Every posting changes two counts of an account
+// at once, as in double-entry bookkeeping, so that what came in always equals what went out plus what is open.
+//
+// The package does no I/O, reads no clock and starts no goroutine. A Ledger is not safe for concurrent use.
 package ledger
 
 import (
@@ -9,15 +10,15 @@
 	"fmt"
 )
 
-// Key names an account.
+// Key identifies an account.
 type Key struct {
 	Class       string `json:"class"`
-	Destination int    `json:"dest"` // the partner
+	Destination int    `json:"dest"` // the partner that runs it
 	Tenant      string `json:"tenant"`
-	Other       bool   `json:"other,omitempty"` // the account of all that have none of their own; the rest is empty
+	Other       bool   `json:"other,omitempty"` // the shared account of all keys without one of their own; the other fields are empty then
 }
 
-// String is a key for people.
+// String formats the key for people.
 func (k Key) String() string {
 	if k.Other {
 		return "other"
@@ -25,7 +26,7 @@
 	return fmt.Sprintf("%s/%d/%s", k.Class, k.Destination, k.Tenant)
 }
 
-// Compare orders keys; other comes last.
+// Compare orders keys by class, destination and tenant. The shared account comes last.
 func (k Key) Compare(o Key) int {
 	if k.Other != o.Other {
 		if k.Other {
@@ -36,28 +37,43 @@
 	return cmp.Or(cmp.Compare(k.Class, o.Class), cmp.Compare(k.Destination, o.Destination), cmp.Compare(k.Tenant, o.Tenant))
 }
 
-// Entry is what a posting says. Each one moves one thing.
+// Entry is the kind of a posting.
 type Entry uint8
 
-// Entries. The first group is of messages, the second of attempts, the third of doubt.
+// Entries. The first group is about messages, the second about attempts, the third about messages in doubt.
 const (
-	CarriedOver Entry = iota + 1 // open when the epoch began
+	// CarriedOver: the message was open already when the epoch began.
+	CarriedOver Entry = iota + 1
+	// Accepted: the message was accepted and is open.
 	Accepted
-	MovedIn // from another account, or sent again after its end: it is open here
+	// MovedIn: the message came from another account, or is resent after its end. It is open here.
+	MovedIn
+	// Delivered: the message was delivered.
 	Delivered
-	Refused  // handed back: it never ran or may be repeated, or nobody wanted it any more
-	Failed   // nothing is promised
-	MovedOut // open here until now, open in another account from now on
-	Reopened // refused or failed here once, open again under a new id from now on
-
-	AttemptSent       // an attempt begins
-	AttemptAnswered   // it was answered, well or not
-	AttemptRefused    // it provably never ran
-	AttemptUnanswered // it was cut off or timed out, or its process ended: nobody knows
-
-	DoubtOpened     // an open message may have taken effect
-	DoubtTwice      // it was delivered all the same: its effect may have happened twice
-	DoubtUnresolved // it ended otherwise: its effect may have happened or not
+	// Refused: the message was handed back to the client: it never ran, may be repeated or was withdrawn.
+	Refused
+	// Failed: the message ended without a promise about its effect.
+	Failed
+	// MovedOut: the message was open here and is now open in another account.
+	MovedOut
+	// Reopened: a message that was refused or failed here is open again under a new id.
+	Reopened
+
+	// AttemptSent: an attempt began.
+	AttemptSent
+	// AttemptAnswered: the endpoint responded to the attempt, with success or an error.
+	AttemptAnswered
+	// AttemptRefused: the attempt provably never ran.
+	AttemptRefused
+	// AttemptUnanswered: the attempt was cut off or timed out, or the process ended during it. Its effect is unknown.
+	AttemptUnanswered
+
+	// DoubtOpened: an open message may have taken effect.
+	DoubtOpened
+	// DoubtTwice: a message in doubt was delivered, so it may have taken effect twice.
+	DoubtTwice
+	// DoubtUnresolved: a message in doubt ended in another way, so it may have taken effect or not.
+	DoubtUnresolved
 	entries
 )
 
@@ -66,7 +82,7 @@
 	"sent", "answered", "declined", "silent", "doubted", "twice", "unsure",
 }
 
-// String is an entry's name, as figures bear it.
+// String returns the name of the entry.
 func (e Entry) String() string {
 	if e < entries {
 		return entryNames[e]
@@ -80,12 +96,15 @@
 	Entry Entry
 }
 
-// Counts are an account's. All but Open, Attempts.Out and Doubt.Open only grow within an epoch.
+// Counts are the counts of one account. All except Open, Attempts.Out and Doubt.Open only grow within an epoch.
+//
+//	CarriedOver + Accepted + MovedIn = Delivered + Refused + Failed + MovedOut + Open
 //
-//	Brought + Taken + In = Served + Refused + Failed + Out + Open
+// Over all accounts, the sum of MovedIn equals that of MovedOut and Reopened. Hence
 //
-// Over all accounts the sum of In is that of Out and Again. So taken = served + refused + failed - again + open, counting
-// a message that is sent again as one.
+//	CarriedOver + Accepted = Delivered + Refused + Failed - Reopened + Open
+//
+// where a message and its resends count as one.
 type Counts struct {
 	CarriedOver Count `json:"brought"`
 	Accepted    Count `json:"taken"`
@@ -101,16 +120,16 @@
 	Doubt    Doubt    `json:"doubt"`
 }
 
-// Attempts are figures of attempts: Sent = Answered + Refused + Silent + Out.
+// Attempts counts attempts: Sent = Answered + Refused + Unanswered + Out.
 type Attempts struct {
 	Sent       Count `json:"sent"`
 	Answered   Count `json:"answered"`
-	Refused    Count `json:"refused"` // they provably never ran
-	Unanswered Count `json:"silent"`
-	Out        Count `json:"out"`
+	Refused    Count `json:"refused"` // provably never ran
+	Unanswered Count `json:"silent"`  // effect unknown
+	Out        Count `json:"out"`     // still running
 }
 
-// Doubt are figures of effects that may have happened twice or not at all: Opened = Twice + Unsure + Open.
+// Doubt counts messages that may have taken effect twice or not at all: Opened = Twice + Unresolved + Open.
 type Doubt struct {
 	Opened     Count `json:"opened"`
 	Twice      Count `json:"twice"`
@@ -118,11 +137,11 @@
 	Open       Count `json:"open"`
 }
 
-const columns = 18
+const numCounts = 18
 
-// all are the figures in the order in which they are stored; those from levels on may fall.
-func (f *Counts) all() [columns]*Count {
-	return [columns]*Count{
+// fields returns the counts in the order in which they are stored. Those from firstGauge on may fall, the others only grow.
+func (f *Counts) fields() [numCounts]*Count {
+	return [numCounts]*Count{
 		&f.CarriedOver, &f.Accepted, &f.MovedIn, &f.Delivered, &f.Refused, &f.Failed, &f.MovedOut, &f.Reopened,
 		&f.Attempts.Sent, &f.Attempts.Answered, &f.Attempts.Refused, &f.Attempts.Unanswered,
 		&f.Doubt.Opened, &f.Doubt.Twice, &f.Doubt.Unresolved,
@@ -130,43 +149,43 @@
 	}
 }
 
-const levels = columns - 3
+const firstGauge = numCounts - 3
 
-var columnNames = [columns]string{
+var countNames = [numCounts]string{
 	"brought", "taken", "in", "served", "refused", "failed", "out", "again",
 	"attempts.sent", "attempts.answered", "attempts.refused", "attempts.silent",
 	"doubt.opened", "doubt.twice", "doubt.unsure", "open", "attempts.out", "doubt.open",
 }
 
-// Each calls f with each figure by its name, always in the same order. A level may fall, the others only grow within an
-// epoch.
-func (f *Counts) Each(call func(name string, v Count, level bool)) {
-	for i, c := range f.all() {
-		call(columnNames[i], *c, i >= levels)
+// Each calls visit with the name and value of each count, always in the same order. A gauge may fall. The other counts only
+// grow within an epoch.
+func (f *Counts) Each(visit func(name string, v Count, level bool)) {
+	for i, count := range f.fields() {
+		visit(countNames[i], *count, i >= firstGauge)
 	}
 }
 
-// Add adds other figures.
-func (f *Counts) Add(o *Counts) {
-	to, from := f.all(), o.all()
-	for i := range to {
-		*to[i] += *from[i]
+// Add adds the counts of o.
+func (f *Counts) Add(other *Counts) {
+	sums, addends := f.fields(), other.fields()
+	for i := range sums {
+		*sums[i] += *addends[i]
 	}
 }
 
-// Sides are both sides of the equation of messages: what came in, and what went out or is there.
+// Sides returns both sides of the equation of messages: what came in, and what ended, moved out or is open.
 func (f *Counts) Sides() (in, out Count) {
 	return f.CarriedOver + f.Accepted + f.MovedIn, f.Delivered + f.Refused + f.Failed + f.MovedOut + f.Open
 }
 
-// down lowers a level; one that is 0 stays 0, and then the equation no longer holds.
-func down(c *Count) {
+// decrement decrements a gauge. One that is 0 stays 0, and the account no longer balances.
+func decrement(c *Count) {
 	if *c > 0 {
 		*c--
 	}
 }
 
-// post makes both entries of one posting.
+// post changes both counts that a posting affects.
 func (f *Counts) post(e Entry) {
 	switch e {
 	case CarriedOver:
@@ -180,16 +199,16 @@
 		f.Open++
 	case Delivered:
 		f.Delivered++
-		down(&f.Open)
+		decrement(&f.Open)
 	case Refused:
 		f.Refused++
-		down(&f.Open)
+		decrement(&f.Open)
 	case Failed:
 		f.Failed++
-		down(&f.Open)
+		decrement(&f.Open)
 	case MovedOut:
 		f.MovedOut++
-		down(&f.Open)
+		decrement(&f.Open)
 	case Reopened:
 		f.Reopened++
 	case AttemptSent:
@@ -197,180 +216,187 @@
 		f.Attempts.Out++
 	case AttemptAnswered:
 		f.Attempts.Answered++
-		down(&f.Attempts.Out)
+		decrement(&f.Attempts.Out)
 	case AttemptRefused:
 		f.Attempts.Refused++
-		down(&f.Attempts.Out)
+		decrement(&f.Attempts.Out)
 	case AttemptUnanswered:
 		f.Attempts.Unanswered++
-		down(&f.Attempts.Out)
+		decrement(&f.Attempts.Out)
 	case DoubtOpened:
 		f.Doubt.Opened++
 		f.Doubt.Open++
 	case DoubtTwice:
 		f.Doubt.Twice++
-		down(&f.Doubt.Open)
+		decrement(&f.Doubt.Open)
 	case DoubtUnresolved:
 		f.Doubt.Unresolved++
-		down(&f.Doubt.Open)
+		decrement(&f.Doubt.Open)
 	}
 }
 
 // Account is one account of a ledger.
 type Account struct {
-	key    Key
-	now    Counts
-	due    Counts // postings that wait for the store: they count once it has them, and stand in leaves before
-	number uint64 // of its leaf
-	dirty  bool   // the store has not been told its newest figures
+	key     Key
+	counts  Counts
+	pending Counts // postings that wait for the store: written to leaves already, counted once they are stored
+	number  uint64 // of its leaf
+	dirty   bool   // its newest counts have not been written
 
-	// Live messages as a sweep counts them; see Sweep.
-	open, doubt, out Count
+	open  Count // live messages that the current audit has counted
+	doubt Count // those among them that are in doubt
+	out   Count // attempts that the current audit has counted
 }
 
-// Key is the account's.
+// Key returns the key of the account.
 func (a *Account) Key() Key { return a.key }
 
-// Settings of a ledger. The zero value is ready for use.
+// Settings configure a ledger. The zero value is ready for use.
 type Settings struct {
-	Instance    string // the dispatcher's name
-	MaxAccounts int    // accounts that there are at most, other not counted; 0: DefaultMaxAccounts, MaxAccountsLimit at most
+	Instance string // the dispatcher's name
+
+	// MaxAccounts is the number of accounts beside the shared one, up to MaxAccountsLimit. 0 means DefaultMaxAccounts.
+	MaxAccounts int
 
-	// What was written and not synced is lost where the machine starts anew. Boot names the time that it runs, "" if that
-	// is not known; Lasting says that all counts only once it is synced.
-	BootID  string
+	// BootID identifies the current boot of the machine, "" if it is unknown. A reboot loses what was written and not synced.
+	BootID string
+	// Durable tells that the store reports a batch as stored only after syncing it, so that a reboot loses nothing.
 	Durable bool
 
-	// InterceptPost, where a rig sets it, stands between who posts and the books: what it returns is posted in place of what it is
-	// given. Nothing else may set it.
+	// InterceptPost replaces a posting by what it returns. Only tests and the simulation set it, to inject faults.
 	InterceptPost func(Posting) []Posting
 }
 
 // Bounds.
 const (
+	// DefaultMaxAccounts is the number of accounts where Settings name none.
 	DefaultMaxAccounts = 256
-	MaxAccountsLimit   = 1 << 16
-	mostName           = 64  // bytes of a class or tenant that has an account of its own
-	mostBreaches       = 64  // that are kept
-	MaxLeafBytes       = 384 // bytes of a leaf
+	// MaxAccountsLimit is the largest number of accounts that Settings may ask for.
+	MaxAccountsLimit = 1 << 16
+	maxNameBytes     = 64 // bytes of a class or tenant; keys with longer ones use the shared account
+	maxBreaches      = 64 // kept on record; further ones are only counted
+	// MaxLeafBytes is the largest size of a leaf in bytes.
+	MaxLeafBytes = 384
 )
 
-// Ledger is the books of one dispatcher.
+// Ledger holds the accounts of one dispatcher.
 type Ledger struct {
-	set    Settings
-	epoch  Epoch
-	marked uint32 // Epoch.mark
-	byKey  map[Key]*Account
-	near   [nearby]*Account
-	list   []*Account // by number
-	other  *Account
-	total  Counts
-	base   Counts // total when this process began to post
-	wall   int64
-
-	breaches []Breach
-	stored   int // of breaches, that have a leaf
-	more     Count
-	standing map[place]int   // in breaches
-	beyond   map[place]Count // those that are counted and not kept: by how much they are off
-	fresh    []Breach
-	dirty    []*Account
-	head     bool // the leaf of the epoch is to be written
-	posts    uint64
-	restored bool
-	rebooted bool
-}
-
-// New begins a ledger anew.
-func New(s Settings, e Epoch) (*Ledger, error) {
-	if s.MaxAccounts < 0 || s.MaxAccounts > MaxAccountsLimit {
-		return nil, fmt.Errorf("most accounts: %d is out of range, 1 to %d", s.MaxAccounts, MaxAccountsLimit)
+	settings   Settings
+	epoch      Epoch
+	epochMark  uint32 // Epoch.mark
+	byKey      map[Key]*Account
+	cache      [cacheSlots]*Account // cache in front of byKey, see Key.cacheSlot
+	accounts   []*Account           // by number
+	shared     *Account             // the shared account, nil until it is needed
+	total      Counts
+	startTotal Counts // total when this process began to post
+	wall       int64  // wall time in microseconds since 1970
+
+	breaches       []Breach             // on record, oldest first
+	storedBreaches int                  // number of breaches whose leaf has been written
+	moreBreaches   Count                // breaches that were counted and not recorded
+	standing       map[comparison]int   // index in breaches of those that stand
+	unrecorded     map[comparison]Count // breaches that stand and were not recorded: booked minus counted
+	newBreaches    []Breach             // for the next TakeNewBreaches
+	dirty          []*Account
+	epochDirty     bool // the leaf of the epoch has to be written
+	postings       uint64
+	restored       bool
+	rebooted       bool
+}
+
+// New returns an empty ledger that begins in epoch e.
+func New(settings Settings, epoch Epoch) (*Ledger, error) {
+	if settings.MaxAccounts < 0 || settings.MaxAccounts > MaxAccountsLimit {
+		return nil, fmt.Errorf("maximum number of accounts: %d is out of range, 1 to %d", settings.MaxAccounts, MaxAccountsLimit)
 	}
-	if s.MaxAccounts == 0 {
-		s.MaxAccounts = DefaultMaxAccounts
+	if settings.MaxAccounts == 0 {
+		settings.MaxAccounts = DefaultMaxAccounts
 	}
-	if len(s.BootID) > mostName {
-		s.BootID = s.BootID[:mostName]
+	if len(settings.BootID) > maxNameBytes {
+		settings.BootID = settings.BootID[:maxNameBytes]
 	}
-	return &Ledger{set: s, epoch: e, marked: e.mark(), byKey: map[Key]*Account{}, standing: map[place]int{}, beyond: map[place]Count{}, head: true}, nil
+	return &Ledger{settings: settings, epoch: epoch, epochMark: epoch.mark(), byKey: map[Key]*Account{}, standing: map[comparison]int{}, unrecorded: map[comparison]Count{}, epochDirty: true}, nil
 }
 
-// FoundAt says what the wall clock shows (microseconds since 1970), for breaches.
+// SetWallTime sets the time at which breaches are recorded, in microseconds since 1970.
 func (l *Ledger) SetWallTime(wall int64) { l.wall = wall }
 
-// Account is the account of a key. Where there are as many as may be, or a name is too long, it is other.
-func (l *Ledger) Account(k Key) *Account {
-	near := &l.near[k.near()]
-	if a := *near; a != nil && a.key == k {
+// Account returns the account of a key and opens it if need be. It returns the shared account once the limit of accounts is
+// reached, and for a key whose class or tenant is too long.
+func (l *Ledger) Account(key Key) *Account {
+	cached := &l.cache[key.cacheSlot()]
+	if a := *cached; a != nil && a.key == key {
 		return a
 	}
-	if a := l.byKey[k]; a != nil {
-		*near = a
+	if a := l.byKey[key]; a != nil {
+		*cached = a
 		return a
 	}
-	if k.Other || len(l.list)-l.others() >= l.set.MaxAccounts || len(k.Class) > mostName || len(k.Tenant) > mostName {
-		if l.other == nil {
-			l.other = l.open(Key{Other: true})
+	if key.Other || len(l.accounts)-l.sharedAccounts() >= l.settings.MaxAccounts || len(key.Class) > maxNameBytes || len(key.Tenant) > maxNameBytes {
+		if l.shared == nil {
+			l.shared = l.openAccount(Key{Other: true})
 		}
-		return l.other
+		return l.shared
 	}
-	return l.open(k)
+	return l.openAccount(key)
 }
 
-// near is where an account is looked for first: most lookups are of few accounts, and a map of texts is slow.
-func (k *Key) near() int {
-	n := k.Destination*7 + len(k.Class) + 3*len(k.Tenant)
+// cacheSlot returns the slot of the key in the cache in front of the map of accounts. Most lookups are for a few
+// accounts, and hashing their strings for the map is slow.
+func (k *Key) cacheSlot() int {
+	hash := k.Destination*7 + len(k.Class) + 3*len(k.Tenant)
 	if len(k.Class) > 0 {
-		n += int(k.Class[len(k.Class)-1])
+		hash += int(k.Class[len(k.Class)-1])
 	}
-	return n & (nearby - 1)
+	return hash & (cacheSlots - 1)
 }
 
-const nearby = 512
+const cacheSlots = 512 // slots of the cache; a power of two
 
-func (l *Ledger) others() int {
-	if l.other != nil {
+func (l *Ledger) sharedAccounts() int {
+	if l.shared != nil {
 		return 1
 	}
 	return 0
 }
 
-func (l *Ledger) open(k Key) *Account {
-	a := &Account{key: k, number: firstAccount + uint64(len(l.list))}
-	l.byKey[k] = a
-	l.list = append(l.list, a)
-	l.touch(a) // numbers in the store have no gaps
+func (l *Ledger) openAccount(key Key) *Account {
+	a := &Account{key: key, number: firstAccount + uint64(len(l.accounts))}
+	l.byKey[key] = a
+	l.accounts = append(l.accounts, a)
+	l.markDirty(a) // Restore expects account numbers without gaps
 	return a
 }
 
-// Accounts is how many accounts there are, other counted.
-func (l *Ledger) Accounts() int { return len(l.list) }
+// Accounts returns the number of accounts, the shared one included.
+func (l *Ledger) Accounts() int { return len(l.accounts) }
 
-// PostingCount is how many postings were made, for whoever wants to know whether there was one.
-func (l *Ledger) PostingCount() uint64 { return l.posts }
+// PostingCount returns the number of postings made so far. Callers compare two results to see whether anything was posted.
+func (l *Ledger) PostingCount() uint64 { return l.postings }
 
-// InterceptPost makes one posting and checks what it touched.
+// Post makes one posting and checks that the account still balances.
 func (l *Ledger) Post(a *Account, e Entry) {
-	l.posts++
-	if l.set.InterceptPost == nil {
+	l.postings++
+	if l.settings.InterceptPost == nil {
 		l.post(a, e)
 		return
 	}
-	for _, p := range l.set.InterceptPost(Posting{a.key, e}) {
+	for _, p := range l.settings.InterceptPost(Posting{a.key, e}) {
 		l.post(l.Account(p.Key), p.Entry)
 	}
 }
 
 func (l *Ledger) post(a *Account, e Entry) {
-	l.enter(a, e)
-	l.touch(a)
+	l.apply(a, e)
+	l.markDirty(a)
 }
 
-// enter makes both entries and checks the account.
-func (l *Ledger) enter(a *Account, e Entry) {
-	a.now.post(e)
+// apply applies a posting to the account and the total, and checks the account.
+func (l *Ledger) apply(a *Account, e Entry) {
+	a.counts.post(e)
 	l.total.post(e)
-	l.audit(a)
+	l.checkBalance(a)
 }
 
 // Transfer moves one open message from one account to another.
@@ -381,63 +407,64 @@
 	}
 }
 
-// PostPending notes a posting that counts once the store has the batch that goes with it, and stands in leaves from now on.
-// Settle or Drop follows.
+// PostPending notes a posting that counts only once the store has its batch. Leaves written from now on include it.
+// ConfirmPending or DropPending must follow.
 func (l *Ledger) PostPending(a *Account, e Entry) {
-	a.due.post(e)
-	l.touch(a)
+	a.pending.post(e)
+	l.markDirty(a)
 }
 
-// ConfirmPending makes a posting that was awaited.
+// ConfirmPending makes a pending posting, whose batch is now stored.
 func (l *Ledger) ConfirmPending(a *Account, e Entry) {
-	a.forgo(e)
-	if l.set.InterceptPost != nil {
+	a.removePending(e)
+	if l.settings.InterceptPost != nil {
 		l.Post(a, e)
 		return
 	}
-	l.posts++
-	l.enter(a, e) // its leaf stays as it was
+	l.postings++
+	l.apply(a, e) // the leaf included this posting already
 }
 
-// DropPending forgets a posting that was awaited: its batch never got into the store.
+// DropPending cancels a pending posting whose batch was not stored.
 func (l *Ledger) DropPending(a *Account, e Entry) {
-	a.forgo(e)
-	l.touch(a)
+	a.removePending(e)
+	l.markDirty(a)
 }
 
-func (a *Account) forgo(e Entry) {
+func (a *Account) removePending(e Entry) {
 	switch e {
 	case Accepted:
-		down(&a.due.Accepted)
-		down(&a.due.Open)
+		decrement(&a.pending.Accepted)
+		decrement(&a.pending.Open)
 	case MovedIn:
-		down(&a.due.MovedIn)
-		down(&a.due.Open)
+		decrement(&a.pending.MovedIn)
+		decrement(&a.pending.Open)
 	case Reopened:
-		down(&a.due.Reopened)
+		decrement(&a.pending.Reopened)
 	case DoubtOpened:
-		down(&a.due.Doubt.Opened)
-		down(&a.due.Doubt.Open)
+		decrement(&a.pending.Doubt.Opened)
+		decrement(&a.pending.Doubt.Open)
 	}
 }
 
-func (l *Ledger) touch(a *Account) {
+func (l *Ledger) markDirty(a *Account) {
 	if !a.dirty {
 		a.dirty = true
 		l.dirty = append(l.dirty, a)
 	}
 }
 
-// audit checks that an account's figures add up, and those that go from one to another.
-func (l *Ledger) audit(a *Account) {
-	f := &a.now
+// checkBalance checks that the counts of an account balance.
+func (l *Ledger) checkBalance(a *Account) {
+	f := &a.counts
 	in, out := f.Sides()
 	l.Compare(a.key, CheckMessages, in, out)
 	l.Compare(a.key, CheckAttempts, f.Attempts.Sent, f.Attempts.Answered+f.Attempts.Refused+f.Attempts.Unanswered+f.Attempts.Out)
 	l.Compare(a.key, CheckDoubt, f.Doubt.Opened, f.Doubt.Twice+f.Doubt.Unresolved+f.Doubt.Open)
 }
 
-// CompareTransfers checks that what went out of accounts came into others. Whoever posts calls it once both sides are posted.
+// CompareTransfers checks that every message that left an account came into another. Callers use it once both sides of a
+// transfer are posted.
 func (l *Ledger) CompareTransfers() {
 	l.Compare(Key{}, CheckTransfers, l.total.MovedIn, l.total.MovedOut+l.total.Reopened)
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -14,7 +14,7 @@
 
 var epoch = NewEpoch(7, 1, ReasonNoLedger, "")
 
-func book(t *testing.T, s Settings) *Ledger {
+func newLedger(t *testing.T, s Settings) *Ledger {
 	t.Helper()
 	l, err := New(s, epoch)
 	if err != nil {
@@ -25,13 +25,13 @@
 
 func key(n int) Key { return Key{Class: fmt.Sprintf("c%d", n%3), Destination: n, Tenant: "t"} }
 
-// Any order of postings that messages can make keeps all equations, also over a store that takes all leaves, and where
-// there are more keys than accounts.
-func TestFiguresAddUpWhateverIsPostedAndOutlastTheProcess(t *testing.T) {
+// Random postings that messages can cause must keep all accounts in balance, also after restarts from the stored leaves, and
+// with more keys than accounts.
+func TestAccountsStayBalancedAcrossPostingsAndRestarts(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(30) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		l := book(t, Settings{Instance: "d", MaxAccounts: 5})
+		l := newLedger(t, Settings{Instance: "d", MaxAccounts: 5})
 		store := map[uint64][]byte{}
 		var open []*Account
 		var before *Snapshot
@@ -85,7 +85,7 @@
 				t.Fatalf("seed %d: restored as\n%s, was\n%s", seed, b, a)
 			}
 			if len(was.Accounts) > 6 {
-				t.Fatalf("%d accounts, 5 and other are allowed", len(was.Accounts))
+				t.Fatalf("%d accounts, want 5 and the shared one at most", len(was.Accounts))
 			}
 			if bad := is.Check(); len(bad) > 0 {
 				t.Fatalf("seed %d: %+v", seed, bad)
@@ -96,7 +96,7 @@
 				}
 			}
 			if uint64(is.Total.Open) != uint64(len(open)) {
-				t.Fatalf("seed %d: %d open, %d are", seed, is.Total.Open, len(open))
+				t.Fatalf("seed %d: %d messages open, want %d", seed, is.Total.Open, len(open))
 			}
 			before = is
 			open2 := make([]*Account, len(open))
@@ -108,9 +108,9 @@
 	}
 }
 
-func TestHostileNamesTakeNoAccountsBeyondTheBound(t *testing.T) {
+func TestNumberOfAccountsIsBounded(t *testing.T) {
 	t.Parallel()
-	l := book(t, Settings{MaxAccounts: 100})
+	l := newLedger(t, Settings{MaxAccounts: 100})
 	for i := range 100_000 {
 		l.Post(l.Account(Key{Class: fmt.Sprint("x", i), Tenant: strings.Repeat("y", i%100)}), Accepted)
 	}
@@ -157,16 +157,16 @@
 
 func TestBreachesStayOnRecord(t *testing.T) {
 	t.Parallel()
-	l := book(t, Settings{})
+	l := newLedger(t, Settings{})
 	l.SetWallTime(10)
 	a, b := l.Account(key(1)), l.Account(key(2))
 	l.Compare(a.key, CheckLiveOpen, 1, 2)
 	l.SetWallTime(20)
-	l.Compare(b.key, CheckLiveOpen, 5, 2) // while the first stands
-	l.Compare(a.key, CheckLiveOpen, 2, 3) // the same one
+	l.Compare(b.key, CheckLiveOpen, 5, 2) // another account, while the first breach stands
+	l.Compare(a.key, CheckLiveOpen, 2, 3) // the same difference: no new breach
 	l.SetWallTime(30)
-	l.Compare(a.key, CheckLiveOpen, 4, 4) // heals
-	l.Compare(a.key, CheckLiveOpen, 4, 5) // a further one
+	l.Compare(a.key, CheckLiveOpen, 4, 4) // resolved
+	l.Compare(a.key, CheckLiveOpen, 4, 5) // a new breach
 	var leaves []Leaf
 	l.WriteLeaves(10, func(f Leaf) { leaves = append(leaves, f) })
 	after, err := Restore(Settings{}, leaves, epoch)
@@ -178,29 +178,29 @@
 	}
 	for _, l := range []*Ledger{l, after} {
 		if got := l.Snapshot(0).Breaches; !slices.Equal(got, want) {
-			t.Errorf("on record: %+v", got)
+			t.Errorf("recorded breaches: %+v", got)
 		}
 		if n := len(l.Snapshot(0).Check()); n != 2 || l.StandingBreaches() != 2 {
-			t.Errorf("%d stand", n)
+			t.Errorf("%d breaches stand", n)
 		}
 	}
 	if fresh := l.TakeNewBreaches(); len(fresh) != 4 || l.TakeNewBreaches() != nil {
-		t.Errorf("told: %+v", fresh)
+		t.Errorf("new breaches: %+v", fresh)
 	}
 	for i := range 1000 {
 		l.Compare(key(i), CheckLiveAttempts, 0, 1)
 	}
-	if s := l.Snapshot(0); len(s.Breaches) != mostBreaches || s.MoreBreaches != 1000+3-mostBreaches {
+	if s := l.Snapshot(0); len(s.Breaches) != maxBreaches || s.MoreBreaches != 1000+3-maxBreaches {
 		t.Errorf("%d breaches and %d more", len(s.Breaches), s.MoreBreaches)
 	}
 	l.TakeNewBreaches()
-	l.Compare(key(999), CheckLiveAttempts, 3, 4) // one that is not kept, as it was
+	l.Compare(key(999), CheckLiveAttempts, 3, 4) // a breach that is not on record, with an unchanged difference
 	if fresh := l.TakeNewBreaches(); fresh != nil || l.StandingBreaches() != 2+1000 {
-		t.Errorf("told again: %+v, %d stand", fresh, l.StandingBreaches())
+		t.Errorf("new breaches: %+v, %d stand", fresh, l.StandingBreaches())
 	}
 }
 
-func TestSumKnowsEpochsAndWhatIsLeftOpen(t *testing.T) {
+func TestSumReportsMessagesThatEndedEpochsLeftOpen(t *testing.T) {
 	t.Parallel()
 	shot := func(instance string, e Epoch, wall int64, f Counts) *Snapshot {
 		return &Snapshot{Format: Format, Instance: instance, Epoch: e, Wall: wall, Total: f, Accounts: []AccountCounts{{key(1), f}}}
@@ -208,7 +208,7 @@
 	first, second := NewEpoch(1, 1, ReasonNoLedger, ""), NewEpoch(2, 50, ReasonDamage, NewEpoch(1, 0, "", "").ID)
 	f, err := Sum(
 		shot("a", first, 10, Counts{Accepted: 5, Delivered: 1, Open: 4}),
-		shot("a", first, 5, Counts{Accepted: 10, Delivered: 3, Open: 7}), // later, though its clock shows less
+		shot("a", first, 5, Counts{Accepted: 10, Delivered: 3, Open: 7}), // more advanced, although its clock shows an earlier time
 		shot("a", second, 100, Counts{CarriedOver: 5, Accepted: 1, Failed: 2, Open: 4}),
 		shot("b", first, 30, Counts{Accepted: 3, Open: 3}),
 	)
@@ -216,10 +216,10 @@
 		t.Fatal(err)
 	}
 	if in, out := f.Total.Sides(); in != 14 || in != out+f.Parts[0].Unaccounted || f.Parts[0].Unaccounted != 2 || f.Total.Open != 7 {
-		t.Errorf("%d came in, %d went out: %+v", in, out, f)
+		t.Errorf("%d in, %d out: %+v", in, out, f)
 	}
 	if p := f.Parts[2]; p.Instance != "b" || p.Behind != 70 || p.Open != 3 {
-		t.Errorf("what a machine left that is lost: %+v", p)
+		t.Errorf("part of the lost machine: %+v", p)
 	}
 	d, err := Diff(shot("a", first, 1, Counts{Accepted: 5}), shot("a", first, 2, Counts{Accepted: 4}))
 	if err != nil || len(d.Decreases) != 1 || d.Decreases[0].Counter != "taken" {
@@ -231,7 +231,7 @@
 	}
 }
 
-func TestCheckFindsWhatDoesNotAddUp(t *testing.T) {
+func TestCheckFindsImbalances(t *testing.T) {
 	t.Parallel()
 	for name, f := range map[string]Counts{
 		CheckMessages: {Accepted: 2, Open: 1}, CheckAttempts: {Attempts: Attempts{Sent: 1}}, CheckDoubt: {Doubt: Doubt{Open: 1}}, CheckTransfers: {MovedIn: 1, Open: 1},
@@ -252,7 +252,7 @@
 	f.Fuzz(func(t *testing.T, account, head []byte) {
 		l, err := Restore(Settings{}, []Leaf{{epochLeaf, head}, {firstAccount, account}}, epoch)
 		if err == nil && len(l.Snapshot(0).Accounts) > 1 {
-			t.Error("one leaf makes two accounts")
+			t.Error("one leaf made two accounts")
 		}
 	})
 }
--- a/ledger/snapshot.go
+++ b/ledger/snapshot.go
@@ -9,27 +9,28 @@
 	"strconv"
 )
 
-// Format is the number of the snapshot's format.
+// Format is the version of the snapshot format.
 const Format = 1
 
-// Epoch is a time in which figures never step back: from when a ledger began anew until its folder is lost, or damaged.
+// Epoch is a span in which counts never go back. It lasts until the folder with the ledger is lost or damaged, or postings
+// may have been lost in a reboot.
 type Epoch struct {
 	ID       string `json:"id"`               // drawn at random, 16 hexadecimal digits
 	Began    int64  `json:"began,string"`     // wall time in microseconds since 1970
-	Reason   string `json:"why"`              // see ReasonNoLedger and the others
-	Previous string `json:"before,omitempty"` // the epoch that ended with it, if one is known
+	Reason   string `json:"why"`              // why the epoch began: ReasonNoLedger, ReasonDamage or ReasonReboot
+	Previous string `json:"before,omitempty"` // id of the epoch that ended with it, if one is known
 }
 
-// Why an epoch began.
+// Reasons why an epoch began.
 const (
 	ReasonNoLedger = "no ledger was found"
 	ReasonDamage   = "the folder was damaged"
 	ReasonReboot   = "the machine started anew, and what was not synced may be lost"
 )
 
-// NewEpoch is an epoch with the number given as its id.
-func NewEpoch(id uint64, began int64, why, before string) Epoch {
-	return Epoch{ID: fmt.Sprintf("%016x", id), Began: began, Reason: why, Previous: before}
+// NewEpoch returns an epoch with the given number as its id.
+func NewEpoch(id uint64, began int64, reason, previous string) Epoch {
+	return Epoch{ID: fmt.Sprintf("%016x", id), Began: began, Reason: reason, Previous: previous}
 }
 
 // AccountCounts is an account in a snapshot.
@@ -38,51 +39,52 @@
 	Counts
 }
 
-// Snapshot is one consistent cut through a ledger.
+// Snapshot is a consistent copy of a ledger at one moment.
 type Snapshot struct {
 	Format   int    `json:"format"`
 	Instance string `json:"instance"`
 	Epoch    Epoch  `json:"epoch"`
-	Wall     int64  `json:"wall,string"` // of the cut, microseconds since 1970
+	Wall     int64  `json:"wall,string"` // when it was made, in microseconds since 1970
 
-	// Provisional says that the store does not have all of these postings: a crash may take some back.
+	// Provisional tells that some of the postings are not stored yet, so that a crash may undo them.
 	Provisional bool `json:"provisional,omitempty"`
 
 	Accounts     []AccountCounts `json:"accounts"` // sorted by Key.Compare
 	Total        Counts          `json:"total"`
-	Breaches     []Breach        `json:"breaches"` // all on record, oldest first
-	MoreBreaches Count           `json:"more_breaches"`
+	Breaches     []Breach        `json:"breaches"`      // on record, oldest first
+	MoreBreaches Count           `json:"more_breaches"` // counted and not recorded
 }
 
-// Snapshot is a copy of all that is in the books, with the wall time of the cut (microseconds since 1970).
+// Snapshot copies the ledger. wall is the current wall time in microseconds since 1970.
 func (l *Ledger) Snapshot(wall int64) *Snapshot {
 	s := &Snapshot{
-		Format: Format, Instance: l.set.Instance, Epoch: l.epoch, Wall: wall, Total: l.total, MoreBreaches: l.more,
-		Accounts: make([]AccountCounts, 0, len(l.list)), Breaches: append([]Breach{}, l.breaches...),
+		Format: Format, Instance: l.settings.Instance, Epoch: l.epoch, Wall: wall, Total: l.total, MoreBreaches: l.moreBreaches,
+		Accounts: make([]AccountCounts, 0, len(l.accounts)), Breaches: append([]Breach{}, l.breaches...),
 	}
-	for _, a := range l.list {
-		s.Accounts = append(s.Accounts, AccountCounts{a.key, a.now})
+	for _, a := range l.accounts {
+		s.Accounts = append(s.Accounts, AccountCounts{a.key, a.counts})
 	}
 	slices.SortFunc(s.Accounts, func(a, b AccountCounts) int { return a.Key.Compare(b.Key) })
 	return s
 }
 
-// Errors of Read.
+// Errors of ReadSnapshot.
 var (
-	ErrFormat = errors.New("not a ledger snapshot that this program knows")
+	ErrFormat = errors.New("not a ledger snapshot of a known format")
 )
 
-// mostSnapshot is how many bytes Read reads at most: MaxAccountsLimit accounts and their breaches.
-const mostSnapshot = 64 << 20
+// maxSnapshotBytes is the largest snapshot in bytes that is read. It has room for MaxAccountsLimit accounts and their
+// breaches.
+const maxSnapshotBytes = 64 << 20
 
-// ReadSnapshot reads a snapshot as JSON. An error wraps ErrFormat where it is JSON of something else or of a newer format.
+// ReadSnapshot reads a snapshot as JSON. The error wraps ErrFormat if the input is something else or of another format.
 func ReadSnapshot(r io.Reader) (*Snapshot, error) {
-	text, err := io.ReadAll(io.LimitReader(r, mostSnapshot+1))
+	text, err := io.ReadAll(io.LimitReader(r, maxSnapshotBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	if len(text) > mostSnapshot {
-		return nil, fmt.Errorf("snapshot: over %d bytes: %w", mostSnapshot, ErrFormat)
+	if len(text) > maxSnapshotBytes {
+		return nil, fmt.Errorf("snapshot: over %d bytes: %w", maxSnapshotBytes, ErrFormat)
 	}
 	s := &Snapshot{}
 	if err := json.Unmarshal(text, s); err != nil {
@@ -94,22 +96,22 @@
 	return s, nil
 }
 
-// Check tells what in a snapshot does not add up now: breaches on record that stand, and what is found by adding up anew.
+// Check returns the recorded breaches that stand and those that a recalculation of the snapshot finds.
 func (s *Snapshot) Check() []Breach {
 	l, err := New(Settings{MaxAccounts: MaxAccountsLimit}, s.Epoch)
 	if err != nil {
-		return nil // the settings are this package's own
+		return nil // unreachable: these settings are valid
 	}
 	l.wall = s.Wall
-	var out []Breach
+	var breaches []Breach
 	for _, b := range s.Breaches {
 		if b.ResolvedAt == 0 {
-			out = append(out, b)
-			l.standing[place{b.Key, b.Check}] = len(l.breaches)
+			breaches = append(breaches, b)
+			l.standing[comparison{b.Key, b.Check}] = len(l.breaches)
 			l.breaches = append(l.breaches, b)
 		}
 	}
-	known := len(l.breaches)
+	recorded := len(l.breaches)
 	seen := map[Key]bool{}
 	for i := range s.Accounts {
 		a := &s.Accounts[i]
@@ -118,15 +120,15 @@
 		}
 		seen[a.Key] = true
 		l.total.Add(&a.Counts)
-		l.audit(&Account{key: a.Key, now: a.Counts})
+		l.checkBalance(&Account{key: a.Key, counts: a.Counts})
 	}
 	l.CompareTransfers()
-	sum, total := l.total.all(), s.Total.all()
+	sum, total := l.total.fields(), s.Total.fields()
 	for i := range sum {
-		l.Compare(Key{}, CheckTotals+": "+columnNames[i], *total[i], *sum[i])
+		l.Compare(Key{}, CheckTotals+": "+countNames[i], *total[i], *sum[i])
 	}
-	for _, b := range l.breaches[known:] {
-		out = append(out, b)
+	for _, b := range l.breaches[recorded:] {
+		breaches = append(breaches, b)
 	}
-	return out
+	return breaches
 }
--- a/ledger/sweep.go
+++ b/ledger/sweep.go
@@ -1,61 +1,60 @@
 package ledger
 
-// A sweep counts live messages anew, a part at a time, while messages come and go: whoever owns them tells what changes
-// about those that were counted already. At its end the counts are compared with the books.
+// An audit recounts the live messages, a part at a time, while messages come and go. Their owner reports every change to a
+// message that has been counted already. At the end the results are compared with the ledger.
 
-// BeginAudit begins a sweep.
+// BeginAudit begins an audit.
 func (l *Ledger) BeginAudit() {
-	for _, a := range l.list {
+	for _, a := range l.accounts {
 		a.open, a.doubt = 0, 0
 	}
 }
 
-// CountOpen counts a live message, or with by -1 takes one back that was counted. Doubt is the same for those that may have
-// taken effect.
+// CountOpen counts a live message. With by = -1 it removes one that was counted.
 func (a *Account) CountOpen(by int) { a.open += Count(by) }
 
-// CountDoubt is Count for messages that may have taken effect.
+// CountDoubt counts a live message that may have taken effect. With by = -1 it removes one that was counted.
 func (a *Account) CountDoubt(by int) { a.doubt += Count(by) }
 
-// CountOut counts an attempt that is out.
+// CountOut counts an attempt that is under way.
 func (a *Account) CountOut() { a.out++ }
 
-// FinishAudit compares what a sweep counted with the books.
+// FinishAudit compares the messages that the audit counted with the ledger.
 func (l *Ledger) FinishAudit() {
-	for _, a := range l.list {
-		l.Compare(a.key, CheckLiveOpen, a.now.Open, a.open)
-		l.Compare(a.key, CheckLiveDoubt, a.now.Doubt.Open, a.doubt)
+	for _, a := range l.accounts {
+		l.Compare(a.key, CheckLiveOpen, a.counts.Open, a.open)
+		l.Compare(a.key, CheckLiveDoubt, a.counts.Doubt.Open, a.doubt)
 	}
 	l.CompareTransfers()
 }
 
-// CompareDispositions compares how many messages ended in which way since this process began, as counted where they end, with the books:
-// a posting to a wrong figure leaves all equations as they are.
+// CompareDispositions compares how many messages ended in each way since this process began, as the caller counted them,
+// with the ledger. It finds an end that was posted as another one, which leaves all accounts in balance.
 func (l *Ledger) CompareDispositions(served, refused, failed uint64) {
-	l.Compare(Key{}, CheckDelivered, l.total.Delivered-l.base.Delivered, Count(served))
-	l.Compare(Key{}, CheckRefused, l.total.Refused-l.base.Refused, Count(refused))
-	l.Compare(Key{}, CheckFailed, l.total.Failed-l.base.Failed, Count(failed))
+	l.Compare(Key{}, CheckDelivered, l.total.Delivered-l.startTotal.Delivered, Count(served))
+	l.Compare(Key{}, CheckRefused, l.total.Refused-l.startTotal.Refused, Count(refused))
+	l.Compare(Key{}, CheckFailed, l.total.Failed-l.startTotal.Failed, Count(failed))
 }
 
-// FinishAttemptAudit compares the attempts that were counted with the books, and forgets their counts.
+// FinishAttemptAudit compares the attempts that the audit counted with the ledger, and resets their counts.
 func (l *Ledger) FinishAttemptAudit() {
-	for _, a := range l.list {
-		l.Compare(a.key, CheckLiveAttempts, a.now.Attempts.Out, a.out)
+	for _, a := range l.accounts {
+		l.Compare(a.key, CheckLiveAttempts, a.counts.Attempts.Out, a.out)
 		a.out = 0
 	}
 }
 
-// ReconcileRestart compares the books with the live messages that the store had, as Count told of them since Begin, and settles what
-// a process leaves: attempts that were out are silent, and messages with such an attempt are in doubt from now on.
+// ReconcileRestart compares the ledger with the live messages that the store had, counted since BeginAudit, and closes what
+// the previous process left open: attempts under way become unanswered, and their messages are in doubt from now on.
 func (l *Ledger) ReconcileRestart() {
-	for _, a := range l.list {
-		l.Compare(a.key, CheckRestart, a.now.Open, a.open)
-		for a.now.Attempts.Out > 0 {
+	for _, a := range l.accounts {
+		l.Compare(a.key, CheckRestart, a.counts.Open, a.open)
+		for a.counts.Attempts.Out > 0 {
 			l.Post(a, AttemptUnanswered)
 		}
-		for a.now.Doubt.Open < a.doubt {
+		for a.counts.Doubt.Open < a.doubt {
 			l.Post(a, DoubtOpened)
 		}
-		l.Compare(a.key, CheckLiveDoubt, a.now.Doubt.Open, a.doubt)
+		l.Compare(a.key, CheckLiveDoubt, a.counts.Doubt.Open, a.doubt)
 	}
 }
