--- a/membership/fixed/fixed.go
+++ b/membership/fixed/fixed.go
@@ -1,6 +1,6 @@
-// Package fixed is the source of endpoints that are written down: partners outside of any directory, and the operator's
-// own word on an endpoint of another source (`leaving` takes it out of use, since the worst claim counts, and without the
-// entry it is what the other sources say again).
+// Package fixed provides endpoints from a fixed list in the settings. The list holds partners that no directory lists. It
+// can also override another source: an entry with the phase `leaving` takes an endpoint out of use, since the worst claim
+// counts. When the entry is removed, the claims of the other sources decide again.
 package fixed
 
 import (
@@ -9,13 +9,13 @@
 	"curlewmux/membership"
 )
 
-// Source tells of a list once. It is a membership.Source.
+// Source reports a fixed list once. It implements membership.Source.
 type Source struct{ list []membership.Endpoint }
 
-// New makes a source; the endpoints must have been checked.
+// New creates a source. The endpoints must have been validated.
 func New(list []membership.Endpoint) *Source { return &Source{list} }
 
-// Name is fixed.
+// Name returns "fixed".
 func (*Source) Name() string { return "fixed" }
 
 // Run implements membership.Source.
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,23 +1,24 @@
-// Package membership merges what sources tell of endpoints into the one list that the engine works from.
+// Package membership merges the endpoints reported by several sources into the one list that the engine uses.
 //
-// A Table is a decider: it has no I/O, reads no clock and starts no goroutine; the time comes in with each call. It keeps
-// for each source what that source claims of each endpoint and when it said so. The rules, in the order in which they
-// are applied:
+// A Table does no I/O, reads no clock and starts no goroutine. The caller passes in the time with each call. For each
+// source the table keeps a claim per endpoint and the time of that claim. The rules, in the order in which they are
+// applied:
 //
-//   - Identity is the ID. Two sources that speak of one endpoint must use one ID.
-//   - An endpoint is only as usable as the worst claim among the sources that ever told of it: Left, then Leaving, then
-//     Active. A source that never told of an endpoint has no claim on it. A source's whole list without an endpoint that
-//     it told of is its claim Left; only one that restates its word (a list written by hand) takes it back.
-//   - Address, destination, zone, kind, hints: of the first source, in the table's order, that names the endpoint now
-//     (its claim is not Left) and states the field. Weight: the first such that states one over 0. Started: the latest.
-//   - Sources that name one endpoint for different destinations make it Leaving: work sent by either could be wrong.
-//   - One address of one destination is Active once. Among the IDs that claim it the one that started last holds it, then
-//     the smallest ID; the others are Leaving.
-//   - A source that falls silent or fails keeps its claims as they are.
-//   - Who has left stays known for a while (Settings.Remember), so that a source that lags cannot bring it back; the
-//     source that said Left can.
+//   - The ID identifies an endpoint. Sources that report the same endpoint must use the same ID.
+//   - The worst claim on an endpoint counts: Left, then Leaving, then Active. A source that never reported an endpoint has
+//     no claim on it. If a source's full list omits an endpoint that it reported before, that source now claims Left. Only
+//     an update of the kind Restated (a list written by hand) withdraws the claim instead.
+//   - Address, destination, zone, kind and hints come from the first source, in the table's order, that lists the endpoint
+//     (its claim is not Left) and sets the field. The weight is the first one over 0 among these sources. Started is the
+//     latest.
+//   - An endpoint that sources list for different destinations is Leaving: calls for either destination could be wrong.
+//   - For each destination and address only one endpoint is Active. Of several IDs with the same address, the one that
+//     started last keeps it, then the smallest ID. The others are Leaving.
+//   - The claims of a source that fails or stops reporting stay as they are.
+//   - An endpoint that has left is remembered for a while (Settings.Remember), so that a source that lags behind cannot
+//     bring it back. The source that reported Left can.
 //
-// What a cache vouches for (Restore) counts like what the source itself last said, until the source speaks again.
+// Claims from a cache (Restore) count as the last report of their source until that source reports again.
 package membership
 
 import (
@@ -29,17 +30,17 @@
 	"strconv"
 )
 
-// Phase says how far an endpoint may be used. The zero is the safe one.
+// Phase says how far an endpoint may be used. The zero value is the safest one.
 type Phase uint8
 
-// Phases, from the least usable on.
+// Phases, from the least usable to the most usable.
 const (
-	Left    Phase = iota // gone: nothing may be sent, nothing comes back
-	Leaving              // finishes what it has, gets nothing new
-	Active               // may get new work
+	Left    Phase = iota // gone: gets no calls and sends no responses
+	Leaving              // finishes its open calls, gets no new ones
+	Active               // may get new calls
 )
 
-// String is the phase's name in discovery's protocol.
+// String returns the phase's name in the discovery protocol.
 func (p Phase) String() string {
 	switch p {
 	case Active:
@@ -50,7 +51,8 @@
 	return "left"
 }
 
-// ParsePhase reads a phase's name in discovery's protocol. An unknown name is Leaving: no new work for what can't be read.
+// ParsePhase parses a phase's name in the discovery protocol. An unknown name gives Leaving, so that an endpoint in an
+// unknown state gets no new calls.
 func ParsePhase(s string) Phase {
 	switch s {
 	case "active":
@@ -61,62 +63,62 @@
 	return Leaving
 }
 
-// Endpoint is what is known of one endpoint. It is comparable.
+// Endpoint describes one endpoint. It is comparable.
 type Endpoint struct {
-	ID      string // the same at every dispatcher and in every source; visible ASCII, at most 253 bytes
+	ID      string // same at every dispatcher and in every source; visible ASCII, at most 253 bytes
 	Addr    string // host:port
-	Dest    int    // number of its destination, 0 or more
+	Dest    int    // number of the destination, 0 or more
 	Zone    string
 	Kind    string
 	Phase   Phase
-	Weight  float64 // as the site's settings mean it, 0 for not told
-	Started int64   // when it last started, Unix ms; 0 for long ago
-	Hints   string  // zones that are advised to use it, comma-separated; advice on routing, never its zone
-	Note    string  // why its source says so, for people
+	Weight  float64 // in the unit that the site's settings use; 0 if not reported
+	Started int64   // last start in Unix ms; 0 if long ago or not known
+	Hints   string  // comma-separated zones that should use it; routing advice, not its own zone
+	Note    string  // reason given by the source, for operators
 }
 
-// UpdateKind says how an update relates to what its source told before.
+// UpdateKind says how an update relates to the earlier updates of its source.
 type UpdateKind uint8
 
-// Kinds of update. The zero touches nothing that it does not name.
+// Kinds of update. The zero value changes only the endpoints that the update lists.
 const (
-	Changes  UpdateKind = iota // the endpoints named, in the order in which they changed
-	Whole                      // all endpoints that the source has; what it leaves out has left
-	Failed                     // nothing can be learnt from the source now; its claims stay
-	Restated                   // all that the source has a word on; on what it leaves out it takes its word back
+	Changes  UpdateKind = iota // the listed endpoints, in the order in which they changed
+	Whole                      // all endpoints of the source; those that it omits have left
+	Failed                     // the source is unreachable or unreadable; its claims stay
+	Restated                   // all claims of the source; claims on endpoints that it omits are withdrawn
 )
 
-// Update is one thing that a source tells.
+// Update is one report of a source.
 type Update struct {
 	Kind      UpdateKind
 	Endpoints []Endpoint
-	Err       error // Failed: why
+	Err       error // cause of a Failed update
 }
 
-// Source is where endpoints are learnt of: a partner list, EndpointSlices, a fixed list, a resolver.
+// Source reports endpoints. Examples are a partner list, EndpointSlices, a fixed list and a resolver.
 type Source interface {
-	// Name is the source's name in the table's order; it does not change.
+	// Name returns the source's name as listed in Settings.Sources. It does not change.
 	Name() string
-	// Run tells what the source learns until ctx ends, and returns ctx's error then. It is called once. It calls tell
-	// from one goroutine at a time and not after its return. tell may block for as long as its taker is busy: the source
-	// then keeps only the newest state of what changes meanwhile. Faults of the way there are told as Failed and tried
-	// again without end; any other error that Run returns means that it can't work at all.
+	// Run reports updates through tell until ctx ends, and then returns ctx's error. It is called once. It calls tell from
+	// one goroutine at a time and not after it has returned. tell may block while the receiver is busy. The source then
+	// keeps only the newest state of whatever changes meanwhile. If the source can't be reached or read, it reports
+	// Failed and retries for ever. Any other error that Run returns means that the source can't work at all.
 	Run(ctx context.Context, tell func(Update)) error
 }
 
-// ErrMalformed is in the chain of every error about an endpoint that can't be used as it was told.
+// ErrMalformed is wrapped by every error about an endpoint that can't be used as it was reported.
 var ErrMalformed = errors.New("malformed endpoint")
 
-// longestName bounds ids and names (a DNS name has at most 253 characters, RFC 1123).
+// longestName limits ids and names, in bytes. A DNS name has at most 253 characters (RFC 1123).
 const longestName = 253
 
-// Check tells whether the endpoint can be used as it stands. Its error wraps ErrMalformed and names the field.
+// Check validates the endpoint. Its error wraps ErrMalformed and names the field.
 func (e *Endpoint) Check() error {
 	if err := checkID(e.ID); err != nil {
 		return err
 	}
 	if e.Phase == Left {
-		return nil // all that counts is which one
+		return nil // only the ID matters for an endpoint that has left
 	}
 	if e.Phase > Active {
 		return fmt.Errorf("%w: phase %d", ErrMalformed, e.Phase)
--- a/membership/subscription/subscription.go
+++ b/membership/subscription/subscription.go
@@ -1,23 +1,26 @@
-// Package subscription decides when a discovery that tells nothing unless it is asked is asked: at the start, and again
-// after a call that failed or a subscription that broke. It does no I/O and reads no clock: the caller hands in the time
-// and asks when told to.
+// Package subscription decides when to subscribe to a discovery service that sends changes only to subscribers: at the
+// start, and again after a failed call or a broken subscription. It does no I/O and reads no clock. The caller passes in
+// the time and makes the calls.
 package subscription
 
 import "time"
 
-// Pauses after calls that failed. Discovery may be one service for all dispatchers that takes calls one after another:
-// every call that it turns away, or that is given up while it waits, takes time from those of others. So the pause grows
-// quickly; but until a call succeeds it isn't known who drains, so it does not grow far.
+// Limits of the pause after a failed call. One discovery service may serve all dispatchers and take their calls one after
+// another. Each call that it rejects, or that its caller abandons, then takes time from the calls of others, so the pause
+// grows quickly. Its maximum is short, since the dispatcher doesn't learn which endpoints drain until a call succeeds.
 const (
-	Least = 50 * time.Millisecond // before the second call ...
-	Most  = time.Second           // ... and, after doublings, before any other; a drawn half of each is left out
+	// Least is the pause after the first failure. It doubles with each further one. With Subscription.Draw up to half of
+	// a pause is left out at random.
+	Least = 50 * time.Millisecond
+	// Most is the longest pause.
+	Most = time.Second
 )
 
-// Subscription is one dispatcher's standing at one discovery. The zero value is not subscribed and may ask at once.
-// It is not safe for concurrent use.
+// Subscription tracks whether one dispatcher is subscribed to one discovery service. The zero value is not subscribed and
+// may start a call at once. It is not safe for concurrent use.
 type Subscription struct {
-	// Draw gives numbers from 0 up to 1; without it nothing is left out of a pause. Dispatchers that were turned away
-	// together should not come back together.
+	// Draw returns random numbers from 0 to below 1, which shorten the pauses by up to half, so that dispatchers that were
+	// rejected at the same time don't retry at the same time. If it is nil, pauses are not shortened.
 	Draw func() float64
 
 	state state
@@ -28,12 +31,12 @@
 type state uint8
 
 const (
-	idle       state = iota // nothing is out; the next call may go when due
-	asking                  // a call is out
-	subscribed              // changes come by themselves
+	idle       state = iota // no call is open; the next one may start when due
+	asking                  // a call is open
+	subscribed              // discovery sends changes
 )
 
-// Ask tells whether to ask for changes now. If so it counts as done, and Answered or Failed must follow.
+// Ask reports whether to start a call now. If so, the call counts as started, and Answered or Failed must follow.
 func (s *Subscription) Ask(now time.Time) bool {
 	if s.state != idle || now.Before(s.due) {
 		return false
@@ -42,12 +45,12 @@
 	return true
 }
 
-// Answered takes an answer to a call, or a change that came by itself.
+// Answered records the response to a call, or a change that discovery has sent.
 func (s *Subscription) Answered() { s.state, s.pause = subscribed, 0 }
 
-// Failed takes the failure of a call, or the end of a subscription, and tells when to ask again.
+// Failed records the failure of a call or the end of a subscription. It returns the time of the next call.
 func (s *Subscription) Failed(now time.Time) time.Time {
-	if s.state == idle { // one cause may be told twice
+	if s.state == idle { // the same failure may be reported twice
 		return s.due
 	}
 	s.state = idle
--- a/membership/table.go
+++ b/membership/table.go
@@ -8,55 +8,58 @@
 	"time"
 )
 
-// Settings of a Table. Their zeros are safe.
+// Settings configures a Table. The zero values are safe defaults.
 type Settings struct {
-	Sources  []string      // the names, from the one whose word on fields counts first
-	Most     int           // endpoints known at once, at most; 0 is 100,000
-	Remember time.Duration // how long who has left stays known; 0 is 10 minutes. At most mostGone do, whatever this says
+	Sources []string // names of the sources, in decreasing precedence for fields
+	Most    int      // limit on endpoints in the table; 0 means 100,000
+	// Remember is how long an endpoint that has left is remembered; 0 means 10 minutes. No more than mostGone are
+	// remembered, whatever this says.
+	Remember time.Duration
 }
 
 const (
 	defaultMost     = 100_000
 	defaultRemember = 10 * time.Minute
-	mostGone        = 2048 // so that a long flood does not pile up memory: at 100 that leave in a second, 20 s
+	mostGone        = 2048 // endpoints; limits memory in a long flood (20 s of it at 100 leaving per second)
 )
 
-// Table is the one list. It is not safe for concurrent use.
+// Table merges the claims of all sources into one list of endpoints. It is not safe for concurrent use.
 type Table struct {
 	most     int
 	remember time.Duration
 	sources  []*source
 	records  map[string]*record
-	byAddr   map[addrKey][]*record // who is Active at an address by its claims; almost always one
-	gone     []tomb                // records that no source names, the oldest first; some may have come back since
+	byAddr   map[addrKey][]*record // records whose claims make them Active at the address; almost always one
+	gone     []tomb                // records that no source lists, oldest first; some may be listed again by now
 }
 
 type source struct {
 	name   string
-	rank   int
-	gen    int // number of the last whole list
-	listed bool
-	told   time.Time // when it last told something
-	failed time.Time // since when it fails, zero if it does not
-	err    string
+	rank   int       // index in the table's order
+	gen    int       // number of its last full list
+	listed bool      // it has sent a full list
+	told   time.Time // time of its last update
+	failed time.Time // start of the current failure, zero if it works
+	err    string    // cause of the current failure
 }
 
-// record is one endpoint.
+// record holds one endpoint with the claims of all sources on it.
 type record struct {
 	id     string
-	claims []claim   // in the sources' order
-	merged Endpoint  // what the claims make of it, before addresses are compared; without a note
-	rival  string    // who holds its address instead, "" if it does itself
-	given  bool      // it was given out, as out has it, and not as Left
-	left   time.Time // since when no source names it, zero while one does
+	claims []claim   // in the table's order of sources
+	merged Endpoint  // result of merging the claims, before conflicts over the address are resolved; without a note
+	rival  string    // ID of the endpoint that keeps the address instead, "" if this one does
+	given  bool      // the caller was last told of it with a phase other than Left
+	left   time.Time // when the last source stopped listing it, zero while one lists it
 }
 
+// claim is what one source reports about an endpoint.
 type claim struct {
 	by     *source
 	says   Endpoint
-	at     time.Time
-	gen    int
-	cached bool
+	at     time.Time // time of the report
+	gen    int       // number of the source's last full list at that time
+	cached bool      // comes from a cache
 }
 
 type addrKey struct {
@@ -64,21 +67,22 @@
 	addr string
 }
 
+// tomb is an entry in the queue of endpoints that have left.
 type tomb struct {
 	at time.Time
 	r  *record
 }
 
-// Refused is one endpoint of an update that was not taken as told.
+// Refused describes an endpoint of an update that was not accepted as reported.
 type Refused struct {
 	ID  string
 	Err error // wraps ErrMalformed or ErrFull
 }
 
-// ErrFull means that the table holds as many endpoints as it may.
+// ErrFull means that the table has reached its limit of endpoints.
 var ErrFull = errors.New("table of endpoints is full")
 
-// New makes an empty table.
+// New creates an empty table.
 func New(s Settings) (*Table, error) {
 	t := &Table{
 		most: cmp.Or(s.Most, defaultMost), remember: cmp.Or(s.Remember, defaultRemember),
@@ -93,8 +97,8 @@
 	return t, nil
 }
 
-// SetSources puts another order of sources into force. Sources that are no longer among them lose their claims; an
-// endpoint that nobody else told of has left. It returns what changed, as Tell does.
+// SetSources replaces the list of sources. Sources that are no longer in it lose their claims. An endpoint without any
+// other claim has left. It returns the changed endpoints in the same way as Tell.
 func (t *Table) SetSources(now time.Time, names []string) ([]Endpoint, error) {
 	next := make([]*source, 0, len(names))
 	for i, name := range names {
@@ -129,9 +133,10 @@
 	return nil
 }
 
-// Tell takes what a source tells. It returns the endpoints whose merged state changed by it, what takes work away first
-// (Left, Leaving, Active) and by ID within that, and what could not be taken as told: an endpoint that is known but now
-// malformed is Leaving, one that is not known is left out, and neither spoils the others.
+// Tell applies an update of a source. It returns the endpoints whose merged state changed, sorted by phase (Left, Leaving,
+// Active) and then by ID, so that endpoints that lose work come first. It also returns the endpoints that were not
+// accepted as reported. A malformed endpoint is Leaving if it is already known, and is ignored otherwise. It does not
+// affect the other endpoints of the update.
 func (t *Table) Tell(now time.Time, name string, u Update) (changes []Endpoint, refused []Refused, err error) {
 	s := t.source(name)
 	if s == nil {
@@ -182,8 +187,8 @@
 	return t.settle(now, touched), refused, nil
 }
 
-// Restore takes what a cache holds of a source's claims, as Dump gave them. It is for the start: the claims count until
-// the source speaks of them, and the source's first whole list settles all of them.
+// Restore loads a source's cached claims, as returned by Dump. It must come before the source's first update. A cached
+// claim counts until the source reports the endpoint. The source's first full list replaces all of them.
 func (t *Table) Restore(now time.Time, name string, claims []Endpoint) (changes []Endpoint, refused []Refused, err error) {
 	s := t.source(name)
 	if s == nil {
@@ -206,7 +211,7 @@
 	return t.settle(now, touched), refused, nil
 }
 
-// claim notes what a source says of one endpoint. It returns nil if there is nothing to note.
+// claim records what a source reports about one endpoint. It returns nil if nothing was recorded.
 func (t *Table) claim(now time.Time, s *source, e Endpoint, whole bool) (*record, error) {
 	err := e.Check()
 	r := t.records[e.ID]
@@ -217,7 +222,7 @@
 		case len(t.records) >= t.most && !t.forgetOldest():
 			return nil, fmt.Errorf("%w: %d", ErrFull, t.most)
 		}
-		// Kept also if all that is known of it is that it has left: a source that lags must not bring it in.
+		// An unknown endpoint that has left is recorded, too, so that a source that lags behind does not add it.
 		r = &record{id: e.ID, merged: Endpoint{ID: e.ID}}
 		t.records[e.ID] = r
 	}
@@ -232,13 +237,13 @@
 	}
 	worst := Active
 	if whole && c.gen == s.gen {
-		worst = c.says.Phase // named twice in one list: the worse counts
+		worst = c.says.Phase // listed twice in one full list: the worse phase counts
 	}
 	switch {
 	case err != nil:
 		c.says.Phase, c.says.Note = min(Leaving, c.says.Phase), err.Error()
 	case e.Phase == Left:
-		c.says.ID, c.says.Phase, c.says.Note = e.ID, Left, e.Note // its fields stay as they were
+		c.says.ID, c.says.Phase, c.says.Note = e.ID, Left, e.Note // the other fields stay as they were
 	default:
 		c.says = e
 	}
@@ -258,11 +263,11 @@
 	return nil
 }
 
-// settle works out anew what was touched, and what shares an address with it, and returns what changed.
+// settle recomputes the touched records and those that share an address with them. It returns the changed endpoints.
 func (t *Table) settle(now time.Time, touched []*record) (changes []Endpoint) {
 	touched = inOrder(touched)
 	affected := touched
-	before := make(map[*record]Endpoint, len(touched)) // as they stand with the taker
+	before := make(map[*record]Endpoint, len(touched)) // as the caller knows them
 	for _, r := range touched {
 		was, is := r.merged, r.merge()
 		if was != is {
@@ -272,8 +277,8 @@
 		}
 		switch {
 		case len(r.claims) == 0:
-			delete(t.records, r.id) // no source in use ever told of it
-		case r.named(): // as long as one names it, what the others say must stand
+			delete(t.records, r.id) // no current source ever reported it
+		case r.named(): // while one source lists it, the Left claims of the others must be kept
 			r.left = time.Time{}
 		case r.left.IsZero():
 			r.left = now
@@ -296,13 +301,13 @@
 	return changes
 }
 
-// inOrder sorts records by id, each once: nothing that comes out may show the order of a map.
+// inOrder sorts records by ID and removes duplicates, so that no result depends on the iteration order of a map.
 func inOrder(list []*record) []*record {
 	slices.SortFunc(list, func(a, b *record) int { return cmp.Compare(a.id, b.id) })
 	return slices.Compact(list)
 }
 
-// merge is what the claims make of an endpoint.
+// merge combines the claims on an endpoint.
 func (r *record) merge() Endpoint {
 	e := Endpoint{ID: r.id, Dest: r.merged.Dest, Addr: r.merged.Addr, Zone: r.merged.Zone, Kind: r.merged.Kind}
 	if len(r.claims) == 0 {
@@ -320,7 +325,7 @@
 			e.Dest, e.Addr, e.Zone, e.Kind, first = says.Dest, says.Addr, says.Zone, says.Kind, false
 		}
 		if says.Dest != e.Dest {
-			e.Phase = min(e.Phase, Leaving) // work for either destination could be wrong
+			e.Phase = min(e.Phase, Leaving) // calls for either destination could be wrong
 		}
 		e.Zone, e.Kind, e.Hints = cmp.Or(e.Zone, says.Zone), cmp.Or(e.Kind, says.Kind), cmp.Or(e.Hints, says.Hints)
 		e.Weight, e.Started = cmp.Or(e.Weight, says.Weight), max(e.Started, says.Started)
@@ -328,7 +333,7 @@
 	return e
 }
 
-// readdress moves a record to where its address is now, and returns all that stand where it was and where it is.
+// readdress moves a record in byAddr from its old address to its current one. It returns the other records at both.
 func (t *Table) readdress(r *record, was *Endpoint) (all []*record) {
 	if was.Phase == Active {
 		key := addrKey{was.Dest, was.Addr}
@@ -348,14 +353,14 @@
 	return all
 }
 
-// holder is the id of the endpoint that holds r's address instead of r, "" if r does.
+// holder returns the ID of the endpoint that keeps r's address instead of r, "" if r keeps it.
 func (t *Table) holder(r *record) string {
 	if r.merged.Phase != Active {
 		return ""
 	}
 	best := r
 	for _, o := range t.byAddr[addrKey{r.merged.Dest, r.merged.Addr}] {
-		// A pod at an address that another had before is the later one.
+		// When a pod takes over the address of another, the new pod is the one that started later.
 		if c := cmp.Compare(o.merged.Started, best.merged.Started); c > 0 || c == 0 && o.id < best.id {
 			best = o
 		}
@@ -366,7 +371,7 @@
 	return best.id
 }
 
-// out is the endpoint as it is given out.
+// out returns the endpoint as the caller sees it.
 func (r *record) out() Endpoint {
 	e := r.merged
 	if r.rival != "" {
@@ -375,14 +380,14 @@
 	return e
 }
 
-// forget drops who has left long ago.
+// forget removes endpoints that left long ago, and the oldest ones beyond mostGone.
 func (t *Table) forget(now time.Time) {
 	for len(t.gone) > 0 && (now.Sub(t.gone[0].at) >= t.remember || len(t.gone) > mostGone) {
 		t.pop()
 	}
 }
 
-// forgetOldest drops the endpoint that left first; it tells whether there was one.
+// forgetOldest removes the endpoint that left first. It reports whether there was one.
 func (t *Table) forgetOldest() bool {
 	for len(t.gone) > 0 {
 		if t.pop() {
@@ -392,8 +397,8 @@
 	return false
 }
 
-// pop takes the first entry off the queue. It tells whether an endpoint was dropped: the one of the entry may have come
-// back since, or have come back and left again, which has an entry of its own.
+// pop takes the first entry off the queue and reports whether its endpoint was removed. The endpoint stays if it has come
+// back since. If it has come back and left again, a later entry stands for it.
 func (t *Table) pop() bool {
 	g := t.gone[0]
 	t.gone[0] = tomb{}
@@ -405,7 +410,7 @@
 	return true
 }
 
-// named tells whether a source names the endpoint now.
+// named reports whether a source lists the endpoint now.
 func (r *record) named() bool {
 	return slices.ContainsFunc(r.claims, func(c claim) bool { return c.says.Phase != Left })
 }
--- a/membership/why.go
+++ b/membership/why.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// List is the whole list in the order of IDs, without those that have left.
+// List returns all endpoints that have not left, sorted by ID.
 func (t *Table) List() []Endpoint {
 	list := make([]Endpoint, 0, len(t.records))
 	for _, r := range t.recordsInOrder() {
@@ -25,11 +25,11 @@
 	return inOrder(all)
 }
 
-// Len is how many endpoints the table holds, with those that have left and are remembered.
+// Len returns the number of endpoints in the table, including remembered ones that have left.
 func (t *Table) Len() int { return len(t.records) }
 
-// Get is one endpoint as it was given out last, Left if nothing is known of it. vouched tells whether a source has spoken
-// of it since the start: of the others only a cache does.
+// Get returns an endpoint as it was last reported to the caller, with the phase Left if it is unknown. vouched is true if
+// a source has reported the endpoint since the start, false if all claims on it come from a cache.
 func (t *Table) Get(id string) (e Endpoint, vouched bool) {
 	r := t.records[id]
 	if r == nil {
@@ -41,7 +41,8 @@
 	return r.out(), vouched
 }
 
-// Complete tells whether every source has told a whole list: only then does the list say who is not there.
+// Complete reports whether every source has sent a full list. Until then, an endpoint that is not in the table may still
+// exist.
 func (t *Table) Complete() bool {
 	for _, s := range t.sources {
 		if !s.listed {
@@ -51,7 +52,7 @@
 	return true
 }
 
-// Dump is all that a source claims, in the order of IDs, for a cache; what has left is in it, too.
+// Dump returns all claims of a source sorted by ID, for a cache. It includes endpoints that have left.
 func (t *Table) Dump(name string) (claims []Endpoint) {
 	s := t.source(name)
 	for _, r := range t.recordsInOrder() {
@@ -62,17 +63,17 @@
 	return claims
 }
 
-// SourceState is how a source stands.
+// SourceState describes the current state of a source.
 type SourceState struct {
 	Name   string
-	Listed bool      // it has told a whole list
-	Told   time.Time // when it last told something, zero if never
-	Failed time.Time // since when it fails, zero if it does not
-	Err    string    // why it fails
-	Named  int       // endpoints that it names now
+	Listed bool      // it has sent a full list
+	Told   time.Time // time of its last update, zero if none
+	Failed time.Time // start of the current failure, zero if it works
+	Err    string    // cause of the current failure
+	Named  int       // number of endpoints that it lists now
 }
 
-// Sources are the states of all sources, in the table's order.
+// Sources returns the states of all sources, in the table's order.
 func (t *Table) Sources() []SourceState {
 	list := make([]SourceState, len(t.sources))
 	for i, s := range t.sources {
@@ -88,23 +89,23 @@
 	return list
 }
 
-// Claim is what one source says of an endpoint.
+// Claim is what one source reports about an endpoint.
 type Claim struct {
 	Source string
 	Says   Endpoint
-	At     time.Time // when it said so
-	Cached bool      // only a cache says so: the source has not spoken of it since the start
-	Silent time.Time // since when the source fails, zero if it does not
+	At     time.Time // time of the report
+	Cached bool      // comes from a cache: the source has not reported the endpoint since the start
+	Silent time.Time // start of the source's current failure, zero if it works
 }
 
-// Explanation says why an endpoint is in its state.
+// Explanation says why an endpoint is in its current phase.
 type Explanation struct {
-	Endpoint Endpoint // as it was given out
-	Claims   []Claim  // in the sources' order
-	Because  string   // the rule that decided its phase
+	Endpoint Endpoint // as it was last reported to the caller
+	Claims   []Claim  // in the table's order of sources
+	Because  string   // rule that decided the phase
 }
 
-// String is the explanation in a few lines for people.
+// String formats the explanation in a few lines for operators.
 func (x Explanation) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s is %s: %s\n", x.Endpoint.ID, x.Endpoint.Phase, x.Because)
@@ -124,7 +125,7 @@
 	return b.String()
 }
 
-// Why explains an endpoint's state. It knows those that have left for as long as they are remembered.
+// Why explains an endpoint's phase. An endpoint that has left can be explained as long as it is remembered.
 func (t *Table) Why(id string) (x Explanation, known bool) {
 	r := t.records[id]
 	if r == nil {
