--- a/membership/partnerlist/agent.go
+++ b/membership/partnerlist/agent.go
@@ -12,38 +12,39 @@
 )
 
 const (
-	retryLeast = 50 * time.Millisecond // the pause after a failure, which doubles up to
-	retryMost  = time.Second
+	retryLeast = 50 * time.Millisecond // pause after the first failure; doubles with each further one ...
+	retryMost  = time.Second           // ... up to this
 )
 
-// agent is one kept connection to discovery's agent. One goroutine asks and waits; the address may be moved, and the
-// goroutine ended, from any other.
+// agent is a client with one persistent connection to discovery's agent. A single goroutine makes the calls and waits.
+// Other goroutines may change the address and end that goroutine.
 type agent struct {
 	host  host.Host
-	inbox host.Inbox // of the goroutine: what it has to do, and nil to look up from a wait
+	inbox host.Inbox // input of the goroutine; nil only interrupts a wait
 	ended host.Inbox // closed once the goroutine has ended
 
 	mu      sync.Mutex
-	at      *place // nil once closed
+	at      *place // current address, nil once closed
 	started bool
 
-	// Of the goroutine:
+	// Used only by the goroutine:
+
 	conn *http1.Conn // nil if there is none
-	to   *place      // where conn goes
-	got  []any
+	to   *place      // address that conn is connected to
+	got  []any       // buffer for what is taken from the inbox
 }
 
-// place is one address of the agent.
+// place is an address of the agent.
 type place struct {
 	addr string
-	left host.Abort // done when another place counts, or none
+	left host.Abort // done when another address is set, or the agent is closed
 }
 
 func newAgent(h host.Host, addr string) *agent {
 	return &agent{host: h, inbox: h.NewInbox(), ended: h.NewInbox(), at: &place{addr: addr}}
 }
 
-// start runs the goroutine, once.
+// start starts the goroutine, unless it was started before or the agent is closed.
 func (a *agent) start(run func()) {
 	a.mu.Lock()
 	may := a.at != nil && !a.started
@@ -59,7 +60,7 @@
 	})
 }
 
-// move makes another address count and drops the call to the old one; it tells whether it is another.
+// move sets the address and aborts a call to the old one. It reports whether the address is a different one.
 func (a *agent) move(addr string) bool {
 	a.mu.Lock()
 	old := a.at
@@ -74,7 +75,7 @@
 	return true
 }
 
-// close ends the goroutine and waits until it has ended.
+// close ends the goroutine and waits for it.
 func (a *agent) close() {
 	a.mu.Lock()
 	old, started := a.at, a.started
@@ -89,22 +90,22 @@
 	}
 }
 
-// place is the address that counts now, nil when the goroutine has to end.
+// place returns the current address, nil if the goroutine must end.
 func (a *agent) place() *place {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.at
 }
 
-// wait waits until the moment given, but no longer than a place counts. What is put into the inbox meanwhile goes to
-// keep.
+// wait blocks until the given time, or until the address is no longer the current one. Values that arrive in the inbox
+// meanwhile go to keep.
 func (a *agent) wait(at *place, until time.Time, keep func(any)) {
 	for a.place() == at && a.host.Now().Before(until) {
 		a.take(until, keep)
 	}
 }
 
-// take waits for something in the inbox, at most until the moment given (zero: for ever).
+// take waits for values in the inbox, at most until the given time (zero: without a limit), and passes them to keep.
 func (a *agent) take(until time.Time, keep func(any)) {
 	a.got = a.inbox.Take(a.got[:0], until)
 	for _, v := range a.got {
@@ -115,9 +116,9 @@
 	clear(a.got)
 }
 
-// ask sends a request to a place and returns the answer, within a time limit and by the place still counting. A
-// connection that was kept may have been closed from afar: then the request goes once more on a new one, since no request
-// here does harm twice.
+// ask sends a request and returns the response. It fails after the time limit, or when the address is no longer the current
+// one. The agent may have closed a persistent connection in the meantime. The request is then sent again on a new one, which
+// is safe because all requests here are idempotent.
 func (a *agent) ask(at *place, request []byte, limit time.Duration, body int) (http1.Answer, error) {
 	until := a.host.Now().Add(limit)
 	if a.to != at || a.conn != nil && !a.conn.Clean() {
@@ -143,7 +144,7 @@
 
 func (a *agent) dial(at *place, until time.Time) error {
 	limit := until.Sub(a.host.Now())
-	if limit <= 0 { // 0 would be no limit
+	if limit <= 0 { // Dial takes 0 as no limit
 		return os.ErrDeadlineExceeded
 	}
 	nc, err := a.host.Dial(at.addr, limit, &at.left)
@@ -172,15 +173,15 @@
 	a.conn, a.to = nil, nil
 }
 
-// pacer bounds how often something is done: many times at once, but no more than so many a second for long.
+// pacer limits a rate: it allows a burst of paceFree actions, and otherwise one for each paceGap.
 type pacer struct{ at time.Time }
 
 const (
-	paceGap  = 50 * time.Millisecond // what is done often comes at this pace ...
-	paceFree = 20                    // ... but for so many times at once
+	paceGap  = 50 * time.Millisecond // between two actions in the long run
+	paceFree = 20                    // actions in a burst
 )
 
-// next is when it may be done once more.
+// next returns the time from which the next action is allowed.
 func (p *pacer) next(now time.Time) time.Time {
 	if free := now.Add(-paceFree * paceGap); p.at.Before(free) {
 		p.at = free
--- a/membership/partnerlist/list.go
+++ b/membership/partnerlist/list.go
@@ -1,6 +1,7 @@
-// Package partnerlist speaks with the platform's discovery, through its agent on this machine: it watches the list of
-// endpoints, and delivers notices of messages that were taken and not delivered. Both go by a host alone, so they run
-// the same on a simulated one. What the watch hears goes to an engine (Listing) or to a membership table (Source).
+// Package partnerlist is the client of the platform's discovery service, which it reaches through an agent on the same
+// machine. It watches the list of endpoints and sends notices of accepted messages that were not delivered. All I/O goes
+// through a host.Host, so that it also runs on a simulated one. The lists go to an engine (Listing) or to a membership
+// table (Source).
 package partnerlist
 
 import (
@@ -13,22 +14,22 @@
 	"curlewmux/membership"
 )
 
-// Name is this source's name.
+// Name is the name of the partner list as a source.
 const Name = "partner-list"
 
 const (
-	listMost    = 8 << 20 // bytes of a list, far over any
-	membersMost = 1 << 16 // members of one, which bounds what the shortest ones take in memory
+	listMost    = 8 << 20 // bytes of a list; far more than any real list has
+	membersMost = 1 << 16 // entries of a list; limits the memory that a list of very short entries takes
 )
 
-// List is discovery's list, or the changes since another one, in its own terms.
+// List is a full list of endpoints, or the changes since an earlier revision, as discovery sends it.
 type List struct {
 	Revision int64   `json:"revision"`
 	Complete bool    `json:"complete"`
 	Entries  Entries `json:"members"`
 }
 
-// Entries are endpoints, 65,536 at most.
+// Entries holds at most membersMost entries.
 type Entries []Entry
 
 // Entry is one endpoint in discovery's list.
@@ -40,16 +41,16 @@
 	Cell     int     `json:"cell"`
 	Phase    string  `json:"phase"`
 	Size     float64 `json:"size"`
-	UpSince  int64   `json:"up_since_ms"` // when it last started, Unix time; 0 for long ago
+	UpSince  int64   `json:"up_since_ms"` // last start, Unix ms; 0 if long ago
 }
 
-// Names give the numbers that the settings have for zones and kinds, -1 for those they don't know. Names come as the
-// settings have them, with underscores for spaces and commas.
+// Names looks up the numbers of zones and kinds in the settings, -1 for unknown ones. Names are passed in as the settings
+// write them, with underscores in place of spaces and commas.
 type Names struct {
 	Zone, Kind func(name string) int
 }
 
-// UnmarshalJSON reads a JSON array and stops where it has too many elements.
+// UnmarshalJSON reads a JSON array. It fails as soon as the array has more than membersMost elements.
 func (e *Entries) UnmarshalJSON(text []byte) error {
 	*e = nil
 	dec := json.NewDecoder(bytes.NewReader(text))
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// decode reads an answer to a watch.
+// decode parses the response to a watch call.
 func decode(text []byte) (*List, error) {
 	l := &List{}
 	if err := json.Unmarshal(text, l); err != nil {
@@ -83,7 +84,7 @@
 	return l, nil
 }
 
-// Of is an endpoint in discovery's form.
+// Of converts an endpoint to an entry.
 func Of(e membership.Endpoint) Entry {
 	return Entry{
 		ID: e.ID, HostPort: e.Addr, Locality: e.Zone, Flavor: e.Kind, Cell: e.Dest, Phase: e.Phase.String(), Size: e.Weight,
@@ -91,7 +92,7 @@
 	}
 }
 
-// Endpoint is what the entry says to a membership table.
+// Endpoint converts the entry for a membership table.
 func (e *Entry) Endpoint() membership.Endpoint {
 	return membership.Endpoint{
 		ID: e.ID, Addr: e.HostPort, Dest: e.Cell, Zone: e.Locality, Kind: e.Flavor, Phase: membership.ParsePhase(e.Phase),
@@ -99,7 +100,7 @@
 	}
 }
 
-// Members is what the list says to the engine.
+// Members converts the list to an event for the engine.
 func (l *List) Members(names Names) *engine.Members {
 	m := &engine.Members{Source: Name, Whole: l.Complete}
 	if len(l.Entries) > 0 {
@@ -115,7 +116,7 @@
 	return m
 }
 
-// Cached is what the list says when it comes from before this process began.
+// Cached converts a list that was stored before this process started.
 func (l *List) Cached(names Names) *engine.Members {
 	m := l.Members(names)
 	m.Whole, m.Cached = true, true
@@ -129,5 +130,5 @@
 	case "left":
 		return engine.Gone
 	}
-	return engine.Leaving // whatever it is, it is not said that it takes what is new
+	return engine.Leaving // an endpoint in an unknown phase gets no new calls
 }
--- a/membership/partnerlist/listing.go
+++ b/membership/partnerlist/listing.go
@@ -8,8 +8,8 @@
 	"curlewmux/internal/host"
 )
 
-// Listing is a teller for Watch.Start that passes on to an engine's listing what discovery says. Now and then it logs
-// names of zones and kinds that the settings don't have. It returns false once the listing does.
+// Listing returns a callback for Watch.Start that forwards lists to an engine. It logs zones and kinds that the settings
+// don't have, at most once a second. The callback returns false once the engine no longer accepts events.
 func Listing(to engine.Listing, names Names, h host.Host, log *slog.Logger) func(*List, error) bool {
 	var warned time.Time
 	return func(l *List, err error) bool {
--- a/membership/partnerlist/notices.go
+++ b/membership/partnerlist/notices.go
@@ -13,49 +13,50 @@
 )
 
 const (
-	reportLimit  = 2 * time.Second
-	reportBytes  = 48 << 10 // under what a body may hold
-	reportAnswer = 64 << 10 // what an answer's body may hold
+	reportLimit  = 2 * time.Second // for one call
+	reportBytes  = 48 << 10        // of a request body; below the limit of discovery
+	reportAnswer = 64 << 10        // bytes of a response body
 )
 
-// Notices is the sink of ends where clients are told by the platform: a message that was taken and is not delivered ends
-// by a notice to discovery. Ends come in the order in which the engine told them, and each is tried until it is answered
-// 204. What waits here is bounded by the engine, which has that many messages at most.
+// Notices is the sink for results where the platform notifies the clients: for each accepted message that was not
+// delivered it sends a notice to discovery. Notices are sent in the order of the engine's results. Each is retried until
+// discovery responds with 204. The queue needs no limit of its own, since the engine limits the number of messages.
 type Notices struct {
 	agent   *agent
 	log     *slog.Logger
-	through func(ids []string)
+	through func(ids []string) // is given the ids whose notices discovery has accepted
+
+	// Used only by the goroutine:
 
-	// Of the goroutine:
 	pending []*notice // oldest first
-	// suspect is how many of the oldest hold one that discovery could not read, 0 if none is known. They go out by halves,
-	// until it stands alone.
+	// suspect is the number of oldest notices among which is one that discovery could not read, 0 if there is none. They
+	// are sent in halves until that notice is alone in a request.
 	suspect int
 }
 
 var _ engine.Sink = (*Notices)(nil)
 
-// notice tells the platform that a message was given up.
+// notice reports a message that was not delivered.
 type notice struct {
 	id       string
 	deferred bool
 	again    time.Duration
 }
 
-// NewNotices makes a sink that delivers to the agent at addr (host:port).
+// NewNotices creates a sink that sends to the agent at addr (host:port).
 func NewNotices(h host.Host, addr string, log *slog.Logger) *Notices {
 	return &Notices{agent: newAgent(h, addr), log: log}
 }
 
-// Start begins, once, on a goroutine of its own, which ends with Close. It comes before the first Done. through is told
-// the ids whose ends have been told, on that goroutine; it must not block.
+// Start starts a goroutine that sends the notices until Close. It must be called once, before the first Done. The goroutine
+// calls through with the ids whose notices were acknowledged. through must not block.
 func (n *Notices) Start(through func(ids []string)) {
 	n.through = through
 	n.agent.start(n.run)
 }
 
-// Done takes an end. It does not block. Of what was delivered, is over or was withdrawn nobody is told, and the engine
-// waits for nothing.
+// Done queues the notice for a result. It does not block. Messages that were delivered, closed by the endpoint or withdrawn
+// get no notice, and the engine waits for no acknowledgement of them.
 func (n *Notices) Done(d *engine.Done) {
 	switch d.How {
 	case engine.Refused:
@@ -65,12 +66,12 @@
 	}
 }
 
-// Move makes another address of the agent count for all that is not through, and tells whether it is another. It does
-// not block.
+// Move sets the address of the agent, also for notices that are not yet acknowledged. It reports whether the address is
+// a different one. It does not block.
 func (n *Notices) Move(addr string) bool { return n.agent.move(addr) }
 
-// Close ends the deliveries and waits until the goroutine has ended. What is not through is dropped: the store still has
-// it. It must not be called from through.
+// Close stops sending and waits for the goroutine to end. Notices that are not acknowledged are dropped, since the store
+// still has them. Close must not be called from through.
 func (n *Notices) Close() { n.agent.close() }
 
 func (n *Notices) keep(v any) { n.pending = append(n.pending, v.(*notice)) }
@@ -89,7 +90,7 @@
 			at, pause, failed, n.suspect = p, retryLeast, false, 0
 		}
 		if len(n.pending) == 0 {
-			n.pending = nil // after a rush
+			n.pending = nil // frees the memory after a burst
 			n.agent.take(time.Time{}, n.keep)
 			continue
 		}
@@ -103,15 +104,15 @@
 		case err == nil && status == http.StatusNoContent:
 			n.told(count)
 			pause, failed = retryLeast, false
-		case n.agent.place() != at: // at the new place all begins anew
+		case n.agent.place() != at: // the address has changed: start again at the new one
 		case err == nil && status == http.StatusBadRequest:
 			n.unreadable(count)
-			// Discovery that can read nothing at all must not keep this busy.
+			// Prevents a busy loop if discovery can read no notice at all.
 			n.agent.wait(at, pace.next(n.agent.host.Now()), n.keep)
 			pause, failed = retryLeast, false
 		default:
 			if !failed {
-				n.log.Warn("notices are not taken; trying on", "count", count, "status", status, "error", err)
+				n.log.Warn("can't send notices to discovery; retrying", "count", count, "status", status, "error", err)
 			}
 			failed = true
 			n.agent.wait(at, n.agent.host.Now().Add(pause), n.keep)
@@ -120,7 +121,7 @@
 	}
 }
 
-// told ends the oldest notices.
+// told removes the oldest notices from the queue and reports them as acknowledged.
 func (n *Notices) told(count int) {
 	ids := make([]string, count)
 	for i, m := range n.pending[:count] {
@@ -131,18 +132,18 @@
 	n.through(ids)
 }
 
-// unreadable takes in that discovery can't read one or more of the oldest notices. No further try can be read any
-// better: one that stands alone is dropped.
+// unreadable handles a response that says that discovery can't read one or more of the oldest count notices. A notice that
+// was alone in its request is dropped, since a retry would fail in the same way.
 func (n *Notices) unreadable(count int) {
 	if count > 1 {
 		n.suspect = count
 		return
 	}
-	n.log.Error("a notice is refused as unreadable, and dropped", "message", n.pending[0].id)
+	n.log.Error("discovery can't read a notice; dropping it", "message", n.pending[0].id)
 	n.told(1)
 }
 
-// report writes as many notices as one body may hold, one a line.
+// report encodes notices as JSON lines, as many as fit into one body.
 func report(list []*notice) (body []byte, count int) {
 	for _, m := range list {
 		line := struct {
@@ -153,7 +154,7 @@
 		if m.deferred {
 			line.Status, line.Again = "deferred", m.again.Milliseconds()
 		}
-		text, _ := json.Marshal(line) // strings and numbers give no error
+		text, _ := json.Marshal(line) // strings and numbers can always be encoded
 		if count > 0 && len(body)+len(text)+1 > reportBytes {
 			break
 		}
--- a/membership/partnerlist/source.go
+++ b/membership/partnerlist/source.go
@@ -8,7 +8,7 @@
 	"curlewmux/membership"
 )
 
-// Source watches the list at one address for a membership table. It is a membership.Source.
+// Source watches the list at one address for a membership table. It implements membership.Source.
 type Source struct {
 	addr string
 	host host.Host
@@ -17,7 +17,7 @@
 
 var _ membership.Source = (*Source)(nil)
 
-// NewSource makes a source for the list at addr (host:port).
+// NewSource creates a source for the list at addr (host:port).
 func NewSource(h host.Host, addr string, log *slog.Logger) *Source {
 	return &Source{addr: addr, host: h, log: log}
 }
@@ -39,7 +39,7 @@
 	return ctx.Err()
 }
 
-// update is what a list, or the want of one, says to a membership table.
+// update converts a list, or the error in place of one, for a membership table.
 func (l *List) update(err error) membership.Update {
 	if err != nil {
 		return membership.Update{Kind: membership.Failed, Err: err}
--- a/membership/partnerlist/watch.go
+++ b/membership/partnerlist/watch.go
@@ -13,25 +13,26 @@
 )
 
 const (
-	watchWait   = 10 * time.Second // how long a watch may wait for news
-	watchMargin = 2 * time.Second  // silence past that means that discovery, or the way there, is down
+	watchWait   = 10 * time.Second // how long discovery may hold a watch call until there are changes
+	watchMargin = 2 * time.Second  // no response this long after watchWait means that discovery or the network is down
 
-	// wholeLimit is how long a whole list may take. Discovery may be one service for all dispatchers that answers one after
-	// another, seconds late; a call that is given up costs it as much, and the next one is no sooner.
+	// wholeLimit is the timeout for a full list. One discovery service may serve all dispatchers one after another, and its
+	// response may come seconds late. An abandoned call costs it as much as a completed one, and a new call would not be
+	// answered sooner.
 	wholeLimit = 6 * time.Second
 
-	// newsGap is the least time from one call to the next when the answer had no news. A watch goes on as long as the
-	// next call comes within 200 ms of an answer, so this must stay well below.
+	// newsGap is the minimum time between the starts of two calls if the first brought no changes. Discovery keeps a watch
+	// only if the next call comes within 200 ms of a response, so this must stay well below that.
 	newsGap = 100 * time.Millisecond
 )
 
-var errPart = errors.New("discovery gives changes where the whole list was asked for")
+var errPart = errors.New("discovery sent changes in response to a request for the full list")
 
-// Watch tells what discovery says of endpoints: the whole list first, then changes. While discovery does not answer it
-// says so once and tries on.
+// Watch follows the list of endpoints: first it reports the full list, then changes. If discovery fails, it reports that
+// once and retries.
 type Watch struct {
-	// Draw, if set before Start, gives numbers from 0 up to 1 that spread the calls after a failure: discovery may be one
-	// service for all dispatchers.
+	// Draw returns random numbers from 0 to below 1. If it is set before Start, retries are spread over time, since one
+	// discovery service may serve all dispatchers.
 	Draw func() float64
 
 	agent               *agent
@@ -40,26 +41,26 @@
 	wait, margin, whole time.Duration
 }
 
-// NewWatch makes a watch of the agent at addr (host:port).
+// NewWatch creates a watch of the list that the agent at addr (host:port) provides.
 func NewWatch(h host.Host, addr string, log *slog.Logger) *Watch {
 	return &Watch{agent: newAgent(h, addr), log: log, wait: watchWait, margin: watchMargin, whole: wholeLimit}
 }
 
-// Start begins, once, on a goroutine of its own, which ends with Close or when tell returns false. tell hears a list, or
-// why there is none for now, on that goroutine; it may block.
+// Start starts a goroutine that runs until Close, or until tell returns false. It must be called once. The goroutine calls
+// tell with a list, or with the error if discovery fails. tell may block.
 func (w *Watch) Start(tell func(*List, error) bool) {
 	w.tell = tell
 	w.agent.start(w.run)
 }
 
-// Move makes another address of the agent count, at which all begins anew, and tells whether it is another. It does not
-// block.
+// Move sets the address of the agent and starts again there with a full list. It reports whether the address is a different
+// one. It does not block.
 func (w *Watch) Move(addr string) bool { return w.agent.move(addr) }
 
-// Close ends the watch and waits until its goroutine has ended. It must not be called from the listing.
+// Close ends the watch and waits for its goroutine to end. It must not be called from tell.
 func (w *Watch) Close() { w.agent.close() }
 
-// run watches. The next call follows an answer at once, so that nothing falls between two.
+// run makes one call after another. The next call normally follows a response at once, so that no change is missed.
 func (w *Watch) run() {
 	var after int64
 	var at *place
@@ -74,7 +75,7 @@
 		if p != at {
 			at, known, turns = p, false, subscription.Subscription{Draw: w.Draw}
 		}
-		turns.Ask(w.agent.host.Now()) // it is time: the pause is over
+		turns.Ask(w.agent.host.Now()) // always true, since the pause has passed
 		path, limit := "/api/targets", w.whole
 		if known {
 			path = fmt.Sprintf("/api/targets?after=%d&wait_ms=%d", after, w.wait.Milliseconds())
@@ -86,11 +87,11 @@
 			err = errPart
 		}
 		if w.agent.place() != at {
-			continue // what the old place said, or that it fell silent, is of no more interest
+			continue // the address has changed: ignore the result from the old one
 		}
 		if err != nil {
 			if !down {
-				w.log.Warn("discovery does not answer; the list at hand stays in use", "error", err)
+				w.log.Warn("discovery does not respond; keeping the current list", "error", err)
 				if !w.tell(nil, err) {
 					return
 				}
@@ -101,14 +102,14 @@
 		}
 		turns.Answered()
 		if down {
-			w.log.Info("discovery answers again", "revision", l.Revision)
+			w.log.Info("discovery responds again", "revision", l.Revision)
 		}
 		news := !known || l.Revision != after
 		known, down, after = true, false, l.Revision
 		if (l.Complete || len(l.Entries) > 0) && !w.tell(l, nil) {
 			return
 		}
-		// Faulty discovery that answers at once, whether it says something new each time or not, must not keep this busy.
+		// Prevents a busy loop if faulty discovery responds to each call at once, with or without changes.
 		next := pace.next(w.agent.host.Now())
 		if !news {
 			next = later(next, begun.Add(newsGap))
