--- a/membership/endpointslice/access.go
+++ b/membership/endpointslice/access.go
@@ -12,35 +12,35 @@
 	"strings"
 )
 
-// Access says where an API server is and who asks. A file that is named is read anew when it is used, so that it may
-// rotate; its counterpart without File is then not looked at.
+// Access holds the address of an API server and the client's credentials. A field ending in File takes precedence over its
+// counterpart without File. The file is read again on each use, so that credentials may be rotated.
 type Access struct {
-	Server     string // https://host:port, perhaps with a path
-	CA         []byte // PEM of the CAs that are trusted; nil for the system's
+	Server     string // https://host:port, optionally with a path
+	CA         []byte // PEM of the trusted CAs; nil for those of the system
 	CAFile     string
-	ServerName string // in the certificate, "" for the host
-	Insecure   bool   // any certificate is taken
+	ServerName string // expected in the certificate, "" for the host name
+	Insecure   bool   // accept any certificate
 	Token      string // bearer token, "" for none
 	TokenFile  string
-	Cert, Key  []byte // PEM of the client's certificate, nil for none
+	Cert, Key  []byte // PEM of the client certificate and its key, nil for none
 	CertFile   string
 	KeyFile    string
-	Namespace  string // where the one who asks lives, "" if not told
+	Namespace  string // namespace of the client, "" if not known
 }
 
-// ErrAccess is in the chain of every error about the way to the API server that stands in its settings.
+// ErrAccess is wrapped by every error about the settings of the access to an API server.
 var ErrAccess = errors.New("access to the API server")
 
-// serviceAccount is where a pod finds its credentials.
+// serviceAccount is the folder with the credentials of a pod.
 const serviceAccount = "/var/run/secrets/kubernetes.io/serviceaccount"
 
-// InCluster is the access that a pod has (https://kubernetes.io/docs/tasks/run-application/access-api-from-pod).
+// InCluster returns the access of a pod (https://kubernetes.io/docs/tasks/run-application/access-api-from-pod).
 func InCluster(env func(string) string) (Access, error) { return inCluster(env, serviceAccount) }
 
 func inCluster(env func(string) string, dir string) (a Access, err error) {
 	host, port := env("KUBERNETES_SERVICE_HOST"), env("KUBERNETES_SERVICE_PORT")
 	if host == "" || port == "" {
-		return a, fmt.Errorf("%w: KUBERNETES_SERVICE_HOST or KUBERNETES_SERVICE_PORT is not set: this is no pod", ErrAccess)
+		return a, fmt.Errorf("%w: KUBERNETES_SERVICE_HOST or KUBERNETES_SERVICE_PORT is not set: not running in a pod", ErrAccess)
 	}
 	a = Access{
 		Server: "https://" + net.JoinHostPort(host, port),
@@ -52,11 +52,11 @@
 	return a, a.Check()
 }
 
-// Check tells whether the access can be used now; its error wraps ErrAccess and names the field.
+// Check validates the access, including the files as they are now. Its error wraps ErrAccess and names the field.
 func (a *Access) Check() error {
 	u, err := url.Parse(a.Server)
 	if err != nil || u.Host == "" || u.Scheme != "https" && u.Scheme != "http" || u.RawQuery != "" || u.User != nil {
-		return fmt.Errorf("%w: server: %.200q is no address", ErrAccess, a.Server)
+		return fmt.Errorf("%w: server: %.200q is not a valid address", ErrAccess, a.Server)
 	}
 	if u.Scheme == "http" && (a.Token != "" || a.TokenFile != "") && !loopback(u.Hostname()) {
 		return fmt.Errorf("%w: server: %s would get the token in the clear", ErrAccess, a.Server)
@@ -73,7 +73,7 @@
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
-// mostFile bounds what is read from a file of credentials.
+// mostFile limits the size of a credentials file, in bytes.
 const mostFile = 1 << 20
 
 func readFile(field, path string) ([]byte, error) {
@@ -91,6 +91,7 @@
 	return text, nil
 }
 
+// token returns the current bearer token, "" if there is none.
 func (a *Access) token() (string, error) {
 	token := a.Token
 	if a.TokenFile != "" {
@@ -109,7 +110,7 @@
 	return token, nil
 }
 
-// pems are the CAs and the client's certificate as they are now.
+// pems returns the current PEM texts of the CAs and of the client certificate with its key.
 func (a *Access) pems() (ca, cert, key []byte, err error) {
 	ca, cert, key = a.CA, a.Cert, a.Key
 	for _, f := range []struct {
@@ -134,7 +135,7 @@
 	if ca != nil {
 		c.RootCAs = x509.NewCertPool()
 		if !c.RootCAs.AppendCertsFromPEM(ca) {
-			return nil, fmt.Errorf("%w: CA: no certificate in it", ErrAccess)
+			return nil, fmt.Errorf("%w: CA: contains no certificate", ErrAccess)
 		}
 	}
 	if cert != nil || key != nil {
--- a/membership/endpointslice/client.go
+++ b/membership/endpointslice/client.go
@@ -18,17 +18,17 @@
 	"curlewmux/internal/host"
 )
 
-// Client is the way to one API server. It may be used by several sources at once; they share its connections.
+// Client makes requests to one API server. Several sources may use it at once and share its connections.
 type Client struct {
 	access Access
 	host   host.Host
 
 	mu   sync.Mutex
-	http *http.Client // nil: requests go by the host alone
-	pems [][]byte     // what http was made from
+	http *http.Client // nil: requests go through host
+	pems [][]byte     // certificates that http was created with
 }
 
-// NewClient makes a client; its error wraps ErrAccess and names what is wrong with the access.
+// NewClient creates a client. Its error wraps ErrAccess and says what is wrong with the access.
 func NewClient(a Access) (*Client, error) {
 	if err := a.Check(); err != nil {
 		return nil, err
@@ -40,19 +40,19 @@
 	return c, nil
 }
 
-// NewClientOn makes a client whose sources run on a host, such as a simulated one. It speaks plain HTTP, one request to a
-// connection.
+// NewClientOn creates a client whose sources run on the given host, which may be simulated. It uses plain HTTP and a new
+// connection for each request.
 func NewClientOn(h host.Host, a Access) (*Client, error) {
 	if err := a.Check(); err != nil {
 		return nil, err
 	}
 	if !strings.HasPrefix(a.Server, "http://") {
-		return nil, fmt.Errorf("%w: server: %.200q: only http:// goes by a host", ErrAccess, a.Server)
+		return nil, fmt.Errorf("%w: server: %.200q: only http:// is supported with a custom host", ErrAccess, a.Server)
 	}
 	return &Client{access: a, host: h}, nil
 }
 
-// renew reads the CAs and the client's certificate anew. Connections that are open go on with the old ones.
+// renew reloads the CAs and the client certificate. Connections in use keep the old ones.
 func (c *Client) renew() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,17 +78,17 @@
 			DialContext:         (&net.Dialer{Timeout: connectLimit}).DialContext,
 			TLSHandshakeTimeout: 5 * time.Second, IdleConnTimeout: 90 * time.Second, MaxIdleConnsPerHost: 4,
 			MaxResponseHeaderBytes: 64 << 10,
-			// A cut that says nothing is noticed by unanswered pings; over HTTP/1.1 by the watch's own limit on silence.
+			// Pings detect a connection that is cut without a notice. Over HTTP/1.1 the idle timeout of the watch does.
 			HTTP2: &http.HTTP2Config{
 				SendPingTimeout: 15 * time.Second, PingTimeout: 10 * time.Second, MaxReceiveBufferPerStream: 1 << 20,
 			},
 		},
-		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }, // the token stays here
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }, // a redirect must not receive the token
 	}
 	return nil
 }
 
-// Close closes the idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	if h := c.client(); h != nil {
 		h.CloseIdleConnections()
@@ -101,32 +101,32 @@
 	return c.http
 }
 
-// StatusError is an API server's answer that is no success.
+// StatusError is an error response of an API server.
 type StatusError struct {
 	Code       int
 	Reason     string
 	Message    string
 	Cause      string
-	RetryAfter time.Duration // 0 if not told
+	RetryAfter time.Duration // 0 if not set
 }
 
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("API server: %d %s: %.300s", e.Code, e.Reason, e.Message)
 }
 
-// gone tells whether the version that was asked for can't be had: it is no longer known, or not yet.
+// gone reports whether the requested resource version is unavailable, because it has expired or is still in the future.
 func (e *StatusError) gone() bool {
 	return e.Code == http.StatusGone || e.Reason == "Expired" || e.Reason == "Gone" || e.Cause == "ResourceVersionTooLarge" ||
-		strings.Contains(e.Message, "Too large resource version") // before 1.18 without a cause
+		strings.Contains(e.Message, "Too large resource version") // API servers before 1.18 send no cause
 }
 
 const (
-	mostStatus   = 64 << 10 // bytes read of an error's body
+	mostStatus   = 64 << 10 // bytes of an error body that are read
 	connectLimit = 5 * time.Second
 )
 
-// get starts a request and returns its answer's body if it is a success. It ends with the request, also while the body is
-// read.
+// get sends a request and returns the body of a successful response. Ending r aborts the request, also while the body is
+// being read.
 func (c *Client) get(r *request, path string, query url.Values) (io.ReadCloser, error) {
 	token, err := c.access.token()
 	if err != nil {
@@ -147,7 +147,7 @@
 		return nil, fmt.Errorf("API server: %w", err)
 	}
 	if err != nil {
-		// The CAs or our certificate may have rotated; if so the next try gets the new ones.
+		// The CAs or the client certificate may have been rotated. The next attempt then uses the new ones.
 		var e net.Error
 		if r.ctx.Err() == nil && !(errors.As(err, &e) && e.Timeout()) {
 			if err := c.renew(); err != nil {
@@ -165,7 +165,7 @@
 		return nil, fmt.Errorf("API server: status %d: %w", res.StatusCode, err)
 	}
 	se := &StatusError{Code: res.StatusCode, Message: http.StatusText(res.StatusCode)}
-	if o, err := decodeSlice(text); err == nil && o.Kind == "Status" { // else it is no API server that answers
+	if o, err := decodeSlice(text); err == nil && o.Kind == "Status" { // otherwise the response does not come from an API server
 		se = statusError(&o)
 		se.Code = res.StatusCode
 	}
@@ -175,8 +175,8 @@
 	return nil, se
 }
 
-// do sends a request. Without a client of package http it goes on a connection of its own: that package's transport starts
-// goroutines and waits at channels, which a simulated host does not bear.
+// do sends a request. Without an http.Client it opens a connection for the request alone, since http.Transport starts
+// goroutines and waits on channels, which a simulated host does not support.
 func (c *Client) do(req *http.Request, abort *host.Abort) (*http.Response, error) {
 	if h := c.client(); h != nil {
 		return h.Do(req)
@@ -191,7 +191,7 @@
 	}
 	abort.On(func() { conn.Close() })
 	var text bytes.Buffer
-	if err := req.Write(&text); err != nil { // into memory: in this the package may use goroutines, too
+	if err := req.Write(&text); err != nil { // writes to memory, where goroutines of package http do no harm
 		return nil, errors.Join(err, conn.Close())
 	}
 	if _, err := conn.Write(text.Bytes()); err != nil {
@@ -205,7 +205,7 @@
 	return res, nil
 }
 
-// connBody is a body whose connection ends with it: what is left of it is not read.
+// connBody is a response body that closes its connection when it is closed. The rest of the body is not read.
 type connBody struct {
 	io.Reader
 	conn net.Conn
--- a/membership/endpointslice/decode.go
+++ b/membership/endpointslice/decode.go
@@ -8,19 +8,20 @@
 	"strings"
 )
 
-// Slice is what is used of an EndpointSlice (discovery.k8s.io/v1).
+// Slice holds the fields of an EndpointSlice (discovery.k8s.io/v1) that are used.
 type Slice struct {
 	Namespace, Name string
 	Family          string // addressType: IPv4, IPv6 or FQDN
 	Entries         []Entry
 	Ports           []Port
-	Bad             int   // entries that could not be read; they are left out
-	Err             error // why the first of them, or the slice as a whole, could not be read
-	sums            []sum // of the entries' texts
+	Bad             int   // number of entries that could not be read; they are not in Entries
+	Err             error // error of the first such entry, or of the slice as a whole
+	sums            []sum // fingerprints of the entries' JSON texts
 }
 
-// sum tells whether a text is the one that was read before, without keeping it. Two texts of one length are taken for the
-// same by mistake once in 2^64 times, whoever wrote them: the seed is this process's own.
+// sum is a fingerprint of a JSON text, which shows whether the text has changed. Two different texts of the same length have
+// the same fingerprint with a probability of 1 in 2^64. Nobody can construct such texts, since the seed is random for each
+// process.
 type sum struct {
 	length int
 	hash   uint64
@@ -30,12 +31,12 @@
 
 func sumOf(text []byte) sum { return sum{len(text), maphash.Bytes(sumSeed, text)} }
 
-// Entry is what is used of one of its endpoints. It is comparable.
+// Entry holds the fields of an endpoint in a slice that are used. It is comparable.
 type Entry struct {
-	Addr        string // the first address; the API defines no meaning for more
+	Addr        string // the first address; the API defines no meaning for further ones
 	UID         string // of targetRef, "" if there is none
 	Zone        string
-	Hints       string // zones that should use it, comma-separated
+	Hints       string // comma-separated zones that should use it
 	Pod         bool   // targetRef is a Pod
 	Ready       bool   // true if absent
 	Terminating bool   // false if absent
@@ -48,10 +49,10 @@
 	TCP    bool   // true if the protocol is absent
 }
 
-// key names a slice.
+// key returns the slice's namespace and name.
 func (s *Slice) key() string { return s.Namespace + "/" + s.Name }
 
-// eventType is what a watch says of an object.
+// eventType is the type of a watch event.
 type eventType uint8
 
 const (
@@ -63,22 +64,22 @@
 	eventError
 )
 
-// event is one event of a watch.
+// event is a watch event.
 type event struct {
 	Type eventType
 	object
 }
 
-// object is an EndpointSlice, or a Status.
+// object is an EndpointSlice or a Status.
 type object struct {
 	Kind       string
 	Version    string // resourceVersion
-	InitialEnd bool   // a bookmark at the end of the initial events of a streaming list
+	InitialEnd bool   // this is the bookmark that ends the initial events of a streaming list
 	Slice      Slice
 	Status     Status
 }
 
-// Status is what is used of a Status object (apimachinery's meta/v1).
+// Status holds the fields of a Status object (apimachinery's meta/v1) that are used.
 type Status struct {
 	Code       int
 	Reason     string
@@ -89,12 +90,12 @@
 
 const initialEventsEnd = "k8s.io/initial-events-end"
 
-// errShape is a value that is not of the type that the API gives it.
-var errShape = errors.New("a field is not of its type")
+// errShape means that a value does not have the type that the API defines.
+var errShape = errors.New("unexpected type of a field")
 
-// decodeEvent reads one event of a watch. Its error means that the line is not JSON or no event; faults within the slice
-// are told in Slice.Err. Nothing that it returns lies in line. prior, which may be nil, gives the newest state that is
-// known of a slice: an entry whose text has not changed since is not read again, which is most of them.
+// decodeEvent parses one watch event. It returns an error if the line is not JSON or not an event. Errors within the slice
+// are returned in Slice.Err. The result shares no memory with line. prior, which may be nil, returns the last known state
+// of a slice. Entries whose text has not changed, which are most of them, are copied from it instead of being parsed.
 func decodeEvent(line []byte, prior func(key string) Slice) (ev event, err error) {
 	d := decoder{scanner: scanner{b: line}, prior: prior}
 	d.object(func(key string) {
@@ -122,7 +123,7 @@
 	"ADDED": eventAdded, "MODIFIED": eventModified, "DELETED": eventDeleted, "BOOKMARK": eventBookmark, "ERROR": eventError,
 }
 
-// decodeSlice reads one EndpointSlice, or one Status.
+// decodeSlice parses an EndpointSlice or a Status.
 func decodeSlice(text []byte) (o object, err error) {
 	d := decoder{scanner: scanner{b: text}}
 	d.decodeObject(&o)
@@ -133,18 +134,18 @@
 	return o, nil
 }
 
-// decoder reads objects. A value of another type than the API's is skipped and noted in bad; only faults of the JSON
-// itself are the scanner's err.
+// decoder parses objects. It skips values of unexpected types and records the first of them in bad. Only JSON syntax errors
+// go to the scanner's err.
 type decoder struct {
 	scanner
 	bad   error
 	prior func(key string) Slice
-	like  Slice // the slice's state before
-	at    int   // in like.Entries: where the next entry is expected
-	last  Entry // the entry before: the next is often of the same zone
+	like  Slice // last known state of the slice
+	at    int   // index in like.Entries at which the next entry is expected
+	last  Entry // previous entry; the next one often has the same zone
 }
 
-// keep is a copy of a text, or one that is at hand already.
+// keep returns old if it equals text, which saves memory, and a copy of text otherwise.
 func keep(text, old string) string {
 	if text == old {
 		return old
@@ -152,6 +153,7 @@
 	return strings.Clone(text)
 }
 
+// misfit records that a field has an unexpected type, and skips its value.
 func (d *decoder) misfit(field string) {
 	if d.bad == nil {
 		d.bad = fmt.Errorf("%s: %w", field, errShape)
@@ -159,9 +161,10 @@
 	d.skip()
 }
 
-// text takes a string, or null or an unfit value as "". It must be cloned before it is kept.
+// text consumes the value of the field "type" like textOf.
 func (d *decoder) text() string { return d.textOf("type") }
 
+// textOf consumes a string. null and values of other types give "". The result must be cloned before it is kept.
 func (d *decoder) textOf(field string) string {
 	switch d.next() {
 	case '"':
@@ -174,6 +177,7 @@
 	return ""
 }
 
+// flagOf consumes a boolean. null and values of other types give absent.
 func (d *decoder) flagOf(field string, absent bool) bool {
 	switch d.next() {
 	case 't':
@@ -190,6 +194,7 @@
 	return absent
 }
 
+// intOf consumes an integer. null and values of other types give 0.
 func (d *decoder) intOf(field string) int {
 	switch c := d.next(); {
 	case c == 'n':
@@ -207,7 +212,7 @@
 	return 0
 }
 
-// fields calls field for each key of an object; null and unfit values are taken as an empty one.
+// fields calls field for each key of an object. null and values of other types count as an empty object.
 func (d *decoder) fields(name string, field func(key string)) {
 	switch d.next() {
 	case '{':
@@ -219,6 +224,7 @@
 	}
 }
 
+// elements calls element for each element of an array. null and values of other types count as an empty array.
 func (d *decoder) elements(name string, element func()) {
 	switch d.next() {
 	case '[':
@@ -230,6 +236,7 @@
 	}
 }
 
+// decodeObject parses an EndpointSlice or a Status. If a key occurs more than once, its last value counts.
 func (d *decoder) decodeObject(o *object) {
 	d.bad = nil
 	s := &o.Slice
@@ -332,13 +339,14 @@
 			d.skip()
 		}
 	})
-	if d.bad != nil { // outside the entries: the slice as a whole can't be trusted
+	if d.bad != nil { // the error is outside the entries: the whole slice is unusable
 		s.Err, s.Entries = d.bad, nil
 	}
 }
 
-// again takes the next entry if its text is that of one that was there before: of the one expected here, or of its
-// neighbours, where one came or went. It returns which, or -1 and takes nothing.
+// again consumes the next entry if its text is the same as that of an entry in the last known state, and returns the index
+// of that entry. It compares with the entry expected here and with its neighbours, since an entry may have been added or
+// removed. Otherwise it consumes nothing and returns -1.
 func (d *decoder) again() int {
 	if d.next() != '{' {
 		return -1
@@ -347,7 +355,7 @@
 		if i < 0 || i >= len(d.like.sums) {
 			continue
 		}
-		// What has the text of an object that was read to its end is that object: nothing can follow within it.
+		// A text that equals that of a complete object is that object, since a complete object has no continuation.
 		if want, rest := d.like.sums[i], d.b[d.i:]; want.length <= len(rest) && sumOf(rest[:want.length]) == want {
 			d.i += want.length
 			d.at = i + 1
@@ -357,7 +365,7 @@
 	return -1
 }
 
-// entry takes one endpoint.
+// entry consumes one endpoint.
 func (d *decoder) entry() (e Entry) {
 	e.Ready = true
 	d.fields("endpoint", func(key string) {
@@ -424,6 +432,7 @@
 	return e
 }
 
+// port consumes one port.
 func (d *decoder) port() (p Port) {
 	p.TCP = true
 	d.fields("ports", func(key string) {
--- a/membership/endpointslice/endpointslice.go
+++ b/membership/endpointslice/endpointslice.go
@@ -1,11 +1,10 @@
-// Package endpointslice is the source of endpoints that reads EndpointSlices (discovery.k8s.io/v1) from a Kubernetes API
-// server.
+// Package endpointslice reads endpoints from the EndpointSlices (discovery.k8s.io/v1) of a Kubernetes API server.
 //
-//   - Set is the decider: slices go in, endpoints come out. It has no I/O and reads no clock. The rules stand there.
-//   - Source lists and watches the slices of one partner over HTTP, keeps a Set up to date and tells a membership.Table.
-//     It may be used in any process; the program that the platform runs gets its endpoints from the companion
-//     curlewmux-agent instead, which uses this package.
-//   - Client is the way to one API server, shared by all partners that are read from it.
+//   - Set converts slices to endpoints. It does no I/O and reads no clock. Its doc comment lists the rules.
+//   - Source lists and watches the slices of one partner over HTTP, keeps a Set up to date and reports changes to a
+//     membership.Table. It can be used in any process. The dispatcher that the platform runs does not use it directly,
+//     but gets its endpoints from curlewmux-agent, which does.
+//   - Client connects to one API server. All partners that are read from that server share it.
 package endpointslice
 
 import (
@@ -17,23 +16,25 @@
 	"time"
 )
 
-// Partner says which slices belong to one partner, and what its endpoints are to the dispatcher.
+// Partner selects the slices of one partner and sets the properties of its endpoints.
 type Partner struct {
-	Name      string // of the partner, and of its source: endpointslice/NAME
-	Namespace string // "" for all
-	Selector  string // labels, as `kubectl -l` takes them; the API server evaluates it
-	Port      string // name of the port that takes calls; "" where the slices have one port only
+	Name      string // of the partner; its source is called endpointslice/NAME
+	Namespace string // "" for all namespaces
+	Selector  string // label selector in the syntax of `kubectl -l`; the API server evaluates it
+	Port      string // name of the port for calls; "" if the slices have only one port
 	Dest      int    // number of the destination
 	Kind      string // kind of the destination, as the settings name it
-	Zone      string // of endpoints whose slice tells none
+	Zone      string // of endpoints without a zone in their slice
 	Weight    float64
-	PreferV6  bool              // of an endpoint that has both, the IPv6 address counts
-	Zones     map[string]string // names of zones in the settings by their names in the cluster; others stay as they are
-	// Grace is how long an endpoint that no slice names any more stays Leaving before it has Left, for it may have moved;
-	// 0 is 300 ms.
-	Grace     time.Duration
-	EmptyHold time.Duration // the same after a list that names no endpoint at all, 0 is one minute
-	Most      int           // endpoints at most, 0 is 20,000; slices are bounded by the same figure
+	PreferV6  bool              // use the IPv6 address of an endpoint that has both
+	Zones     map[string]string // zone names in the settings by those in the cluster; others stay unchanged
+	// Grace is how long an endpoint that no slice lists any more stays Leaving before it becomes Left, since it may be
+	// moving to another slice. 0 means 300 ms.
+	Grace time.Duration
+	// EmptyHold replaces Grace after a list without any endpoint. 0 means one minute.
+	EmptyHold time.Duration
+	// Most limits the number of endpoints, and also the number of slices. 0 means 20,000.
+	Most int
 }
 
 const (
@@ -43,10 +44,10 @@
 	mostGrace        = 10 * time.Second
 )
 
-// ErrPartner is in the chain of every error about a partner's settings.
+// ErrPartner is wrapped by every error about a partner's settings.
 var ErrPartner = errors.New("partner's settings")
 
-// Check tells whether the settings can be used. Its error wraps ErrPartner and names the field.
+// Check validates the settings. Its error wraps ErrPartner and names the field.
 func (p *Partner) Check() error {
 	switch {
 	case p.Name == "" || len(p.Name) > 100 || strings.ContainsAny(p.Name, " \t\n"):
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// port is the number of the port that takes calls in a slice, 0 if it has none. A port of another protocol than TCP, and
-// one without a number, is none.
+// port returns the number of a slice's port for calls, 0 if there is none or it is ambiguous. Ports without a number and
+// those of other protocols than TCP are ignored.
 func (p *Partner) port(s *Slice) int {
 	found := 0
 	for _, q := range s.Ports {
@@ -78,14 +79,14 @@
 			continue
 		}
 		if found != 0 && p.Port == "" {
-			return 0 // one of several: which is not told
+			return 0 // more than one port, and none is named in the settings
 		}
 		found = q.Number
 	}
 	return found
 }
 
-// address is an entry's host and port, "" if it has none that can be used.
+// address returns an entry's host and port, "" if it has no usable address.
 func address(e *Entry, s *Slice, port int) string {
 	ip, err := netip.ParseAddr(e.Addr)
 	if err != nil || port == 0 || ip.Zone() != "" || ip.IsUnspecified() || ip.IsMulticast() || ip.Is4In6() ||
--- a/membership/endpointslice/kubeconfig/kubeconfig.go
+++ b/membership/endpointslice/kubeconfig/kubeconfig.go
@@ -1,5 +1,5 @@
-// Package kubeconfig reads the access to an API server from a kubeconfig file. It is a package of its own so that who
-// runs in a pod need not link a YAML reader.
+// Package kubeconfig reads the access to an API server from a kubeconfig file. It is a separate package so that programs
+// that only run in a pod don't link a YAML parser.
 package kubeconfig
 
 import (
@@ -16,7 +16,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// file is the part of a kubeconfig that is used, and the parts that would change the meaning of the rest.
+// file holds the fields of a kubeconfig that are used, and unsupported ones that would change the meaning of the rest.
 type file struct {
 	Current  string `yaml:"current-context"`
 	Contexts []struct {
@@ -55,9 +55,9 @@
 	As        string
 }
 
-const mostBytes = 1 << 20
+const mostBytes = 1 << 20 // of a file
 
-// Read reads a file's context, "" for its current one. Its error wraps endpointslice.ErrAccess and names the field.
+// Read reads a context from a file, "" for the current context. Its error wraps endpointslice.ErrAccess and names the field.
 func Read(path, context string) (a endpointslice.Access, err error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -83,7 +83,7 @@
 		return a, err
 	}
 	if context = cmp.Or(context, f.Current); context == "" {
-		return a, errors.New("current-context: missing, and no context is named")
+		return a, errors.New("current-context: missing, and no context is given")
 	}
 	var c *cluster
 	var u *user
@@ -105,14 +105,14 @@
 			}
 		}
 		if c == nil {
-			return a, fmt.Errorf("contexts: %s: cluster %q is not there", context, x.Context.Cluster)
+			return a, fmt.Errorf("contexts: %s: cluster %q is not defined", context, x.Context.Cluster)
 		}
 		if u == nil && x.Context.User != "" {
-			return a, fmt.Errorf("contexts: %s: user %q is not there", context, x.Context.User)
+			return a, fmt.Errorf("contexts: %s: user %q is not defined", context, x.Context.User)
 		}
 	}
 	if !found {
-		return a, fmt.Errorf("contexts: %q is not there", context)
+		return a, fmt.Errorf("contexts: %q is not defined", context)
 	}
 	if u == nil {
 		u = &user{}
@@ -129,7 +129,7 @@
 		}
 	}
 	a.Server, a.ServerName, a.Insecure = c.Server, c.ServerName, c.Insecure
-	// Data go before files, and a token file before a token, as in kubectl.
+	// As in kubectl, data take precedence over files, and a token file over a token.
 	a.Token = u.Token
 	a.TokenFile = in(dir, u.TokenFile)
 	for _, x := range []struct {
@@ -152,7 +152,7 @@
 	return a, nil
 }
 
-// in is a path that the file names, relative to the file's folder.
+// in resolves a path in the file relative to the file's folder.
 func in(dir, path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
--- a/membership/endpointslice/read.go
+++ b/membership/endpointslice/read.go
@@ -8,21 +8,21 @@
 	"io"
 )
 
-// lines cuts a stream into lines of at most most bytes.
+// lines splits a stream into lines of at most most bytes.
 type lines struct {
 	r    io.Reader
 	most int
-	buf  []byte // what was read and not yet returned is buf[from:]
+	buf  []byte // buf[from:] was read and not yet returned
 	from int
-	skip bool // within a line that is too long
+	skip bool // inside a line that is too long
 }
 
 var errTooLong = errors.New("line is too long")
 
-const leastBuffer = 16 << 10
+const leastBuffer = 16 << 10 // bytes
 
-// next is the next line without its end. It lies in the buffer until the next call. A line that is too long is errTooLong
-// once, and skipped; a stream that ends within a line is io.ErrUnexpectedEOF.
+// next returns the next line without its newline. The line is valid until the next call. A line that is too long is skipped,
+// and reported once as errTooLong. If the stream ends inside a line, the error is io.ErrUnexpectedEOF.
 func (l *lines) next() ([]byte, error) {
 	scanned := l.from
 	for {
@@ -47,7 +47,7 @@
 				return nil, errTooLong
 			}
 		}
-		if l.from > 0 { // make room at the end
+		if l.from > 0 { // move the unread rest to the front of the buffer
 			n := copy(l.buf, l.buf[l.from:])
 			l.buf, l.from, scanned = l.buf[:n], 0, n
 		}
@@ -56,13 +56,13 @@
 			grown := make([]byte, len(l.buf), max(leastBuffer, 2*cap(l.buf)))
 			copy(grown, l.buf)
 			l.buf = grown
-		case len(l.buf) == 0 && cap(l.buf) > 1<<20: // one long line must not hold its memory for ever
+		case len(l.buf) == 0 && cap(l.buf) > 1<<20: // free the memory that a long line needed
 			l.buf = make([]byte, 0, leastBuffer)
 		}
 		n, err := l.r.Read(l.buf[len(l.buf):cap(l.buf)])
 		l.buf = l.buf[:len(l.buf)+n]
 		if n > 0 {
-			continue // an error comes again with the next read
+			continue // the next read returns the error again
 		}
 		if err == io.EOF && (len(l.buf) > l.from || l.skip) {
 			return nil, io.ErrUnexpectedEOF
@@ -73,20 +73,20 @@
 	}
 }
 
-// page is what a page of a list tells beside its items.
+// page holds the metadata of a page of a list.
 type page struct {
 	version string
-	next    string // token for the next page, "" on the last
+	next    string // continue token of the next page, "" on the last one
 }
 
-var errNoList = errors.New("this is no list of endpoint slices")
+var errNoList = errors.New("not a list of endpoint slices")
 
-// readPage reads a page of a list and hands on its items one by one: no more than one is held. Anything that is not an
-// EndpointSliceList with a version is an error: it must not pass for an empty list.
+// readPage reads a page of a list and passes its items to take one by one, so that only one of them is in memory. Anything
+// but an EndpointSliceList with a version is an error. Otherwise it could be mistaken for an empty list.
 func readPage(r io.Reader, take func(o *object, bytes int)) (p page, err error) {
 	in := &budget{r: r}
 	d := json.NewDecoder(in)
-	in.left = 2 * mostObject // the decoder may read ahead as much as it holds
+	in.left = 2 * mostObject // the decoder may read ahead by as much as it has buffered
 	if err := wantDelim(d, '{'); err != nil {
 		return p, err
 	}
@@ -133,7 +133,7 @@
 		return err
 	}
 	if t == nil {
-		return nil // null is a list of none
+		return nil // null is an empty list
 	}
 	if t != json.Delim('[') {
 		return fmt.Errorf("%w: items is no array", errNoList)
@@ -146,7 +146,7 @@
 		}
 		o, err := decodeSlice(raw)
 		if err != nil {
-			o = object{} // nested beyond all reason: counted by the taker as no slice
+			o = object{} // nested too deep: take counts an object without a name as unreadable
 		}
 		take(&o, len(raw))
 	}
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// budget bounds what may be read until left is set again.
+// budget is a reader that limits how many bytes can be read before left is set again.
 type budget struct {
 	r    io.Reader
 	left int
--- a/membership/endpointslice/scan.go
+++ b/membership/endpointslice/scan.go
@@ -9,11 +9,10 @@
 	"unsafe"
 )
 
-// scanner reads JSON (RFC 8259) in place. It is here because reading a slice of 100 endpoints with encoding/json takes
-// half a millisecond, most of it for fields that nobody wants (see the design note); what it takes for valid and what
-// it reads are checked against encoding/json by a fuzz test.
+// scanner reads JSON (RFC 8259) in place. With encoding/json a slice of 100 endpoints takes half a millisecond, most of it
+// for fields that are not used (see docs/design/endpointslices.md). A fuzz test checks the scanner against encoding/json.
 //
-// The first fault sticks: all calls after it do nothing.
+// After the first error all calls do nothing.
 type scanner struct {
 	b     []byte
 	i     int
@@ -21,7 +20,7 @@
 	err   error
 }
 
-// deepest is how deep values may nest: an EndpointSlice needs 7, its managed fields some more.
+// deepest limits the nesting of values. An EndpointSlice needs 7 levels, its managed fields some more.
 const deepest = 200
 
 var errSyntax = errors.New("malformed JSON")
@@ -32,7 +31,7 @@
 	}
 }
 
-// next is the next byte that is no white space, 0 at the end or after a fault. It is not taken.
+// next returns the next byte that is not white space, without consuming it. It returns 0 at the end or after an error.
 func (s *scanner) next() byte {
 	if s.err != nil {
 		return 0
@@ -49,14 +48,14 @@
 	return 0
 }
 
-// end fails if anything is left.
+// end fails if anything but white space is left.
 func (s *scanner) end() {
 	if s.err == nil && (s.next() != 0 || s.i < len(s.b)) {
 		s.fail("more than one value")
 	}
 }
 
-// object calls field for each key of an object. field must take the value.
+// object calls field for each key of an object. field must consume the value.
 func (s *scanner) object(field func(key string)) {
 	if s.next() != '{' {
 		s.fail("no object")
@@ -77,7 +76,7 @@
 	})
 }
 
-// array calls element for each element of an array. element must take it.
+// array calls element for each element of an array. element must consume it.
 func (s *scanner) array(element func()) {
 	if s.next() != '[' {
 		s.fail("no array")
@@ -86,6 +85,7 @@
 	s.members(']', element)
 }
 
+// members reads the members of an object or array up to the closing byte.
 func (s *scanner) members(closing byte, member func()) {
 	if s.depth++; s.depth > deepest {
 		s.fail("nested too deep")
@@ -113,16 +113,17 @@
 	}
 }
 
-// odd has the high bit of each byte set that does not simply stand for itself in a string, up to the first such byte; what
-// it says of bytes above that one means nothing. Most of the text is within strings, and this takes eight bytes at once.
+// odd finds the first of eight bytes that needs special treatment in a string: a quote, a backslash, a control byte or a
+// byte above 0x7f. It sets the high bit of that byte. The bits of higher bytes mean nothing. Most of the text is within
+// strings, so checking eight bytes at once saves time.
 func odd(x uint64) uint64 {
 	const ones, highs = 0x0101010101010101, 0x8080808080808080
 	quote, slash := x^(ones*'"'), x^(ones*'\\')
-	control := (x - ones*' ') &^ x // under ' '
+	control := (x - ones*' ') &^ x // below ' '
 	return ((quote-ones)&^quote | (slash-ones)&^slash | control | x) & highs
 }
 
-// raw takes a string with its quotes and tells whether all of it stands for itself.
+// raw consumes a string and returns it with its quotes. plain is true if it has only ASCII and no escapes.
 func (s *scanner) raw() (text []byte, plain bool) {
 	from := s.i
 	s.i++
@@ -154,7 +155,7 @@
 		default:
 			s.i++
 			if c < 0x80 {
-				continue // near the end, where there are no eight bytes left
+				continue // one of the last bytes, where fewer than eight are left
 			}
 		}
 		plain = false
@@ -163,6 +164,7 @@
 	return nil, false
 }
 
+// escape consumes an escape sequence. It returns false if the sequence is malformed.
 func (s *scanner) escape() bool {
 	if s.i+1 >= len(s.b) {
 		return false
@@ -186,7 +188,7 @@
 	return false
 }
 
-// str takes a string. What it returns may lie in the scanner's bytes: it must be cloned before it is kept.
+// str consumes a string. The result may share memory with the scanner's input, so it must be cloned before it is kept.
 func (s *scanner) str() string {
 	text, plain := s.raw()
 	if s.err != nil {
@@ -203,7 +205,7 @@
 	return v
 }
 
-// skip takes any value and checks its form.
+// skip consumes any value and checks its syntax.
 func (s *scanner) skip() {
 	switch c := s.next(); c {
 	case '{':
@@ -223,6 +225,7 @@
 	}
 }
 
+// word consumes the literal w.
 func (s *scanner) word(w string) {
 	if s.i+len(w) > len(s.b) || string(s.b[s.i:s.i+len(w)]) != w {
 		s.fail("unknown word")
@@ -231,7 +234,7 @@
 	s.i += len(w)
 }
 
-// number takes a number and returns its text.
+// number consumes a number and returns its text.
 func (s *scanner) number() string {
 	if s.err != nil {
 		return ""
