--- a/membership/endpointslice/set.go
+++ b/membership/endpointslice/set.go
@@ -9,86 +9,89 @@
 	"curlewmux/membership"
 )
 
-// Set is what the slices of one partner say of its endpoints. It holds the newest state of each slice and nothing older,
-// so that a flood of changes can't make it grow. It is not safe for concurrent use.
+// Set merges the slices of one partner into its list of endpoints. It keeps only the newest state of each slice, so that it
+// does not grow with the number of changes. It is not safe for concurrent use. The rules:
 //
-//   - An endpoint's identity is the uid of its targetRef: a new pod at an old address is a new endpoint. Without a uid it
-//     is the address.
-//   - It is as usable as the worst that any slice says of it: terminating, then not ready, then ready. `ready` is believed
-//     as the API defines it (absent is true; a Service with publishNotReadyAddresses makes it true), but an endpoint that
-//     terminates is never Active, whatever `ready` and `serving` say, and not as a last resort either.
-//   - A pod never comes back from terminating: its deletion can't be undone. So a pod that was once read as terminating
-//     stays Leaving, also if an API server whose data were set back says otherwise, and also if it has Left meanwhile: the
-//     newest 2,048 of them stay known.
-//   - Of several addresses of one endpoint the preferred family's counts, then that of the slice first in order of names.
-//   - An endpoint that the last slice drops is Leaving at once, since it may have been removed, and has Left only after
-//     the partner's Grace, since it may have moved: a slice that names it within that time makes it what it was before.
-//   - A list counts slice by slice as it is read, for what it takes away must not wait for its end; which slices are not
-//     in it is known at its end. A list that names nobody, where somebody was known, takes work from all at once (rule
-//     "drains are honoured" outweighs service), but they stay Leaving for EmptyHold: a mistake that is mended in that
-//     time costs no state.
+//   - The uid of targetRef identifies an endpoint, so that a new pod at an old address is a new endpoint. Without a uid the
+//     address identifies it.
+//   - The worst state in any slice counts: terminating, then not ready, then ready. `ready` is used as the API defines it:
+//     absent is true, and a Service with publishNotReadyAddresses makes it true. But a terminating endpoint is never Active,
+//     whatever `ready` and `serving` are, also if there is no other endpoint.
+//   - A pod that is terminating never becomes usable again, since its deletion can't be undone. A pod that was once read as
+//     terminating stays Leaving, also if an API server that was restored to an older state lists it as ready, and also
+//     after it has Left. The newest 2,048 such pods are remembered.
+//   - Of several addresses of an endpoint the one of the preferred family counts, then the one in the slice whose name sorts
+//     first.
+//   - An endpoint that no slice lists any more is Leaving at once, since it may have been removed. It is Left only after the
+//     partner's Grace, since it may be moving to another slice. If a slice lists it again in that time, its state is again
+//     what the slices say.
+//   - Each slice of a list takes effect as soon as it is read, so that endpoints to be drained need not wait for the end of
+//     the list. Slices that are missing from the list are removed at its end. A list without any endpoint, where there were
+//     some before, makes all of them Leaving at once, since honouring drains is more important than availability. But they
+//     become Left only after EmptyHold, so that no state is lost if the empty list was a mistake and is corrected in time.
 type Set struct {
 	p       Partner
 	slices  map[string]*slice
 	entries map[string]*endpoint
-	changed map[*endpoint]struct{} // since they were last taken
-	dropped []drop                 // who was dropped, the oldest first; some are named again by now
-	held    []drop                 // those of them that a list dropped which named nobody
-	named   int                    // endpoints that a slice names
+	changed map[*endpoint]struct{} // since the last Take
+	dropped []drop                 // endpoints that no slice listed any more, oldest first; some may be listed again by now
+	held    []drop                 // the same for endpoints dropped by a list without any endpoint
+	named   int                    // number of endpoints that a slice lists
 	listing bool                   // between Begin and End
-	listed  bool                   // one list has come to its end
-	round   int                    // number of the list that is being read, or was read last
-	refused int                    // entries that found no room or were unfit, in all
+	listed  bool                   // a list has been read completely
+	round   int                    // number of the current or last list
+	refused int                    // total number of entries and slices that were rejected
 
-	// Pods that were read as terminating and are forgotten otherwise, the oldest first.
+	// IDs of pods that were read as terminating and are no longer in entries. endedList has the oldest first.
 	ended     map[string]struct{}
 	endedList []string
 }
 
 const mostEnded = 2048
 
-// slice is one slice's newest state. It stays the same object for as long as the slice is there.
+// slice holds the newest state of a slice. It is the same object for as long as the slice exists.
 type slice struct {
 	Slice
 	key   string
-	port  int
-	round int
-	who   []*endpoint // of each entry; nil for one without an identity or without room
+	port  int         // for calls, 0 if none
+	round int         // number of the last list that contained it
+	who   []*endpoint // endpoint of each entry; nil for a rejected entry
 }
 
-// endpoint is one endpoint with the slices that name it.
+// endpoint is an endpoint with its entries in the slices.
 type endpoint struct {
 	id         string
 	in         []mention // almost always one
-	addr       string    // as last known, "" if it never had one that can be used
+	addr       string    // last usable address, "" if it never had one
 	zone       string
 	hints      string
 	note       string
 	started    int64 // Unix ms, 0 for long ago
 	dropped    time.Time
 	phase      membership.Phase
-	named      bool // a slice names it
-	told       bool // it was taken, and not as Left
+	named      bool // a slice lists it
+	told       bool // Take last returned it with a phase other than Left
 	seen       bool // it has been Active
-	terminated bool // a pod that was read as terminating
-	round      int  // the list that dropped it, 0 if none
+	terminated bool // a pod that was once read as terminating
+	round      int  // number of the list that dropped it, 0 if none did
 }
 
-// drop is one time that an endpoint was dropped by the last slice that named it.
+// drop records that no slice lists an endpoint any more since a given time.
 type drop struct {
 	e  *endpoint
 	at time.Time
 }
 
-// holds tells whether the endpoint has not been named since.
+// holds reports whether the endpoint has not been listed again since.
 func (d drop) holds() bool { return !d.e.named && d.e.dropped.Equal(d.at) }
 
+// mention is the position of an entry in a slice.
 type mention struct {
 	by *slice
-	at int // in by.Entries
+	at int // index in by.Entries
 }
 
-// NewSet makes an empty set; the partner's settings must have been checked.
+// NewSet creates an empty set. The partner's settings must have been validated.
 func NewSet(p Partner) *Set {
 	p.Grace, p.EmptyHold = cmp.Or(p.Grace, defaultGrace), cmp.Or(p.EmptyHold, defaultEmptyHold)
 	p.Most = cmp.Or(p.Most, defaultMost)
@@ -98,7 +101,7 @@
 	}
 }
 
-// forget drops an endpoint. Of a pod that was read as terminating it keeps that.
+// forget removes an endpoint. If it is a pod that was read as terminating, its ID is remembered in ended.
 func (s *Set) forget(e *endpoint) {
 	delete(s.entries, e.id)
 	if _, known := s.ended[e.id]; known || !e.terminated {
@@ -112,14 +115,14 @@
 	s.endedList = append(s.endedList, e.id)
 }
 
-// Begin says that a whole list begins, or begins anew.
+// Begin starts a full list. If a list was already started, it is abandoned.
 func (s *Set) Begin() {
 	s.listing = true
 	s.round++
 }
 
-// End says that the list has come to its end: slices that it did not name are gone. It tells whether it left nobody where
-// somebody was known before.
+// End completes the list and removes the slices that it did not contain. emptied is true if this dropped the last
+// endpoints.
 func (s *Set) End(now time.Time) (emptied bool) {
 	for key, in := range s.slices {
 		if in.round != s.round {
@@ -144,15 +147,15 @@
 	return emptied
 }
 
-// Put takes a slice's newest state.
+// Put sets the newest state of a slice.
 func (s *Set) Put(now time.Time, new Slice) {
 	key := new.key()
 	in := s.slices[key]
-	whole := new.Err == nil || new.Bad > 0 // else it can't be read at all
+	whole := new.Err == nil || new.Bad > 0 // otherwise nothing of it could be read
 	if !whole || in == nil && len(s.slices) >= s.p.Most {
 		s.refused++
 		if in != nil {
-			in.round = s.round // as with a source that fails, what was read last stays
+			in.round = s.round // keep the last state, as for a source that fails
 		}
 		return
 	}
@@ -165,7 +168,7 @@
 	s.replace(now, in, new)
 }
 
-// Remove says that a slice is gone.
+// Remove removes a slice.
 func (s *Set) Remove(now time.Time, key string) {
 	if in := s.slices[key]; in != nil {
 		delete(s.slices, key)
@@ -173,7 +176,7 @@
 	}
 }
 
-// replace puts another state of a slice in place of the one at hand. Entries that have not changed cost a comparison.
+// replace sets a new state of a slice. An entry that has not changed costs only a comparison.
 func (s *Set) replace(now time.Time, in *slice, new Slice) {
 	port := s.p.port(&new)
 	alike := port == in.port && new.Family == in.Family
@@ -211,7 +214,8 @@
 	}
 }
 
-// who is the endpoint that an entry speaks of, made if it is new; nil if the entry has no identity or there is no room.
+// who returns the endpoint of an entry and creates it if needed. It returns nil if the entry has neither a uid nor a usable
+// address, or if the limit of endpoints is reached.
 func (s *Set) who(in *slice, i int) *endpoint {
 	entry := &in.Entries[i]
 	name := entry.UID
@@ -232,13 +236,13 @@
 	return e
 }
 
-// work works out an endpoint's state from the slices that name it.
+// work recomputes the state of an endpoint from its entries in the slices.
 func (s *Set) work(now time.Time, e *endpoint) {
 	if len(e.in) == 0 {
 		if e.named {
 			e.named = false
 			s.named--
-			if !e.told { // nobody knows of it: it need not take leave, and a flood leaves nothing behind
+			if !e.told { // never reported, so it need not become Leaving first; keeps memory small in a flood
 				s.forget(e)
 				delete(s.changed, e)
 				return
@@ -289,11 +293,11 @@
 		}
 	}
 	if news || e.phase != was.phase || e.note != was.note || e.addr != was.addr || e.zone != was.zone || e.hints != was.hints {
-		s.changed[e] = struct{}{} // and not where it only moved to another place in its slice
+		s.changed[e] = struct{}{} // but not if only its position in the slice changed
 	}
 }
 
-// before tells whether m's address counts before o's.
+// before reports whether m's address takes precedence over o's.
 func (s *Set) before(m, o *mention) bool {
 	if m6, o6 := m.by.Family == "IPv6", o.by.Family == "IPv6"; m6 != o6 {
 		return m6 == s.p.PreferV6
@@ -301,9 +305,9 @@
 	return cmp.Or(cmp.Compare(m.by.key, o.by.key), cmp.Compare(m.at, o.at)) < 0
 }
 
-// Take hands out the endpoints that changed since they were last taken, each in its newest state: what takes work away
-// first, by ID within that. It holds back what is Active beyond most (0 or less: all of it) for the next call and tells
-// so with more: what takes work away never waits for it.
+// Take returns the endpoints that changed since the last call, each in its newest state, sorted by phase (Left, Leaving,
+// Active) and then by ID. It returns at most most Active endpoints (0 or less: no limit), so that Left and Leaving ones
+// don't have to wait for a large number of additions. more is true if some are left for the next call.
 func (s *Set) Take(now time.Time, most int) (changes []membership.Endpoint, more bool) {
 	if !s.listing {
 		s.dropped = s.expire(now, s.dropped, s.p.Grace)
@@ -333,7 +337,7 @@
 	return changes, false
 }
 
-// Whole is all endpoints in the order of IDs; nothing is left for Take after it but what comes due.
+// Whole returns all endpoints sorted by ID. All changes so far then count as taken.
 func (s *Set) Whole(now time.Time) []membership.Endpoint {
 	s.Take(now, 0)
 	all := make([]membership.Endpoint, 0, len(s.entries))
@@ -346,7 +350,7 @@
 	return all
 }
 
-// expire lets those go that were dropped longer ago than after, and returns the rest of the queue.
+// expire makes endpoints Left that were dropped at least the given time ago. It returns the rest of the queue.
 func (s *Set) expire(now time.Time, queue []drop, after time.Duration) []drop {
 	for len(queue) > 0 {
 		d := queue[0]
@@ -364,7 +368,7 @@
 	return queue
 }
 
-// Due tells when Take has something to hand out though nothing is put in.
+// Due returns the time at which a dropped endpoint becomes Left, so that Take has a change without a call of Put or Remove.
 func (s *Set) Due() (at time.Time, some bool) {
 	if s.listing {
 		return at, false
@@ -380,7 +384,7 @@
 	return at, some
 }
 
-// Slice is a slice's newest state, the zero if it is not known. The Set does not change what it points to.
+// Slice returns the newest state of a slice, the zero value if it is not known. The Set does not modify the returned data.
 func (s *Set) Slice(key string) Slice {
 	if in := s.slices[key]; in != nil {
 		return in.Slice
@@ -388,12 +392,13 @@
 	return Slice{}
 }
 
-// Named is how many endpoints the slices name now.
+// Named returns the number of endpoints that the slices list now.
 func (s *Set) Named() int { return s.named }
 
-// Refused is how many entries and slices could not be taken so far.
+// Refused returns the number of entries and slices that were rejected so far.
 func (s *Set) Refused() int { return s.refused }
 
+// out converts an endpoint for a membership table.
 func (s *Set) out(e *endpoint) membership.Endpoint {
 	zone := cmp.Or(e.zone, s.p.Zone)
 	if mapped, ok := s.p.Zones[zone]; ok {
--- a/membership/endpointslice/source.go
+++ b/membership/endpointslice/source.go
@@ -17,11 +17,11 @@
 	"curlewmux/membership"
 )
 
-// Source reads the slices of one partner and tells of its endpoints. It is a membership.Source.
+// Source reads the slices of one partner and reports its endpoints. It implements membership.Source.
 //
-// One goroutine lists and watches and puts what it reads into the Set at once; another hands on what has changed. While
-// the taker is busy changes meet in the Set, which keeps the newest state only. Nothing is ever listed at a version that
-// an API server may choose (resourceVersion=0): a cache that lags could bring back who has terminated.
+// One goroutine lists and watches, and puts what it reads into the Set at once. Another one reports the changes. While
+// the receiver is busy, the Set merges further changes and keeps only the newest state. Source never lists with
+// resourceVersion=0, since the API server may then respond from a stale cache, which could bring back terminated endpoints.
 type Source struct {
 	p      Partner
 	c      *Client
@@ -34,55 +34,56 @@
 	set    *Set
 	owed   owed
 	stats  Stats
-	logged map[string]time.Time // when an alarm was last logged
+	logged map[string]time.Time // when each alarm was last logged
 
 	woken bool
-	wake  host.Inbox // of the one that tells: there may be something
-	rest  host.Inbox // of the one that lists and watches, for its pauses; both close when Run ends
+	wake  host.Inbox // wakes the goroutine that reports; closed when Run's context ends
+	rest  host.Inbox // for the pauses of the goroutine that lists and watches; closed when Run's context ends
 
-	// Of the goroutine that lists and watches.
-	plainUntil time.Time     // the server knows no streaming lists; asked again then
-	recheck    time.Duration // after so long a list that named nobody is looked at again; 0 if it need not be
+	// Used only by the goroutine that lists and watches:
+
+	plainUntil time.Time     // until then streaming lists are not tried, since the server doesn't support them
+	recheck    time.Duration // how long after an empty list the slices are listed again; 0 if the list was not empty
 }
 
-// owed is what is to be told beside the set's changes.
+// owed holds reports that are pending in addition to the Set's changes.
 type owed struct {
-	whole  bool  // a list came to its end
-	failed error // nothing can be learnt now
-	heard  bool  // something can again
+	whole  bool  // a list was completed
+	failed error // cause of a failure to report
+	heard  bool  // the API server responds again
 }
 
-// Stats count what a source has met since its start.
+// Stats counts events since the start of a source.
 type Stats struct {
-	Events     int64  // slices read, in watches and lists
-	Bytes      int64  // of the watches' lines
-	Lists      int64  // lists that came to their end
-	Watches    int64  // watches begun
-	Gone       int64  // versions that had expired, or were still to come
-	Silent     int64  // watches given up for their silence
-	SetBack    int64  // times that the server's data were older than before
-	Unreadable int64  // lines and objects that could not be read; entries within a slice are in Refused
-	Refused    int64  // entries and slices that could not be taken
-	Denied     int64  // answers 401 and 403
-	Failures   int64  // requests and watches that failed, with those denied
-	Emptied    int64  // lists that left nobody where somebody was known
-	Named      int    // endpoints now
-	Version    string // of the newest thing read
-}
-
-// Timing are the source's times; tests and simulations shorten them.
+	Events     int64  // slices read in watches and lists
+	Bytes      int64  // of watch events and listed slices
+	Lists      int64  // completed lists
+	Watches    int64  // started watches
+	Gone       int64  // times that a resource version had expired or was in the future
+	Silent     int64  // watches that were ended by the idle timeout
+	SetBack    int64  // times that the server's data were older than before (restored from a backup)
+	Unreadable int64  // lines and objects that could not be read; entries within a slice count in Refused
+	Refused    int64  // rejected entries and slices
+	Denied     int64  // responses with 401 and 403
+	Failures   int64  // failed requests and watches, including denied ones
+	Emptied    int64  // lists that dropped the last endpoints
+	Named      int    // current number of endpoints
+	Version    string // newest resource version that was read
+}
+
+// Timing holds the source's timeouts and intervals. Tests and simulations shorten them.
 type Timing struct {
-	Watch   time.Duration // how long the server is asked to keep a watch: so long to twice that
-	Silence time.Duration // a watch that says nothing for so long is begun anew; bookmarks come once a minute
-	Sync    time.Duration // the same within a streaming list
-	Page    time.Duration // for one page of a list
-	Least   time.Duration // pause after a failure, doubled with each further one ...
-	Most    time.Duration // ... up to this; a Retry-After may be longer, up to mostRetryAfter
-	Plain   time.Duration // after so long streaming lists are tried again where the server did not know them
-	Recheck time.Duration // first pause before an empty list is looked at again
+	Watch   time.Duration // requested duration of a watch; the actual one is random, up to twice this
+	Silence time.Duration // a watch without events for this long is restarted; bookmarks come once a minute
+	Sync    time.Duration // the same during a streaming list
+	Page    time.Duration // timeout for one page of a list
+	Least   time.Duration // pause after the first failure; doubles with each further one ...
+	Most    time.Duration // ... up to this; with a Retry-After it may be longer, up to mostRetryAfter
+	Plain   time.Duration // how long until streaming lists are tried again on a server without support for them
+	Recheck time.Duration // pause before an empty list is read again; doubles up to Most
 }
 
-// UsualTiming are the times that New sets.
+// UsualTiming returns the times that New sets.
 func UsualTiming() Timing {
 	return Timing{
 		Watch: 5 * time.Minute, Silence: 90 * time.Second, Sync: 20 * time.Second, Page: 30 * time.Second,
@@ -91,23 +92,23 @@
 }
 
 const (
-	pageSize       = 250     // slices; items are read one by one, so this bounds the time of a page, not memory
-	mostObject     = 4 << 20 // bytes of one event; API servers take objects of up to 3 MiB
+	pageSize       = 250     // slices; limits the time for a page, not memory, since items are read one by one
+	mostObject     = 4 << 20 // bytes of one event; API servers accept objects of up to 3 MiB
 	mostRetryAfter = time.Minute
-	batch          = 1000 // endpoints that become Active in one update
-	tries          = 3    // failures of a watch in a row before all is listed anew
+	batch          = 1000 // limit on Active endpoints in one update
+	tries          = 3    // consecutive failures of a watch before the slices are listed again
 )
 
-// Reasons for which a watch is left.
+// Reasons for ending a watch.
 var (
-	errGone    = errors.New("the version is not to be had")
-	errSilent  = errors.New("the watch is silent")
-	errNoEnd   = errors.New("the streaming list does not end")
+	errGone    = errors.New("the resource version is not available")
+	errSilent  = errors.New("no events on the watch within the idle timeout")
+	errNoEnd   = errors.New("the streaming list has stalled before its end")
 	errBack    = errors.New("the API server's data are older than before")
-	errRecheck = errors.New("an empty list is looked at again")
+	errRecheck = errors.New("an empty list is read again")
 )
 
-// New makes a source. Its error wraps ErrPartner.
+// New creates a source. Its error wraps ErrPartner.
 func New(c *Client, p Partner, log *slog.Logger) (*Source, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -118,18 +119,18 @@
 	}, nil
 }
 
-// Simulated gives the source times and random numbers of a simulation's. It comes before Run.
+// Simulated sets the times and the random source for a simulation. It must be called before Run.
 func (s *Source) Simulated(t Timing, random func() uint64) { s.t, s.random = t, random }
 
-// upTo draws a time from 0 to just below d.
+// upTo returns a random duration from 0 to just below d.
 func (s *Source) upTo(d time.Duration) time.Duration {
 	return time.Duration(s.random() % uint64(max(d, 1)))
 }
 
-// Name is endpointslice/ and the partner's name.
+// Name returns endpointslice/ followed by the partner's name.
 func (s *Source) Name() string { return "endpointslice/" + s.p.Name }
 
-// Stats are the counts so far.
+// Stats returns the current counts.
 func (s *Source) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,13 +163,14 @@
 	return ctx.Err()
 }
 
-// next is the next update, or when there may be one.
+// next returns the next update. If there is none, it returns the time at which there will be one without further input,
+// zero if none is due.
 func (s *Source) next(now time.Time) (u membership.Update, due time.Time, some bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.woken = false
 	switch o := &s.owed; {
-	case o.whole: // a list's end also tells that the source is heard
+	case o.whole: // the full list also shows that the source works again
 		o.whole, o.heard = false, false
 		return membership.Update{Kind: membership.Whole, Endpoints: s.set.Whole(now)}, due, true
 	case o.heard:
@@ -187,7 +189,7 @@
 	return u, due, false
 }
 
-// do changes what the two goroutines share, and wakes the one that tells.
+// do runs change, which modifies state shared by the two goroutines, and wakes the one that reports.
 func (s *Source) do(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,7 +200,7 @@
 	}
 }
 
-// alarm counts something that people should know of and logs it, each kind once a minute at most.
+// alarm counts a condition that operators should know of, and logs each text at most once a minute.
 func (s *Source) alarm(count *int64, text string, err error) {
 	s.mu.Lock()
 	*count++
@@ -213,11 +215,11 @@
 	}
 }
 
-// follow lists and watches until ctx ends.
+// follow lists and watches the slices until ctx ends.
 func (s *Source) follow(ctx context.Context) {
-	version := "" // from which a watch may go on; "" where all must be listed
+	version := "" // from which to watch; "" if the slices must be listed first
 	failures := 0
-	unsure := false // a connection broke: what answers next may be older
+	unsure := false // a connection broke, so the next server to respond may have older data
 	for ctx.Err() == nil {
 		began := s.host.Now()
 		was := version
@@ -240,12 +242,12 @@
 			failures = 0
 		}
 		var se *StatusError
-		atOnce := false // nothing is wrong with the server
+		atOnce := false // the server works, so the retry needs no pause
 		switch {
 		case err == nil:
 			unsure = false
 			if version == was && s.host.Now().Sub(began) < time.Second {
-				break // it ended at once without a word: not to be repeated at full speed
+				break // the watch ended at once without an event: pause to prevent a busy loop
 			}
 			failures = 0
 			continue
@@ -253,13 +255,13 @@
 			version, failures = "", 0
 			continue
 		case errors.Is(err, errSilent):
-			s.alarm(&s.stats.Silent, "a watch is silent; it begins anew", err)
+			s.alarm(&s.stats.Silent, "no events on a watch; restarting it", err)
 			unsure, atOnce = true, true
 		case errors.Is(err, errBack):
-			s.alarm(&s.stats.SetBack, "the API server's data were set back; all is listed anew", err)
+			s.alarm(&s.stats.SetBack, "the API server has older data than before; listing again", err)
 			version, unsure, atOnce = "", false, true
 		case errors.Is(err, errGone), errors.As(err, &se) && se.gone():
-			s.alarm(&s.stats.Gone, "a version is not to be had; all is listed anew", err)
+			s.alarm(&s.stats.Gone, "a resource version is not available; listing again", err)
 			version, atOnce = "", true
 		default:
 			s.failed(err)
@@ -268,7 +270,7 @@
 				version = ""
 			}
 		}
-		if failures++; atOnce && failures == 1 { // the first time only: a server that always says so is not asked at full speed
+		if failures++; atOnce && failures == 1 { // only the first time, to prevent a busy loop if the server always responds so
 			continue
 		}
 		if !s.pause(ctx, failures, se) {
@@ -277,28 +279,30 @@
 	}
 }
 
+// failed counts and logs a failure and has it reported.
 func (s *Source) failed(err error) {
 	var se *StatusError
 	if errors.As(err, &se) && (se.Code == http.StatusUnauthorized || se.Code == http.StatusForbidden) {
-		s.alarm(&s.stats.Denied, "the API server does not let us in; the list at hand stays", err)
+		s.alarm(&s.stats.Denied, "the API server does not let us in; keeping the current endpoints", err)
 	}
-	s.alarm(&s.stats.Failures, "endpoint slices can't be read; the list at hand stays", err)
+	s.alarm(&s.stats.Failures, "endpoint slices can't be read; keeping the current endpoints", err)
 	s.do(func() { s.owed.failed, s.owed.heard = err, false })
 }
 
-// heard says that the API server answers.
+// heard records that the API server responds.
 func (s *Source) heard() {
 	s.do(func() { s.owed.failed, s.owed.heard = nil, true })
 }
 
-// pause waits after failures in a row, with jitter so that dispatchers don't come back all at once.
+// pause waits after consecutive failures, with jitter so that dispatchers don't retry all at the same time. It returns false
+// if ctx has ended.
 func (s *Source) pause(ctx context.Context, failures int, se *StatusError) bool {
 	d := s.t.Most
 	if n := failures - 1; n < 20 {
 		d = min(d, s.t.Least<<n)
 	}
 	d = d/2 + s.upTo(d/2+1)
-	if se != nil && se.RetryAfter > 0 { // never sooner than we were told
+	if se != nil && se.RetryAfter > 0 { // not before the time that the server asked for
 		wait := min(se.RetryAfter, mostRetryAfter)
 		d = max(d, wait+s.upTo(wait/5+1))
 	}
@@ -306,8 +310,8 @@
 	return ctx.Err() == nil
 }
 
-// list reads all slices. With a streaming list it goes on watching until the watch ends; it returns the version from
-// which to go on, "" if the list did not come to its end.
+// list reads all slices. With a streaming list it goes on to watch until the watch ends. It returns the version from which
+// to watch next, "" if the list was not completed.
 func (s *Source) list(ctx context.Context) (version string, err error) {
 	if s.host.Now().After(s.plainUntil) {
 		version, err = s.watch(ctx, "", true)
@@ -322,7 +326,7 @@
 		if known || ctx.Err() != nil {
 			return version, err
 		}
-		s.log.Info("the API server knows no streaming lists; pages are read instead", "error", err)
+		s.log.Info("the API server does not support streaming lists; reading pages instead", "error", err)
 		s.plainUntil = s.host.Now().Add(s.t.Plain)
 	}
 	return s.pages(ctx)
@@ -337,8 +341,8 @@
 	return "/apis/discovery.k8s.io/v1/namespaces/" + url.PathEscape(s.p.Namespace) + "/endpointslices"
 }
 
-// watch reads one watch, from a version or, with initial, as a streaming list. It returns the newest version read, also
-// with an error; nil is an end in order.
+// watch reads one watch. It starts from a version or, if initial is set, with a streaming list. It returns the newest version
+// that was read, also with an error. The error is nil if the server ended the watch normally.
 func (s *Source) watch(ctx context.Context, version string, initial bool) (next string, err error) {
 	r := newRequest(ctx)
 	defer r.end(nil)
@@ -349,7 +353,7 @@
 	silence, why := s.t.Silence, errSilent
 	if initial {
 		q.Set("sendInitialEvents", "true")
-		q.Set("resourceVersionMatch", "NotOlderThan") // than now, since no version is named
+		q.Set("resourceVersionMatch", "NotOlderThan") // than the time of the request, since no version is given
 		silence, why = s.t.Sync, errNoEnd
 	} else {
 		q.Set("resourceVersion", version)
@@ -376,7 +380,7 @@
 	for {
 		line, err := in.next()
 		if errors.Is(err, errTooLong) {
-			s.alarm(&s.stats.Unreadable, "an event is too long; its slice stays as it was", err)
+			s.alarm(&s.stats.Unreadable, "an event is too long; keeping the last state of its slice", err)
 			continue
 		}
 		if err == io.EOF && !initial {
@@ -390,7 +394,7 @@
 		}
 		ev, err := decodeEvent(line, s.prior)
 		if err != nil {
-			s.alarm(&s.stats.Unreadable, "an event can't be read; its slice stays as it was", err)
+			s.alarm(&s.stats.Unreadable, "can't read an event; keeping the last state of its slice", err)
 			continue
 		}
 		now := s.host.Now()
@@ -429,18 +433,18 @@
 	}
 }
 
-// prior is a slice's state as it was read last. It does not change any more.
+// prior returns the last state of a slice that was read. The returned data are never modified.
 func (s *Source) prior(key string) Slice {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.set.Slice(key)
 }
 
-// request is one request, which ends with its context or by end.
+// request is a request to the API server. It ends with its context, or when end is called.
 type request struct {
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	abort  host.Abort // of the way there, where that knows no contexts
+	abort  host.Abort // of the connection, for hosts without support for contexts
 }
 
 func newRequest(ctx context.Context) *request {
@@ -449,20 +453,21 @@
 	return r
 }
 
-// end ends a request, for a reason.
+// end aborts the request with a cause.
 func (r *request) end(why error) {
 	r.cancel(why)
 	r.abort.Do()
 }
 
-// guard ends a request once nothing was heard for so long.
+// guard aborts a request after an idle timeout.
 type guard struct {
 	mu    sync.Mutex
 	timer host.Timer
-	at    time.Time // when something was heard last
+	at    time.Time // when the last event came
 	over  bool
 }
 
+// guard starts an idle timeout that ends r with the cause why.
 func (s *Source) guard(r *request, silence time.Duration, why error) *guard {
 	g := &guard{at: s.host.Now()}
 	var look func()
@@ -497,7 +502,7 @@
 	g.timer.Stop()
 }
 
-// because is the reason for which we ourselves ended the request, if we did.
+// because returns the cause for which this process ended the request, or err if it did not.
 func (r *request) because(err error) error {
 	if c := context.Cause(r.ctx); errors.Is(c, errSilent) || errors.Is(c, errNoEnd) || errors.Is(c, errRecheck) {
 		return c
@@ -505,22 +510,22 @@
 	return err
 }
 
-// older tells whether version a is older than b. Versions are decimal numbers that can be compared (KEP-5504); others
-// are never older.
+// older reports whether resource version a is older than b. Resource versions are comparable decimal numbers (KEP-5504).
+// Other versions are never older.
 func older(a, b string) bool {
 	x, err := strconv.ParseUint(a, 10, 64)
 	y, err2 := strconv.ParseUint(b, 10, 64)
 	return err == nil && err2 == nil && x < y
 }
 
-// event takes one slice's change.
+// event applies a change of one slice.
 func (s *Source) event(now time.Time, ev *event, bytes int) {
 	if ev.Slice.Name == "" || ev.Kind != "" && ev.Kind != "EndpointSlice" {
 		s.alarm(&s.stats.Unreadable, "an event is not of a slice", fmt.Errorf("kind %.40q, name %.40q", ev.Kind, ev.Slice.Name))
 		return
 	}
 	if ev.Slice.Err != nil && ev.Type != eventDeleted {
-		s.alarm(&s.stats.Unreadable, "a slice can't be read in full", fmt.Errorf("%s: %w", ev.Slice.key(), ev.Slice.Err))
+		s.alarm(&s.stats.Unreadable, "can't read all of a slice", fmt.Errorf("%s: %w", ev.Slice.key(), ev.Slice.Err))
 	}
 	s.do(func() {
 		s.stats.Events++
@@ -533,7 +538,7 @@
 	})
 }
 
-// end says that a list came to its end.
+// end completes a list.
 func (s *Source) end(now time.Time) {
 	var emptied, first bool
 	s.do(func() {
@@ -546,7 +551,7 @@
 	case emptied:
 		s.alarm(&s.stats.Emptied, "the list names nobody any more: no new work for this partner", errRecheck)
 		s.recheck = s.t.Recheck
-	case s.Stats().Named == 0: // the first one, too, and for ever: a watch from a wrong list would never tell
+	case s.Stats().Named == 0: // also after the first list, without end: a watch never corrects a wrong list
 		s.recheck = min(max(2*s.recheck, s.t.Recheck), s.t.Most)
 	default:
 		s.recheck = 0
@@ -556,7 +561,7 @@
 	}
 }
 
-// pages reads all slices in pages. It returns the version of the list.
+// pages reads all slices in pages. It returns the resource version of the list.
 func (s *Source) pages(ctx context.Context) (version string, err error) {
 	limit := pageSize
 	for {
@@ -565,11 +570,12 @@
 		if err == nil || limit == 0 || !errors.As(err, &se) || !se.gone() {
 			return version, err
 		}
-		s.alarm(&s.stats.Gone, "a list expired between its pages; it is read in one", err)
+		s.alarm(&s.stats.Gone, "a list expired between its pages; reading it in one request", err)
 		limit = 0
 	}
 }
 
+// allPages reads the pages of one list, with at most limit slices each (0: no limit).
 func (s *Source) allPages(ctx context.Context, limit int) (version string, err error) {
 	s.do(s.set.Begin)
 	q := s.query()
@@ -591,10 +597,10 @@
 	}
 }
 
-// notOlder asks whether the server's data are as new as a version. A server that was set back would not tell: a watch
-// from a version that is still to come is silent until then.
+// notOlder returns an error if the server's data are older than a version. A watch does not show that, since a watch from a
+// future version sends no events until the server reaches that version.
 func (s *Source) notOlder(ctx context.Context, version string) error {
-	// A list of none: of what it told of a slice nothing could be used, since the watch goes on from an older version.
+	// The query matches no slice. The content of a slice could not be used, since the watch continues from an older version.
 	q := url.Values{"limit": {"1"}, "fieldSelector": {"metadata.name=no-such-slice"}}
 	p, err := s.page(ctx, q, func(*object, int) {})
 	if err != nil {
