--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,11 +1,11 @@
-// Package admission decides whether new work is taken while the process itself is what is late: whether there is a core
-// for it. It knows nothing of messages, and has no clock, no I/O and no goroutines: it is told how late things are, what
-// has ended, and who asks.
+// Package admission limits new messages while the process itself is overloaded, that is, while its work waits for a CPU
+// core. It knows nothing of the messages, reads no clock, does no I/O and starts no goroutine. The caller reports the
+// measured delays, the number of completed messages and each request for admission.
 //
-// As long as the process keeps up nobody is turned away. Once everything has been late for a while, what ends lets new
-// work in: about one for one, less where all is late, more where it is not. So as much is held as lets the core do what it
-// can, without a rate that would have to be guessed. When nobody has been turned away for a while the process keeps up
-// again.
+// While the process keeps up, every message is admitted. Once all measured delays have been too long for a while, each
+// completed message admits about one new message: fewer than one while delays are long, more than one while they are
+// short. This keeps as many messages in the process as the core can handle, without a configured rate. When no message
+// has been rejected for a while, the limit ends.
 package admission
 
 import "curlewmux/control"
@@ -13,11 +13,11 @@
 // Time is an instant or a span, in microseconds.
 type Time = control.Time
 
-// Settings are told once, at the start. Where one is 0 its default counts.
+// Settings configures a Gate. A field that is 0 means its default.
 type Settings struct {
-	Late    Time    // what waits no longer for a core is in time
-	Lasting Time    // lateness counts if all that is told for so long is late: shorter ones are pauses
-	Floor   float64 // so many a second are always taken: they are not what makes the process late
+	Late    Time    // delays up to this are normal
+	Lasting Time    // all delays must have been longer than Late for this time before messages are rejected
+	Floor   float64 // messages a second that are always admitted, since so few don't cause an overload
 }
 
 // Defaults of the settings.
@@ -28,37 +28,40 @@
 )
 
 const (
-	often    = 3                         // late ones in a row, at least, before anybody is turned away: one is a pause
-	stale    = 2 * control.Second        // what was told so long ago tells nothing of now
-	interval = 100 * control.Millisecond // after which what has ended and who was turned away is looked at ...
-	loose    = 10                        // ... and after so many without anybody turned away all are taken
-	bank     = 64                        // may come at once, or
-	share    = 1.0 / 10                  // this part of what ended in the last interval, if that is more
-	again    = control.Second            // what those are told to wait who are turned away
+	often    = 3                         // consecutive long delays before messages are rejected; a single one is a pause of the process
+	stale    = 2 * control.Second        // a longer gap between two long delays means that they are separate pauses
+	interval = 100 * control.Millisecond // between two evaluations of completed and rejected messages
+	loose    = 10                        // consecutive intervals without a rejection after which the limit ends
+	bank     = 64                        // tokens that can be saved up, which limits a burst, or ...
+	share    = 1.0 / 10                  // ... this part of the messages completed in the last interval if that is more
+	again    = control.Second            // retry delay for a rejected message
 )
 
-// Gate decides for one process. New makes one. It is not safe for concurrent use.
+// Gate decides on admission for one process. It is created by New. It is not safe for concurrent use.
 type Gate struct {
 	set     Settings
 	limited bool
-	tokens  float64 // how many may come
-	per     float64 // new ones for each that ends
-	at      Time    // when the floor's tokens were reckoned
-	most    float64 // tokens
-
-	// Since the last that was in time.
-	row   int  // how often something was late
-	began Time // since when the first of these waited
-	last  Time // when the last was told
-
-	// Of the interval at hand.
-	since  Time
-	done   int
-	turned int
-	calm   int // intervals in a row in which nobody was turned away
+	tokens  float64 // messages that may be admitted now
+	per     float64 // tokens added for each completed message
+	at      Time    // when the tokens of the minimum rate were last added
+	most    float64 // limit of tokens
+
+	// Since the last normal delay:
+
+	row   int  // number of consecutive long delays
+	began Time // when the first of them started
+	last  Time // when the last of them was reported
+
+	// In the current interval:
+
+	since  Time // its start
+	done   int  // completed messages
+	turned int  // rejected messages
+
+	calm int // consecutive intervals without a rejection
 }
 
-// New makes a gate that takes everything until it is told of lateness.
+// New creates a gate. It admits every message until long delays are reported.
 func New(s Settings) *Gate {
 	if s.Late == 0 {
 		s.Late = defaultLate
@@ -72,7 +75,7 @@
 	return &Gate{set: s, most: bank}
 }
 
-// Late tells how long something that was to run at once has waited for a core.
+// Late records how long something that was ready to run has waited for a core.
 func (g *Gate) Late(now, by Time) {
 	g.roll(now)
 	g.per = g.allow(by)
@@ -89,7 +92,7 @@
 	}
 }
 
-// allow is how many may come for each that ends, where things are so late.
+// allow returns the number of tokens for each completed message at the given delay.
 func (g *Gate) allow(late Time) float64 {
 	t := g.set.Late
 	switch {
@@ -105,7 +108,7 @@
 	return 0.6
 }
 
-// Done tells that so many messages have ended otherwise than by being handed back.
+// Done records that n messages were completed, that is, ended in any other way than by a rejection.
 func (g *Gate) Done(now Time, n int) {
 	g.roll(now)
 	g.done += n
@@ -114,7 +117,7 @@
 	}
 }
 
-// Admit tells whether one more message may be taken, and if not, after how long it may come again.
+// Admit decides whether a message is admitted. If not, after is the time that the client should wait before it retries.
 func (g *Gate) Admit(now Time) (ok bool, after Time) {
 	g.roll(now)
 	if !g.limited {
@@ -132,10 +135,10 @@
 	return true, 0
 }
 
-// Limited tells whether anybody may be turned away.
+// Limited reports whether messages may be rejected at present.
 func (g *Gate) Limited() bool { return g.limited }
 
-// roll looks at the interval that is over.
+// roll evaluates the interval if it has ended, and starts the next one.
 func (g *Gate) roll(now Time) {
 	if now-g.since < interval {
 		return
--- a/resend/planner.go
+++ b/resend/planner.go
@@ -7,59 +7,60 @@
 	"curlewmux/control"
 )
 
-// Node is a message's place in a Planner. Whoever keeps the message embeds it; its zero value is in no planner.
+// Node is a message's entry in a Planner. It is embedded in the record of the message. The zero value is in no planner.
 type Node struct {
-	Due  Time // not before
+	Due  Time // earliest time at which the message may be picked
 	No   uint64
 	dest int32
-	pos  int32 // in its lane's heap, from 1; 0: in none
+	pos  int32 // index in its lane's heap plus 1; 0 if it is in none
 }
 
-// SetDest says whose message it is, before the first Put.
+// SetDest sets the destination of the message. It must come before the first Put.
 func (n *Node) SetDest(dest int) {
 	if n.pos == 0 {
 		n.dest = int32(dest)
 	}
 }
 
-// Dest is whose message it is.
+// Dest returns the destination of the message.
 func (n *Node) Dest() int { return int(n.dest) }
 
-// Planner has the messages that are to be looked at, by destination, and says which of them come next: never more at a
-// time than their share of the slots, and to a destination no more than it takes well. It is not safe for concurrent use.
+// Planner queues undelivered messages by destination and picks those that are next. It limits how many are being resent at
+// once, in total and for each destination: the limit of a destination grows with successes. It is not safe for concurrent
+// use.
 type Planner struct {
-	slots int     // messages that are being sent again, at most
-	share float64 // of a destination's listed rate
-	trial Time    // between two trials of a destination that ails
-	lanes map[int]*lane
-	order []*lane // in turns, beginning at turn
-	turn  int
-	out   int
+	slots int           // limit on messages being resent
+	share float64       // part of a destination's listed rate that resends may use
+	trial Time          // between two trials of an unhealthy destination
+	lanes map[int]*lane // by destination
+	order []*lane       // served round robin
+	turn  int           // index in order of the next lane
+	out   int           // messages being resent
 }
 
-// lane is one destination's.
+// lane is the queue of one destination.
 type lane struct {
 	dest   int
 	nodes  nodes
-	out    int
-	window int  // of out, at most
-	fails  int  // in a row
-	next   Time // nothing before
-	trial  Time // no trial before
+	out    int  // messages being resent
+	window int  // limit of out
+	fails  int  // consecutive failures
+	next   Time // earliest time of the next message
+	trial  Time // earliest time of the next trial
 }
 
 const (
-	lookAgain  = 200 * control.Millisecond // between two looks at a destination that does not do well
+	lookAgain  = 200 * control.Millisecond // between two checks of a destination that can't take messages now
 	firstPause = control.Second            // after a failure; doubles up to the time between two trials
 )
 
-// NewPlanner makes a planner: slots are how many messages are being sent again at most, share which part of the rates
-// listed for destinations is theirs, trial how long one that ails is left alone between two single messages.
+// NewPlanner creates a planner. slots limits the messages being resent, share is the part of a destination's listed rate
+// that resends may use, and trial is the time between two single messages to an unhealthy destination.
 func NewPlanner(slots int, share float64, trial Time) *Planner {
 	return &Planner{slots: max(slots, 1), share: share, trial: trial, lanes: map[int]*lane{}}
 }
 
-// Put adds a message, or moves it, to be looked at when it is due.
+// Put queues a message for the time due. A message that is already queued is moved.
 func (p *Planner) Put(n *Node, due Time) {
 	p.Drop(n)
 	l := p.lane(n.Dest())
@@ -67,7 +68,7 @@
 	heap.Push(&l.nodes, n)
 }
 
-// Drop takes a message out; one that is in no planner is left as it is.
+// Drop removes a message from the queue, if it is in one.
 func (p *Planner) Drop(n *Node) {
 	if n.pos == 0 {
 		return
@@ -77,6 +78,7 @@
 	p.forget(l)
 }
 
+// lane returns the lane of a destination and creates it if needed.
 func (p *Planner) lane(dest int) *lane {
 	l := p.lanes[dest]
 	if l == nil {
@@ -87,7 +89,7 @@
 	return l
 }
 
-// forget drops a lane that has nothing in it and nothing to remember.
+// forget removes a lane without messages and without failures to remember.
 func (p *Planner) forget(l *lane) {
 	if len(l.nodes) > 0 || l.out > 0 || l.fails > 0 || p.lanes[l.dest] != l {
 		return
@@ -99,7 +101,8 @@
 	}
 }
 
-// Next is when Pick is worth calling next; false: not before something is put or ends.
+// Next returns the next time at which Pick may find a message. ok is false if there is none until Put, Drop or Done is
+// called.
 func (p *Planner) Next() (at Time, ok bool) {
 	if p.out >= p.slots {
 		return 0, false
@@ -115,8 +118,8 @@
 	return at, ok
 }
 
-// Pick takes out the messages whose turn it is. how tells how a destination does and the calls a second that are listed
-// for it. Each message picked counts as being sent until Done.
+// Pick removes the messages that are to be resent now from the queue. how returns the condition of a destination and its
+// listed rate in calls a second. Each picked message counts as being resent until Done.
 func (p *Planner) Pick(now Time, how func(dest int) (control.Condition, float64)) (out []*Node) {
 	for idle := 0; idle < len(p.order) && p.out < p.slots; {
 		l := p.order[p.turn]
@@ -131,6 +134,7 @@
 	return out
 }
 
+// pick removes the next message of a lane from the queue, or returns nil if none may be sent now.
 func (p *Planner) pick(l *lane, now Time, how func(int) (control.Condition, float64)) *Node {
 	if len(l.nodes) == 0 || l.nodes[0].Due > now || now < l.next || l.out >= l.window {
 		return nil
@@ -159,23 +163,23 @@
 	return n
 }
 
-// How a message that was picked fared.
+// Fared is the result of resending a message.
 type Fared uint8
 
-// How it fared.
+// Results of resending a message.
 const (
-	Nothing Fared = iota // nothing was learned of the destination
+	Nothing Fared = iota // says nothing about the destination
 	Good
 	Bad
 )
 
-// Took counts one as being sent that was not picked: it was when the process began.
+// Took counts a message as being resent that was not picked, since it was already being resent when the process started.
 func (p *Planner) Took(dest int) {
 	p.lane(dest).out++
 	p.out++
 }
 
-// Done says that a message that was picked is not being sent any more.
+// Done records that a message is no longer being resent, and with which result.
 func (p *Planner) Done(dest int, now Time, f Fared) {
 	l := p.lane(dest)
 	l.out--
@@ -191,10 +195,10 @@
 	p.forget(l)
 }
 
-// Out is how many messages are being sent again.
+// Out returns the number of messages being resent.
 func (p *Planner) Out() int { return p.out }
 
-// nodes is a heap by due time, then number.
+// nodes is a heap ordered by due time and then by message number.
 type nodes []*Node
 
 func (h nodes) Len() int { return len(h) }
--- a/resend/resend.go
+++ b/resend/resend.go
@@ -1,6 +1,6 @@
-// Package resend decides what becomes of undelivered messages that are kept: whether one may be sent again, when, and
-// what has to be known first. It does no I/O, reads no clock, and has no goroutines; whoever calls it carries out what it
-// says and tells it the time. Times are microseconds on one clock that never goes back, also not over restarts.
+// Package resend decides what to do with undelivered messages: whether one may be resent, when, and what must be known
+// first. It does no I/O, reads no clock and starts no goroutine. The caller passes in the time and carries out the
+// decisions. Times are microseconds on a clock that never goes back, not even over restarts.
 package resend
 
 import (
@@ -14,72 +14,72 @@
 // Time is an instant, or a span, in microseconds.
 type Time = control.Time
 
-// Class is what a class of messages allows.
+// Class holds the properties of a message class that matter for resending.
 type Class struct {
 	Name      string
 	Effect    control.Effect
-	ZoneGroup bool // Guarded: only endpoints of one zone drop repeats
-	InOrder   bool // its keys tell order, not identity
-	Window    Time // Guarded: how long repeats are dropped, from the first send that may have run
-	Deadline  Time // how long a message lives at most
+	ZoneGroup bool // Guarded: repeats are dropped only within one zone
+	InOrder   bool // its keys are order keys and don't identify messages
+	Window    Time // Guarded: how long repeats are dropped, counted from the first attempt that may have run
+	Deadline  Time // longest time from the acceptance of a message to its end
 	Worth     float64
 }
 
-// Proof is how it can be known whether a message took effect at a partner.
+// Proof says how to find out whether a message took effect at a partner.
 type Proof uint8
 
 // Proofs.
 const (
-	NoProof   Proof = iota // only an operator can say
-	ByKey                  // the partner drops what comes with a key that it remembers
+	NoProof   Proof = iota // only an operator can find out
+	ByKey                  // the partner drops messages with a key that it remembers
 	ByInquiry              // the partner can be asked
 )
 
-// Partner is what is known of a destination. Those that are not named have NoProof.
+// Partner holds the settings of a destination. Destinations without settings have NoProof.
 type Partner struct {
 	Dest      int
 	Proof     Proof
-	Settle    Time // how long a call may still run at the partner after it was given up here
-	Remembers Time // how long the partner remembers a key, or what took effect, from when it did
+	Settle    Time // how long a call may still run at the partner after the dispatcher has abandoned it
+	Remembers Time // how long the partner remembers a key, or that a message took effect
 }
 
-// Rule says what is sent again, and when. The first that fits a message counts.
+// Rule says which messages are resent, and when. The first rule that matches a message applies.
 type Rule struct {
 	Name    string
-	Classes []string // none: all; the same for the next three
+	Classes []string // empty: all; the same for the next three fields
 	Dests   []int
 	Tenants []string
 	Causes  []string
 	Doubt   DoubtFilter
-	MaxAge  Time // older messages are left to operators; 0: none are
+	MaxAge  Time // older messages are left to operators; 0: no limit
 
-	Tries  int     // lives after the first, at most
-	First  Time    // how long after a life's end the next begins ...
-	Factor float64 // ... growing by this with each ...
+	Tries  int     // limit on resends
+	First  Time    // delay of the first resend after the message was kept ...
+	Factor float64 // ... multiplied by this for each further resend ...
 	Most   Time    // ... up to this
-	Jitter float64 // and longer by a random part of it, up to this share
+	Jitter float64 // largest random part of a delay that is added to it
 }
 
-// DoubtFilter is which messages a rule fits.
+// DoubtFilter says which messages a rule matches.
 type DoubtFilter uint8
 
 // Doubt filters.
 const (
-	AnyDoubt DoubtFilter = iota
-	NoDoubt              // those that certainly took no effect
-	OnlyDoubt
+	AnyDoubt  DoubtFilter = iota
+	NoDoubt               // messages that certainly took no effect
+	OnlyDoubt             // messages that may have taken effect
 )
 
-// Settings are told once.
+// Settings configures all decisions. It does not change.
 type Settings struct {
 	Classes  []Class
 	Tenants  []string // none: there are no tenants
 	Partners []Partner
 	Rules    []Rule
-	Body     int // bytes that a body may hold today; 0: any
+	Body     int // current limit of a body in bytes; 0: no limit
 }
 
-// Item is what is known of a kept message.
+// Item describes an undelivered message.
 type Item struct {
 	No            uint64
 	Class, Tenant string
@@ -87,50 +87,50 @@
 	Cause         string
 	Body          int // bytes
 	HasKey        bool
-	Kept          Time   // when it was kept first
-	Last          Time   // when its newest life ended
-	Tries         int    // lives after the first
-	Asked         Time   // when the newest inquiry failed
-	Asks          int    // inquiries that failed, in a row
-	Held          string // why no rule may send it, "" if one may
+	Kept          Time   // when it first became undelivered
+	Last          Time   // when it last became undelivered
+	Tries         int    // number of resends so far
+	Asked         Time   // when the last inquiry failed
+	Asks          int    // consecutive failed inquiries
+	Held          string // why rules must not resend it, "" if they may
 	Doubt         Doubt
 }
 
-// Doubt says that a message may have taken effect.
+// Doubt says whether a message may have taken effect.
 type Doubt struct {
-	At      Time // send of the first attempt that may have run, 0 if none may have
-	Zone    int  // which it went to
-	Quiet   Time // from then on no call of it is out here
-	Ageless bool // At can't be trusted: the clock was set back meanwhile
+	At      Time // when the first attempt that may have run was sent, 0 if there is none
+	Zone    int  // of the endpoint that it was sent to
+	Quiet   Time // from then on the dispatcher has no call open for it
+	Ageless bool // At is unreliable, since the clock was set back in the meantime
 }
 
-// Do is what is to be done with a message.
+// Do is an action for a message.
 type Do uint8
 
-// What is to be done.
+// Actions.
 const (
-	Wait        Do = iota + 1 // look again At
-	Ask                       // ask the partner whether it took effect; Answered judges the answer
-	Send                      // as a message that never ran
-	SendDoubted               // with the doubt of its earlier lives
-	Leave                     // to operators
-	Took                      // it took effect: it is delivered
-	Clear                     // it took no effect, and no earlier call can run any more
+	Wait        Do = iota + 1 // decide again at the time At
+	Ask                       // ask the partner whether it took effect; Answered handles the answer
+	Send                      // resend it as a message that never ran
+	SendDoubted               // resend it with the doubt of its earlier attempts
+	Leave                     // leave it to operators
+	Took                      // it took effect: mark it as delivered
+	Clear                     // it took no effect, and no earlier call can run any more: clear its doubt
 )
 
 func (d Do) String() string {
 	return [...]string{"?", "wait", "ask", "send", "send-doubted", "leave", "took", "clear"}[d]
 }
 
-// Verdict is what is to be done with a message, and why.
+// Verdict is a decision on a message.
 type Verdict struct {
 	Do   Do
-	At   Time
-	Rule string
-	Why  string // of Wait and Leave, for people
+	At   Time   // of Wait
+	Rule string // name of the rule that matched, "" if none did
+	Why  string // reason for Wait and Leave, for operators
 }
 
-// Answer is what a partner answered to an inquiry.
+// Answer is the result of an inquiry at a partner.
 type Answer uint8
 
 // Answers.
@@ -138,18 +138,19 @@
 	Unanswered Answer = iota
 	Yes
 	No
-	Unknown // it says that it can't tell (any more)
+	Unknown // the partner does not know, or no longer
 )
 
 func (a Answer) String() string { return [...]string{"unanswered", "yes", "no", "unknown"}[a] }
 
 const (
-	slack    = control.Second // what ages may be off by; also the least time for a try within a key's window
-	mostAsks = 30             // inquiries in a row that fail: then the message is left to operators
-	askFirst = 2 * control.Second
-	askMost  = 600 * control.Second
+	slack    = control.Second       // tolerated error of ages; also the minimum time for an attempt within a key's window
+	mostAsks = 30                   // consecutive failed inquiries after which the message is left to operators
+	askFirst = 2 * control.Second   // pause after the first failed inquiry; doubles with each further one ...
+	askMost  = 600 * control.Second // ... up to this
 )
 
+// class returns the class of the given name, nil if there is none.
 func (s *Settings) class(name string) *Class {
 	if i := slices.IndexFunc(s.Classes, func(c Class) bool { return c.Name == name }); i >= 0 {
 		return &s.Classes[i]
@@ -157,7 +158,7 @@
 	return nil
 }
 
-// Partner is what is known of a destination.
+// Partner returns the settings of a destination.
 func (s *Settings) Partner(dest int) Partner {
 	if i := slices.IndexFunc(s.Partners, func(p Partner) bool { return p.Dest == dest }); i >= 0 {
 		return s.Partners[i]
@@ -165,7 +166,7 @@
 	return Partner{Dest: dest}
 }
 
-// Judge says what a rule does with a message now.
+// Judge decides what the rules do with a message now.
 func (s *Settings) Judge(it *Item, now Time) Verdict {
 	c, why := s.possible(it)
 	switch {
@@ -204,7 +205,8 @@
 	return v
 }
 
-// ByHand says what becomes of a message that an operator wants sent; vouched: who says that it did not take effect.
+// ByHand decides on a message that an operator wants to resend. vouched means that the operator vouches that it took no
+// effect.
 func (s *Settings) ByHand(it *Item, now Time, vouched bool) Verdict {
 	c, why := s.possible(it)
 	if why != "" {
@@ -219,7 +221,7 @@
 	return s.safe(it, c, now)
 }
 
-// Answered says what an answer to an inquiry comes to that was begun at asked and is here now.
+// Answered decides on a message after an inquiry that was sent at asked and got the answer a now.
 func (s *Settings) Answered(it *Item, asked, now Time, a Answer) Verdict {
 	p := s.Partner(it.Dest)
 	switch a {
@@ -231,9 +233,9 @@
 		return Verdict{Do: Wait, At: now + grown(askFirst, askMost, 2, 0.5, it.No, it.Asks), Why: "the partner did not answer"}
 	}
 	switch quiet := s.quiet(it); {
-	case asked < quiet: // it may have run since
+	case asked < quiet: // an earlier call may have run after the inquiry
 		return Verdict{Do: Wait, At: quiet, Why: "an earlier call may still be running at the partner"}
-	case it.Doubt.Ageless || now+slack >= it.Doubt.At+p.Remembers: // one that has forgotten says no, too
+	case it.Doubt.Ageless || now+slack >= it.Doubt.At+p.Remembers: // a partner that no longer remembers answers no, too
 		return Verdict{Do: Leave, Why: forgotten}
 	}
 	return Verdict{Do: Clear}
@@ -241,7 +243,7 @@
 
 const forgotten = "the partner may have forgotten whether it took effect"
 
-// possible returns a message's class, or why it can't be sent at all.
+// possible returns the class of a message, or the reason why the message can't be sent at all.
 func (s *Settings) possible(it *Item) (*Class, string) {
 	c := s.class(it.Class)
 	switch {
@@ -255,10 +257,10 @@
 	return c, ""
 }
 
-// quiet is from when on no earlier call can run any more, neither here nor at the partner.
+// quiet returns the time from which no earlier call can run any more, neither at the dispatcher nor at the partner.
 func (s *Settings) quiet(it *Item) Time { return it.Doubt.Quiet + s.Partner(it.Dest).Settle }
 
-// safe says whether sending a message now can take effect a second time.
+// safe decides whether a message may be sent now without the risk that it takes effect a second time.
 func (s *Settings) safe(it *Item, c *Class, now Time) Verdict {
 	d, p := &it.Doubt, s.Partner(it.Dest)
 	if d.At == 0 || c.Effect == control.Free {
@@ -267,9 +269,9 @@
 	key := it.HasKey && !c.InOrder && !d.Ageless
 	switch {
 	case key && p.Proof == ByKey && now+c.Deadline+p.Settle+slack < d.At+p.Remembers:
-		return Verdict{Do: Send} // whatever its new life does falls into the time for which the key is remembered
+		return Verdict{Do: Send} // the resend ends before the partner forgets the key
 	case key && c.Effect == control.Guarded && now+slack < d.At+c.Window:
-		return Verdict{Do: SendDoubted} // the module's gate closes with the window
+		return Verdict{Do: SendDoubted} // the decision module stops sending at the end of the window
 	case p.Proof == ByInquiry:
 		if d.Ageless || now+slack >= d.At+p.Remembers {
 			return Verdict{Do: Leave, Why: forgotten}
@@ -284,21 +286,22 @@
 	return Verdict{Do: Leave, Why: "it may have taken effect, and only an operator can say that it did not"}
 }
 
-// fits tells whether a rule is for a message.
+// fits reports whether a rule matches a message.
 func (r *Rule) fits(it *Item) bool {
 	return among(r.Classes, it.Class) && among(r.Dests, it.Dest) && among(r.Tenants, it.Tenant) && among(r.Causes, it.Cause) &&
 		(r.Doubt == AnyDoubt || (r.Doubt == OnlyDoubt) == (it.Doubt.At != 0))
 }
 
+// among reports whether v is in list. An empty list contains every value.
 func among[T comparable](list []T, v T) bool { return len(list) == 0 || slices.Contains(list, v) }
 
-// grown is the n-th pause of a series, with the part of its jitter that falls to this message.
+// grown returns pause n (from 0) of an exponential backoff with the jitter of this message.
 func grown(first, most Time, factor, jitter float64, no uint64, n int) Time {
 	pause := min(float64(first)*math.Pow(max(factor, 1), float64(n)), float64(max(most, first)))
 	return Time(pause * (1 + jitter*draw(no, n)))
 }
 
-// draw is a number from 0 to 1 that is the same for the same message and try (splitmix64).
+// draw returns a pseudo-random number from 0 to 1 that depends only on the message and the try (splitmix64).
 func draw(no uint64, n int) float64 {
 	x := no*0x9E3779B97F4A7C15 + uint64(n+1)*0xD1B54A32D192ED03
 	x = (x ^ x>>30) * 0xBF58476D1CE4E5B9
