--- a/admission/admission.go
+++ b/admission/admission.go
@@ -108,7 +108,7 @@
 	return 0.6
 }
 
-// Done records that n messages were completed, that is, ended in any other way than by a rejection.
+// Done records that n accepted messages have ended with any other disposition than refused.
 func (g *Gate) Done(now Time, n int) {
 	g.roll(now)
 	g.done += n
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -13,43 +13,43 @@
 	sec = control.Second
 )
 
-func TestWhoKeepsUpTurnsNobodyAway(t *testing.T) {
+func TestNoRejectionWhileKeepingUp(t *testing.T) {
 	t.Parallel()
 	g := New(Settings{})
 	for now := Time(0); now < 10*sec; now += ms {
 		if now%(5*ms) == 0 {
 			late := 2 * ms
 			if now%sec == 0 {
-				late = 50 * ms // now and then something is
+				late = 50 * ms // a single long delay
 			}
 			g.Late(now, late)
 		}
 		for range 50 {
 			if ok, _ := g.Admit(now); !ok {
-				t.Fatalf("turned away at %d us", now)
+				t.Fatalf("rejected at %d us", now)
 			}
 		}
 	}
 }
 
-func TestAPauseOfTheProcessTurnsNobodyAway(t *testing.T) {
+func TestProcessPauseCausesNoRejection(t *testing.T) {
 	t.Parallel()
 	g := New(Settings{})
 	for now := Time(0); now < sec; now += 5 * ms {
 		g.Late(now, ms)
 	}
 	now := 3 * sec
-	g.Late(now, 2*sec) // nothing ran meanwhile
+	g.Late(now, 2*sec) // the whole process was paused
 	for ; now < 4*sec; now += 5 * ms {
 		if ok, _ := g.Admit(now); !ok {
-			t.Fatalf("turned away at %d us", now)
+			t.Fatalf("rejected at %d us", now)
 		}
 		g.Late(now, ms)
 	}
 }
 
-// What was late for a moment lets a burst in that came meanwhile.
-func TestOneLateIntervalTurnsNobodyAway(t *testing.T) {
+// After a short time of long delays the messages that came in that time are admitted as a burst.
+func TestShortDelaysCauseNoRejection(t *testing.T) {
 	t.Parallel()
 	g := New(Settings{})
 	now := sec
@@ -62,14 +62,14 @@
 		}
 		for range 200 {
 			if ok, _ := g.Admit(now); !ok {
-				t.Fatalf("turned away at %d us", now)
+				t.Fatalf("rejected at %d us", now)
 			}
 		}
 	}
 }
 
-// A core that hardly gets on tells seldom; that is no pause.
-func TestWhatIsVeryLateTurnsWorkAwayAllTheSame(t *testing.T) {
+// A heavily overloaded core reports delays rarely. They must not be taken for separate pauses.
+func TestRareButVeryLongDelaysCauseLimit(t *testing.T) {
 	t.Parallel()
 	g := New(Settings{})
 	now := sec
@@ -78,39 +78,39 @@
 		g.Late(now, 2500*ms)
 	}
 	if !g.Limited() {
-		t.Error("everything waits 2.5 s, and everything is taken")
+		t.Error("everything waits 2.5 s, and everything is admitted")
 	}
 }
 
-// Late things that lie far apart are pauses.
-func TestPausesNowAndThenTurnNobodyAway(t *testing.T) {
+// Long delays far apart are separate pauses of the process.
+func TestSeparatePausesCauseNoRejection(t *testing.T) {
 	t.Parallel()
 	g := New(Settings{})
 	for i := range Time(20) {
 		g.Late(sec+i*3*sec, 300*ms)
 		if g.Limited() {
-			t.Fatalf("after %d pauses", i+1)
+			t.Fatalf("limited after %d pauses", i+1)
 		}
 	}
 }
 
-// swamp makes everything late until the gate turns somebody away, and returns when.
+// swamp reports long delays until the gate rejects a message, and returns the time of that.
 func swamp(t *testing.T, g *Gate, now Time) Time {
 	t.Helper()
 	for end := now + 10*sec; now < end; now += ms {
 		g.Late(now, 100*ms)
 		if ok, after := g.Admit(now); !ok {
 			if after <= 0 {
-				t.Error("who is turned away is not told when to come again")
+				t.Error("a rejection comes without a retry delay")
 			}
 			return now
 		}
 	}
-	t.Fatal("everything is late, and everything is taken")
+	t.Fatal("everything is late, and everything is admitted")
 	return 0
 }
 
-func TestWhileAllIsLateLessIsTakenThanEnds(t *testing.T) {
+func TestFewerAdmittedThanCompletedWhileLate(t *testing.T) {
 	t.Parallel()
 	g := New(Settings{Floor: 1e-6})
 	now := swamp(t, g, 0)
@@ -126,14 +126,14 @@
 		}
 	}
 	if part := float64(taken) / float64(ended); part < 0.5 || part > 0.7 {
-		t.Errorf("%d taken, %d ended", taken, ended)
+		t.Errorf("%d admitted, %d completed", taken, ended)
 	}
 	if !g.Limited() {
-		t.Error("the limit has gone while clients are turned away")
+		t.Error("the limit has ended while messages are rejected")
 	}
 }
 
-func TestWhereNothingEndsAFewAreStillTaken(t *testing.T) {
+func TestMinRateIsAdmittedWithoutCompletions(t *testing.T) {
 	t.Parallel()
 	g := New(Settings{Floor: 100})
 	now := swamp(t, g, 0)
@@ -145,11 +145,11 @@
 		}
 	}
 	if taken < 950 || taken > 1050 {
-		t.Errorf("%d were taken in 10 s, want 1000", taken)
+		t.Errorf("%d were admitted in 10 s, want 1000", taken)
 	}
 }
 
-func TestTheLimitGoesWhenItBindsNobody(t *testing.T) {
+func TestLimitEndsWithoutRejections(t *testing.T) {
 	t.Parallel()
 	g := New(Settings{})
 	now := swamp(t, g, 0)
@@ -157,26 +157,27 @@
 		g.Late(now, ms)
 		g.Done(now, 1)
 		if ok, _ := g.Admit(now); !ok {
-			t.Fatalf("turned away at %d us", now)
+			t.Fatalf("rejected at %d us", now)
 		}
 	}
 	if g.Limited() {
-		t.Error("the limit stays")
+		t.Error("the limit does not end")
 	}
 	for range 100_000 {
 		if ok, _ := g.Admit(now); !ok {
-			t.Fatal("turned away without a limit")
+			t.Fatal("rejected without a limit")
 		}
 	}
 }
 
-// Whatever is told: after a rest no burst comes, and no more is taken than ended, a bank and the floor allow.
-func TestNoMoreIsTakenThanWhatEndedAllows(t *testing.T) {
+// With any sequence of reports: a pause does not allow a burst, and no more messages are admitted than completed messages,
+// saved tokens and the minimum rate allow.
+func TestAdmissionIsBoundedByCompletions(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		g := New(Settings{Floor: 100})
 		now := Time(0)
-		for range 400 { // late all through
+		for range 400 { // all delays are long
 			g.Late(now, sec)
 			now += ms
 		}
@@ -199,40 +200,41 @@
 						taken++
 					}
 					if !g.Limited() {
-						return // it let go: all may come
+						return // the limit has ended: all are admitted
 					}
 				}
 			}
 		}
 		if most := allowed + 100*seconds(now-from); float64(taken) > most+1 {
-			t.Fatalf("%d taken, %.0f allowed", taken, most)
+			t.Fatalf("%d admitted, %.0f allowed", taken, most)
 		}
 	})
 }
 
-// core is a process with one queue: what comes waits its turn, turned away or taken, and what was taken is worked off.
+// core simulates a process with one queue. Each job waits for its turn: admitting or rejecting a message, the work of an
+// admitted message, or a probe.
 type core struct {
 	g                    *Gate
 	now                  Time
-	queue                []job // in order
+	queue                []job // first in, first out
 	held, taken, refused int
 	done                 int
-	longest              Time // from being taken to the end
+	longest              Time // longest time from admission to completion of a message
 }
 
 type job struct {
-	kind int // 0 a client, 1 the work of a message, 2 a probe
+	kind int // 0: request for admission, 1: work of a message, 2: probe
 	at   Time
 	from Time
 }
 
-// run works for a while with so many clients a second.
+// run simulates a span of time with rate requests a second.
 func (c *core) run(span Time, rate float64) {
 	const hear, turn, work = 12, 8, 40 // us
 	due := 0.0
 	next := c.now / ms * ms
 	for end := c.now + span; c.now < end; {
-		for ; next <= c.now; next += ms { // what came within a millisecond
+		for ; next <= c.now; next += ms { // requests of one millisecond arrive together
 			for due += rate / 1000; due >= 1; due-- {
 				c.queue = append(c.queue, job{kind: 0, at: next})
 			}
@@ -269,7 +271,7 @@
 	}
 }
 
-func TestACoreThatIsSwampedDoesWhatItCan(t *testing.T) {
+func TestOverloadedCoreStaysProductive(t *testing.T) {
 	t.Parallel()
 	const can = 1e6 / (12 + 40)
 	for _, times := range []float64{1.2, 1.5, 2, 4} {
@@ -277,10 +279,10 @@
 		c.run(3*sec, times*can)
 		c.done, c.longest = 0, 0
 		c.run(5*sec, times*can)
-		left := 1 - float64(times-1)*can*8/1e6 // of the core, beside turning the surplus away
+		left := 1 - float64(times-1)*can*8/1e6 // part of the core that remains besides rejecting the surplus
 		best := max(left, 0.05) * can * 5
 		if float64(c.done) < 0.8*best {
-			t.Errorf("%gx: %d done, could be %.0f", times, c.done, best)
+			t.Errorf("%gx: %d completed, want about %.0f", times, c.done, best)
 		}
 		if c.longest > 200*ms {
 			t.Errorf("%gx: a message took %d ms", times, c.longest/ms)
@@ -288,17 +290,17 @@
 	}
 }
 
-func TestAfterARushAllIsTakenAgain(t *testing.T) {
+func TestAllIsAdmittedAgainAfterOverload(t *testing.T) {
 	t.Parallel()
 	c := &core{g: New(Settings{})}
 	c.run(3*sec, 60_000)
 	if c.refused == 0 {
-		t.Fatal("nobody was turned away")
+		t.Fatal("no message was rejected")
 	}
 	c.run(2*sec, 5000)
 	c.refused, c.done = 0, 0
 	c.run(2*sec, 5000)
 	if c.refused > 0 || c.done < 9900 {
-		t.Errorf("%d refused, %d done", c.refused, c.done)
+		t.Errorf("%d rejected, %d completed", c.refused, c.done)
 	}
 }
--- a/membership/endpointslice/bench_test.go
+++ b/membership/endpointslice/bench_test.go
@@ -9,7 +9,7 @@
 	"curlewmux/membership"
 )
 
-// BenchmarkChange is what one change costs from the line of the watch to the table: one pod of 100 is replaced.
+// BenchmarkChange measures one change from the watch event to the table: one of 100 pods is replaced.
 func BenchmarkChange(b *testing.B) {
 	line := sample(100)
 	at := bytes.Index(line, []byte("0b0a5b0e-1111-4444-8888-000000000050")) + 24
--- a/membership/endpointslice/example_test.go
+++ b/membership/endpointslice/example_test.go
@@ -11,7 +11,7 @@
 	"curlewmux/membership/endpointslice"
 )
 
-// In process, without the companion: sources tell one table, and what changes goes to whoever sends calls.
+// Without curlewmux-agent: sources report to a table in the same process, and the changes go to the code that makes calls.
 func Example() {
 	access, err := endpointslice.InCluster(os.Getenv)
 	if err != nil {
--- a/membership/endpointslice/fuzz_test.go
+++ b/membership/endpointslice/fuzz_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// reference reads an event with encoding/json, slowly.
+// reference parses an event with encoding/json.
 func reference(line []byte) (ev event, ok bool) {
 	var top map[string]any
 	if json.Unmarshal(line, &top) != nil || top == nil {
@@ -74,8 +74,8 @@
 	return int(f)
 }
 
-// twice tells whether an object of the text has a key twice: encoding/json and the decoder here both take the last, but
-// not what stands in the first.
+// twice reports whether an object in the text has a key twice. Both encoding/json and the decoder here use the last value,
+// but they differ in how they handle the first one.
 func twice(text []byte) bool {
 	d := json.NewDecoder(bytes.NewReader(text))
 	type level struct {
@@ -122,16 +122,16 @@
 		ev, err := decodeEvent(bytes.Clone(line), nil)
 		valid := json.Valid(line)
 		if err == nil && !valid {
-			t.Fatalf("took %q", line)
+			t.Fatalf("accepted %q", line)
 		}
 		want, ok := reference(line)
 		if err != nil {
 			if ok && !strings.Contains(err.Error(), "too deep") && !twice(line) {
-				t.Fatalf("did not take %q: %v", line, err)
+				t.Fatalf("did not accept %q: %v", line, err)
 			}
 			return
 		}
-		// What came out must not lie in the line: the reader uses its bytes again.
+		// The result must not share memory with the line, since the reader reuses its buffer.
 		again := bytes.Clone(line)
 		kept, _ := decodeEvent(again, func(string) Slice { return ev.Slice })
 		for i := range again {
@@ -140,7 +140,7 @@
 		if !reflect.DeepEqual(kept, ev) {
 			t.Fatalf("%q: %+v turned into %+v", line, ev, kept)
 		}
-		// What was known before must make no difference.
+		// The last known state must not affect the result.
 		if old, err := decodeEvent(before, nil); err == nil {
 			with, err := decodeEvent(line, func(string) Slice { return old.Slice })
 			if err != nil || !reflect.DeepEqual(with, ev) {
@@ -149,7 +149,7 @@
 		}
 		ev.Slice.sums = nil
 		if ev.Slice.Err != nil || twice(line) || bytes.Contains(line, []byte(`e`+`+`)) {
-			return // of unfit values the two make different things
+			return // the two handle values of unexpected types differently
 		}
 		if !ok || !reflect.DeepEqual(ev, want) && !exponent(line) {
 			t.Fatalf("%q:\n%+v\n%+v", line, ev, want)
@@ -160,7 +160,7 @@
 	})
 }
 
-// exponent tells whether the text may hold a number in a form that the API never uses (1e2, 1.0).
+// exponent reports whether the text may contain a number in a format that the API never uses (1e2, 1.0).
 func exponent(text []byte) bool {
 	for i := 1; i+1 < len(text); i++ {
 		if c := text[i]; (c == 'e' || c == 'E' || c == '.') && '0' <= text[i-1] && text[i-1] <= '9' {
--- a/membership/endpointslice/kubeconfig/kubeconfig_test.go
+++ b/membership/endpointslice/kubeconfig/kubeconfig_test.go
@@ -20,7 +20,7 @@
 	return path
 }
 
-func TestAKubeconfigGivesServerCAAndToken(t *testing.T) {
+func TestReadServerCAAndToken(t *testing.T) {
 	t.Parallel()
 	s, err := kubeapi.Start(kubeapi.Options{TLS: true})
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestAFaultNamesTheField(t *testing.T) {
+func TestErrorNamesField(t *testing.T) {
 	t.Parallel()
 	config := func(cluster, user string) string {
 		return `{current-context: a, contexts: [{name: a, context: {cluster: c, user: u}}], clusters: [{name: c, cluster: ` + cluster + `}], users: [{name: u, user: ` + user + `}]}`
--- a/membership/endpointslice/set_test.go
+++ b/membership/endpointslice/set_test.go
@@ -20,7 +20,7 @@
 
 var partner = Partner{Name: "archive", Namespace: "partners", Selector: "kubernetes.io/service-name=archive", Port: "http", Dest: 7, Kind: "hooks"}
 
-// slc is a slice with entries as "uid@host" and a letter for each condition: n not ready, t terminating.
+// slc returns a slice with entries given as "uid@host" and a letter for each condition: n not ready, t terminating.
 func slc(name string, entries ...string) Slice {
 	s := Slice{Namespace: "partners", Name: name, Family: "IPv4", Ports: []Port{{"http", 80, true}}}
 	for _, text := range entries {
@@ -59,10 +59,10 @@
 	return strings.Join(words, ", ")
 }
 
-func TestTheSafestStateOfConflictingSlicesCounts(t *testing.T) {
+func TestWorstStateOfConflictingSlicesCounts(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
-	service := func(name, entry string) Slice { // not a pod, which could not come back from terminating
+	service := func(name, entry string) Slice { // not a pod, since a terminating pod stays Leaving
 		s := slc(name, entry)
 		s.Entries[0].Pod = false
 		return s
@@ -74,16 +74,16 @@
 	r.s.Put(at(2), service("c", "u1@10.0.0.1 t"))
 	r.took(2, "u1 leaving")
 	r.s.Remove(at(3), "partners/b")
-	r.took(3, "") // as it was
+	r.took(3, "") // still terminating in c
 	r.s.Remove(at(4), "partners/c")
-	r.took(4, "u1 active") // only a is left to ask
+	r.took(4, "u1 active") // only a lists it now
 	r.s.Remove(at(5), "partners/a")
 	r.took(5, "u1 leaving")
 	r.took(5.2, "")
 	r.took(5.3, "u1 left")
 }
 
-func TestAPodDoesNotComeBackFromTerminating(t *testing.T) {
+func TestTerminatingPodStaysLeaving(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
 	r.s.Put(at(0), slc("a", "u1@10.0.0.1"))
@@ -92,22 +92,22 @@
 	r.s.Remove(at(1), "partners/b")
 	r.took(1, "u1 leaving")
 	r.s.Put(at(2), slc("a", "u1@10.0.0.1 n"))
-	r.s.Put(at(3), slc("a", "u1@10.0.0.1")) // an API server whose data were set back
+	r.s.Put(at(3), slc("a", "u1@10.0.0.1")) // an API server that was restored to an older state
 	r.took(3, "u1 leaving")
 	r.s.Put(at(4), slc("a", "u2@10.0.0.1")) // a new pod at the old address
 	r.took(4, "u1 leaving, u2 active")
 	r.took(5, "u1 left")
 }
 
-func TestServingWhileTerminatingIsNoLastResort(t *testing.T) {
+func TestServingTerminatingEndpointIsNeverActive(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
-	s := slc("a", "u1@10.0.0.1 t", "u2@10.0.0.2 t") // all there is, and ready as publishNotReadyAddresses makes it
+	s := slc("a", "u1@10.0.0.1 t", "u2@10.0.0.2 t") // the only endpoints, and ready because of publishNotReadyAddresses
 	r.s.Put(at(0), s)
 	r.took(0, "u1 leaving, u2 leaving")
 }
 
-func TestAMoveInEitherOrderIsNeverGoneAndNeverTwice(t *testing.T) {
+func TestEndpointMovingBetweenSlicesNeverLeaves(t *testing.T) {
 	t.Parallel()
 	moves := map[string][]func(*Set, time.Time){
 		"dropped first": {
@@ -135,7 +135,7 @@
 				changes, _ := r.s.Take(now, 0)
 				for _, e := range changes {
 					if e.Phase == membership.Left {
-						t.Errorf("step %d: %s counts as gone", i, e.ID)
+						t.Errorf("step %d: %s is Left", i, e.ID)
 					}
 				}
 				if got := len(r.s.Whole(now)); got != 2 {
@@ -150,7 +150,7 @@
 	}
 }
 
-func TestWhatIsDroppedGetsNoNewWorkAtOnce(t *testing.T) {
+func TestDroppedEndpointIsLeavingAtOnce(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
 	r.s.Put(at(0), slc("a", "u1@10.0.0.1", "u2@10.0.0.2"))
@@ -159,7 +159,7 @@
 	r.took(1, "u1 leaving")
 }
 
-func TestARemovalNeverWaitsBehindAdditions(t *testing.T) {
+func TestRemovalDoesNotWaitForAdditions(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
 	r.s.Put(at(0), slc("a", "u1@10.0.0.1"))
@@ -178,14 +178,14 @@
 	if len(changes) != 11 || !more || changes[0].ID != "7/u1" {
 		t.Errorf("%v, more %v", show(changes), more)
 	}
-	r.s.Put(at(1), slc("b")) // those that still wait have gone again: nothing is left of them
+	r.s.Put(at(1), slc("b")) // the waiting additions are removed again: nothing of them is kept
 	changes, more = r.s.Take(at(1), 10)
 	if more || len(r.s.changed) > 0 {
 		t.Errorf("%v, more %v", show(changes), more)
 	}
 }
 
-func TestAListTakesAwayBeforeItsEndAndGivesUpOnlyThen(t *testing.T) {
+func TestListDrainsAtOnceAndRemovesAtItsEnd(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
 	r.s.Begin()
@@ -196,7 +196,7 @@
 	r.s.Begin()
 	r.s.Put(at(1), slc("a", "u1@10.0.0.1 t"))
 	r.took(1, "u1 leaving, u2 leaving")
-	r.took(60, "") // a long list: u2 may stand in a slice that is still to come
+	r.took(60, "") // the list is still being read: a later slice may contain u2
 	r.s.Put(at(60), slc("c", "u2@10.0.0.2"))
 	r.took(60, "u2 active")
 	if r.s.End(at(61)) {
@@ -206,7 +206,7 @@
 	r.took(62, "u3 left")
 }
 
-func TestAListThatBreaksOffTakesNobodyOut(t *testing.T) {
+func TestIncompleteListRemovesNothing(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
 	r.s.Begin()
@@ -216,14 +216,14 @@
 	r.took(0, "u1 active, u2 active")
 	r.s.Begin()
 	r.s.Put(at(1), slc("a", "u1@10.0.0.1"))
-	r.s.Begin() // the first broke off
+	r.s.Begin() // the first list was not completed
 	r.s.Put(at(2), slc("b", "u2@10.0.0.2"))
 	r.took(3, "")
 	r.s.End(at(3))
 	r.took(3, "u1 leaving")
 }
 
-func TestAnEmptyListStopsWorkButKeepsTheEndpointsForAWhile(t *testing.T) {
+func TestEmptyListDrainsEndpointsBeforeRemoval(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
 	list := func(s float64, all ...Slice) bool {
@@ -234,26 +234,26 @@
 		return r.s.End(at(s))
 	}
 	if list(0) {
-		t.Error("a first list that is empty empties nothing")
+		t.Error("an empty first list counts as having dropped endpoints")
 	}
 	list(1, slc("a", "u1@10.0.0.1"))
 	r.took(1, "u1 active")
 	if !list(2) {
-		t.Error("not noticed")
+		t.Error("an empty list is not detected")
 	}
 	r.took(2, "u1 leaving")
 	r.took(30, "")
 	list(31, slc("a", "u1@10.0.0.1"))
 	r.took(31, "u1 active")
 	if !list(40, slc("a")) {
-		t.Error("a slice without endpoints is as empty")
+		t.Error("a list of slices without endpoints does not count as empty")
 	}
 	r.took(40, "u1 leaving")
 	r.took(99.9, "")
 	r.took(100, "u1 left")
 }
 
-func TestDefaultsOfAbsentConditionsAndOddEntries(t *testing.T) {
+func TestAbsentConditionsAndUnusableEntries(t *testing.T) {
 	t.Parallel()
 	o, err := decodeSlice([]byte(`{"metadata":{"namespace":"partners","name":"a"},"addressType":"IPv4","ports":[{"name":"http","port":80},{"name":"admin","port":81},{"name":"http","port":82,"protocol":"UDP"}],
 		"endpoints":[{"addresses":["10.0.0.1","10.0.0.9"]},{"addresses":["10.0.0.2"],"conditions":{"ready":null,"serving":false}},
@@ -279,7 +279,7 @@
 	}
 }
 
-func TestDualStackCountsOnceAtThePreferredAddress(t *testing.T) {
+func TestDualStackEndpointUsesPreferredAddress(t *testing.T) {
 	t.Parallel()
 	for _, v6 := range []bool{false, true} {
 		p := partner
@@ -301,7 +301,7 @@
 	}
 }
 
-func TestTheOnlyPortNeedsNoName(t *testing.T) {
+func TestSinglePortNeedsNoName(t *testing.T) {
 	t.Parallel()
 	p := partner
 	p.Port = ""
@@ -320,7 +320,7 @@
 	}
 }
 
-func TestAnUnreadableSliceKeepsItsLastState(t *testing.T) {
+func TestUnreadableSliceKeepsItsLastState(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
 	r.s.Put(at(0), slc("a", "u1@10.0.0.1"))
@@ -338,7 +338,7 @@
 	}
 }
 
-func TestAChangedPortChangesTheAddressOfAll(t *testing.T) {
+func TestChangedPortChangesAllAddresses(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
 	r.s.Put(at(0), slc("a", "u1@10.0.0.1", "u2@10.0.0.2"))
@@ -352,8 +352,8 @@
 	}
 }
 
-// Guards against an API server that was set back to before a pod ended: the pod is gone, and gets nothing new.
-func TestAPodThatHasEndedAndLeftDoesNotComeBack(t *testing.T) {
+// An API server that was restored to an older state may list a pod that has terminated since. The pod gets no new calls.
+func TestTerminatedPodStaysLeavingAfterItLeft(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
 	r.s.Put(at(0), slc("a", "u1@10.0.0.1"))
@@ -365,15 +365,15 @@
 	r.took(3, "u1 left")
 	r.s.Put(at(4), slc("a", "u1@10.0.0.1", "u2@10.0.0.2"))
 	r.took(4, "u1 leaving, u2 active")
-	for i := range 2 * mostEnded { // what is kept of them is bounded
+	for i := range 2 * mostEnded { // the number of remembered pods is limited
 		r.s.Put(at(5), slc("b", fmt.Sprintf("v%d@10.0.1.1 t", i)))
 	}
 	if len(r.s.ended) != mostEnded || len(r.s.endedList) != mostEnded {
-		t.Errorf("%d and %d are kept", len(r.s.ended), len(r.s.endedList))
+		t.Errorf("%d and %d are remembered", len(r.s.ended), len(r.s.endedList))
 	}
 }
 
-func TestTheSetIsBounded(t *testing.T) {
+func TestSetIsBounded(t *testing.T) {
 	t.Parallel()
 	p := partner
 	p.Most = 100
@@ -396,7 +396,7 @@
 	}
 }
 
-// slowState says what a set of slices makes of each endpoint, by the rules and nothing else.
+// slowState is a reference implementation of the rules. It computes the phase of each endpoint from the slices.
 func slowState(all map[string]Slice, terminated map[string]bool) map[string]membership.Phase {
 	out := map[string]membership.Phase{}
 	for _, s := range all {
@@ -414,7 +414,7 @@
 	return out
 }
 
-func TestTheSetDoesWhatTheSlowModelDoes(t *testing.T) {
+func TestSetMatchesModel(t *testing.T) {
 	t.Parallel()
 	drawEntry := rapid.Custom(func(t *rapid.T) string {
 		n := rapid.IntRange(1, 5).Draw(t, "n")
@@ -428,9 +428,9 @@
 		}
 		now := start
 		all := map[string]Slice{}
-		terminated := map[string]bool{} // for ever: there are few
+		terminated := map[string]bool{} // never forgotten, since there are few
 		dropped := map[string]time.Time{}
-		seen := map[string]bool{} // slices in the list that is being read; nil if none is
+		seen := map[string]bool{} // slices of the current list
 		listing := false
 		note := func() {
 			state := slowState(all, nil)
@@ -484,7 +484,7 @@
 			}
 			changes, more := set.Take(now, 0)
 			if more {
-				t.Fatal("something was held back")
+				t.Fatal("Take held changes back without a limit")
 			}
 			if _, refused, err := table.Tell(now, "s", membership.Update{Endpoints: changes}); err != nil || len(refused) > 0 {
 				t.Fatal(err, refused)
@@ -500,14 +500,14 @@
 			}
 			for uid, phase := range got {
 				if phase == membership.Active && named[uid] != membership.Active {
-					t.Fatalf("%s is active, and no slice says so", uid)
+					t.Fatalf("%s is active, but not in the slices", uid)
 				}
 				if _, ok := want[uid]; !ok && !set.isHeld(uid) {
 					t.Fatalf("%s is still there; dropped at %v, now %v", uid, dropped[uid], now)
 				}
 			}
 			for uid := range was {
-				if _, ok := got[uid]; !ok { // it has left: the set may forget what it knew
+				if _, ok := got[uid]; !ok { // it has left, and the set may have forgotten it
 					delete(dropped, uid)
 				}
 			}
@@ -516,7 +516,7 @@
 	})
 }
 
-// isHeld tells whether an endpoint is kept longer since a list named nobody.
+// isHeld reports whether an endpoint is kept for EmptyHold because of an empty list.
 func (s *Set) isHeld(uid string) bool {
 	return slices.ContainsFunc(s.held, func(d drop) bool { return d.holds() && d.e.id == "7/"+uid })
 }
--- a/membership/endpointslice/source_test.go
+++ b/membership/endpointslice/source_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// world is a stand-in API server, a source that reads it and a table that it tells.
+// world is a stand-in API server, a source that reads from it and a table that the source reports to.
 type world struct {
 	*testing.T
 	api *kubeapi.Server
@@ -31,8 +31,8 @@
 	mu      sync.Mutex
 	table   *membership.Table
 	kinds   []membership.UpdateKind
-	history map[string][]membership.Phase // of each endpoint, as the table gave it out
-	hold    chan struct{}                 // while set, the taker is busy
+	history map[string][]membership.Phase // phases of each endpoint, as reported by the table
+	hold    chan struct{}                 // if set, tell blocks until it is closed
 }
 
 var labels = map[string]string{"kubernetes.io/service-name": "archive"}
@@ -72,7 +72,7 @@
 	return s
 }
 
-// run starts the source; it ends with the test.
+// run starts the source, which ends with the test.
 func (w *world) run() *world {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -149,7 +149,7 @@
 	return s
 }
 
-func TestListsAndThenFollowsByEachWayOfListing(t *testing.T) {
+func TestListAndWatch(t *testing.T) {
 	t.Parallel()
 	for _, plain := range []bool{false, true} {
 		t.Run(fmt.Sprintf("plain %v", plain), func(t *testing.T) {
@@ -171,13 +171,13 @@
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			if !w.table.Complete() {
-				t.Error("no whole list was told")
+				t.Error("no full list was reported")
 			}
 		})
 	}
 }
 
-func TestAListOfManyPagesIsReadWhole(t *testing.T) {
+func TestAllPagesOfListAreRead(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, kubeapi.Options{NoStreaming: true})
 	for i := range 2*pageSize + 1 {
@@ -189,7 +189,7 @@
 	}
 }
 
-func TestAPageThatExpiresIsReadAgainInOne(t *testing.T) {
+func TestExpiredPageFallsBackToSingleRequest(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, kubeapi.Options{NoStreaming: true})
 	for i := range pageSize + 1 {
@@ -207,11 +207,11 @@
 	if _, err := w.src.page(t.Context(), first, func(*object, int) {}); err == nil || !strings.Contains(err.Error(), "410") {
 		t.Fatal(err)
 	}
-	w.api.Fail(kubeapi.Fault{Verb: "list", Code: 410, Continued: true}) // compacted faster than pages can be read
+	w.api.Fail(kubeapi.Fault{Verb: "list", Code: 410, Continued: true}) // history is compacted faster than the pages can be read
 	w.run().stats(func(s Stats) bool { return s.Lists == 1 && s.Named == pageSize+1 && s.Gone == 1 })
 }
 
-func TestAnExpiredVersionIsListedAnewWithoutAGap(t *testing.T) {
+func TestExpiredVersionCausesNewList(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, kubeapi.Options{})
 	w.put("a", "u1@10.0.0.1", "u2@10.0.0.2")
@@ -231,7 +231,7 @@
 	}
 }
 
-func TestABookmarkMovesTheVersionOn(t *testing.T) {
+func TestBookmarkAdvancesResourceVersion(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, kubeapi.Options{Bookmarks: 5 * time.Millisecond})
 	w.put("a", "u1@10.0.0.1")
@@ -241,7 +241,7 @@
 		other.Labels = nil
 		w.api.Put(other)
 	}
-	// Only if the version of a bookmark counts the watch can go on where history begins now.
+	// The history now starts at the version of the last bookmark, so the watch can resume only from there.
 	want := fmt.Sprint(w.api.Version())
 	w.stats(func(s Stats) bool { return s.Version == want })
 	w.api.Compact()
@@ -253,7 +253,7 @@
 	}
 }
 
-func TestBrokenWatchesGoOnWhereTheyWere(t *testing.T) {
+func TestBrokenWatchResumes(t *testing.T) {
 	t.Parallel()
 	for _, half := range []bool{false, true} {
 		w := newWorld(t, kubeapi.Options{})
@@ -273,7 +273,7 @@
 	}
 }
 
-func TestAnEventInPiecesIsReadWhole(t *testing.T) {
+func TestEventInFragmentsIsRead(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, kubeapi.Options{})
 	w.put("a", "u1@10.0.0.1")
@@ -283,7 +283,7 @@
 	w.await("u1 leaving")
 }
 
-func TestASilentWatchIsBegunAnew(t *testing.T) {
+func TestIdleWatchIsRestarted(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, kubeapi.Options{})
 	w.src.t.Silence = 100 * time.Millisecond
@@ -299,7 +299,7 @@
 	w.await("u1 leaving")
 }
 
-func TestAStreamingListWithoutAnEndFallsBackToPages(t *testing.T) {
+func TestStalledStreamingListFallsBackToPages(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, kubeapi.Options{})
 	w.src.t.Sync = 50 * time.Millisecond
@@ -312,7 +312,7 @@
 	w.api.Heal()
 }
 
-func TestAnAPIServerThatRestartsIsFoundAgain(t *testing.T) {
+func TestReconnectAfterAPIServerRestart(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, kubeapi.Options{TLS: true})
 	w.put("a", "u1@10.0.0.1", "u2@10.0.0.2")
@@ -320,7 +320,7 @@
 	w.api.Stop()
 	w.stats(func(s Stats) bool { return s.Failures >= 3 })
 	if got := w.list(); got != "u1 active, u2 active" {
-		t.Fatal("the list at hand went:", got)
+		t.Fatal("the endpoints changed:", got)
 	}
 	w.put("a", "u1@10.0.0.1 t", "u2@10.0.0.2")
 	if err := w.api.Resume(); err != nil {
@@ -334,7 +334,7 @@
 	}, func() string { return "the source still counts as failing" })
 }
 
-func TestDataThatWereSetBackAreListedAnew(t *testing.T) {
+func TestRestoredServerDataCauseNewList(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, kubeapi.Options{})
 	w.put("a", "u1@10.0.0.1", "u2@10.0.0.2")
@@ -344,19 +344,19 @@
 		w.put("a", "u1@10.0.0.1", "u2@10.0.0.2 t")
 	}
 	newest := fmt.Sprint(w.api.Version())
-	w.stats(func(s Stats) bool { return s.Version == newest }) // versions that grow back beyond ours unseen can't be told
+	w.stats(func(s Stats) bool { return s.Version == newest }) // versions that have grown beyond the last known one can't be detected
 	w.await("u1 active, u2 leaving")
 	w.api.Stop()
 	w.api.SetBack(old)
-	w.put("b", "u3@10.0.0.3") // a version that the source believes to know
+	w.put("b", "u3@10.0.0.3") // gets a version that the source has seen before
 	if err := w.api.Resume(); err != nil {
 		t.Fatal(err)
 	}
-	w.await("u1 active, u2 leaving, u3 active") // u2 is a pod that was terminating: it stays so
+	w.await("u1 active, u2 leaving, u3 active") // u2 was terminating and stays Leaving
 	w.stats(func(s Stats) bool { return s.SetBack == 1 })
 }
 
-func TestAnOlderVersionOnAnOpenWatchIsNoticed(t *testing.T) {
+func TestOlderVersionOnOpenWatchIsDetected(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, kubeapi.Options{Bookmarks: 5 * time.Millisecond})
 	w.put("a", "u1@10.0.0.1")
@@ -366,12 +366,12 @@
 		w.put("b", "u2@10.0.0.2")
 	}
 	w.await("u1 active, u2 active")
-	w.api.SetBack(old) // no event tells of it; bookmarks have the older version
+	w.api.SetBack(old) // causes no event, but bookmarks have the older version
 	w.await("u1 active")
 	w.stats(func(s Stats) bool { return s.SetBack == 1 })
 }
 
-func TestARefusalKeepsTheListAndMendsItself(t *testing.T) {
+func TestErrorResponseKeepsEndpointsUntilRecovery(t *testing.T) {
 	t.Parallel()
 	for _, code := range []int{401, 403, 429, 500} {
 		t.Run(fmt.Sprint(code), func(t *testing.T) {
@@ -414,7 +414,7 @@
 	w.stats(func(s Stats) bool { return s.Gone == 1 && s.Lists >= 2 })
 }
 
-func TestRetryAfterIsHeeded(t *testing.T) {
+func TestRetryAfterIsHonoured(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, kubeapi.Options{})
 	w.api.Fail(kubeapi.Fault{Code: 429, RetryAfter: 1, Times: 1})
@@ -422,11 +422,11 @@
 	began := time.Now()
 	w.run().await("u1 active")
 	if d := time.Since(began); d < time.Second {
-		t.Errorf("came again after %v", d)
+		t.Errorf("retried after %v", d)
 	}
 }
 
-func TestATokenThatRotatesIsReadAnew(t *testing.T) {
+func TestRotatedCredentialsAreReloaded(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, kubeapi.Options{TLS: true, Tokens: []string{"t1"}})
 	dir := t.TempDir()
@@ -465,7 +465,7 @@
 	w.await("u2 active")
 }
 
-func TestAnAnswerThatIsNoListEmptiesNothing(t *testing.T) {
+func TestMalformedListIsAnError(t *testing.T) {
 	t.Parallel()
 	for _, body := range []string{
 		`{}`, `null`, `[]`, ``, `{"kind":"Status","status":"Failure","code":500}`,
@@ -475,7 +475,7 @@
 		`{"kind":"PodList","metadata":{"resourceVersion":"1"},"items":[]}`,
 	} {
 		if _, err := readPage(strings.NewReader(body), func(*object, int) {}); err == nil {
-			t.Errorf("%s passed for a list", body)
+			t.Errorf("%s was accepted as a list", body)
 		}
 	}
 	p, err := readPage(strings.NewReader(`{"kind":"EndpointSliceList","metadata":{"resourceVersion":"1"},"items":null}`), nil)
@@ -484,7 +484,7 @@
 	}
 }
 
-func TestAMistakenlyEmptyListIsLookedAtAgain(t *testing.T) {
+func TestEmptyListIsReadAgain(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, kubeapi.Options{})
 	w.put("a", "u1@10.0.0.1")
@@ -496,7 +496,7 @@
 	w.api.Compact()
 	w.await("u1 leaving")
 	w.stats(func(s Stats) bool { return s.Emptied == 1 && s.Lists >= 4 })
-	w.api.Blind(false) // without an event
+	w.api.Blind(false) // the server sends no event for this
 	w.await("u1 active")
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -505,7 +505,7 @@
 	}
 }
 
-func TestABadSliceSpoilsNoOther(t *testing.T) {
+func TestUnreadableSliceDoesNotAffectOthers(t *testing.T) {
 	t.Parallel()
 	for _, plain := range []bool{false, true} {
 		w := newWorld(t, kubeapi.Options{NoStreaming: plain})
@@ -523,7 +523,7 @@
 	}
 }
 
-func TestWhileTheTakerIsBusyOnlyTheNewestStateWaits(t *testing.T) {
+func TestOnlyNewestStateWaitsForBusyReceiver(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, kubeapi.Options{})
 	w.put("a", "u1@10.0.0.1")
@@ -542,7 +542,7 @@
 	waiting := len(w.src.set.changed)
 	w.src.mu.Unlock()
 	if waiting > 10 {
-		t.Errorf("%d wait", waiting)
+		t.Errorf("%d changes wait", waiting)
 	}
 	w.mu.Lock()
 	w.hold = nil
@@ -552,11 +552,11 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.history) > 10 {
-		t.Errorf("%d endpoints were told", len(w.history))
+		t.Errorf("%d endpoints were reported", len(w.history))
 	}
 }
 
-func TestTenThousandEndpointsInSlicesOfAThousand(t *testing.T) {
+func TestTenThousandEndpoints(t *testing.T) {
 	t.Parallel()
 	for _, plain := range []bool{false, true} {
 		w := newWorld(t, kubeapi.Options{NoStreaming: plain})
@@ -587,7 +587,7 @@
 	}
 }
 
-func TestTheTokenDoesNotFollowARedirect(t *testing.T) {
+func TestRedirectDoesNotGetToken(t *testing.T) {
 	t.Parallel()
 	got := make(chan string, 10)
 	l := httpServer(t, func(rw http.ResponseWriter, r *http.Request) { got <- r.Header.Get("Authorization") })
--- a/membership/model_test.go
+++ b/membership/model_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// model is the table's rules written down slowly: it keeps the claims and works out the whole list anew each time.
+// model is a slow reference implementation of the table's rules. It recomputes the whole list after each update.
 type model struct {
 	sources  []string
 	remember time.Duration
-	claims   map[string]map[string]Endpoint // source, id
-	left     map[string]time.Time           // since when no source names the id
+	claims   map[string]map[string]Endpoint // by source and ID
+	left     map[string]time.Time           // when the last source stopped listing the ID
 }
 
 func (m *model) tell(now time.Time, source string, u Update) {
@@ -70,7 +70,7 @@
 	}
 	for id := range m.left {
 		if !ids[id] {
-			delete(m.left, id) // nobody has a word on it any more
+			delete(m.left, id) // no source has a claim on it any more
 		}
 	}
 	for id := range ids {
@@ -139,7 +139,7 @@
 		list = append(list, e)
 	}
 	slices.SortFunc(list, func(a, b Endpoint) int { return slices.Compare([]byte(a.ID), []byte(b.ID)) })
-	// One address is Active once.
+	// For each destination and address only one endpoint is Active.
 	final := slices.Clone(list)
 	for i, e := range list {
 		for j, o := range list {
@@ -164,8 +164,8 @@
 	}
 }
 
-// checkChanges applies changes to what was given out before, and fails if one of them changes nothing or comes in another
-// order than the documented one.
+// checkChanges applies changes to the endpoints reported so far. It fails if a change has no effect or if the order is not
+// the documented one.
 func checkChanges(fail func(string, ...any), given map[string]Endpoint, changes []Endpoint) {
 	for i, e := range changes {
 		if i > 0 {
@@ -192,7 +192,7 @@
 	return list
 }
 
-func TestTheTableDoesWhatTheSlowModelDoes(t *testing.T) {
+func TestTableMatchesModel(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		sources := []string{"x", "y", "z"}
@@ -234,8 +234,8 @@
 	})
 }
 
-// FuzzMerge plays updates made from bytes: nothing may panic, changes must add up to the list, and what they say must not
-// depend on the run.
+// FuzzMerge applies updates made from bytes: nothing may panic, the changes must add up to the list, and two runs must give
+// the same changes.
 func FuzzMerge(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
 	f.Add([]byte{1, 255, 1, 0, 2, 128, 3, 3, 3, 64, 1, 1, 1, 9, 9, 9})
--- a/membership/partnerlist/notices_test.go
+++ b/membership/partnerlist/notices_test.go
@@ -21,7 +21,7 @@
 	"curlewmux/internal/host"
 )
 
-// delivered runs notices on a script until nothing is left to do.
+// delivered creates Notices on a script. It is closed when nothing is left to do.
 func delivered(s *script) (n *Notices, through *[]string) {
 	n = NewNotices(s, "agent:1", quiet())
 	through = &[]string{}
@@ -36,7 +36,7 @@
 
 func failed(id string) *engine.Done { return &engine.Done{ID: id, How: engine.Failed} }
 
-// idsOf are the ids in a body of notices, which must be readable.
+// idsOf parses a body of notices and returns their ids.
 func idsOf(t *testing.T, body string) (ids []string) {
 	t.Helper()
 	for line := range strings.Lines(body) {
@@ -47,8 +47,8 @@
 	return ids
 }
 
-// Notices are tried until they are taken, and go out several at a time.
-func TestNoticesAreTriedUntilTaken(t *testing.T) {
+// Notices are retried until discovery accepts them, and several go into one request.
+func TestNoticesAreRetriedUntilAccepted(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
 	bodies := []string{}
@@ -69,7 +69,7 @@
 	defer s.Close()
 	n := NewNotices(host.System{}, s.Listener.Addr().String(), quiet())
 	through := make(chan []string, 10)
-	n.agent.inbox.Put(&notice{id: "a"}) // with what comes next in one call
+	n.agent.inbox.Put(&notice{id: "a"}) // goes into the same request as the next one
 	n.agent.inbox.Put(&notice{id: "b", deferred: true, again: time.Second})
 	n.Start(func(ids []string) { through <- ids })
 	defer n.Close()
@@ -77,14 +77,14 @@
 	case ids := <-through:
 		want := `{"id":"a","status":"undeliverable"}` + "\n" + `{"id":"b","status":"deferred","again_ms":1000}` + "\n"
 		if !slices.Equal(ids, []string{"a", "b"}) || !slices.Equal(bodies, []string{want, want, want}) {
-			t.Errorf("%v through, bodies %q", ids, bodies)
+			t.Errorf("%v acknowledged, bodies %q", ids, bodies)
 		}
 	case <-time.After(generous):
-		t.Fatal("not through")
+		t.Fatal("not acknowledged")
 	}
 	n.Done(refused("c", 0))
 	if ids := <-through; !slices.Equal(ids, []string{"c"}) {
-		t.Errorf("%v through", ids)
+		t.Errorf("%v acknowledged", ids)
 	}
 	mu.Lock()
 	defer mu.Unlock()
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestWhatNobodyWaitsForIsNotTold(t *testing.T) {
+func TestNoNoticeUnlessUndelivered(t *testing.T) {
 	t.Parallel()
 	s := newScript(func(call) reply { return reply{text: status(204, "")} })
 	n, through := delivered(s)
@@ -102,11 +102,11 @@
 	}
 	n.run()
 	if len(s.calls) > 0 || len(*through) > 0 {
-		t.Errorf("notices %v, %v through", s.calls, *through)
+		t.Errorf("notices %v, %v acknowledged", s.calls, *through)
 	}
 }
 
-// No body is larger than discovery takes, and the order is kept over many.
+// No body is larger than discovery accepts, and the order is kept over many requests.
 func TestNoticesGoOutInOrderAndInBoundedBodies(t *testing.T) {
 	t.Parallel()
 	s := newScript(nil)
@@ -130,19 +130,19 @@
 	for i := range 3000 {
 		end(i)
 	}
-	for i := range 20 { // in the pauses between
+	for i := range 20 { // during the pauses
 		s.in(time.Duration(i)*10*time.Millisecond, func() { end(3000 + i) })
 	}
 	n.run()
 	if !slices.Equal(got, want) || !slices.Equal(*through, want) {
-		t.Errorf("%d notices taken and %d through of %d, or another order", len(got), len(*through), len(want))
+		t.Errorf("%d notices accepted and %d acknowledged of %d, or in another order", len(got), len(*through), len(want))
 	}
 	if cap(n.pending) > 0 {
-		t.Errorf("room for %d notices is kept after the rush", cap(n.pending))
+		t.Errorf("memory for %d notices is kept after the burst", cap(n.pending))
 	}
 }
 
-// Where discovery can't read one notice of many, that one is dropped and no other; all are through.
+// If discovery can't read one of many notices, only that one is dropped. All count as acknowledged.
 func TestOneUnreadableNoticeIsDroppedAlone(t *testing.T) {
 	t.Parallel()
 	for name, bad := range map[string][]int{
@@ -172,16 +172,16 @@
 		}
 		n.run()
 		if !slices.Equal(got, good) || !slices.Equal(*through, all) {
-			t.Errorf("%s: %d taken, %d through", name, len(got), len(*through))
+			t.Errorf("%s: %d accepted, %d acknowledged", name, len(got), len(*through))
 		}
-		if most := 1 + 22*len(bad); len(s.calls) > most { // twice the halvings of 700, and one
+		if most := 1 + 22*len(bad); len(s.calls) > most { // up to twice the number of times that 700 can be halved, plus one
 			t.Errorf("%s: %d calls, want %d at most", name, len(s.calls), most)
 		}
 	}
 }
 
-// Discovery that can read nothing at all is not asked without a pause, and does not keep anything for ever.
-func TestDiscoveryThatReadsNothingMakesNoBusyLoop(t *testing.T) {
+// If discovery can read no notice at all, calls are paced, and no notice is kept for ever.
+func TestNoBusyLoopIfNoticesAreUnreadable(t *testing.T) {
 	t.Parallel()
 	s := newScript(func(call) reply { return reply{text: status(400, "")} })
 	n, through := delivered(s)
@@ -191,15 +191,15 @@
 	begun := s.now
 	n.run()
 	if len(*through) != 100 {
-		t.Errorf("%d of 100 through", len(*through))
+		t.Errorf("%d of 100 acknowledged", len(*through))
 	}
 	if took := s.now.Sub(begun); len(s.calls) > paceFree+1+int(took/paceGap) {
 		t.Errorf("%d calls in %v", len(s.calls), took)
 	}
 }
 
-// What the old address has not taken goes to the new one, at once.
-func TestNoticesMoveWithDiscovery(t *testing.T) {
+// Notices that the old address has not accepted go to the new one at once.
+func TestNoticesFollowAddress(t *testing.T) {
 	t.Parallel()
 	for name, old := range map[string]reply{
 		"silent": {}, "in a pause": {text: status(500, "")}, "unreadable to it": {after: 4 * time.Millisecond, text: status(400, "")},
@@ -223,7 +223,7 @@
 		}
 		s.in(5*time.Millisecond, func() {
 			if !n.Move("agent:2") {
-				t.Errorf("%s: another address is not told as one", name)
+				t.Errorf("%s: Move returns false for a different address", name)
 			}
 		})
 		for _, id := range []string{"a", "b", "c", "d"} {
@@ -231,7 +231,7 @@
 		}
 		n.run()
 		if !slices.Equal(got, []string{"a", "b", "c", "d"}) || !slices.Equal(*through, got) {
-			t.Errorf("%s: taken %v, through %v", name, got, *through)
+			t.Errorf("%s: accepted %v, acknowledged %v", name, got, *through)
 		}
 		if moved != 1 {
 			t.Errorf("%s: the new address is tried %d times", name, moved)
@@ -242,8 +242,8 @@
 	}
 }
 
-// A connection that is kept between calls is closed with the last address that it went to, and by Close.
-func TestNoConnectionIsLeftBehind(t *testing.T) {
+// A persistent connection is closed when the address changes, and by Close.
+func TestConnectionIsClosedOnMoveAndClose(t *testing.T) {
 	t.Parallel()
 	for name, leave := range map[string]func(*Notices){
 		"move": func(n *Notices) { n.Move("127.0.0.1:1") }, "close": func(n *Notices) { n.Close() },
@@ -270,13 +270,13 @@
 		<-through
 		leave(n)
 		if _, err := br.ReadByte(); err != io.EOF {
-			t.Errorf("%s: the connection is left with %v", name, err)
+			t.Errorf("%s: reading from the connection gives %v", name, err)
 		}
 	}
 }
 
-// When the time for a call is up on a connection that was kept, no new one is tried: a dial would have no limit.
-func TestNoDialOnceTheTimeIsUp(t *testing.T) {
+// If the deadline of a call passes on a persistent connection, no new one is dialled, since the dial would have no limit.
+func TestNoDialAfterDeadline(t *testing.T) {
 	t.Parallel()
 	s := newScript(nil)
 	a := newAgent(s, "agent:1")
@@ -285,8 +285,8 @@
 	}
 }
 
-// Close ends a call that hangs, and what comes later is dropped: the store still has it.
-func TestCloseEndsACallThatHangs(t *testing.T) {
+// Close aborts a hanging call. Later results are dropped, since the store still has them.
+func TestCloseAbortsHangingCall(t *testing.T) {
 	t.Parallel()
 	asked := make(chan bool, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -296,7 +296,7 @@
 	}))
 	defer s.Close()
 	n := NewNotices(host.System{}, s.Listener.Addr().String(), quiet())
-	n.Start(func(ids []string) { t.Errorf("%v through", ids) })
+	n.Start(func(ids []string) { t.Errorf("%v acknowledged", ids) })
 	n.Done(failed("a"))
 	<-asked
 	n.Close()
--- a/membership/partnerlist/script_test.go
+++ b/membership/partnerlist/script_test.go
@@ -35,7 +35,7 @@
 
 func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// names know the zone "east" as 0 and "far west" as 1, and the kind "hooks" as 0.
+// names has the zones "east" (0) and "far west" (1) and the kind "hooks" (0).
 func names() Names {
 	index := func(list ...string) func(string) int {
 		return func(name string) int { return slices.Index(list, name) }
@@ -43,15 +43,15 @@
 	return Names{Zone: index("east", "far_west"), Kind: index("hooks")}
 }
 
-// script is a host for one goroutine, on which time passes only where that goroutine waits. What it asks of the agent is
-// answered by serve.
+// script is a simulated host for one goroutine. Time passes only while that goroutine waits. serve responds to its calls in
+// place of the agent.
 type script struct {
 	now    time.Time
 	timers []alarm
 	calls  []call
 	dials  int
 	serve  func(c call) reply
-	idle   func() // runs when nothing is left to wait for
+	idle   func() // is called when there is nothing left to wait for
 }
 
 type call struct {
@@ -60,11 +60,11 @@
 	body               string
 }
 
-// reply is what the agent does with a call.
+// reply is the agent's response to a call.
 type reply struct {
 	after time.Duration
-	text  string // "" for silence
-	hang  bool   // the agent closes the connection behind the answer, and does not say so
+	text  string // "" for no response
+	hang  bool   // the agent closes the connection after the response without announcing it
 }
 
 type alarm struct {
@@ -76,7 +76,7 @@
 	return &script{now: time.Unix(1_000_000, 0), serve: serve}
 }
 
-// pass lets time pass until t, or until something that was to happen before has.
+// pass advances the time to t. If a timer is due by then, it advances only to that timer and runs it.
 func (s *script) pass(t time.Time) {
 	if len(s.timers) > 0 && !s.timers[0].at.After(t) {
 		next := s.timers[0]
@@ -88,7 +88,7 @@
 	s.now = later(s.now, t)
 }
 
-// in has something happen after d.
+// in sets a timer that runs do after d.
 func (s *script) in(d time.Duration, do func()) {
 	s.timers = append(s.timers, alarm{s.now.Add(d), do})
 	slices.SortStableFunc(s.timers, func(a, b alarm) int { return a.at.Compare(b.at) })
@@ -138,7 +138,7 @@
 		case b.script.idle != nil:
 			b.script.idle()
 		default:
-			panic("waits for ever")
+			panic("would wait for ever")
 		}
 	}
 	into = append(into, b.list...)
@@ -177,7 +177,7 @@
 	}
 	k := call{c.script.now, c.addr, r.Method, r.RequestURI, string(body)}
 	if c.hang {
-		return len(b), nil // nobody reads it
+		return len(b), nil // the agent has closed the connection
 	}
 	if c.script.calls = append(c.script.calls, k); len(c.script.calls) > 10_000 {
 		panic("a busy loop")
@@ -208,19 +208,19 @@
 	}
 }
 
-func (c *scriptConn) Readable() bool                     { return false } // what is closed from afar is seen too late
+func (c *scriptConn) Readable() bool                     { return false } // the client does not notice in time that the agent has closed the connection
 func (c *scriptConn) SetReadDeadline(t time.Time) error  { c.deadline = t; return nil }
 func (c *scriptConn) SetWriteDeadline(t time.Time) error { return nil }
 func (c *scriptConn) Close() error                       { c.closed = true; return nil }
 
-// ok is an answer with 200.
+// ok returns a response with status 200.
 func ok(body string) string { return status(200, body) }
 
 func status(code int, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n%s", code, len(body), body)
 }
 
-// listText is an answer to a watch.
+// listText returns a response to a watch call.
 func listText(revision int, complete bool, ids ...string) string {
 	var members []string
 	for _, id := range ids {
@@ -229,10 +229,10 @@
 	return ok(fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, strings.Join(members, ",")))
 }
 
-// listing keeps what it is told.
+// listing records what it is given.
 type listing struct {
 	list []*engine.Members
-	gone bool // the driver has stopped
+	gone bool // the receiver accepts nothing more
 }
 
 func (l *listing) Members(m *engine.Members) bool {
@@ -240,7 +240,7 @@
 	return !l.gone
 }
 
-// text is what was told, in short.
+// text summarises what was recorded.
 func (l *listing) text() string {
 	var out []string
 	for _, m := range l.list {
--- a/membership/partnerlist/watch_test.go
+++ b/membership/partnerlist/watch_test.go
@@ -17,7 +17,7 @@
 	"curlewmux/membership"
 )
 
-// watched runs a watch on a script until it ends.
+// watched creates a watch on a script.
 func watched(s *script) (*Watch, *listing) {
 	to := &listing{}
 	w := NewWatch(s, "agent:1", quiet())
@@ -25,7 +25,7 @@
 	return w, to
 }
 
-func TestWhatDiscoverySaysIsToldInTheEnginesTerms(t *testing.T) {
+func TestListIsConvertedForEngine(t *testing.T) {
 	t.Parallel()
 	l, err := decode([]byte(`{"revision":41,"complete":true,"more":1,"members":[
 		{"id":"a","host_port":"10.1.0.18:9000","locality":"far west","flavor":"hooks","cell":3,"phase":"active","size":1.5,"up_since_ms":7},
@@ -46,11 +46,11 @@
 	}
 }
 
-func TestAListIsBounded(t *testing.T) {
+func TestListSizeIsBounded(t *testing.T) {
 	t.Parallel()
 	most := `{"members":[` + strings.Repeat("{},", membersMost-1) + "{}"
 	if l, err := decode([]byte(most + "]}")); err != nil || len(l.Entries) != membersMost {
-		t.Errorf("the longest list: %v", err)
+		t.Errorf("a list of the maximum length: %v", err)
 	}
 	if _, err := decode([]byte(most + ",{}]}")); err == nil || !strings.Contains(err.Error(), "members: over 65536") {
 		t.Errorf("a longer one: %v", err)
@@ -70,8 +70,8 @@
 	}
 }
 
-// The first call asks for the whole list; each further one for what is newer, at once and on the same connection.
-func TestAWatchFollowsTheList(t *testing.T) {
+// The first call asks for the full list. Each further call asks for changes, at once and on the same connection.
+func TestWatchFollowsList(t *testing.T) {
 	t.Parallel()
 	s := newScript(nil)
 	w, to := watched(s)
@@ -109,8 +109,8 @@
 	}
 }
 
-// Whatever faulty discovery answers at once, it is not asked without a pause; but a watch goes on only when the next call
-// comes within 200 ms of an answer, and news is followed at once.
+// Faulty discovery that responds at once must not cause a busy loop. But discovery keeps a watch only if the next call comes
+// within 200 ms of a response, and after changes the next call must follow at once.
 func TestFaultyDiscoveryMakesNoBusyLoop(t *testing.T) {
 	t.Parallel()
 	const span = time.Minute
@@ -153,9 +153,9 @@
 	}
 }
 
-// Discovery that answers one dispatcher after another may take seconds for a whole list: whoever gives the call up and asks
-// again never hears one.
-func TestAWholeListMayTakeSeconds(t *testing.T) {
+// Discovery that serves one dispatcher after another may take seconds for a full list. A client that times out before and
+// retries would never get one.
+func TestFullListMayTakeSeconds(t *testing.T) {
 	t.Parallel()
 	s := newScript(nil)
 	w, to := watched(s)
@@ -173,8 +173,8 @@
 	}
 }
 
-// A failure is told once, until there has been an answer; pauses grow, and the watch then goes on where it was.
-func TestAFailureIsToldOnce(t *testing.T) {
+// A failure is reported once until there is a response again. Pauses grow, and the watch resumes at its revision.
+func TestFailureIsReportedOnce(t *testing.T) {
 	t.Parallel()
 	s := newScript(nil)
 	w, to := watched(s)
@@ -207,8 +207,8 @@
 	}
 }
 
-// An agent may close a connection between two calls: that is no failure of discovery.
-func TestAConnectionThatWasClosedIsNoFailure(t *testing.T) {
+// The agent may close a connection between two calls. That is no failure of discovery.
+func TestClosedIdleConnectionIsNoFailure(t *testing.T) {
 	t.Parallel()
 	s := newScript(nil)
 	w, to := watched(s)
@@ -224,8 +224,8 @@
 	}
 }
 
-// At a new address all begins anew, at once; what the old one still has to say is of no interest.
-func TestAMoveBeginsAnew(t *testing.T) {
+// At a new address the watch starts at once with a full list. A late response from the old address is ignored.
+func TestNewAddressStartsWithFullList(t *testing.T) {
 	t.Parallel()
 	for name, old := range map[string]reply{
 		"silent": {}, "in a pause": {text: status(500, "")}, "late": {after: time.Second, text: listText(9, true, "late")},
@@ -245,7 +245,7 @@
 		}
 		s.in(30*time.Millisecond, func() {
 			if !w.Move("agent:2") || w.Move("agent:2") {
-				t.Errorf("%s: Move does not tell whether the address is another", name)
+				t.Errorf("%s: Move does not report whether the address is a different one", name)
 			}
 		})
 		w.run()
@@ -262,7 +262,7 @@
 	}
 }
 
-func TestAWatchEndsWithItsListing(t *testing.T) {
+func TestWatchEndsWhenCallbackReturnsFalse(t *testing.T) {
 	t.Parallel()
 	for _, answer := range []string{listText(1, true, "a"), status(500, "")} {
 		s := newScript(func(call) reply { return reply{text: answer} })
@@ -275,8 +275,8 @@
 	}
 }
 
-// The same answers give the same run: calls and their times are those of the run before.
-func TestARunCanBeReplayed(t *testing.T) {
+// The same responses give the same run, with the same calls at the same times.
+func TestRunIsDeterministic(t *testing.T) {
 	t.Parallel()
 	run := func() (string, string) {
 		s := newScript(nil)
@@ -304,7 +304,7 @@
 	}
 }
 
-// sockets is an agent on loopback whose watches wait for changes.
+// sockets is an agent on a loopback address. It holds watch calls until there are changes.
 type sockets struct {
 	*httptest.Server
 	mu       sync.Mutex
@@ -364,7 +364,7 @@
 	}
 }
 
-// teller passes on what a listing is told.
+// teller is an engine.Listing that sends to a channel.
 type teller chan *engine.Members
 
 func (c teller) Members(m *engine.Members) bool { c <- m; return true }
@@ -377,13 +377,13 @@
 			t.Fatalf("told %s, want %s with %d", got, kind, members)
 		}
 	case <-time.After(generous):
-		t.Fatalf("%s is not told", kind)
+		t.Fatalf("%s is not reported", kind)
 	}
 }
 
-// While discovery is silent the list at hand serves; what changed meanwhile is learned after that. An address that a
-// reload names is asked at once, and Close ends a watch that hangs.
-func TestDiscoverySilent(t *testing.T) {
+// While discovery does not respond, the current list stays in use. Changes from that time are reported afterwards. A new
+// address is used at once, and Close ends a hanging watch.
+func TestWatchSurvivesUnresponsiveDiscovery(t *testing.T) {
 	t.Parallel()
 	a, b := newSockets(t), newSockets(t)
 	a.set(func() { a.revision = 1 })
@@ -403,10 +403,10 @@
 	a.set(func() { a.mute = true })
 	b.set(func() { b.revision = 5 })
 	if !w.Move(b.addr()) {
-		t.Error("another address is not told as one")
+		t.Error("Move returns false for a different address")
 	}
 	for m := range to {
-		if !m.Failed { // discovery may have been found silent just before
+		if !m.Failed { // the failure of discovery may have been reported just before
 			to <- m
 			break
 		}
@@ -415,7 +415,7 @@
 	b.set(func() { b.mute = true })
 }
 
-func TestACloseWithoutAStartAndAStartAfterAClose(t *testing.T) {
+func TestCloseWithoutStartAndStartAfterClose(t *testing.T) {
 	t.Parallel()
 	w := NewWatch(host.System{}, "127.0.0.1:1", quiet())
 	w.Close()
@@ -426,7 +426,7 @@
 	}
 }
 
-// Whatever discovery answers, a list that can be read is bounded and told entry by entry.
+// Any list that can be read is bounded and converted entry by entry.
 func FuzzList(f *testing.F) {
 	_, body, _ := strings.Cut(listText(3, true, "a", "b"), "\r\n\r\n")
 	for _, s := range []string{body, `{"members":null}`, `{"members":{}}`, `{"members":[1]}`, `{"revision":1e3}`, `{"Members":[{"ID":"x"}]}`, `[]`, `{"members":[{}]`, `{"members":[{"cell":-1,"size":-1e308}]}`} {
@@ -449,8 +449,8 @@
 	})
 }
 
-// The first answer must be the whole list: from changes alone nobody knows what is not there.
-func TestChangesInPlaceOfTheFirstListAreAFailure(t *testing.T) {
+// The first response must be the full list, since changes alone do not show which endpoints are missing.
+func TestChangesInsteadOfFirstListAreAFailure(t *testing.T) {
 	t.Parallel()
 	s := newScript(nil)
 	w, to := watched(s)
@@ -470,8 +470,8 @@
 	}
 }
 
-// What the watch hears reaches a membership table in its terms, until the source is told to end.
-func TestASourceTellsATableWhatDiscoverySays(t *testing.T) {
+// The lists of a watch reach a membership table until the context ends.
+func TestSourceReportsLists(t *testing.T) {
 	t.Parallel()
 	a := newSockets(t)
 	a.set(func() { a.revision = 1 })
--- a/membership/subscription/subscription_test.go
+++ b/membership/subscription/subscription_test.go
@@ -7,33 +7,33 @@
 
 var start = time.UnixMicro(1_000_000)
 
-func TestTheFirstCallGoesAtOnceAndOnlyOne(t *testing.T) {
+func TestFirstCallStartsAtOnceAndOnlyOnce(t *testing.T) {
 	t.Parallel()
 	var s Subscription
 	if !s.Ask(start) {
-		t.Error("the first call does not go")
+		t.Error("the first call does not start")
 	}
 	if s.Ask(start.Add(time.Hour)) {
-		t.Error("a second call goes while the first is out")
+		t.Error("a second call starts while the first is open")
 	}
 	s.Answered()
 	if s.Ask(start.Add(time.Hour)) {
-		t.Error("a call goes while changes come by themselves")
+		t.Error("a call starts while subscribed")
 	}
 }
 
-func TestPausesDoubleUpToTheMostAndBeginAnewAfterAnAnswer(t *testing.T) {
+func TestPauseDoublesAndResetsOnSuccess(t *testing.T) {
 	t.Parallel()
 	var s Subscription
 	now := start
 	fail := func() time.Duration {
 		t.Helper()
 		if !s.Ask(now) {
-			t.Fatal("what is due does not go")
+			t.Fatal("a call that is due does not start")
 		}
 		due := s.Failed(now)
 		if s.Ask(due.Add(-time.Nanosecond)) {
-			t.Fatal("a call goes before the pause is over")
+			t.Fatal("a call starts before the pause is over")
 		}
 		pause := due.Sub(now)
 		now = due
@@ -47,28 +47,28 @@
 	}
 	for range 3 {
 		if p := fail(); p != Most {
-			t.Errorf("pause %v, want the most, %v", p, Most)
+			t.Errorf("pause %v, want the maximum %v", p, Most)
 		}
 	}
 	s.Ask(now)
 	s.Answered()
 	if due := s.Failed(now); due.Sub(now) != Least { // the subscription broke
-		t.Errorf("after an answer the pause is %v", due.Sub(now))
+		t.Errorf("after a successful call the pause is %v", due.Sub(now))
 	}
 }
 
-// The end of a subscription and the failure of the call that was to renew it may be told as one or as two.
-func TestOneCauseToldTwiceCountsOnce(t *testing.T) {
+// The end of a subscription and the failure of the call that was to renew it may be reported once or twice.
+func TestRepeatedFailureReportCountsOnce(t *testing.T) {
 	t.Parallel()
 	var s Subscription
 	s.Ask(start)
 	due := s.Failed(start)
 	if again := s.Failed(start.Add(time.Millisecond)); !again.Equal(due) {
-		t.Errorf("due at %v, told again at %v", due, again)
+		t.Errorf("due at %v, after a second report at %v", due, again)
 	}
 }
 
-func TestThoseTurnedAwayTogetherDoNotComeBackTogether(t *testing.T) {
+func TestRandomSpreadsRetries(t *testing.T) {
 	t.Parallel()
 	a, b := Subscription{Draw: func() float64 { return 0 }}, Subscription{Draw: func() float64 { return 0.9 }}
 	for _, s := range []*Subscription{&a, &b} {
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// start is an instant; the table reads no clock.
+// start is an arbitrary time, since the table reads no clock.
 var start = time.Unix(1_700_000_000, 0)
 
 func at(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
 
-// ep is an endpoint of destination 1 at an address of its own.
+// ep returns an endpoint of destination 1 with an address of its own.
 func ep(id string, p Phase) Endpoint {
 	return Endpoint{ID: id, Addr: "10.0.0." + strings.TrimLeft(id, "abcdefghijklmnopqrstuvwxyz-") + ":80", Dest: 1, Zone: "east", Kind: "hooks", Phase: p}
 }
@@ -33,7 +33,7 @@
 	return rig{t, table}
 }
 
-// tell tells an update and returns the changes as "id phase" in their order.
+// tell applies an update and returns the changes as "id phase" in their order.
 func (r rig) tell(s float64, source string, kind UpdateKind, list ...Endpoint) string {
 	r.Helper()
 	changes, refused, err := r.t.Tell(at(s), source, Update{Kind: kind, Endpoints: list})
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestTheWorstClaimCounts(t *testing.T) {
+func TestWorstClaimCounts(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
 	r.want(r.tell(0, "a", Whole, ep("e1", Active)), "e1 active")
@@ -68,7 +68,7 @@
 	r.want(r.tell(4, "a", Changes, ep("e1", Left)), "e1 left")
 }
 
-func TestASourceThatNeverToldOfAnEndpointHasNoClaimOnIt(t *testing.T) {
+func TestSourceHasNoClaimOnUnreportedEndpoint(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
 	r.want(r.tell(0, "a", Whole, ep("e1", Active)), "e1 active")
@@ -77,18 +77,18 @@
 	r.want(show(r.t.List()), "e1 active")
 }
 
-func TestAWholeListWithoutAnEndpointIsItsClaimThatItHasLeft(t *testing.T) {
+func TestFullListWithoutEndpointClaimsLeft(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
 	r.tell(0, "a", Whole, ep("e1", Active))
 	r.tell(0, "b", Whole, ep("e1", Active))
 	r.want(r.tell(1, "b", Whole), "e1 left")
-	r.want(r.tell(2, "a", Whole, ep("e1", Active)), "") // it lags
+	r.want(r.tell(2, "a", Whole, ep("e1", Active)), "") // a lags behind b
 	r.want(r.tell(500, "a", Whole, ep("e1", Active)), "")
 	r.want(r.tell(501, "b", Changes, ep("e1", Active)), "e1 active")
 }
 
-func TestASourceThatLagsDoesNotBringBackWhoHasLeft(t *testing.T) {
+func TestLaggingSourceDoesNotBringBackLeftEndpoint(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
 	r.tell(0, "a", Whole, ep("e1", Active))
@@ -101,16 +101,16 @@
 	}
 }
 
-func TestLeftBeforeItWasEverToldIsKeptInMind(t *testing.T) {
+func TestLeftClaimOnUnknownEndpointIsRemembered(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
 	r.want(r.tell(0, "a", Changes, Endpoint{ID: "e1", Phase: Left}), "")
 	r.want(r.tell(1, "b", Changes, ep("e1", Active)), "")
 	r.want(r.tell(2, "b", Changes, ep("e1", Left)), "")
-	r.want(r.tell(70, "b", Changes, ep("e1", Active)), "e1 active") // a minute after the last word
+	r.want(r.tell(70, "b", Changes, ep("e1", Active)), "e1 active") // Remember has passed since the last report
 }
 
-func TestASourceThatRestatesItsWordTakesTheRestBack(t *testing.T) {
+func TestReplacementWithdrawsOmittedClaims(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "hand", "a")
 	r.tell(0, "a", Whole, ep("e1", Active), ep("e2", Active))
@@ -119,7 +119,7 @@
 	r.want(show(r.t.List()), "e1 active, e2 active")
 }
 
-func TestASilentSourceKeepsItsList(t *testing.T) {
+func TestFailedSourceKeepsItsClaims(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a")
 	r.tell(0, "a", Whole, ep("e1", Active))
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestTheFirstSourceInOrderSettlesTheFields(t *testing.T) {
+func TestFieldsComeFromFirstSource(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
 	b := Endpoint{ID: "e1", Addr: "10.0.0.2:80", Dest: 1, Zone: "west", Kind: "hooks", Phase: Active, Weight: 3, Started: 20, Hints: "west"}
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestSourcesThatDisagreeOnTheDestinationStopWork(t *testing.T) {
+func TestConflictingDestinationsMakeEndpointLeaving(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
 	r.tell(0, "a", Whole, ep("e1", Active))
@@ -165,7 +165,7 @@
 	}
 }
 
-func TestOneAddressIsActiveOnceAndTheLaterStartHoldsIt(t *testing.T) {
+func TestLaterStartKeepsSharedAddress(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a")
 	old, fresh := ep("e1", Active), ep("f1", Active)
@@ -178,11 +178,11 @@
 	r.want(r.tell(2, "a", Changes, ep("f1", Left)), "f1 left, e1 active")
 	twin := ep("d1", Active)
 	r.want(r.tell(3, "a", Changes, twin), "e1 leaving, d1 active")
-	twin.Dest = 2 // another destination's endpoint may stand at the same address
+	twin.Dest = 2 // endpoints of different destinations may share an address
 	r.want(r.tell(4, "a", Changes, twin), "d1 active, e1 active")
 }
 
-func TestAMalformedEndpointSpoilsNoOther(t *testing.T) {
+func TestMalformedEndpointDoesNotAffectOthers(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a")
 	r.tell(0, "a", Whole, ep("e1", Active), ep("e2", Active))
@@ -197,14 +197,14 @@
 	r.want(show(changes), "e1 leaving, e5 active")
 }
 
-func TestTheWorseOfTwoEntriesInOneListCounts(t *testing.T) {
+func TestWorseOfTwoEntriesInOneListCounts(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a")
 	r.want(r.tell(0, "a", Whole, ep("e1", Leaving), ep("e1", Active)), "e1 leaving")
-	r.want(r.tell(1, "a", Changes, ep("e1", Leaving), ep("e1", Active)), "e1 active") // one after the other
+	r.want(r.tell(1, "a", Changes, ep("e1", Leaving), ep("e1", Active)), "e1 active") // changes are applied in their order
 }
 
-func TestTheTableIsBounded(t *testing.T) {
+func TestTableIsBounded(t *testing.T) {
 	t.Parallel()
 	table, err := New(Settings{Sources: []string{"a"}, Most: 3})
 	if err != nil {
@@ -218,7 +218,7 @@
 		id := fmt.Sprint("x", i)
 		table.Tell(at(1), "a", Update{Endpoints: []Endpoint{{ID: "e1", Phase: Left}, {ID: id, Phase: Left}}})
 		if _, refused, _ := table.Tell(at(1), "a", Update{Endpoints: []Endpoint{ep("e1", Active)}}); len(refused) > 0 {
-			t.Fatal(refused) // who has left makes room
+			t.Fatal(refused) // endpoints that have left are removed to make room
 		}
 		if len(table.records) > 3 || len(table.gone) > mostGone+2 {
 			t.Fatalf("%d records, %d that left", len(table.records), len(table.gone))
@@ -226,7 +226,7 @@
 	}
 }
 
-func TestAFloodOfLeavingLeavesLittleBehind(t *testing.T) {
+func TestMemoryOfLeftEndpointsIsBounded(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a")
 	for i := range 3 * mostGone {
@@ -235,11 +235,11 @@
 		r.tell(1, "a", Changes, Endpoint{ID: id, Phase: Left})
 	}
 	if n := r.t.Len(); n > mostGone+2 {
-		t.Errorf("%d are remembered", n)
+		t.Errorf("%d endpoints are remembered", n)
 	}
 }
 
-func TestTheCacheCountsUntilItsSourceSpeaks(t *testing.T) {
+func TestCachedClaimsCountUntilSourceReports(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
 	r.tell(0, "a", Whole, ep("e1", Active), ep("e2", Leaving), ep("e3", Active))
@@ -253,23 +253,23 @@
 	}
 	r.want(show(changes), "e2 leaving, e1 active")
 	if r.t.Complete() {
-		t.Error("a cache is no list")
+		t.Error("complete with a cache but without a full list")
 	}
-	r.want(r.tell(101, "b", Whole, ep("e3", Active)), "") // e3 had left, as the cache knows
+	r.want(r.tell(101, "b", Whole, ep("e3", Active)), "") // the cache says that e3 has left
 	if x, _ := r.t.Why("e1"); !x.Claims[0].Cached || !strings.Contains(x.String(), "cache") {
 		t.Errorf("why: %v", x)
 	}
 	r.want(r.tell(102, "a", Changes, ep("e2", Leaving)), "")
 	r.want(r.tell(103, "a", Whole, ep("e2", Leaving)), "e1 left")
 	if !r.t.Complete() {
-		t.Error("all have told a whole list")
+		t.Error("not complete after full lists from all sources")
 	}
 	if _, _, err := r.t.Restore(at(104), "a", dump); err == nil {
-		t.Error("a cache came after its source")
+		t.Error("a cache was accepted after an update of its source")
 	}
 }
 
-func TestASourceThatIsTakenOutLosesItsClaims(t *testing.T) {
+func TestRemovedSourceLosesItsClaims(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
 	r.tell(0, "a", Whole, ep("e1", Active), ep("e2", Leaving))
@@ -280,9 +280,9 @@
 	}
 	r.want(show(changes), "e1 left, e2 active")
 	if _, _, err := r.t.Tell(at(2), "a", Update{}); err == nil {
-		t.Error("a source that is out was heard")
+		t.Error("an update of a removed source was accepted")
 	}
 	if _, err := r.t.SetSources(at(3), []string{"b", "b"}); err == nil {
-		t.Error("two sources of one name")
+		t.Error("two sources with the same name were accepted")
 	}
 }
--- a/resend/planner_test.go
+++ b/resend/planner_test.go
@@ -7,7 +7,7 @@
 	"curlewmux/control"
 )
 
-// bench is a planner with messages for destinations that do as told.
+// bench is a planner with messages for destinations with settable conditions.
 type bench struct {
 	*Planner
 	how   map[int]control.Condition
@@ -33,13 +33,13 @@
 	return b.Pick(at, func(d int) (control.Condition, float64) { return b.how[d], b.rate })
 }
 
-func TestADestinationGetsOneMoreWithEachThatGoesWell(t *testing.T) {
+func TestWindowGrowsWithEachSuccess(t *testing.T) {
 	t.Parallel()
 	b := newBench(4, 1, 20)
 	for _, want := range []int{1, 2, 4} {
 		got := b.pick(now)
 		if len(got) != want || b.Out() != want {
-			t.Fatalf("%d picked, %d out, want %d", len(got), b.Out(), want)
+			t.Fatalf("%d picked, %d being resent, want %d", len(got), b.Out(), want)
 		}
 		for range got {
 			b.Done(0, now, Good)
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestOnlyADestinationThatIsWellGetsMessages(t *testing.T) {
+func TestUnhealthyDestinationsGetNoMessagesButTrials(t *testing.T) {
 	t.Parallel()
 	b := newBench(4, 3, 10)
 	b.how[0], b.how[1], b.how[2] = control.Pressed, control.Unserved, control.Ailing
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestAListedRateIsKept(t *testing.T) {
+func TestListedRateIsKept(t *testing.T) {
 	t.Parallel()
 	b := newBench(8, 1, 1000)
 	b.rate = 10
@@ -97,12 +97,12 @@
 			b.Done(n.Dest(), at, Good)
 		}
 	}
-	if sent > 301 || sent < 290 { // half of ten a second
+	if sent > 301 || sent < 290 { // half of the listed 10/s
 		t.Errorf("%d sent in a minute", sent)
 	}
 }
 
-func TestDestinationsTakeTurns(t *testing.T) {
+func TestDestinationsAreServedRoundRobin(t *testing.T) {
 	t.Parallel()
 	b := newBench(2, 5, 40)
 	count := map[int]int{}
@@ -119,9 +119,9 @@
 	}
 }
 
-// Whatever comes in whatever order: no message is picked twice or before it is due, none is lost, and no more are out than
-// may be.
-func TestThePlannerLosesNothing(t *testing.T) {
+// In any sequence of calls: no message is picked twice or before it is due, none is lost, and the limit of messages being
+// resent is kept.
+func TestPlannerLosesNoMessage(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(200) {
 		dice := rand.New(rand.NewPCG(seed, 1))
@@ -157,21 +157,21 @@
 			default:
 				for _, n := range b.pick(at) {
 					if !in[n] || out[n] || n.Due > at {
-						t.Fatalf("seed %d: message %d picked when it could not be", seed, n.No)
+						t.Fatalf("seed %d: message %d picked too early or twice", seed, n.No)
 					}
 					delete(in, n)
 					out[n] = true
 				}
 			}
 			if b.Out() != len(out) || b.Out() > b.slots {
-				t.Fatalf("seed %d: %d out, %d known", seed, b.Out(), len(out))
+				t.Fatalf("seed %d: %d being resent, want %d", seed, b.Out(), len(out))
 			}
 			left := 0
 			for _, l := range b.lanes {
 				left += len(l.nodes)
 			}
 			if left != len(in) {
-				t.Fatalf("seed %d: %d in the lanes, %d known", seed, left, len(in))
+				t.Fatalf("seed %d: %d in the lanes, want %d", seed, left, len(in))
 			}
 		}
 	}
--- a/resend/resend_test.go
+++ b/resend/resend_test.go
@@ -14,7 +14,7 @@
 	now    = 100 * hour
 )
 
-// settings have one class of each effect, and one partner of each proof.
+// settings returns settings with a class for each effect and a partner for each proof.
 func settings() *Settings {
 	return &Settings{
 		Classes: []Class{
@@ -36,7 +36,7 @@
 	}
 }
 
-// item is one that a rule would send at once.
+// item returns a message that a rule resends at once.
 func item(change ...func(*Item)) *Item {
 	it := &Item{
 		No: 7, Class: "unsafe", Tenant: "core", Dest: 1, Cause: "time", Body: 100, Kept: now - hour, Last: now - hour,
@@ -47,7 +47,7 @@
 	return it
 }
 
-// doubted says that it may have run so long ago, and that its call was over 30 s later.
+// doubted sets a doubt: an attempt may have run that long ago, and its call ended 30 s later.
 func doubted(ago Time) func(*Item) {
 	return func(it *Item) { it.Doubt = Doubt{At: now - ago, Quiet: now - ago + 30*second} }
 }
@@ -109,11 +109,11 @@
 	s := settings()
 	s.Rules[1].Doubt = NoDoubt
 	if v := s.Judge(item(doubted(hour)), now); v.Do != Leave || !strings.Contains(v.Why, "no rule") {
-		t.Errorf("a rule for what never ran takes one in doubt: %+v", v)
+		t.Errorf("a rule for messages without doubt matches one in doubt: %+v", v)
 	}
 	s.Rules[1].Doubt = OnlyDoubt
 	if v := s.Judge(item(), now); v.Do != Leave {
-		t.Errorf("a rule for what may have run takes one that did not: %+v", v)
+		t.Errorf("a rule for messages in doubt matches one without doubt: %+v", v)
 	}
 }
 
@@ -165,8 +165,8 @@
 	}
 }
 
-// Whatever a message has behind it: one that may have taken effect is sent only with proof, and never while an earlier call
-// may run, but by its key.
+// A message that may have taken effect is resent only with a proof. Unless a key identifies it, it is not resent while an
+// earlier call may still run.
 func TestNothingInDoubtGoesWithoutProof(t *testing.T) {
 	t.Parallel()
 	n := 0
@@ -186,7 +186,7 @@
 					}
 					switch p := &s.Partners[0]; {
 					case v.Do == Clear || v.Do == Took:
-						t.Fatalf("%v without being asked", v.Do)
+						t.Fatalf("%v without an inquiry", v.Do)
 					case v.Do == Ask && (proof != ByInquiry || now < it.Doubt.Quiet+p.Settle || ago >= p.Remembers || it.Doubt.Ageless):
 						t.Fatalf("%s asked about after %d s with proof %d", k.Name, ago/second, proof)
 					case v.Do == SendDoubted && (k.Effect != control.Guarded || ago >= k.Window || !it.HasKey || it.Doubt.Ageless):
@@ -202,11 +202,11 @@
 		}
 	}
 	if n == 0 {
-		t.Error("nothing was ever sent: this proves nothing")
+		t.Error("no message was ever resent or asked about, so the test checks nothing")
 	}
 }
 
-func TestPausesAreTheSameEachTimeAndDifferByMessage(t *testing.T) {
+func TestBackoffIsDeterministicPerMessage(t *testing.T) {
 	t.Parallel()
 	seen := map[Time]bool{}
 	for no := range uint64(1000) {
