--- a/admission/admission.go
+++ b/admission/admission.go
@@ -15,9 +15,9 @@
 
 // Settings configures a Gate. A field that is 0 means its default.
 type Settings struct {
-	Late    Time    // delays up to this are normal
-	Lasting Time    // all delays must have been longer than Late for this time before messages are rejected
-	Floor   float64 // messages a second that are always admitted, since so few don't cause an overload
+	LateAfter      Time    // delays up to this are normal
+	SustainedAfter Time    // all delays must have been longer than Late for this time before messages are rejected
+	MinRate        float64 // messages a second that are always admitted, since so few don't cause an overload
 }
 
 // Defaults of the settings.
@@ -63,23 +63,23 @@
 
 // New creates a gate. It admits every message until long delays are reported.
 func New(s Settings) *Gate {
-	if s.Late == 0 {
-		s.Late = defaultLate
+	if s.LateAfter == 0 {
+		s.LateAfter = defaultLate
 	}
-	if s.Lasting == 0 {
-		s.Lasting = defaultLasting
+	if s.SustainedAfter == 0 {
+		s.SustainedAfter = defaultLasting
 	}
-	if s.Floor == 0 {
-		s.Floor = defaultFloor
+	if s.MinRate == 0 {
+		s.MinRate = defaultFloor
 	}
 	return &Gate{set: s, most: bank}
 }
 
-// Late records how long something that was ready to run has waited for a core.
-func (g *Gate) Late(now, by Time) {
+// ObserveDelay records how long something that was ready to run has waited for a core.
+func (g *Gate) ObserveDelay(now, by Time) {
 	g.roll(now)
 	g.per = g.allow(by)
-	if by <= g.set.Late {
+	if by <= g.set.LateAfter {
 		g.row = 0
 		return
 	}
@@ -87,14 +87,14 @@
 		g.row, g.began = 0, now-by
 	}
 	g.row, g.last = g.row+1, now
-	if !g.limited && g.row >= often && now-g.began >= g.set.Lasting {
+	if !g.limited && g.row >= often && now-g.began >= g.set.SustainedAfter {
 		g.limited, g.at, g.tokens, g.calm = true, now, bank, 0
 	}
 }
 
 // allow returns the number of tokens for each completed message at the given delay.
 func (g *Gate) allow(late Time) float64 {
-	t := g.set.Late
+	t := g.set.LateAfter
 	switch {
 	case late <= t/4:
 		return 2
@@ -108,8 +108,8 @@
 	return 0.6
 }
 
-// Done records that n accepted messages have ended with any other disposition than refused.
-func (g *Gate) Done(now Time, n int) {
+// Completed records that n accepted messages have ended with any other disposition than refused.
+func (g *Gate) Completed(now Time, n int) {
 	g.roll(now)
 	g.done += n
 	if g.limited {
@@ -124,7 +124,7 @@
 		return true, 0
 	}
 	if gone := now - g.at; gone > 0 {
-		g.tokens = min(g.tokens+g.set.Floor*seconds(gone), g.most)
+		g.tokens = min(g.tokens+g.set.MinRate*seconds(gone), g.most)
 		g.at = now
 	}
 	if g.tokens < 1 {
--- a/membership/endpointslice/client.go
+++ b/membership/endpointslice/client.go
@@ -40,9 +40,9 @@
 	return c, nil
 }
 
-// NewClientOn creates a client whose sources run on the given host, which may be simulated. It uses plain HTTP and a new
+// NewClientWithHost creates a client whose sources run on the given host, which may be simulated. It uses plain HTTP and a new
 // connection for each request.
-func NewClientOn(h host.Host, a Access) (*Client, error) {
+func NewClientWithHost(h host.Host, a Access) (*Client, error) {
 	if err := a.Check(); err != nil {
 		return nil, err
 	}
--- a/membership/endpointslice/decode.go
+++ b/membership/endpointslice/decode.go
@@ -10,13 +10,13 @@
 
 // Slice holds the fields of an EndpointSlice (discovery.k8s.io/v1) that are used.
 type Slice struct {
-	Namespace, Name string
-	Family          string // addressType: IPv4, IPv6 or FQDN
-	Entries         []Entry
-	Ports           []Port
-	Bad             int   // number of entries that could not be read; they are not in Entries
-	Err             error // error of the first such entry, or of the slice as a whole
-	sums            []sum // fingerprints of the entries' JSON texts
+	Namespace, Name   string
+	AddressType       string // addressType: IPv4, IPv6 or FQDN
+	Entries           []Entry
+	Ports             []Port
+	UnreadableEntries int   // number of entries that could not be read; they are not in Entries
+	Err               error // error of the first such entry, or of the slice as a whole
+	sums              []sum // fingerprints of the entries' JSON texts
 }
 
 // sum is a fingerprint of a JSON text, which shows whether the text has changed. Two different texts of the same length have
@@ -42,7 +42,7 @@
 	Terminating bool   // false if absent
 }
 
-// Port is one of a slice's ports.
+// PortName is one of a slice's ports.
 type Port struct {
 	Name   string // "" if absent
 	Number int    // 0 if absent
@@ -268,9 +268,9 @@
 				}
 			})
 		case "addressType":
-			s.Family = strings.Clone(d.textOf("addressType"))
+			s.AddressType = strings.Clone(d.textOf("addressType"))
 		case "endpoints":
-			s.Entries, s.sums, s.Bad = nil, nil, 0
+			s.Entries, s.sums, s.UnreadableEntries = nil, nil, 0
 			if d.like, d.at = (Slice{}), 0; d.prior != nil && s.Name != "" {
 				d.like = d.prior(s.key())
 			}
@@ -294,8 +294,8 @@
 					d.at++
 					return
 				}
-				if s.Bad++; first == nil {
-					first = fmt.Errorf("endpoint %d: %w", len(s.Entries)+s.Bad, d.bad)
+				if s.UnreadableEntries++; first == nil {
+					first = fmt.Errorf("endpoint %d: %w", len(s.Entries)+s.UnreadableEntries, d.bad)
 				}
 				d.bad = nil
 			})
--- a/membership/endpointslice/set.go
+++ b/membership/endpointslice/set.go
@@ -94,7 +94,7 @@
 // NewSet creates an empty set. The partner's settings must have been validated.
 func NewSet(p Partner) *Set {
 	p.Grace, p.EmptyHold = cmp.Or(p.Grace, defaultGrace), cmp.Or(p.EmptyHold, defaultEmptyHold)
-	p.Most = cmp.Or(p.Most, defaultMost)
+	p.MaxEndpoints = cmp.Or(p.MaxEndpoints, defaultMost)
 	return &Set{
 		p: p, slices: map[string]*slice{}, entries: map[string]*endpoint{},
 		changed: map[*endpoint]struct{}{}, ended: map[string]struct{}{},
@@ -115,15 +115,15 @@
 	s.endedList = append(s.endedList, e.id)
 }
 
-// Begin starts a full list. If a list was already started, it is abandoned.
-func (s *Set) Begin() {
+// BeginList starts a full list. If a list was already started, it is abandoned.
+func (s *Set) BeginList() {
 	s.listing = true
 	s.round++
 }
 
-// End completes the list and removes the slices that it did not contain. emptied is true if this dropped the last
+// EndList completes the list and removes the slices that it did not contain. emptied is true if this dropped the last
 // endpoints.
-func (s *Set) End(now time.Time) (emptied bool) {
+func (s *Set) EndList(now time.Time) (emptied bool) {
 	for key, in := range s.slices {
 		if in.round != s.round {
 			s.Remove(now, key)
@@ -151,15 +151,15 @@
 func (s *Set) Put(now time.Time, new Slice) {
 	key := new.key()
 	in := s.slices[key]
-	whole := new.Err == nil || new.Bad > 0 // otherwise nothing of it could be read
-	if !whole || in == nil && len(s.slices) >= s.p.Most {
+	whole := new.Err == nil || new.UnreadableEntries > 0 // otherwise nothing of it could be read
+	if !whole || in == nil && len(s.slices) >= s.p.MaxEndpoints {
 		s.refused++
 		if in != nil {
 			in.round = s.round // keep the last state, as for a source that fails
 		}
 		return
 	}
-	s.refused += new.Bad
+	s.refused += new.UnreadableEntries
 	if in == nil {
 		in = &slice{key: key}
 		s.slices[key] = in
@@ -179,7 +179,7 @@
 // replace sets a new state of a slice. An entry that has not changed costs only a comparison.
 func (s *Set) replace(now time.Time, in *slice, new Slice) {
 	port := s.p.port(&new)
-	alike := port == in.port && new.Family == in.Family
+	alike := port == in.port && new.AddressType == in.AddressType
 	var touched []*endpoint
 	differs := make([]int, 0, 8)
 	for i := range max(len(in.Entries), len(new.Entries)) {
@@ -222,10 +222,10 @@
 	if name == "" {
 		name = address(entry, &in.Slice, in.port)
 	}
-	id := fmt.Sprintf("%d/%s", s.p.Dest, name)
+	id := fmt.Sprintf("%d/%s", s.p.Destination, name)
 	e := s.entries[id]
 	if e == nil {
-		if name == "" || len(s.entries) >= s.p.Most {
+		if name == "" || len(s.entries) >= s.p.MaxEndpoints {
 			s.refused++
 			return nil
 		}
@@ -299,16 +299,16 @@
 
 // before reports whether m's address takes precedence over o's.
 func (s *Set) before(m, o *mention) bool {
-	if m6, o6 := m.by.Family == "IPv6", o.by.Family == "IPv6"; m6 != o6 {
-		return m6 == s.p.PreferV6
+	if m6, o6 := m.by.AddressType == "IPv6", o.by.AddressType == "IPv6"; m6 != o6 {
+		return m6 == s.p.PreferIPv6
 	}
 	return cmp.Or(cmp.Compare(m.by.key, o.by.key), cmp.Compare(m.at, o.at)) < 0
 }
 
-// Take returns the endpoints that changed since the last call, each in its newest state, sorted by phase (Left, Leaving,
+// TakeChanges returns the endpoints that changed since the last call, each in its newest state, sorted by phase (Left, Leaving,
 // Active) and then by ID. It returns at most most Active endpoints (0 or less: no limit), so that Left and Leaving ones
 // don't have to wait for a large number of additions. more is true if some are left for the next call.
-func (s *Set) Take(now time.Time, most int) (changes []membership.Endpoint, more bool) {
+func (s *Set) TakeChanges(now time.Time, most int) (changes []membership.Endpoint, more bool) {
 	if !s.listing {
 		s.dropped = s.expire(now, s.dropped, s.p.Grace)
 		s.held = s.expire(now, s.held, s.p.EmptyHold)
@@ -337,9 +337,9 @@
 	return changes, false
 }
 
-// Whole returns all endpoints sorted by ID. All changes so far then count as taken.
-func (s *Set) Whole(now time.Time) []membership.Endpoint {
-	s.Take(now, 0)
+// All returns all endpoints sorted by ID. All changes so far then count as taken.
+func (s *Set) All(now time.Time) []membership.Endpoint {
+	s.TakeChanges(now, 0)
 	all := make([]membership.Endpoint, 0, len(s.entries))
 	for _, e := range s.entries {
 		if e.addr != "" {
@@ -368,8 +368,8 @@
 	return queue
 }
 
-// Due returns the time at which a dropped endpoint becomes Left, so that Take has a change without a call of Put or Remove.
-func (s *Set) Due() (at time.Time, some bool) {
+// NextDue returns the time at which a dropped endpoint becomes Left, so that Take has a change without a call of Put or Remove.
+func (s *Set) NextDue() (at time.Time, some bool) {
 	if s.listing {
 		return at, false
 	}
@@ -400,12 +400,12 @@
 
 // out converts an endpoint for a membership table.
 func (s *Set) out(e *endpoint) membership.Endpoint {
-	zone := cmp.Or(e.zone, s.p.Zone)
-	if mapped, ok := s.p.Zones[zone]; ok {
+	zone := cmp.Or(e.zone, s.p.DefaultZone)
+	if mapped, ok := s.p.ZoneNames[zone]; ok {
 		zone = mapped
 	}
 	return membership.Endpoint{
-		ID: e.id, Addr: e.addr, Dest: s.p.Dest, Zone: zone, Kind: s.p.Kind, Phase: e.phase, Weight: s.p.Weight,
+		ID: e.id, Addr: e.addr, Dest: s.p.Destination, Zone: zone, Kind: s.p.Kind, Phase: e.phase, Weight: s.p.Weight,
 		Started: e.started, Hints: e.hints, Note: e.note,
 	}
 }
--- a/membership/endpointslice/source.go
+++ b/membership/endpointslice/source.go
@@ -73,21 +73,21 @@
 
 // Timing holds the source's timeouts and intervals. Tests and simulations shorten them.
 type Timing struct {
-	Watch   time.Duration // requested duration of a watch; the actual one is random, up to twice this
-	Silence time.Duration // a watch without events for this long is restarted; bookmarks come once a minute
-	Sync    time.Duration // the same during a streaming list
-	Page    time.Duration // timeout for one page of a list
-	Least   time.Duration // pause after the first failure; doubles with each further one ...
-	Most    time.Duration // ... up to this; with a Retry-After it may be longer, up to mostRetryAfter
-	Plain   time.Duration // how long until streaming lists are tried again on a server without support for them
-	Recheck time.Duration // pause before an empty list is read again; doubles up to Most
-}
-
-// UsualTiming returns the times that New sets.
-func UsualTiming() Timing {
+	WatchDuration          time.Duration // requested duration of a watch; the actual one is random, up to twice this
+	WatchIdleTimeout       time.Duration // a watch without events for this long is restarted; bookmarks come once a minute
+	InitialListIdleTimeout time.Duration // the same during a streaming list
+	PageTimeout            time.Duration // timeout for one page of a list
+	MinBackoff             time.Duration // pause after the first failure; doubles with each further one ...
+	MaxBackoff             time.Duration // ... up to this; with a Retry-After it may be longer, up to mostRetryAfter
+	StreamingRetryInterval time.Duration // how long until streaming lists are tried again on a server without support for them
+	EmptyListRecheck       time.Duration // pause before an empty list is read again; doubles up to Most
+}
+
+// DefaultTiming returns the times that New sets.
+func DefaultTiming() Timing {
 	return Timing{
-		Watch: 5 * time.Minute, Silence: 90 * time.Second, Sync: 20 * time.Second, Page: 30 * time.Second,
-		Least: 200 * time.Millisecond, Most: 30 * time.Second, Plain: 10 * time.Minute, Recheck: time.Second,
+		WatchDuration: 5 * time.Minute, WatchIdleTimeout: 90 * time.Second, InitialListIdleTimeout: 20 * time.Second, PageTimeout: 30 * time.Second,
+		MinBackoff: 200 * time.Millisecond, MaxBackoff: 30 * time.Second, StreamingRetryInterval: 10 * time.Minute, EmptyListRecheck: time.Second,
 	}
 }
 
@@ -108,19 +108,19 @@
 	errRecheck = errors.New("an empty list is read again")
 )
 
-// New creates a source. Its error wraps ErrPartner.
+// New creates a source. Its error wraps ErrPartnerSettings.
 func New(c *Client, p Partner, log *slog.Logger) (*Source, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
 	return &Source{
-		p: p, c: c, log: log.With("partner", p.Name), t: UsualTiming(), set: NewSet(p), host: c.host, random: rand.Uint64,
+		p: p, c: c, log: log.With("partner", p.Name), t: DefaultTiming(), set: NewSet(p), host: c.host, random: rand.Uint64,
 		logged: map[string]time.Time{}, wake: c.host.NewInbox(), rest: c.host.NewInbox(),
 	}, nil
 }
 
-// Simulated sets the times and the random source for a simulation. It must be called before Run.
-func (s *Source) Simulated(t Timing, random func() uint64) { s.t, s.random = t, random }
+// ConfigureSimulation sets the times and the random source for a simulation. It must be called before Run.
+func (s *Source) ConfigureSimulation(t Timing, random func() uint64) { s.t, s.random = t, random }
 
 // upTo returns a random duration from 0 to just below d.
 func (s *Source) upTo(d time.Duration) time.Duration {
@@ -172,20 +172,20 @@
 	switch o := &s.owed; {
 	case o.whole: // the full list also shows that the source works again
 		o.whole, o.heard = false, false
-		return membership.Update{Kind: membership.Whole, Endpoints: s.set.Whole(now)}, due, true
+		return membership.Update{Kind: membership.FullList, Endpoints: s.set.All(now)}, due, true
 	case o.heard:
 		o.heard = false
-		changes, _ := s.set.Take(now, batch)
+		changes, _ := s.set.TakeChanges(now, batch)
 		return membership.Update{Endpoints: changes}, due, true
 	}
-	if changes, _ := s.set.Take(now, batch); len(changes) > 0 {
+	if changes, _ := s.set.TakeChanges(now, batch); len(changes) > 0 {
 		return membership.Update{Endpoints: changes}, due, true
 	}
 	if err := s.owed.failed; err != nil {
 		s.owed.failed = nil
 		return membership.Update{Kind: membership.Failed, Err: err}, due, true
 	}
-	due, _ = s.set.Due()
+	due, _ = s.set.NextDue()
 	return u, due, false
 }
 
@@ -297,9 +297,9 @@
 // pause waits after consecutive failures, with jitter so that dispatchers don't retry all at the same time. It returns false
 // if ctx has ended.
 func (s *Source) pause(ctx context.Context, failures int, se *StatusError) bool {
-	d := s.t.Most
+	d := s.t.MaxBackoff
 	if n := failures - 1; n < 20 {
-		d = min(d, s.t.Least<<n)
+		d = min(d, s.t.MinBackoff<<n)
 	}
 	d = d/2 + s.upTo(d/2+1)
 	if se != nil && se.RetryAfter > 0 { // not before the time that the server asked for
@@ -327,7 +327,7 @@
 			return version, err
 		}
 		s.log.Info("the API server does not support streaming lists; reading pages instead", "error", err)
-		s.plainUntil = s.host.Now().Add(s.t.Plain)
+		s.plainUntil = s.host.Now().Add(s.t.StreamingRetryInterval)
 	}
 	return s.pages(ctx)
 }
@@ -349,12 +349,12 @@
 	q := s.query()
 	q.Set("watch", "true")
 	q.Set("allowWatchBookmarks", "true")
-	q.Set("timeoutSeconds", strconv.Itoa(int((s.t.Watch + s.upTo(s.t.Watch)).Seconds())))
-	silence, why := s.t.Silence, errSilent
+	q.Set("timeoutSeconds", strconv.Itoa(int((s.t.WatchDuration + s.upTo(s.t.WatchDuration)).Seconds())))
+	silence, why := s.t.WatchIdleTimeout, errSilent
 	if initial {
 		q.Set("sendInitialEvents", "true")
 		q.Set("resourceVersionMatch", "NotOlderThan") // than the time of the request, since no version is given
-		silence, why = s.t.Sync, errNoEnd
+		silence, why = s.t.InitialListIdleTimeout, errNoEnd
 	} else {
 		q.Set("resourceVersion", version)
 	}
@@ -363,7 +363,7 @@
 	s.do(func() {
 		s.stats.Watches++
 		if initial {
-			s.set.Begin()
+			s.set.BeginList()
 		}
 	})
 	body, err := s.c.get(r, s.path(), q)
@@ -415,7 +415,7 @@
 				s.end(now)
 				initial, version = false, ev.Version
 				guard.stop()
-				guard = s.guard(r, s.t.Silence, errSilent)
+				guard = s.guard(r, s.t.WatchIdleTimeout, errSilent)
 				if s.recheck > 0 {
 					t := s.host.AfterFunc(s.recheck, func() { r.end(errRecheck) })
 					defer t.Stop()
@@ -544,15 +544,15 @@
 	s.do(func() {
 		s.stats.Lists++
 		first = s.stats.Lists == 1
-		emptied = s.set.End(now)
+		emptied = s.set.EndList(now)
 		s.owed.whole = true
 	})
 	switch {
 	case emptied:
 		s.alarm(&s.stats.Emptied, "the list names nobody any more: no new work for this partner", errRecheck)
-		s.recheck = s.t.Recheck
+		s.recheck = s.t.EmptyListRecheck
 	case s.Stats().Named == 0: // also after the first list, without end: a watch never corrects a wrong list
-		s.recheck = min(max(2*s.recheck, s.t.Recheck), s.t.Most)
+		s.recheck = min(max(2*s.recheck, s.t.EmptyListRecheck), s.t.MaxBackoff)
 	default:
 		s.recheck = 0
 	}
@@ -577,7 +577,7 @@
 
 // allPages reads the pages of one list, with at most limit slices each (0: no limit).
 func (s *Source) allPages(ctx context.Context, limit int) (version string, err error) {
-	s.do(s.set.Begin)
+	s.do(s.set.BeginList)
 	q := s.query()
 	if limit > 0 {
 		q.Set("limit", strconv.Itoa(limit))
@@ -616,7 +616,7 @@
 func (s *Source) page(ctx context.Context, q url.Values, take func(o *object, bytes int)) (p page, err error) {
 	r := newRequest(ctx)
 	defer r.end(nil)
-	t := s.host.AfterFunc(s.t.Page, func() { r.end(context.DeadlineExceeded) })
+	t := s.host.AfterFunc(s.t.PageTimeout, func() { r.end(context.DeadlineExceeded) })
 	defer t.Stop()
 	body, err := s.c.get(r, s.path(), q)
 	if err != nil {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -82,10 +82,10 @@
 
 // Kinds of update. The zero value changes only the endpoints that the update lists.
 const (
-	Changes  UpdateKind = iota // the listed endpoints, in the order in which they changed
-	Whole                      // all endpoints of the source; those that it omits have left
-	Failed                     // the source is unreachable or unreadable; its claims stay
-	Restated                   // all claims of the source; claims on endpoints that it omits are withdrawn
+	Changes     UpdateKind = iota // the listed endpoints, in the order in which they changed
+	FullList                      // all endpoints of the source; those that it omits have left
+	Failed                        // the source is unreachable or unreadable; its claims stay
+	Replacement                   // all claims of the source; claims on endpoints that it omits are withdrawn
 )
 
 // Update is one report of a source.
--- a/membership/partnerlist/list.go
+++ b/membership/partnerlist/list.go
@@ -44,9 +44,9 @@
 	UpSince  int64   `json:"up_since_ms"` // last start, Unix ms; 0 if long ago
 }
 
-// Names looks up the numbers of zones and kinds in the settings, -1 for unknown ones. Names are passed in as the settings
+// NameIndex looks up the numbers of zones and kinds in the settings, -1 for unknown ones. Names are passed in as the settings
 // write them, with underscores in place of spaces and commas.
-type Names struct {
+type NameIndex struct {
 	Zone, Kind func(name string) int
 }
 
@@ -84,8 +84,8 @@
 	return l, nil
 }
 
-// Of converts an endpoint to an entry.
-func Of(e membership.Endpoint) Entry {
+// EntryOf converts an endpoint to an entry.
+func EntryOf(e membership.Endpoint) Entry {
 	return Entry{
 		ID: e.ID, HostPort: e.Addr, Locality: e.Zone, Flavor: e.Kind, Cell: e.Dest, Phase: e.Phase.String(), Size: e.Weight,
 		UpSince: e.Started,
@@ -101,25 +101,25 @@
 }
 
 // Members converts the list to an event for the engine.
-func (l *List) Members(names Names) *engine.Members {
-	m := &engine.Members{Source: Name, Whole: l.Complete}
+func (l *List) Members(names NameIndex) *engine.Members {
+	m := &engine.Members{Source: Name, FullList: l.Complete}
 	if len(l.Entries) > 0 {
 		m.List = make([]engine.Member, len(l.Entries))
 	}
 	for i := range l.Entries {
 		e := &l.Entries[i]
 		m.List[i] = engine.Member{
-			ID: e.ID, Addr: e.HostPort, Dest: e.Cell, Zone: names.Zone(wire.Plain(e.Locality)), Kind: names.Kind(wire.Plain(e.Flavor)),
+			ID: e.ID, Addr: e.HostPort, Destination: e.Cell, Zone: names.Zone(wire.Plain(e.Locality)), Kind: names.Kind(wire.Plain(e.Flavor)),
 			Phase: phase(e.Phase), Weight: e.Size,
 		}
 	}
 	return m
 }
 
-// Cached converts a list that was stored before this process started.
-func (l *List) Cached(names Names) *engine.Members {
+// CachedMembers converts a list that was stored before this process started.
+func (l *List) CachedMembers(names NameIndex) *engine.Members {
 	m := l.Members(names)
-	m.Whole, m.Cached = true, true
+	m.FullList, m.Cached = true, true
 	return m
 }
 
--- a/membership/partnerlist/listing.go
+++ b/membership/partnerlist/listing.go
@@ -8,9 +8,9 @@
 	"curlewmux/internal/host"
 )
 
-// Listing returns a callback for Watch.Start that forwards lists to an engine. It logs zones and kinds that the settings
+// ListingCallback returns a callback for Watch.Start that forwards lists to an engine. It logs zones and kinds that the settings
 // don't have, at most once a second. The callback returns false once the engine no longer accepts events.
-func Listing(to engine.Listing, names Names, h host.Host, log *slog.Logger) func(*List, error) bool {
+func ListingCallback(to engine.MembershipReceiver, names NameIndex, h host.Host, log *slog.Logger) func(*List, error) bool {
 	var warned time.Time
 	return func(l *List, err error) bool {
 		if err != nil {
--- a/membership/partnerlist/notices.go
+++ b/membership/partnerlist/notices.go
@@ -57,18 +57,18 @@
 
 // Done queues the notice for a result. It does not block. Messages that were delivered, closed by the endpoint or withdrawn
 // get no notice, and the engine waits for no acknowledgement of them.
-func (n *Notices) Done(d *engine.Done) {
-	switch d.How {
+func (n *Notices) Completed(d *engine.Done) {
+	switch d.Disposition {
 	case engine.Refused:
-		n.agent.inbox.Put(&notice{id: d.ID, deferred: true, again: d.Again})
+		n.agent.inbox.Put(&notice{id: d.ID, deferred: true, again: d.RetryAfter})
 	case engine.Failed:
 		n.agent.inbox.Put(&notice{id: d.ID})
 	}
 }
 
-// Move sets the address of the agent, also for notices that are not yet acknowledged. It reports whether the address is
+// SetAddress sets the address of the agent, also for notices that are not yet acknowledged. It reports whether the address is
 // a different one. It does not block.
-func (n *Notices) Move(addr string) bool { return n.agent.move(addr) }
+func (n *Notices) SetAddress(addr string) bool { return n.agent.move(addr) }
 
 // Close stops sending and waits for the goroutine to end. Notices that are not acknowledged are dropped, since the store
 // still has them. Close must not be called from through.
--- a/membership/partnerlist/watch.go
+++ b/membership/partnerlist/watch.go
@@ -31,9 +31,9 @@
 // Watch follows the list of endpoints: first it reports the full list, then changes. If discovery fails, it reports that
 // once and retries.
 type Watch struct {
-	// Draw returns random numbers from 0 to below 1. If it is set before Start, retries are spread over time, since one
+	// Random returns random numbers from 0 to below 1. If it is set before Start, retries are spread over time, since one
 	// discovery service may serve all dispatchers.
-	Draw func() float64
+	Random func() float64
 
 	agent               *agent
 	log                 *slog.Logger
@@ -53,9 +53,9 @@
 	w.agent.start(w.run)
 }
 
-// Move sets the address of the agent and starts again there with a full list. It reports whether the address is a different
+// SetAddress sets the address of the agent and starts again there with a full list. It reports whether the address is a different
 // one. It does not block.
-func (w *Watch) Move(addr string) bool { return w.agent.move(addr) }
+func (w *Watch) SetAddress(addr string) bool { return w.agent.move(addr) }
 
 // Close ends the watch and waits for its goroutine to end. It must not be called from tell.
 func (w *Watch) Close() { w.agent.close() }
@@ -73,9 +73,9 @@
 			return
 		}
 		if p != at {
-			at, known, turns = p, false, subscription.Subscription{Draw: w.Draw}
+			at, known, turns = p, false, subscription.Subscription{Random: w.Random}
 		}
-		turns.Ask(w.agent.host.Now()) // always true, since the pause has passed
+		turns.StartCall(w.agent.host.Now()) // always true, since the pause has passed
 		path, limit := "/api/targets", w.whole
 		if known {
 			path = fmt.Sprintf("/api/targets?after=%d&wait_ms=%d", after, w.wait.Milliseconds())
@@ -97,10 +97,10 @@
 				}
 			}
 			down = true
-			w.agent.wait(at, turns.Failed(w.agent.host.Now()), nil)
+			w.agent.wait(at, turns.CallFailed(w.agent.host.Now()), nil)
 			continue
 		}
-		turns.Answered()
+		turns.CallSucceeded()
 		if down {
 			w.log.Info("discovery responds again", "revision", l.Revision)
 		}
--- a/membership/subscription/subscription.go
+++ b/membership/subscription/subscription.go
@@ -9,19 +9,19 @@
 // another. Each call that it rejects, or that its caller abandons, then takes time from the calls of others, so the pause
 // grows quickly. Its maximum is short, since the dispatcher doesn't learn which endpoints drain until a call succeeds.
 const (
-	// Least is the pause after the first failure. It doubles with each further one. With Subscription.Draw up to half of
+	// MinPause is the pause after the first failure. It doubles with each further one. With Subscription.Draw up to half of
 	// a pause is left out at random.
-	Least = 50 * time.Millisecond
-	// Most is the longest pause.
-	Most = time.Second
+	MinPause = 50 * time.Millisecond
+	// MaxPause is the longest pause.
+	MaxPause = time.Second
 )
 
 // Subscription tracks whether one dispatcher is subscribed to one discovery service. The zero value is not subscribed and
 // may start a call at once. It is not safe for concurrent use.
 type Subscription struct {
-	// Draw returns random numbers from 0 to below 1, which shorten the pauses by up to half, so that dispatchers that were
+	// Random returns random numbers from 0 to below 1, which shorten the pauses by up to half, so that dispatchers that were
 	// rejected at the same time don't retry at the same time. If it is nil, pauses are not shortened.
-	Draw func() float64
+	Random func() float64
 
 	state state
 	pause time.Duration
@@ -36,8 +36,8 @@
 	subscribed              // discovery sends changes
 )
 
-// Ask reports whether to start a call now. If so, the call counts as started, and Answered or Failed must follow.
-func (s *Subscription) Ask(now time.Time) bool {
+// StartCall reports whether to start a call now. If so, the call counts as started, and Answered or Failed must follow.
+func (s *Subscription) StartCall(now time.Time) bool {
 	if s.state != idle || now.Before(s.due) {
 		return false
 	}
@@ -45,19 +45,19 @@
 	return true
 }
 
-// Answered records the response to a call, or a change that discovery has sent.
-func (s *Subscription) Answered() { s.state, s.pause = subscribed, 0 }
+// CallSucceeded records the response to a call, or a change that discovery has sent.
+func (s *Subscription) CallSucceeded() { s.state, s.pause = subscribed, 0 }
 
-// Failed records the failure of a call or the end of a subscription. It returns the time of the next call.
-func (s *Subscription) Failed(now time.Time) time.Time {
+// CallFailed records the failure of a call or the end of a subscription. It returns the time of the next call.
+func (s *Subscription) CallFailed(now time.Time) time.Time {
 	if s.state == idle { // the same failure may be reported twice
 		return s.due
 	}
 	s.state = idle
-	s.pause = min(max(2*s.pause, Least), Most)
+	s.pause = min(max(2*s.pause, MinPause), MaxPause)
 	pause := s.pause
-	if s.Draw != nil {
-		pause -= time.Duration(s.Draw() * float64(pause) / 2)
+	if s.Random != nil {
+		pause -= time.Duration(s.Random() * float64(pause) / 2)
 	}
 	s.due = now.Add(pause)
 	return s.due
--- a/membership/table.go
+++ b/membership/table.go
@@ -10,11 +10,11 @@
 
 // Settings configures a Table. The zero values are safe defaults.
 type Settings struct {
-	Sources []string // names of the sources, in decreasing precedence for fields
-	Most    int      // limit on endpoints in the table; 0 means 100,000
-	// Remember is how long an endpoint that has left is remembered; 0 means 10 minutes. No more than mostGone are
+	Sources      []string // names of the sources, in decreasing precedence for fields
+	MaxEndpoints int      // limit on endpoints in the table; 0 means 100,000
+	// RememberLeft is how long an endpoint that has left is remembered; 0 means 10 minutes. No more than mostGone are
 	// remembered, whatever this says.
-	Remember time.Duration
+	RememberLeft time.Duration
 }
 
 const (
@@ -73,8 +73,8 @@
 	r  *record
 }
 
-// Refused describes an endpoint of an update that was not accepted as reported.
-type Refused struct {
+// Rejection describes an endpoint of an update that was not accepted as reported.
+type Rejection struct {
 	ID  string
 	Err error // wraps ErrMalformed or ErrFull
 }
@@ -85,11 +85,11 @@
 // New creates an empty table.
 func New(s Settings) (*Table, error) {
 	t := &Table{
-		most: cmp.Or(s.Most, defaultMost), remember: cmp.Or(s.Remember, defaultRemember),
+		most: cmp.Or(s.MaxEndpoints, defaultMost), remember: cmp.Or(s.RememberLeft, defaultRemember),
 		records: map[string]*record{}, byAddr: map[addrKey][]*record{},
 	}
 	if t.most < 0 || t.remember < 0 {
-		return nil, fmt.Errorf("membership: most %d, remember %v: out of range", s.Most, s.Remember)
+		return nil, fmt.Errorf("membership: most %d, remember %v: out of range", s.MaxEndpoints, s.RememberLeft)
 	}
 	if _, err := t.SetSources(time.Time{}, s.Sources); err != nil {
 		return nil, err
@@ -133,11 +133,11 @@
 	return nil
 }
 
-// Tell applies an update of a source. It returns the endpoints whose merged state changed, sorted by phase (Left, Leaving,
+// Apply applies an update of a source. It returns the endpoints whose merged state changed, sorted by phase (Left, Leaving,
 // Active) and then by ID, so that endpoints that lose work come first. It also returns the endpoints that were not
 // accepted as reported. A malformed endpoint is Leaving if it is already known, and is ignored otherwise. It does not
 // affect the other endpoints of the update.
-func (t *Table) Tell(now time.Time, name string, u Update) (changes []Endpoint, refused []Refused, err error) {
+func (t *Table) Apply(now time.Time, name string, u Update) (changes []Endpoint, refused []Rejection, err error) {
 	s := t.source(name)
 	if s == nil {
 		return nil, nil, fmt.Errorf("membership: source %q is not in the table's order", name)
@@ -153,7 +153,7 @@
 		return nil, nil, nil
 	}
 	s.told, s.failed, s.err = now, time.Time{}, ""
-	whole := u.Kind == Whole || u.Kind == Restated
+	whole := u.Kind == FullList || u.Kind == Replacement
 	if whole {
 		s.listed = true
 		s.gen++
@@ -162,7 +162,7 @@
 	for _, e := range u.Endpoints {
 		r, err := t.claim(now, s, e, whole)
 		if err != nil {
-			refused = append(refused, Refused{e.ID, err})
+			refused = append(refused, Rejection{e.ID, err})
 		}
 		if r != nil {
 			touched = append(touched, r)
@@ -174,7 +174,7 @@
 			switch {
 			case c == nil || c.gen == s.gen:
 				continue
-			case u.Kind == Restated:
+			case u.Kind == Replacement:
 				r.claims = slices.DeleteFunc(r.claims, func(c claim) bool { return c.by == s })
 			case c.says.Phase == Left:
 				continue
@@ -189,7 +189,7 @@
 
 // Restore loads a source's cached claims, as returned by Dump. It must come before the source's first update. A cached
 // claim counts until the source reports the endpoint. The source's first full list replaces all of them.
-func (t *Table) Restore(now time.Time, name string, claims []Endpoint) (changes []Endpoint, refused []Refused, err error) {
+func (t *Table) Restore(now time.Time, name string, claims []Endpoint) (changes []Endpoint, refused []Rejection, err error) {
 	s := t.source(name)
 	if s == nil {
 		return nil, nil, fmt.Errorf("membership: source %q is not in the table's order", name)
@@ -201,7 +201,7 @@
 	for _, e := range claims {
 		r, err := t.claim(now, s, e, false)
 		if err != nil {
-			refused = append(refused, Refused{e.ID, err})
+			refused = append(refused, Rejection{e.ID, err})
 		}
 		if r != nil {
 			r.claimOf(s).cached = true
--- a/membership/why.go
+++ b/membership/why.go
@@ -91,42 +91,42 @@
 
 // Claim is what one source reports about an endpoint.
 type Claim struct {
-	Source string
-	Says   Endpoint
-	At     time.Time // time of the report
-	Cached bool      // comes from a cache: the source has not reported the endpoint since the start
-	Silent time.Time // start of the source's current failure, zero if it works
+	Source       string
+	Endpoint     Endpoint
+	ReportedAt   time.Time // time of the report
+	Cached       bool      // comes from a cache: the source has not reported the endpoint since the start
+	FailingSince time.Time // start of the source's current failure, zero if it works
 }
 
 // Explanation says why an endpoint is in its current phase.
 type Explanation struct {
 	Endpoint Endpoint // as it was last reported to the caller
 	Claims   []Claim  // in the table's order of sources
-	Because  string   // rule that decided the phase
+	Reason   string   // rule that decided the phase
 }
 
 // String formats the explanation in a few lines for operators.
 func (x Explanation) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s is %s: %s\n", x.Endpoint.ID, x.Endpoint.Phase, x.Because)
+	fmt.Fprintf(&b, "%s is %s: %s\n", x.Endpoint.ID, x.Endpoint.Phase, x.Reason)
 	for _, c := range x.Claims {
-		fmt.Fprintf(&b, "  %s said %s at %s", c.Source, c.Says.Phase, c.At.UTC().Format(time.RFC3339Nano))
-		if c.Says.Note != "" {
-			fmt.Fprintf(&b, " (%s)", c.Says.Note)
+		fmt.Fprintf(&b, "  %s said %s at %s", c.Source, c.Endpoint.Phase, c.ReportedAt.UTC().Format(time.RFC3339Nano))
+		if c.Endpoint.Note != "" {
+			fmt.Fprintf(&b, " (%s)", c.Endpoint.Note)
 		}
 		if c.Cached {
 			b.WriteString(", as the cache has it")
 		}
-		if !c.Silent.IsZero() {
-			fmt.Fprintf(&b, ", and can't be heard since %s", c.Silent.UTC().Format(time.RFC3339Nano))
+		if !c.FailingSince.IsZero() {
+			fmt.Fprintf(&b, ", and can't be heard since %s", c.FailingSince.UTC().Format(time.RFC3339Nano))
 		}
 		b.WriteString("\n")
 	}
 	return b.String()
 }
 
-// Why explains an endpoint's phase. An endpoint that has left can be explained as long as it is remembered.
-func (t *Table) Why(id string) (x Explanation, known bool) {
+// Explain explains an endpoint's phase. An endpoint that has left can be explained as long as it is remembered.
+func (t *Table) Explain(id string) (x Explanation, known bool) {
 	r := t.records[id]
 	if r == nil {
 		return x, false
@@ -135,7 +135,7 @@
 	decided := ""
 	dests := map[int]bool{}
 	for _, c := range r.claims {
-		x.Claims = append(x.Claims, Claim{Source: c.by.name, Says: c.says, At: c.at, Cached: c.cached, Silent: c.by.failed})
+		x.Claims = append(x.Claims, Claim{Source: c.by.name, Endpoint: c.says, ReportedAt: c.at, Cached: c.cached, FailingSince: c.by.failed})
 		if c.says.Phase == r.merged.Phase && decided == "" {
 			decided = c.by.name
 		}
@@ -145,16 +145,16 @@
 	}
 	switch {
 	case r.rival != "":
-		x.Because = fmt.Sprintf("its address %s is held by %s, which started later or comes first", r.merged.Addr, r.rival)
+		x.Reason = fmt.Sprintf("its address %s is held by %s, which started later or comes first", r.merged.Addr, r.rival)
 	case decided == "":
-		x.Because = "its sources name different destinations"
+		x.Reason = "its sources name different destinations"
 	case r.merged.Phase == Active:
-		x.Because = "no source says otherwise"
+		x.Reason = "no source says otherwise"
 	default:
-		x.Because = fmt.Sprintf("the worst that a source says of it, which is %s", decided)
+		x.Reason = fmt.Sprintf("the worst that a source says of it, which is %s", decided)
 	}
 	if len(dests) > 1 && decided != "" {
-		x.Because += "; its sources name different destinations"
+		x.Reason += "; its sources name different destinations"
 	}
 	return x, true
 }
--- a/resend/planner.go
+++ b/resend/planner.go
@@ -9,21 +9,21 @@
 
 // Node is a message's entry in a Planner. It is embedded in the record of the message. The zero value is in no planner.
 type Node struct {
-	Due  Time // earliest time at which the message may be picked
-	No   uint64
-	dest int32
-	pos  int32 // index in its lane's heap plus 1; 0 if it is in none
+	Due    Time // earliest time at which the message may be picked
+	Number uint64
+	dest   int32
+	pos    int32 // index in its lane's heap plus 1; 0 if it is in none
 }
 
-// SetDest sets the destination of the message. It must come before the first Put.
-func (n *Node) SetDest(dest int) {
+// SetDestination sets the destination of the message. It must come before the first Put.
+func (n *Node) SetDestination(dest int) {
 	if n.pos == 0 {
 		n.dest = int32(dest)
 	}
 }
 
-// Dest returns the destination of the message.
-func (n *Node) Dest() int { return int(n.dest) }
+// Destination returns the destination of the message.
+func (n *Node) Destination() int { return int(n.dest) }
 
 // Planner queues undelivered messages by destination and picks those that are next. It limits how many are being resent at
 // once, in total and for each destination: the limit of a destination grows with successes. It is not safe for concurrent
@@ -60,20 +60,20 @@
 	return &Planner{slots: max(slots, 1), share: share, trial: trial, lanes: map[int]*lane{}}
 }
 
-// Put queues a message for the time due. A message that is already queued is moved.
-func (p *Planner) Put(n *Node, due Time) {
-	p.Drop(n)
-	l := p.lane(n.Dest())
+// Schedule queues a message for the time due. A message that is already queued is moved.
+func (p *Planner) Schedule(n *Node, due Time) {
+	p.Remove(n)
+	l := p.lane(n.Destination())
 	n.Due = due
 	heap.Push(&l.nodes, n)
 }
 
-// Drop removes a message from the queue, if it is in one.
-func (p *Planner) Drop(n *Node) {
+// Remove removes a message from the queue, if it is in one.
+func (p *Planner) Remove(n *Node) {
 	if n.pos == 0 {
 		return
 	}
-	l := p.lanes[n.Dest()]
+	l := p.lanes[n.Destination()]
 	heap.Remove(&l.nodes, int(n.pos)-1)
 	p.forget(l)
 }
@@ -101,9 +101,9 @@
 	}
 }
 
-// Next returns the next time at which Pick may find a message. ok is false if there is none until Put, Drop or Done is
+// NextDue returns the next time at which Pick may find a message. ok is false if there is none until Put, Drop or Done is
 // called.
-func (p *Planner) Next() (at Time, ok bool) {
+func (p *Planner) NextDue() (at Time, ok bool) {
 	if p.out >= p.slots {
 		return 0, false
 	}
@@ -141,8 +141,8 @@
 	}
 	c, rate := how(l.dest)
 	switch c {
-	case control.Well:
-	case control.Ailing:
+	case control.Healthy:
+	case control.Unhealthy:
 		l.window = 1
 		if l.out > 0 || now < l.trial {
 			l.next = now + lookAgain
@@ -163,31 +163,31 @@
 	return n
 }
 
-// Fared is the result of resending a message.
-type Fared uint8
+// SendResult is the result of resending a message.
+type SendResult uint8
 
 // Results of resending a message.
 const (
-	Nothing Fared = iota // says nothing about the destination
-	Good
-	Bad
+	Inconclusive SendResult = iota // says nothing about the destination
+	Success
+	Failure
 )
 
-// Took counts a message as being resent that was not picked, since it was already being resent when the process started.
-func (p *Planner) Took(dest int) {
+// AddInFlight counts a message as being resent that was not picked, since it was already being resent when the process started.
+func (p *Planner) AddInFlight(dest int) {
 	p.lane(dest).out++
 	p.out++
 }
 
 // Done records that a message is no longer being resent, and with which result.
-func (p *Planner) Done(dest int, now Time, f Fared) {
+func (p *Planner) Completed(dest int, now Time, f SendResult) {
 	l := p.lane(dest)
 	l.out--
 	p.out--
 	switch f {
-	case Good:
+	case Success:
 		l.window, l.fails = min(l.window+1, p.slots), 0
-	case Bad:
+	case Failure:
 		l.window = 1
 		l.fails = min(l.fails+1, 10)
 		l.next = max(l.next, now+min(firstPause<<(l.fails-1), max(p.trial, firstPause)))
@@ -195,15 +195,15 @@
 	p.forget(l)
 }
 
-// Out returns the number of messages being resent.
-func (p *Planner) Out() int { return p.out }
+// InFlight returns the number of messages being resent.
+func (p *Planner) InFlight() int { return p.out }
 
 // nodes is a heap ordered by due time and then by message number.
 type nodes []*Node
 
 func (h nodes) Len() int { return len(h) }
 func (h nodes) Less(i, j int) bool {
-	return h[i].Due < h[j].Due || h[i].Due == h[j].Due && h[i].No < h[j].No
+	return h[i].Due < h[j].Due || h[i].Due == h[j].Due && h[i].Number < h[j].Number
 }
 func (h nodes) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
--- a/resend/resend.go
+++ b/resend/resend.go
@@ -16,13 +16,13 @@
 
 // Class holds the properties of a message class that matter for resending.
 type Class struct {
-	Name      string
-	Effect    control.Effect
-	ZoneGroup bool // Guarded: repeats are dropped only within one zone
-	InOrder   bool // its keys are order keys and don't identify messages
-	Window    Time // Guarded: how long repeats are dropped, counted from the first attempt that may have run
-	Deadline  Time // longest time from the acceptance of a message to its end
-	Worth     float64
+	Name        string
+	Effect      control.Effect
+	ZoneGroup   bool // Guarded: repeats are dropped only within one zone
+	Ordered     bool // its keys are order keys and don't identify messages
+	DedupWindow Time // Guarded: how long repeats are dropped, counted from the first attempt that may have run
+	Deadline    Time // longest time from the acceptance of a message to its end
+	Worth       float64
 }
 
 // Proof says how to find out whether a message took effect at a partner.
@@ -37,27 +37,27 @@
 
 // Partner holds the settings of a destination. Destinations without settings have NoProof.
 type Partner struct {
-	Dest      int
-	Proof     Proof
-	Settle    Time // how long a call may still run at the partner after the dispatcher has abandoned it
-	Remembers Time // how long the partner remembers a key, or that a message took effect
+	Destination  int
+	Proof        Proof
+	SettleTime   Time // how long a call may still run at the partner after the dispatcher has abandoned it
+	RememberTime Time // how long the partner remembers a key, or that a message took effect
 }
 
 // Rule says which messages are resent, and when. The first rule that matches a message applies.
 type Rule struct {
-	Name    string
-	Classes []string // empty: all; the same for the next three fields
-	Dests   []int
-	Tenants []string
-	Causes  []string
-	Doubt   DoubtFilter
-	MaxAge  Time // older messages are left to operators; 0: no limit
-
-	Tries  int     // limit on resends
-	First  Time    // delay of the first resend after the message was kept ...
-	Factor float64 // ... multiplied by this for each further resend ...
-	Most   Time    // ... up to this
-	Jitter float64 // largest random part of a delay that is added to it
+	Name         string
+	Classes      []string // empty: all; the same for the next three fields
+	Destinations []int
+	Tenants      []string
+	Causes       []string
+	Doubt        DoubtFilter
+	MaxAge       Time // older messages are left to operators; 0: no limit
+
+	MaxResends int     // limit on resends
+	FirstDelay Time    // delay of the first resend after the message was kept ...
+	Factor     float64 // ... multiplied by this for each further resend ...
+	MaxDelay   Time    // ... up to this
+	Jitter     float64 // largest random part of a delay that is added to it
 }
 
 // DoubtFilter says which messages a rule matches.
@@ -76,58 +76,58 @@
 	Tenants  []string // none: there are no tenants
 	Partners []Partner
 	Rules    []Rule
-	Body     int // current limit of a body in bytes; 0: no limit
+	MaxBody  int // current limit of a body in bytes; 0: no limit
 }
 
 // Item describes an undelivered message.
 type Item struct {
-	No            uint64
-	Class, Tenant string
-	Dest          int
-	Cause         string
-	Body          int // bytes
-	HasKey        bool
-	Kept          Time   // when it first became undelivered
-	Last          Time   // when it last became undelivered
-	Tries         int    // number of resends so far
-	Asked         Time   // when the last inquiry failed
-	Asks          int    // consecutive failed inquiries
-	Held          string // why rules must not resend it, "" if they may
-	Doubt         Doubt
+	Number            uint64
+	Class, Tenant     string
+	Destination       int
+	Cause             string
+	Body              int // bytes
+	HasKey            bool
+	KeptAt            Time   // when it first became undelivered
+	LastEnd           Time   // when it last became undelivered
+	Resends           int    // number of resends so far
+	LastFailedInquiry Time   // when the last inquiry failed
+	FailedInquiries   int    // consecutive failed inquiries
+	HoldReason        string // why rules must not resend it, "" if they may
+	Doubt             Doubt
 }
 
 // Doubt says whether a message may have taken effect.
 type Doubt struct {
-	At      Time // when the first attempt that may have run was sent, 0 if there is none
-	Zone    int  // of the endpoint that it was sent to
-	Quiet   Time // from then on the dispatcher has no call open for it
-	Ageless bool // At is unreliable, since the clock was set back in the meantime
+	FirstSent  Time // when the first attempt that may have run was sent, 0 if there is none
+	Zone       int  // of the endpoint that it was sent to
+	QuietFrom  Time // from then on the dispatcher has no call open for it
+	AgeUnknown bool // At is unreliable, since the clock was set back in the meantime
 }
 
-// Do is an action for a message.
-type Do uint8
+// Action is an action for a message.
+type Action uint8
 
 // Actions.
 const (
-	Wait        Do = iota + 1 // decide again at the time At
-	Ask                       // ask the partner whether it took effect; Answered handles the answer
-	Send                      // resend it as a message that never ran
-	SendDoubted               // resend it with the doubt of its earlier attempts
-	Leave                     // leave it to operators
-	Took                      // it took effect: mark it as delivered
-	Clear                     // it took no effect, and no earlier call can run any more: clear its doubt
+	Wait          Action = iota + 1 // decide again at the time At
+	Ask                             // ask the partner whether it took effect; Answered handles the answer
+	Send                            // resend it as a message that never ran
+	SendInDoubt                     // resend it with the doubt of its earlier attempts
+	Leave                           // leave it to operators
+	MarkDelivered                   // it took effect: mark it as delivered
+	ClearDoubt                      // it took no effect, and no earlier call can run any more: clear its doubt
 )
 
-func (d Do) String() string {
+func (d Action) String() string {
 	return [...]string{"?", "wait", "ask", "send", "send-doubted", "leave", "took", "clear"}[d]
 }
 
-// Verdict is a decision on a message.
-type Verdict struct {
-	Do   Do
-	At   Time   // of Wait
-	Rule string // name of the rule that matched, "" if none did
-	Why  string // reason for Wait and Leave, for operators
+// Decision is a decision on a message.
+type Decision struct {
+	Action Action
+	At     Time   // of Wait
+	Rule   string // name of the rule that matched, "" if none did
+	Reason string // reason for Wait and Leave, for operators
 }
 
 // Answer is the result of an inquiry at a partner.
@@ -160,85 +160,85 @@
 
 // Partner returns the settings of a destination.
 func (s *Settings) Partner(dest int) Partner {
-	if i := slices.IndexFunc(s.Partners, func(p Partner) bool { return p.Dest == dest }); i >= 0 {
+	if i := slices.IndexFunc(s.Partners, func(p Partner) bool { return p.Destination == dest }); i >= 0 {
 		return s.Partners[i]
 	}
-	return Partner{Dest: dest}
+	return Partner{Destination: dest}
 }
 
-// Judge decides what the rules do with a message now.
-func (s *Settings) Judge(it *Item, now Time) Verdict {
+// Decide decides what the rules do with a message now.
+func (s *Settings) Decide(it *Item, now Time) Decision {
 	c, why := s.possible(it)
 	switch {
-	case it.Held != "":
-		return Verdict{Do: Leave, Why: it.Held}
+	case it.HoldReason != "":
+		return Decision{Action: Leave, Reason: it.HoldReason}
 	case why != "":
-		return Verdict{Do: Leave, Why: why}
+		return Decision{Action: Leave, Reason: why}
 	}
 	i := slices.IndexFunc(s.Rules, func(r Rule) bool { return r.fits(it) })
 	if i < 0 {
-		return Verdict{Do: Leave, Why: "no rule fits it"}
+		return Decision{Action: Leave, Reason: "no rule fits it"}
 	}
 	r := &s.Rules[i]
-	leave := func(format string, args ...any) Verdict {
-		return Verdict{Do: Leave, Rule: r.Name, Why: fmt.Sprintf(format, args...)}
+	leave := func(format string, args ...any) Decision {
+		return Decision{Action: Leave, Rule: r.Name, Reason: fmt.Sprintf(format, args...)}
 	}
 	switch {
-	case c.InOrder:
+	case c.Ordered:
 		return leave("its class is in order: what came since would be overtaken")
-	case it.Tries >= r.Tries:
-		return leave("it had all %d tries of rule %q", r.Tries, r.Name)
-	case r.MaxAge > 0 && now-it.Kept > r.MaxAge:
+	case it.Resends >= r.MaxResends:
+		return leave("it had all %d tries of rule %q", r.MaxResends, r.Name)
+	case r.MaxAge > 0 && now-it.KeptAt > r.MaxAge:
 		return leave("it is older than rule %q allows", r.Name)
-	case it.Asks >= mostAsks:
-		return leave("%d inquiries in a row brought no answer", it.Asks)
+	case it.FailedInquiries >= mostAsks:
+		return leave("%d inquiries in a row brought no answer", it.FailedInquiries)
 	}
-	due := it.Last + grown(r.First, r.Most, r.Factor, r.Jitter, it.No, it.Tries)
-	if it.Asks > 0 {
-		due = max(due, it.Asked+grown(askFirst, askMost, 2, 0.5, it.No, it.Asks-1))
+	due := it.LastEnd + grown(r.FirstDelay, r.MaxDelay, r.Factor, r.Jitter, it.Number, it.Resends)
+	if it.FailedInquiries > 0 {
+		due = max(due, it.LastFailedInquiry+grown(askFirst, askMost, 2, 0.5, it.Number, it.FailedInquiries-1))
 	}
 	if now < due {
-		return Verdict{Do: Wait, At: due, Rule: r.Name, Why: "its next try is due later"}
+		return Decision{Action: Wait, At: due, Rule: r.Name, Reason: "its next try is due later"}
 	}
 	v := s.safe(it, c, now)
 	v.Rule = r.Name
 	return v
 }
 
-// ByHand decides on a message that an operator wants to resend. vouched means that the operator vouches that it took no
+// DecideManual decides on a message that an operator wants to resend. vouched means that the operator vouches that it took no
 // effect.
-func (s *Settings) ByHand(it *Item, now Time, vouched bool) Verdict {
+func (s *Settings) DecideManual(it *Item, now Time, vouched bool) Decision {
 	c, why := s.possible(it)
 	if why != "" {
-		return Verdict{Do: Leave, Why: why}
+		return Decision{Action: Leave, Reason: why}
 	}
-	if quiet := s.quiet(it); vouched && it.Doubt.At != 0 {
+	if quiet := s.quiet(it); vouched && it.Doubt.FirstSent != 0 {
 		if now < quiet {
-			return Verdict{Do: Wait, At: quiet, Why: "an earlier call may still be running at the partner"}
+			return Decision{Action: Wait, At: quiet, Reason: "an earlier call may still be running at the partner"}
 		}
-		return Verdict{Do: Clear}
+		return Decision{Action: ClearDoubt}
 	}
 	return s.safe(it, c, now)
 }
 
-// Answered decides on a message after an inquiry that was sent at asked and got the answer a now.
-func (s *Settings) Answered(it *Item, asked, now Time, a Answer) Verdict {
-	p := s.Partner(it.Dest)
+// DecideInquiry decides on a message after an inquiry that was sent at asked and got the answer a now.
+func (s *Settings) DecideInquiry(it *Item, asked, now Time, a Answer) Decision {
+	p := s.Partner(it.Destination)
 	switch a {
 	case Yes:
-		return Verdict{Do: Took}
+		return Decision{Action: MarkDelivered}
 	case Unknown:
-		return Verdict{Do: Leave, Why: "the partner can't tell whether it took effect"}
+		return Decision{Action: Leave, Reason: "the partner can't tell whether it took effect"}
 	case Unanswered:
-		return Verdict{Do: Wait, At: now + grown(askFirst, askMost, 2, 0.5, it.No, it.Asks), Why: "the partner did not answer"}
+		return Decision{Action: Wait, At: now + grown(askFirst, askMost, 2, 0.5, it.Number, it.FailedInquiries), Reason: "the partner did not answer"}
 	}
 	switch quiet := s.quiet(it); {
 	case asked < quiet: // an earlier call may have run after the inquiry
-		return Verdict{Do: Wait, At: quiet, Why: "an earlier call may still be running at the partner"}
-	case it.Doubt.Ageless || now+slack >= it.Doubt.At+p.Remembers: // a partner that no longer remembers answers no, too
-		return Verdict{Do: Leave, Why: forgotten}
+		return Decision{Action: Wait, At: quiet, Reason: "an earlier call may still be running at the partner"}
+	case it.Doubt.AgeUnknown || now+slack >= it.Doubt.FirstSent+p.RememberTime: // a partner that no longer remembers answers no, too
+		return Decision{Action: Leave, Reason: forgotten}
 	}
-	return Verdict{Do: Clear}
+	return Decision{Action: ClearDoubt}
 }
 
 const forgotten = "the partner may have forgotten whether it took effect"
@@ -251,45 +251,47 @@
 		return nil, fmt.Sprintf("class %q is not among the settings", it.Class)
 	case len(s.Tenants) > 0 && !slices.Contains(s.Tenants, it.Tenant):
 		return nil, fmt.Sprintf("tenant %q is not among the settings", it.Tenant)
-	case s.Body > 0 && it.Body > s.Body:
-		return nil, fmt.Sprintf("its body of %d bytes is over today's limit of %d", it.Body, s.Body)
+	case s.MaxBody > 0 && it.Body > s.MaxBody:
+		return nil, fmt.Sprintf("its body of %d bytes is over today's limit of %d", it.Body, s.MaxBody)
 	}
 	return c, ""
 }
 
 // quiet returns the time from which no earlier call can run any more, neither at the dispatcher nor at the partner.
-func (s *Settings) quiet(it *Item) Time { return it.Doubt.Quiet + s.Partner(it.Dest).Settle }
+func (s *Settings) quiet(it *Item) Time {
+	return it.Doubt.QuietFrom + s.Partner(it.Destination).SettleTime
+}
 
 // safe decides whether a message may be sent now without the risk that it takes effect a second time.
-func (s *Settings) safe(it *Item, c *Class, now Time) Verdict {
-	d, p := &it.Doubt, s.Partner(it.Dest)
-	if d.At == 0 || c.Effect == control.Free {
-		return Verdict{Do: Send}
+func (s *Settings) safe(it *Item, c *Class, now Time) Decision {
+	d, p := &it.Doubt, s.Partner(it.Destination)
+	if d.FirstSent == 0 || c.Effect == control.Free {
+		return Decision{Action: Send}
 	}
-	key := it.HasKey && !c.InOrder && !d.Ageless
+	key := it.HasKey && !c.Ordered && !d.AgeUnknown
 	switch {
-	case key && p.Proof == ByKey && now+c.Deadline+p.Settle+slack < d.At+p.Remembers:
-		return Verdict{Do: Send} // the resend ends before the partner forgets the key
-	case key && c.Effect == control.Guarded && now+slack < d.At+c.Window:
-		return Verdict{Do: SendDoubted} // the decision module stops sending at the end of the window
+	case key && p.Proof == ByKey && now+c.Deadline+p.SettleTime+slack < d.FirstSent+p.RememberTime:
+		return Decision{Action: Send} // the resend ends before the partner forgets the key
+	case key && c.Effect == control.Guarded && now+slack < d.FirstSent+c.DedupWindow:
+		return Decision{Action: SendInDoubt} // the decision module stops sending at the end of the window
 	case p.Proof == ByInquiry:
-		if d.Ageless || now+slack >= d.At+p.Remembers {
-			return Verdict{Do: Leave, Why: forgotten}
+		if d.AgeUnknown || now+slack >= d.FirstSent+p.RememberTime {
+			return Decision{Action: Leave, Reason: forgotten}
 		}
 		if quiet := s.quiet(it); now < quiet {
-			return Verdict{Do: Wait, At: quiet, Why: "an earlier call may still be running at the partner"}
+			return Decision{Action: Wait, At: quiet, Reason: "an earlier call may still be running at the partner"}
 		}
-		return Verdict{Do: Ask}
+		return Decision{Action: Ask}
 	case p.Proof == ByKey:
-		return Verdict{Do: Leave, Why: "it may have taken effect, and the partner may not remember its key for long enough"}
+		return Decision{Action: Leave, Reason: "it may have taken effect, and the partner may not remember its key for long enough"}
 	}
-	return Verdict{Do: Leave, Why: "it may have taken effect, and only an operator can say that it did not"}
+	return Decision{Action: Leave, Reason: "it may have taken effect, and only an operator can say that it did not"}
 }
 
 // fits reports whether a rule matches a message.
 func (r *Rule) fits(it *Item) bool {
-	return among(r.Classes, it.Class) && among(r.Dests, it.Dest) && among(r.Tenants, it.Tenant) && among(r.Causes, it.Cause) &&
-		(r.Doubt == AnyDoubt || (r.Doubt == OnlyDoubt) == (it.Doubt.At != 0))
+	return among(r.Classes, it.Class) && among(r.Destinations, it.Destination) && among(r.Tenants, it.Tenant) && among(r.Causes, it.Cause) &&
+		(r.Doubt == AnyDoubt || (r.Doubt == OnlyDoubt) == (it.Doubt.FirstSent != 0))
 }
 
 // among reports whether v is in list. An empty list contains every value.
