--- a/admission/admission.go
+++ b/admission/admission.go
@@ -28,37 +28,37 @@
 )
 
 const (
-	often    = 3                         // consecutive long delays before messages are rejected; a single one is a pause of the process
-	stale    = 2 * control.Second        // a longer gap between two long delays means that they are separate pauses
-	interval = 100 * control.Millisecond // between two evaluations of completed and rejected messages
-	loose    = 10                        // consecutive intervals without a rejection after which the limit ends
-	bank     = 64                        // tokens that can be saved up, which limits a burst, or ...
-	share    = 1.0 / 10                  // ... this part of the messages completed in the last interval if that is more
-	again    = control.Second            // retry delay for a rejected message
+	minLongDelays      = 3                         // consecutive long delays before messages are rejected; a single one is a pause of the process
+	maxDelayGap        = 2 * control.Second        // a longer gap between two long delays means that they are separate pauses
+	evaluationInterval = 100 * control.Millisecond // between two evaluations of completed and rejected messages
+	calmIntervalsToEnd = 10                        // consecutive intervals without a rejection after which the limit ends
+	minTokenLimit      = 64                        // tokens that can be saved up, which limits a burst, or ...
+	tokenShare         = 1.0 / 10                  // ... this part of the messages completed in the last interval if that is more
+	retryAfter         = control.Second            // retry delay for a rejected message
 )
 
 // Gate decides on admission for one process. It is created by New. It is not safe for concurrent use.
 type Gate struct {
-	set     Settings
-	limited bool
-	tokens  float64 // messages that may be admitted now
-	per     float64 // tokens added for each completed message
-	at      Time    // when the tokens of the minimum rate were last added
-	most    float64 // limit of tokens
+	settings            Settings
+	limited             bool
+	tokens              float64 // messages that may be admitted now
+	tokensPerCompletion float64 // tokens added for each completed message
+	refilledAt          Time    // when the tokens of the minimum rate were last added
+	maxTokens           float64 // limit of tokens
 
 	// Since the last normal delay:
 
-	row   int  // number of consecutive long delays
-	began Time // when the first of them started
-	last  Time // when the last of them was reported
+	longDelays    int  // number of consecutive long delays
+	delayedSince  Time // when the first of them started
+	lastLongDelay Time // when the last of them was reported
 
 	// In the current interval:
 
-	since  Time // its start
-	done   int  // completed messages
-	turned int  // rejected messages
+	intervalStart Time // its start
+	completed     int  // completed messages
+	rejected      int  // rejected messages
 
-	calm int // consecutive intervals without a rejection
+	calmIntervals int // consecutive intervals without a rejection
 }
 
 // New creates a gate. It admits every message until long delays are reported.
@@ -72,29 +72,29 @@
 	if s.MinRate == 0 {
 		s.MinRate = defaultFloor
 	}
-	return &Gate{set: s, most: bank}
+	return &Gate{settings: s, maxTokens: minTokenLimit}
 }
 
 // ObserveDelay records how long something that was ready to run has waited for a core.
 func (g *Gate) ObserveDelay(now, by Time) {
-	g.roll(now)
-	g.per = g.allow(by)
-	if by <= g.set.LateAfter {
-		g.row = 0
+	g.endInterval(now)
+	g.tokensPerCompletion = g.tokensFor(by)
+	if by <= g.settings.LateAfter {
+		g.longDelays = 0
 		return
 	}
-	if g.row == 0 || now-by-g.last > stale {
-		g.row, g.began = 0, now-by
+	if g.longDelays == 0 || now-by-g.lastLongDelay > maxDelayGap {
+		g.longDelays, g.delayedSince = 0, now-by
 	}
-	g.row, g.last = g.row+1, now
-	if !g.limited && g.row >= often && now-g.began >= g.set.SustainedAfter {
-		g.limited, g.at, g.tokens, g.calm = true, now, bank, 0
+	g.longDelays, g.lastLongDelay = g.longDelays+1, now
+	if !g.limited && g.longDelays >= minLongDelays && now-g.delayedSince >= g.settings.SustainedAfter {
+		g.limited, g.refilledAt, g.tokens, g.calmIntervals = true, now, minTokenLimit, 0
 	}
 }
 
-// allow returns the number of tokens for each completed message at the given delay.
-func (g *Gate) allow(late Time) float64 {
-	t := g.set.LateAfter
+// tokensFor returns the number of tokens for each completed message at the given delay.
+func (g *Gate) tokensFor(late Time) float64 {
+	t := g.settings.LateAfter
 	switch {
 	case late <= t/4:
 		return 2
@@ -110,26 +110,26 @@
 
 // Completed records that n accepted messages have ended with any other disposition than refused.
 func (g *Gate) Completed(now Time, n int) {
-	g.roll(now)
-	g.done += n
+	g.endInterval(now)
+	g.completed += n
 	if g.limited {
-		g.tokens = min(g.tokens+float64(n)*g.per, g.most)
+		g.tokens = min(g.tokens+float64(n)*g.tokensPerCompletion, g.maxTokens)
 	}
 }
 
 // Admit decides whether a message is admitted. If not, after is the time that the client should wait before it retries.
 func (g *Gate) Admit(now Time) (ok bool, after Time) {
-	g.roll(now)
+	g.endInterval(now)
 	if !g.limited {
 		return true, 0
 	}
-	if gone := now - g.at; gone > 0 {
-		g.tokens = min(g.tokens+g.set.MinRate*seconds(gone), g.most)
-		g.at = now
+	if gone := now - g.refilledAt; gone > 0 {
+		g.tokens = min(g.tokens+g.settings.MinRate*seconds(gone), g.maxTokens)
+		g.refilledAt = now
 	}
 	if g.tokens < 1 {
-		g.turned++
-		return false, again
+		g.rejected++
+		return false, retryAfter
 	}
 	g.tokens--
 	return true, 0
@@ -138,18 +138,18 @@
 // Limited reports whether messages may be rejected at present.
 func (g *Gate) Limited() bool { return g.limited }
 
-// roll evaluates the interval if it has ended, and starts the next one.
-func (g *Gate) roll(now Time) {
-	if now-g.since < interval {
+// endInterval evaluates the interval if it has ended, and starts the next one.
+func (g *Gate) endInterval(now Time) {
+	if now-g.intervalStart < evaluationInterval {
 		return
 	}
-	g.most = max(bank, float64(g.done)*share)
-	if g.turned > 0 {
-		g.calm = 0
-	} else if g.calm++; g.calm >= loose {
+	g.maxTokens = max(minTokenLimit, float64(g.completed)*tokenShare)
+	if g.rejected > 0 {
+		g.calmIntervals = 0
+	} else if g.calmIntervals++; g.calmIntervals >= calmIntervalsToEnd {
 		g.limited = false
 	}
-	g.since, g.done, g.turned = now, 0, 0
+	g.intervalStart, g.completed, g.rejected = now, 0, 0
 }
 
 func seconds(t Time) float64 { return float64(t) / float64(control.Second) }
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// swamp reports long delays until the gate rejects a message, and returns the time of that.
-func swamp(t *testing.T, g *Gate, now Time) Time {
+// overload reports long delays until the gate rejects a message, and returns the time of that.
+func overload(t *testing.T, g *Gate, now Time) Time {
 	t.Helper()
 	for end := now + 10*sec; now < end; now += ms {
 		g.ObserveDelay(now, 100*ms)
@@ -113,7 +113,7 @@
 func TestFewerAdmittedThanCompletedWhileLate(t *testing.T) {
 	t.Parallel()
 	g := New(Settings{MinRate: 1e-6})
-	now := swamp(t, g, 0)
+	now := overload(t, g, 0)
 	taken, ended := 0, 0
 	for end := now + 5*sec; now < end; now += ms {
 		g.ObserveDelay(now, 50*ms)
@@ -136,7 +136,7 @@
 func TestMinRateIsAdmittedWithoutCompletions(t *testing.T) {
 	t.Parallel()
 	g := New(Settings{MinRate: 100})
-	now := swamp(t, g, 0)
+	now := overload(t, g, 0)
 	taken := 0
 	for end := now + 10*sec; now < end; now += ms {
 		g.ObserveDelay(now, 50*ms)
@@ -152,7 +152,7 @@
 func TestLimitEndsWithoutRejections(t *testing.T) {
 	t.Parallel()
 	g := New(Settings{})
-	now := swamp(t, g, 0)
+	now := overload(t, g, 0)
 	for end := now + 2*sec; now < end; now += 10 * ms {
 		g.ObserveDelay(now, ms)
 		g.Completed(now, 1)
@@ -184,7 +184,7 @@
 		if !g.Limited() {
 			t.Fatal("no limit")
 		}
-		from, taken, allowed := now, 0, 2*float64(bank)
+		from, taken, allowed := now, 0, 2*float64(minTokenLimit)
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += Time(rapid.IntRange(0, 40).Draw(t, "ms")) * ms
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
@@ -214,12 +214,12 @@
 // core simulates a process with one queue. Each job waits for its turn: admitting or rejecting a message, the work of an
 // admitted message, or a probe.
 type core struct {
-	g                    *Gate
-	now                  Time
-	queue                []job // first in, first out
-	held, taken, refused int
-	done                 int
-	longest              Time // longest time from admission to completion of a message
+	gate                     *Gate
+	now                      Time
+	queue                    []job // first in, first out
+	held, admitted, rejected int
+	completed                int
+	longest                  Time // longest time from admission to completion of a message
 }
 
 type job struct {
@@ -250,23 +250,23 @@
 		c.queue = c.queue[1:]
 		switch j.kind {
 		case 0:
-			if ok, _ := c.g.Admit(c.now); !ok {
-				c.refused++
+			if ok, _ := c.gate.Admit(c.now); !ok {
+				c.rejected++
 				c.now += turn
 				continue
 			}
-			c.taken++
+			c.admitted++
 			c.held++
 			c.now += hear
 			c.queue = append(c.queue, job{kind: 1, at: c.now, from: c.now})
 		case 1:
 			c.now += work
 			c.held--
-			c.done++
+			c.completed++
 			c.longest = max(c.longest, c.now-j.from)
-			c.g.Completed(c.now, 1)
+			c.gate.Completed(c.now, 1)
 		case 2:
-			c.g.ObserveDelay(c.now, c.now-j.at)
+			c.gate.ObserveDelay(c.now, c.now-j.at)
 		}
 	}
 }
@@ -275,14 +275,14 @@
 	t.Parallel()
 	const can = 1e6 / (12 + 40)
 	for _, times := range []float64{1.2, 1.5, 2, 4} {
-		c := &core{g: New(Settings{})}
+		c := &core{gate: New(Settings{})}
 		c.run(3*sec, times*can)
-		c.done, c.longest = 0, 0
+		c.completed, c.longest = 0, 0
 		c.run(5*sec, times*can)
 		left := 1 - float64(times-1)*can*8/1e6 // part of the core that remains besides rejecting the surplus
 		best := max(left, 0.05) * can * 5
-		if float64(c.done) < 0.8*best {
-			t.Errorf("%gx: %d completed, want about %.0f", times, c.done, best)
+		if float64(c.completed) < 0.8*best {
+			t.Errorf("%gx: %d completed, want about %.0f", times, c.completed, best)
 		}
 		if c.longest > 200*ms {
 			t.Errorf("%gx: a message took %d ms", times, c.longest/ms)
@@ -292,15 +292,15 @@
 
 func TestAllIsAdmittedAgainAfterOverload(t *testing.T) {
 	t.Parallel()
-	c := &core{g: New(Settings{})}
+	c := &core{gate: New(Settings{})}
 	c.run(3*sec, 60_000)
-	if c.refused == 0 {
+	if c.rejected == 0 {
 		t.Fatal("no message was rejected")
 	}
 	c.run(2*sec, 5000)
-	c.refused, c.done = 0, 0
+	c.rejected, c.completed = 0, 0
 	c.run(2*sec, 5000)
-	if c.refused > 0 || c.done < 9900 {
-		t.Errorf("%d rejected, %d completed", c.refused, c.done)
+	if c.rejected > 0 || c.completed < 9900 {
+		t.Errorf("%d rejected, %d completed", c.rejected, c.completed)
 	}
 }
--- a/membership/endpointslice/access.go
+++ b/membership/endpointslice/access.go
@@ -31,11 +31,11 @@
 // ErrAccess is wrapped by every error about the settings of the access to an API server.
 var ErrAccess = errors.New("access to the API server")
 
-// serviceAccount is the folder with the credentials of a pod.
-const serviceAccount = "/var/run/secrets/kubernetes.io/serviceaccount"
+// serviceAccountDir is the folder with the credentials of a pod.
+const serviceAccountDir = "/var/run/secrets/kubernetes.io/serviceaccount"
 
 // InCluster returns the access of a pod (https://kubernetes.io/docs/tasks/run-application/access-api-from-pod).
-func InCluster(env func(string) string) (Access, error) { return inCluster(env, serviceAccount) }
+func InCluster(env func(string) string) (Access, error) { return inCluster(env, serviceAccountDir) }
 
 func inCluster(env func(string) string, dir string) (a Access, err error) {
 	host, port := env("KUBERNETES_SERVICE_HOST"), env("KUBERNETES_SERVICE_PORT")
@@ -58,7 +58,7 @@
 	if err != nil || u.Host == "" || u.Scheme != "https" && u.Scheme != "http" || u.RawQuery != "" || u.User != nil {
 		return fmt.Errorf("%w: server: %.200q is not a valid address", ErrAccess, a.Server)
 	}
-	if u.Scheme == "http" && (a.Token != "" || a.TokenFile != "") && !loopback(u.Hostname()) {
+	if u.Scheme == "http" && (a.Token != "" || a.TokenFile != "") && !isLoopback(u.Hostname()) {
 		return fmt.Errorf("%w: server: %s would get the token in the clear", ErrAccess, a.Server)
 	}
 	if _, err := a.token(); err != nil {
@@ -68,21 +68,21 @@
 	return err
 }
 
-func loopback(host string) bool {
+func isLoopback(host string) bool {
 	ip := net.ParseIP(host)
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
-// mostFile limits the size of a credentials file, in bytes.
-const mostFile = 1 << 20
+// maxCredentialBytes limits the size of a credentials file, in bytes.
+const maxCredentialBytes = 1 << 20
 
 func readFile(field, path string) ([]byte, error) {
 	st, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %s: %w", ErrAccess, field, err)
 	}
-	if st.Size() > mostFile {
-		return nil, fmt.Errorf("%w: %s: %s has over %d bytes", ErrAccess, field, path, mostFile)
+	if st.Size() > maxCredentialBytes {
+		return nil, fmt.Errorf("%w: %s: %s has over %d bytes", ErrAccess, field, path, maxCredentialBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -110,8 +110,8 @@
 	return token, nil
 }
 
-// pems returns the current PEM texts of the CAs and of the client certificate with its key.
-func (a *Access) pems() (ca, cert, key []byte, err error) {
+// certificates returns the current PEM texts of the CAs and of the client certificate with its key.
+func (a *Access) certificates() (ca, cert, key []byte, err error) {
 	ca, cert, key = a.CA, a.Cert, a.Key
 	for _, f := range []struct {
 		field, path string
@@ -127,7 +127,7 @@
 }
 
 func (a *Access) tlsConfig() (*tls.Config, error) {
-	ca, cert, key, err := a.pems()
+	ca, cert, key, err := a.certificates()
 	if err != nil {
 		return nil, err
 	}
--- a/membership/endpointslice/bench_test.go
+++ b/membership/endpointslice/bench_test.go
@@ -11,7 +11,7 @@
 
 // BenchmarkChange measures one change from the watch event to the table: one of 100 pods is replaced.
 func BenchmarkChange(b *testing.B) {
-	line := sample(100)
+	line := sampleEvent(100)
 	at := bytes.Index(line, []byte("0b0a5b0e-1111-4444-8888-000000000050")) + 24
 	set := NewSet(Partner{Name: "archive", PortName: "http"})
 	table, err := membership.New(membership.Settings{Sources: []string{"s"}})
--- a/membership/endpointslice/client.go
+++ b/membership/endpointslice/client.go
@@ -23,9 +23,9 @@
 	access Access
 	host   host.Host
 
-	mu   sync.Mutex
-	http *http.Client // nil: requests go through host
-	pems [][]byte     // certificates that http was created with
+	mu           sync.Mutex
+	http         *http.Client // nil: requests go through host
+	certificates [][]byte     // certificates that http was created with
 }
 
 // NewClient creates a client. Its error wraps ErrAccess and says what is wrong with the access.
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	c := &Client{access: a, host: host.System{}}
-	if err := c.renew(); err != nil {
+	if err := c.reloadCertificates(); err != nil {
 		return nil, err
 	}
 	return c, nil
@@ -52,16 +52,16 @@
 	return &Client{access: a, host: h}, nil
 }
 
-// renew reloads the CAs and the client certificate. Connections in use keep the old ones.
-func (c *Client) renew() error {
+// reloadCertificates reloads the CAs and the client certificate. Connections in use keep the old ones.
+func (c *Client) reloadCertificates() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ca, cert, key, err := c.access.pems()
+	ca, cert, key, err := c.access.certificates()
 	if err != nil {
 		return err
 	}
 	now := [][]byte{ca, cert, key}
-	if c.http != nil && slices.EqualFunc(now, c.pems, bytes.Equal) {
+	if c.http != nil && slices.EqualFunc(now, c.certificates, bytes.Equal) {
 		return nil
 	}
 	config, err := c.access.tlsConfig()
@@ -71,11 +71,11 @@
 	if c.http != nil {
 		c.http.CloseIdleConnections()
 	}
-	c.pems = now
+	c.certificates = now
 	c.http = &http.Client{
 		Transport: &http.Transport{
 			TLSClientConfig: config, ForceAttemptHTTP2: true, DisableCompression: true,
-			DialContext:         (&net.Dialer{Timeout: connectLimit}).DialContext,
+			DialContext:         (&net.Dialer{Timeout: connectTimeout}).DialContext,
 			TLSHandshakeTimeout: 5 * time.Second, IdleConnTimeout: 90 * time.Second, MaxIdleConnsPerHost: 4,
 			MaxResponseHeaderBytes: 64 << 10,
 			// Pings detect a connection that is cut without a notice. Over HTTP/1.1 the idle timeout of the watch does.
@@ -90,12 +90,12 @@
 
 // Close closes idle connections.
 func (c *Client) Close() {
-	if h := c.client(); h != nil {
+	if h := c.httpClient(); h != nil {
 		h.CloseIdleConnections()
 	}
 }
 
-func (c *Client) client() *http.Client {
+func (c *Client) httpClient() *http.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.http
@@ -114,15 +114,16 @@
 	return fmt.Sprintf("API server: %d %s: %.300s", e.Code, e.Reason, e.Message)
 }
 
-// gone reports whether the requested resource version is unavailable, because it has expired or is still in the future.
-func (e *StatusError) gone() bool {
+// versionUnavailable reports whether the requested resource version is unavailable, because it has expired or is still in
+// the future.
+func (e *StatusError) versionUnavailable() bool {
 	return e.Code == http.StatusGone || e.Reason == "Expired" || e.Reason == "Gone" || e.Cause == "ResourceVersionTooLarge" ||
 		strings.Contains(e.Message, "Too large resource version") // API servers before 1.18 send no cause
 }
 
 const (
-	mostStatus   = 64 << 10 // bytes of an error body that are read
-	connectLimit = 5 * time.Second
+	maxErrorBytes  = 64 << 10 // bytes of an error body that are read
+	connectTimeout = 5 * time.Second
 )
 
 // get sends a request and returns the body of a successful response. Ending r aborts the request, also while the body is
@@ -143,14 +144,14 @@
 		req.Header.Set("Authorization", "Bearer "+token)
 	}
 	res, err := c.do(req, &r.abort)
-	if err != nil && c.client() == nil {
+	if err != nil && c.httpClient() == nil {
 		return nil, fmt.Errorf("API server: %w", err)
 	}
 	if err != nil {
 		// The CAs or the client certificate may have been rotated. The next attempt then uses the new ones.
 		var e net.Error
 		if r.ctx.Err() == nil && !(errors.As(err, &e) && e.Timeout()) {
-			if err := c.renew(); err != nil {
+			if err := c.reloadCertificates(); err != nil {
 				return nil, err
 			}
 		}
@@ -160,7 +161,7 @@
 		return res.Body, nil
 	}
 	defer res.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(res.Body, mostStatus))
+	text, err := io.ReadAll(io.LimitReader(res.Body, maxErrorBytes))
 	if err != nil {
 		return nil, fmt.Errorf("API server: status %d: %w", res.StatusCode, err)
 	}
@@ -178,14 +179,14 @@
 // do sends a request. Without an http.Client it opens a connection for the request alone, since http.Transport starts
 // goroutines and waits on channels, which a simulated host does not support.
 func (c *Client) do(req *http.Request, abort *host.Abort) (*http.Response, error) {
-	if h := c.client(); h != nil {
+	if h := c.httpClient(); h != nil {
 		return h.Do(req)
 	}
 	addr := req.URL.Host
 	if req.URL.Port() == "" {
 		addr = net.JoinHostPort(req.URL.Hostname(), "80")
 	}
-	conn, err := c.host.Dial(addr, connectLimit, abort)
+	conn, err := c.host.Dial(addr, connectTimeout, abort)
 	if err != nil {
 		return nil, err
 	}
--- a/membership/endpointslice/decode.go
+++ b/membership/endpointslice/decode.go
@@ -14,22 +14,23 @@
 	AddressType       string // addressType: IPv4, IPv6 or FQDN
 	Entries           []Entry
 	Ports             []Port
-	UnreadableEntries int   // number of entries that could not be read; they are not in Entries
-	Err               error // error of the first such entry, or of the slice as a whole
-	sums              []sum // fingerprints of the entries' JSON texts
+	UnreadableEntries int           // number of entries that could not be read; they are not in Entries
+	Err               error         // error of the first such entry, or of the slice as a whole
+	fingerprints      []fingerprint // fingerprints of the entries' JSON texts
 }
 
-// sum is a fingerprint of a JSON text, which shows whether the text has changed. Two different texts of the same length have
-// the same fingerprint with a probability of 1 in 2^64. Nobody can construct such texts, since the seed is random for each
-// process.
-type sum struct {
+// fingerprint identifies a JSON text and shows whether it has changed. Two different texts of the same length have the same
+// fingerprint with a probability of 1 in 2^64. Nobody can construct such texts, since the seed is random for each process.
+type fingerprint struct {
 	length int
 	hash   uint64
 }
 
-var sumSeed = maphash.MakeSeed()
+var fingerprintSeed = maphash.MakeSeed()
 
-func sumOf(text []byte) sum { return sum{len(text), maphash.Bytes(sumSeed, text)} }
+func fingerprintOf(text []byte) fingerprint {
+	return fingerprint{len(text), maphash.Bytes(fingerprintSeed, text)}
+}
 
 // Entry holds the fields of an endpoint in a slice that are used. It is comparable.
 type Entry struct {
@@ -90,18 +91,18 @@
 
 const initialEventsEnd = "k8s.io/initial-events-end"
 
-// errShape means that a value does not have the type that the API defines.
-var errShape = errors.New("unexpected type of a field")
+// errWrongType means that a value does not have the type that the API defines.
+var errWrongType = errors.New("unexpected type of a field")
 
 // decodeEvent parses one watch event. It returns an error if the line is not JSON or not an event. Errors within the slice
 // are returned in Slice.Err. The result shares no memory with line. prior, which may be nil, returns the last known state
 // of a slice. Entries whose text has not changed, which are most of them, are copied from it instead of being parsed.
 func decodeEvent(line []byte, prior func(key string) Slice) (ev event, err error) {
-	d := decoder{scanner: scanner{b: line}, prior: prior}
+	d := decoder{scanner: scanner{input: line}, prior: prior}
 	d.object(func(key string) {
 		switch key {
 		case "type":
-			ev.Type = eventTypes[d.text()]
+			ev.Type = eventTypes[d.typeField()]
 		case "object":
 			ev.object = object{}
 			d.decodeObject(&ev.object)
@@ -109,12 +110,12 @@
 			d.skip()
 		}
 	})
-	d.end()
+	d.expectEnd()
 	if d.err != nil {
 		return event{}, d.err
 	}
 	if ev.Type == eventUnknown {
-		return event{}, fmt.Errorf("event of an unknown type: %w", errShape)
+		return event{}, fmt.Errorf("event of an unknown type: %w", errWrongType)
 	}
 	return ev, nil
 }
@@ -125,9 +126,9 @@
 
 // decodeSlice parses an EndpointSlice or a Status.
 func decodeSlice(text []byte) (o object, err error) {
-	d := decoder{scanner: scanner{b: text}}
+	d := decoder{scanner: scanner{input: text}}
 	d.decodeObject(&o)
-	d.end()
+	d.expectEnd()
 	if d.err != nil {
 		return object{}, d.err
 	}
@@ -138,48 +139,48 @@
 // go to the scanner's err.
 type decoder struct {
 	scanner
-	bad   error
-	prior func(key string) Slice
-	like  Slice // last known state of the slice
-	at    int   // index in like.Entries at which the next entry is expected
-	last  Entry // previous entry; the next one often has the same zone
+	typeErr   error
+	prior     func(key string) Slice
+	previous  Slice // last known state of the slice
+	expected  int   // index in like.Entries at which the next entry is expected
+	lastEntry Entry // previous entry; the next one often has the same zone
 }
 
-// keep returns old if it equals text, which saves memory, and a copy of text otherwise.
-func keep(text, old string) string {
+// reuseOrClone returns old if it equals text, which saves memory, and a copy of text otherwise.
+func reuseOrClone(text, old string) string {
 	if text == old {
 		return old
 	}
 	return strings.Clone(text)
 }
 
-// misfit records that a field has an unexpected type, and skips its value.
-func (d *decoder) misfit(field string) {
-	if d.bad == nil {
-		d.bad = fmt.Errorf("%s: %w", field, errShape)
+// wrongType records that a field has an unexpected type, and skips its value.
+func (d *decoder) wrongType(field string) {
+	if d.typeErr == nil {
+		d.typeErr = fmt.Errorf("%s: %w", field, errWrongType)
 	}
 	d.skip()
 }
 
-// text consumes the value of the field "type" like textOf.
-func (d *decoder) text() string { return d.textOf("type") }
+// typeField consumes the value of the field "type" like stringField.
+func (d *decoder) typeField() string { return d.stringField("type") }
 
-// textOf consumes a string. null and values of other types give "". The result must be cloned before it is kept.
-func (d *decoder) textOf(field string) string {
-	switch d.next() {
+// stringField consumes a string. null and values of other types give "". The result must be cloned before it is kept.
+func (d *decoder) stringField(field string) string {
+	switch d.peek() {
 	case '"':
-		return d.str()
+		return d.stringValue()
 	case 'n':
 		d.skip()
 	default:
-		d.misfit(field)
+		d.wrongType(field)
 	}
 	return ""
 }
 
-// flagOf consumes a boolean. null and values of other types give absent.
-func (d *decoder) flagOf(field string, absent bool) bool {
-	switch d.next() {
+// boolField consumes a boolean. null and values of other types give absent.
+func (d *decoder) boolField(field string, absent bool) bool {
+	switch d.peek() {
 	case 't':
 		d.skip()
 		return true
@@ -189,76 +190,76 @@
 	case 'n':
 		d.skip()
 	default:
-		d.misfit(field)
+		d.wrongType(field)
 	}
 	return absent
 }
 
-// intOf consumes an integer. null and values of other types give 0.
-func (d *decoder) intOf(field string) int {
-	switch c := d.next(); {
+// intField consumes an integer. null and values of other types give 0.
+func (d *decoder) intField(field string) int {
+	switch c := d.peek(); {
 	case c == 'n':
 		d.skip()
 	case c == '-' || '0' <= c && c <= '9':
 		text := d.number()
 		n, err := strconv.ParseInt(text, 10, 32)
-		if err != nil && d.err == nil && d.bad == nil {
-			d.bad = fmt.Errorf("%s: %.20q: %w", field, text, errShape)
+		if err != nil && d.err == nil && d.typeErr == nil {
+			d.typeErr = fmt.Errorf("%s: %.20q: %w", field, text, errWrongType)
 		}
 		return int(n)
 	default:
-		d.misfit(field)
+		d.wrongType(field)
 	}
 	return 0
 }
 
 // fields calls field for each key of an object. null and values of other types count as an empty object.
 func (d *decoder) fields(name string, field func(key string)) {
-	switch d.next() {
+	switch d.peek() {
 	case '{':
 		d.object(field)
 	case 'n':
 		d.skip()
 	default:
-		d.misfit(name)
+		d.wrongType(name)
 	}
 }
 
 // elements calls element for each element of an array. null and values of other types count as an empty array.
 func (d *decoder) elements(name string, element func()) {
-	switch d.next() {
+	switch d.peek() {
 	case '[':
 		d.array(element)
 	case 'n':
 		d.skip()
 	default:
-		d.misfit(name)
+		d.wrongType(name)
 	}
 }
 
 // decodeObject parses an EndpointSlice or a Status. If a key occurs more than once, its last value counts.
 func (d *decoder) decodeObject(o *object) {
-	d.bad = nil
+	d.typeErr = nil
 	s := &o.Slice
 	d.fields("object", func(key string) {
 		switch key {
 		case "kind":
-			o.Kind = strings.Clone(d.textOf("kind"))
+			o.Kind = strings.Clone(d.stringField("kind"))
 		case "metadata":
 			s.Namespace, s.Name, o.Version, o.InitialEnd = "", "", "", false
 			d.fields("metadata", func(key string) {
 				switch key {
 				case "name":
-					s.Name = strings.Clone(d.textOf("metadata.name"))
+					s.Name = strings.Clone(d.stringField("metadata.name"))
 				case "namespace":
-					s.Namespace = strings.Clone(d.textOf("metadata.namespace"))
+					s.Namespace = strings.Clone(d.stringField("metadata.namespace"))
 				case "resourceVersion":
-					o.Version = strings.Clone(d.textOf("metadata.resourceVersion"))
+					o.Version = strings.Clone(d.stringField("metadata.resourceVersion"))
 				case "annotations":
 					o.InitialEnd = false
 					d.fields("metadata.annotations", func(key string) {
 						if key == initialEventsEnd {
-							o.InitialEnd = d.textOf("metadata.annotations") == "true"
+							o.InitialEnd = d.stringField("metadata.annotations") == "true"
 						} else {
 							d.skip()
 						}
@@ -268,64 +269,64 @@
 				}
 			})
 		case "addressType":
-			s.AddressType = strings.Clone(d.textOf("addressType"))
+			s.AddressType = strings.Clone(d.stringField("addressType"))
 		case "endpoints":
-			s.Entries, s.sums, s.UnreadableEntries = nil, nil, 0
-			if d.like, d.at = (Slice{}), 0; d.prior != nil && s.Name != "" {
-				d.like = d.prior(s.key())
+			s.Entries, s.fingerprints, s.UnreadableEntries = nil, nil, 0
+			if d.previous, d.expected = (Slice{}), 0; d.prior != nil && s.Name != "" {
+				d.previous = d.prior(s.key())
 			}
-			slice := d.bad
+			slice := d.typeErr
 			var first error
 			d.elements("endpoints", func() {
 				if s.Entries == nil {
-					s.Entries, s.sums = make([]Entry, 0, len(d.like.Entries)), make([]sum, 0, len(d.like.Entries))
+					s.Entries, s.fingerprints = make([]Entry, 0, len(d.previous.Entries)), make([]fingerprint, 0, len(d.previous.Entries))
 				}
-				if i := d.again(); i >= 0 {
-					s.Entries, s.sums = append(s.Entries, d.like.Entries[i]), append(s.sums, d.like.sums[i])
+				if i := d.reuseEntry(); i >= 0 {
+					s.Entries, s.fingerprints = append(s.Entries, d.previous.Entries[i]), append(s.fingerprints, d.previous.fingerprints[i])
 					return
 				}
-				d.bad = nil
-				d.next()
-				from := d.i
+				d.typeErr = nil
+				d.peek()
+				from := d.pos
 				e := d.entry()
-				if d.bad == nil && d.err == nil {
-					s.Entries, s.sums = append(s.Entries, e), append(s.sums, sumOf(d.b[from:d.i]))
-					d.last = e
-					d.at++
+				if d.typeErr == nil && d.err == nil {
+					s.Entries, s.fingerprints = append(s.Entries, e), append(s.fingerprints, fingerprintOf(d.input[from:d.pos]))
+					d.lastEntry = e
+					d.expected++
 					return
 				}
 				if s.UnreadableEntries++; first == nil {
-					first = fmt.Errorf("endpoint %d: %w", len(s.Entries)+s.UnreadableEntries, d.bad)
+					first = fmt.Errorf("endpoint %d: %w", len(s.Entries)+s.UnreadableEntries, d.typeErr)
 				}
-				d.bad = nil
+				d.typeErr = nil
 			})
 			if len(s.Entries) == 0 {
-				s.Entries, s.sums = nil, nil
+				s.Entries, s.fingerprints = nil, nil
 			}
 			if s.Err = first; slice != nil {
-				d.bad = slice
+				d.typeErr = slice
 			}
 		case "ports":
 			s.Ports = nil
 			d.elements("ports", func() { s.Ports = append(s.Ports, d.port()) })
 		case "code":
-			o.Status.Code = d.intOf("code")
+			o.Status.Code = d.intField("code")
 		case "reason":
-			o.Status.Reason = strings.Clone(d.textOf("reason"))
+			o.Status.Reason = strings.Clone(d.stringField("reason"))
 		case "message":
-			o.Status.Message = strings.Clone(d.textOf("message"))
+			o.Status.Message = strings.Clone(d.stringField("message"))
 		case "details":
 			o.Status.RetryAfter, o.Status.Cause = 0, ""
 			d.fields("details", func(key string) {
 				switch key {
 				case "retryAfterSeconds":
-					o.Status.RetryAfter = d.intOf("details.retryAfterSeconds")
+					o.Status.RetryAfter = d.intField("details.retryAfterSeconds")
 				case "causes":
 					o.Status.Cause = ""
 					d.elements("details.causes", func() {
 						d.fields("details.causes", func(key string) {
 							if key == "reason" && o.Status.Cause == "" {
-								o.Status.Cause = strings.Clone(d.textOf("details.causes.reason"))
+								o.Status.Cause = strings.Clone(d.stringField("details.causes.reason"))
 							} else {
 								d.skip()
 							}
@@ -339,26 +340,26 @@
 			d.skip()
 		}
 	})
-	if d.bad != nil { // the error is outside the entries: the whole slice is unusable
-		s.Err, s.Entries = d.bad, nil
+	if d.typeErr != nil { // the error is outside the entries: the whole slice is unusable
+		s.Err, s.Entries = d.typeErr, nil
 	}
 }
 
-// again consumes the next entry if its text is the same as that of an entry in the last known state, and returns the index
+// reuseEntry consumes the next entry if its text is the same as that of an entry in the last known state, and returns the index
 // of that entry. It compares with the entry expected here and with its neighbours, since an entry may have been added or
 // removed. Otherwise it consumes nothing and returns -1.
-func (d *decoder) again() int {
-	if d.next() != '{' {
+func (d *decoder) reuseEntry() int {
+	if d.peek() != '{' {
 		return -1
 	}
-	for _, i := range [...]int{d.at, d.at + 1, d.at - 1} {
-		if i < 0 || i >= len(d.like.sums) {
+	for _, i := range [...]int{d.expected, d.expected + 1, d.expected - 1} {
+		if i < 0 || i >= len(d.previous.fingerprints) {
 			continue
 		}
 		// A text that equals that of a complete object is that object, since a complete object has no continuation.
-		if want, rest := d.like.sums[i], d.b[d.i:]; want.length <= len(rest) && sumOf(rest[:want.length]) == want {
-			d.i += want.length
-			d.at = i + 1
+		if want, rest := d.previous.fingerprints[i], d.input[d.pos:]; want.length <= len(rest) && fingerprintOf(rest[:want.length]) == want {
+			d.pos += want.length
+			d.expected = i + 1
 			return i
 		}
 	}
@@ -374,7 +375,7 @@
 			e.Addr = ""
 			n := 0
 			d.elements("addresses", func() {
-				if a := d.textOf("addresses"); n == 0 {
+				if a := d.stringField("addresses"); n == 0 {
 					e.Addr = strings.Clone(a)
 				}
 				n++
@@ -384,9 +385,9 @@
 			d.fields("conditions", func(key string) {
 				switch key {
 				case "ready":
-					e.Ready = d.flagOf("conditions.ready", true)
+					e.Ready = d.boolField("conditions.ready", true)
 				case "terminating":
-					e.Terminating = d.flagOf("conditions.terminating", false)
+					e.Terminating = d.boolField("conditions.terminating", false)
 				default:
 					d.skip()
 				}
@@ -396,15 +397,15 @@
 			d.fields("targetRef", func(key string) {
 				switch key {
 				case "uid":
-					e.UID = strings.Clone(d.textOf("targetRef.uid"))
+					e.UID = strings.Clone(d.stringField("targetRef.uid"))
 				case "kind":
-					e.Pod = d.textOf("targetRef.kind") == "Pod"
+					e.Pod = d.stringField("targetRef.kind") == "Pod"
 				default:
 					d.skip()
 				}
 			})
 		case "zone":
-			e.Zone = keep(d.textOf("zone"), d.last.Zone)
+			e.Zone = reuseOrClone(d.stringField("zone"), d.lastEntry.Zone)
 		case "hints":
 			e.Hints = ""
 			d.fields("hints", func(key string) {
@@ -417,8 +418,8 @@
 					d.fields("hints.forZones", func(key string) {
 						if key != "name" {
 							d.skip()
-						} else if name := d.textOf("hints.forZones.name"); e.Hints == "" {
-							e.Hints = keep(name, d.last.Hints)
+						} else if name := d.stringField("hints.forZones.name"); e.Hints == "" {
+							e.Hints = reuseOrClone(name, d.lastEntry.Hints)
 						} else {
 							e.Hints += "," + name
 						}
@@ -438,11 +439,11 @@
 	d.fields("ports", func(key string) {
 		switch key {
 		case "name":
-			p.Name = strings.Clone(d.textOf("ports.name"))
+			p.Name = strings.Clone(d.stringField("ports.name"))
 		case "port":
-			p.Number = d.intOf("ports.port")
+			p.Number = d.intField("ports.port")
 		case "protocol":
-			proto := d.textOf("ports.protocol")
+			proto := d.stringField("ports.protocol")
 			p.TCP = proto == "" || proto == "TCP"
 		default:
 			d.skip()
--- a/membership/endpointslice/endpointslice.go
+++ b/membership/endpointslice/endpointslice.go
@@ -38,10 +38,10 @@
 }
 
 const (
-	defaultGrace     = 300 * time.Millisecond
-	defaultEmptyHold = time.Minute
-	defaultMost      = 20_000
-	mostGrace        = 10 * time.Second
+	defaultGrace        = 300 * time.Millisecond
+	defaultEmptyHold    = time.Minute
+	defaultMaxEndpoints = 20_000
+	maxGrace            = 10 * time.Second
 )
 
 // ErrPartnerSettings is wrapped by every error about a partner's settings.
@@ -60,8 +60,8 @@
 		return fmt.Errorf("%w: dest: %d is out of range", ErrPartnerSettings, p.Destination)
 	case !(p.Weight >= 0) || math.IsInf(p.Weight, 0):
 		return fmt.Errorf("%w: weight: %g is out of range", ErrPartnerSettings, p.Weight)
-	case p.Grace < 0 || p.Grace > mostGrace:
-		return fmt.Errorf("%w: grace: %v is out of range (0 to %v)", ErrPartnerSettings, p.Grace, mostGrace)
+	case p.Grace < 0 || p.Grace > maxGrace:
+		return fmt.Errorf("%w: grace: %v is out of range (0 to %v)", ErrPartnerSettings, p.Grace, maxGrace)
 	case p.EmptyHold < 0 || p.EmptyHold > time.Hour:
 		return fmt.Errorf("%w: empty hold: %v is out of range (0 to 1h)", ErrPartnerSettings, p.EmptyHold)
 	case p.MaxEndpoints < 0:
--- a/membership/endpointslice/fuzz_test.go
+++ b/membership/endpointslice/fuzz_test.go
@@ -74,9 +74,9 @@
 	return int(f)
 }
 
-// twice reports whether an object in the text has a key twice. Both encoding/json and the decoder here use the last value,
+// hasDuplicateKey reports whether an object in the text has a key twice. Both encoding/json and the decoder here use the last value,
 // but they differ in how they handle the first one.
-func twice(text []byte) bool {
+func hasDuplicateKey(text []byte) bool {
 	d := json.NewDecoder(bytes.NewReader(text))
 	type level struct {
 		keys map[string]bool
@@ -113,7 +113,7 @@
 }
 
 func FuzzDecodeEvent(f *testing.F) {
-	f.Add(sample(2), sample(3))
+	f.Add(sampleEvent(2), sampleEvent(3))
 	f.Add([]byte(`{"type":"BOOKMARK","object":{"kind":"EndpointSlice","metadata":{"resourceVersion":"12","annotations":{"k8s.io/initial-events-end":"true"}},"endpoints":null,"addressType":""}}`), []byte(`{"type":"ADDED","object":{"endpoints":[{},{}]}}`))
 	f.Add([]byte(`{"type":"ERROR","object":{"kind":"Status","status":"Failure","reason":"Expired","message":"too old resource version: 1 (2)","code":410,"details":{"retryAfterSeconds":3,"causes":[{"reason":"ResourceVersionTooLarge"}]}}}`), []byte(`{"type":"ADDED","object":{"endpoints":[{},{}]}}`))
 	f.Add([]byte(`{"type":"ADDED","object":{"endpoints":[{"addresses":["\u0031\ud800"],"hints":{"forZones":[{"name":"a"},{"name":"b"}]}},[],{"conditions":{"ready":1}}],"ports":[{"port":1e2},{"port":8e-1}]}}`), []byte(`{"type":"ADDED","object":{"endpoints":[{},{}]}}`))
@@ -126,7 +126,7 @@
 		}
 		want, ok := reference(line)
 		if err != nil {
-			if ok && !strings.Contains(err.Error(), "too deep") && !twice(line) {
+			if ok && !strings.Contains(err.Error(), "too deep") && !hasDuplicateKey(line) {
 				t.Fatalf("did not accept %q: %v", line, err)
 			}
 			return
@@ -147,8 +147,8 @@
 				t.Fatalf("%q after %q: %+v, %v; without %+v", line, before, with, err, ev)
 			}
 		}
-		ev.Slice.sums = nil
-		if ev.Slice.Err != nil || twice(line) || bytes.Contains(line, []byte(`e`+`+`)) {
+		ev.Slice.fingerprints = nil
+		if ev.Slice.Err != nil || hasDuplicateKey(line) || bytes.Contains(line, []byte(`e`+`+`)) {
 			return // the two handle values of unexpected types differently
 		}
 		if !ok || !reflect.DeepEqual(ev, want) && !exponent(line) {
--- a/membership/endpointslice/kubeconfig/kubeconfig.go
+++ b/membership/endpointslice/kubeconfig/kubeconfig.go
@@ -55,7 +55,7 @@
 	As        string
 }
 
-const mostBytes = 1 << 20 // of a file
+const maxBytes = 1 << 20 // of a file
 
 // Read reads a context from a file, "" for the current context. Its error wraps endpointslice.ErrAccess and names the field.
 func Read(path, context string) (a endpointslice.Access, err error) {
@@ -64,9 +64,9 @@
 		return a, fmt.Errorf("%w: kubeconfig: %w", endpointslice.ErrAccess, err)
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, mostBytes+1))
-	if err == nil && len(text) > mostBytes {
-		err = fmt.Errorf("it has over %d bytes", mostBytes)
+	text, err := io.ReadAll(io.LimitReader(f, maxBytes+1))
+	if err == nil && len(text) > maxBytes {
+		err = fmt.Errorf("it has over %d bytes", maxBytes)
 	}
 	if err != nil {
 		return a, fmt.Errorf("%w: kubeconfig %s: %w", endpointslice.ErrAccess, path, err)
@@ -131,7 +131,7 @@
 	a.Server, a.ServerName, a.Insecure = c.Server, c.ServerName, c.Insecure
 	// As in kubectl, data take precedence over files, and a token file over a token.
 	a.Token = u.Token
-	a.TokenFile = in(dir, u.TokenFile)
+	a.TokenFile = resolvePath(dir, u.TokenFile)
 	for _, x := range []struct {
 		field, data, file string
 		bytes             *[]byte
@@ -142,7 +142,7 @@
 		{"client-key-data", u.KeyData, u.KeyFile, &a.Key, &a.KeyFile},
 	} {
 		if x.data == "" {
-			*x.path = in(dir, x.file)
+			*x.path = resolvePath(dir, x.file)
 			continue
 		}
 		if *x.bytes, err = base64.StdEncoding.DecodeString(x.data); err != nil {
@@ -152,8 +152,8 @@
 	return a, nil
 }
 
-// in resolves a path in the file relative to the file's folder.
-func in(dir, path string) string {
+// resolvePath resolves a path in the file relative to the file's folder.
+func resolvePath(dir, path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
 	}
--- a/membership/endpointslice/scan.go
+++ b/membership/endpointslice/scan.go
@@ -14,71 +14,71 @@
 //
 // After the first error all calls do nothing.
 type scanner struct {
-	b     []byte
-	i     int
+	input []byte
+	pos   int
 	depth int
 	err   error
 }
 
-// deepest limits the nesting of values. An EndpointSlice needs 7 levels, its managed fields some more.
-const deepest = 200
+// maxDepth limits the nesting of values. An EndpointSlice needs 7 levels, its managed fields some more.
+const maxDepth = 200
 
 var errSyntax = errors.New("malformed JSON")
 
 func (s *scanner) fail(what string) {
 	if s.err == nil {
-		s.err = fmt.Errorf("%w: %s at byte %d", errSyntax, what, s.i)
+		s.err = fmt.Errorf("%w: %s at byte %d", errSyntax, what, s.pos)
 	}
 }
 
-// next returns the next byte that is not white space, without consuming it. It returns 0 at the end or after an error.
-func (s *scanner) next() byte {
+// peek returns the next byte that is not white space, without consuming it. It returns 0 at the end or after an error.
+func (s *scanner) peek() byte {
 	if s.err != nil {
 		return 0
 	}
-	b, i := s.b, s.i
+	b, i := s.input, s.pos
 	for i < len(b) {
 		if c := b[i]; c > ' ' || c != ' ' && c != '\t' && c != '\r' && c != '\n' {
-			s.i = i
+			s.pos = i
 			return c
 		}
 		i++
 	}
-	s.i = i
+	s.pos = i
 	return 0
 }
 
-// end fails if anything but white space is left.
-func (s *scanner) end() {
-	if s.err == nil && (s.next() != 0 || s.i < len(s.b)) {
+// expectEnd fails if anything but white space is left.
+func (s *scanner) expectEnd() {
+	if s.err == nil && (s.peek() != 0 || s.pos < len(s.input)) {
 		s.fail("more than one value")
 	}
 }
 
 // object calls field for each key of an object. field must consume the value.
 func (s *scanner) object(field func(key string)) {
-	if s.next() != '{' {
+	if s.peek() != '{' {
 		s.fail("no object")
 		return
 	}
 	s.members('}', func() {
-		if s.next() != '"' {
+		if s.peek() != '"' {
 			s.fail("no key")
 			return
 		}
-		key := s.str()
-		if s.next() != ':' {
+		key := s.stringValue()
+		if s.peek() != ':' {
 			s.fail("no colon")
 			return
 		}
-		s.i++
+		s.pos++
 		field(key)
 	})
 }
 
 // array calls element for each element of an array. element must consume it.
 func (s *scanner) array(element func()) {
-	if s.next() != '[' {
+	if s.peek() != '[' {
 		s.fail("no array")
 		return
 	}
@@ -87,23 +87,23 @@
 
 // members reads the members of an object or array up to the closing byte.
 func (s *scanner) members(closing byte, member func()) {
-	if s.depth++; s.depth > deepest {
+	if s.depth++; s.depth > maxDepth {
 		s.fail("nested too deep")
 		return
 	}
-	s.i++
-	if s.next() == closing {
-		s.i++
+	s.pos++
+	if s.peek() == closing {
+		s.pos++
 		s.depth--
 		return
 	}
 	for {
 		member()
-		switch s.next() {
+		switch s.peek() {
 		case ',':
-			s.i++
+			s.pos++
 		case closing:
-			s.i++
+			s.pos++
 			s.depth--
 			return
 		default:
@@ -113,37 +113,37 @@
 	}
 }
 
-// odd finds the first of eight bytes that needs special treatment in a string: a quote, a backslash, a control byte or a
+// specialBytes finds the first of eight bytes that needs special treatment in a string: a quote, a backslash, a control byte or a
 // byte above 0x7f. It sets the high bit of that byte. The bits of higher bytes mean nothing. Most of the text is within
 // strings, so checking eight bytes at once saves time.
-func odd(x uint64) uint64 {
+func specialBytes(x uint64) uint64 {
 	const ones, highs = 0x0101010101010101, 0x8080808080808080
 	quote, slash := x^(ones*'"'), x^(ones*'\\')
 	control := (x - ones*' ') &^ x // below ' '
 	return ((quote-ones)&^quote | (slash-ones)&^slash | control | x) & highs
 }
 
-// raw consumes a string and returns it with its quotes. plain is true if it has only ASCII and no escapes.
-func (s *scanner) raw() (text []byte, plain bool) {
-	from := s.i
-	s.i++
+// rawString consumes a string and returns it with its quotes. plain is true if it has only ASCII and no escapes.
+func (s *scanner) rawString() (text []byte, plain bool) {
+	from := s.pos
+	s.pos++
 	plain = true
 	for {
-		b, i := s.b, s.i
+		b, i := s.input, s.pos
 		for len(b)-i >= 8 {
-			if m := odd(binary.LittleEndian.Uint64(b[i:])); m != 0 {
+			if m := specialBytes(binary.LittleEndian.Uint64(b[i:])); m != 0 {
 				i += bits.TrailingZeros64(m) / 8
 				break
 			}
 			i += 8
 		}
-		if s.i = i; i == len(b) {
+		if s.pos = i; i == len(b) {
 			break
 		}
 		switch c := b[i]; {
 		case c == '"':
-			s.i++
-			return s.b[from:s.i], plain
+			s.pos++
+			return s.input[from:s.pos], plain
 		case c < ' ':
 			s.fail("control byte in a string")
 			return nil, false
@@ -153,7 +153,7 @@
 				return nil, false
 			}
 		default:
-			s.i++
+			s.pos++
 			if c < 0x80 {
 				continue // one of the last bytes, where fewer than eight are left
 			}
@@ -166,31 +166,31 @@
 
 // escape consumes an escape sequence. It returns false if the sequence is malformed.
 func (s *scanner) escape() bool {
-	if s.i+1 >= len(s.b) {
+	if s.pos+1 >= len(s.input) {
 		return false
 	}
-	switch s.b[s.i+1] {
+	switch s.input[s.pos+1] {
 	case '"', '\\', '/', 'b', 'f', 'n', 'r', 't':
-		s.i += 2
+		s.pos += 2
 		return true
 	case 'u':
-		if s.i+6 > len(s.b) {
+		if s.pos+6 > len(s.input) {
 			return false
 		}
-		for _, c := range s.b[s.i+2 : s.i+6] {
+		for _, c := range s.input[s.pos+2 : s.pos+6] {
 			if !('0' <= c && c <= '9' || 'a' <= c && c <= 'f' || 'A' <= c && c <= 'F') {
 				return false
 			}
 		}
-		s.i += 6
+		s.pos += 6
 		return true
 	}
 	return false
 }
 
-// str consumes a string. The result may share memory with the scanner's input, so it must be cloned before it is kept.
-func (s *scanner) str() string {
-	text, plain := s.raw()
+// stringValue consumes a string. The result may share memory with the scanner's input, so it must be cloned before it is kept.
+func (s *scanner) stringValue() string {
+	text, plain := s.rawString()
 	if s.err != nil {
 		return ""
 	}
@@ -207,31 +207,31 @@
 
 // skip consumes any value and checks its syntax.
 func (s *scanner) skip() {
-	switch c := s.next(); c {
+	switch c := s.peek(); c {
 	case '{':
 		s.object(func(string) { s.skip() })
 	case '[':
 		s.array(s.skip)
 	case '"':
-		s.raw()
+		s.rawString()
 	case 't':
-		s.word("true")
+		s.literal("true")
 	case 'f':
-		s.word("false")
+		s.literal("false")
 	case 'n':
-		s.word("null")
+		s.literal("null")
 	default:
 		s.number()
 	}
 }
 
-// word consumes the literal w.
-func (s *scanner) word(w string) {
-	if s.i+len(w) > len(s.b) || string(s.b[s.i:s.i+len(w)]) != w {
+// literal consumes the literal w.
+func (s *scanner) literal(w string) {
+	if s.pos+len(w) > len(s.input) || string(s.input[s.pos:s.pos+len(w)]) != w {
 		s.fail("unknown word")
 		return
 	}
-	s.i += len(w)
+	s.pos += len(w)
 }
 
 // number consumes a number and returns its text.
@@ -239,37 +239,37 @@
 	if s.err != nil {
 		return ""
 	}
-	from := s.i
+	from := s.pos
 	at := func() byte {
-		if s.i < len(s.b) {
-			return s.b[s.i]
+		if s.pos < len(s.input) {
+			return s.input[s.pos]
 		}
 		return 0
 	}
 	digits := func() bool {
-		n := s.i
+		n := s.pos
 		for c := at(); '0' <= c && c <= '9'; c = at() {
-			s.i++
+			s.pos++
 		}
-		return s.i > n
+		return s.pos > n
 	}
 	if at() == '-' {
-		s.i++
+		s.pos++
 	}
 	ok := true
 	if at() == '0' {
-		s.i++
+		s.pos++
 	} else {
 		ok = digits()
 	}
 	if ok && at() == '.' {
-		s.i++
+		s.pos++
 		ok = digits()
 	}
 	if c := at(); ok && (c == 'e' || c == 'E') {
-		s.i++
+		s.pos++
 		if c := at(); c == '+' || c == '-' {
-			s.i++
+			s.pos++
 		}
 		ok = digits()
 	}
@@ -277,5 +277,5 @@
 		s.fail("no value")
 		return ""
 	}
-	return string(s.b[from:s.i])
+	return string(s.input[from:s.pos])
 }
--- a/membership/endpointslice/set.go
+++ b/membership/endpointslice/set.go
@@ -30,113 +30,113 @@
 //     some before, makes all of them Leaving at once, since honouring drains is more important than availability. But they
 //     become Left only after EmptyHold, so that no state is lost if the empty list was a mistake and is corrected in time.
 type Set struct {
-	p       Partner
-	slices  map[string]*slice
-	entries map[string]*endpoint
-	changed map[*endpoint]struct{} // since the last Take
-	dropped []drop                 // endpoints that no slice listed any more, oldest first; some may be listed again by now
-	held    []drop                 // the same for endpoints dropped by a list without any endpoint
-	named   int                    // number of endpoints that a slice lists
-	listing bool                   // between Begin and End
-	listed  bool                   // a list has been read completely
-	round   int                    // number of the current or last list
-	refused int                    // total number of entries and slices that were rejected
+	partner            Partner
+	slices             map[string]*sliceState
+	endpoints          map[string]*endpoint
+	changed            map[*endpoint]struct{} // since the last Take
+	dropped            []drop                 // endpoints that no slice listed any more, oldest first; some may be listed again by now
+	droppedByEmptyList []drop                 // the same for endpoints dropped by a list without any endpoint
+	listedCount        int                    // number of endpoints that a slice lists
+	listing            bool                   // between Begin and End
+	listCompleted      bool                   // a list has been read completely
+	listNumber         int                    // number of the current or last list
+	rejected           int                    // total number of entries and slices that were rejected
 
-	// IDs of pods that were read as terminating and are no longer in entries. endedList has the oldest first.
-	ended     map[string]struct{}
-	endedList []string
+	// IDs of pods that were read as terminating and are no longer in endpoints. terminatedOrder has the oldest first.
+	terminated      map[string]struct{}
+	terminatedOrder []string
 }
 
-const mostEnded = 2048
+const maxTerminated = 2048
 
-// slice holds the newest state of a slice. It is the same object for as long as the slice exists.
-type slice struct {
+// sliceState holds the newest state of a slice. It is the same object for as long as the slice exists.
+type sliceState struct {
 	Slice
-	key   string
-	port  int         // for calls, 0 if none
-	round int         // number of the last list that contained it
-	who   []*endpoint // endpoint of each entry; nil for a rejected entry
+	key        string
+	port       int         // for calls, 0 if none
+	listNumber int         // number of the last list that contained it
+	endpoints  []*endpoint // endpoint of each entry; nil for a rejected entry
 }
 
 // endpoint is an endpoint with its entries in the slices.
 type endpoint struct {
-	id         string
-	in         []mention // almost always one
-	addr       string    // last usable address, "" if it never had one
-	zone       string
-	hints      string
-	note       string
-	started    int64 // Unix ms, 0 for long ago
-	dropped    time.Time
-	phase      membership.Phase
-	named      bool // a slice lists it
-	told       bool // Take last returned it with a phase other than Left
-	seen       bool // it has been Active
-	terminated bool // a pod that was once read as terminating
-	round      int  // number of the list that dropped it, 0 if none did
+	id            string
+	mentions      []mention // almost always one
+	addr          string    // last usable address, "" if it never had one
+	zone          string
+	hints         string
+	note          string
+	started       int64 // Unix ms, 0 for long ago
+	droppedAt     time.Time
+	phase         membership.Phase
+	listed        bool // a slice lists it
+	reported      bool // Take last returned it with a phase other than Left
+	wasActive     bool // it has been Active
+	terminated    bool // a pod that was once read as terminating
+	droppedByList int  // number of the list that dropped it, 0 if none did
 }
 
 // drop records that no slice lists an endpoint any more since a given time.
 type drop struct {
-	e  *endpoint
-	at time.Time
+	endpoint *endpoint
+	at       time.Time
 }
 
-// holds reports whether the endpoint has not been listed again since.
-func (d drop) holds() bool { return !d.e.named && d.e.dropped.Equal(d.at) }
+// stillDropped reports whether the endpoint has not been listed again since.
+func (d drop) stillDropped() bool { return !d.endpoint.listed && d.endpoint.droppedAt.Equal(d.at) }
 
 // mention is the position of an entry in a slice.
 type mention struct {
-	by *slice
-	at int // index in by.Entries
+	slice *sliceState
+	index int // index in by.Entries
 }
 
 // NewSet creates an empty set. The partner's settings must have been validated.
 func NewSet(p Partner) *Set {
 	p.Grace, p.EmptyHold = cmp.Or(p.Grace, defaultGrace), cmp.Or(p.EmptyHold, defaultEmptyHold)
-	p.MaxEndpoints = cmp.Or(p.MaxEndpoints, defaultMost)
+	p.MaxEndpoints = cmp.Or(p.MaxEndpoints, defaultMaxEndpoints)
 	return &Set{
-		p: p, slices: map[string]*slice{}, entries: map[string]*endpoint{},
-		changed: map[*endpoint]struct{}{}, ended: map[string]struct{}{},
+		partner: p, slices: map[string]*sliceState{}, endpoints: map[string]*endpoint{},
+		changed: map[*endpoint]struct{}{}, terminated: map[string]struct{}{},
 	}
 }
 
-// forget removes an endpoint. If it is a pod that was read as terminating, its ID is remembered in ended.
-func (s *Set) forget(e *endpoint) {
-	delete(s.entries, e.id)
-	if _, known := s.ended[e.id]; known || !e.terminated {
+// removeEndpoint removes an endpoint. If it is a pod that was read as terminating, its ID is remembered in terminated.
+func (s *Set) removeEndpoint(e *endpoint) {
+	delete(s.endpoints, e.id)
+	if _, known := s.terminated[e.id]; known || !e.terminated {
 		return
 	}
-	if len(s.endedList) == mostEnded {
-		delete(s.ended, s.endedList[0])
-		s.endedList = slices.Delete(s.endedList, 0, 1)
+	if len(s.terminatedOrder) == maxTerminated {
+		delete(s.terminated, s.terminatedOrder[0])
+		s.terminatedOrder = slices.Delete(s.terminatedOrder, 0, 1)
 	}
-	s.ended[e.id] = struct{}{}
-	s.endedList = append(s.endedList, e.id)
+	s.terminated[e.id] = struct{}{}
+	s.terminatedOrder = append(s.terminatedOrder, e.id)
 }
 
 // BeginList starts a full list. If a list was already started, it is abandoned.
 func (s *Set) BeginList() {
 	s.listing = true
-	s.round++
+	s.listNumber++
 }
 
 // EndList completes the list and removes the slices that it did not contain. emptied is true if this dropped the last
 // endpoints.
 func (s *Set) EndList(now time.Time) (emptied bool) {
 	for key, in := range s.slices {
-		if in.round != s.round {
+		if in.listNumber != s.listNumber {
 			s.Remove(now, key)
 		}
 	}
-	s.listing, s.listed = false, true
-	if s.named > 0 {
+	s.listing, s.listCompleted = false, true
+	if s.listedCount > 0 {
 		return false
 	}
 	rest := s.dropped[:0]
 	for _, d := range s.dropped {
-		if d.holds() && d.e.round == s.round {
-			s.held = append(s.held, d)
+		if d.stillDropped() && d.endpoint.droppedByList == s.listNumber {
+			s.droppedByEmptyList = append(s.droppedByEmptyList, d)
 		} else {
 			rest = append(rest, d)
 		}
@@ -152,19 +152,19 @@
 	key := new.key()
 	in := s.slices[key]
 	whole := new.Err == nil || new.UnreadableEntries > 0 // otherwise nothing of it could be read
-	if !whole || in == nil && len(s.slices) >= s.p.MaxEndpoints {
-		s.refused++
+	if !whole || in == nil && len(s.slices) >= s.partner.MaxEndpoints {
+		s.rejected++
 		if in != nil {
-			in.round = s.round // keep the last state, as for a source that fails
+			in.listNumber = s.listNumber // keep the last state, as for a source that fails
 		}
 		return
 	}
-	s.refused += new.UnreadableEntries
+	s.rejected += new.UnreadableEntries
 	if in == nil {
-		in = &slice{key: key}
+		in = &sliceState{key: key}
 		s.slices[key] = in
 	}
-	in.round = s.round
+	in.listNumber = s.listNumber
 	s.replace(now, in, new)
 }
 
@@ -177,8 +177,8 @@
 }
 
 // replace sets a new state of a slice. An entry that has not changed costs only a comparison.
-func (s *Set) replace(now time.Time, in *slice, new Slice) {
-	port := s.p.port(&new)
+func (s *Set) replace(now time.Time, in *sliceState, new Slice) {
+	port := s.partner.port(&new)
 	alike := port == in.port && new.AddressType == in.AddressType
 	var touched []*endpoint
 	differs := make([]int, 0, 8)
@@ -187,93 +187,93 @@
 			continue
 		}
 		differs = append(differs, i)
-		if i < len(in.Entries) && in.who[i] != nil {
-			e := in.who[i]
-			e.in = slices.DeleteFunc(e.in, func(m mention) bool { return m == mention{in, i} })
+		if i < len(in.Entries) && in.endpoints[i] != nil {
+			e := in.endpoints[i]
+			e.mentions = slices.DeleteFunc(e.mentions, func(m mention) bool { return m == mention{in, i} })
 			touched = append(touched, e)
 		}
 	}
 	in.Slice, in.port = new, port
-	if n := len(new.Entries); n <= len(in.who) {
-		in.who = in.who[:n]
+	if n := len(new.Entries); n <= len(in.endpoints) {
+		in.endpoints = in.endpoints[:n]
 	} else {
-		in.who = append(in.who, make([]*endpoint, n-len(in.who))...)
+		in.endpoints = append(in.endpoints, make([]*endpoint, n-len(in.endpoints))...)
 	}
 	for _, i := range differs {
 		if i >= len(new.Entries) {
 			break
 		}
-		e := s.who(in, i)
-		if in.who[i] = e; e != nil {
-			e.in = append(e.in, mention{in, i})
+		e := s.endpointOf(in, i)
+		if in.endpoints[i] = e; e != nil {
+			e.mentions = append(e.mentions, mention{in, i})
 			touched = append(touched, e)
 		}
 	}
 	for _, e := range touched {
-		s.work(now, e)
+		s.recompute(now, e)
 	}
 }
 
-// who returns the endpoint of an entry and creates it if needed. It returns nil if the entry has neither a uid nor a usable
-// address, or if the limit of endpoints is reached.
-func (s *Set) who(in *slice, i int) *endpoint {
+// endpointOf returns the endpoint of an entry and creates it if needed. It returns nil if the entry has neither a uid nor a
+// usable address, or if the limit of endpoints is reached.
+func (s *Set) endpointOf(in *sliceState, i int) *endpoint {
 	entry := &in.Entries[i]
 	name := entry.UID
 	if name == "" {
 		name = address(entry, &in.Slice, in.port)
 	}
-	id := fmt.Sprintf("%d/%s", s.p.Destination, name)
-	e := s.entries[id]
+	id := fmt.Sprintf("%d/%s", s.partner.Destination, name)
+	e := s.endpoints[id]
 	if e == nil {
-		if name == "" || len(s.entries) >= s.p.MaxEndpoints {
-			s.refused++
+		if name == "" || len(s.endpoints) >= s.partner.MaxEndpoints {
+			s.rejected++
 			return nil
 		}
-		_, ended := s.ended[id]
+		_, ended := s.terminated[id]
 		e = &endpoint{id: id, terminated: ended}
-		s.entries[id] = e
+		s.endpoints[id] = e
 	}
 	return e
 }
 
-// work recomputes the state of an endpoint from its entries in the slices.
-func (s *Set) work(now time.Time, e *endpoint) {
-	if len(e.in) == 0 {
-		if e.named {
-			e.named = false
-			s.named--
-			if !e.told { // never reported, so it need not become Leaving first; keeps memory small in a flood
-				s.forget(e)
+// recompute recomputes the state of an endpoint from its entries in the slices.
+func (s *Set) recompute(now time.Time, e *endpoint) {
+	if len(e.mentions) == 0 {
+		if e.listed {
+			e.listed = false
+			s.listedCount--
+			if !e.reported { // never reported, so it need not become Leaving first; keeps memory small in a flood
+				s.removeEndpoint(e)
 				delete(s.changed, e)
 				return
 			}
-			e.dropped, e.round, e.phase, e.note = now, 0, membership.Leaving, "no slice names it any more"
+			e.droppedAt, e.droppedByList, e.phase, e.note = now, 0, membership.Leaving, "no slice names it any more"
 			if s.listing {
-				e.round = s.round
+				e.droppedByList = s.listNumber
 			}
 			s.dropped = append(s.dropped, drop{e, now})
 			s.changed[e] = struct{}{}
 		}
 		return
 	}
-	news, was := !e.named, *e
+	news, was := !e.listed, *e
 	if news {
-		e.named = true
-		s.named++
+		e.listed = true
+		s.listedCount++
 	}
 	e.phase, e.note = membership.Active, "ready"
 	var best *mention
-	for i := range e.in {
-		m := &e.in[i]
-		entry := &m.by.Entries[m.at]
+	for i := range e.mentions {
+		m := &e.mentions[i]
+		entry := &m.slice.Entries[m.index]
 		switch {
 		case entry.Terminating:
 			e.terminated = e.terminated || entry.Pod
-			e.phase, e.note = membership.Leaving, "terminating in "+m.by.key
+			e.phase, e.note = membership.Leaving, "terminating in "+m.slice.key
 		case !entry.Ready && e.phase == membership.Active:
-			e.phase, e.note = membership.Leaving, "not ready in "+m.by.key
+			e.phase, e.note = membership.Leaving, "not ready in "+m.slice.key
 		}
-		if address(entry, &m.by.Slice, m.by.port) != "" && (best == nil || s.before(m, best)) {
+		if address(entry, &m.slice.Slice, m.slice.port) != "" && (best == nil || s.takesPrecedence(m, best)) {
 			best = m
 		}
 	}
@@ -281,14 +281,14 @@
 		e.phase, e.note = membership.Leaving, "a pod that was terminating before"
 	}
 	if best != nil {
-		entry := &best.by.Entries[best.at]
-		e.addr, e.zone, e.hints = address(entry, &best.by.Slice, best.by.port), entry.Zone, entry.Hints
+		entry := &best.slice.Entries[best.index]
+		e.addr, e.zone, e.hints = address(entry, &best.slice.Slice, best.slice.port), entry.Zone, entry.Hints
 	} else {
-		e.phase, e.note = membership.Leaving, "no address that can be used in "+e.in[0].by.key
-		s.refused++
+		e.phase, e.note = membership.Leaving, "no address that can be used in "+e.mentions[0].slice.key
+		s.rejected++
 	}
-	if e.phase == membership.Active && !e.seen {
-		if e.seen = true; s.listed {
+	if e.phase == membership.Active && !e.wasActive {
+		if e.wasActive = true; s.listCompleted {
 			e.started = now.UnixMilli()
 		}
 	}
@@ -297,12 +297,12 @@
 	}
 }
 
-// before reports whether m's address takes precedence over o's.
-func (s *Set) before(m, o *mention) bool {
-	if m6, o6 := m.by.AddressType == "IPv6", o.by.AddressType == "IPv6"; m6 != o6 {
-		return m6 == s.p.PreferIPv6
+// takesPrecedence reports whether m's address is used rather than o's.
+func (s *Set) takesPrecedence(m, o *mention) bool {
+	if m6, o6 := m.slice.AddressType == "IPv6", o.slice.AddressType == "IPv6"; m6 != o6 {
+		return m6 == s.partner.PreferIPv6
 	}
-	return cmp.Or(cmp.Compare(m.by.key, o.by.key), cmp.Compare(m.at, o.at)) < 0
+	return cmp.Or(cmp.Compare(m.slice.key, o.slice.key), cmp.Compare(m.index, o.index)) < 0
 }
 
 // TakeChanges returns the endpoints that changed since the last call, each in its newest state, sorted by phase (Left, Leaving,
@@ -310,8 +310,8 @@
 // don't have to wait for a large number of additions. more is true if some are left for the next call.
 func (s *Set) TakeChanges(now time.Time, most int) (changes []membership.Endpoint, more bool) {
 	if !s.listing {
-		s.dropped = s.expire(now, s.dropped, s.p.Grace)
-		s.held = s.expire(now, s.held, s.p.EmptyHold)
+		s.dropped = s.expireDropped(now, s.dropped, s.partner.Grace)
+		s.droppedByEmptyList = s.expireDropped(now, s.droppedByEmptyList, s.partner.EmptyHold)
 	}
 	list := make([]*endpoint, 0, len(s.changed))
 	for e := range s.changed {
@@ -328,11 +328,11 @@
 			}
 		}
 		delete(s.changed, e)
-		if e.addr == "" || e.phase == membership.Left && !e.told {
+		if e.addr == "" || e.phase == membership.Left && !e.reported {
 			continue
 		}
-		e.told = e.phase != membership.Left
-		changes = append(changes, s.out(e))
+		e.reported = e.phase != membership.Left
+		changes = append(changes, s.convert(e))
 	}
 	return changes, false
 }
@@ -340,27 +340,27 @@
 // All returns all endpoints sorted by ID. All changes so far then count as taken.
 func (s *Set) All(now time.Time) []membership.Endpoint {
 	s.TakeChanges(now, 0)
-	all := make([]membership.Endpoint, 0, len(s.entries))
-	for _, e := range s.entries {
+	all := make([]membership.Endpoint, 0, len(s.endpoints))
+	for _, e := range s.endpoints {
 		if e.addr != "" {
-			all = append(all, s.out(e))
+			all = append(all, s.convert(e))
 		}
 	}
 	slices.SortFunc(all, func(a, b membership.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
 
-// expire makes endpoints Left that were dropped at least the given time ago. It returns the rest of the queue.
-func (s *Set) expire(now time.Time, queue []drop, after time.Duration) []drop {
+// expireDropped makes endpoints Left that were dropped at least the given time ago. It returns the rest of the queue.
+func (s *Set) expireDropped(now time.Time, queue []drop, after time.Duration) []drop {
 	for len(queue) > 0 {
 		d := queue[0]
-		if d.holds() {
+		if d.stillDropped() {
 			if now.Sub(d.at) < after {
 				break
 			}
-			d.e.phase, d.e.note = membership.Left, "no slice names it any more"
-			s.forget(d.e)
-			s.changed[d.e] = struct{}{}
+			d.endpoint.phase, d.endpoint.note = membership.Left, "no slice names it any more"
+			s.removeEndpoint(d.endpoint)
+			s.changed[d.endpoint] = struct{}{}
 		}
 		queue[0] = drop{}
 		queue = queue[1:]
@@ -374,10 +374,10 @@
 		return at, false
 	}
 	if len(s.dropped) > 0 {
-		at, some = s.dropped[0].at.Add(s.p.Grace), true
+		at, some = s.dropped[0].at.Add(s.partner.Grace), true
 	}
-	if len(s.held) > 0 {
-		if due := s.held[0].at.Add(s.p.EmptyHold); !some || due.Before(at) {
+	if len(s.droppedByEmptyList) > 0 {
+		if due := s.droppedByEmptyList[0].at.Add(s.partner.EmptyHold); !some || due.Before(at) {
 			at, some = due, true
 		}
 	}
@@ -393,19 +393,19 @@
 }
 
 // Named returns the number of endpoints that the slices list now.
-func (s *Set) Named() int { return s.named }
+func (s *Set) Named() int { return s.listedCount }
 
 // Refused returns the number of entries and slices that were rejected so far.
-func (s *Set) Refused() int { return s.refused }
+func (s *Set) Refused() int { return s.rejected }
 
-// out converts an endpoint for a membership table.
-func (s *Set) out(e *endpoint) membership.Endpoint {
-	zone := cmp.Or(e.zone, s.p.DefaultZone)
-	if mapped, ok := s.p.ZoneNames[zone]; ok {
+// convert converts an endpoint for a membership table.
+func (s *Set) convert(e *endpoint) membership.Endpoint {
+	zone := cmp.Or(e.zone, s.partner.DefaultZone)
+	if mapped, ok := s.partner.ZoneNames[zone]; ok {
 		zone = mapped
 	}
 	return membership.Endpoint{
-		ID: e.id, Addr: e.addr, Dest: s.p.Destination, Zone: zone, Kind: s.p.Kind, Phase: e.phase, Weight: s.p.Weight,
+		ID: e.id, Addr: e.addr, Dest: s.partner.Destination, Zone: zone, Kind: s.partner.Kind, Phase: e.phase, Weight: s.partner.Weight,
 		Started: e.started, Hints: e.hints, Note: e.note,
 	}
 }
--- a/membership/endpointslice/set_test.go
+++ b/membership/endpointslice/set_test.go
@@ -20,8 +20,8 @@
 
 var partner = Partner{Name: "archive", Namespace: "partners", Selector: "kubernetes.io/service-name=archive", PortName: "http", Destination: 7, Kind: "hooks"}
 
-// slc returns a slice with entries given as "uid@host" and a letter for each condition: n not ready, t terminating.
-func slc(name string, entries ...string) Slice {
+// testSlice returns a slice with entries given as "uid@host" and a letter for each condition: n not ready, t terminating.
+func testSlice(name string, entries ...string) Slice {
 	s := Slice{Namespace: "partners", Name: name, AddressType: "IPv4", Ports: []Port{{"http", 80, true}}}
 	for _, text := range entries {
 		who, flags, _ := strings.Cut(text, " ")
@@ -43,7 +43,7 @@
 
 func newSet(t *testing.T) setRig { return setRig{t, NewSet(partner)} }
 
-func (r setRig) took(s float64, want string) {
+func (r setRig) wantChanges(s float64, want string) {
 	r.Helper()
 	changes, _ := r.s.TakeChanges(at(s), 0)
 	if got := show(changes); got != want {
@@ -63,72 +63,72 @@
 	t.Parallel()
 	r := newSet(t)
 	service := func(name, entry string) Slice { // not a pod, since a terminating pod stays Leaving
-		s := slc(name, entry)
+		s := testSlice(name, entry)
 		s.Entries[0].Pod = false
 		return s
 	}
 	r.s.Put(at(0), service("a", "u1@10.0.0.1"))
-	r.took(0, "u1 active")
+	r.wantChanges(0, "u1 active")
 	r.s.Put(at(1), service("b", "u1@10.0.0.1 n"))
-	r.took(1, "u1 leaving")
+	r.wantChanges(1, "u1 leaving")
 	r.s.Put(at(2), service("c", "u1@10.0.0.1 t"))
-	r.took(2, "u1 leaving")
+	r.wantChanges(2, "u1 leaving")
 	r.s.Remove(at(3), "partners/b")
-	r.took(3, "") // still terminating in c
+	r.wantChanges(3, "") // still terminating in c
 	r.s.Remove(at(4), "partners/c")
-	r.took(4, "u1 active") // only a lists it now
+	r.wantChanges(4, "u1 active") // only a lists it now
 	r.s.Remove(at(5), "partners/a")
-	r.took(5, "u1 leaving")
-	r.took(5.2, "")
-	r.took(5.3, "u1 left")
+	r.wantChanges(5, "u1 leaving")
+	r.wantChanges(5.2, "")
+	r.wantChanges(5.3, "u1 left")
 }
 
 func TestTerminatingPodStaysLeaving(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
-	r.s.Put(at(0), slc("a", "u1@10.0.0.1"))
-	r.s.Put(at(0), slc("b", "u1@10.0.0.1 t"))
-	r.took(0, "u1 leaving")
+	r.s.Put(at(0), testSlice("a", "u1@10.0.0.1"))
+	r.s.Put(at(0), testSlice("b", "u1@10.0.0.1 t"))
+	r.wantChanges(0, "u1 leaving")
 	r.s.Remove(at(1), "partners/b")
-	r.took(1, "u1 leaving")
-	r.s.Put(at(2), slc("a", "u1@10.0.0.1 n"))
-	r.s.Put(at(3), slc("a", "u1@10.0.0.1")) // an API server that was restored to an older state
-	r.took(3, "u1 leaving")
-	r.s.Put(at(4), slc("a", "u2@10.0.0.1")) // a new pod at the old address
-	r.took(4, "u1 leaving, u2 active")
-	r.took(5, "u1 left")
+	r.wantChanges(1, "u1 leaving")
+	r.s.Put(at(2), testSlice("a", "u1@10.0.0.1 n"))
+	r.s.Put(at(3), testSlice("a", "u1@10.0.0.1")) // an API server that was restored to an older state
+	r.wantChanges(3, "u1 leaving")
+	r.s.Put(at(4), testSlice("a", "u2@10.0.0.1")) // a new pod at the old address
+	r.wantChanges(4, "u1 leaving, u2 active")
+	r.wantChanges(5, "u1 left")
 }
 
 func TestServingTerminatingEndpointIsNeverActive(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
-	s := slc("a", "u1@10.0.0.1 t", "u2@10.0.0.2 t") // the only endpoints, and ready because of publishNotReadyAddresses
+	s := testSlice("a", "u1@10.0.0.1 t", "u2@10.0.0.2 t") // the only endpoints, and ready because of publishNotReadyAddresses
 	r.s.Put(at(0), s)
-	r.took(0, "u1 leaving, u2 leaving")
+	r.wantChanges(0, "u1 leaving, u2 leaving")
 }
 
 func TestEndpointMovingBetweenSlicesNeverLeaves(t *testing.T) {
 	t.Parallel()
 	moves := map[string][]func(*Set, time.Time){
 		"dropped first": {
-			func(s *Set, at time.Time) { s.Put(at, slc("a", "u2@10.0.0.2")) },
-			func(s *Set, at time.Time) { s.Put(at, slc("b", "u1@10.0.0.1")) },
+			func(s *Set, at time.Time) { s.Put(at, testSlice("a", "u2@10.0.0.2")) },
+			func(s *Set, at time.Time) { s.Put(at, testSlice("b", "u1@10.0.0.1")) },
 		},
 		"added first": {
-			func(s *Set, at time.Time) { s.Put(at, slc("b", "u1@10.0.0.1")) },
-			func(s *Set, at time.Time) { s.Put(at, slc("a", "u2@10.0.0.2")) },
+			func(s *Set, at time.Time) { s.Put(at, testSlice("b", "u1@10.0.0.1")) },
+			func(s *Set, at time.Time) { s.Put(at, testSlice("a", "u2@10.0.0.2")) },
 		},
 		"its slice removed first": {
 			func(s *Set, at time.Time) { s.Remove(at, "partners/a") },
-			func(s *Set, at time.Time) { s.Put(at, slc("b", "u1@10.0.0.1", "u2@10.0.0.2")) },
+			func(s *Set, at time.Time) { s.Put(at, testSlice("b", "u1@10.0.0.1", "u2@10.0.0.2")) },
 		},
 	}
 	for name, steps := range moves {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newSet(t)
-			r.s.Put(at(0), slc("a", "u1@10.0.0.1", "u2@10.0.0.2"))
-			r.took(0, "u1 active, u2 active")
+			r.s.Put(at(0), testSlice("a", "u1@10.0.0.1", "u2@10.0.0.2"))
+			r.wantChanges(0, "u1 active, u2 active")
 			for i, step := range steps {
 				now := at(1 + 0.2*float64(i))
 				step(r.s, now)
@@ -142,7 +142,7 @@
 					t.Errorf("step %d: %d endpoints", i, got)
 				}
 			}
-			r.took(10, "")
+			r.wantChanges(10, "")
 			if got := show(r.s.All(at(10))); got != "u1 active, u2 active" {
 				t.Error(got)
 			}
@@ -153,32 +153,32 @@
 func TestDroppedEndpointIsLeavingAtOnce(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
-	r.s.Put(at(0), slc("a", "u1@10.0.0.1", "u2@10.0.0.2"))
-	r.took(0, "u1 active, u2 active")
-	r.s.Put(at(1), slc("a", "u2@10.0.0.2"))
-	r.took(1, "u1 leaving")
+	r.s.Put(at(0), testSlice("a", "u1@10.0.0.1", "u2@10.0.0.2"))
+	r.wantChanges(0, "u1 active, u2 active")
+	r.s.Put(at(1), testSlice("a", "u2@10.0.0.2"))
+	r.wantChanges(1, "u1 leaving")
 }
 
 func TestRemovalDoesNotWaitForAdditions(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
-	r.s.Put(at(0), slc("a", "u1@10.0.0.1"))
-	r.took(0, "u1 active")
+	r.s.Put(at(0), testSlice("a", "u1@10.0.0.1"))
+	r.wantChanges(0, "u1 active")
 	var many []string
 	for i := range 50 {
 		many = append(many, fmt.Sprintf("v%02d@10.0.1.%d", i, i))
 	}
-	r.s.Put(at(1), slc("b", many...))
+	r.s.Put(at(1), testSlice("b", many...))
 	changes, more := r.s.TakeChanges(at(1), 10)
 	if len(changes) != 10 || !more {
 		t.Fatal(len(changes), more)
 	}
-	r.s.Put(at(1), slc("a", "u1@10.0.0.1 t"))
+	r.s.Put(at(1), testSlice("a", "u1@10.0.0.1 t"))
 	changes, more = r.s.TakeChanges(at(1), 10)
 	if len(changes) != 11 || !more || changes[0].ID != "7/u1" {
 		t.Errorf("%v, more %v", show(changes), more)
 	}
-	r.s.Put(at(1), slc("b")) // the waiting additions are removed again: nothing of them is kept
+	r.s.Put(at(1), testSlice("b")) // the waiting additions are removed again: nothing of them is kept
 	changes, more = r.s.TakeChanges(at(1), 10)
 	if more || len(r.s.changed) > 0 {
 		t.Errorf("%v, more %v", show(changes), more)
@@ -189,38 +189,38 @@
 	t.Parallel()
 	r := newSet(t)
 	r.s.BeginList()
-	r.s.Put(at(0), slc("a", "u1@10.0.0.1", "u2@10.0.0.2"))
-	r.s.Put(at(0), slc("b", "u3@10.0.0.3"))
+	r.s.Put(at(0), testSlice("a", "u1@10.0.0.1", "u2@10.0.0.2"))
+	r.s.Put(at(0), testSlice("b", "u3@10.0.0.3"))
 	r.s.EndList(at(0))
-	r.took(0, "u1 active, u2 active, u3 active")
+	r.wantChanges(0, "u1 active, u2 active, u3 active")
 	r.s.BeginList()
-	r.s.Put(at(1), slc("a", "u1@10.0.0.1 t"))
-	r.took(1, "u1 leaving, u2 leaving")
-	r.took(60, "") // the list is still being read: a later slice may contain u2
-	r.s.Put(at(60), slc("c", "u2@10.0.0.2"))
-	r.took(60, "u2 active")
+	r.s.Put(at(1), testSlice("a", "u1@10.0.0.1 t"))
+	r.wantChanges(1, "u1 leaving, u2 leaving")
+	r.wantChanges(60, "") // the list is still being read: a later slice may contain u2
+	r.s.Put(at(60), testSlice("c", "u2@10.0.0.2"))
+	r.wantChanges(60, "u2 active")
 	if r.s.EndList(at(61)) {
 		t.Error("emptied")
 	}
-	r.took(61, "u3 leaving")
-	r.took(62, "u3 left")
+	r.wantChanges(61, "u3 leaving")
+	r.wantChanges(62, "u3 left")
 }
 
 func TestIncompleteListRemovesNothing(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
 	r.s.BeginList()
-	r.s.Put(at(0), slc("a", "u1@10.0.0.1"))
-	r.s.Put(at(0), slc("b", "u2@10.0.0.2"))
+	r.s.Put(at(0), testSlice("a", "u1@10.0.0.1"))
+	r.s.Put(at(0), testSlice("b", "u2@10.0.0.2"))
 	r.s.EndList(at(0))
-	r.took(0, "u1 active, u2 active")
+	r.wantChanges(0, "u1 active, u2 active")
 	r.s.BeginList()
-	r.s.Put(at(1), slc("a", "u1@10.0.0.1"))
+	r.s.Put(at(1), testSlice("a", "u1@10.0.0.1"))
 	r.s.BeginList() // the first list was not completed
-	r.s.Put(at(2), slc("b", "u2@10.0.0.2"))
-	r.took(3, "")
+	r.s.Put(at(2), testSlice("b", "u2@10.0.0.2"))
+	r.wantChanges(3, "")
 	r.s.EndList(at(3))
-	r.took(3, "u1 leaving")
+	r.wantChanges(3, "u1 leaving")
 }
 
 func TestEmptyListDrainsEndpointsBeforeRemoval(t *testing.T) {
@@ -236,21 +236,21 @@
 	if list(0) {
 		t.Error("an empty first list counts as having dropped endpoints")
 	}
-	list(1, slc("a", "u1@10.0.0.1"))
-	r.took(1, "u1 active")
+	list(1, testSlice("a", "u1@10.0.0.1"))
+	r.wantChanges(1, "u1 active")
 	if !list(2) {
 		t.Error("an empty list is not detected")
 	}
-	r.took(2, "u1 leaving")
-	r.took(30, "")
-	list(31, slc("a", "u1@10.0.0.1"))
-	r.took(31, "u1 active")
-	if !list(40, slc("a")) {
+	r.wantChanges(2, "u1 leaving")
+	r.wantChanges(30, "")
+	list(31, testSlice("a", "u1@10.0.0.1"))
+	r.wantChanges(31, "u1 active")
+	if !list(40, testSlice("a")) {
 		t.Error("a list of slices without endpoints does not count as empty")
 	}
-	r.took(40, "u1 leaving")
-	r.took(99.9, "")
-	r.took(100, "u1 left")
+	r.wantChanges(40, "u1 leaving")
+	r.wantChanges(99.9, "")
+	r.wantChanges(100, "u1 left")
 }
 
 func TestAbsentConditionsAndUnusableEntries(t *testing.T) {
@@ -265,12 +265,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o.Slice.UnreadableEntries != 2 || !errors.Is(o.Slice.Err, errShape) {
+	if o.Slice.UnreadableEntries != 2 || !errors.Is(o.Slice.Err, errWrongType) {
 		t.Errorf("bad %d: %v", o.Slice.UnreadableEntries, o.Slice.Err)
 	}
 	r := newSet(t)
 	r.s.Put(at(0), o.Slice)
-	r.took(0, "10.0.0.4:80 leaving, 10.0.0.1:80 active, 10.0.0.2:80 active, 10.0.0.3:80 active, 10.0.0.8:80 active")
+	r.wantChanges(0, "10.0.0.4:80 leaving, 10.0.0.1:80 active, 10.0.0.2:80 active, 10.0.0.3:80 active, 10.0.0.8:80 active")
 	if e := r.s.All(at(0))[4]; e.Zone != "west" || e.Hints != "east,north" || e.Dest != 7 || e.Kind != "hooks" {
 		t.Errorf("%+v", e)
 	}
@@ -285,8 +285,8 @@
 		p := partner
 		p.PreferIPv6 = v6
 		s := NewSet(p)
-		s.Put(at(0), slc("b6", "u1@fd00::1", "u2@fd00::2"))
-		s.Put(at(0), slc("a4", "u1@10.0.0.1"))
+		s.Put(at(0), testSlice("b6", "u1@fd00::1", "u2@fd00::2"))
+		s.Put(at(0), testSlice("a4", "u1@10.0.0.1"))
 		want := []string{"10.0.0.1:80", "[fd00::2]:80"}
 		if v6 {
 			want[0] = "[fd00::1]:80"
@@ -305,7 +305,7 @@
 	t.Parallel()
 	p := partner
 	p.PortName = ""
-	s := slc("a", "u1@10.0.0.1")
+	s := testSlice("a", "u1@10.0.0.1")
 	s.Ports = []Port{{"web", 8080, true}}
 	if got := p.port(&s); got != 8080 {
 		t.Errorf("port %d", got)
@@ -323,8 +323,8 @@
 func TestUnreadableSliceKeepsItsLastState(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
-	r.s.Put(at(0), slc("a", "u1@10.0.0.1"))
-	r.took(0, "u1 active")
+	r.s.Put(at(0), testSlice("a", "u1@10.0.0.1"))
+	r.wantChanges(0, "u1 active")
 	o, err := decodeSlice([]byte(`{"metadata":{"namespace":"partners","name":"a"},"addressType":"IPv4","endpoints":"none"}`))
 	if err != nil || o.Slice.Err == nil {
 		t.Fatal(err, o)
@@ -332,7 +332,7 @@
 	r.s.BeginList()
 	r.s.Put(at(1), o.Slice)
 	r.s.EndList(at(1))
-	r.took(1, "")
+	r.wantChanges(1, "")
 	if r.s.Refused() != 1 {
 		t.Error("not counted")
 	}
@@ -341,12 +341,12 @@
 func TestChangedPortChangesAllAddresses(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
-	r.s.Put(at(0), slc("a", "u1@10.0.0.1", "u2@10.0.0.2"))
-	r.took(0, "u1 active, u2 active")
-	s := slc("a", "u1@10.0.0.1", "u2@10.0.0.2")
+	r.s.Put(at(0), testSlice("a", "u1@10.0.0.1", "u2@10.0.0.2"))
+	r.wantChanges(0, "u1 active, u2 active")
+	s := testSlice("a", "u1@10.0.0.1", "u2@10.0.0.2")
 	s.Ports[0].Number = 81
 	r.s.Put(at(1), s)
-	r.took(1, "u1 active, u2 active")
+	r.wantChanges(1, "u1 active, u2 active")
 	if got := r.s.All(at(1))[1].Addr; got != "10.0.0.2:81" {
 		t.Error(got)
 	}
@@ -356,20 +356,20 @@
 func TestTerminatedPodStaysLeavingAfterItLeft(t *testing.T) {
 	t.Parallel()
 	r := newSet(t)
-	r.s.Put(at(0), slc("a", "u1@10.0.0.1"))
-	r.took(0, "u1 active")
-	r.s.Put(at(1), slc("a", "u1@10.0.0.1 t"))
-	r.took(1, "u1 leaving")
-	r.s.Put(at(2), slc("a"))
-	r.took(2, "u1 leaving")
-	r.took(3, "u1 left")
-	r.s.Put(at(4), slc("a", "u1@10.0.0.1", "u2@10.0.0.2"))
-	r.took(4, "u1 leaving, u2 active")
-	for i := range 2 * mostEnded { // the number of remembered pods is limited
-		r.s.Put(at(5), slc("b", fmt.Sprintf("v%d@10.0.1.1 t", i)))
+	r.s.Put(at(0), testSlice("a", "u1@10.0.0.1"))
+	r.wantChanges(0, "u1 active")
+	r.s.Put(at(1), testSlice("a", "u1@10.0.0.1 t"))
+	r.wantChanges(1, "u1 leaving")
+	r.s.Put(at(2), testSlice("a"))
+	r.wantChanges(2, "u1 leaving")
+	r.wantChanges(3, "u1 left")
+	r.s.Put(at(4), testSlice("a", "u1@10.0.0.1", "u2@10.0.0.2"))
+	r.wantChanges(4, "u1 leaving, u2 active")
+	for i := range 2 * maxTerminated { // the number of remembered pods is limited
+		r.s.Put(at(5), testSlice("b", fmt.Sprintf("v%d@10.0.1.1 t", i)))
 	}
-	if len(r.s.ended) != mostEnded || len(r.s.endedList) != mostEnded {
-		t.Errorf("%d and %d are remembered", len(r.s.ended), len(r.s.endedList))
+	if len(r.s.terminated) != maxTerminated || len(r.s.terminatedOrder) != maxTerminated {
+		t.Errorf("%d and %d are remembered", len(r.s.terminated), len(r.s.terminatedOrder))
 	}
 }
 
@@ -384,11 +384,11 @@
 			for j := range 10 {
 				entries = append(entries, fmt.Sprintf("u%d-%d-%d@10.0.%d.%d", round, i, j, i, j))
 			}
-			s.Put(at(float64(round)), slc(fmt.Sprint("s", i), entries...))
+			s.Put(at(float64(round)), testSlice(fmt.Sprint("s", i), entries...))
 		}
 		s.TakeChanges(at(float64(round)), 5)
-		if len(s.entries) > 100 || len(s.changed) > 200 || len(s.slices) > 100 {
-			t.Fatalf("%d entries, %d changed", len(s.entries), len(s.changed))
+		if len(s.endpoints) > 100 || len(s.changed) > 200 || len(s.slices) > 100 {
+			t.Fatalf("%d entries, %d changed", len(s.endpoints), len(s.changed))
 		}
 	}
 	if s.Refused() == 0 {
@@ -396,8 +396,8 @@
 	}
 }
 
-// slowState is a reference implementation of the rules. It computes the phase of each endpoint from the slices.
-func slowState(all map[string]Slice, terminated map[string]bool) map[string]membership.Phase {
+// modelState is a reference implementation of the rules. It computes the phase of each endpoint from the slices.
+func modelState(all map[string]Slice, terminated map[string]bool) map[string]membership.Phase {
 	out := map[string]membership.Phase{}
 	for _, s := range all {
 		for _, e := range s.Entries {
@@ -433,7 +433,7 @@
 		seen := map[string]bool{} // slices of the current list
 		listing := false
 		note := func() {
-			state := slowState(all, nil)
+			state := modelState(all, nil)
 			for _, s := range all {
 				for _, e := range s.Entries {
 					terminated[e.UID] = terminated[e.UID] || e.Terminating
@@ -450,7 +450,7 @@
 			key := "partners/" + name
 			switch rapid.SampledFrom([]string{"put", "put", "put", "remove", "begin", "end"}).Draw(t, "what") {
 			case "put":
-				s := slc(name, rapid.SliceOfN(drawEntry, 0, 4).Draw(t, "entries")...)
+				s := testSlice(name, rapid.SliceOfN(drawEntry, 0, 4).Draw(t, "entries")...)
 				set.Put(now, s)
 				all[key], seen[key] = s, true
 			case "remove":
@@ -469,7 +469,7 @@
 				maps.DeleteFunc(all, func(key string, _ Slice) bool { return !seen[key] })
 			}
 			note()
-			named := slowState(all, terminated)
+			named := modelState(all, terminated)
 			for uid := range was {
 				if _, ok := named[uid]; !ok && dropped[uid].IsZero() {
 					dropped[uid] = now
@@ -518,5 +518,5 @@
 
 // isHeld reports whether an endpoint is kept for EmptyHold because of an empty list.
 func (s *Set) isHeld(uid string) bool {
-	return slices.ContainsFunc(s.held, func(d drop) bool { return d.holds() && d.e.id == "7/"+uid })
+	return slices.ContainsFunc(s.droppedByEmptyList, func(d drop) bool { return d.stillDropped() && d.endpoint.id == "7/"+uid })
 }
--- a/membership/endpointslice/source.go
+++ b/membership/endpointslice/source.go
@@ -23,34 +23,34 @@
 // the receiver is busy, the Set merges further changes and keeps only the newest state. Source never lists with
 // resourceVersion=0, since the API server may then respond from a stale cache, which could bring back terminated endpoints.
 type Source struct {
-	p      Partner
-	c      *Client
-	log    *slog.Logger
-	t      Timing
-	host   host.Host
-	random func() uint64
-
-	mu     sync.Mutex
-	set    *Set
-	owed   owed
-	stats  Stats
-	logged map[string]time.Time // when each alarm was last logged
-
-	woken bool
-	wake  host.Inbox // wakes the goroutine that reports; closed when Run's context ends
-	rest  host.Inbox // for the pauses of the goroutine that lists and watches; closed when Run's context ends
+	partner Partner
+	client  *Client
+	log     *slog.Logger
+	timing  Timing
+	host    host.Host
+	random  func() uint64
+
+	mu         sync.Mutex
+	set        *Set
+	pending    pendingReports
+	stats      Stats
+	lastLogged map[string]time.Time // when each alarm was last logged
+
+	woken  bool
+	wake   host.Inbox // wakes the goroutine that reports; closed when Run's context ends
+	pauses host.Inbox // for the pauses of the goroutine that lists and watches; closed when Run's context ends
 
 	// Used only by the goroutine that lists and watches:
 
-	plainUntil time.Time     // until then streaming lists are not tried, since the server doesn't support them
-	recheck    time.Duration // how long after an empty list the slices are listed again; 0 if the list was not empty
+	pagesOnlyUntil time.Time     // until then streaming lists are not tried, since the server doesn't support them
+	recheck        time.Duration // how long after an empty list the slices are listed again; 0 if the list was not empty
 }
 
-// owed holds reports that are pending in addition to the Set's changes.
-type owed struct {
-	whole  bool  // a list was completed
-	failed error // cause of a failure to report
-	heard  bool  // the API server responds again
+// pendingReports holds reports that are due in addition to the Set's changes.
+type pendingReports struct {
+	fullList  bool  // a list was completed
+	failed    error // cause of a failure to report
+	recovered bool  // the API server responds again
 }
 
 // Stats counts events since the start of a source.
@@ -78,7 +78,7 @@
 	InitialListIdleTimeout time.Duration // the same during a streaming list
 	PageTimeout            time.Duration // timeout for one page of a list
 	MinBackoff             time.Duration // pause after the first failure; doubles with each further one ...
-	MaxBackoff             time.Duration // ... up to this; with a Retry-After it may be longer, up to mostRetryAfter
+	MaxBackoff             time.Duration // ... up to this; with a Retry-After it may be longer, up to maxRetryAfter
 	StreamingRetryInterval time.Duration // how long until streaming lists are tried again on a server without support for them
 	EmptyListRecheck       time.Duration // pause before an empty list is read again; doubles up to Most
 }
@@ -92,20 +92,20 @@
 }
 
 const (
-	pageSize       = 250     // slices; limits the time for a page, not memory, since items are read one by one
-	mostObject     = 4 << 20 // bytes of one event; API servers accept objects of up to 3 MiB
-	mostRetryAfter = time.Minute
-	batch          = 1000 // limit on Active endpoints in one update
-	tries          = 3    // consecutive failures of a watch before the slices are listed again
+	pageSize           = 250     // slices; limits the time for a page, not memory, since items are read one by one
+	maxObjectBytes     = 4 << 20 // bytes of one event; API servers accept objects of up to 3 MiB
+	maxRetryAfter      = time.Minute
+	maxActivePerUpdate = 1000 // limit on Active endpoints in one update
+	maxWatchFailures   = 3    // consecutive failures of a watch before the slices are listed again
 )
 
 // Reasons for ending a watch.
 var (
-	errGone    = errors.New("the resource version is not available")
-	errSilent  = errors.New("no events on the watch within the idle timeout")
-	errNoEnd   = errors.New("the streaming list has stalled before its end")
-	errBack    = errors.New("the API server's data are older than before")
-	errRecheck = errors.New("an empty list is read again")
+	errVersionUnavailable = errors.New("the resource version is not available")
+	errIdle               = errors.New("no events on the watch within the idle timeout")
+	errListStalled        = errors.New("the streaming list has stalled before its end")
+	errOlderData          = errors.New("the API server's data are older than before")
+	errRecheck            = errors.New("an empty list is read again")
 )
 
 // New creates a source. Its error wraps ErrPartnerSettings.
@@ -114,21 +114,21 @@
 		return nil, err
 	}
 	return &Source{
-		p: p, c: c, log: log.With("partner", p.Name), t: DefaultTiming(), set: NewSet(p), host: c.host, random: rand.Uint64,
-		logged: map[string]time.Time{}, wake: c.host.NewInbox(), rest: c.host.NewInbox(),
+		partner: p, client: c, log: log.With("partner", p.Name), timing: DefaultTiming(), set: NewSet(p), host: c.host, random: rand.Uint64,
+		lastLogged: map[string]time.Time{}, wake: c.host.NewInbox(), pauses: c.host.NewInbox(),
 	}, nil
 }
 
 // ConfigureSimulation sets the times and the random source for a simulation. It must be called before Run.
-func (s *Source) ConfigureSimulation(t Timing, random func() uint64) { s.t, s.random = t, random }
+func (s *Source) ConfigureSimulation(t Timing, random func() uint64) { s.timing, s.random = t, random }
 
-// upTo returns a random duration from 0 to just below d.
-func (s *Source) upTo(d time.Duration) time.Duration {
+// randomUpTo returns a random duration from 0 to just below d.
+func (s *Source) randomUpTo(d time.Duration) time.Duration {
 	return time.Duration(s.random() % uint64(max(d, 1)))
 }
 
 // Name returns endpointslice/ followed by the partner's name.
-func (s *Source) Name() string { return "endpointslice/" + s.p.Name }
+func (s *Source) Name() string { return "endpointslice/" + s.partner.Name }
 
 // Stats returns the current counts.
 func (s *Source) Stats() Stats {
@@ -144,15 +144,15 @@
 	done := s.host.NewInbox()
 	stop := context.AfterFunc(ctx, func() {
 		s.wake.Close()
-		s.rest.Close()
+		s.pauses.Close()
 	})
 	defer stop()
 	s.host.Go(func() {
 		defer done.Close()
-		s.follow(ctx)
+		s.listAndWatch(ctx)
 	})
 	for ctx.Err() == nil {
-		u, due, some := s.next(s.host.Now())
+		u, due, some := s.nextUpdate(s.host.Now())
 		if some {
 			tell(u)
 			continue
@@ -163,34 +163,34 @@
 	return ctx.Err()
 }
 
-// next returns the next update. If there is none, it returns the time at which there will be one without further input,
+// nextUpdate returns the next update. If there is none, it returns the time at which there will be one without further input,
 // zero if none is due.
-func (s *Source) next(now time.Time) (u membership.Update, due time.Time, some bool) {
+func (s *Source) nextUpdate(now time.Time) (u membership.Update, due time.Time, some bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.woken = false
-	switch o := &s.owed; {
-	case o.whole: // the full list also shows that the source works again
-		o.whole, o.heard = false, false
+	switch o := &s.pending; {
+	case o.fullList: // the full list also shows that the source works again
+		o.fullList, o.recovered = false, false
 		return membership.Update{Kind: membership.FullList, Endpoints: s.set.All(now)}, due, true
-	case o.heard:
-		o.heard = false
-		changes, _ := s.set.TakeChanges(now, batch)
+	case o.recovered:
+		o.recovered = false
+		changes, _ := s.set.TakeChanges(now, maxActivePerUpdate)
 		return membership.Update{Endpoints: changes}, due, true
 	}
-	if changes, _ := s.set.TakeChanges(now, batch); len(changes) > 0 {
+	if changes, _ := s.set.TakeChanges(now, maxActivePerUpdate); len(changes) > 0 {
 		return membership.Update{Endpoints: changes}, due, true
 	}
-	if err := s.owed.failed; err != nil {
-		s.owed.failed = nil
+	if err := s.pending.failed; err != nil {
+		s.pending.failed = nil
 		return membership.Update{Kind: membership.Failed, Err: err}, due, true
 	}
 	due, _ = s.set.NextDue()
 	return u, due, false
 }
 
-// do runs change, which modifies state shared by the two goroutines, and wakes the one that reports.
-func (s *Source) do(change func()) {
+// change runs a function that modifies the state shared by the two goroutines, and wakes the one that reports.
+func (s *Source) change(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
@@ -205,9 +205,9 @@
 	s.mu.Lock()
 	*count++
 	now := s.host.Now()
-	quiet := now.Sub(s.logged[text]) < time.Minute
+	quiet := now.Sub(s.lastLogged[text]) < time.Minute
 	if !quiet {
-		s.logged[text] = now
+		s.lastLogged[text] = now
 	}
 	s.mu.Unlock()
 	if !quiet {
@@ -215,8 +215,8 @@
 	}
 }
 
-// follow lists and watches the slices until ctx ends.
-func (s *Source) follow(ctx context.Context) {
+// listAndWatch lists and watches the slices until ctx ends.
+func (s *Source) listAndWatch(ctx context.Context) {
 	version := "" // from which to watch; "" if the slices must be listed first
 	failures := 0
 	unsure := false // a connection broke, so the next server to respond may have older data
@@ -228,7 +228,7 @@
 		case version == "":
 			version, err = s.list(ctx)
 		case unsure:
-			if err = s.notOlder(ctx, version); err == nil {
+			if err = s.checkNotOlder(ctx, version); err == nil {
 				unsure = false
 				continue
 			}
@@ -254,19 +254,19 @@
 		case errors.Is(err, errRecheck):
 			version, failures = "", 0
 			continue
-		case errors.Is(err, errSilent):
+		case errors.Is(err, errIdle):
 			s.alarm(&s.stats.Silent, "no events on a watch; restarting it", err)
 			unsure, atOnce = true, true
-		case errors.Is(err, errBack):
+		case errors.Is(err, errOlderData):
 			s.alarm(&s.stats.SetBack, "the API server has older data than before; listing again", err)
 			version, unsure, atOnce = "", false, true
-		case errors.Is(err, errGone), errors.As(err, &se) && se.gone():
+		case errors.Is(err, errVersionUnavailable), errors.As(err, &se) && se.versionUnavailable():
 			s.alarm(&s.stats.Gone, "a resource version is not available; listing again", err)
 			version, atOnce = "", true
 		default:
-			s.failed(err)
+			s.reportFailure(err)
 			unsure = !errors.As(err, &se)
-			if failures >= tries {
+			if failures >= maxWatchFailures {
 				version = ""
 			}
 		}
@@ -279,44 +279,44 @@
 	}
 }
 
-// failed counts and logs a failure and has it reported.
-func (s *Source) failed(err error) {
+// reportFailure counts and logs a failure and has it reported.
+func (s *Source) reportFailure(err error) {
 	var se *StatusError
 	if errors.As(err, &se) && (se.Code == http.StatusUnauthorized || se.Code == http.StatusForbidden) {
 		s.alarm(&s.stats.Denied, "the API server does not let us in; keeping the current endpoints", err)
 	}
 	s.alarm(&s.stats.Failures, "endpoint slices can't be read; keeping the current endpoints", err)
-	s.do(func() { s.owed.failed, s.owed.heard = err, false })
+	s.change(func() { s.pending.failed, s.pending.recovered = err, false })
 }
 
-// heard records that the API server responds.
-func (s *Source) heard() {
-	s.do(func() { s.owed.failed, s.owed.heard = nil, true })
+// reportRecovery has it reported that the API server responds.
+func (s *Source) reportRecovery() {
+	s.change(func() { s.pending.failed, s.pending.recovered = nil, true })
 }
 
 // pause waits after consecutive failures, with jitter so that dispatchers don't retry all at the same time. It returns false
 // if ctx has ended.
 func (s *Source) pause(ctx context.Context, failures int, se *StatusError) bool {
-	d := s.t.MaxBackoff
+	d := s.timing.MaxBackoff
 	if n := failures - 1; n < 20 {
-		d = min(d, s.t.MinBackoff<<n)
+		d = min(d, s.timing.MinBackoff<<n)
 	}
-	d = d/2 + s.upTo(d/2+1)
+	d = d/2 + s.randomUpTo(d/2+1)
 	if se != nil && se.RetryAfter > 0 { // not before the time that the server asked for
-		wait := min(se.RetryAfter, mostRetryAfter)
-		d = max(d, wait+s.upTo(wait/5+1))
+		wait := min(se.RetryAfter, maxRetryAfter)
+		d = max(d, wait+s.randomUpTo(wait/5+1))
 	}
-	s.rest.Take(nil, s.host.Now().Add(d))
+	s.pauses.Take(nil, s.host.Now().Add(d))
 	return ctx.Err() == nil
 }
 
 // list reads all slices. With a streaming list it goes on to watch until the watch ends. It returns the version from which
 // to watch next, "" if the list was not completed.
 func (s *Source) list(ctx context.Context) (version string, err error) {
-	if s.host.Now().After(s.plainUntil) {
+	if s.host.Now().After(s.pagesOnlyUntil) {
 		version, err = s.watch(ctx, "", true)
 		var se *StatusError
-		known := !errors.Is(err, errNoEnd)
+		known := !errors.Is(err, errListStalled)
 		if version == "" && errors.As(err, &se) {
 			switch se.Code {
 			case http.StatusBadRequest, http.StatusUnprocessableEntity, http.StatusMethodNotAllowed:
@@ -327,18 +327,18 @@
 			return version, err
 		}
 		s.log.Info("the API server does not support streaming lists; reading pages instead", "error", err)
-		s.plainUntil = s.host.Now().Add(s.t.StreamingRetryInterval)
+		s.pagesOnlyUntil = s.host.Now().Add(s.timing.StreamingRetryInterval)
 	}
-	return s.pages(ctx)
+	return s.listPages(ctx)
 }
 
-func (s *Source) query() url.Values { return url.Values{"labelSelector": {s.p.Selector}} }
+func (s *Source) query() url.Values { return url.Values{"labelSelector": {s.partner.Selector}} }
 
 func (s *Source) path() string {
-	if s.p.Namespace == "" {
+	if s.partner.Namespace == "" {
 		return "/apis/discovery.k8s.io/v1/endpointslices"
 	}
-	return "/apis/discovery.k8s.io/v1/namespaces/" + url.PathEscape(s.p.Namespace) + "/endpointslices"
+	return "/apis/discovery.k8s.io/v1/namespaces/" + url.PathEscape(s.partner.Namespace) + "/endpointslices"
 }
 
 // watch reads one watch. It starts from a version or, if initial is set, with a streaming list. It returns the newest version
@@ -349,34 +349,34 @@
 	q := s.query()
 	q.Set("watch", "true")
 	q.Set("allowWatchBookmarks", "true")
-	q.Set("timeoutSeconds", strconv.Itoa(int((s.t.WatchDuration + s.upTo(s.t.WatchDuration)).Seconds())))
-	silence, why := s.t.WatchIdleTimeout, errSilent
+	q.Set("timeoutSeconds", strconv.Itoa(int((s.timing.WatchDuration + s.randomUpTo(s.timing.WatchDuration)).Seconds())))
+	silence, why := s.timing.WatchIdleTimeout, errIdle
 	if initial {
 		q.Set("sendInitialEvents", "true")
 		q.Set("resourceVersionMatch", "NotOlderThan") // than the time of the request, since no version is given
-		silence, why = s.t.InitialListIdleTimeout, errNoEnd
+		silence, why = s.timing.InitialListIdleTimeout, errListStalled
 	} else {
 		q.Set("resourceVersion", version)
 	}
-	guard := s.guard(r, silence, why)
+	guard := s.startIdleTimeout(r, silence, why)
 	defer func() { guard.stop() }()
-	s.do(func() {
+	s.change(func() {
 		s.stats.Watches++
 		if initial {
 			s.set.BeginList()
 		}
 	})
-	body, err := s.c.get(r, s.path(), q)
+	body, err := s.client.get(r, s.path(), q)
 	if err != nil {
-		return version, r.because(err)
+		return version, r.cause(err)
 	}
 	defer body.Close()
-	s.heard()
+	s.reportRecovery()
 	if !initial && s.recheck > 0 {
 		t := s.host.AfterFunc(s.recheck, func() { r.end(errRecheck) })
 		defer t.Stop()
 	}
-	in := lines{r: body, most: mostObject}
+	in := lineReader{r: body, maxBytes: maxObjectBytes}
 	for {
 		line, err := in.next()
 		if errors.Is(err, errTooLong) {
@@ -387,7 +387,7 @@
 			return version, nil
 		}
 		if err != nil {
-			return version, r.because(fmt.Errorf("API server: watch: %w", err))
+			return version, r.cause(fmt.Errorf("API server: watch: %w", err))
 		}
 		if len(line) == 0 {
 			continue
@@ -398,24 +398,24 @@
 			continue
 		}
 		now := s.host.Now()
-		guard.heard(now)
+		guard.reset(now)
 		if ev.Type == eventError {
 			se := statusError(&ev.object)
-			if se.gone() {
-				return version, fmt.Errorf("%w: %w", errGone, se)
+			if se.versionUnavailable() {
+				return version, fmt.Errorf("%w: %w", errVersionUnavailable, se)
 			}
 			return version, fmt.Errorf("API server: watch: %w", se)
 		}
-		if !initial && ev.Type != eventDeleted && older(ev.Version, version) {
-			return version, fmt.Errorf("%w: %s after %s", errBack, ev.Version, version)
+		if !initial && ev.Type != eventDeleted && isOlder(ev.Version, version) {
+			return version, fmt.Errorf("%w: %s after %s", errOlderData, ev.Version, version)
 		}
 		switch ev.Type {
 		case eventBookmark:
 			if initial && ev.InitialEnd {
-				s.end(now)
+				s.completeList(now)
 				initial, version = false, ev.Version
 				guard.stop()
-				guard = s.guard(r, s.t.WatchIdleTimeout, errSilent)
+				guard = s.startIdleTimeout(r, s.timing.WatchIdleTimeout, errIdle)
 				if s.recheck > 0 {
 					t := s.host.AfterFunc(s.recheck, func() { r.end(errRecheck) })
 					defer t.Stop()
@@ -459,25 +459,25 @@
 	r.abort.Do()
 }
 
-// guard aborts a request after an idle timeout.
-type guard struct {
-	mu    sync.Mutex
-	timer host.Timer
-	at    time.Time // when the last event came
-	over  bool
+// idleTimeout aborts a request after an idle timeout.
+type idleTimeout struct {
+	mu        sync.Mutex
+	timer     host.Timer
+	lastEvent time.Time // when the last event came
+	stopped   bool
 }
 
-// guard starts an idle timeout that ends r with the cause why.
-func (s *Source) guard(r *request, silence time.Duration, why error) *guard {
-	g := &guard{at: s.host.Now()}
+// startIdleTimeout starts an idle timeout that ends r with the cause why.
+func (s *Source) startIdleTimeout(r *request, silence time.Duration, why error) *idleTimeout {
+	g := &idleTimeout{lastEvent: s.host.Now()}
 	var look func()
 	look = func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if g.over {
+		if g.stopped {
 			return
 		}
-		if rest := silence - s.host.Now().Sub(g.at); rest > 0 {
+		if rest := silence - s.host.Now().Sub(g.lastEvent); rest > 0 {
 			g.timer = s.host.AfterFunc(rest, look)
 			return
 		}
@@ -489,30 +489,30 @@
 	return g
 }
 
-func (g *guard) heard(now time.Time) {
+func (g *idleTimeout) reset(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.at = now
+	g.lastEvent = now
 }
 
-func (g *guard) stop() {
+func (g *idleTimeout) stop() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.over = true
+	g.stopped = true
 	g.timer.Stop()
 }
 
-// because returns the cause for which this process ended the request, or err if it did not.
-func (r *request) because(err error) error {
-	if c := context.Cause(r.ctx); errors.Is(c, errSilent) || errors.Is(c, errNoEnd) || errors.Is(c, errRecheck) {
+// cause returns the cause for which this process ended the request, or err if it did not.
+func (r *request) cause(err error) error {
+	if c := context.Cause(r.ctx); errors.Is(c, errIdle) || errors.Is(c, errListStalled) || errors.Is(c, errRecheck) {
 		return c
 	}
 	return err
 }
 
-// older reports whether resource version a is older than b. Resource versions are comparable decimal numbers (KEP-5504).
+// isOlder reports whether resource version a is older than b. Resource versions are comparable decimal numbers (KEP-5504).
 // Other versions are never older.
-func older(a, b string) bool {
+func isOlder(a, b string) bool {
 	x, err := strconv.ParseUint(a, 10, 64)
 	y, err2 := strconv.ParseUint(b, 10, 64)
 	return err == nil && err2 == nil && x < y
@@ -527,7 +527,7 @@
 	if ev.Slice.Err != nil && ev.Type != eventDeleted {
 		s.alarm(&s.stats.Unreadable, "can't read all of a slice", fmt.Errorf("%s: %w", ev.Slice.key(), ev.Slice.Err))
 	}
-	s.do(func() {
+	s.change(func() {
 		s.stats.Events++
 		s.stats.Bytes += int64(bytes)
 		if ev.Type == eventDeleted {
@@ -538,36 +538,36 @@
 	})
 }
 
-// end completes a list.
-func (s *Source) end(now time.Time) {
+// completeList completes a list.
+func (s *Source) completeList(now time.Time) {
 	var emptied, first bool
-	s.do(func() {
+	s.change(func() {
 		s.stats.Lists++
 		first = s.stats.Lists == 1
 		emptied = s.set.EndList(now)
-		s.owed.whole = true
+		s.pending.fullList = true
 	})
 	switch {
 	case emptied:
 		s.alarm(&s.stats.Emptied, "the list names nobody any more: no new work for this partner", errRecheck)
-		s.recheck = s.t.EmptyListRecheck
+		s.recheck = s.timing.EmptyListRecheck
 	case s.Stats().Named == 0: // also after the first list, without end: a watch never corrects a wrong list
-		s.recheck = min(max(2*s.recheck, s.t.EmptyListRecheck), s.t.MaxBackoff)
+		s.recheck = min(max(2*s.recheck, s.timing.EmptyListRecheck), s.timing.MaxBackoff)
 	default:
 		s.recheck = 0
 	}
 	if first && !emptied && s.Stats().Named == 0 {
-		s.log.Warn("no endpoint matches", "namespace", s.p.Namespace, "selector", s.p.Selector)
+		s.log.Warn("no endpoint matches", "namespace", s.partner.Namespace, "selector", s.partner.Selector)
 	}
 }
 
-// pages reads all slices in pages. It returns the resource version of the list.
-func (s *Source) pages(ctx context.Context) (version string, err error) {
+// listPages reads all slices in pages. It returns the resource version of the list.
+func (s *Source) listPages(ctx context.Context) (version string, err error) {
 	limit := pageSize
 	for {
-		version, err = s.allPages(ctx, limit)
+		version, err = s.readAllPages(ctx, limit)
 		var se *StatusError
-		if err == nil || limit == 0 || !errors.As(err, &se) || !se.gone() {
+		if err == nil || limit == 0 || !errors.As(err, &se) || !se.versionUnavailable() {
 			return version, err
 		}
 		s.alarm(&s.stats.Gone, "a list expired between its pages; reading it in one request", err)
@@ -575,50 +575,50 @@
 	}
 }
 
-// allPages reads the pages of one list, with at most limit slices each (0: no limit).
-func (s *Source) allPages(ctx context.Context, limit int) (version string, err error) {
-	s.do(s.set.BeginList)
+// readAllPages reads the pages of one list, with at most limit slices each (0: no limit).
+func (s *Source) readAllPages(ctx context.Context, limit int) (version string, err error) {
+	s.change(s.set.BeginList)
 	q := s.query()
 	if limit > 0 {
 		q.Set("limit", strconv.Itoa(limit))
 	}
 	for {
-		p, err := s.page(ctx, q, func(o *object, bytes int) {
+		p, err := s.fetchPage(ctx, q, func(o *object, bytes int) {
 			s.event(s.host.Now(), &event{Type: eventAdded, object: *o}, bytes)
 		})
 		if err != nil {
 			return "", err
 		}
-		if p.next == "" {
-			s.end(time.Now())
+		if p.continueToken == "" {
+			s.completeList(time.Now())
 			return p.version, nil
 		}
-		q.Set("continue", p.next)
+		q.Set("continue", p.continueToken)
 	}
 }
 
-// notOlder returns an error if the server's data are older than a version. A watch does not show that, since a watch from a
+// checkNotOlder returns an error if the server's data are older than a version. A watch does not show that, since a watch from a
 // future version sends no events until the server reaches that version.
-func (s *Source) notOlder(ctx context.Context, version string) error {
+func (s *Source) checkNotOlder(ctx context.Context, version string) error {
 	// The query matches no slice. The content of a slice could not be used, since the watch continues from an older version.
 	q := url.Values{"limit": {"1"}, "fieldSelector": {"metadata.name=no-such-slice"}}
-	p, err := s.page(ctx, q, func(*object, int) {})
+	p, err := s.fetchPage(ctx, q, func(*object, int) {})
 	if err != nil {
 		return err
 	}
-	if older(p.version, version) {
-		return fmt.Errorf("%w: %s after %s", errBack, p.version, version)
+	if isOlder(p.version, version) {
+		return fmt.Errorf("%w: %s after %s", errOlderData, p.version, version)
 	}
 	return nil
 }
 
-// page reads one page of a list.
-func (s *Source) page(ctx context.Context, q url.Values, take func(o *object, bytes int)) (p page, err error) {
+// fetchPage reads one page of a list.
+func (s *Source) fetchPage(ctx context.Context, q url.Values, take func(o *object, bytes int)) (p page, err error) {
 	r := newRequest(ctx)
 	defer r.end(nil)
-	t := s.host.AfterFunc(s.t.PageTimeout, func() { r.end(context.DeadlineExceeded) })
+	t := s.host.AfterFunc(s.timing.PageTimeout, func() { r.end(context.DeadlineExceeded) })
 	defer t.Stop()
-	body, err := s.c.get(r, s.path(), q)
+	body, err := s.client.get(r, s.path(), q)
 	if err != nil {
 		return p, err
 	}
@@ -626,6 +626,6 @@
 	if p, err = readPage(body, take); err != nil {
 		return p, fmt.Errorf("API server: list: %w", err)
 	}
-	s.heard()
+	s.reportRecovery()
 	return p, nil
 }
--- a/membership/endpointslice/source_test.go
+++ b/membership/endpointslice/source_test.go
@@ -22,29 +22,29 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// world is a stand-in API server, a source that reads from it and a table that the source reports to.
-type world struct {
+// testEnv is a stand-in API server, a source that reads from it and a table that the source reports to.
+type testEnv struct {
 	*testing.T
 	api *kubeapi.Server
 	src *Source
 
-	mu      sync.Mutex
-	table   *membership.Table
-	kinds   []membership.UpdateKind
-	history map[string][]membership.Phase // phases of each endpoint, as reported by the table
-	hold    chan struct{}                 // if set, tell blocks until it is closed
+	mu        sync.Mutex
+	table     *membership.Table
+	kinds     []membership.UpdateKind
+	history   map[string][]membership.Phase // phases of each endpoint, as reported by the table
+	blockTell chan struct{}                 // if set, tell blocks until it is closed
 }
 
 var labels = map[string]string{"kubernetes.io/service-name": "archive"}
 
-func newWorld(t *testing.T, o kubeapi.Options) *world {
+func newTestEnv(t *testing.T, o kubeapi.Options) *testEnv {
 	t.Helper()
 	api, err := kubeapi.Start(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(api.Stop)
-	w := &world{T: t, api: api, history: map[string][]membership.Phase{}}
+	w := &testEnv{T: t, api: api, history: map[string][]membership.Phase{}}
 	w.table, err = membership.New(membership.Settings{Sources: []string{"endpointslice/archive"}})
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 	return w
 }
 
-func (w *world) source(a Access) *Source {
+func (w *testEnv) source(a Access) *Source {
 	w.Helper()
 	c, err := NewClient(a)
 	if err != nil {
@@ -68,12 +68,12 @@
 	if err != nil {
 		w.Fatal(err)
 	}
-	s.t.MinBackoff, s.t.MaxBackoff, s.t.EmptyListRecheck = 5*time.Millisecond, 50*time.Millisecond, 20*time.Millisecond
+	s.timing.MinBackoff, s.timing.MaxBackoff, s.timing.EmptyListRecheck = 5*time.Millisecond, 50*time.Millisecond, 20*time.Millisecond
 	return s
 }
 
 // run starts the source, which ends with the test.
-func (w *world) run() *world {
+func (w *testEnv) run() *testEnv {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -87,9 +87,9 @@
 	return w
 }
 
-func (w *world) tell(u membership.Update) {
+func (w *testEnv) tell(u membership.Update) {
 	w.mu.Lock()
-	hold := w.hold
+	hold := w.blockTell
 	w.mu.Unlock()
 	if hold != nil {
 		<-hold
@@ -106,18 +106,18 @@
 	}
 }
 
-func (w *world) list() string {
+func (w *testEnv) list() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return show(w.table.List())
 }
 
-func (w *world) await(want string) {
+func (w *testEnv) await(want string) {
 	w.Helper()
 	w.until(func() bool { return w.list() == want }, func() string { return fmt.Sprintf("list %q, want %q", w.list(), want) })
 }
 
-func (w *world) until(ok func() bool, what func() string) {
+func (w *testEnv) until(ok func() bool, what func() string) {
 	w.Helper()
 	for limit := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
@@ -126,13 +126,13 @@
 	}
 }
 
-func (w *world) stats(ok func(Stats) bool) {
+func (w *testEnv) stats(ok func(Stats) bool) {
 	w.Helper()
 	w.until(func() bool { return ok(w.src.Stats()) }, func() string { return fmt.Sprintf("stats %+v", w.src.Stats()) })
 }
 
 // put writes a slice with pods as "uid@host", "uid@host n" (not ready) or "uid@host t" (terminating).
-func (w *world) put(name string, pods ...string) {
+func (w *testEnv) put(name string, pods ...string) {
 	w.api.Put(apiSlice(name, pods...))
 }
 
@@ -154,7 +154,7 @@
 	for _, plain := range []bool{false, true} {
 		t.Run(fmt.Sprintf("plain %v", plain), func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, kubeapi.Options{NoStreaming: plain, TLS: !plain})
+			w := newTestEnv(t, kubeapi.Options{NoStreaming: plain, TLS: !plain})
 			w.put("a", "u1@10.0.0.1", "u2@10.0.0.2 n")
 			other := apiSlice("other", "x@10.9.9.9")
 			other.Labels = map[string]string{"kubernetes.io/service-name": "mirror"}
@@ -179,7 +179,7 @@
 
 func TestAllPagesOfListAreRead(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{NoStreaming: true})
+	w := newTestEnv(t, kubeapi.Options{NoStreaming: true})
 	for i := range 2*pageSize + 1 {
 		w.put(fmt.Sprintf("s%04d", i), fmt.Sprintf("u%04d@10.0.%d.%d", i, i/250, i%250))
 	}
@@ -191,20 +191,20 @@
 
 func TestExpiredPageFallsBackToSingleRequest(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{NoStreaming: true})
+	w := newTestEnv(t, kubeapi.Options{NoStreaming: true})
 	for i := range pageSize + 1 {
 		w.put(fmt.Sprintf("s%04d", i), fmt.Sprintf("u%04d@10.0.%d.%d", i, i/250, i%250))
 	}
 	first := w.src.query()
 	first.Set("limit", fmt.Sprint(pageSize))
-	p, err := w.src.page(t.Context(), first, func(*object, int) {})
-	if err != nil || p.next == "" {
+	p, err := w.src.fetchPage(t.Context(), first, func(*object, int) {})
+	if err != nil || p.continueToken == "" {
 		t.Fatal(err, p)
 	}
 	w.put("s0000", "u0000@10.0.0.0 t")
 	w.api.Compact()
-	first.Set("continue", p.next)
-	if _, err := w.src.page(t.Context(), first, func(*object, int) {}); err == nil || !strings.Contains(err.Error(), "410") {
+	first.Set("continue", p.continueToken)
+	if _, err := w.src.fetchPage(t.Context(), first, func(*object, int) {}); err == nil || !strings.Contains(err.Error(), "410") {
 		t.Fatal(err)
 	}
 	w.api.Fail(kubeapi.Fault{Verb: "list", Code: 410, Continued: true}) // history is compacted faster than the pages can be read
@@ -213,7 +213,7 @@
 
 func TestExpiredVersionCausesNewList(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{})
+	w := newTestEnv(t, kubeapi.Options{})
 	w.put("a", "u1@10.0.0.1", "u2@10.0.0.2")
 	w.put("b", "u3@10.0.0.3")
 	w.run().await("u1 active, u2 active, u3 active")
@@ -233,7 +233,7 @@
 
 func TestBookmarkAdvancesResourceVersion(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{Bookmarks: 5 * time.Millisecond})
+	w := newTestEnv(t, kubeapi.Options{Bookmarks: 5 * time.Millisecond})
 	w.put("a", "u1@10.0.0.1")
 	w.run().await("u1 active")
 	for i := range 20 {
@@ -256,7 +256,7 @@
 func TestBrokenWatchResumes(t *testing.T) {
 	t.Parallel()
 	for _, half := range []bool{false, true} {
-		w := newWorld(t, kubeapi.Options{})
+		w := newTestEnv(t, kubeapi.Options{})
 		w.put("a", "u1@10.0.0.1")
 		w.run().await("u1 active")
 		w.api.CutWatches(half)
@@ -275,7 +275,7 @@
 
 func TestEventInFragmentsIsRead(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{})
+	w := newTestEnv(t, kubeapi.Options{})
 	w.put("a", "u1@10.0.0.1")
 	w.run().await("u1 active")
 	w.api.Chop(60, time.Millisecond)
@@ -285,8 +285,8 @@
 
 func TestIdleWatchIsRestarted(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{})
-	w.src.t.WatchIdleTimeout = 100 * time.Millisecond
+	w := newTestEnv(t, kubeapi.Options{})
+	w.src.timing.WatchIdleTimeout = 100 * time.Millisecond
 	w.put("a", "u1@10.0.0.1")
 	w.run().await("u1 active")
 	w.api.Mute()
@@ -301,8 +301,8 @@
 
 func TestStalledStreamingListFallsBackToPages(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{})
-	w.src.t.InitialListIdleTimeout = 50 * time.Millisecond
+	w := newTestEnv(t, kubeapi.Options{})
+	w.src.timing.InitialListIdleTimeout = 50 * time.Millisecond
 	w.put("a", "u1@10.0.0.1")
 	w.api.Chop(1, time.Second) // the first event takes minutes
 	w.run().await("u1 active")
@@ -314,7 +314,7 @@
 
 func TestReconnectAfterAPIServerRestart(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{TLS: true})
+	w := newTestEnv(t, kubeapi.Options{TLS: true})
 	w.put("a", "u1@10.0.0.1", "u2@10.0.0.2")
 	w.run().await("u1 active, u2 active")
 	w.api.Stop()
@@ -336,7 +336,7 @@
 
 func TestRestoredServerDataCauseNewList(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{})
+	w := newTestEnv(t, kubeapi.Options{})
 	w.put("a", "u1@10.0.0.1", "u2@10.0.0.2")
 	old := w.api.Version()
 	w.run().await("u1 active, u2 active")
@@ -358,7 +358,7 @@
 
 func TestOlderVersionOnOpenWatchIsDetected(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{Bookmarks: 5 * time.Millisecond})
+	w := newTestEnv(t, kubeapi.Options{Bookmarks: 5 * time.Millisecond})
 	w.put("a", "u1@10.0.0.1")
 	old := w.api.Version()
 	w.run().await("u1 active")
@@ -376,7 +376,7 @@
 	for _, code := range []int{401, 403, 429, 500} {
 		t.Run(fmt.Sprint(code), func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, kubeapi.Options{Tokens: []string{"t1"}})
+			w := newTestEnv(t, kubeapi.Options{Tokens: []string{"t1"}})
 			w.put("a", "u1@10.0.0.1")
 			w.run().await("u1 active")
 			w.api.Fail(kubeapi.Fault{Code: code})
@@ -400,7 +400,7 @@
 
 func TestErrorEventsOnAWatch(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{})
+	w := newTestEnv(t, kubeapi.Options{})
 	w.put("a", "u1@10.0.0.1")
 	w.run().await("u1 active")
 	w.api.Fail(kubeapi.Fault{Verb: "watch", Code: 500, Event: true, Times: 2})
@@ -416,7 +416,7 @@
 
 func TestRetryAfterIsHonoured(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{})
+	w := newTestEnv(t, kubeapi.Options{})
 	w.api.Fail(kubeapi.Fault{Code: 429, RetryAfter: 1, Times: 1})
 	w.put("a", "u1@10.0.0.1")
 	began := time.Now()
@@ -428,7 +428,7 @@
 
 func TestRotatedCredentialsAreReloaded(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{TLS: true, Tokens: []string{"t1"}})
+	w := newTestEnv(t, kubeapi.Options{TLS: true, Tokens: []string{"t1"}})
 	dir := t.TempDir()
 	token, ca := filepath.Join(dir, "token"), filepath.Join(dir, "ca.crt")
 	for path, text := range map[string][]byte{token: []byte("t1\n"), ca: w.api.CA(), filepath.Join(dir, "namespace"): []byte("partners")} {
@@ -486,7 +486,7 @@
 
 func TestEmptyListIsReadAgain(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{})
+	w := newTestEnv(t, kubeapi.Options{})
 	w.put("a", "u1@10.0.0.1")
 	w.run().await("u1 active")
 	w.api.Blind(true)
@@ -508,7 +508,7 @@
 func TestUnreadableSliceDoesNotAffectOthers(t *testing.T) {
 	t.Parallel()
 	for _, plain := range []bool{false, true} {
-		w := newWorld(t, kubeapi.Options{NoStreaming: plain})
+		w := newTestEnv(t, kubeapi.Options{NoStreaming: plain})
 		w.put("a", "u1@10.0.0.1")
 		w.api.PutRaw("partners", "b", labels, `"addressType":"IPv4","endpoints":"none","ports":[]`)
 		w.api.PutRaw("partners", "c", labels, `"addressType":"FQDN","endpoints":[{"addresses":["a.example"]}],"ports":[{"name":"http","port":80}]`)
@@ -516,7 +516,7 @@
 		w.api.PutRaw("partners", "e", labels, `"addressType":"IPv4","endpoints":[{"addresses":["10.0.0.5"]}],"x":`+strings.Repeat("[", 300)+strings.Repeat("]", 300))
 		w.put("f", "u6@10.0.0.6")
 		w.run().await("u1 active, u4 active, u6 active")
-		w.api.PutRaw("partners", "a", labels, `"x":"`+strings.Repeat("y", mostObject)+`"`)
+		w.api.PutRaw("partners", "a", labels, `"x":"`+strings.Repeat("y", maxObjectBytes)+`"`)
 		w.put("f", "u7@10.0.0.7")
 		w.await("u1 active, u4 active, u7 active")
 		w.stats(func(s Stats) bool { return s.Unreadable >= 4 && s.Failures == 0 })
@@ -525,12 +525,12 @@
 
 func TestOnlyNewestStateWaitsForBusyReceiver(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{})
+	w := newTestEnv(t, kubeapi.Options{})
 	w.put("a", "u1@10.0.0.1")
 	w.run().await("u1 active")
 	hold := make(chan struct{})
 	w.mu.Lock()
-	w.hold = hold
+	w.blockTell = hold
 	w.mu.Unlock()
 	const n = 2000
 	for i := range n {
@@ -545,7 +545,7 @@
 		t.Errorf("%d changes wait", waiting)
 	}
 	w.mu.Lock()
-	w.hold = nil
+	w.blockTell = nil
 	w.mu.Unlock()
 	close(hold)
 	w.await(fmt.Sprintf("u1 leaving, v%d active, w active", n-1))
@@ -559,7 +559,7 @@
 func TestTenThousandEndpoints(t *testing.T) {
 	t.Parallel()
 	for _, plain := range []bool{false, true} {
-		w := newWorld(t, kubeapi.Options{NoStreaming: plain})
+		w := newTestEnv(t, kubeapi.Options{NoStreaming: plain})
 		pods := func(slice int) (all []string) {
 			for i := range 1000 {
 				all = append(all, fmt.Sprintf("u%d-%d@10.%d.%d.%d", slice, i, slice, i/250, i%250))
@@ -608,7 +608,7 @@
 func TestLinesAreBounded(t *testing.T) {
 	t.Parallel()
 	long := strings.Repeat("x", 100_000)
-	in := lines{r: strings.NewReader("a\n" + long + "\nb\n\nc" + long + "\n" + "d\ne"), most: 50_000}
+	in := lineReader{r: strings.NewReader("a\n" + long + "\nb\n\nc" + long + "\n" + "d\ne"), maxBytes: 50_000}
 	var got []string
 	for {
 		line, err := in.next()
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -109,8 +109,8 @@
 // ErrMalformed is wrapped by every error about an endpoint that can't be used as it was reported.
 var ErrMalformed = errors.New("malformed endpoint")
 
-// longestName limits ids and names, in bytes. A DNS name has at most 253 characters (RFC 1123).
-const longestName = 253
+// maxNameLength limits ids and names, in bytes. A DNS name has at most 253 characters (RFC 1123).
+const maxNameLength = 253
 
 // Check validates the endpoint. Its error wraps ErrMalformed and names the field.
 func (e *Endpoint) Check() error {
@@ -124,7 +124,7 @@
 		return fmt.Errorf("%w: phase %d", ErrMalformed, e.Phase)
 	}
 	host, port, err := net.SplitHostPort(e.Addr)
-	if err != nil || host == "" || len(host) > longestName {
+	if err != nil || host == "" || len(host) > maxNameLength {
 		return fmt.Errorf("%w: address %.80q", ErrMalformed, e.Addr)
 	}
 	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 {
@@ -140,7 +140,7 @@
 		return fmt.Errorf("%w: started %d", ErrMalformed, e.Started)
 	}
 	for _, s := range [...]string{e.Zone, e.Kind} {
-		if len(s) > longestName {
+		if len(s) > maxNameLength {
 			return fmt.Errorf("%w: zone or kind %.20q is too long", ErrMalformed, s)
 		}
 	}
@@ -148,7 +148,7 @@
 }
 
 func checkID(id string) error {
-	if id == "" || len(id) > longestName {
+	if id == "" || len(id) > maxNameLength {
 		return fmt.Errorf("%w: id %.80q", ErrMalformed, id)
 	}
 	for i := range len(id) {
--- a/membership/partnerlist/agent.go
+++ b/membership/partnerlist/agent.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	retryLeast = 50 * time.Millisecond // pause after the first failure; doubles with each further one ...
-	retryMost  = time.Second           // ... up to this
+	minRetryPause = 50 * time.Millisecond // pause after the first failure; doubles with each further one ...
+	maxRetryPause = time.Second           // ... up to this
 )
 
 // agent is a client with one persistent connection to discovery's agent. A single goroutine makes the calls and waits.
@@ -21,56 +21,56 @@
 type agent struct {
 	host  host.Host
 	inbox host.Inbox // input of the goroutine; nil only interrupts a wait
-	ended host.Inbox // closed once the goroutine has ended
+	done  host.Inbox // closed once the goroutine has ended
 
 	mu      sync.Mutex
-	at      *place // current address, nil once closed
+	current *address // current address, nil once closed
 	started bool
 
 	// Used only by the goroutine:
 
-	conn *http1.Conn // nil if there is none
-	to   *place      // address that conn is connected to
-	got  []any       // buffer for what is taken from the inbox
+	conn        *http1.Conn // nil if there is none
+	connectedTo *address    // address that conn is connected to
+	received    []any       // buffer for what is taken from the inbox
 }
 
-// place is an address of the agent.
-type place struct {
-	addr string
-	left host.Abort // done when another address is set, or the agent is closed
+// address is an address of the agent.
+type address struct {
+	addr     string
+	replaced host.Abort // done when another address is set, or the agent is closed
 }
 
 func newAgent(h host.Host, addr string) *agent {
-	return &agent{host: h, inbox: h.NewInbox(), ended: h.NewInbox(), at: &place{addr: addr}}
+	return &agent{host: h, inbox: h.NewInbox(), done: h.NewInbox(), current: &address{addr: addr}}
 }
 
 // start starts the goroutine, unless it was started before or the agent is closed.
 func (a *agent) start(run func()) {
 	a.mu.Lock()
-	may := a.at != nil && !a.started
+	may := a.current != nil && !a.started
 	a.started = a.started || may
 	a.mu.Unlock()
 	if !may {
 		return
 	}
 	a.host.Go(func() {
-		defer a.ended.Close()
-		defer a.hangUp()
+		defer a.done.Close()
+		defer a.disconnect()
 		run()
 	})
 }
 
-// move sets the address and aborts a call to the old one. It reports whether the address is a different one.
-func (a *agent) move(addr string) bool {
+// setAddress sets the address and aborts a call to the old one. It reports whether the address is a different one.
+func (a *agent) setAddress(addr string) bool {
 	a.mu.Lock()
-	old := a.at
+	old := a.current
 	if old == nil || old.addr == addr {
 		a.mu.Unlock()
 		return false
 	}
-	a.at = &place{addr: addr}
+	a.current = &address{addr: addr}
 	a.mu.Unlock()
-	old.left.Do()
+	old.replaced.Do()
 	a.inbox.Put(nil)
 	return true
 }
@@ -78,51 +78,51 @@
 // close ends the goroutine and waits for it.
 func (a *agent) close() {
 	a.mu.Lock()
-	old, started := a.at, a.started
-	a.at = nil
+	old, started := a.current, a.started
+	a.current = nil
 	a.mu.Unlock()
 	if old != nil {
-		old.left.Do()
+		old.replaced.Do()
 	}
 	a.inbox.Close()
 	if started {
-		a.ended.Take(nil, time.Time{})
+		a.done.Take(nil, time.Time{})
 	}
 }
 
-// place returns the current address, nil if the goroutine must end.
-func (a *agent) place() *place {
+// currentAddress returns the current address, nil if the goroutine must end.
+func (a *agent) currentAddress() *address {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.at
+	return a.current
 }
 
 // wait blocks until the given time, or until the address is no longer the current one. Values that arrive in the inbox
 // meanwhile go to keep.
-func (a *agent) wait(at *place, until time.Time, keep func(any)) {
-	for a.place() == at && a.host.Now().Before(until) {
-		a.take(until, keep)
+func (a *agent) wait(at *address, until time.Time, keep func(any)) {
+	for a.currentAddress() == at && a.host.Now().Before(until) {
+		a.receive(until, keep)
 	}
 }
 
-// take waits for values in the inbox, at most until the given time (zero: without a limit), and passes them to keep.
-func (a *agent) take(until time.Time, keep func(any)) {
-	a.got = a.inbox.Take(a.got[:0], until)
-	for _, v := range a.got {
+// receive waits for values in the inbox, at most until the given time (zero: without a limit), and passes them to keep.
+func (a *agent) receive(until time.Time, keep func(any)) {
+	a.received = a.inbox.Take(a.received[:0], until)
+	for _, v := range a.received {
 		if v != nil {
 			keep(v)
 		}
 	}
-	clear(a.got)
+	clear(a.received)
 }
 
-// ask sends a request and returns the response. It fails after the time limit, or when the address is no longer the current
+// call sends a request and returns the response. It fails after the time limit, or when the address is no longer the current
 // one. The agent may have closed a persistent connection in the meantime. The request is then sent again on a new one, which
 // is safe because all requests here are idempotent.
-func (a *agent) ask(at *place, request []byte, limit time.Duration, body int) (http1.Answer, error) {
+func (a *agent) call(at *address, request []byte, limit time.Duration, body int) (http1.Answer, error) {
 	until := a.host.Now().Add(limit)
-	if a.to != at || a.conn != nil && !a.conn.Clean() {
-		a.hangUp()
+	if a.connectedTo != at || a.conn != nil && !a.conn.Clean() {
+		a.disconnect()
 	}
 	for {
 		kept := a.conn != nil
@@ -133,7 +133,7 @@
 		}
 		answer, err := a.exchange(at, request, http1.Limits{Until: until, Body: body})
 		if err != nil || !answer.Keep {
-			a.hangUp()
+			a.disconnect()
 		}
 		if err != nil && kept && !errors.Is(err, http1.ErrLate) && !errors.Is(err, http1.ErrSpoilt) {
 			continue
@@ -142,52 +142,52 @@
 	}
 }
 
-func (a *agent) dial(at *place, until time.Time) error {
+func (a *agent) dial(at *address, until time.Time) error {
 	limit := until.Sub(a.host.Now())
 	if limit <= 0 { // Dial takes 0 as no limit
 		return os.ErrDeadlineExceeded
 	}
-	nc, err := a.host.Dial(at.addr, limit, &at.left)
+	nc, err := a.host.Dial(at.addr, limit, &at.replaced)
 	if err != nil {
 		return err
 	}
-	a.conn, a.to = http1.NewConn(a.host, nc), at
+	a.conn, a.connectedTo = http1.NewConn(a.host, nc), at
 	return nil
 }
 
-func (a *agent) exchange(at *place, request []byte, limits http1.Limits) (http1.Answer, error) {
+func (a *agent) exchange(at *address, request []byte, limits http1.Limits) (http1.Answer, error) {
 	conn := a.conn
-	at.left.On(func() { conn.Close() })
-	defer at.left.On(nil)
+	at.replaced.On(func() { conn.Close() })
+	defer at.replaced.On(nil)
 	if err := conn.Write(request, limits.Until); err != nil {
 		return http1.Answer{}, fmt.Errorf("request: %w", err)
 	}
 	return conn.Read(limits)
 }
 
-// hangUp closes the kept connection.
-func (a *agent) hangUp() {
+// disconnect closes the persistent connection.
+func (a *agent) disconnect() {
 	if a.conn != nil {
 		a.conn.Close()
 	}
-	a.conn, a.to = nil, nil
+	a.conn, a.connectedTo = nil, nil
 }
 
-// pacer limits a rate: it allows a burst of paceFree actions, and otherwise one for each paceGap.
-type pacer struct{ at time.Time }
+// pacer limits a rate: it allows a burst of paceBurst actions, and otherwise one for each paceInterval.
+type pacer struct{ nextAt time.Time }
 
 const (
-	paceGap  = 50 * time.Millisecond // between two actions in the long run
-	paceFree = 20                    // actions in a burst
+	paceInterval = 50 * time.Millisecond // between two actions in the long run
+	paceBurst    = 20                    // actions in a burst
 )
 
 // next returns the time from which the next action is allowed.
 func (p *pacer) next(now time.Time) time.Time {
-	if free := now.Add(-paceFree * paceGap); p.at.Before(free) {
-		p.at = free
+	if free := now.Add(-paceBurst * paceInterval); p.nextAt.Before(free) {
+		p.nextAt = free
 	}
-	p.at = p.at.Add(paceGap)
-	return p.at
+	p.nextAt = p.nextAt.Add(paceInterval)
+	return p.nextAt
 }
 
 func later(a, b time.Time) time.Time {
--- a/membership/partnerlist/list.go
+++ b/membership/partnerlist/list.go
@@ -18,8 +18,8 @@
 const Name = "partner-list"
 
 const (
-	listMost    = 8 << 20 // bytes of a list; far more than any real list has
-	membersMost = 1 << 16 // entries of a list; limits the memory that a list of very short entries takes
+	maxListBytes = 8 << 20 // bytes of a list; far more than any real list has
+	maxEntries   = 1 << 16 // entries of a list; limits the memory that a list of very short entries takes
 )
 
 // List is a full list of endpoints, or the changes since an earlier revision, as discovery sends it.
@@ -29,7 +29,7 @@
 	Entries  Entries `json:"members"`
 }
 
-// Entries holds at most membersMost entries.
+// Entries holds at most maxEntries entries.
 type Entries []Entry
 
 // Entry is one endpoint in discovery's list.
@@ -50,7 +50,7 @@
 	Zone, Kind func(name string) int
 }
 
-// UnmarshalJSON reads a JSON array. It fails as soon as the array has more than membersMost elements.
+// UnmarshalJSON reads a JSON array. It fails as soon as the array has more than maxEntries elements.
 func (e *Entries) UnmarshalJSON(text []byte) error {
 	*e = nil
 	dec := json.NewDecoder(bytes.NewReader(text))
@@ -63,8 +63,8 @@
 		return fmt.Errorf("members: %v is no list", t)
 	}
 	for dec.More() {
-		if len(*e) == membersMost {
-			return fmt.Errorf("members: over %d", membersMost)
+		if len(*e) == maxEntries {
+			return fmt.Errorf("members: over %d", maxEntries)
 		}
 		var one Entry
 		if err := dec.Decode(&one); err != nil {
@@ -110,7 +110,7 @@
 		e := &l.Entries[i]
 		m.List[i] = engine.Member{
 			ID: e.ID, Addr: e.HostPort, Destination: e.Cell, Zone: names.Zone(wire.Plain(e.Locality)), Kind: names.Kind(wire.Plain(e.Flavor)),
-			Phase: phase(e.Phase), Weight: e.Size,
+			Phase: parsePhase(e.Phase), Weight: e.Size,
 		}
 	}
 	return m
@@ -123,7 +123,7 @@
 	return m
 }
 
-func phase(s string) engine.Phase {
+func parsePhase(s string) engine.Phase {
 	switch s {
 	case "active":
 		return engine.Active
--- a/membership/partnerlist/notices_test.go
+++ b/membership/partnerlist/notices_test.go
@@ -21,12 +21,12 @@
 	"curlewmux/internal/host"
 )
 
-// delivered creates Notices on a script. It is closed when nothing is left to do.
-func delivered(s *script) (n *Notices, through *[]string) {
-	n = NewNotices(s, "agent:1", quiet())
+// newScriptNotices creates Notices on a script. It is closed when nothing is left to do.
+func newScriptNotices(s *script) (n *Notices, through *[]string) {
+	n = NewNotices(s, "agent:1", discardLog())
 	through = &[]string{}
-	n.through = func(ids []string) { *through = append(*through, ids...) }
-	s.idle = n.Close
+	n.acknowledged = func(ids []string) { *through = append(*through, ids...) }
+	s.onIdle = n.Close
 	return n, through
 }
 
@@ -67,10 +67,10 @@
 		rw.WriteHeader(204)
 	}))
 	defer s.Close()
-	n := NewNotices(host.System{}, s.Listener.Addr().String(), quiet())
+	n := NewNotices(host.System{}, s.Listener.Addr().String(), discardLog())
 	through := make(chan []string, 10)
 	n.agent.inbox.Put(&notice{id: "a"}) // goes into the same request as the next one
-	n.agent.inbox.Put(&notice{id: "b", deferred: true, again: time.Second})
+	n.agent.inbox.Put(&notice{id: "b", deferred: true, retryAfter: time.Second})
 	n.Start(func(ids []string) { through <- ids })
 	defer n.Close()
 	select {
@@ -79,7 +79,7 @@
 		if !slices.Equal(ids, []string{"a", "b"}) || !slices.Equal(bodies, []string{want, want, want}) {
 			t.Errorf("%v acknowledged, bodies %q", ids, bodies)
 		}
-	case <-time.After(generous):
+	case <-time.After(testTimeout):
 		t.Fatal("not acknowledged")
 	}
 	n.Completed(refused("c", 0))
@@ -96,7 +96,7 @@
 func TestNoNoticeUnlessUndelivered(t *testing.T) {
 	t.Parallel()
 	s := newScript(func(call) reply { return reply{text: status(204, "")} })
-	n, through := delivered(s)
+	n, through := newScriptNotices(s)
 	for i, how := range []engine.Disposition{engine.Delivered, engine.Closed, engine.Withdrawn} {
 		n.Completed(&engine.Done{ID: fmt.Sprint(i), Disposition: how})
 	}
@@ -110,10 +110,10 @@
 func TestNoticesGoOutInOrderAndInBoundedBodies(t *testing.T) {
 	t.Parallel()
 	s := newScript(nil)
-	n, through := delivered(s)
+	n, through := newScriptNotices(s)
 	var want, got []string
 	s.serve = func(c call) reply {
-		if len(c.body) > reportBytes {
+		if len(c.body) > maxReportBytes {
 			t.Errorf("a body of %d bytes", len(c.body))
 		}
 		if len(s.calls)%2 == 0 {
@@ -131,7 +131,7 @@
 		end(i)
 	}
 	for i := range 20 { // during the pauses
-		s.in(time.Duration(i)*10*time.Millisecond, func() { end(3000 + i) })
+		s.after(time.Duration(i)*10*time.Millisecond, func() { end(3000 + i) })
 	}
 	n.run()
 	if !slices.Equal(got, want) || !slices.Equal(*through, want) {
@@ -149,7 +149,7 @@
 		"first": {0}, "last": {699}, "middle": {350}, "some": {17, 18, 400}, "none": nil,
 	} {
 		s := newScript(nil)
-		n, through := delivered(s)
+		n, through := newScriptNotices(s)
 		isBad := func(id string) bool {
 			return slices.ContainsFunc(bad, func(i int) bool { return fmt.Sprint(i) == id })
 		}
@@ -184,7 +184,7 @@
 func TestNoBusyLoopIfNoticesAreUnreadable(t *testing.T) {
 	t.Parallel()
 	s := newScript(func(call) reply { return reply{text: status(400, "")} })
-	n, through := delivered(s)
+	n, through := newScriptNotices(s)
 	for i := range 100 {
 		n.Completed(failed(fmt.Sprint(i)))
 	}
@@ -193,7 +193,7 @@
 	if len(*through) != 100 {
 		t.Errorf("%d of 100 acknowledged", len(*through))
 	}
-	if took := s.now.Sub(begun); len(s.calls) > paceFree+1+int(took/paceGap) {
+	if took := s.now.Sub(begun); len(s.calls) > paceBurst+1+int(took/paceInterval) {
 		t.Errorf("%d calls in %v", len(s.calls), took)
 	}
 }
@@ -202,11 +202,11 @@
 func TestNoticesFollowAddress(t *testing.T) {
 	t.Parallel()
 	for name, old := range map[string]reply{
-		"silent": {}, "in a pause": {text: status(500, "")}, "unreadable to it": {after: 4 * time.Millisecond, text: status(400, "")},
-		"late": {after: time.Second, text: status(400, "")},
+		"silent": {}, "in a pause": {text: status(500, "")}, "unreadable to it": {delay: 4 * time.Millisecond, text: status(400, "")},
+		"late": {delay: time.Second, text: status(400, "")},
 	} {
 		s := newScript(nil)
-		n, through := delivered(s)
+		n, through := newScriptNotices(s)
 		var lines bytes.Buffer
 		n.log = slog.New(slog.NewTextHandler(&lines, nil))
 		var got []string
@@ -221,7 +221,7 @@
 			got = append(got, idsOf(t, c.body)...)
 			return reply{text: status(204, "")}
 		}
-		s.in(5*time.Millisecond, func() {
+		s.after(5*time.Millisecond, func() {
 			if !n.SetAddress("agent:2") {
 				t.Errorf("%s: Move returns false for a different address", name)
 			}
@@ -251,7 +251,7 @@
 		l, err := host.System{}.Listen("127.0.0.1:0")
 		must(t, err)
 		defer l.Close()
-		n := NewNotices(host.System{}, l.Addr().String(), quiet())
+		n := NewNotices(host.System{}, l.Addr().String(), discardLog())
 		through := make(chan []string, 1)
 		n.Start(func(ids []string) { through <- ids })
 		defer n.Close()
@@ -259,7 +259,7 @@
 		c, err := l.Accept()
 		must(t, err)
 		defer c.Close()
-		must(t, c.SetDeadline(time.Now().Add(generous)))
+		must(t, c.SetDeadline(time.Now().Add(testTimeout)))
 		br := bufio.NewReader(c)
 		r, err := http.ReadRequest(br)
 		must(t, err)
@@ -280,7 +280,7 @@
 	t.Parallel()
 	s := newScript(nil)
 	a := newAgent(s, "agent:1")
-	if err := a.dial(a.place(), s.now); !errors.Is(err, os.ErrDeadlineExceeded) || s.dials > 0 {
+	if err := a.dial(a.currentAddress(), s.now); !errors.Is(err, os.ErrDeadlineExceeded) || s.dials > 0 {
 		t.Errorf("%v, %d dials", err, s.dials)
 	}
 }
@@ -295,7 +295,7 @@
 		<-r.Context().Done()
 	}))
 	defer s.Close()
-	n := NewNotices(host.System{}, s.Listener.Addr().String(), quiet())
+	n := NewNotices(host.System{}, s.Listener.Addr().String(), discardLog())
 	n.Start(func(ids []string) { t.Errorf("%v acknowledged", ids) })
 	n.Completed(failed("a"))
 	<-asked
--- a/membership/partnerlist/script_test.go
+++ b/membership/partnerlist/script_test.go
@@ -24,7 +24,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const generous = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func must(t testing.TB, err error) {
 	t.Helper()
@@ -33,7 +33,7 @@
 	}
 }
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 // names has the zones "east" (0) and "far west" (1) and the kind "hooks" (0).
 func names() NameIndex {
@@ -47,11 +47,11 @@
 // place of the agent.
 type script struct {
 	now    time.Time
-	timers []alarm
+	timers []timer
 	calls  []call
 	dials  int
 	serve  func(c call) reply
-	idle   func() // is called when there is nothing left to wait for
+	onIdle func() // is called when there is nothing left to wait for
 }
 
 type call struct {
@@ -62,12 +62,12 @@
 
 // reply is the agent's response to a call.
 type reply struct {
-	after time.Duration
-	text  string // "" for no response
-	hang  bool   // the agent closes the connection after the response without announcing it
+	delay  time.Duration
+	text   string // "" for no response
+	closes bool   // the agent closes the connection after the response without announcing it
 }
 
-type alarm struct {
+type timer struct {
 	at time.Time
 	do func()
 }
@@ -76,8 +76,8 @@
 	return &script{now: time.Unix(1_000_000, 0), serve: serve}
 }
 
-// pass advances the time to t. If a timer is due by then, it advances only to that timer and runs it.
-func (s *script) pass(t time.Time) {
+// advance advances the time to t. If a timer is due by then, it advances only to that timer and runs it.
+func (s *script) advance(t time.Time) {
 	if len(s.timers) > 0 && !s.timers[0].at.After(t) {
 		next := s.timers[0]
 		s.timers = s.timers[1:]
@@ -88,10 +88,10 @@
 	s.now = later(s.now, t)
 }
 
-// in sets a timer that runs do after d.
-func (s *script) in(d time.Duration, do func()) {
-	s.timers = append(s.timers, alarm{s.now.Add(d), do})
-	slices.SortStableFunc(s.timers, func(a, b alarm) int { return a.at.Compare(b.at) })
+// after sets a timer that runs do after d.
+func (s *script) after(d time.Duration, do func()) {
+	s.timers = append(s.timers, timer{s.now.Add(d), do})
+	slices.SortStableFunc(s.timers, func(a, b timer) int { return a.at.Compare(b.at) })
 }
 
 func (s *script) Now() time.Time                             { return s.now }
@@ -132,11 +132,11 @@
 			if !b.script.now.Before(until) {
 				return into
 			}
-			b.script.pass(until)
+			b.script.advance(until)
 		case len(b.script.timers) > 0:
-			b.script.pass(b.script.timers[0].at)
-		case b.script.idle != nil:
-			b.script.idle()
+			b.script.advance(b.script.timers[0].at)
+		case b.script.onIdle != nil:
+			b.script.onIdle()
 		default:
 			panic("would wait for ever")
 		}
@@ -158,7 +158,7 @@
 	addr     string
 	answer   string
 	ready    time.Time
-	hang     bool
+	closes   bool
 	closed   bool
 	deadline time.Time
 }
@@ -176,14 +176,14 @@
 		panic(err)
 	}
 	k := call{c.script.now, c.addr, r.Method, r.RequestURI, string(body)}
-	if c.hang {
+	if c.closes {
 		return len(b), nil // the agent has closed the connection
 	}
 	if c.script.calls = append(c.script.calls, k); len(c.script.calls) > 10_000 {
 		panic("a busy loop")
 	}
 	a := c.script.serve(k)
-	c.answer, c.ready, c.hang = a.text, c.script.now.Add(a.after), a.hang
+	c.answer, c.ready, c.closes = a.text, c.script.now.Add(a.delay), a.closes
 	return len(b), nil
 }
 
@@ -196,14 +196,14 @@
 			n := copy(b, c.answer)
 			c.answer = c.answer[n:]
 			return n, nil
-		case c.answer == "" && c.hang:
+		case c.answer == "" && c.closes:
 			return 0, io.EOF
 		case !c.script.now.Before(c.deadline):
 			return 0, os.ErrDeadlineExceeded
 		case c.answer != "" && c.ready.Before(c.deadline):
-			c.script.pass(c.ready)
+			c.script.advance(c.ready)
 		default:
-			c.script.pass(c.deadline)
+			c.script.advance(c.deadline)
 		}
 	}
 }
@@ -231,17 +231,17 @@
 
 // listing records what it is given.
 type listing struct {
-	list []*engine.Members
-	gone bool // the receiver accepts nothing more
+	list    []*engine.Members
+	stopped bool // the receiver accepts nothing more
 }
 
 func (l *listing) Members(m *engine.Members) bool {
 	l.list = append(l.list, m)
-	return !l.gone
+	return !l.stopped
 }
 
-// text summarises what was recorded.
-func (l *listing) text() string {
+// summary summarises what was recorded.
+func (l *listing) summary() string {
 	var out []string
 	for _, m := range l.list {
 		s := cmp.Or(map[bool]string{true: "failed"}[m.Failed], map[bool]string{true: "whole"}[m.FullList], "changes")
--- a/membership/partnerlist/watch.go
+++ b/membership/partnerlist/watch.go
@@ -16,17 +16,17 @@
 	watchWait   = 10 * time.Second // how long discovery may hold a watch call until there are changes
 	watchMargin = 2 * time.Second  // no response this long after watchWait means that discovery or the network is down
 
-	// wholeLimit is the timeout for a full list. One discovery service may serve all dispatchers one after another, and its
+	// fullListTimeout is the timeout for a full list. One discovery service may serve all dispatchers one after another, and its
 	// response may come seconds late. An abandoned call costs it as much as a completed one, and a new call would not be
 	// answered sooner.
-	wholeLimit = 6 * time.Second
+	fullListTimeout = 6 * time.Second
 
-	// newsGap is the minimum time between the starts of two calls if the first brought no changes. Discovery keeps a watch
+	// minCallInterval is the minimum time between the starts of two calls if the first brought no changes. Discovery keeps a watch
 	// only if the next call comes within 200 ms of a response, so this must stay well below that.
-	newsGap = 100 * time.Millisecond
+	minCallInterval = 100 * time.Millisecond
 )
 
-var errPart = errors.New("discovery sent changes in response to a request for the full list")
+var errNoFullList = errors.New("discovery sent changes in response to a request for the full list")
 
 // Watch follows the list of endpoints: first it reports the full list, then changes. If discovery fails, it reports that
 // once and retries.
@@ -35,27 +35,27 @@
 	// discovery service may serve all dispatchers.
 	Random func() float64
 
-	agent               *agent
-	log                 *slog.Logger
-	tell                func(*List, error) bool
-	wait, margin, whole time.Duration
+	agent                         *agent
+	log                           *slog.Logger
+	report                        func(*List, error) bool
+	wait, margin, fullListTimeout time.Duration
 }
 
 // NewWatch creates a watch of the list that the agent at addr (host:port) provides.
 func NewWatch(h host.Host, addr string, log *slog.Logger) *Watch {
-	return &Watch{agent: newAgent(h, addr), log: log, wait: watchWait, margin: watchMargin, whole: wholeLimit}
+	return &Watch{agent: newAgent(h, addr), log: log, wait: watchWait, margin: watchMargin, fullListTimeout: fullListTimeout}
 }
 
 // Start starts a goroutine that runs until Close, or until tell returns false. It must be called once. The goroutine calls
 // tell with a list, or with the error if discovery fails. tell may block.
 func (w *Watch) Start(tell func(*List, error) bool) {
-	w.tell = tell
+	w.report = tell
 	w.agent.start(w.run)
 }
 
 // SetAddress sets the address of the agent and starts again there with a full list. It reports whether the address is a different
 // one. It does not block.
-func (w *Watch) SetAddress(addr string) bool { return w.agent.move(addr) }
+func (w *Watch) SetAddress(addr string) bool { return w.agent.setAddress(addr) }
 
 // Close ends the watch and waits for its goroutine to end. It must not be called from tell.
 func (w *Watch) Close() { w.agent.close() }
@@ -63,12 +63,12 @@
 // run makes one call after another. The next call normally follows a response at once, so that no change is missed.
 func (w *Watch) run() {
 	var after int64
-	var at *place
+	var at *address
 	var pace pacer
 	known, down := false, false
 	var turns subscription.Subscription
 	for {
-		p := w.agent.place()
+		p := w.agent.currentAddress()
 		if p == nil {
 			return
 		}
@@ -76,7 +76,7 @@
 			at, known, turns = p, false, subscription.Subscription{Random: w.Random}
 		}
 		turns.StartCall(w.agent.host.Now()) // always true, since the pause has passed
-		path, limit := "/api/targets", w.whole
+		path, limit := "/api/targets", w.fullListTimeout
 		if known {
 			path = fmt.Sprintf("/api/targets?after=%d&wait_ms=%d", after, w.wait.Milliseconds())
 			limit = w.wait + w.margin
@@ -84,15 +84,15 @@
 		begun := w.agent.host.Now()
 		l, err := w.fetch(at, path, limit)
 		if err == nil && !known && !l.Complete {
-			err = errPart
+			err = errNoFullList
 		}
-		if w.agent.place() != at {
+		if w.agent.currentAddress() != at {
 			continue // the address has changed: ignore the result from the old one
 		}
 		if err != nil {
 			if !down {
 				w.log.Warn("discovery does not respond; keeping the current list", "error", err)
-				if !w.tell(nil, err) {
+				if !w.report(nil, err) {
 					return
 				}
 			}
@@ -106,21 +106,21 @@
 		}
 		news := !known || l.Revision != after
 		known, down, after = true, false, l.Revision
-		if (l.Complete || len(l.Entries) > 0) && !w.tell(l, nil) {
+		if (l.Complete || len(l.Entries) > 0) && !w.report(l, nil) {
 			return
 		}
 		// Prevents a busy loop if faulty discovery responds to each call at once, with or without changes.
 		next := pace.next(w.agent.host.Now())
 		if !news {
-			next = later(next, begun.Add(newsGap))
+			next = later(next, begun.Add(minCallInterval))
 		}
 		w.agent.wait(at, next, nil)
 	}
 }
 
-func (w *Watch) fetch(at *place, path string, limit time.Duration) (*List, error) {
+func (w *Watch) fetch(at *address, path string, limit time.Duration) (*List, error) {
 	request := http1.AppendRequest(nil, http.MethodGet, at.addr, path)
-	a, err := w.agent.ask(at, append(request, "\r\n"...), limit, listMost)
+	a, err := w.agent.call(at, append(request, "\r\n"...), limit, maxListBytes)
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
--- a/membership/partnerlist/watch_test.go
+++ b/membership/partnerlist/watch_test.go
@@ -17,11 +17,11 @@
 	"curlewmux/membership"
 )
 
-// watched creates a watch on a script.
-func watched(s *script) (*Watch, *listing) {
+// newScriptWatch creates a watch on a script.
+func newScriptWatch(s *script) (*Watch, *listing) {
 	to := &listing{}
-	w := NewWatch(s, "agent:1", quiet())
-	w.tell = ListingCallback(to, names(), s, quiet())
+	w := NewWatch(s, "agent:1", discardLog())
+	w.report = ListingCallback(to, names(), s, discardLog())
 	return w, to
 }
 
@@ -48,25 +48,25 @@
 
 func TestListSizeIsBounded(t *testing.T) {
 	t.Parallel()
-	most := `{"members":[` + strings.Repeat("{},", membersMost-1) + "{}"
-	if l, err := decode([]byte(most + "]}")); err != nil || len(l.Entries) != membersMost {
+	most := `{"members":[` + strings.Repeat("{},", maxEntries-1) + "{}"
+	if l, err := decode([]byte(most + "]}")); err != nil || len(l.Entries) != maxEntries {
 		t.Errorf("a list of the maximum length: %v", err)
 	}
 	if _, err := decode([]byte(most + ",{}]}")); err == nil || !strings.Contains(err.Error(), "members: over 65536") {
 		t.Errorf("a longer one: %v", err)
 	}
 	s := newScript(nil)
-	w, to := watched(s)
+	w, to := newScriptWatch(s)
 	s.serve = func(c call) reply {
 		if len(s.calls) == 1 {
-			return reply{text: listText(1, true, strings.Repeat("x", listMost))}
+			return reply{text: listText(1, true, strings.Repeat("x", maxListBytes))}
 		}
 		w.Close()
 		return reply{}
 	}
 	w.run()
-	if to.text() != "failed" {
-		t.Errorf("over %d bytes: told %.80q", listMost, to.text())
+	if to.summary() != "failed" {
+		t.Errorf("over %d bytes: told %.80q", maxListBytes, to.summary())
 	}
 }
 
@@ -74,24 +74,24 @@
 func TestWatchFollowsList(t *testing.T) {
 	t.Parallel()
 	s := newScript(nil)
-	w, to := watched(s)
+	w, to := newScriptWatch(s)
 	s.serve = func(c call) reply {
 		switch len(s.calls) {
 		case 1:
 			return reply{text: listText(41, true, "a", "b")}
 		case 2:
-			return reply{after: time.Second, text: listText(42, false, "b")}
+			return reply{delay: time.Second, text: listText(42, false, "b")}
 		case 3:
-			return reply{after: watchWait, text: listText(42, false)} // no news in all that time
+			return reply{delay: watchWait, text: listText(42, false)} // no news in all that time
 		case 4:
-			return reply{after: 10 * time.Millisecond, text: listText(44, true)}
+			return reply{delay: 10 * time.Millisecond, text: listText(44, true)}
 		}
 		w.Close()
 		return reply{}
 	}
 	w.run()
-	if to.text() != "whole a b, changes b, whole" {
-		t.Errorf("told %s", to.text())
+	if to.summary() != "whole a b, changes b, whole" {
+		t.Errorf("told %s", to.summary())
 	}
 	paths := []string{}
 	for i, c := range s.calls {
@@ -128,8 +128,8 @@
 		"refused":              {func(int, bool) string { return status(500, "") }, 70, 50, 1},
 	} {
 		s := newScript(nil)
-		w, _ := watched(s)
-		s.in(span, w.Close)
+		w, _ := newScriptWatch(s)
+		s.after(span, w.Close)
 		s.serve = func(k call) reply {
 			return reply{text: c.answer(len(s.calls), !strings.Contains(k.path, "after="))}
 		}
@@ -158,18 +158,18 @@
 func TestFullListMayTakeSeconds(t *testing.T) {
 	t.Parallel()
 	s := newScript(nil)
-	w, to := watched(s)
-	s.in(20*time.Second, w.Close)
+	w, to := newScriptWatch(s)
+	s.after(20*time.Second, w.Close)
 	s.serve = func(c call) reply {
 		if len(s.calls) == 1 {
-			return reply{after: 5 * time.Second, text: listText(7, true, "a")}
+			return reply{delay: 5 * time.Second, text: listText(7, true, "a")}
 		}
 		w.Close()
 		return reply{}
 	}
 	w.run()
-	if to.text() != "whole a" || len(s.calls) != 2 {
-		t.Errorf("told %q by %d calls", to.text(), len(s.calls))
+	if to.summary() != "whole a" || len(s.calls) != 2 {
+		t.Errorf("told %q by %d calls", to.summary(), len(s.calls))
 	}
 }
 
@@ -177,7 +177,7 @@
 func TestFailureIsReportedOnce(t *testing.T) {
 	t.Parallel()
 	s := newScript(nil)
-	w, to := watched(s)
+	w, to := newScriptWatch(s)
 	s.serve = func(c call) reply {
 		switch n := len(s.calls); {
 		case n == 1 || n == 10:
@@ -192,8 +192,8 @@
 		return reply{text: status(503, "")}
 	}
 	w.run()
-	if to.text() != "whole a, failed, changes a, failed" {
-		t.Errorf("told %s", to.text())
+	if to.summary() != "whole a, failed, changes a, failed" {
+		t.Errorf("told %s", to.summary())
 	}
 	gaps := ""
 	for i, c := range s.calls[2:] {
@@ -211,16 +211,16 @@
 func TestClosedIdleConnectionIsNoFailure(t *testing.T) {
 	t.Parallel()
 	s := newScript(nil)
-	w, to := watched(s)
+	w, to := newScriptWatch(s)
 	s.serve = func(c call) reply {
 		if len(s.calls) == 4 {
 			w.Close()
 		}
-		return reply{text: listText(len(s.calls), true, "a"), hang: true}
+		return reply{text: listText(len(s.calls), true, "a"), closes: true}
 	}
 	w.run()
-	if to.text() != "whole a, whole a, whole a" || s.dials < 4 {
-		t.Errorf("told %s on %d connections", to.text(), s.dials)
+	if to.summary() != "whole a, whole a, whole a" || s.dials < 4 {
+		t.Errorf("told %s on %d connections", to.summary(), s.dials)
 	}
 }
 
@@ -228,13 +228,13 @@
 func TestNewAddressStartsWithFullList(t *testing.T) {
 	t.Parallel()
 	for name, old := range map[string]reply{
-		"silent": {}, "in a pause": {text: status(500, "")}, "late": {after: time.Second, text: listText(9, true, "late")},
+		"silent": {}, "in a pause": {text: status(500, "")}, "late": {delay: time.Second, text: listText(9, true, "late")},
 	} {
 		s := newScript(nil)
-		w, to := watched(s)
+		w, to := newScriptWatch(s)
 		s.serve = func(c call) reply {
 			switch {
-			case c.addr == "agent:2" && len(to.list) > 1 && to.text() != "whole a, failed":
+			case c.addr == "agent:2" && len(to.list) > 1 && to.summary() != "whole a, failed":
 				w.Close()
 			case c.addr == "agent:2":
 				return reply{text: listText(3, true, "b")}
@@ -243,14 +243,14 @@
 			}
 			return old
 		}
-		s.in(30*time.Millisecond, func() {
+		s.after(30*time.Millisecond, func() {
 			if !w.SetAddress("agent:2") || w.SetAddress("agent:2") {
 				t.Errorf("%s: Move does not report whether the address is a different one", name)
 			}
 		})
 		w.run()
-		if got := strings.Replace(to.text(), "failed, ", "", 1); got != "whole a, whole b" {
-			t.Errorf("%s: told %s", name, to.text())
+		if got := strings.Replace(to.summary(), "failed, ", "", 1); got != "whole a, whole b" {
+			t.Errorf("%s: told %s", name, to.summary())
 		}
 		first := 0
 		for first < len(s.calls) && s.calls[first].addr == "agent:1" {
@@ -266,8 +266,8 @@
 	t.Parallel()
 	for _, answer := range []string{listText(1, true, "a"), status(500, "")} {
 		s := newScript(func(call) reply { return reply{text: answer} })
-		w, to := watched(s)
-		to.gone = true
+		w, to := newScriptWatch(s)
+		to.stopped = true
 		w.run()
 		if len(s.calls) != 1 {
 			t.Errorf("%d calls", len(s.calls))
@@ -280,18 +280,18 @@
 	t.Parallel()
 	run := func() (string, string) {
 		s := newScript(nil)
-		w, to := watched(s)
-		s.in(7*time.Second, func() { w.SetAddress("agent:2") })
-		s.in(80*time.Second, w.Close)
+		w, to := newScriptWatch(s)
+		s.after(7*time.Second, func() { w.SetAddress("agent:2") })
+		s.after(80*time.Second, w.Close)
 		s.serve = func(c call) reply {
 			n := len(s.calls)
 			return reply{
-				after: time.Duration(n*n*37%900) * time.Millisecond, hang: n%5 == 0,
+				delay: time.Duration(n*n*37%900) * time.Millisecond, closes: n%5 == 0,
 				text: []string{listText(n, false, "a"), listText(n, true, "b"), status(500, ""), "noise", "", listText(n-1, false)}[n*7%6],
 			}
 		}
 		w.run()
-		return fmt.Sprint(s.calls), to.text()
+		return fmt.Sprint(s.calls), to.summary()
 	}
 	calls, told := run()
 	for range 3 {
@@ -304,17 +304,17 @@
 	}
 }
 
-// sockets is an agent on a loopback address. It holds watch calls until there are changes.
-type sockets struct {
+// httpAgent is an agent on a loopback address. It holds watch calls until there are changes.
+type httpAgent struct {
 	*httptest.Server
 	mu       sync.Mutex
 	revision int
 	changed  chan struct{}
-	mute     bool
+	muted    bool
 }
 
-func newSockets(t *testing.T) *sockets {
-	a := &sockets{changed: make(chan struct{})}
+func newHTTPAgent(t *testing.T) *httpAgent {
+	a := &httpAgent{changed: make(chan struct{})}
 	a.Server = httptest.NewServer(a)
 	t.Cleanup(func() {
 		a.CloseClientConnections()
@@ -323,9 +323,9 @@
 	return a
 }
 
-func (a *sockets) addr() string { return a.Listener.Addr().String() }
+func (a *httpAgent) addr() string { return a.Listener.Addr().String() }
 
-func (a *sockets) set(do func()) {
+func (a *httpAgent) set(do func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	do()
@@ -333,7 +333,7 @@
 	a.changed = make(chan struct{})
 }
 
-func (a *sockets) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+func (a *httpAgent) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	after := -1
 	var wait int64
 	fmt.Sscan(r.URL.Query().Get("after"), &after)
@@ -341,7 +341,7 @@
 	limit := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		a.mu.Lock()
-		now, changed, mute := a.revision, a.changed, a.mute
+		now, changed, mute := a.revision, a.changed, a.muted
 		a.mu.Unlock()
 		if !mute && (after < now || wait == 0) {
 			fmt.Fprintf(rw, `{"revision":%d,"complete":%v,"members":[`, now, after < 0)
@@ -364,19 +364,19 @@
 	}
 }
 
-// teller is an engine.Listing that sends to a channel.
-type teller chan *engine.Members
+// memberChannel is an engine.Listing that sends to a channel.
+type memberChannel chan *engine.Members
 
-func (c teller) Members(m *engine.Members) bool { c <- m; return true }
+func (c memberChannel) Members(m *engine.Members) bool { c <- m; return true }
 
-func (c teller) want(t *testing.T, kind string, members int) {
+func (c memberChannel) want(t *testing.T, kind string, members int) {
 	t.Helper()
 	select {
 	case m := <-c:
-		if got := (&listing{list: []*engine.Members{m}}).text(); !strings.HasPrefix(got, kind) || len(m.List) != members {
+		if got := (&listing{list: []*engine.Members{m}}).summary(); !strings.HasPrefix(got, kind) || len(m.List) != members {
 			t.Fatalf("told %s, want %s with %d", got, kind, members)
 		}
-	case <-time.After(generous):
+	case <-time.After(testTimeout):
 		t.Fatalf("%s is not reported", kind)
 	}
 }
@@ -385,22 +385,22 @@
 // address is used at once, and Close ends a hanging watch.
 func TestWatchSurvivesUnresponsiveDiscovery(t *testing.T) {
 	t.Parallel()
-	a, b := newSockets(t), newSockets(t)
+	a, b := newHTTPAgent(t), newHTTPAgent(t)
 	a.set(func() { a.revision = 1 })
-	w := NewWatch(host.System{}, a.addr(), quiet())
+	w := NewWatch(host.System{}, a.addr(), discardLog())
 	w.wait, w.margin = 100*time.Millisecond, 200*time.Millisecond
-	to := make(teller, 10)
-	w.Start(ListingCallback(to, names(), host.System{}, quiet()))
+	to := make(memberChannel, 10)
+	w.Start(ListingCallback(to, names(), host.System{}, discardLog()))
 	defer w.Close()
 	to.want(t, "whole", 1)
 	a.set(func() { a.revision = 2 })
 	to.want(t, "changes", 1)
-	a.set(func() { a.mute = true })
+	a.set(func() { a.muted = true })
 	to.want(t, "failed", 0)
 	a.set(func() { a.revision = 3 })
-	a.set(func() { a.mute = false })
+	a.set(func() { a.muted = false })
 	to.want(t, "changes", 1)
-	a.set(func() { a.mute = true })
+	a.set(func() { a.muted = true })
 	b.set(func() { b.revision = 5 })
 	if !w.SetAddress(b.addr()) {
 		t.Error("Move returns false for a different address")
@@ -412,14 +412,14 @@
 		}
 	}
 	to.want(t, "whole", 5)
-	b.set(func() { b.mute = true })
+	b.set(func() { b.muted = true })
 }
 
 func TestCloseWithoutStartAndStartAfterClose(t *testing.T) {
 	t.Parallel()
-	w := NewWatch(host.System{}, "127.0.0.1:1", quiet())
+	w := NewWatch(host.System{}, "127.0.0.1:1", discardLog())
 	w.Close()
-	w.Start(ListingCallback(make(teller), names(), host.System{}, quiet()))
+	w.Start(ListingCallback(make(memberChannel), names(), host.System{}, discardLog()))
 	w.Close()
 	if w.SetAddress("127.0.0.1:2") {
 		t.Error("a closed watch moves")
@@ -438,7 +438,7 @@
 			return
 		}
 		m := l.Members(names())
-		if m.Source != Name || m.FullList != l.Complete || m.Failed || len(m.List) != len(l.Entries) || len(m.List) > membersMost {
+		if m.Source != Name || m.FullList != l.Complete || m.Failed || len(m.List) != len(l.Entries) || len(m.List) > maxEntries {
 			t.Fatalf("%+v of %q", m, text)
 		}
 		for i, e := range m.List {
@@ -453,7 +453,7 @@
 func TestChangesInsteadOfFirstListAreAFailure(t *testing.T) {
 	t.Parallel()
 	s := newScript(nil)
-	w, to := watched(s)
+	w, to := newScriptWatch(s)
 	s.serve = func(c call) reply {
 		if len(s.calls) == 1 {
 			return reply{text: listText(1, false, "a")}
@@ -473,13 +473,13 @@
 // The lists of a watch reach a membership table until the context ends.
 func TestSourceReportsLists(t *testing.T) {
 	t.Parallel()
-	a := newSockets(t)
+	a := newHTTPAgent(t)
 	a.set(func() { a.revision = 1 })
 	ctx, cancel := context.WithCancel(t.Context())
 	updates := make(chan membership.Update, 10)
 	ended := make(chan error, 1)
 	go func() {
-		ended <- NewSource(host.System{}, a.addr(), quiet()).Run(ctx, func(u membership.Update) { updates <- u })
+		ended <- NewSource(host.System{}, a.addr(), discardLog()).Run(ctx, func(u membership.Update) { updates <- u })
 	}()
 	u := <-updates
 	if u.Kind != membership.FullList || len(u.Endpoints) == 0 || u.Endpoints[0].ID == "" {
--- a/membership/table.go
+++ b/membership/table.go
@@ -12,54 +12,54 @@
 type Settings struct {
 	Sources      []string // names of the sources, in decreasing precedence for fields
 	MaxEndpoints int      // limit on endpoints in the table; 0 means 100,000
-	// RememberLeft is how long an endpoint that has left is remembered; 0 means 10 minutes. No more than mostGone are
+	// RememberLeft is how long an endpoint that has left is remembered; 0 means 10 minutes. No more than maxRememberedLeft are
 	// remembered, whatever this says.
 	RememberLeft time.Duration
 }
 
 const (
-	defaultMost     = 100_000
-	defaultRemember = 10 * time.Minute
-	mostGone        = 2048 // endpoints; limits memory in a long flood (20 s of it at 100 leaving per second)
+	defaultMaxEndpoints = 100_000
+	defaultRememberLeft = 10 * time.Minute
+	maxRememberedLeft   = 2048 // endpoints; limits memory in a long flood (20 s of it at 100 leaving per second)
 )
 
 // Table merges the claims of all sources into one list of endpoints. It is not safe for concurrent use.
 type Table struct {
-	most     int
-	remember time.Duration
-	sources  []*source
-	records  map[string]*record
-	byAddr   map[addrKey][]*record // records whose claims make them Active at the address; almost always one
-	gone     []tomb                // records that no source lists, oldest first; some may be listed again by now
+	maxEndpoints int
+	rememberLeft time.Duration
+	sources      []*source
+	records      map[string]*record
+	byAddr       map[addrKey][]*record // records whose claims make them Active at the address; almost always one
+	leftQueue    []leftEntry           // records that no source lists, oldest first; some may be listed again by now
 }
 
 type source struct {
-	name   string
-	rank   int       // index in the table's order
-	gen    int       // number of its last full list
-	listed bool      // it has sent a full list
-	told   time.Time // time of its last update
-	failed time.Time // start of the current failure, zero if it works
-	err    string    // cause of the current failure
+	name        string
+	rank        int       // index in the table's order
+	listNumber  int       // number of its last full list
+	listed      bool      // it has sent a full list
+	lastUpdate  time.Time // time of its last update
+	failedSince time.Time // start of the current failure, zero if it works
+	err         string    // cause of the current failure
 }
 
 // record holds one endpoint with the claims of all sources on it.
 type record struct {
-	id     string
-	claims []claim   // in the table's order of sources
-	merged Endpoint  // result of merging the claims, before conflicts over the address are resolved; without a note
-	rival  string    // ID of the endpoint that keeps the address instead, "" if this one does
-	given  bool      // the caller was last told of it with a phase other than Left
-	left   time.Time // when the last source stopped listing it, zero while one lists it
+	id            string
+	claims        []claim   // in the table's order of sources
+	merged        Endpoint  // result of merging the claims, before conflicts over the address are resolved; without a note
+	addressHolder string    // ID of the endpoint that keeps the address instead, "" if this one does
+	reported      bool      // the caller was last told of it with a phase other than Left
+	leftSince     time.Time // when the last source stopped listing it, zero while one lists it
 }
 
 // claim is what one source reports about an endpoint.
 type claim struct {
-	by     *source
-	says   Endpoint
-	at     time.Time // time of the report
-	gen    int       // number of the source's last full list at that time
-	cached bool      // comes from a cache
+	source     *source
+	endpoint   Endpoint
+	reportedAt time.Time // time of the report
+	listNumber int       // number of the source's last full list at that time
+	cached     bool      // comes from a cache
 }
 
 type addrKey struct {
@@ -67,10 +67,10 @@
 	addr string
 }
 
-// tomb is an entry in the queue of endpoints that have left.
-type tomb struct {
-	at time.Time
-	r  *record
+// leftEntry is an entry in the queue of endpoints that have left.
+type leftEntry struct {
+	leftAt time.Time
+	record *record
 }
 
 // Rejection describes an endpoint of an update that was not accepted as reported.
@@ -85,10 +85,10 @@
 // New creates an empty table.
 func New(s Settings) (*Table, error) {
 	t := &Table{
-		most: cmp.Or(s.MaxEndpoints, defaultMost), remember: cmp.Or(s.RememberLeft, defaultRemember),
+		maxEndpoints: cmp.Or(s.MaxEndpoints, defaultMaxEndpoints), rememberLeft: cmp.Or(s.RememberLeft, defaultRememberLeft),
 		records: map[string]*record{}, byAddr: map[addrKey][]*record{},
 	}
-	if t.most < 0 || t.remember < 0 {
+	if t.maxEndpoints < 0 || t.rememberLeft < 0 {
 		return nil, fmt.Errorf("membership: most %d, remember %v: out of range", s.MaxEndpoints, s.RememberLeft)
 	}
 	if _, err := t.SetSources(time.Time{}, s.Sources); err != nil {
@@ -117,11 +117,11 @@
 	t.sources = next
 	touched := make([]*record, 0, len(t.records))
 	for _, r := range t.records {
-		r.claims = slices.DeleteFunc(r.claims, func(c claim) bool { return t.source(c.by.name) != c.by })
-		slices.SortFunc(r.claims, func(a, b claim) int { return a.by.rank - b.by.rank })
+		r.claims = slices.DeleteFunc(r.claims, func(c claim) bool { return t.source(c.source.name) != c.source })
+		slices.SortFunc(r.claims, func(a, b claim) int { return a.source.rank - b.source.rank })
 		touched = append(touched, r)
 	}
-	return t.settle(now, touched), nil
+	return t.recompute(now, touched), nil
 }
 
 func (t *Table) source(name string) *source {
@@ -142,25 +142,25 @@
 	if s == nil {
 		return nil, nil, fmt.Errorf("membership: source %q is not in the table's order", name)
 	}
-	t.forget(now)
+	t.removeExpired(now)
 	if u.Kind == Failed {
-		if s.failed.IsZero() {
-			s.failed = now
+		if s.failedSince.IsZero() {
+			s.failedSince = now
 		}
 		if s.err = ""; u.Err != nil {
 			s.err = u.Err.Error()
 		}
 		return nil, nil, nil
 	}
-	s.told, s.failed, s.err = now, time.Time{}, ""
+	s.lastUpdate, s.failedSince, s.err = now, time.Time{}, ""
 	whole := u.Kind == FullList || u.Kind == Replacement
 	if whole {
 		s.listed = true
-		s.gen++
+		s.listNumber++
 	}
 	touched := make([]*record, 0, len(u.Endpoints))
 	for _, e := range u.Endpoints {
-		r, err := t.claim(now, s, e, whole)
+		r, err := t.recordClaim(now, s, e, whole)
 		if err != nil {
 			refused = append(refused, Rejection{e.ID, err})
 		}
@@ -172,19 +172,19 @@
 		for _, r := range t.records {
 			c := r.claimOf(s)
 			switch {
-			case c == nil || c.gen == s.gen:
+			case c == nil || c.listNumber == s.listNumber:
 				continue
 			case u.Kind == Replacement:
-				r.claims = slices.DeleteFunc(r.claims, func(c claim) bool { return c.by == s })
-			case c.says.Phase == Left:
+				r.claims = slices.DeleteFunc(r.claims, func(c claim) bool { return c.source == s })
+			case c.endpoint.Phase == Left:
 				continue
 			default:
-				c.says.Phase, c.says.Note, c.at, c.cached = Left, "not in its whole list", now, false
+				c.endpoint.Phase, c.endpoint.Note, c.reportedAt, c.cached = Left, "not in its whole list", now, false
 			}
 			touched = append(touched, r)
 		}
 	}
-	return t.settle(now, touched), refused, nil
+	return t.recompute(now, touched), refused, nil
 }
 
 // Restore loads a source's cached claims, as returned by Dump. It must come before the source's first update. A cached
@@ -194,12 +194,12 @@
 	if s == nil {
 		return nil, nil, fmt.Errorf("membership: source %q is not in the table's order", name)
 	}
-	if !s.told.IsZero() {
+	if !s.lastUpdate.IsZero() {
 		return nil, nil, fmt.Errorf("membership: source %q has spoken: its cache is of no more use", name)
 	}
 	var touched []*record
 	for _, e := range claims {
-		r, err := t.claim(now, s, e, false)
+		r, err := t.recordClaim(now, s, e, false)
 		if err != nil {
 			refused = append(refused, Rejection{e.ID, err})
 		}
@@ -208,19 +208,19 @@
 			touched = append(touched, r)
 		}
 	}
-	return t.settle(now, touched), refused, nil
+	return t.recompute(now, touched), refused, nil
 }
 
-// claim records what a source reports about one endpoint. It returns nil if nothing was recorded.
-func (t *Table) claim(now time.Time, s *source, e Endpoint, whole bool) (*record, error) {
+// recordClaim records what a source reports about one endpoint. It returns nil if nothing was recorded.
+func (t *Table) recordClaim(now time.Time, s *source, e Endpoint, whole bool) (*record, error) {
 	err := e.Check()
 	r := t.records[e.ID]
 	if r == nil {
 		switch {
 		case err != nil:
 			return nil, err
-		case len(t.records) >= t.most && !t.forgetOldest():
-			return nil, fmt.Errorf("%w: %d", ErrFull, t.most)
+		case len(t.records) >= t.maxEndpoints && !t.removeOldest():
+			return nil, fmt.Errorf("%w: %d", ErrFull, t.maxEndpoints)
 		}
 		// An unknown endpoint that has left is recorded, too, so that a source that lags behind does not add it.
 		r = &record{id: e.ID, merged: Endpoint{ID: e.ID}}
@@ -231,84 +231,84 @@
 		if err != nil {
 			return nil, err
 		}
-		at, _ := slices.BinarySearchFunc(r.claims, s.rank, func(c claim, rank int) int { return c.by.rank - rank })
-		r.claims = slices.Insert(r.claims, at, claim{by: s})
+		at, _ := slices.BinarySearchFunc(r.claims, s.rank, func(c claim, rank int) int { return c.source.rank - rank })
+		r.claims = slices.Insert(r.claims, at, claim{source: s})
 		c = &r.claims[at]
 	}
 	worst := Active
-	if whole && c.gen == s.gen {
-		worst = c.says.Phase // listed twice in one full list: the worse phase counts
+	if whole && c.listNumber == s.listNumber {
+		worst = c.endpoint.Phase // listed twice in one full list: the worse phase counts
 	}
 	switch {
 	case err != nil:
-		c.says.Phase, c.says.Note = min(Leaving, c.says.Phase), err.Error()
+		c.endpoint.Phase, c.endpoint.Note = min(Leaving, c.endpoint.Phase), err.Error()
 	case e.Phase == Left:
-		c.says.ID, c.says.Phase, c.says.Note = e.ID, Left, e.Note // the other fields stay as they were
+		c.endpoint.ID, c.endpoint.Phase, c.endpoint.Note = e.ID, Left, e.Note // the other fields stay as they were
 	default:
-		c.says = e
+		c.endpoint = e
 	}
-	if c.says.Phase > worst {
-		c.says.Phase, c.says.Note = worst, "named twice in one list"
+	if c.endpoint.Phase > worst {
+		c.endpoint.Phase, c.endpoint.Note = worst, "named twice in one list"
 	}
-	c.at, c.gen, c.cached = now, s.gen, false
+	c.reportedAt, c.listNumber, c.cached = now, s.listNumber, false
 	return r, err
 }
 
 func (r *record) claimOf(s *source) *claim {
 	for i := range r.claims {
-		if r.claims[i].by == s {
+		if r.claims[i].source == s {
 			return &r.claims[i]
 		}
 	}
 	return nil
 }
 
-// settle recomputes the touched records and those that share an address with them. It returns the changed endpoints.
-func (t *Table) settle(now time.Time, touched []*record) (changes []Endpoint) {
-	touched = inOrder(touched)
+// recompute recomputes the touched records and those that share an address with them. It returns the changed endpoints.
+func (t *Table) recompute(now time.Time, touched []*record) (changes []Endpoint) {
+	touched = sortByID(touched)
 	affected := touched
 	before := make(map[*record]Endpoint, len(touched)) // as the caller knows them
 	for _, r := range touched {
-		was, is := r.merged, r.merge()
+		was, is := r.merged, r.mergeClaims()
 		if was != is {
-			before[r] = r.out()
+			before[r] = r.resolved()
 			r.merged = is
-			affected = append(affected, t.readdress(r, &was)...)
+			affected = append(affected, t.updateAddress(r, &was)...)
 		}
 		switch {
 		case len(r.claims) == 0:
 			delete(t.records, r.id) // no current source ever reported it
-		case r.named(): // while one source lists it, the Left claims of the others must be kept
-			r.left = time.Time{}
-		case r.left.IsZero():
-			r.left = now
-			t.gone = append(t.gone, tomb{now, r})
+		case r.isListed(): // while one source lists it, the Left claims of the others must be kept
+			r.leftSince = time.Time{}
+		case r.leftSince.IsZero():
+			r.leftSince = now
+			t.leftQueue = append(t.leftQueue, leftEntry{now, r})
 		}
 	}
-	for _, r := range inOrder(affected) {
+	for _, r := range sortByID(affected) {
 		old, known := before[r]
 		if !known {
-			old = r.out()
+			old = r.resolved()
 		}
-		r.rival = t.holder(r)
-		e := r.out()
-		if r.given && e != old || !r.given && e.Phase != Left {
+		r.addressHolder = t.addressHolder(r)
+		e := r.resolved()
+		if r.reported && e != old || !r.reported && e.Phase != Left {
 			changes = append(changes, e)
-			r.given = e.Phase != Left
+			r.reported = e.Phase != Left
 		}
 	}
 	slices.SortStableFunc(changes, func(a, b Endpoint) int { return cmp.Compare(a.Phase, b.Phase) })
 	return changes
 }
 
-// inOrder sorts records by ID and removes duplicates, so that no result depends on the iteration order of a map.
-func inOrder(list []*record) []*record {
+// sortByID sorts records by ID and removes duplicates, so that no result depends on the iteration order of a map.
+func sortByID(list []*record) []*record {
 	slices.SortFunc(list, func(a, b *record) int { return cmp.Compare(a.id, b.id) })
 	return slices.Compact(list)
 }
 
-// merge combines the claims on an endpoint.
-func (r *record) merge() Endpoint {
+// mergeClaims combines the claims on an endpoint.
+func (r *record) mergeClaims() Endpoint {
 	e := Endpoint{ID: r.id, Dest: r.merged.Dest, Addr: r.merged.Addr, Zone: r.merged.Zone, Kind: r.merged.Kind}
 	if len(r.claims) == 0 {
 		return e
@@ -316,7 +316,7 @@
 	e.Phase = Active
 	first := true
 	for i := range r.claims {
-		says := &r.claims[i].says
+		says := &r.claims[i].endpoint
 		e.Phase = min(e.Phase, says.Phase)
 		if says.Phase == Left {
 			continue
@@ -333,8 +333,8 @@
 	return e
 }
 
-// readdress moves a record in byAddr from its old address to its current one. It returns the other records at both.
-func (t *Table) readdress(r *record, was *Endpoint) (all []*record) {
+// updateAddress moves a record in byAddr from its old address to its current one. It returns the other records at both.
+func (t *Table) updateAddress(r *record, was *Endpoint) (all []*record) {
 	if was.Phase == Active {
 		key := addrKey{was.Dest, was.Addr}
 		rest := slices.DeleteFunc(t.byAddr[key], func(o *record) bool { return o == r })
@@ -353,8 +353,8 @@
 	return all
 }
 
-// holder returns the ID of the endpoint that keeps r's address instead of r, "" if r keeps it.
-func (t *Table) holder(r *record) string {
+// addressHolder returns the ID of the endpoint that keeps r's address instead of r, "" if r keeps it.
+func (t *Table) addressHolder(r *record) string {
 	if r.merged.Phase != Active {
 		return ""
 	}
@@ -371,46 +371,46 @@
 	return best.id
 }
 
-// out returns the endpoint as the caller sees it.
-func (r *record) out() Endpoint {
+// resolved returns the endpoint as the caller sees it.
+func (r *record) resolved() Endpoint {
 	e := r.merged
-	if r.rival != "" {
+	if r.addressHolder != "" {
 		e.Phase = min(e.Phase, Leaving)
 	}
 	return e
 }
 
-// forget removes endpoints that left long ago, and the oldest ones beyond mostGone.
-func (t *Table) forget(now time.Time) {
-	for len(t.gone) > 0 && (now.Sub(t.gone[0].at) >= t.remember || len(t.gone) > mostGone) {
-		t.pop()
+// removeExpired removes endpoints that left long ago, and the oldest ones beyond maxRememberedLeft.
+func (t *Table) removeExpired(now time.Time) {
+	for len(t.leftQueue) > 0 && (now.Sub(t.leftQueue[0].leftAt) >= t.rememberLeft || len(t.leftQueue) > maxRememberedLeft) {
+		t.popLeft()
 	}
 }
 
-// forgetOldest removes the endpoint that left first. It reports whether there was one.
-func (t *Table) forgetOldest() bool {
-	for len(t.gone) > 0 {
-		if t.pop() {
+// removeOldest removes the endpoint that left first. It reports whether there was one.
+func (t *Table) removeOldest() bool {
+	for len(t.leftQueue) > 0 {
+		if t.popLeft() {
 			return true
 		}
 	}
 	return false
 }
 
-// pop takes the first entry off the queue and reports whether its endpoint was removed. The endpoint stays if it has come
+// popLeft takes the first entry off the queue and reports whether its endpoint was removed. The endpoint stays if it has come
 // back since. If it has come back and left again, a later entry stands for it.
-func (t *Table) pop() bool {
-	g := t.gone[0]
-	t.gone[0] = tomb{}
-	t.gone = t.gone[1:]
-	if !g.r.left.Equal(g.at) || t.records[g.r.id] != g.r || g.r.named() {
+func (t *Table) popLeft() bool {
+	g := t.leftQueue[0]
+	t.leftQueue[0] = leftEntry{}
+	t.leftQueue = t.leftQueue[1:]
+	if !g.record.leftSince.Equal(g.leftAt) || t.records[g.record.id] != g.record || g.record.isListed() {
 		return false
 	}
-	delete(t.records, g.r.id)
+	delete(t.records, g.record.id)
 	return true
 }
 
-// named reports whether a source lists the endpoint now.
-func (r *record) named() bool {
-	return slices.ContainsFunc(r.claims, func(c claim) bool { return c.says.Phase != Left })
+// isListed reports whether a source lists the endpoint now.
+func (r *record) isListed() bool {
+	return slices.ContainsFunc(r.claims, func(c claim) bool { return c.endpoint.Phase != Left })
 }
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -220,8 +220,8 @@
 		if _, refused, _ := table.Apply(at(1), "a", Update{Endpoints: []Endpoint{ep("e1", Active)}}); len(refused) > 0 {
 			t.Fatal(refused) // endpoints that have left are removed to make room
 		}
-		if len(table.records) > 3 || len(table.gone) > mostGone+2 {
-			t.Fatalf("%d records, %d that left", len(table.records), len(table.gone))
+		if len(table.records) > 3 || len(table.leftQueue) > maxRememberedLeft+2 {
+			t.Fatalf("%d records, %d that left", len(table.records), len(table.leftQueue))
 		}
 	}
 }
@@ -229,12 +229,12 @@
 func TestMemoryOfLeftEndpointsIsBounded(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a")
-	for i := range 3 * mostGone {
+	for i := range 3 * maxRememberedLeft {
 		id := fmt.Sprint("x", i)
 		r.tell(1, "a", Changes, Endpoint{ID: id, Addr: "10.0.0.1:80", Phase: Active})
 		r.tell(1, "a", Changes, Endpoint{ID: id, Phase: Left})
 	}
-	if n := r.t.Len(); n > mostGone+2 {
+	if n := r.t.Len(); n > maxRememberedLeft+2 {
 		t.Errorf("%d endpoints are remembered", n)
 	}
 }
--- a/membership/why.go
+++ b/membership/why.go
@@ -9,20 +9,20 @@
 // List returns all endpoints that have not left, sorted by ID.
 func (t *Table) List() []Endpoint {
 	list := make([]Endpoint, 0, len(t.records))
-	for _, r := range t.recordsInOrder() {
+	for _, r := range t.sortedRecords() {
 		if r.merged.Phase != Left {
-			list = append(list, r.out())
+			list = append(list, r.resolved())
 		}
 	}
 	return list
 }
 
-func (t *Table) recordsInOrder() []*record {
+func (t *Table) sortedRecords() []*record {
 	all := make([]*record, 0, len(t.records))
 	for _, r := range t.records {
 		all = append(all, r)
 	}
-	return inOrder(all)
+	return sortByID(all)
 }
 
 // Len returns the number of endpoints in the table, including remembered ones that have left.
@@ -38,7 +38,7 @@
 	for i := range r.claims {
 		vouched = vouched || !r.claims[i].cached
 	}
-	return r.out(), vouched
+	return r.resolved(), vouched
 }
 
 // Complete reports whether every source has sent a full list. Until then, an endpoint that is not in the table may still
@@ -55,9 +55,9 @@
 // Dump returns all claims of a source sorted by ID, for a cache. It includes endpoints that have left.
 func (t *Table) Dump(name string) (claims []Endpoint) {
 	s := t.source(name)
-	for _, r := range t.recordsInOrder() {
+	for _, r := range t.sortedRecords() {
 		if c := r.claimOf(s); c != nil {
-			claims = append(claims, c.says)
+			claims = append(claims, c.endpoint)
 		}
 	}
 	return claims
@@ -77,12 +77,12 @@
 func (t *Table) Sources() []SourceState {
 	list := make([]SourceState, len(t.sources))
 	for i, s := range t.sources {
-		list[i] = SourceState{Name: s.name, Listed: s.listed, Told: s.told, Failed: s.failed, Err: s.err}
+		list[i] = SourceState{Name: s.name, Listed: s.listed, Told: s.lastUpdate, Failed: s.failedSince, Err: s.err}
 	}
 	for _, r := range t.records {
 		for _, c := range r.claims {
-			if c.says.Phase != Left {
-				list[c.by.rank].Named++
+			if c.endpoint.Phase != Left {
+				list[c.source.rank].Named++
 			}
 		}
 	}
@@ -131,21 +131,21 @@
 	if r == nil {
 		return x, false
 	}
-	x.Endpoint = r.out()
+	x.Endpoint = r.resolved()
 	decided := ""
 	dests := map[int]bool{}
 	for _, c := range r.claims {
-		x.Claims = append(x.Claims, Claim{Source: c.by.name, Endpoint: c.says, ReportedAt: c.at, Cached: c.cached, FailingSince: c.by.failed})
-		if c.says.Phase == r.merged.Phase && decided == "" {
-			decided = c.by.name
+		x.Claims = append(x.Claims, Claim{Source: c.source.name, Endpoint: c.endpoint, ReportedAt: c.reportedAt, Cached: c.cached, FailingSince: c.source.failedSince})
+		if c.endpoint.Phase == r.merged.Phase && decided == "" {
+			decided = c.source.name
 		}
-		if c.says.Phase != Left {
-			dests[c.says.Dest] = true
+		if c.endpoint.Phase != Left {
+			dests[c.endpoint.Dest] = true
 		}
 	}
 	switch {
-	case r.rival != "":
-		x.Reason = fmt.Sprintf("its address %s is held by %s, which started later or comes first", r.merged.Addr, r.rival)
+	case r.addressHolder != "":
+		x.Reason = fmt.Sprintf("its address %s is held by %s, which started later or comes first", r.merged.Addr, r.addressHolder)
 	case decided == "":
 		x.Reason = "its sources name different destinations"
 	case r.merged.Phase == Active:
--- a/resend/planner_test.go
+++ b/resend/planner_test.go
@@ -7,18 +7,18 @@
 	"curlewmux/control"
 )
 
-// bench is a planner with messages for destinations with settable conditions.
-type bench struct {
+// testPlanner is a planner with messages for destinations with settable conditions.
+type testPlanner struct {
 	*Planner
-	how   map[int]control.Condition
-	rate  float64
-	nodes []*Node
+	conditions map[int]control.Condition
+	rate       float64
+	nodes      []*Node
 }
 
-func newBench(slots, dests, each int) *bench {
-	b := &bench{Planner: NewPlanner(slots, 0.5, 60*second), how: map[int]control.Condition{}}
+func newTestPlanner(slots, dests, each int) *testPlanner {
+	b := &testPlanner{Planner: NewPlanner(slots, 0.5, 60*second), conditions: map[int]control.Condition{}}
 	for d := range dests {
-		b.how[d] = control.Healthy
+		b.conditions[d] = control.Healthy
 	}
 	for i := range dests * each {
 		n := &Node{Number: uint64(i)}
@@ -29,13 +29,13 @@
 	return b
 }
 
-func (b *bench) pick(at Time) []*Node {
-	return b.Pick(at, func(d int) (control.Condition, float64) { return b.how[d], b.rate })
+func (b *testPlanner) pick(at Time) []*Node {
+	return b.Pick(at, func(d int) (control.Condition, float64) { return b.conditions[d], b.rate })
 }
 
 func TestWindowGrowsWithEachSuccess(t *testing.T) {
 	t.Parallel()
-	b := newBench(4, 1, 20)
+	b := newTestPlanner(4, 1, 20)
 	for _, want := range []int{1, 2, 4} {
 		got := b.pick(now)
 		if len(got) != want || b.InFlight() != want {
@@ -62,8 +62,8 @@
 
 func TestUnhealthyDestinationsGetNoMessagesButTrials(t *testing.T) {
 	t.Parallel()
-	b := newBench(4, 3, 10)
-	b.how[0], b.how[1], b.how[2] = control.Busy, control.Unavailable, control.Unhealthy
+	b := newTestPlanner(4, 3, 10)
+	b.conditions[0], b.conditions[1], b.conditions[2] = control.Busy, control.Unavailable, control.Unhealthy
 	got := b.pick(now)
 	if len(got) != 1 || got[0].Destination() != 2 {
 		t.Fatalf("picked %v", got)
@@ -80,7 +80,7 @@
 	if at, ok := b.NextDue(); !ok || at > now+63*second {
 		t.Errorf("next look %v %v", at-now, ok)
 	}
-	b.how[0] = control.Healthy
+	b.conditions[0] = control.Healthy
 	if got := b.pick(now + 62*second); len(got) != 1 || got[0].Destination() != 0 {
 		t.Errorf("picked %v when destination 0 was well", got)
 	}
@@ -88,7 +88,7 @@
 
 func TestListedRateIsKept(t *testing.T) {
 	t.Parallel()
-	b := newBench(8, 1, 1000)
+	b := newTestPlanner(8, 1, 1000)
 	b.rate = 10
 	sent := 0
 	for at := now; at < now+60*second; at += 10 * control.Millisecond {
@@ -104,7 +104,7 @@
 
 func TestDestinationsAreServedRoundRobin(t *testing.T) {
 	t.Parallel()
-	b := newBench(2, 5, 40)
+	b := newTestPlanner(2, 5, 40)
 	count := map[int]int{}
 	for range 50 {
 		for _, n := range b.pick(now) {
@@ -125,7 +125,7 @@
 	t.Parallel()
 	for seed := range uint64(200) {
 		dice := rand.New(rand.NewPCG(seed, 1))
-		b := newBench(1+dice.IntN(5), 1+dice.IntN(4), 20)
+		b := newTestPlanner(1+dice.IntN(5), 1+dice.IntN(4), 20)
 		in, out := map[*Node]bool{}, map[*Node]bool{}
 		for _, n := range b.nodes {
 			in[n] = true
@@ -147,7 +147,7 @@
 					delete(in, n)
 				}
 			case 2:
-				b.how[dice.IntN(4)] = control.Condition(dice.IntN(4))
+				b.conditions[dice.IntN(4)] = control.Condition(dice.IntN(4))
 			case 3:
 				for n := range out {
 					b.Completed(n.Destination(), at, SendResult(dice.IntN(3)))
@@ -167,8 +167,8 @@
 				t.Fatalf("seed %d: %d being resent, want %d", seed, b.InFlight(), len(out))
 			}
 			left := 0
-			for _, l := range b.lanes {
-				left += len(l.nodes)
+			for _, l := range b.queues {
+				left += len(l.messages)
 			}
 			if left != len(in) {
 				t.Fatalf("seed %d: %d in the lanes, want %d", seed, left, len(in))
--- a/resend/resend.go
+++ b/resend/resend.go
@@ -39,7 +39,7 @@
 type Partner struct {
 	Destination  int
 	Proof        Proof
-	SettleTime   Time // how long a call may still run at the partner after the dispatcher has abandoned it
+	SettleTime   Time // conditions long a call may still run at the partner after the dispatcher has abandoned it
 	RememberTime Time // how long the partner remembers a key, or that a message took effect
 }
 
@@ -144,10 +144,10 @@
 func (a Answer) String() string { return [...]string{"unanswered", "yes", "no", "unknown"}[a] }
 
 const (
-	slack    = control.Second       // tolerated error of ages; also the minimum time for an attempt within a key's window
-	mostAsks = 30                   // consecutive failed inquiries after which the message is left to operators
-	askFirst = 2 * control.Second   // pause after the first failed inquiry; doubles with each further one ...
-	askMost  = 600 * control.Second // ... up to this
+	ageTolerance       = control.Second       // tolerated error of ages; also the minimum time for an attempt within a key's window
+	maxFailedInquiries = 30                   // consecutive failed inquiries after which the message is left to operators
+	firstInquiryPause  = 2 * control.Second   // pause after the first failed inquiry; doubles with each further one ...
+	maxInquiryPause    = 600 * control.Second // ... up to this
 )
 
 // class returns the class of the given name, nil if there is none.
@@ -168,14 +168,14 @@
 
 // Decide decides what the rules do with a message now.
 func (s *Settings) Decide(it *Item, now Time) Decision {
-	c, why := s.possible(it)
+	c, why := s.checkSendable(it)
 	switch {
 	case it.HoldReason != "":
 		return Decision{Action: Leave, Reason: it.HoldReason}
 	case why != "":
 		return Decision{Action: Leave, Reason: why}
 	}
-	i := slices.IndexFunc(s.Rules, func(r Rule) bool { return r.fits(it) })
+	i := slices.IndexFunc(s.Rules, func(r Rule) bool { return r.matches(it) })
 	if i < 0 {
 		return Decision{Action: Leave, Reason: "no rule fits it"}
 	}
@@ -190,17 +190,17 @@
 		return leave("it had all %d tries of rule %q", r.MaxResends, r.Name)
 	case r.MaxAge > 0 && now-it.KeptAt > r.MaxAge:
 		return leave("it is older than rule %q allows", r.Name)
-	case it.FailedInquiries >= mostAsks:
+	case it.FailedInquiries >= maxFailedInquiries:
 		return leave("%d inquiries in a row brought no answer", it.FailedInquiries)
 	}
-	due := it.LastEnd + grown(r.FirstDelay, r.MaxDelay, r.Factor, r.Jitter, it.Number, it.Resends)
+	due := it.LastEnd + backoff(r.FirstDelay, r.MaxDelay, r.Factor, r.Jitter, it.Number, it.Resends)
 	if it.FailedInquiries > 0 {
-		due = max(due, it.LastFailedInquiry+grown(askFirst, askMost, 2, 0.5, it.Number, it.FailedInquiries-1))
+		due = max(due, it.LastFailedInquiry+backoff(firstInquiryPause, maxInquiryPause, 2, 0.5, it.Number, it.FailedInquiries-1))
 	}
 	if now < due {
 		return Decision{Action: Wait, At: due, Rule: r.Name, Reason: "its next try is due later"}
 	}
-	v := s.safe(it, c, now)
+	v := s.decideSafely(it, c, now)
 	v.Rule = r.Name
 	return v
 }
@@ -208,17 +208,17 @@
 // DecideManual decides on a message that an operator wants to resend. vouched means that the operator vouches that it took no
 // effect.
 func (s *Settings) DecideManual(it *Item, now Time, vouched bool) Decision {
-	c, why := s.possible(it)
+	c, why := s.checkSendable(it)
 	if why != "" {
 		return Decision{Action: Leave, Reason: why}
 	}
-	if quiet := s.quiet(it); vouched && it.Doubt.FirstSent != 0 {
+	if quiet := s.quietFrom(it); vouched && it.Doubt.FirstSent != 0 {
 		if now < quiet {
 			return Decision{Action: Wait, At: quiet, Reason: "an earlier call may still be running at the partner"}
 		}
 		return Decision{Action: ClearDoubt}
 	}
-	return s.safe(it, c, now)
+	return s.decideSafely(it, c, now)
 }
 
 // DecideInquiry decides on a message after an inquiry that was sent at asked and got the answer a now.
@@ -230,21 +230,21 @@
 	case Unknown:
 		return Decision{Action: Leave, Reason: "the partner can't tell whether it took effect"}
 	case Unanswered:
-		return Decision{Action: Wait, At: now + grown(askFirst, askMost, 2, 0.5, it.Number, it.FailedInquiries), Reason: "the partner did not answer"}
+		return Decision{Action: Wait, At: now + backoff(firstInquiryPause, maxInquiryPause, 2, 0.5, it.Number, it.FailedInquiries), Reason: "the partner did not answer"}
 	}
-	switch quiet := s.quiet(it); {
+	switch quiet := s.quietFrom(it); {
 	case asked < quiet: // an earlier call may have run after the inquiry
 		return Decision{Action: Wait, At: quiet, Reason: "an earlier call may still be running at the partner"}
-	case it.Doubt.AgeUnknown || now+slack >= it.Doubt.FirstSent+p.RememberTime: // a partner that no longer remembers answers no, too
-		return Decision{Action: Leave, Reason: forgotten}
+	case it.Doubt.AgeUnknown || now+ageTolerance >= it.Doubt.FirstSent+p.RememberTime: // a partner that no longer remembers answers no, too
+		return Decision{Action: Leave, Reason: reasonForgotten}
 	}
 	return Decision{Action: ClearDoubt}
 }
 
-const forgotten = "the partner may have forgotten whether it took effect"
+const reasonForgotten = "the partner may have forgotten whether it took effect"
 
-// possible returns the class of a message, or the reason why the message can't be sent at all.
-func (s *Settings) possible(it *Item) (*Class, string) {
+// checkSendable returns the class of a message, or the reason why the message can't be sent at all.
+func (s *Settings) checkSendable(it *Item) (*Class, string) {
 	c := s.class(it.Class)
 	switch {
 	case c == nil:
@@ -257,28 +257,28 @@
 	return c, ""
 }
 
-// quiet returns the time from which no earlier call can run any more, neither at the dispatcher nor at the partner.
-func (s *Settings) quiet(it *Item) Time {
+// quietFrom returns the time from which no earlier call can run any more, neither at the dispatcher nor at the partner.
+func (s *Settings) quietFrom(it *Item) Time {
 	return it.Doubt.QuietFrom + s.Partner(it.Destination).SettleTime
 }
 
-// safe decides whether a message may be sent now without the risk that it takes effect a second time.
-func (s *Settings) safe(it *Item, c *Class, now Time) Decision {
+// decideSafely decides whether a message may be sent now without the risk that it takes effect a second time.
+func (s *Settings) decideSafely(it *Item, c *Class, now Time) Decision {
 	d, p := &it.Doubt, s.Partner(it.Destination)
 	if d.FirstSent == 0 || c.Effect == control.Free {
 		return Decision{Action: Send}
 	}
 	key := it.HasKey && !c.Ordered && !d.AgeUnknown
 	switch {
-	case key && p.Proof == ByKey && now+c.Deadline+p.SettleTime+slack < d.FirstSent+p.RememberTime:
+	case key && p.Proof == ByKey && now+c.Deadline+p.SettleTime+ageTolerance < d.FirstSent+p.RememberTime:
 		return Decision{Action: Send} // the resend ends before the partner forgets the key
-	case key && c.Effect == control.Guarded && now+slack < d.FirstSent+c.DedupWindow:
+	case key && c.Effect == control.Guarded && now+ageTolerance < d.FirstSent+c.DedupWindow:
 		return Decision{Action: SendInDoubt} // the decision module stops sending at the end of the window
 	case p.Proof == ByInquiry:
-		if d.AgeUnknown || now+slack >= d.FirstSent+p.RememberTime {
-			return Decision{Action: Leave, Reason: forgotten}
+		if d.AgeUnknown || now+ageTolerance >= d.FirstSent+p.RememberTime {
+			return Decision{Action: Leave, Reason: reasonForgotten}
 		}
-		if quiet := s.quiet(it); now < quiet {
+		if quiet := s.quietFrom(it); now < quiet {
 			return Decision{Action: Wait, At: quiet, Reason: "an earlier call may still be running at the partner"}
 		}
 		return Decision{Action: Ask}
@@ -288,23 +288,25 @@
 	return Decision{Action: Leave, Reason: "it may have taken effect, and only an operator can say that it did not"}
 }
 
-// fits reports whether a rule matches a message.
-func (r *Rule) fits(it *Item) bool {
-	return among(r.Classes, it.Class) && among(r.Destinations, it.Destination) && among(r.Tenants, it.Tenant) && among(r.Causes, it.Cause) &&
+// matches reports whether a rule matches a message.
+func (r *Rule) matches(it *Item) bool {
+	return emptyOrContains(r.Classes, it.Class) && emptyOrContains(r.Destinations, it.Destination) && emptyOrContains(r.Tenants, it.Tenant) && emptyOrContains(r.Causes, it.Cause) &&
 		(r.Doubt == AnyDoubt || (r.Doubt == OnlyDoubt) == (it.Doubt.FirstSent != 0))
 }
 
-// among reports whether v is in list. An empty list contains every value.
-func among[T comparable](list []T, v T) bool { return len(list) == 0 || slices.Contains(list, v) }
+// emptyOrContains reports whether v is in list. An empty list contains every value.
+func emptyOrContains[T comparable](list []T, v T) bool {
+	return len(list) == 0 || slices.Contains(list, v)
+}
 
-// grown returns pause n (from 0) of an exponential backoff with the jitter of this message.
-func grown(first, most Time, factor, jitter float64, no uint64, n int) Time {
+// backoff returns pause n (from 0) of an exponential backoff with the jitter of this message.
+func backoff(first, most Time, factor, jitter float64, no uint64, n int) Time {
 	pause := min(float64(first)*math.Pow(max(factor, 1), float64(n)), float64(max(most, first)))
-	return Time(pause * (1 + jitter*draw(no, n)))
+	return Time(pause * (1 + jitter*jitterFraction(no, n)))
 }
 
-// draw returns a pseudo-random number from 0 to 1 that depends only on the message and the try (splitmix64).
-func draw(no uint64, n int) float64 {
+// jitterFraction returns a pseudo-random number from 0 to 1 that depends only on the message and the try (splitmix64).
+func jitterFraction(no uint64, n int) float64 {
 	x := no*0x9E3779B97F4A7C15 + uint64(n+1)*0xD1B54A32D192ED03
 	x = (x ^ x>>30) * 0xBF58476D1CE4E5B9
 	x = (x ^ x>>27) * 0x94D049BB133111EB
