--- a/resend/resend_test.go
+++ b/resend/resend_test.go
@@ -47,16 +47,16 @@
 	return it
 }
 
-// doubted sets a doubt: an attempt may have run that long ago, and its call ended 30 s later.
-func doubted(ago Time) func(*Item) {
+// inDoubt sets a doubt: an attempt may have run that long ago, and its call ended 30 s later.
+func inDoubt(ago Time) func(*Item) {
 	return func(it *Item) { it.Doubt = Doubt{FirstSent: now - ago, QuietFrom: now - ago + 30*second} }
 }
 
 func dest(n int) func(*Item)        { return func(it *Item) { it.Destination = n } }
 func class(name string) func(*Item) { return func(it *Item) { it.Class = name } }
 func key(it *Item)                  { it.HasKey = true }
-func ageless(it *Item)              { it.Doubt.AgeUnknown = true }
-func tried(n int, last Time) func(it *Item) {
+func ageUnknown(it *Item)           { it.Doubt.AgeUnknown = true }
+func resent(n int, last Time) func(it *Item) {
 	return func(it *Item) { it.Resends, it.LastEnd = n, last }
 }
 
@@ -70,21 +70,21 @@
 		rule string
 	}{
 		"it never ran":                          {it: item(), do: Send},
-		"harmless in doubt":                     {it: item(class("free"), dest(3), doubted(second)), do: Send},
-		"in doubt, to be asked about":           {it: item(doubted(hour)), do: Ask},
-		"a call may still run":                  {it: item(doubted(80 * second)), do: Wait, at: now + 10*second, why: "may still be running"},
-		"the call can just not run any more":    {it: item(doubted(90 * second)), do: Ask},
-		"the partner has forgotten":             {it: item(doubted(10 * hour)), do: Leave, why: "forgotten"},
-		"its age is not known":                  {it: item(doubted(hour), ageless), do: Leave, why: "forgotten"},
-		"no proof":                              {it: item(dest(3), doubted(hour)), do: Leave, why: "only an operator"},
-		"a partner that nobody named":           {it: item(dest(99), doubted(hour)), do: Leave, why: "only an operator"},
-		"a key that is remembered":              {it: item(dest(2), doubted(100*second), key), do: Send},
-		"remembered, but not for a life":        {it: item(dest(2), doubted(hour-80*second), key), do: Leave, why: "not remember its key"},
-		"no key":                                {it: item(dest(2), doubted(100*second)), do: Leave, why: "not remember its key"},
-		"a key of unknown age":                  {it: item(dest(2), doubted(100*second), key, ageless), do: Leave, why: "not remember its key"},
-		"keyed, inside its window":              {it: item(class("keyed"), dest(3), doubted(8*second), key), do: SendInDoubt},
-		"keyed, at the end of its window":       {it: item(class("keyed"), dest(3), doubted(9*second), key), do: Leave, why: "only an operator"},
-		"keyed, out of it, to be asked about":   {it: item(class("keyed"), doubted(hour), key), do: Ask},
+		"harmless in doubt":                     {it: item(class("free"), dest(3), inDoubt(second)), do: Send},
+		"in doubt, to be asked about":           {it: item(inDoubt(hour)), do: Ask},
+		"a call may still run":                  {it: item(inDoubt(80 * second)), do: Wait, at: now + 10*second, why: "may still be running"},
+		"the call can just not run any more":    {it: item(inDoubt(90 * second)), do: Ask},
+		"the partner has forgotten":             {it: item(inDoubt(10 * hour)), do: Leave, why: "forgotten"},
+		"its age is not known":                  {it: item(inDoubt(hour), ageUnknown), do: Leave, why: "forgotten"},
+		"no proof":                              {it: item(dest(3), inDoubt(hour)), do: Leave, why: "only an operator"},
+		"a partner that nobody named":           {it: item(dest(99), inDoubt(hour)), do: Leave, why: "only an operator"},
+		"a key that is remembered":              {it: item(dest(2), inDoubt(100*second), key), do: Send},
+		"remembered, but not for a life":        {it: item(dest(2), inDoubt(hour-80*second), key), do: Leave, why: "not remember its key"},
+		"no key":                                {it: item(dest(2), inDoubt(100*second)), do: Leave, why: "not remember its key"},
+		"a key of unknown age":                  {it: item(dest(2), inDoubt(100*second), key, ageUnknown), do: Leave, why: "not remember its key"},
+		"keyed, inside its window":              {it: item(class("keyed"), dest(3), inDoubt(8*second), key), do: SendInDoubt},
+		"keyed, at the end of its window":       {it: item(class("keyed"), dest(3), inDoubt(9*second), key), do: Leave, why: "only an operator"},
+		"keyed, out of it, to be asked about":   {it: item(class("keyed"), inDoubt(hour), key), do: Ask},
 		"in order":                              {it: item(class("ordered")), do: Leave, why: "in order"},
 		"the class is gone":                     {it: item(class("gone")), do: Leave, why: `class "gone"`},
 		"the tenant is gone":                    {it: item(func(it *Item) { it.Tenant = "x" }), do: Leave, why: `tenant "x"`},
@@ -92,13 +92,13 @@
 		"held":                                  {it: item(func(it *Item) { it.HoldReason = "seen" }), do: Leave, why: "seen"},
 		"too old for the rule":                  {it: item(func(it *Item) { it.KeptAt = now - 21*hour }), do: Leave, why: "older"},
 		"the first rule that fits":              {it: item(func(it *Item) { it.Cause, it.LastEnd = "never", now-10*second }), do: Wait, at: now - 10*second + hour, rule: "mail"},
-		"its next try is due later":             {it: item(tried(0, now-4*second)), do: Wait, at: now + 6*second, why: "due later"},
-		"the pause grows":                       {it: item(tried(1, now)), do: Wait, at: now + 20*second},
-		"up to its most":                        {it: item(tried(2, now)), do: Wait, at: now + 30*second},
-		"poison: it had all its tries":          {it: item(tried(3, 0)), do: Leave, why: "all 3 tries"},
-		"an inquiry failed":                     {it: item(doubted(hour), func(it *Item) { it.FailedInquiries, it.LastFailedInquiry = 30, 0 }), do: Leave, why: "inquiries"},
-		"doubt counts from the first that ran":  {it: item(doubted(hour), tried(2, 0)), do: Ask},
-		"doubt that is only of harmless effect": {it: item(class("free"), doubted(0), ageless), do: Send},
+		"its next try is due later":             {it: item(resent(0, now-4*second)), do: Wait, at: now + 6*second, why: "due later"},
+		"the pause grows":                       {it: item(resent(1, now)), do: Wait, at: now + 20*second},
+		"up to its most":                        {it: item(resent(2, now)), do: Wait, at: now + 30*second},
+		"poison: it had all its tries":          {it: item(resent(3, 0)), do: Leave, why: "all 3 tries"},
+		"an inquiry failed":                     {it: item(inDoubt(hour), func(it *Item) { it.FailedInquiries, it.LastFailedInquiry = 30, 0 }), do: Leave, why: "inquiries"},
+		"doubt counts from the first that ran":  {it: item(inDoubt(hour), resent(2, 0)), do: Ask},
+		"doubt that is only of harmless effect": {it: item(class("free"), inDoubt(0), ageUnknown), do: Send},
 	} {
 		v := settings().Decide(c.it, now)
 		if v.Action != c.do || v.At != c.at || !strings.Contains(v.Reason, c.why) {
@@ -110,7 +110,7 @@
 	}
 	s := settings()
 	s.Rules[1].Doubt = NoDoubt
-	if v := s.Decide(item(doubted(hour)), now); v.Action != Leave || !strings.Contains(v.Reason, "no rule") {
+	if v := s.Decide(item(inDoubt(hour)), now); v.Action != Leave || !strings.Contains(v.Reason, "no rule") {
 		t.Errorf("a rule for messages without doubt matches one in doubt: %+v", v)
 	}
 	s.Rules[1].Doubt = OnlyDoubt
@@ -126,16 +126,16 @@
 		vouch bool
 		do    Action
 	}{
-		"poison":                           {item(tried(9, now)), false, Send},
+		"poison":                           {item(resent(9, now)), false, Send},
 		"held":                             {item(func(it *Item) { it.HoldReason = "x" }), false, Send},
 		"in order":                         {item(class("ordered")), false, Send},
-		"no proof, and nobody vouches":     {item(dest(3), doubted(hour)), false, Leave},
-		"no proof, and somebody does":      {item(dest(3), doubted(hour)), true, ClearDoubt},
-		"vouched while a call may run":     {item(dest(3), doubted(80*second)), true, Wait},
-		"vouched with an age not known":    {item(doubted(hour), ageless), true, ClearDoubt},
-		"to be asked about":                {item(doubted(hour)), false, Ask},
-		"vouched where it could be asked":  {item(doubted(hour)), true, ClearDoubt},
-		"the class is gone, and vouched":   {item(class("gone"), doubted(hour)), true, Leave},
+		"no proof, and nobody vouches":     {item(dest(3), inDoubt(hour)), false, Leave},
+		"no proof, and somebody does":      {item(dest(3), inDoubt(hour)), true, ClearDoubt},
+		"vouched while a call may run":     {item(dest(3), inDoubt(80*second)), true, Wait},
+		"vouched with an age not known":    {item(inDoubt(hour), ageUnknown), true, ClearDoubt},
+		"to be asked about":                {item(inDoubt(hour)), false, Ask},
+		"vouched where it could be asked":  {item(inDoubt(hour)), true, ClearDoubt},
+		"the class is gone, and vouched":   {item(class("gone"), inDoubt(hour)), true, Leave},
 		"harmless, vouched, a call is out": {item(class("free")), true, Send},
 	} {
 		if v := settings().DecideManual(c.it, now, c.vouch); v.Action != c.do {
@@ -152,14 +152,14 @@
 		a     Answer
 		do    Action
 	}{
-		"yes":                                  {item(doubted(hour)), now - second, Yes, MarkDelivered},
-		"no":                                   {item(doubted(hour)), now - second, No, ClearDoubt},
-		"no, asked while a call could run":     {item(doubted(91 * second)), now - 2*second, No, Wait},
-		"no, and it has forgotten by now":      {item(doubted(10*hour - second)), now - 2*second, No, Leave},
-		"no, of unknown age":                   {item(doubted(hour), ageless), now - second, No, Leave},
-		"it can't tell":                        {item(doubted(hour)), now - second, Unknown, Leave},
-		"none":                                 {item(doubted(hour)), now - second, Unanswered, Wait},
-		"yes from one that may have forgotten": {item(doubted(20 * hour)), now, Yes, MarkDelivered},
+		"yes":                                  {item(inDoubt(hour)), now - second, Yes, MarkDelivered},
+		"no":                                   {item(inDoubt(hour)), now - second, No, ClearDoubt},
+		"no, asked while a call could run":     {item(inDoubt(91 * second)), now - 2*second, No, Wait},
+		"no, and it has forgotten by now":      {item(inDoubt(10*hour - second)), now - 2*second, No, Leave},
+		"no, of unknown age":                   {item(inDoubt(hour), ageUnknown), now - second, No, Leave},
+		"it can't tell":                        {item(inDoubt(hour)), now - second, Unknown, Leave},
+		"none":                                 {item(inDoubt(hour)), now - second, Unanswered, Wait},
+		"yes from one that may have forgotten": {item(inDoubt(20 * hour)), now, Yes, MarkDelivered},
 	} {
 		if v := settings().DecideInquiry(c.it, c.asked, now, c.a); v.Action != c.do {
 			t.Errorf("%s: %v %q, want %v", name, v.Action, v.Reason, c.do)
@@ -178,7 +178,7 @@
 				for bits := range 8 {
 					s := settings()
 					s.Partners[0].Proof = proof
-					it := item(class(k.Name), doubted(ago))
+					it := item(class(k.Name), inDoubt(ago))
 					it.HasKey, it.Doubt.AgeUnknown, it.LastEnd = bits&1 != 0, bits&2 != 0, now-hour
 					var v Decision
 					if bits&4 != 0 {
@@ -212,8 +212,8 @@
 	t.Parallel()
 	seen := map[Time]bool{}
 	for no := range uint64(1000) {
-		p := grown(10*second, hour, 2, 0.5, no, 1)
-		if p < 20*second || p > 30*second || p != grown(10*second, hour, 2, 0.5, no, 1) {
+		p := backoff(10*second, hour, 2, 0.5, no, 1)
+		if p < 20*second || p > 30*second || p != backoff(10*second, hour, 2, 0.5, no, 1) {
 			t.Fatalf("pause %d", p)
 		}
 		seen[p] = true
@@ -221,7 +221,7 @@
 	if len(seen) < 900 {
 		t.Errorf("%d different pauses for 1,000 messages", len(seen))
 	}
-	if p := grown(10*second, hour, 10, 0, 1, 1000); p != hour {
+	if p := backoff(10*second, hour, 10, 0, 1, 1000); p != hour {
 		t.Errorf("the thousandth pause is %d", p)
 	}
 }
