--- a/admission/admission.go
+++ b/admission/admission.go
@@ -76,15 +76,15 @@
 }
 
 // ObserveDelay records how long something that was ready to run has waited for a core.
-func (g *Gate) ObserveDelay(now, by Time) {
+func (g *Gate) ObserveDelay(now, delay Time) {
 	g.endInterval(now)
-	g.tokensPerCompletion = g.tokensFor(by)
-	if by <= g.settings.LateAfter {
+	g.tokensPerCompletion = g.tokensFor(delay)
+	if delay <= g.settings.LateAfter {
 		g.longDelays = 0
 		return
 	}
-	if g.longDelays == 0 || now-by-g.lastLongDelay > maxDelayGap {
-		g.longDelays, g.delayedSince = 0, now-by
+	if g.longDelays == 0 || now-delay-g.lastLongDelay > maxDelayGap {
+		g.longDelays, g.delayedSince = 0, now-delay
 	}
 	g.longDelays, g.lastLongDelay = g.longDelays+1, now
 	if !g.limited && g.longDelays >= minLongDelays && now-g.delayedSince >= g.settings.SustainedAfter {
@@ -123,8 +123,8 @@
 	if !g.limited {
 		return true, 0
 	}
-	if gone := now - g.refilledAt; gone > 0 {
-		g.tokens = min(g.tokens+g.settings.MinRate*seconds(gone), g.maxTokens)
+	if elapsed := now - g.refilledAt; elapsed > 0 {
+		g.tokens = min(g.tokens+g.settings.MinRate*seconds(elapsed), g.maxTokens)
 		g.refilledAt = now
 	}
 	if g.tokens < 1 {
--- a/membership/endpointslice/client.go
+++ b/membership/endpointslice/client.go
@@ -60,8 +60,8 @@
 	if err != nil {
 		return err
 	}
-	now := [][]byte{ca, cert, key}
-	if c.http != nil && slices.EqualFunc(now, c.certificates, bytes.Equal) {
+	current := [][]byte{ca, cert, key}
+	if c.http != nil && slices.EqualFunc(current, c.certificates, bytes.Equal) {
 		return nil
 	}
 	config, err := c.access.tlsConfig()
@@ -71,7 +71,7 @@
 	if c.http != nil {
 		c.http.CloseIdleConnections()
 	}
-	c.certificates = now
+	c.certificates = current
 	c.http = &http.Client{
 		Transport: &http.Transport{
 			TLSClientConfig: config, ForceAttemptHTTP2: true, DisableCompression: true,
@@ -133,8 +133,8 @@
 	if err != nil {
 		return nil, err
 	}
-	to := strings.TrimSuffix(c.access.Server, "/") + path + "?" + query.Encode()
-	req, err := http.NewRequestWithContext(r.ctx, http.MethodGet, to, nil)
+	target := strings.TrimSuffix(c.access.Server, "/") + path + "?" + query.Encode()
+	req, err := http.NewRequestWithContext(r.ctx, http.MethodGet, target, nil)
 	if err != nil {
 		return nil, fmt.Errorf("API server: %w", err)
 	}
--- a/membership/endpointslice/decode.go
+++ b/membership/endpointslice/decode.go
@@ -275,8 +275,8 @@
 			if d.previous, d.expected = (Slice{}), 0; d.prior != nil && s.Name != "" {
 				d.previous = d.prior(s.key())
 			}
-			slice := d.typeErr
-			var first error
+			sliceErr := d.typeErr
+			var firstErr error
 			d.elements("endpoints", func() {
 				if s.Entries == nil {
 					s.Entries, s.fingerprints = make([]Entry, 0, len(d.previous.Entries)), make([]fingerprint, 0, len(d.previous.Entries))
@@ -295,16 +295,16 @@
 					d.expected++
 					return
 				}
-				if s.UnreadableEntries++; first == nil {
-					first = fmt.Errorf("endpoint %d: %w", len(s.Entries)+s.UnreadableEntries, d.typeErr)
+				if s.UnreadableEntries++; firstErr == nil {
+					firstErr = fmt.Errorf("endpoint %d: %w", len(s.Entries)+s.UnreadableEntries, d.typeErr)
 				}
 				d.typeErr = nil
 			})
 			if len(s.Entries) == 0 {
 				s.Entries, s.fingerprints = nil, nil
 			}
-			if s.Err = first; slice != nil {
-				d.typeErr = slice
+			if s.Err = firstErr; sliceErr != nil {
+				d.typeErr = sliceErr
 			}
 		case "ports":
 			s.Ports = nil
--- a/membership/endpointslice/kubeconfig/kubeconfig.go
+++ b/membership/endpointslice/kubeconfig/kubeconfig.go
@@ -117,15 +117,15 @@
 	if u == nil {
 		u = &user{}
 	}
-	for _, no := range []struct {
+	for _, unsupported := range []struct {
 		field string
 		set   bool
 	}{
 		{"proxy-url", c.Proxy != ""}, {"exec", u.Exec != nil}, {"auth-provider", u.Provider != nil},
 		{"username", u.Username != ""}, {"as", u.As != ""},
 	} {
-		if no.set {
-			return a, fmt.Errorf("%s: not supported: use a token, a token file or a client certificate", no.field)
+		if unsupported.set {
+			return a, fmt.Errorf("%s: not supported: use a token, a token file or a client certificate", unsupported.field)
 		}
 	}
 	a.Server, a.ServerName, a.Insecure = c.Server, c.ServerName, c.Insecure
--- a/membership/endpointslice/set.go
+++ b/membership/endpointslice/set.go
@@ -151,8 +151,8 @@
 func (s *Set) Put(now time.Time, new Slice) {
 	key := new.key()
 	in := s.slices[key]
-	whole := new.Err == nil || new.UnreadableEntries > 0 // otherwise nothing of it could be read
-	if !whole || in == nil && len(s.slices) >= s.partner.MaxEndpoints {
+	readable := new.Err == nil || new.UnreadableEntries > 0 // otherwise nothing of it could be read
+	if !readable || in == nil && len(s.slices) >= s.partner.MaxEndpoints {
 		s.rejected++
 		if in != nil {
 			in.listNumber = s.listNumber // keep the last state, as for a source that fails
@@ -179,14 +179,14 @@
 // replace sets a new state of a slice. An entry that has not changed costs only a comparison.
 func (s *Set) replace(now time.Time, in *sliceState, new Slice) {
 	port := s.partner.port(&new)
-	alike := port == in.port && new.AddressType == in.AddressType
+	sameAddressing := port == in.port && new.AddressType == in.AddressType
 	var touched []*endpoint
-	differs := make([]int, 0, 8)
+	changed := make([]int, 0, 8)
 	for i := range max(len(in.Entries), len(new.Entries)) {
-		if alike && i < len(in.Entries) && i < len(new.Entries) && in.Entries[i] == new.Entries[i] {
+		if sameAddressing && i < len(in.Entries) && i < len(new.Entries) && in.Entries[i] == new.Entries[i] {
 			continue
 		}
-		differs = append(differs, i)
+		changed = append(changed, i)
 		if i < len(in.Entries) && in.endpoints[i] != nil {
 			e := in.endpoints[i]
 			e.mentions = slices.DeleteFunc(e.mentions, func(m mention) bool { return m == mention{in, i} })
@@ -199,7 +199,7 @@
 	} else {
 		in.endpoints = append(in.endpoints, make([]*endpoint, n-len(in.endpoints))...)
 	}
-	for _, i := range differs {
+	for _, i := range changed {
 		if i >= len(new.Entries) {
 			break
 		}
@@ -256,8 +256,8 @@
 		}
 		return
 	}
-	news, was := !e.listed, *e
-	if news {
+	newlyListed, before := !e.listed, *e
+	if newlyListed {
 		e.listed = true
 		s.listedCount++
 	}
@@ -292,7 +292,7 @@
 			e.started = now.UnixMilli()
 		}
 	}
-	if news || e.phase != was.phase || e.note != was.note || e.addr != was.addr || e.zone != was.zone || e.hints != was.hints {
+	if newlyListed || e.phase != before.phase || e.note != before.note || e.addr != before.addr || e.zone != before.zone || e.hints != before.hints {
 		s.changed[e] = struct{}{} // but not if only its position in the slice changed
 	}
 }
--- a/membership/endpointslice/source.go
+++ b/membership/endpointslice/source.go
@@ -219,17 +219,17 @@
 func (s *Source) listAndWatch(ctx context.Context) {
 	version := "" // from which to watch; "" if the slices must be listed first
 	failures := 0
-	unsure := false // a connection broke, so the next server to respond may have older data
+	mayBeOlder := false // a connection broke, so the next server to respond may have older data
 	for ctx.Err() == nil {
 		began := s.host.Now()
-		was := version
+		previous := version
 		var err error
 		switch {
 		case version == "":
 			version, err = s.list(ctx)
-		case unsure:
+		case mayBeOlder:
 			if err = s.checkNotOlder(ctx, version); err == nil {
-				unsure = false
+				mayBeOlder = false
 				continue
 			}
 		default:
@@ -238,15 +238,15 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if version != was && version != "" {
+		if version != previous && version != "" {
 			failures = 0
 		}
 		var se *StatusError
-		atOnce := false // the server works, so the retry needs no pause
+		retryAtOnce := false // the server works, so the retry needs no pause
 		switch {
 		case err == nil:
-			unsure = false
-			if version == was && s.host.Now().Sub(began) < time.Second {
+			mayBeOlder = false
+			if version == previous && s.host.Now().Sub(began) < time.Second {
 				break // the watch ended at once without an event: pause to prevent a busy loop
 			}
 			failures = 0
@@ -256,21 +256,21 @@
 			continue
 		case errors.Is(err, errIdle):
 			s.alarm(&s.stats.Silent, "no events on a watch; restarting it", err)
-			unsure, atOnce = true, true
+			mayBeOlder, retryAtOnce = true, true
 		case errors.Is(err, errOlderData):
 			s.alarm(&s.stats.SetBack, "the API server has older data than before; listing again", err)
-			version, unsure, atOnce = "", false, true
+			version, mayBeOlder, retryAtOnce = "", false, true
 		case errors.Is(err, errVersionUnavailable), errors.As(err, &se) && se.versionUnavailable():
 			s.alarm(&s.stats.Gone, "a resource version is not available; listing again", err)
-			version, atOnce = "", true
+			version, retryAtOnce = "", true
 		default:
 			s.reportFailure(err)
-			unsure = !errors.As(err, &se)
+			mayBeOlder = !errors.As(err, &se)
 			if failures >= maxWatchFailures {
 				version = ""
 			}
 		}
-		if failures++; atOnce && failures == 1 { // only the first time, to prevent a busy loop if the server always responds so
+		if failures++; retryAtOnce && failures == 1 { // only the first time, to prevent a busy loop if the server always responds so
 			continue
 		}
 		if !s.pause(ctx, failures, se) {
@@ -316,14 +316,14 @@
 	if s.host.Now().After(s.pagesOnlyUntil) {
 		version, err = s.watch(ctx, "", true)
 		var se *StatusError
-		known := !errors.Is(err, errListStalled)
+		supported := !errors.Is(err, errListStalled)
 		if version == "" && errors.As(err, &se) {
 			switch se.Code {
 			case http.StatusBadRequest, http.StatusUnprocessableEntity, http.StatusMethodNotAllowed:
-				known = false
+				supported = false
 			}
 		}
-		if known || ctx.Err() != nil {
+		if supported || ctx.Err() != nil {
 			return version, err
 		}
 		s.log.Info("the API server does not support streaming lists; reading pages instead", "error", err)
@@ -350,15 +350,15 @@
 	q.Set("watch", "true")
 	q.Set("allowWatchBookmarks", "true")
 	q.Set("timeoutSeconds", strconv.Itoa(int((s.timing.WatchDuration + s.randomUpTo(s.timing.WatchDuration)).Seconds())))
-	silence, why := s.timing.WatchIdleTimeout, errIdle
+	idleLimit, why := s.timing.WatchIdleTimeout, errIdle
 	if initial {
 		q.Set("sendInitialEvents", "true")
 		q.Set("resourceVersionMatch", "NotOlderThan") // than the time of the request, since no version is given
-		silence, why = s.timing.InitialListIdleTimeout, errListStalled
+		idleLimit, why = s.timing.InitialListIdleTimeout, errListStalled
 	} else {
 		q.Set("resourceVersion", version)
 	}
-	guard := s.startIdleTimeout(r, silence, why)
+	guard := s.startIdleTimeout(r, idleLimit, why)
 	defer func() { guard.stop() }()
 	s.change(func() {
 		s.stats.Watches++
@@ -470,22 +470,22 @@
 // startIdleTimeout starts an idle timeout that ends r with the cause why.
 func (s *Source) startIdleTimeout(r *request, silence time.Duration, why error) *idleTimeout {
 	g := &idleTimeout{lastEvent: s.host.Now()}
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if g.stopped {
 			return
 		}
-		if rest := silence - s.host.Now().Sub(g.lastEvent); rest > 0 {
-			g.timer = s.host.AfterFunc(rest, look)
+		if remaining := silence - s.host.Now().Sub(g.lastEvent); remaining > 0 {
+			g.timer = s.host.AfterFunc(remaining, check)
 			return
 		}
 		r.end(why)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.timer = s.host.AfterFunc(silence, look)
+	g.timer = s.host.AfterFunc(silence, check)
 	return g
 }
 
--- a/membership/partnerlist/agent.go
+++ b/membership/partnerlist/agent.go
@@ -47,10 +47,10 @@
 // start starts the goroutine, unless it was started before or the agent is closed.
 func (a *agent) start(run func()) {
 	a.mu.Lock()
-	may := a.current != nil && !a.started
-	a.started = a.started || may
+	starts := a.current != nil && !a.started
+	a.started = a.started || starts
 	a.mu.Unlock()
-	if !may {
+	if !starts {
 		return
 	}
 	a.host.Go(func() {
@@ -125,8 +125,8 @@
 		a.disconnect()
 	}
 	for {
-		kept := a.conn != nil
-		if !kept {
+		reused := a.conn != nil
+		if !reused {
 			if err := a.dial(at, until); err != nil {
 				return http1.Answer{}, err
 			}
@@ -135,7 +135,7 @@
 		if err != nil || !answer.Keep {
 			a.disconnect()
 		}
-		if err != nil && kept && !errors.Is(err, http1.ErrLate) && !errors.Is(err, http1.ErrSpoilt) {
+		if err != nil && reused && !errors.Is(err, http1.ErrLate) && !errors.Is(err, http1.ErrSpoilt) {
 			continue
 		}
 		return answer, err
--- a/membership/partnerlist/notices.go
+++ b/membership/partnerlist/notices.go
@@ -77,7 +77,7 @@
 func (n *Notices) enqueue(v any) { n.pending = append(n.pending, v.(*notice)) }
 
 func (n *Notices) run() {
-	var at *address
+	var current *address
 	var pace pacer
 	pause, failed := minRetryPause, false
 	for {
@@ -85,37 +85,37 @@
 		if p == nil {
 			return
 		}
-		if p != at {
+		if p != current {
 			n.agent.disconnect()
-			at, pause, failed, n.suspectCount = p, minRetryPause, false, 0
+			current, pause, failed, n.suspectCount = p, minRetryPause, false, 0
 		}
 		if len(n.pending) == 0 {
 			n.pending = nil // frees the memory after a burst
 			n.agent.receive(time.Time{}, n.enqueue)
 			continue
 		}
-		most := len(n.pending)
+		limit := len(n.pending)
 		if n.suspectCount > 0 {
-			most = max(1, n.suspectCount/2)
+			limit = max(1, n.suspectCount/2)
 		}
-		body, count := encodeNotices(n.pending[:most])
-		status, err := n.post(at, body)
+		body, count := encodeNotices(n.pending[:limit])
+		status, err := n.post(current, body)
 		switch {
 		case err == nil && status == http.StatusNoContent:
 			n.acknowledge(count)
 			pause, failed = minRetryPause, false
-		case n.agent.currentAddress() != at: // the address has changed: start again at the new one
+		case n.agent.currentAddress() != current: // the address has changed: start again at the new one
 		case err == nil && status == http.StatusBadRequest:
 			n.handleUnreadable(count)
 			// Prevents a busy loop if discovery can read no notice at all.
-			n.agent.wait(at, pace.next(n.agent.host.Now()), n.enqueue)
+			n.agent.wait(current, pace.next(n.agent.host.Now()), n.enqueue)
 			pause, failed = minRetryPause, false
 		default:
 			if !failed {
 				n.log.Warn("can't send notices to discovery; retrying", "count", count, "status", status, "error", err)
 			}
 			failed = true
-			n.agent.wait(at, n.agent.host.Now().Add(pause), n.enqueue)
+			n.agent.wait(current, n.agent.host.Now().Add(pause), n.enqueue)
 			pause = min(2*pause, maxRetryPause)
 		}
 	}
--- a/membership/partnerlist/watch.go
+++ b/membership/partnerlist/watch.go
@@ -63,30 +63,30 @@
 // run makes one call after another. The next call normally follows a response at once, so that no change is missed.
 func (w *Watch) run() {
 	var after int64
-	var at *address
+	var current *address
 	var pace pacer
 	known, down := false, false
-	var turns subscription.Subscription
+	var schedule subscription.Subscription
 	for {
 		p := w.agent.currentAddress()
 		if p == nil {
 			return
 		}
-		if p != at {
-			at, known, turns = p, false, subscription.Subscription{Random: w.Random}
+		if p != current {
+			current, known, schedule = p, false, subscription.Subscription{Random: w.Random}
 		}
-		turns.StartCall(w.agent.host.Now()) // always true, since the pause has passed
+		schedule.StartCall(w.agent.host.Now()) // always true, since the pause has passed
 		path, limit := "/api/targets", w.fullListTimeout
 		if known {
 			path = fmt.Sprintf("/api/targets?after=%d&wait_ms=%d", after, w.wait.Milliseconds())
 			limit = w.wait + w.margin
 		}
-		begun := w.agent.host.Now()
-		l, err := w.fetch(at, path, limit)
+		started := w.agent.host.Now()
+		l, err := w.fetch(current, path, limit)
 		if err == nil && !known && !l.Complete {
 			err = errNoFullList
 		}
-		if w.agent.currentAddress() != at {
+		if w.agent.currentAddress() != current {
 			continue // the address has changed: ignore the result from the old one
 		}
 		if err != nil {
@@ -97,24 +97,24 @@
 				}
 			}
 			down = true
-			w.agent.wait(at, turns.CallFailed(w.agent.host.Now()), nil)
+			w.agent.wait(current, schedule.CallFailed(w.agent.host.Now()), nil)
 			continue
 		}
-		turns.CallSucceeded()
+		schedule.CallSucceeded()
 		if down {
 			w.log.Info("discovery responds again", "revision", l.Revision)
 		}
-		news := !known || l.Revision != after
+		changed := !known || l.Revision != after
 		known, down, after = true, false, l.Revision
 		if (l.Complete || len(l.Entries) > 0) && !w.report(l, nil) {
 			return
 		}
 		// Prevents a busy loop if faulty discovery responds to each call at once, with or without changes.
 		next := pace.next(w.agent.host.Now())
-		if !news {
-			next = later(next, begun.Add(minCallInterval))
+		if !changed {
+			next = later(next, started.Add(minCallInterval))
 		}
-		w.agent.wait(at, next, nil)
+		w.agent.wait(current, next, nil)
 	}
 }
 
--- a/membership/table.go
+++ b/membership/table.go
@@ -153,14 +153,14 @@
 		return nil, nil, nil
 	}
 	s.lastUpdate, s.failedSince, s.err = now, time.Time{}, ""
-	whole := u.Kind == FullList || u.Kind == Replacement
-	if whole {
+	complete := u.Kind == FullList || u.Kind == Replacement
+	if complete {
 		s.listed = true
 		s.listNumber++
 	}
 	touched := make([]*record, 0, len(u.Endpoints))
 	for _, e := range u.Endpoints {
-		r, err := t.recordClaim(now, s, e, whole)
+		r, err := t.recordClaim(now, s, e, complete)
 		if err != nil {
 			refused = append(refused, Rejection{e.ID, err})
 		}
@@ -168,7 +168,7 @@
 			touched = append(touched, r)
 		}
 	}
-	if whole {
+	if complete {
 		for _, r := range t.records {
 			c := r.claimOf(s)
 			switch {
@@ -269,10 +269,10 @@
 	affected := touched
 	before := make(map[*record]Endpoint, len(touched)) // as the caller knows them
 	for _, r := range touched {
-		was, is := r.merged, r.mergeClaims()
-		if was != is {
+		was, merged := r.merged, r.mergeClaims()
+		if was != merged {
 			before[r] = r.resolved()
-			r.merged = is
+			r.merged = merged
 			affected = append(affected, t.updateAddress(r, &was)...)
 		}
 		switch {
@@ -334,7 +334,7 @@
 }
 
 // updateAddress moves a record in byAddr from its old address to its current one. It returns the other records at both.
-func (t *Table) updateAddress(r *record, was *Endpoint) (all []*record) {
+func (t *Table) updateAddress(r *record, was *Endpoint) (others []*record) {
 	if was.Phase == Active {
 		key := addrKey{was.Dest, was.Addr}
 		rest := slices.DeleteFunc(t.byAddr[key], func(o *record) bool { return o == r })
@@ -343,14 +343,14 @@
 		} else {
 			t.byAddr[key] = rest
 		}
-		all = append(all, rest...)
+		others = append(others, rest...)
 	}
 	if r.merged.Phase == Active {
 		key := addrKey{r.merged.Dest, r.merged.Addr}
-		all = append(all, t.byAddr[key]...)
+		others = append(others, t.byAddr[key]...)
 		t.byAddr[key] = append(t.byAddr[key], r)
 	}
-	return all
+	return others
 }
 
 // addressHolder returns the ID of the endpoint that keeps r's address instead of r, "" if r keeps it.
--- a/membership/why.go
+++ b/membership/why.go
@@ -132,28 +132,28 @@
 		return x, false
 	}
 	x.Endpoint = r.resolved()
-	decided := ""
-	dests := map[int]bool{}
+	decidingSource := ""
+	destinations := map[int]bool{}
 	for _, c := range r.claims {
 		x.Claims = append(x.Claims, Claim{Source: c.source.name, Endpoint: c.endpoint, ReportedAt: c.reportedAt, Cached: c.cached, FailingSince: c.source.failedSince})
-		if c.endpoint.Phase == r.merged.Phase && decided == "" {
-			decided = c.source.name
+		if c.endpoint.Phase == r.merged.Phase && decidingSource == "" {
+			decidingSource = c.source.name
 		}
 		if c.endpoint.Phase != Left {
-			dests[c.endpoint.Dest] = true
+			destinations[c.endpoint.Dest] = true
 		}
 	}
 	switch {
 	case r.addressHolder != "":
 		x.Reason = fmt.Sprintf("its address %s is held by %s, which started later or comes first", r.merged.Addr, r.addressHolder)
-	case decided == "":
+	case decidingSource == "":
 		x.Reason = "its sources name different destinations"
 	case r.merged.Phase == Active:
 		x.Reason = "no source says otherwise"
 	default:
-		x.Reason = fmt.Sprintf("the worst that a source says of it, which is %s", decided)
+		x.Reason = fmt.Sprintf("the worst that a source says of it, which is %s", decidingSource)
 	}
-	if len(dests) > 1 && decided != "" {
+	if len(destinations) > 1 && decidingSource != "" {
 		x.Reason += "; its sources name different destinations"
 	}
 	return x, true
--- a/resend/planner.go
+++ b/resend/planner.go
@@ -120,11 +120,11 @@
 
 // Pick removes the messages that are to be resent now from the queue. how returns the condition of a destination and its
 // listed rate in calls a second. Each picked message counts as being resent until Done.
-func (p *Planner) Pick(now Time, how func(dest int) (control.Condition, float64)) (out []*Node) {
+func (p *Planner) Pick(now Time, condition func(dest int) (control.Condition, float64)) (out []*Node) {
 	for idle := 0; idle < len(p.order) && p.inFlight < p.slots; {
 		l := p.order[p.nextQueue]
 		p.nextQueue = (p.nextQueue + 1) % len(p.order)
-		if n := p.pickFrom(l, now, how); n != nil {
+		if n := p.pickFrom(l, now, condition); n != nil {
 			out = append(out, n)
 			idle = 0
 		} else {
--- a/resend/resend.go
+++ b/resend/resend.go
@@ -167,15 +167,15 @@
 }
 
 // Decide decides what the rules do with a message now.
-func (s *Settings) Decide(it *Item, now Time) Decision {
-	c, why := s.checkSendable(it)
+func (s *Settings) Decide(item *Item, now Time) Decision {
+	c, why := s.checkSendable(item)
 	switch {
-	case it.HoldReason != "":
-		return Decision{Action: Leave, Reason: it.HoldReason}
+	case item.HoldReason != "":
+		return Decision{Action: Leave, Reason: item.HoldReason}
 	case why != "":
 		return Decision{Action: Leave, Reason: why}
 	}
-	i := slices.IndexFunc(s.Rules, func(r Rule) bool { return r.matches(it) })
+	i := slices.IndexFunc(s.Rules, func(r Rule) bool { return r.matches(item) })
 	if i < 0 {
 		return Decision{Action: Leave, Reason: "no rule fits it"}
 	}
@@ -186,56 +186,56 @@
 	switch {
 	case c.Ordered:
 		return leave("its class is in order: what came since would be overtaken")
-	case it.Resends >= r.MaxResends:
+	case item.Resends >= r.MaxResends:
 		return leave("it had all %d tries of rule %q", r.MaxResends, r.Name)
-	case r.MaxAge > 0 && now-it.KeptAt > r.MaxAge:
+	case r.MaxAge > 0 && now-item.KeptAt > r.MaxAge:
 		return leave("it is older than rule %q allows", r.Name)
-	case it.FailedInquiries >= maxFailedInquiries:
-		return leave("%d inquiries in a row brought no answer", it.FailedInquiries)
+	case item.FailedInquiries >= maxFailedInquiries:
+		return leave("%d inquiries in a row brought no answer", item.FailedInquiries)
 	}
-	due := it.LastEnd + backoff(r.FirstDelay, r.MaxDelay, r.Factor, r.Jitter, it.Number, it.Resends)
-	if it.FailedInquiries > 0 {
-		due = max(due, it.LastFailedInquiry+backoff(firstInquiryPause, maxInquiryPause, 2, 0.5, it.Number, it.FailedInquiries-1))
+	due := item.LastEnd + backoff(r.FirstDelay, r.MaxDelay, r.Factor, r.Jitter, item.Number, item.Resends)
+	if item.FailedInquiries > 0 {
+		due = max(due, item.LastFailedInquiry+backoff(firstInquiryPause, maxInquiryPause, 2, 0.5, item.Number, item.FailedInquiries-1))
 	}
 	if now < due {
 		return Decision{Action: Wait, At: due, Rule: r.Name, Reason: "its next try is due later"}
 	}
-	v := s.decideSafely(it, c, now)
+	v := s.decideSafely(item, c, now)
 	v.Rule = r.Name
 	return v
 }
 
 // DecideManual decides on a message that an operator wants to resend. vouched means that the operator vouches that it took no
 // effect.
-func (s *Settings) DecideManual(it *Item, now Time, vouched bool) Decision {
-	c, why := s.checkSendable(it)
+func (s *Settings) DecideManual(item *Item, now Time, vouched bool) Decision {
+	c, why := s.checkSendable(item)
 	if why != "" {
 		return Decision{Action: Leave, Reason: why}
 	}
-	if quiet := s.quietFrom(it); vouched && it.Doubt.FirstSent != 0 {
+	if quiet := s.quietFrom(item); vouched && item.Doubt.FirstSent != 0 {
 		if now < quiet {
 			return Decision{Action: Wait, At: quiet, Reason: "an earlier call may still be running at the partner"}
 		}
 		return Decision{Action: ClearDoubt}
 	}
-	return s.decideSafely(it, c, now)
+	return s.decideSafely(item, c, now)
 }
 
-// DecideInquiry decides on a message after an inquiry that was sent at asked and got the answer a now.
-func (s *Settings) DecideInquiry(it *Item, asked, now Time, a Answer) Decision {
-	p := s.Partner(it.Destination)
+// DecideInquiry decides on a message after an inquiry that was sent at the time asked and got the answer a.
+func (s *Settings) DecideInquiry(item *Item, asked, now Time, a Answer) Decision {
+	p := s.Partner(item.Destination)
 	switch a {
 	case Yes:
 		return Decision{Action: MarkDelivered}
 	case Unknown:
 		return Decision{Action: Leave, Reason: "the partner can't tell whether it took effect"}
 	case Unanswered:
-		return Decision{Action: Wait, At: now + backoff(firstInquiryPause, maxInquiryPause, 2, 0.5, it.Number, it.FailedInquiries), Reason: "the partner did not answer"}
+		return Decision{Action: Wait, At: now + backoff(firstInquiryPause, maxInquiryPause, 2, 0.5, item.Number, item.FailedInquiries), Reason: "the partner did not answer"}
 	}
-	switch quiet := s.quietFrom(it); {
+	switch quiet := s.quietFrom(item); {
 	case asked < quiet: // an earlier call may have run after the inquiry
 		return Decision{Action: Wait, At: quiet, Reason: "an earlier call may still be running at the partner"}
-	case it.Doubt.AgeUnknown || now+ageTolerance >= it.Doubt.FirstSent+p.RememberTime: // a partner that no longer remembers answers no, too
+	case item.Doubt.AgeUnknown || now+ageTolerance >= item.Doubt.FirstSent+p.RememberTime: // a partner that no longer remembers answers no, too
 		return Decision{Action: Leave, Reason: reasonForgotten}
 	}
 	return Decision{Action: ClearDoubt}
@@ -244,31 +244,31 @@
 const reasonForgotten = "the partner may have forgotten whether it took effect"
 
 // checkSendable returns the class of a message, or the reason why the message can't be sent at all.
-func (s *Settings) checkSendable(it *Item) (*Class, string) {
-	c := s.class(it.Class)
+func (s *Settings) checkSendable(item *Item) (*Class, string) {
+	c := s.class(item.Class)
 	switch {
 	case c == nil:
-		return nil, fmt.Sprintf("class %q is not among the settings", it.Class)
-	case len(s.Tenants) > 0 && !slices.Contains(s.Tenants, it.Tenant):
-		return nil, fmt.Sprintf("tenant %q is not among the settings", it.Tenant)
-	case s.MaxBody > 0 && it.Body > s.MaxBody:
-		return nil, fmt.Sprintf("its body of %d bytes is over today's limit of %d", it.Body, s.MaxBody)
+		return nil, fmt.Sprintf("class %q is not among the settings", item.Class)
+	case len(s.Tenants) > 0 && !slices.Contains(s.Tenants, item.Tenant):
+		return nil, fmt.Sprintf("tenant %q is not among the settings", item.Tenant)
+	case s.MaxBody > 0 && item.Body > s.MaxBody:
+		return nil, fmt.Sprintf("its body of %d bytes is over today's limit of %d", item.Body, s.MaxBody)
 	}
 	return c, ""
 }
 
 // quietFrom returns the time from which no earlier call can run any more, neither at the dispatcher nor at the partner.
-func (s *Settings) quietFrom(it *Item) Time {
-	return it.Doubt.QuietFrom + s.Partner(it.Destination).SettleTime
+func (s *Settings) quietFrom(item *Item) Time {
+	return item.Doubt.QuietFrom + s.Partner(item.Destination).SettleTime
 }
 
 // decideSafely decides whether a message may be sent now without the risk that it takes effect a second time.
-func (s *Settings) decideSafely(it *Item, c *Class, now Time) Decision {
-	d, p := &it.Doubt, s.Partner(it.Destination)
+func (s *Settings) decideSafely(item *Item, c *Class, now Time) Decision {
+	d, p := &item.Doubt, s.Partner(item.Destination)
 	if d.FirstSent == 0 || c.Effect == control.Free {
 		return Decision{Action: Send}
 	}
-	key := it.HasKey && !c.Ordered && !d.AgeUnknown
+	key := item.HasKey && !c.Ordered && !d.AgeUnknown
 	switch {
 	case key && p.Proof == ByKey && now+c.Deadline+p.SettleTime+ageTolerance < d.FirstSent+p.RememberTime:
 		return Decision{Action: Send} // the resend ends before the partner forgets the key
@@ -278,7 +278,7 @@
 		if d.AgeUnknown || now+ageTolerance >= d.FirstSent+p.RememberTime {
 			return Decision{Action: Leave, Reason: reasonForgotten}
 		}
-		if quiet := s.quietFrom(it); now < quiet {
+		if quiet := s.quietFrom(item); now < quiet {
 			return Decision{Action: Wait, At: quiet, Reason: "an earlier call may still be running at the partner"}
 		}
 		return Decision{Action: Ask}
@@ -289,9 +289,9 @@
 }
 
 // matches reports whether a rule matches a message.
-func (r *Rule) matches(it *Item) bool {
-	return emptyOrContains(r.Classes, it.Class) && emptyOrContains(r.Destinations, it.Destination) && emptyOrContains(r.Tenants, it.Tenant) && emptyOrContains(r.Causes, it.Cause) &&
-		(r.Doubt == AnyDoubt || (r.Doubt == OnlyDoubt) == (it.Doubt.FirstSent != 0))
+func (r *Rule) matches(item *Item) bool {
+	return emptyOrContains(r.Classes, item.Class) && emptyOrContains(r.Destinations, item.Destination) && emptyOrContains(r.Tenants, item.Tenant) && emptyOrContains(r.Causes, item.Cause) &&
+		(r.Doubt == AnyDoubt || (r.Doubt == OnlyDoubt) == (item.Doubt.FirstSent != 0))
 }
 
 // emptyOrContains reports whether v is in list. An empty list contains every value.
