--- a/admission/admission.go
+++ b/admission/admission.go
@@ -16,15 +16,15 @@
 // Settings configures a Gate. A field that is 0 means its default.
 type Settings struct {
 	LateAfter      Time    // delays up to this are normal
-	SustainedAfter Time    // all delays must have been longer than Late for this time before messages are rejected
+	SustainedAfter Time    // all delays must have been longer than LateAfter for this time before messages are rejected
 	MinRate        float64 // messages a second that are always admitted, since so few don't cause an overload
 }
 
 // Defaults of the settings.
 const (
-	defaultLate    = 20 * control.Millisecond
-	defaultLasting = 200 * control.Millisecond
-	defaultFloor   = 250
+	defaultLateAfter      = 20 * control.Millisecond
+	defaultSustainedAfter = 200 * control.Millisecond
+	defaultMinRate        = 250
 )
 
 const (
@@ -64,13 +64,13 @@
 // New creates a gate. It admits every message until long delays are reported.
 func New(s Settings) *Gate {
 	if s.LateAfter == 0 {
-		s.LateAfter = defaultLate
+		s.LateAfter = defaultLateAfter
 	}
 	if s.SustainedAfter == 0 {
-		s.SustainedAfter = defaultLasting
+		s.SustainedAfter = defaultSustainedAfter
 	}
 	if s.MinRate == 0 {
-		s.MinRate = defaultFloor
+		s.MinRate = defaultMinRate
 	}
 	return &Gate{settings: s, maxTokens: minTokenLimit}
 }
--- a/membership/endpointslice/decode.go
+++ b/membership/endpointslice/decode.go
@@ -43,7 +43,7 @@
 	Terminating bool   // false if absent
 }
 
-// PortName is one of a slice's ports.
+// Port is one of a slice's ports.
 type Port struct {
 	Name   string // "" if absent
 	Number int    // 0 if absent
--- a/membership/endpointslice/set.go
+++ b/membership/endpointslice/set.go
@@ -33,11 +33,11 @@
 	partner            Partner
 	slices             map[string]*sliceState
 	endpoints          map[string]*endpoint
-	changed            map[*endpoint]struct{} // since the last Take
+	changed            map[*endpoint]struct{} // since the last TakeChanges
 	dropped            []drop                 // endpoints that no slice listed any more, oldest first; some may be listed again by now
 	droppedByEmptyList []drop                 // the same for endpoints dropped by a list without any endpoint
 	listedCount        int                    // number of endpoints that a slice lists
-	listing            bool                   // between Begin and End
+	listing            bool                   // between BeginList and EndList
 	listCompleted      bool                   // a list has been read completely
 	listNumber         int                    // number of the current or last list
 	rejected           int                    // total number of entries and slices that were rejected
@@ -70,7 +70,7 @@
 	droppedAt     time.Time
 	phase         membership.Phase
 	listed        bool // a slice lists it
-	reported      bool // Take last returned it with a phase other than Left
+	reported      bool // TakeChanges last returned it with a phase other than Left
 	wasActive     bool // it has been Active
 	terminated    bool // a pod that was once read as terminating
 	droppedByList int  // number of the list that dropped it, 0 if none did
@@ -368,7 +368,8 @@
 	return queue
 }
 
-// NextDue returns the time at which a dropped endpoint becomes Left, so that Take has a change without a call of Put or Remove.
+// NextDue returns the time at which a dropped endpoint becomes Left, so that TakeChanges returns a change
+// without a call of Put or Remove.
 func (s *Set) NextDue() (at time.Time, some bool) {
 	if s.listing {
 		return at, false
--- a/membership/endpointslice/source.go
+++ b/membership/endpointslice/source.go
@@ -80,7 +80,7 @@
 	MinBackoff             time.Duration // pause after the first failure; doubles with each further one ...
 	MaxBackoff             time.Duration // ... up to this; with a Retry-After it may be longer, up to maxRetryAfter
 	StreamingRetryInterval time.Duration // how long until streaming lists are tried again on a server without support for them
-	EmptyListRecheck       time.Duration // pause before an empty list is read again; doubles up to Most
+	EmptyListRecheck       time.Duration // pause before an empty list is read again; doubles up to MaxBackoff
 }
 
 // DefaultTiming returns the times that New sets.
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -7,7 +7,7 @@
 //   - The ID identifies an endpoint. Sources that report the same endpoint must use the same ID.
 //   - The worst claim on an endpoint counts: Left, then Leaving, then Active. A source that never reported an endpoint has
 //     no claim on it. If a source's full list omits an endpoint that it reported before, that source now claims Left. Only
-//     an update of the kind Restated (a list written by hand) withdraws the claim instead.
+//     an update of the kind Replacement (a list written by hand) withdraws the claim instead.
 //   - Address, destination, zone, kind and hints come from the first source, in the table's order, that lists the endpoint
 //     (its claim is not Left) and sets the field. The weight is the first one over 0 among these sources. Started is the
 //     latest.
@@ -15,7 +15,7 @@
 //   - For each destination and address only one endpoint is Active. Of several IDs with the same address, the one that
 //     started last keeps it, then the smallest ID. The others are Leaving.
 //   - The claims of a source that fails or stops reporting stay as they are.
-//   - An endpoint that has left is remembered for a while (Settings.Remember), so that a source that lags behind cannot
+//   - An endpoint that has left is remembered for a while (Settings.RememberLeft), so that a source that lags behind cannot
 //     bring it back. The source that reported Left can.
 //
 // Claims from a cache (Restore) count as the last report of their source until that source reports again.
--- a/membership/partnerlist/list.go
+++ b/membership/partnerlist/list.go
@@ -1,6 +1,6 @@
 // Package partnerlist is the client of the platform's discovery service, which it reaches through an agent on the same
 // machine. It watches the list of endpoints and sends notices of accepted messages that were not delivered. All I/O goes
-// through a host.Host, so that it also runs on a simulated one. The lists go to an engine (Listing) or to a membership
+// through a host.Host, so that it also runs on a simulated one. The lists go to an engine (ListingCallback) or to a membership
 // table (Source).
 package partnerlist
 
--- a/membership/partnerlist/notices.go
+++ b/membership/partnerlist/notices.go
@@ -48,14 +48,14 @@
 	return &Notices{agent: newAgent(h, addr), log: log}
 }
 
-// Start starts a goroutine that sends the notices until Close. It must be called once, before the first Done. The goroutine
+// Start starts a goroutine that sends the notices until Close. It must be called once, before the first result. The goroutine
 // calls through with the ids whose notices were acknowledged. through must not block.
 func (n *Notices) Start(through func(ids []string)) {
 	n.acknowledged = through
 	n.agent.start(n.run)
 }
 
-// Done queues the notice for a result. It does not block. Messages that were delivered, closed by the endpoint or withdrawn
+// Completed queues the notice for a result. It does not block. Messages that were delivered, closed by the endpoint or withdrawn
 // get no notice, and the engine waits for no acknowledgement of them.
 func (n *Notices) Completed(d *engine.Done) {
 	switch d.Disposition {
--- a/membership/subscription/subscription.go
+++ b/membership/subscription/subscription.go
@@ -9,7 +9,7 @@
 // another. Each call that it rejects, or that its caller abandons, then takes time from the calls of others, so the pause
 // grows quickly. Its maximum is short, since the dispatcher doesn't learn which endpoints drain until a call succeeds.
 const (
-	// MinPause is the pause after the first failure. It doubles with each further one. With Subscription.Draw up to half of
+	// MinPause is the pause after the first failure. It doubles with each further one. With Subscription.Random up to half of
 	// a pause is left out at random.
 	MinPause = 50 * time.Millisecond
 	// MaxPause is the longest pause.
@@ -36,7 +36,8 @@
 	subscribed              // discovery sends changes
 )
 
-// StartCall reports whether to start a call now. If so, the call counts as started, and Answered or Failed must follow.
+// StartCall reports whether to start a call now. If so, the call counts as started, and CallSucceeded or CallFailed must
+// follow.
 func (s *Subscription) StartCall(now time.Time) bool {
 	if s.state != idle || now.Before(s.due) {
 		return false
--- a/membership/table.go
+++ b/membership/table.go
@@ -12,8 +12,8 @@
 type Settings struct {
 	Sources      []string // names of the sources, in decreasing precedence for fields
 	MaxEndpoints int      // limit on endpoints in the table; 0 means 100,000
-	// RememberLeft is how long an endpoint that has left is remembered; 0 means 10 minutes. No more than maxRememberedLeft are
-	// remembered, whatever this says.
+	// RememberLeft is how long an endpoint that has left is remembered; 0 means 10 minutes. No more than
+	// maxRememberedLeft are remembered, whatever this says.
 	RememberLeft time.Duration
 }
 
@@ -98,7 +98,7 @@
 }
 
 // SetSources replaces the list of sources. Sources that are no longer in it lose their claims. An endpoint without any
-// other claim has left. It returns the changed endpoints in the same way as Tell.
+// other claim has left. It returns the changed endpoints in the same way as Apply.
 func (t *Table) SetSources(now time.Time, names []string) ([]Endpoint, error) {
 	next := make([]*source, 0, len(names))
 	for i, name := range names {
--- a/resend/planner.go
+++ b/resend/planner.go
@@ -15,7 +15,7 @@
 	heapPosition int32 // index in its queue's heap plus 1; 0 if it is in none
 }
 
-// SetDestination sets the destination of the message. It must come before the first Put.
+// SetDestination sets the destination of the message. It must come before the first Schedule.
 func (n *Node) SetDestination(dest int) {
 	if n.heapPosition == 0 {
 		n.destination = int32(dest)
@@ -34,7 +34,7 @@
 	trial     Time           // between two trials of an unhealthy destination
 	queues    map[int]*queue // by destination
 	order     []*queue       // served round robin
-	nextQueue int            // index in order of the next lane
+	nextQueue int            // index in order
 	inFlight  int            // messages being resent
 }
 
@@ -101,8 +101,8 @@
 	}
 }
 
-// NextDue returns the next time at which Pick may find a message. ok is false if there is none until Put, Drop or Done is
-// called.
+// NextDue returns the next time at which Pick may find a message. ok is false if there is none until Schedule, Remove or
+// Completed is called.
 func (p *Planner) NextDue() (at Time, ok bool) {
 	if p.inFlight >= p.slots {
 		return 0, false
@@ -119,7 +119,7 @@
 }
 
 // Pick removes the messages that are to be resent now from the queue. how returns the condition of a destination and its
-// listed rate in calls a second. Each picked message counts as being resent until Done.
+// listed rate in calls a second. Each picked message counts as being resent until Completed.
 func (p *Planner) Pick(now Time, condition func(dest int) (control.Condition, float64)) (out []*Node) {
 	for idle := 0; idle < len(p.order) && p.inFlight < p.slots; {
 		l := p.order[p.nextQueue]
@@ -179,7 +179,7 @@
 	p.inFlight++
 }
 
-// Done records that a message is no longer being resent, and with which result.
+// Completed records that a message is no longer being resent, and with which result.
 func (p *Planner) Completed(dest int, now Time, f SendResult) {
 	l := p.queue(dest)
 	l.inFlight--
--- a/resend/resend.go
+++ b/resend/resend.go
@@ -101,16 +101,16 @@
 	FirstSent  Time // when the first attempt that may have run was sent, 0 if there is none
 	Zone       int  // of the endpoint that it was sent to
 	QuietFrom  Time // from then on the dispatcher has no call open for it
-	AgeUnknown bool // At is unreliable, since the clock was set back in the meantime
+	AgeUnknown bool // FirstSent is unreliable, since the clock was set back in the meantime
 }
 
-// Action is an action for a message.
+// Action is what to do with a message.
 type Action uint8
 
 // Actions.
 const (
 	Wait          Action = iota + 1 // decide again at the time At
-	Ask                             // ask the partner whether it took effect; Answered handles the answer
+	Ask                             // ask the partner whether it took effect; DecideInquiry handles the answer
 	Send                            // resend it as a message that never ran
 	SendInDoubt                     // resend it with the doubt of its earlier attempts
 	Leave                           // leave it to operators
