--- a/membership/endpointslice/client.go
+++ b/membership/endpointslice/client.go
@@ -40,8 +40,8 @@
 	return c, nil
 }
 
-// NewClientWithHost creates a client whose sources run on the given host, which may be simulated. It uses plain HTTP and a new
-// connection for each request.
+// NewClientWithHost creates a client whose sources run on the given host, which may be simulated. It uses plain HTTP and a
+// new connection for each request.
 func NewClientWithHost(h host.Host, a Access) (*Client, error) {
 	if err := a.Check(); err != nil {
 		return nil, err
--- a/membership/endpointslice/decode.go
+++ b/membership/endpointslice/decode.go
@@ -345,9 +345,9 @@
 	}
 }
 
-// reuseEntry consumes the next entry if its text is the same as that of an entry in the last known state, and returns the index
-// of that entry. It compares with the entry expected here and with its neighbours, since an entry may have been added or
-// removed. Otherwise it consumes nothing and returns -1.
+// reuseEntry consumes the next entry if its text is the same as that of an entry in the last known state, and returns the
+// index of that entry. It compares with the entry expected here and with its neighbours, since an entry may have been added
+// or removed. Otherwise it consumes nothing and returns -1.
 func (d *decoder) reuseEntry() int {
 	if d.peek() != '{' {
 		return -1
--- a/membership/endpointslice/fuzz_test.go
+++ b/membership/endpointslice/fuzz_test.go
@@ -74,8 +74,8 @@
 	return int(f)
 }
 
-// hasDuplicateKey reports whether an object in the text has a key twice. Both encoding/json and the decoder here use the last value,
-// but they differ in how they handle the first one.
+// hasDuplicateKey reports whether an object in the text has a key twice. Both encoding/json and the decoder here use the
+// last value, but they differ in how they handle the first one.
 func hasDuplicateKey(text []byte) bool {
 	d := json.NewDecoder(bytes.NewReader(text))
 	type level struct {
--- a/membership/endpointslice/scan.go
+++ b/membership/endpointslice/scan.go
@@ -113,9 +113,9 @@
 	}
 }
 
-// specialBytes finds the first of eight bytes that needs special treatment in a string: a quote, a backslash, a control byte or a
-// byte above 0x7f. It sets the high bit of that byte. The bits of higher bytes mean nothing. Most of the text is within
-// strings, so checking eight bytes at once saves time.
+// specialBytes finds the first of eight bytes that needs special treatment in a string: a quote, a backslash, a control
+// byte or a byte above 0x7f. It sets the high bit of that byte. The bits of higher bytes mean nothing. Most of the text is
+// within strings, so checking eight bytes at once saves time.
 func specialBytes(x uint64) uint64 {
 	const ones, highs = 0x0101010101010101, 0x8080808080808080
 	quote, slash := x^(ones*'"'), x^(ones*'\\')
@@ -188,7 +188,8 @@
 	return false
 }
 
-// stringValue consumes a string. The result may share memory with the scanner's input, so it must be cloned before it is kept.
+// stringValue consumes a string. The result may share memory with the scanner's input, so it must be cloned before it is
+// kept.
 func (s *scanner) stringValue() string {
 	text, plain := s.rawString()
 	if s.err != nil {
--- a/membership/endpointslice/set.go
+++ b/membership/endpointslice/set.go
@@ -305,9 +305,9 @@
 	return cmp.Or(cmp.Compare(m.slice.key, o.slice.key), cmp.Compare(m.index, o.index)) < 0
 }
 
-// TakeChanges returns the endpoints that changed since the last call, each in its newest state, sorted by phase (Left, Leaving,
-// Active) and then by ID. It returns at most most Active endpoints (0 or less: no limit), so that Left and Leaving ones
-// don't have to wait for a large number of additions. more is true if some are left for the next call.
+// TakeChanges returns the endpoints that changed since the last call, each in its newest state, sorted by phase (Left,
+// Leaving, Active) and then by ID. It returns at most most Active endpoints (0 or less: no limit), so that Left and Leaving
+// ones don't have to wait for a large number of additions. more is true if some are left for the next call.
 func (s *Set) TakeChanges(now time.Time, most int) (changes []membership.Endpoint, more bool) {
 	if !s.listing {
 		s.dropped = s.expireDropped(now, s.dropped, s.partner.Grace)
--- a/membership/endpointslice/set_test.go
+++ b/membership/endpointslice/set_test.go
@@ -484,7 +484,7 @@
 			}
 			changes, more := set.TakeChanges(now, 0)
 			if more {
-				t.Fatal("Take held changes back without a limit")
+				t.Fatal("TakeChanges held changes back without a limit")
 			}
 			if _, refused, err := table.Apply(now, "s", membership.Update{Endpoints: changes}); err != nil || len(refused) > 0 {
 				t.Fatal(err, refused)
--- a/membership/endpointslice/source.go
+++ b/membership/endpointslice/source.go
@@ -163,8 +163,8 @@
 	return ctx.Err()
 }
 
-// nextUpdate returns the next update. If there is none, it returns the time at which there will be one without further input,
-// zero if none is due.
+// nextUpdate returns the next update. If there is none, it returns the time at which there will be one without further
+// input, zero if none is due.
 func (s *Source) nextUpdate(now time.Time) (u membership.Update, due time.Time, some bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -341,8 +341,8 @@
 	return "/apis/discovery.k8s.io/v1/namespaces/" + url.PathEscape(s.partner.Namespace) + "/endpointslices"
 }
 
-// watch reads one watch. It starts from a version or, if initial is set, with a streaming list. It returns the newest version
-// that was read, also with an error. The error is nil if the server ended the watch normally.
+// watch reads one watch. It starts from a version or, if initial is set, with a streaming list. It returns the newest
+// version that was read, also with an error. The error is nil if the server ended the watch normally.
 func (s *Source) watch(ctx context.Context, version string, initial bool) (next string, err error) {
 	r := newRequest(ctx)
 	defer r.end(nil)
@@ -597,8 +597,8 @@
 	}
 }
 
-// checkNotOlder returns an error if the server's data are older than a version. A watch does not show that, since a watch from a
-// future version sends no events until the server reaches that version.
+// checkNotOlder returns an error if the server's data are older than a version. A watch does not show that, since a watch
+// from a future version sends no events until the server reaches that version.
 func (s *Source) checkNotOlder(ctx context.Context, version string) error {
 	// The query matches no slice. The content of a slice could not be used, since the watch continues from an older version.
 	q := url.Values{"limit": {"1"}, "fieldSelector": {"metadata.name=no-such-slice"}}
--- a/membership/partnerlist/list.go
+++ b/membership/partnerlist/list.go
@@ -1,7 +1,7 @@
 // Package partnerlist is the client of the platform's discovery service, which it reaches through an agent on the same
 // machine. It watches the list of endpoints and sends notices of accepted messages that were not delivered. All I/O goes
-// through a host.Host, so that it also runs on a simulated one. The lists go to an engine (ListingCallback) or to a membership
-// table (Source).
+// through a host.Host, so that it also runs on a simulated one. The lists go to an engine (ListingCallback) or to a
+// membership table (Source).
 package partnerlist
 
 import (
@@ -44,8 +44,8 @@
 	UpSince  int64   `json:"up_since_ms"` // last start, Unix ms; 0 if long ago
 }
 
-// NameIndex looks up the numbers of zones and kinds in the settings, -1 for unknown ones. Names are passed in as the settings
-// write them, with underscores in place of spaces and commas.
+// NameIndex looks up the numbers of zones and kinds in the settings, -1 for unknown ones. Names are passed in as the
+// settings write them, with underscores in place of spaces and commas.
 type NameIndex struct {
 	Zone, Kind func(name string) int
 }
--- a/membership/partnerlist/listing.go
+++ b/membership/partnerlist/listing.go
@@ -8,8 +8,8 @@
 	"curlewmux/internal/host"
 )
 
-// ListingCallback returns a callback for Watch.Start that forwards lists to an engine. It logs zones and kinds that the settings
-// don't have, at most once a second. The callback returns false once the engine no longer accepts events.
+// ListingCallback returns a callback for Watch.Start that forwards lists to an engine. It logs zones and kinds that the
+// settings don't have, at most once a second. The callback returns false once the engine no longer accepts events.
 func ListingCallback(to engine.MembershipReceiver, names NameIndex, h host.Host, log *slog.Logger) func(*List, error) bool {
 	var warned time.Time
 	return func(l *List, err error) bool {
--- a/membership/partnerlist/notices.go
+++ b/membership/partnerlist/notices.go
@@ -29,8 +29,8 @@
 	// Used only by the goroutine:
 
 	pending []*notice // oldest first
-	// suspectCount is the number of oldest notices among which is one that discovery could not read, 0 if there is none. They
-	// are sent in halves until that notice is alone in a request.
+	// suspectCount is the number of oldest notices among which is one that discovery could not read, 0 if there is none.
+	// They are sent in halves until that notice is alone in a request.
 	suspectCount int
 }
 
@@ -48,15 +48,15 @@
 	return &Notices{agent: newAgent(h, addr), log: log}
 }
 
-// Start starts a goroutine that sends the notices until Close. It must be called once, before the first result. The goroutine
-// calls through with the ids whose notices were acknowledged. through must not block.
+// Start starts a goroutine that sends the notices until Close. It must be called once, before the first result. The
+// goroutine calls through with the ids whose notices were acknowledged. through must not block.
 func (n *Notices) Start(through func(ids []string)) {
 	n.acknowledged = through
 	n.agent.start(n.run)
 }
 
-// Completed queues the notice for a result. It does not block. Messages that were delivered, closed by the endpoint or withdrawn
-// get no notice, and the engine waits for no acknowledgement of them.
+// Completed queues the notice for a result. It does not block. Messages that were delivered, closed by the endpoint or
+// withdrawn get no notice, and the engine waits for no acknowledgement of them.
 func (n *Notices) Completed(d *engine.Done) {
 	switch d.Disposition {
 	case engine.Refused:
@@ -66,8 +66,8 @@
 	}
 }
 
-// SetAddress sets the address of the agent, also for notices that are not yet acknowledged. It reports whether the address is
-// a different one. It does not block.
+// SetAddress sets the address of the agent, also for notices that are not yet acknowledged. It reports whether the address
+// is a different one. It does not block.
 func (n *Notices) SetAddress(addr string) bool { return n.agent.setAddress(addr) }
 
 // Close stops sending and waits for the goroutine to end. Notices that are not acknowledged are dropped, since the store
@@ -132,8 +132,8 @@
 	n.acknowledged(ids)
 }
 
-// handleUnreadable handles a response that says that discovery can't read one or more of the oldest count notices. A notice that
-// was alone in its request is dropped, since a retry would fail in the same way.
+// handleUnreadable handles a response that says that discovery can't read one or more of the oldest count notices. A notice
+// that was alone in its request is dropped, since a retry would fail in the same way.
 func (n *Notices) handleUnreadable(count int) {
 	if count > 1 {
 		n.suspectCount = count
--- a/membership/partnerlist/notices_test.go
+++ b/membership/partnerlist/notices_test.go
@@ -223,7 +223,7 @@
 		}
 		s.after(5*time.Millisecond, func() {
 			if !n.SetAddress("agent:2") {
-				t.Errorf("%s: Move returns false for a different address", name)
+				t.Errorf("%s: SetAddress returns false for a different address", name)
 			}
 		})
 		for _, id := range []string{"a", "b", "c", "d"} {
--- a/membership/partnerlist/watch.go
+++ b/membership/partnerlist/watch.go
@@ -16,13 +16,13 @@
 	watchWait   = 10 * time.Second // how long discovery may hold a watch call until there are changes
 	watchMargin = 2 * time.Second  // no response this long after watchWait means that discovery or the network is down
 
-	// fullListTimeout is the timeout for a full list. One discovery service may serve all dispatchers one after another, and its
-	// response may come seconds late. An abandoned call costs it as much as a completed one, and a new call would not be
-	// answered sooner.
+	// fullListTimeout is the timeout for a full list. One discovery service may serve all dispatchers one after another,
+	// and its response may come seconds late. An abandoned call costs it as much as a completed one, and a new call would
+	// not be answered sooner.
 	fullListTimeout = 6 * time.Second
 
-	// minCallInterval is the minimum time between the starts of two calls if the first brought no changes. Discovery keeps a watch
-	// only if the next call comes within 200 ms of a response, so this must stay well below that.
+	// minCallInterval is the minimum time between the starts of two calls if the first brought no changes. Discovery keeps
+	// a watch only if the next call comes within 200 ms of a response, so this must stay well below that.
 	minCallInterval = 100 * time.Millisecond
 )
 
@@ -53,8 +53,8 @@
 	w.agent.start(w.run)
 }
 
-// SetAddress sets the address of the agent and starts again there with a full list. It reports whether the address is a different
-// one. It does not block.
+// SetAddress sets the address of the agent and starts again there with a full list. It reports whether the address is a
+// different one. It does not block.
 func (w *Watch) SetAddress(addr string) bool { return w.agent.setAddress(addr) }
 
 // Close ends the watch and waits for its goroutine to end. It must not be called from tell.
--- a/membership/partnerlist/watch_test.go
+++ b/membership/partnerlist/watch_test.go
@@ -245,7 +245,7 @@
 		}
 		s.after(30*time.Millisecond, func() {
 			if !w.SetAddress("agent:2") || w.SetAddress("agent:2") {
-				t.Errorf("%s: Move does not report whether the address is a different one", name)
+				t.Errorf("%s: SetAddress does not report whether the address is a different one", name)
 			}
 		})
 		w.run()
@@ -403,7 +403,7 @@
 	a.set(func() { a.muted = true })
 	b.set(func() { b.revision = 5 })
 	if !w.SetAddress(b.addr()) {
-		t.Error("Move returns false for a different address")
+		t.Error("SetAddress returns false for a different address")
 	}
 	for m := range to {
 		if !m.Failed { // the failure of discovery may have been reported just before
--- a/membership/subscription/subscription.go
+++ b/membership/subscription/subscription.go
@@ -9,8 +9,8 @@
 // another. Each call that it rejects, or that its caller abandons, then takes time from the calls of others, so the pause
 // grows quickly. Its maximum is short, since the dispatcher doesn't learn which endpoints drain until a call succeeds.
 const (
-	// MinPause is the pause after the first failure. It doubles with each further one. With Subscription.Random up to half of
-	// a pause is left out at random.
+	// MinPause is the pause after the first failure. It doubles with each further one. With Subscription.Random up to half
+	// of a pause is left out at random.
 	MinPause = 50 * time.Millisecond
 	// MaxPause is the longest pause.
 	MaxPause = time.Second
--- a/membership/table.go
+++ b/membership/table.go
@@ -397,8 +397,8 @@
 	return false
 }
 
-// popLeft takes the first entry off the queue and reports whether its endpoint was removed. The endpoint stays if it has come
-// back since. If it has come back and left again, a later entry stands for it.
+// popLeft takes the first entry off the queue and reports whether its endpoint was removed. The endpoint stays if it has
+// come back since. If it has come back and left again, a later entry stands for it.
 func (t *Table) popLeft() bool {
 	g := t.leftQueue[0]
 	t.leftQueue[0] = leftEntry{}
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -107,7 +107,7 @@
 	r.want(r.tell(0, "a", Changes, Endpoint{ID: "e1", Phase: Left}), "")
 	r.want(r.tell(1, "b", Changes, ep("e1", Active)), "")
 	r.want(r.tell(2, "b", Changes, ep("e1", Left)), "")
-	r.want(r.tell(70, "b", Changes, ep("e1", Active)), "e1 active") // Remember has passed since the last report
+	r.want(r.tell(70, "b", Changes, ep("e1", Active)), "e1 active") // RememberLeft has passed since the last report
 }
 
 func TestReplacementWithdrawsOmittedClaims(t *testing.T) {
--- a/resend/planner.go
+++ b/resend/planner.go
@@ -173,7 +173,8 @@
 	Failure
 )
 
-// AddInFlight counts a message as being resent that was not picked, since it was already being resent when the process started.
+// AddInFlight counts a message as being resent that was not picked, since it was already being resent when the process
+// started.
 func (p *Planner) AddInFlight(dest int) {
 	p.queue(dest).inFlight++
 	p.inFlight++
--- a/resend/resend.go
+++ b/resend/resend.go
@@ -205,8 +205,8 @@
 	return v
 }
 
-// DecideManual decides on a message that an operator wants to resend. vouched means that the operator vouches that it took no
-// effect.
+// DecideManual decides on a message that an operator wants to resend. vouched means that the operator vouches that it took
+// no effect.
 func (s *Settings) DecideManual(item *Item, now Time, vouched bool) Decision {
 	c, why := s.checkSendable(item)
 	if why != "" {
