--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,11 +1,11 @@
-// Package admission decides whether new work is taken while the process itself is what is late: whether there is a core
-// for it. It knows nothing of messages, and has no clock, no I/O and no goroutines: it is told how late things are, what
-// has ended, and who asks.
+// Package admission limits new messages while the process itself is overloaded, that is, while its work waits for a CPU
+// core. It knows nothing of the messages, reads no clock, does no I/O and starts no goroutine. The caller reports the
+// measured delays, the number of completed messages and each request for admission.
 //
-// As long as the process keeps up nobody is turned away. Once everything has been late for a while, what ends lets new
-// work in: about one for one, less where all is late, more where it is not. So as much is held as lets the core do what it
-// can, without a rate that would have to be guessed. When nobody has been turned away for a while the process keeps up
-// again.
+// While the process keeps up, every message is admitted. Once all measured delays have been too long for a while, each
+// completed message admits about one new message: fewer than one while delays are long, more than one while they are
+// short. This keeps as many messages in the process as the core can handle, without a configured rate. When no message
+// has been rejected for a while, the limit ends.
 package admission
 
 import "curlewmux/control"
@@ -13,85 +13,88 @@
 // Time is an instant or a span, in microseconds.
 type Time = control.Time
 
-// Settings are told once, at the start. Where one is 0 its default counts.
+// Settings configures a Gate. A field that is 0 means its default.
 type Settings struct {
-	LateAfter      Time    // what waits no longer for a core is in time
-	SustainedAfter Time    // lateness counts if all that is told for so long is late: shorter ones are pauses
-	MinRate        float64 // so many a second are always taken: they are not what makes the process late
+	LateAfter      Time    // delays up to this are normal
+	SustainedAfter Time    // all delays must have been longer than LateAfter for this time before messages are rejected
+	MinRate        float64 // messages a second that are always admitted, since so few don't cause an overload
 }
 
 // Defaults of the settings.
 const (
-	defaultLate    = 20 * control.Millisecond
-	defaultLasting = 200 * control.Millisecond
-	defaultFloor   = 250
+	defaultLateAfter      = 20 * control.Millisecond
+	defaultSustainedAfter = 200 * control.Millisecond
+	defaultMinRate        = 250
 )
 
 const (
-	often    = 3                         // late ones in a row, at least, before anybody is turned away: one is a pause
-	stale    = 2 * control.Second        // what was told so long ago tells nothing of now
-	interval = 100 * control.Millisecond // after which what has ended and who was turned away is looked at ...
-	loose    = 10                        // ... and after so many without anybody turned away all are taken
-	bank     = 64                        // may come at once, or
-	share    = 1.0 / 10                  // this part of what ended in the last interval, if that is more
-	again    = control.Second            // what those are told to wait who are turned away
+	minLongDelays      = 3                         // consecutive long delays before messages are rejected; a single one is a pause of the process
+	maxDelayGap        = 2 * control.Second        // a longer gap between two long delays means that they are separate pauses
+	evaluationInterval = 100 * control.Millisecond // between two evaluations of completed and rejected messages
+	calmIntervalsToEnd = 10                        // consecutive intervals without a rejection after which the limit ends
+	minTokenLimit      = 64                        // tokens that can be saved up, which limits a burst, or ...
+	tokenShare         = 1.0 / 10                  // ... this part of the messages completed in the last interval if that is more
+	retryAfter         = control.Second            // retry delay for a rejected message
 )
 
-// Gate decides for one process. New makes one. It is not safe for concurrent use.
+// Gate decides on admission for one process. It is created by New. It is not safe for concurrent use.
 type Gate struct {
-	set     Settings
-	limited bool
-	tokens  float64 // how many may come
-	per     float64 // new ones for each that ends
-	at      Time    // when the floor's tokens were reckoned
-	most    float64 // tokens
-
-	// Since the last that was in time.
-	row   int  // how often something was late
-	began Time // since when the first of these waited
-	last  Time // when the last was told
-
-	// Of the interval at hand.
-	since  Time
-	done   int
-	turned int
-	calm   int // intervals in a row in which nobody was turned away
+	settings            Settings
+	limited             bool
+	tokens              float64 // messages that may be admitted now
+	tokensPerCompletion float64 // tokens added for each completed message
+	refilledAt          Time    // when the tokens of the minimum rate were last added
+	maxTokens           float64 // limit of tokens
+
+	// Since the last normal delay:
+
+	longDelays    int  // number of consecutive long delays
+	delayedSince  Time // when the first of them started
+	lastLongDelay Time // when the last of them was reported
+
+	// In the current interval:
+
+	intervalStart Time // its start
+	completed     int  // completed messages
+	rejected      int  // rejected messages
+
+	calmIntervals int // consecutive intervals without a rejection
 }
 
-// New makes a gate that takes everything until it is told of lateness.
+// New creates a gate. It admits every message until long delays are reported.
 func New(s Settings) *Gate {
 	if s.LateAfter == 0 {
-		s.LateAfter = defaultLate
+		s.LateAfter = defaultLateAfter
 	}
 	if s.SustainedAfter == 0 {
-		s.SustainedAfter = defaultLasting
+		s.SustainedAfter = defaultSustainedAfter
 	}
 	if s.MinRate == 0 {
-		s.MinRate = defaultFloor
+		s.MinRate = defaultMinRate
 	}
-	return &Gate{set: s, most: bank}
+	return &Gate{settings: s, maxTokens: minTokenLimit}
 }
 
-// ObserveDelay tells how long something that was to run at once has waited for a core.
-func (g *Gate) ObserveDelay(now, by Time) {
-	g.roll(now)
-	g.per = g.allow(by)
-	if by <= g.set.LateAfter {
-		g.row = 0
+// ObserveDelay records how long something that was ready to run has waited for a core.
+func (g *Gate) ObserveDelay(now, delay Time) {
+	g.endInterval(now)
+	g.tokensPerCompletion = g.tokensFor(delay)
+	if delay <= g.settings.LateAfter {
+		g.longDelays = 0
 		return
 	}
-	if g.row == 0 || now-by-g.last > stale {
-		g.row, g.began = 0, now-by
+	if g.longDelays == 0 || now-delay-g.lastLongDelay > maxDelayGap {
+		g.longDelays, g.delayedSince = 0, now-delay
 	}
-	g.row, g.last = g.row+1, now
-	if !g.limited && g.row >= often && now-g.began >= g.set.SustainedAfter {
-		g.limited, g.at, g.tokens, g.calm = true, now, bank, 0
+	g.longDelays, g.lastLongDelay = g.longDelays+1, now
+	if !g.limited && g.longDelays >= minLongDelays && now-g.delayedSince >= g.settings.SustainedAfter {
+		g.limited, g.refilledAt, g.tokens, g.calmIntervals = true, now, minTokenLimit, 0
 	}
 }
 
-// allow is how many may come for each that ends, where things are so late.
-func (g *Gate) allow(late Time) float64 {
-	t := g.set.LateAfter
+// tokensFor returns the number of tokens for each completed message at the given delay.
+func (g *Gate) tokensFor(late Time) float64 {
+	t := g.settings.LateAfter
 	switch {
 	case late <= t/4:
 		return 2
@@ -105,48 +108,48 @@
 	return 0.6
 }
 
-// Completed tells that so many messages have ended otherwise than by being handed back.
+// Completed records that n accepted messages have ended with any other disposition than refused.
 func (g *Gate) Completed(now Time, n int) {
-	g.roll(now)
-	g.done += n
+	g.endInterval(now)
+	g.completed += n
 	if g.limited {
-		g.tokens = min(g.tokens+float64(n)*g.per, g.most)
+		g.tokens = min(g.tokens+float64(n)*g.tokensPerCompletion, g.maxTokens)
 	}
 }
 
-// Admit tells whether one more message may be taken, and if not, after how long it may come again.
+// Admit decides whether a message is admitted. If not, after is the time that the client should wait before it retries.
 func (g *Gate) Admit(now Time) (ok bool, after Time) {
-	g.roll(now)
+	g.endInterval(now)
 	if !g.limited {
 		return true, 0
 	}
-	if gone := now - g.at; gone > 0 {
-		g.tokens = min(g.tokens+g.set.MinRate*seconds(gone), g.most)
-		g.at = now
+	if elapsed := now - g.refilledAt; elapsed > 0 {
+		g.tokens = min(g.tokens+g.settings.MinRate*seconds(elapsed), g.maxTokens)
+		g.refilledAt = now
 	}
 	if g.tokens < 1 {
-		g.turned++
-		return false, again
+		g.rejected++
+		return false, retryAfter
 	}
 	g.tokens--
 	return true, 0
 }
 
-// Limited tells whether anybody may be turned away.
+// Limited reports whether messages may be rejected at present.
 func (g *Gate) Limited() bool { return g.limited }
 
-// roll looks at the interval that is over.
-func (g *Gate) roll(now Time) {
-	if now-g.since < interval {
+// endInterval evaluates the interval if it has ended, and starts the next one.
+func (g *Gate) endInterval(now Time) {
+	if now-g.intervalStart < evaluationInterval {
 		return
 	}
-	g.most = max(bank, float64(g.done)*share)
-	if g.turned > 0 {
-		g.calm = 0
-	} else if g.calm++; g.calm >= loose {
+	g.maxTokens = max(minTokenLimit, float64(g.completed)*tokenShare)
+	if g.rejected > 0 {
+		g.calmIntervals = 0
+	} else if g.calmIntervals++; g.calmIntervals >= calmIntervalsToEnd {
 		g.limited = false
 	}
-	g.since, g.done, g.turned = now, 0, 0
+	g.intervalStart, g.completed, g.rejected = now, 0, 0
 }
 
 func seconds(t Time) float64 { return float64(t) / float64(control.Second) }
--- a/membership/endpointslice/scan.go
+++ b/membership/endpointslice/scan.go
@@ -9,101 +9,101 @@
 	"unsafe"
 )
 
-// scanner reads JSON (RFC 8259) in place. It is here because reading a slice of 100 endpoints with encoding/json takes
-// half a millisecond, most of it for fields that nobody wants (see the design note); what it takes for valid and what
-// it reads are checked against encoding/json by a fuzz test.
+// scanner reads JSON (RFC 8259) in place. With encoding/json a slice of 100 endpoints takes half a millisecond, most of it
+// for fields that are not used (see docs/design/endpointslices.md). A fuzz test checks the scanner against encoding/json.
 //
-// The first fault sticks: all calls after it do nothing.
+// After the first error all calls do nothing.
 type scanner struct {
-	b     []byte
-	i     int
+	input []byte
+	pos   int
 	depth int
 	err   error
 }
 
-// deepest is how deep values may nest: an EndpointSlice needs 7, its managed fields some more.
-const deepest = 200
+// maxDepth limits the nesting of values. An EndpointSlice needs 7 levels, its managed fields some more.
+const maxDepth = 200
 
 var errSyntax = errors.New("malformed JSON")
 
 func (s *scanner) fail(what string) {
 	if s.err == nil {
-		s.err = fmt.Errorf("%w: %s at byte %d", errSyntax, what, s.i)
+		s.err = fmt.Errorf("%w: %s at byte %d", errSyntax, what, s.pos)
 	}
 }
 
-// next is the next byte that is no white space, 0 at the end or after a fault. It is not taken.
-func (s *scanner) next() byte {
+// peek returns the next byte that is not white space, without consuming it. It returns 0 at the end or after an error.
+func (s *scanner) peek() byte {
 	if s.err != nil {
 		return 0
 	}
-	b, i := s.b, s.i
+	b, i := s.input, s.pos
 	for i < len(b) {
 		if c := b[i]; c > ' ' || c != ' ' && c != '\t' && c != '\r' && c != '\n' {
-			s.i = i
+			s.pos = i
 			return c
 		}
 		i++
 	}
-	s.i = i
+	s.pos = i
 	return 0
 }
 
-// end fails if anything is left.
-func (s *scanner) end() {
-	if s.err == nil && (s.next() != 0 || s.i < len(s.b)) {
+// expectEnd fails if anything but white space is left.
+func (s *scanner) expectEnd() {
+	if s.err == nil && (s.peek() != 0 || s.pos < len(s.input)) {
 		s.fail("more than one value")
 	}
 }
 
-// object calls field for each key of an object. field must take the value.
+// object calls field for each key of an object. field must consume the value.
 func (s *scanner) object(field func(key string)) {
-	if s.next() != '{' {
+	if s.peek() != '{' {
 		s.fail("no object")
 		return
 	}
 	s.members('}', func() {
-		if s.next() != '"' {
+		if s.peek() != '"' {
 			s.fail("no key")
 			return
 		}
-		key := s.str()
-		if s.next() != ':' {
+		key := s.stringValue()
+		if s.peek() != ':' {
 			s.fail("no colon")
 			return
 		}
-		s.i++
+		s.pos++
 		field(key)
 	})
 }
 
-// array calls element for each element of an array. element must take it.
+// array calls element for each element of an array. element must consume it.
 func (s *scanner) array(element func()) {
-	if s.next() != '[' {
+	if s.peek() != '[' {
 		s.fail("no array")
 		return
 	}
 	s.members(']', element)
 }
 
+// members reads the members of an object or array up to the closing byte.
 func (s *scanner) members(closing byte, member func()) {
-	if s.depth++; s.depth > deepest {
+	if s.depth++; s.depth > maxDepth {
 		s.fail("nested too deep")
 		return
 	}
-	s.i++
-	if s.next() == closing {
-		s.i++
+	s.pos++
+	if s.peek() == closing {
+		s.pos++
 		s.depth--
 		return
 	}
 	for {
 		member()
-		switch s.next() {
+		switch s.peek() {
 		case ',':
-			s.i++
+			s.pos++
 		case closing:
-			s.i++
+			s.pos++
 			s.depth--
 			return
 		default:
@@ -113,36 +113,37 @@
 	}
 }
 
-// odd has the high bit of each byte set that does not simply stand for itself in a string, up to the first such byte; what
-// it says of bytes above that one means nothing. Most of the text is within strings, and this takes eight bytes at once.
-func odd(x uint64) uint64 {
+// specialBytes finds the first of eight bytes that needs special treatment in a string: a quote, a backslash, a control
+// byte or a byte above 0x7f. It sets the high bit of that byte. The bits of higher bytes mean nothing. Most of the text is
+// within strings, so checking eight bytes at once saves time.
+func specialBytes(x uint64) uint64 {
 	const ones, highs = 0x0101010101010101, 0x8080808080808080
 	quote, slash := x^(ones*'"'), x^(ones*'\\')
-	control := (x - ones*' ') &^ x // under ' '
+	control := (x - ones*' ') &^ x // below ' '
 	return ((quote-ones)&^quote | (slash-ones)&^slash | control | x) & highs
 }
 
-// raw takes a string with its quotes and tells whether all of it stands for itself.
-func (s *scanner) raw() (text []byte, plain bool) {
-	from := s.i
-	s.i++
+// rawString consumes a string and returns it with its quotes. plain is true if it has only ASCII and no escapes.
+func (s *scanner) rawString() (text []byte, plain bool) {
+	from := s.pos
+	s.pos++
 	plain = true
 	for {
-		b, i := s.b, s.i
+		b, i := s.input, s.pos
 		for len(b)-i >= 8 {
-			if m := odd(binary.LittleEndian.Uint64(b[i:])); m != 0 {
+			if m := specialBytes(binary.LittleEndian.Uint64(b[i:])); m != 0 {
 				i += bits.TrailingZeros64(m) / 8
 				break
 			}
 			i += 8
 		}
-		if s.i = i; i == len(b) {
+		if s.pos = i; i == len(b) {
 			break
 		}
 		switch c := b[i]; {
 		case c == '"':
-			s.i++
-			return s.b[from:s.i], plain
+			s.pos++
+			return s.input[from:s.pos], plain
 		case c < ' ':
 			s.fail("control byte in a string")
 			return nil, false
@@ -152,9 +153,9 @@
 				return nil, false
 			}
 		default:
-			s.i++
+			s.pos++
 			if c < 0x80 {
-				continue // near the end, where there are no eight bytes left
+				continue // one of the last bytes, where fewer than eight are left
 			}
 		}
 		plain = false
@@ -163,32 +164,34 @@
 	return nil, false
 }
 
+// escape consumes an escape sequence. It returns false if the sequence is malformed.
 func (s *scanner) escape() bool {
-	if s.i+1 >= len(s.b) {
+	if s.pos+1 >= len(s.input) {
 		return false
 	}
-	switch s.b[s.i+1] {
+	switch s.input[s.pos+1] {
 	case '"', '\\', '/', 'b', 'f', 'n', 'r', 't':
-		s.i += 2
+		s.pos += 2
 		return true
 	case 'u':
-		if s.i+6 > len(s.b) {
+		if s.pos+6 > len(s.input) {
 			return false
 		}
-		for _, c := range s.b[s.i+2 : s.i+6] {
+		for _, c := range s.input[s.pos+2 : s.pos+6] {
 			if !('0' <= c && c <= '9' || 'a' <= c && c <= 'f' || 'A' <= c && c <= 'F') {
 				return false
 			}
 		}
-		s.i += 6
+		s.pos += 6
 		return true
 	}
 	return false
 }
 
-// str takes a string. What it returns may lie in the scanner's bytes: it must be cloned before it is kept.
-func (s *scanner) str() string {
-	text, plain := s.raw()
+// stringValue consumes a string. The result may share memory with the scanner's input, so it must be cloned before it is
+// kept.
+func (s *scanner) stringValue() string {
+	text, plain := s.rawString()
 	if s.err != nil {
 		return ""
 	}
@@ -203,70 +206,71 @@
 	return v
 }
 
-// skip takes any value and checks its form.
+// skip consumes any value and checks its syntax.
 func (s *scanner) skip() {
-	switch c := s.next(); c {
+	switch c := s.peek(); c {
 	case '{':
 		s.object(func(string) { s.skip() })
 	case '[':
 		s.array(s.skip)
 	case '"':
-		s.raw()
+		s.rawString()
 	case 't':
-		s.word("true")
+		s.literal("true")
 	case 'f':
-		s.word("false")
+		s.literal("false")
 	case 'n':
-		s.word("null")
+		s.literal("null")
 	default:
 		s.number()
 	}
 }
 
-func (s *scanner) word(w string) {
-	if s.i+len(w) > len(s.b) || string(s.b[s.i:s.i+len(w)]) != w {
+// literal consumes the literal w.
+func (s *scanner) literal(w string) {
+	if s.pos+len(w) > len(s.input) || string(s.input[s.pos:s.pos+len(w)]) != w {
 		s.fail("unknown word")
 		return
 	}
-	s.i += len(w)
+	s.pos += len(w)
 }
 
-// number takes a number and returns its text.
+// number consumes a number and returns its text.
 func (s *scanner) number() string {
 	if s.err != nil {
 		return ""
 	}
-	from := s.i
+	from := s.pos
 	at := func() byte {
-		if s.i < len(s.b) {
-			return s.b[s.i]
+		if s.pos < len(s.input) {
+			return s.input[s.pos]
 		}
 		return 0
 	}
 	digits := func() bool {
-		n := s.i
+		n := s.pos
 		for c := at(); '0' <= c && c <= '9'; c = at() {
-			s.i++
+			s.pos++
 		}
-		return s.i > n
+		return s.pos > n
 	}
 	if at() == '-' {
-		s.i++
+		s.pos++
 	}
 	ok := true
 	if at() == '0' {
-		s.i++
+		s.pos++
 	} else {
 		ok = digits()
 	}
 	if ok && at() == '.' {
-		s.i++
+		s.pos++
 		ok = digits()
 	}
 	if c := at(); ok && (c == 'e' || c == 'E') {
-		s.i++
+		s.pos++
 		if c := at(); c == '+' || c == '-' {
-			s.i++
+			s.pos++
 		}
 		ok = digits()
 	}
@@ -274,5 +278,5 @@
 		s.fail("no value")
 		return ""
 	}
-	return string(s.b[from:s.i])
+	return string(s.input[from:s.pos])
 }
--- a/membership/endpointslice/source.go
+++ b/membership/endpointslice/source.go
@@ -17,72 +17,73 @@
 	"curlewmux/membership"
 )
 
-// Source reads the slices of one partner and tells of its endpoints. It is a membership.Source.
+// Source reads the slices of one partner and reports its endpoints. It implements membership.Source.
 //
-// One goroutine lists and watches and puts what it reads into the Set at once; another hands on what has changed. While
-// the taker is busy changes meet in the Set, which keeps the newest state only. Nothing is ever listed at a version that
-// an API server may choose (resourceVersion=0): a cache that lags could bring back who has terminated.
+// One goroutine lists and watches, and puts what it reads into the Set at once. Another one reports the changes. While
+// the receiver is busy, the Set merges further changes and keeps only the newest state. Source never lists with
+// resourceVersion=0, since the API server may then respond from a stale cache, which could bring back terminated endpoints.
 type Source struct {
-	p      Partner
-	c      *Client
-	log    *slog.Logger
-	t      Timing
-	host   host.Host
-	random func() uint64
+	partner Partner
+	client  *Client
+	log     *slog.Logger
+	timing  Timing
+	host    host.Host
+	random  func() uint64
 
-	mu     sync.Mutex
-	set    *Set
-	owed   owed
-	stats  Stats
-	logged map[string]time.Time // when an alarm was last logged
+	mu         sync.Mutex
+	set        *Set
+	pending    pendingReports
+	stats      Stats
+	lastLogged map[string]time.Time // when each alarm was last logged
 
-	woken bool
-	wake  host.Inbox // of the one that tells: there may be something
-	rest  host.Inbox // of the one that lists and watches, for its pauses; both close when Run ends
+	woken  bool
+	wake   host.Inbox // wakes the goroutine that reports; closed when Run's context ends
+	pauses host.Inbox // for the pauses of the goroutine that lists and watches; closed when Run's context ends
 
-	// Of the goroutine that lists and watches.
-	plainUntil time.Time     // the server knows no streaming lists; asked again then
-	recheck    time.Duration // after so long a list that named nobody is looked at again; 0 if it need not be
+	// Used only by the goroutine that lists and watches:
+
+	pagesOnlyUntil time.Time     // until then streaming lists are not tried, since the server doesn't support them
+	recheck        time.Duration // how long after an empty list the slices are listed again; 0 if the list was not empty
 }
 
-// owed is what is to be told beside the set's changes.
-type owed struct {
-	whole  bool  // a list came to its end
-	failed error // nothing can be learnt now
-	heard  bool  // something can again
+// pendingReports holds reports that are due in addition to the Set's changes.
+type pendingReports struct {
+	fullList  bool  // a list was completed
+	failed    error // cause of a failure to report
+	recovered bool  // the API server responds again
 }
 
-// Stats count what a source has met since its start.
+// Stats counts events since the start of a source.
 type Stats struct {
-	Events     int64  // slices read, in watches and lists
-	Bytes      int64  // of the watches' lines
-	Lists      int64  // lists that came to their end
-	Watches    int64  // watches begun
-	Gone       int64  // versions that had expired, or were still to come
-	Silent     int64  // watches given up for their silence
-	SetBack    int64  // times that the server's data were older than before
-	Unreadable int64  // lines and objects that could not be read; entries within a slice are in Refused
-	Refused    int64  // entries and slices that could not be taken
-	Denied     int64  // answers 401 and 403
-	Failures   int64  // requests and watches that failed, with those denied
-	Emptied    int64  // lists that left nobody where somebody was known
-	Named      int    // endpoints now
-	Version    string // of the newest thing read
-}
-
-// Timing are the source's times; tests and simulations shorten them.
+	Events     int64  // slices read in watches and lists
+	Bytes      int64  // of watch events and listed slices
+	Lists      int64  // completed lists
+	Watches    int64  // started watches
+	Gone       int64  // times that a resource version had expired or was in the future
+	Silent     int64  // watches that were ended by the idle timeout
+	SetBack    int64  // times that the server's data were older than before (restored from a backup)
+	Unreadable int64  // lines and objects that could not be read; entries within a slice count in Refused
+	Refused    int64  // rejected entries and slices
+	Denied     int64  // responses with 401 and 403
+	Failures   int64  // failed requests and watches, including denied ones
+	Emptied    int64  // lists that dropped the last endpoints
+	Named      int    // current number of endpoints
+	Version    string // newest resource version that was read
+}
+
+// Timing holds the source's timeouts and intervals. Tests and simulations shorten them.
 type Timing struct {
-	WatchDuration          time.Duration // how long the server is asked to keep a watch: so long to twice that
-	WatchIdleTimeout       time.Duration // a watch that says nothing for so long is begun anew; bookmarks come once a minute
-	InitialListIdleTimeout time.Duration // the same within a streaming list
-	PageTimeout            time.Duration // for one page of a list
-	MinBackoff             time.Duration // pause after a failure, doubled with each further one ...
-	MaxBackoff             time.Duration // ... up to this; a Retry-After may be longer, up to mostRetryAfter
-	StreamingRetryInterval time.Duration // after so long streaming lists are tried again where the server did not know them
-	EmptyListRecheck       time.Duration // first pause before an empty list is looked at again
+	WatchDuration          time.Duration // requested duration of a watch; the actual one is random, up to twice this
+	WatchIdleTimeout       time.Duration // a watch without events for this long is restarted; bookmarks come once a minute
+	InitialListIdleTimeout time.Duration // the same during a streaming list
+	PageTimeout            time.Duration // timeout for one page of a list
+	MinBackoff             time.Duration // pause after the first failure; doubles with each further one ...
+	MaxBackoff             time.Duration // ... up to this; with a Retry-After it may be longer, up to maxRetryAfter
+	StreamingRetryInterval time.Duration // how long until streaming lists are tried again on a server without support for them
+	EmptyListRecheck       time.Duration // pause before an empty list is read again; doubles up to MaxBackoff
 }
 
-// DefaultTiming are the times that New sets.
+// DefaultTiming returns the times that New sets.
 func DefaultTiming() Timing {
 	return Timing{
 		WatchDuration: 5 * time.Minute, WatchIdleTimeout: 90 * time.Second, InitialListIdleTimeout: 20 * time.Second, PageTimeout: 30 * time.Second,
@@ -91,45 +92,45 @@
 }
 
 const (
-	pageSize       = 250     // slices; items are read one by one, so this bounds the time of a page, not memory
-	mostObject     = 4 << 20 // bytes of one event; API servers take objects of up to 3 MiB
-	mostRetryAfter = time.Minute
-	batch          = 1000 // endpoints that become Active in one update
-	tries          = 3    // failures of a watch in a row before all is listed anew
+	pageSize           = 250     // slices; limits the time for a page, not memory, since items are read one by one
+	maxObjectBytes     = 4 << 20 // bytes of one event; API servers accept objects of up to 3 MiB
+	maxRetryAfter      = time.Minute
+	maxActivePerUpdate = 1000 // limit on Active endpoints in one update
+	maxWatchFailures   = 3    // consecutive failures of a watch before the slices are listed again
 )
 
-// Reasons for which a watch is left.
+// Reasons for ending a watch.
 var (
-	errGone    = errors.New("the version is not to be had")
-	errSilent  = errors.New("the watch is silent")
-	errNoEnd   = errors.New("the streaming list does not end")
-	errBack    = errors.New("the API server's data are older than before")
-	errRecheck = errors.New("an empty list is looked at again")
+	errVersionUnavailable = errors.New("the resource version is not available")
+	errIdle               = errors.New("no events on the watch within the idle timeout")
+	errListStalled        = errors.New("the streaming list has stalled before its end")
+	errOlderData          = errors.New("the API server's data are older than before")
+	errRecheck            = errors.New("an empty list is read again")
 )
 
-// New makes a source. Its error wraps ErrPartnerSettings.
+// New creates a source. Its error wraps ErrPartnerSettings.
 func New(c *Client, p Partner, log *slog.Logger) (*Source, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
 	return &Source{
-		p: p, c: c, log: log.With("partner", p.Name), t: DefaultTiming(), set: NewSet(p), host: c.host, random: rand.Uint64,
-		logged: map[string]time.Time{}, wake: c.host.NewInbox(), rest: c.host.NewInbox(),
+		partner: p, client: c, log: log.With("partner", p.Name), timing: DefaultTiming(), set: NewSet(p), host: c.host, random: rand.Uint64,
+		lastLogged: map[string]time.Time{}, wake: c.host.NewInbox(), pauses: c.host.NewInbox(),
 	}, nil
 }
 
-// ConfigureSimulation gives the source times and random numbers of a simulation's. It comes before Run.
-func (s *Source) ConfigureSimulation(t Timing, random func() uint64) { s.t, s.random = t, random }
+// ConfigureSimulation sets the times and the random source for a simulation. It must be called before Run.
+func (s *Source) ConfigureSimulation(t Timing, random func() uint64) { s.timing, s.random = t, random }
 
-// upTo draws a time from 0 to just below d.
-func (s *Source) upTo(d time.Duration) time.Duration {
+// randomUpTo returns a random duration from 0 to just below d.
+func (s *Source) randomUpTo(d time.Duration) time.Duration {
 	return time.Duration(s.random() % uint64(max(d, 1)))
 }
 
-// Name is endpointslice/ and the partner's name.
-func (s *Source) Name() string { return "endpointslice/" + s.p.Name }
+// Name returns endpointslice/ followed by the partner's name.
+func (s *Source) Name() string { return "endpointslice/" + s.partner.Name }
 
-// Stats are the counts so far.
+// Stats returns the current counts.
 func (s *Source) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,15 +144,15 @@
 	done := s.host.NewInbox()
 	stop := context.AfterFunc(ctx, func() {
 		s.wake.Close()
-		s.rest.Close()
+		s.pauses.Close()
 	})
 	defer stop()
 	s.host.Go(func() {
 		defer done.Close()
-		s.follow(ctx)
+		s.listAndWatch(ctx)
 	})
 	for ctx.Err() == nil {
-		u, due, some := s.next(s.host.Now())
+		u, due, some := s.nextUpdate(s.host.Now())
 		if some {
 			tell(u)
 			continue
@@ -162,33 +163,34 @@
 	return ctx.Err()
 }
 
-// next is the next update, or when there may be one.
-func (s *Source) next(now time.Time) (u membership.Update, due time.Time, some bool) {
+// nextUpdate returns the next update. If there is none, it returns the time at which there will be one without further
+// input, zero if none is due.
+func (s *Source) nextUpdate(now time.Time) (u membership.Update, due time.Time, some bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.woken = false
-	switch o := &s.owed; {
-	case o.whole: // a list's end also tells that the source is heard
-		o.whole, o.heard = false, false
+	switch o := &s.pending; {
+	case o.fullList: // the full list also shows that the source works again
+		o.fullList, o.recovered = false, false
 		return membership.Update{Kind: membership.FullList, Endpoints: s.set.All(now)}, due, true
-	case o.heard:
-		o.heard = false
-		changes, _ := s.set.TakeChanges(now, batch)
+	case o.recovered:
+		o.recovered = false
+		changes, _ := s.set.TakeChanges(now, maxActivePerUpdate)
 		return membership.Update{Endpoints: changes}, due, true
 	}
-	if changes, _ := s.set.TakeChanges(now, batch); len(changes) > 0 {
+	if changes, _ := s.set.TakeChanges(now, maxActivePerUpdate); len(changes) > 0 {
 		return membership.Update{Endpoints: changes}, due, true
 	}
-	if err := s.owed.failed; err != nil {
-		s.owed.failed = nil
+	if err := s.pending.failed; err != nil {
+		s.pending.failed = nil
 		return membership.Update{Kind: membership.Failed, Err: err}, due, true
 	}
 	due, _ = s.set.NextDue()
 	return u, due, false
 }
 
-// do changes what the two goroutines share, and wakes the one that tells.
-func (s *Source) do(change func()) {
+// change runs a function that modifies the state shared by the two goroutines, and wakes the one that reports.
+func (s *Source) change(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
@@ -198,14 +200,14 @@
 	}
 }
 
-// alarm counts something that people should know of and logs it, each kind once a minute at most.
+// alarm counts a condition that operators should know of, and logs each text at most once a minute.
 func (s *Source) alarm(count *int64, text string, err error) {
 	s.mu.Lock()
 	*count++
 	now := s.host.Now()
-	quiet := now.Sub(s.logged[text]) < time.Minute
+	quiet := now.Sub(s.lastLogged[text]) < time.Minute
 	if !quiet {
-		s.logged[text] = now
+		s.lastLogged[text] = now
 	}
 	s.mu.Unlock()
 	if !quiet {
@@ -213,21 +215,21 @@
 	}
 }
 
-// follow lists and watches until ctx ends.
-func (s *Source) follow(ctx context.Context) {
-	version := "" // from which a watch may go on; "" where all must be listed
+// listAndWatch lists and watches the slices until ctx ends.
+func (s *Source) listAndWatch(ctx context.Context) {
+	version := "" // from which to watch; "" if the slices must be listed first
 	failures := 0
-	unsure := false // a connection broke: what answers next may be older
+	mayBeOlder := false // a connection broke, so the next server to respond may have older data
 	for ctx.Err() == nil {
 		began := s.host.Now()
-		was := version
+		previous := version
 		var err error
 		switch {
 		case version == "":
 			version, err = s.list(ctx)
-		case unsure:
-			if err = s.notOlder(ctx, version); err == nil {
-				unsure = false
+		case mayBeOlder:
+			if err = s.checkNotOlder(ctx, version); err == nil {
+				mayBeOlder = false
 				continue
 			}
 		default:
@@ -236,39 +238,39 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if version != was && version != "" {
+		if version != previous && version != "" {
 			failures = 0
 		}
 		var se *StatusError
-		atOnce := false // nothing is wrong with the server
+		retryAtOnce := false // the server works, so the retry needs no pause
 		switch {
 		case err == nil:
-			unsure = false
-			if version == was && s.host.Now().Sub(began) < time.Second {
-				break // it ended at once without a word: not to be repeated at full speed
+			mayBeOlder = false
+			if version == previous && s.host.Now().Sub(began) < time.Second {
+				break // the watch ended at once without an event: pause to prevent a busy loop
 			}
 			failures = 0
 			continue
 		case errors.Is(err, errRecheck):
 			version, failures = "", 0
 			continue
-		case errors.Is(err, errSilent):
-			s.alarm(&s.stats.Silent, "a watch is silent; it begins anew", err)
-			unsure, atOnce = true, true
-		case errors.Is(err, errBack):
-			s.alarm(&s.stats.SetBack, "the API server's data were set back; all is listed anew", err)
-			version, unsure, atOnce = "", false, true
-		case errors.Is(err, errGone), errors.As(err, &se) && se.gone():
-			s.alarm(&s.stats.Gone, "a version is not to be had; all is listed anew", err)
-			version, atOnce = "", true
+		case errors.Is(err, errIdle):
+			s.alarm(&s.stats.Silent, "no events on a watch; restarting it", err)
+			mayBeOlder, retryAtOnce = true, true
+		case errors.Is(err, errOlderData):
+			s.alarm(&s.stats.SetBack, "the API server has older data than before; listing again", err)
+			version, mayBeOlder, retryAtOnce = "", false, true
+		case errors.Is(err, errVersionUnavailable), errors.As(err, &se) && se.versionUnavailable():
+			s.alarm(&s.stats.Gone, "a resource version is not available; listing again", err)
+			version, retryAtOnce = "", true
 		default:
-			s.failed(err)
-			unsure = !errors.As(err, &se)
-			if failures >= tries {
+			s.reportFailure(err)
+			mayBeOlder = !errors.As(err, &se)
+			if failures >= maxWatchFailures {
 				version = ""
 			}
 		}
-		if failures++; atOnce && failures == 1 { // the first time only: a server that always says so is not asked at full speed
+		if failures++; retryAtOnce && failures == 1 { // only the first time, to prevent a busy loop if the server always responds so
 			continue
 		}
 		if !s.pause(ctx, failures, se) {
@@ -277,141 +279,143 @@
 	}
 }
 
-func (s *Source) failed(err error) {
+// reportFailure counts and logs a failure and has it reported.
+func (s *Source) reportFailure(err error) {
 	var se *StatusError
 	if errors.As(err, &se) && (se.Code == http.StatusUnauthorized || se.Code == http.StatusForbidden) {
-		s.alarm(&s.stats.Denied, "the API server does not let us in; the list at hand stays", err)
+		s.alarm(&s.stats.Denied, "the API server does not let us in; keeping the current endpoints", err)
 	}
-	s.alarm(&s.stats.Failures, "endpoint slices can't be read; the list at hand stays", err)
-	s.do(func() { s.owed.failed, s.owed.heard = err, false })
+	s.alarm(&s.stats.Failures, "endpoint slices can't be read; keeping the current endpoints", err)
+	s.change(func() { s.pending.failed, s.pending.recovered = err, false })
 }
 
-// heard says that the API server answers.
-func (s *Source) heard() {
-	s.do(func() { s.owed.failed, s.owed.heard = nil, true })
+// reportRecovery has it reported that the API server responds.
+func (s *Source) reportRecovery() {
+	s.change(func() { s.pending.failed, s.pending.recovered = nil, true })
 }
 
-// pause waits after failures in a row, with jitter so that dispatchers don't come back all at once.
+// pause waits after consecutive failures, with jitter so that dispatchers don't retry all at the same time. It returns false
+// if ctx has ended.
 func (s *Source) pause(ctx context.Context, failures int, se *StatusError) bool {
-	d := s.t.MaxBackoff
+	d := s.timing.MaxBackoff
 	if n := failures - 1; n < 20 {
-		d = min(d, s.t.MinBackoff<<n)
+		d = min(d, s.timing.MinBackoff<<n)
 	}
-	d = d/2 + s.upTo(d/2+1)
-	if se != nil && se.RetryAfter > 0 { // never sooner than we were told
-		wait := min(se.RetryAfter, mostRetryAfter)
-		d = max(d, wait+s.upTo(wait/5+1))
+	d = d/2 + s.randomUpTo(d/2+1)
+	if se != nil && se.RetryAfter > 0 { // not before the time that the server asked for
+		wait := min(se.RetryAfter, maxRetryAfter)
+		d = max(d, wait+s.randomUpTo(wait/5+1))
 	}
-	s.rest.Take(nil, s.host.Now().Add(d))
+	s.pauses.Take(nil, s.host.Now().Add(d))
 	return ctx.Err() == nil
 }
 
-// list reads all slices. With a streaming list it goes on watching until the watch ends; it returns the version from
-// which to go on, "" if the list did not come to its end.
+// list reads all slices. With a streaming list it goes on to watch until the watch ends. It returns the version from which
+// to watch next, "" if the list was not completed.
 func (s *Source) list(ctx context.Context) (version string, err error) {
-	if s.host.Now().After(s.plainUntil) {
+	if s.host.Now().After(s.pagesOnlyUntil) {
 		version, err = s.watch(ctx, "", true)
 		var se *StatusError
-		known := !errors.Is(err, errNoEnd)
+		supported := !errors.Is(err, errListStalled)
 		if version == "" && errors.As(err, &se) {
 			switch se.Code {
 			case http.StatusBadRequest, http.StatusUnprocessableEntity, http.StatusMethodNotAllowed:
-				known = false
+				supported = false
 			}
 		}
-		if known || ctx.Err() != nil {
+		if supported || ctx.Err() != nil {
 			return version, err
 		}
-		s.log.Info("the API server knows no streaming lists; pages are read instead", "error", err)
-		s.plainUntil = s.host.Now().Add(s.t.StreamingRetryInterval)
+		s.log.Info("the API server does not support streaming lists; reading pages instead", "error", err)
+		s.pagesOnlyUntil = s.host.Now().Add(s.timing.StreamingRetryInterval)
 	}
-	return s.pages(ctx)
+	return s.listPages(ctx)
 }
 
-func (s *Source) query() url.Values { return url.Values{"labelSelector": {s.p.Selector}} }
+func (s *Source) query() url.Values { return url.Values{"labelSelector": {s.partner.Selector}} }
 
 func (s *Source) path() string {
-	if s.p.Namespace == "" {
+	if s.partner.Namespace == "" {
 		return "/apis/discovery.k8s.io/v1/endpointslices"
 	}
-	return "/apis/discovery.k8s.io/v1/namespaces/" + url.PathEscape(s.p.Namespace) + "/endpointslices"
+	return "/apis/discovery.k8s.io/v1/namespaces/" + url.PathEscape(s.partner.Namespace) + "/endpointslices"
 }
 
-// watch reads one watch, from a version or, with initial, as a streaming list. It returns the newest version read, also
-// with an error; nil is an end in order.
+// watch reads one watch. It starts from a version or, if initial is set, with a streaming list. It returns the newest
+// version that was read, also with an error. The error is nil if the server ended the watch normally.
 func (s *Source) watch(ctx context.Context, version string, initial bool) (next string, err error) {
 	r := newRequest(ctx)
 	defer r.end(nil)
 	q := s.query()
 	q.Set("watch", "true")
 	q.Set("allowWatchBookmarks", "true")
-	q.Set("timeoutSeconds", strconv.Itoa(int((s.t.WatchDuration + s.upTo(s.t.WatchDuration)).Seconds())))
-	silence, why := s.t.WatchIdleTimeout, errSilent
+	q.Set("timeoutSeconds", strconv.Itoa(int((s.timing.WatchDuration + s.randomUpTo(s.timing.WatchDuration)).Seconds())))
+	idleLimit, why := s.timing.WatchIdleTimeout, errIdle
 	if initial {
 		q.Set("sendInitialEvents", "true")
-		q.Set("resourceVersionMatch", "NotOlderThan") // than now, since no version is named
-		silence, why = s.t.InitialListIdleTimeout, errNoEnd
+		q.Set("resourceVersionMatch", "NotOlderThan") // than the time of the request, since no version is given
+		idleLimit, why = s.timing.InitialListIdleTimeout, errListStalled
 	} else {
 		q.Set("resourceVersion", version)
 	}
-	guard := s.guard(r, silence, why)
+	guard := s.startIdleTimeout(r, idleLimit, why)
 	defer func() { guard.stop() }()
-	s.do(func() {
+	s.change(func() {
 		s.stats.Watches++
 		if initial {
 			s.set.BeginList()
 		}
 	})
-	body, err := s.c.get(r, s.path(), q)
+	body, err := s.client.get(r, s.path(), q)
 	if err != nil {
-		return version, r.because(err)
+		return version, r.cause(err)
 	}
 	defer body.Close()
-	s.heard()
+	s.reportRecovery()
 	if !initial && s.recheck > 0 {
 		t := s.host.AfterFunc(s.recheck, func() { r.end(errRecheck) })
 		defer t.Stop()
 	}
-	in := lines{r: body, most: mostObject}
+	in := lineReader{r: body, maxBytes: maxObjectBytes}
 	for {
 		line, err := in.next()
 		if errors.Is(err, errTooLong) {
-			s.alarm(&s.stats.Unreadable, "an event is too long; its slice stays as it was", err)
+			s.alarm(&s.stats.Unreadable, "an event is too long; keeping the last state of its slice", err)
 			continue
 		}
 		if err == io.EOF && !initial {
 			return version, nil
 		}
 		if err != nil {
-			return version, r.because(fmt.Errorf("API server: watch: %w", err))
+			return version, r.cause(fmt.Errorf("API server: watch: %w", err))
 		}
 		if len(line) == 0 {
 			continue
 		}
 		ev, err := decodeEvent(line, s.prior)
 		if err != nil {
-			s.alarm(&s.stats.Unreadable, "an event can't be read; its slice stays as it was", err)
+			s.alarm(&s.stats.Unreadable, "can't read an event; keeping the last state of its slice", err)
 			continue
 		}
 		now := s.host.Now()
-		guard.heard(now)
+		guard.reset(now)
 		if ev.Type == eventError {
 			se := statusError(&ev.object)
-			if se.gone() {
-				return version, fmt.Errorf("%w: %w", errGone, se)
+			if se.versionUnavailable() {
+				return version, fmt.Errorf("%w: %w", errVersionUnavailable, se)
 			}
 			return version, fmt.Errorf("API server: watch: %w", se)
 		}
-		if !initial && ev.Type != eventDeleted && older(ev.Version, version) {
-			return version, fmt.Errorf("%w: %s after %s", errBack, ev.Version, version)
+		if !initial && ev.Type != eventDeleted && isOlder(ev.Version, version) {
+			return version, fmt.Errorf("%w: %s after %s", errOlderData, ev.Version, version)
 		}
 		switch ev.Type {
 		case eventBookmark:
 			if initial && ev.InitialEnd {
-				s.end(now)
+				s.completeList(now)
 				initial, version = false, ev.Version
 				guard.stop()
-				guard = s.guard(r, s.t.WatchIdleTimeout, errSilent)
+				guard = s.startIdleTimeout(r, s.timing.WatchIdleTimeout, errIdle)
 				if s.recheck > 0 {
 					t := s.host.AfterFunc(s.recheck, func() { r.end(errRecheck) })
 					defer t.Stop()
@@ -429,18 +433,18 @@
 	}
 }
 
-// prior is a slice's state as it was read last. It does not change any more.
+// prior returns the last state of a slice that was read. The returned data are never modified.
 func (s *Source) prior(key string) Slice {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.set.Slice(key)
 }
 
-// request is one request, which ends with its context or by end.
+// request is a request to the API server. It ends with its context, or when end is called.
 type request struct {
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	abort  host.Abort // of the way there, where that knows no contexts
+	abort  host.Abort // of the connection, for hosts without support for contexts
 }
 
 func newRequest(ctx context.Context) *request {
@@ -449,80 +453,81 @@
 	return r
 }
 
-// end ends a request, for a reason.
+// end aborts the request with a cause.
 func (r *request) end(why error) {
 	r.cancel(why)
 	r.abort.Do()
 }
 
-// guard ends a request once nothing was heard for so long.
-type guard struct {
-	mu    sync.Mutex
-	timer host.Timer
-	at    time.Time // when something was heard last
-	over  bool
+// idleTimeout aborts a request after an idle timeout.
+type idleTimeout struct {
+	mu        sync.Mutex
+	timer     host.Timer
+	lastEvent time.Time // when the last event came
+	stopped   bool
 }
 
-func (s *Source) guard(r *request, silence time.Duration, why error) *guard {
-	g := &guard{at: s.host.Now()}
-	var look func()
-	look = func() {
+// startIdleTimeout starts an idle timeout that ends r with the cause why.
+func (s *Source) startIdleTimeout(r *request, silence time.Duration, why error) *idleTimeout {
+	g := &idleTimeout{lastEvent: s.host.Now()}
+	var check func()
+	check = func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if g.over {
+		if g.stopped {
 			return
 		}
-		if rest := silence - s.host.Now().Sub(g.at); rest > 0 {
-			g.timer = s.host.AfterFunc(rest, look)
+		if remaining := silence - s.host.Now().Sub(g.lastEvent); remaining > 0 {
+			g.timer = s.host.AfterFunc(remaining, check)
 			return
 		}
 		r.end(why)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.timer = s.host.AfterFunc(silence, look)
+	g.timer = s.host.AfterFunc(silence, check)
 	return g
 }
 
-func (g *guard) heard(now time.Time) {
+func (g *idleTimeout) reset(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.at = now
+	g.lastEvent = now
 }
 
-func (g *guard) stop() {
+func (g *idleTimeout) stop() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.over = true
+	g.stopped = true
 	g.timer.Stop()
 }
 
-// because is the reason for which we ourselves ended the request, if we did.
-func (r *request) because(err error) error {
-	if c := context.Cause(r.ctx); errors.Is(c, errSilent) || errors.Is(c, errNoEnd) || errors.Is(c, errRecheck) {
+// cause returns the cause for which this process ended the request, or err if it did not.
+func (r *request) cause(err error) error {
+	if c := context.Cause(r.ctx); errors.Is(c, errIdle) || errors.Is(c, errListStalled) || errors.Is(c, errRecheck) {
 		return c
 	}
 	return err
 }
 
-// older tells whether version a is older than b. Versions are decimal numbers that can be compared (KEP-5504); others
-// are never older.
-func older(a, b string) bool {
+// isOlder reports whether resource version a is older than b. Resource versions are comparable decimal numbers (KEP-5504).
+// Other versions are never older.
+func isOlder(a, b string) bool {
 	x, err := strconv.ParseUint(a, 10, 64)
 	y, err2 := strconv.ParseUint(b, 10, 64)
 	return err == nil && err2 == nil && x < y
 }
 
-// event takes one slice's change.
+// event applies a change of one slice.
 func (s *Source) event(now time.Time, ev *event, bytes int) {
 	if ev.Slice.Name == "" || ev.Kind != "" && ev.Kind != "EndpointSlice" {
 		s.alarm(&s.stats.Unreadable, "an event is not of a slice", fmt.Errorf("kind %.40q, name %.40q", ev.Kind, ev.Slice.Name))
 		return
 	}
 	if ev.Slice.Err != nil && ev.Type != eventDeleted {
-		s.alarm(&s.stats.Unreadable, "a slice can't be read in full", fmt.Errorf("%s: %w", ev.Slice.key(), ev.Slice.Err))
+		s.alarm(&s.stats.Unreadable, "can't read all of a slice", fmt.Errorf("%s: %w", ev.Slice.key(), ev.Slice.Err))
 	}
-	s.do(func() {
+	s.change(func() {
 		s.stats.Events++
 		s.stats.Bytes += int64(bytes)
 		if ev.Type == eventDeleted {
@@ -533,86 +538,87 @@
 	})
 }
 
-// end says that a list came to its end.
-func (s *Source) end(now time.Time) {
+// completeList completes a list.
+func (s *Source) completeList(now time.Time) {
 	var emptied, first bool
-	s.do(func() {
+	s.change(func() {
 		s.stats.Lists++
 		first = s.stats.Lists == 1
 		emptied = s.set.EndList(now)
-		s.owed.whole = true
+		s.pending.fullList = true
 	})
 	switch {
 	case emptied:
 		s.alarm(&s.stats.Emptied, "the list names nobody any more: no new work for this partner", errRecheck)
-		s.recheck = s.t.EmptyListRecheck
-	case s.Stats().Named == 0: // the first one, too, and for ever: a watch from a wrong list would never tell
-		s.recheck = min(max(2*s.recheck, s.t.EmptyListRecheck), s.t.MaxBackoff)
+		s.recheck = s.timing.EmptyListRecheck
+	case s.Stats().Named == 0: // also after the first list, without end: a watch never corrects a wrong list
+		s.recheck = min(max(2*s.recheck, s.timing.EmptyListRecheck), s.timing.MaxBackoff)
 	default:
 		s.recheck = 0
 	}
 	if first && !emptied && s.Stats().Named == 0 {
-		s.log.Warn("no endpoint matches", "namespace", s.p.Namespace, "selector", s.p.Selector)
+		s.log.Warn("no endpoint matches", "namespace", s.partner.Namespace, "selector", s.partner.Selector)
 	}
 }
 
-// pages reads all slices in pages. It returns the version of the list.
-func (s *Source) pages(ctx context.Context) (version string, err error) {
+// listPages reads all slices in pages. It returns the resource version of the list.
+func (s *Source) listPages(ctx context.Context) (version string, err error) {
 	limit := pageSize
 	for {
-		version, err = s.allPages(ctx, limit)
+		version, err = s.readAllPages(ctx, limit)
 		var se *StatusError
-		if err == nil || limit == 0 || !errors.As(err, &se) || !se.gone() {
+		if err == nil || limit == 0 || !errors.As(err, &se) || !se.versionUnavailable() {
 			return version, err
 		}
-		s.alarm(&s.stats.Gone, "a list expired between its pages; it is read in one", err)
+		s.alarm(&s.stats.Gone, "a list expired between its pages; reading it in one request", err)
 		limit = 0
 	}
 }
 
-func (s *Source) allPages(ctx context.Context, limit int) (version string, err error) {
-	s.do(s.set.BeginList)
+// readAllPages reads the pages of one list, with at most limit slices each (0: no limit).
+func (s *Source) readAllPages(ctx context.Context, limit int) (version string, err error) {
+	s.change(s.set.BeginList)
 	q := s.query()
 	if limit > 0 {
 		q.Set("limit", strconv.Itoa(limit))
 	}
 	for {
-		p, err := s.page(ctx, q, func(o *object, bytes int) {
+		p, err := s.fetchPage(ctx, q, func(o *object, bytes int) {
 			s.event(s.host.Now(), &event{Type: eventAdded, object: *o}, bytes)
 		})
 		if err != nil {
 			return "", err
 		}
-		if p.next == "" {
-			s.end(time.Now())
+		if p.continueToken == "" {
+			s.completeList(time.Now())
 			return p.version, nil
 		}
-		q.Set("continue", p.next)
+		q.Set("continue", p.continueToken)
 	}
 }
 
-// notOlder asks whether the server's data are as new as a version. A server that was set back would not tell: a watch
-// from a version that is still to come is silent until then.
-func (s *Source) notOlder(ctx context.Context, version string) error {
-	// A list of none: of what it told of a slice nothing could be used, since the watch goes on from an older version.
+// checkNotOlder returns an error if the server's data are older than a version. A watch does not show that, since a watch
+// from a future version sends no events until the server reaches that version.
+func (s *Source) checkNotOlder(ctx context.Context, version string) error {
+	// The query matches no slice. The content of a slice could not be used, since the watch continues from an older version.
 	q := url.Values{"limit": {"1"}, "fieldSelector": {"metadata.name=no-such-slice"}}
-	p, err := s.page(ctx, q, func(*object, int) {})
+	p, err := s.fetchPage(ctx, q, func(*object, int) {})
 	if err != nil {
 		return err
 	}
-	if older(p.version, version) {
-		return fmt.Errorf("%w: %s after %s", errBack, p.version, version)
+	if isOlder(p.version, version) {
+		return fmt.Errorf("%w: %s after %s", errOlderData, p.version, version)
 	}
 	return nil
 }
 
-// page reads one page of a list.
-func (s *Source) page(ctx context.Context, q url.Values, take func(o *object, bytes int)) (p page, err error) {
+// fetchPage reads one page of a list.
+func (s *Source) fetchPage(ctx context.Context, q url.Values, take func(o *object, bytes int)) (p page, err error) {
 	r := newRequest(ctx)
 	defer r.end(nil)
-	t := s.host.AfterFunc(s.t.PageTimeout, func() { r.end(context.DeadlineExceeded) })
+	t := s.host.AfterFunc(s.timing.PageTimeout, func() { r.end(context.DeadlineExceeded) })
 	defer t.Stop()
-	body, err := s.c.get(r, s.path(), q)
+	body, err := s.client.get(r, s.path(), q)
 	if err != nil {
 		return p, err
 	}
@@ -620,6 +626,6 @@
 	if p, err = readPage(body, take); err != nil {
 		return p, fmt.Errorf("API server: list: %w", err)
 	}
-	s.heard()
+	s.reportRecovery()
 	return p, nil
 }
--- a/membership/endpointslice/source_test.go
+++ b/membership/endpointslice/source_test.go
@@ -22,29 +22,29 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// world is a stand-in API server, a source that reads it and a table that it tells.
-type world struct {
+// testEnv is a stand-in API server, a source that reads from it and a table that the source reports to.
+type testEnv struct {
 	*testing.T
 	api *kubeapi.Server
 	src *Source
 
-	mu      sync.Mutex
-	table   *membership.Table
-	kinds   []membership.UpdateKind
-	history map[string][]membership.Phase // of each endpoint, as the table gave it out
-	hold    chan struct{}                 // while set, the taker is busy
+	mu        sync.Mutex
+	table     *membership.Table
+	kinds     []membership.UpdateKind
+	history   map[string][]membership.Phase // phases of each endpoint, as reported by the table
+	blockTell chan struct{}                 // if set, tell blocks until it is closed
 }
 
 var labels = map[string]string{"kubernetes.io/service-name": "archive"}
 
-func newWorld(t *testing.T, o kubeapi.Options) *world {
+func newTestEnv(t *testing.T, o kubeapi.Options) *testEnv {
 	t.Helper()
 	api, err := kubeapi.Start(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(api.Stop)
-	w := &world{T: t, api: api, history: map[string][]membership.Phase{}}
+	w := &testEnv{T: t, api: api, history: map[string][]membership.Phase{}}
 	w.table, err = membership.New(membership.Settings{Sources: []string{"endpointslice/archive"}})
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 	return w
 }
 
-func (w *world) source(a Access) *Source {
+func (w *testEnv) source(a Access) *Source {
 	w.Helper()
 	c, err := NewClient(a)
 	if err != nil {
@@ -68,12 +68,12 @@
 	if err != nil {
 		w.Fatal(err)
 	}
-	s.t.MinBackoff, s.t.MaxBackoff, s.t.EmptyListRecheck = 5*time.Millisecond, 50*time.Millisecond, 20*time.Millisecond
+	s.timing.MinBackoff, s.timing.MaxBackoff, s.timing.EmptyListRecheck = 5*time.Millisecond, 50*time.Millisecond, 20*time.Millisecond
 	return s
 }
 
-// run starts the source; it ends with the test.
-func (w *world) run() *world {
+// run starts the source, which ends with the test.
+func (w *testEnv) run() *testEnv {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -87,9 +87,9 @@
 	return w
 }
 
-func (w *world) tell(u membership.Update) {
+func (w *testEnv) tell(u membership.Update) {
 	w.mu.Lock()
-	hold := w.hold
+	hold := w.blockTell
 	w.mu.Unlock()
 	if hold != nil {
 		<-hold
@@ -106,18 +106,18 @@
 	}
 }
 
-func (w *world) list() string {
+func (w *testEnv) list() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return show(w.table.List())
 }
 
-func (w *world) await(want string) {
+func (w *testEnv) await(want string) {
 	w.Helper()
 	w.until(func() bool { return w.list() == want }, func() string { return fmt.Sprintf("list %q, want %q", w.list(), want) })
 }
 
-func (w *world) until(ok func() bool, what func() string) {
+func (w *testEnv) until(ok func() bool, what func() string) {
 	w.Helper()
 	for limit := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
@@ -126,13 +126,13 @@
 	}
 }
 
-func (w *world) stats(ok func(Stats) bool) {
+func (w *testEnv) stats(ok func(Stats) bool) {
 	w.Helper()
 	w.until(func() bool { return ok(w.src.Stats()) }, func() string { return fmt.Sprintf("stats %+v", w.src.Stats()) })
 }
 
 // put writes a slice with pods as "uid@host", "uid@host n" (not ready) or "uid@host t" (terminating).
-func (w *world) put(name string, pods ...string) {
+func (w *testEnv) put(name string, pods ...string) {
 	w.api.Put(apiSlice(name, pods...))
 }
 
@@ -149,12 +149,12 @@
 	return s
 }
 
-func TestListsAndThenFollowsByEachWayOfListing(t *testing.T) {
+func TestListAndWatch(t *testing.T) {
 	t.Parallel()
 	for _, plain := range []bool{false, true} {
 		t.Run(fmt.Sprintf("plain %v", plain), func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, kubeapi.Options{NoStreaming: plain, TLS: !plain})
+			w := newTestEnv(t, kubeapi.Options{NoStreaming: plain, TLS: !plain})
 			w.put("a", "u1@10.0.0.1", "u2@10.0.0.2 n")
 			other := apiSlice("other", "x@10.9.9.9")
 			other.Labels = map[string]string{"kubernetes.io/service-name": "mirror"}
@@ -171,15 +171,15 @@
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			if !w.table.Complete() {
-				t.Error("no whole list was told")
+				t.Error("no full list was reported")
 			}
 		})
 	}
 }
 
-func TestAListOfManyPagesIsReadWhole(t *testing.T) {
+func TestAllPagesOfListAreRead(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{NoStreaming: true})
+	w := newTestEnv(t, kubeapi.Options{NoStreaming: true})
 	for i := range 2*pageSize + 1 {
 		w.put(fmt.Sprintf("s%04d", i), fmt.Sprintf("u%04d@10.0.%d.%d", i, i/250, i%250))
 	}
@@ -189,31 +189,31 @@
 	}
 }
 
-func TestAPageThatExpiresIsReadAgainInOne(t *testing.T) {
+func TestExpiredPageFallsBackToSingleRequest(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{NoStreaming: true})
+	w := newTestEnv(t, kubeapi.Options{NoStreaming: true})
 	for i := range pageSize + 1 {
 		w.put(fmt.Sprintf("s%04d", i), fmt.Sprintf("u%04d@10.0.%d.%d", i, i/250, i%250))
 	}
 	first := w.src.query()
 	first.Set("limit", fmt.Sprint(pageSize))
-	p, err := w.src.page(t.Context(), first, func(*object, int) {})
-	if err != nil || p.next == "" {
+	p, err := w.src.fetchPage(t.Context(), first, func(*object, int) {})
+	if err != nil || p.continueToken == "" {
 		t.Fatal(err, p)
 	}
 	w.put("s0000", "u0000@10.0.0.0 t")
 	w.api.Compact()
-	first.Set("continue", p.next)
-	if _, err := w.src.page(t.Context(), first, func(*object, int) {}); err == nil || !strings.Contains(err.Error(), "410") {
+	first.Set("continue", p.continueToken)
+	if _, err := w.src.fetchPage(t.Context(), first, func(*object, int) {}); err == nil || !strings.Contains(err.Error(), "410") {
 		t.Fatal(err)
 	}
-	w.api.Fail(kubeapi.Fault{Verb: "list", Code: 410, Continued: true}) // compacted faster than pages can be read
+	w.api.Fail(kubeapi.Fault{Verb: "list", Code: 410, Continued: true}) // history is compacted faster than the pages can be read
 	w.run().stats(func(s Stats) bool { return s.Lists == 1 && s.Named == pageSize+1 && s.Gone == 1 })
 }
 
-func TestAnExpiredVersionIsListedAnewWithoutAGap(t *testing.T) {
+func TestExpiredVersionCausesNewList(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{})
+	w := newTestEnv(t, kubeapi.Options{})
 	w.put("a", "u1@10.0.0.1", "u2@10.0.0.2")
 	w.put("b", "u3@10.0.0.3")
 	w.run().await("u1 active, u2 active, u3 active")
@@ -231,9 +231,9 @@
 	}
 }
 
-func TestABookmarkMovesTheVersionOn(t *testing.T) {
+func TestBookmarkAdvancesResourceVersion(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{Bookmarks: 5 * time.Millisecond})
+	w := newTestEnv(t, kubeapi.Options{Bookmarks: 5 * time.Millisecond})
 	w.put("a", "u1@10.0.0.1")
 	w.run().await("u1 active")
 	for i := range 20 {
@@ -241,7 +241,7 @@
 		other.Labels = nil
 		w.api.Put(other)
 	}
-	// Only if the version of a bookmark counts the watch can go on where history begins now.
+	// The history now starts at the version of the last bookmark, so the watch can resume only from there.
 	want := fmt.Sprint(w.api.Version())
 	w.stats(func(s Stats) bool { return s.Version == want })
 	w.api.Compact()
@@ -253,10 +253,10 @@
 	}
 }
 
-func TestBrokenWatchesGoOnWhereTheyWere(t *testing.T) {
+func TestBrokenWatchResumes(t *testing.T) {
 	t.Parallel()
 	for _, half := range []bool{false, true} {
-		w := newWorld(t, kubeapi.Options{})
+		w := newTestEnv(t, kubeapi.Options{})
 		w.put("a", "u1@10.0.0.1")
 		w.run().await("u1 active")
 		w.api.CutWatches(half)
@@ -273,9 +273,9 @@
 	}
 }
 
-func TestAnEventInPiecesIsReadWhole(t *testing.T) {
+func TestEventInFragmentsIsRead(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{})
+	w := newTestEnv(t, kubeapi.Options{})
 	w.put("a", "u1@10.0.0.1")
 	w.run().await("u1 active")
 	w.api.Chop(60, time.Millisecond)
@@ -283,10 +283,10 @@
 	w.await("u1 leaving")
 }
 
-func TestASilentWatchIsBegunAnew(t *testing.T) {
+func TestIdleWatchIsRestarted(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{})
-	w.src.t.WatchIdleTimeout = 100 * time.Millisecond
+	w := newTestEnv(t, kubeapi.Options{})
+	w.src.timing.WatchIdleTimeout = 100 * time.Millisecond
 	w.put("a", "u1@10.0.0.1")
 	w.run().await("u1 active")
 	w.api.Mute()
@@ -299,10 +299,10 @@
 	w.await("u1 leaving")
 }
 
-func TestAStreamingListWithoutAnEndFallsBackToPages(t *testing.T) {
+func TestStalledStreamingListFallsBackToPages(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{})
-	w.src.t.InitialListIdleTimeout = 50 * time.Millisecond
+	w := newTestEnv(t, kubeapi.Options{})
+	w.src.timing.InitialListIdleTimeout = 50 * time.Millisecond
 	w.put("a", "u1@10.0.0.1")
 	w.api.Chop(1, time.Second) // the first event takes minutes
 	w.run().await("u1 active")
@@ -312,15 +312,15 @@
 	w.api.Heal()
 }
 
-func TestAnAPIServerThatRestartsIsFoundAgain(t *testing.T) {
+func TestReconnectAfterAPIServerRestart(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{TLS: true})
+	w := newTestEnv(t, kubeapi.Options{TLS: true})
 	w.put("a", "u1@10.0.0.1", "u2@10.0.0.2")
 	w.run().await("u1 active, u2 active")
 	w.api.Stop()
 	w.stats(func(s Stats) bool { return s.Failures >= 3 })
 	if got := w.list(); got != "u1 active, u2 active" {
-		t.Fatal("the list at hand went:", got)
+		t.Fatal("the endpoints changed:", got)
 	}
 	w.put("a", "u1@10.0.0.1 t", "u2@10.0.0.2")
 	if err := w.api.Resume(); err != nil {
@@ -334,9 +334,9 @@
 	}, func() string { return "the source still counts as failing" })
 }
 
-func TestDataThatWereSetBackAreListedAnew(t *testing.T) {
+func TestRestoredServerDataCauseNewList(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{})
+	w := newTestEnv(t, kubeapi.Options{})
 	w.put("a", "u1@10.0.0.1", "u2@10.0.0.2")
 	old := w.api.Version()
 	w.run().await("u1 active, u2 active")
@@ -344,21 +344,21 @@
 		w.put("a", "u1@10.0.0.1", "u2@10.0.0.2 t")
 	}
 	newest := fmt.Sprint(w.api.Version())
-	w.stats(func(s Stats) bool { return s.Version == newest }) // versions that grow back beyond ours unseen can't be told
+	w.stats(func(s Stats) bool { return s.Version == newest }) // versions that have grown beyond the last known one can't be detected
 	w.await("u1 active, u2 leaving")
 	w.api.Stop()
 	w.api.SetBack(old)
-	w.put("b", "u3@10.0.0.3") // a version that the source believes to know
+	w.put("b", "u3@10.0.0.3") // gets a version that the source has seen before
 	if err := w.api.Resume(); err != nil {
 		t.Fatal(err)
 	}
-	w.await("u1 active, u2 leaving, u3 active") // u2 is a pod that was terminating: it stays so
+	w.await("u1 active, u2 leaving, u3 active") // u2 was terminating and stays Leaving
 	w.stats(func(s Stats) bool { return s.SetBack == 1 })
 }
 
-func TestAnOlderVersionOnAnOpenWatchIsNoticed(t *testing.T) {
+func TestOlderVersionOnOpenWatchIsDetected(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{Bookmarks: 5 * time.Millisecond})
+	w := newTestEnv(t, kubeapi.Options{Bookmarks: 5 * time.Millisecond})
 	w.put("a", "u1@10.0.0.1")
 	old := w.api.Version()
 	w.run().await("u1 active")
@@ -366,17 +366,17 @@
 		w.put("b", "u2@10.0.0.2")
 	}
 	w.await("u1 active, u2 active")
-	w.api.SetBack(old) // no event tells of it; bookmarks have the older version
+	w.api.SetBack(old) // causes no event, but bookmarks have the older version
 	w.await("u1 active")
 	w.stats(func(s Stats) bool { return s.SetBack == 1 })
 }
 
-func TestARefusalKeepsTheListAndMendsItself(t *testing.T) {
+func TestErrorResponseKeepsEndpointsUntilRecovery(t *testing.T) {
 	t.Parallel()
 	for _, code := range []int{401, 403, 429, 500} {
 		t.Run(fmt.Sprint(code), func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, kubeapi.Options{Tokens: []string{"t1"}})
+			w := newTestEnv(t, kubeapi.Options{Tokens: []string{"t1"}})
 			w.put("a", "u1@10.0.0.1")
 			w.run().await("u1 active")
 			w.api.Fail(kubeapi.Fault{Code: code})
@@ -400,7 +400,7 @@
 
 func TestErrorEventsOnAWatch(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{})
+	w := newTestEnv(t, kubeapi.Options{})
 	w.put("a", "u1@10.0.0.1")
 	w.run().await("u1 active")
 	w.api.Fail(kubeapi.Fault{Verb: "watch", Code: 500, Event: true, Times: 2})
@@ -414,21 +414,21 @@
 	w.stats(func(s Stats) bool { return s.Gone == 1 && s.Lists >= 2 })
 }
 
-func TestRetryAfterIsHeeded(t *testing.T) {
+func TestRetryAfterIsHonoured(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{})
+	w := newTestEnv(t, kubeapi.Options{})
 	w.api.Fail(kubeapi.Fault{Code: 429, RetryAfter: 1, Times: 1})
 	w.put("a", "u1@10.0.0.1")
 	began := time.Now()
 	w.run().await("u1 active")
 	if d := time.Since(began); d < time.Second {
-		t.Errorf("came again after %v", d)
+		t.Errorf("retried after %v", d)
 	}
 }
 
-func TestATokenThatRotatesIsReadAnew(t *testing.T) {
+func TestRotatedCredentialsAreReloaded(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{TLS: true, Tokens: []string{"t1"}})
+	w := newTestEnv(t, kubeapi.Options{TLS: true, Tokens: []string{"t1"}})
 	dir := t.TempDir()
 	token, ca := filepath.Join(dir, "token"), filepath.Join(dir, "ca.crt")
 	for path, text := range map[string][]byte{token: []byte("t1\n"), ca: w.api.CA(), filepath.Join(dir, "namespace"): []byte("partners")} {
@@ -465,7 +465,7 @@
 	w.await("u2 active")
 }
 
-func TestAnAnswerThatIsNoListEmptiesNothing(t *testing.T) {
+func TestMalformedListIsAnError(t *testing.T) {
 	t.Parallel()
 	for _, body := range []string{
 		`{}`, `null`, `[]`, ``, `{"kind":"Status","status":"Failure","code":500}`,
@@ -475,7 +475,7 @@
 		`{"kind":"PodList","metadata":{"resourceVersion":"1"},"items":[]}`,
 	} {
 		if _, err := readPage(strings.NewReader(body), func(*object, int) {}); err == nil {
-			t.Errorf("%s passed for a list", body)
+			t.Errorf("%s was accepted as a list", body)
 		}
 	}
 	p, err := readPage(strings.NewReader(`{"kind":"EndpointSliceList","metadata":{"resourceVersion":"1"},"items":null}`), nil)
@@ -484,9 +484,9 @@
 	}
 }
 
-func TestAMistakenlyEmptyListIsLookedAtAgain(t *testing.T) {
+func TestEmptyListIsReadAgain(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{})
+	w := newTestEnv(t, kubeapi.Options{})
 	w.put("a", "u1@10.0.0.1")
 	w.run().await("u1 active")
 	w.api.Blind(true)
@@ -496,7 +496,7 @@
 	w.api.Compact()
 	w.await("u1 leaving")
 	w.stats(func(s Stats) bool { return s.Emptied == 1 && s.Lists >= 4 })
-	w.api.Blind(false) // without an event
+	w.api.Blind(false) // the server sends no event for this
 	w.await("u1 active")
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -505,10 +505,10 @@
 	}
 }
 
-func TestABadSliceSpoilsNoOther(t *testing.T) {
+func TestUnreadableSliceDoesNotAffectOthers(t *testing.T) {
 	t.Parallel()
 	for _, plain := range []bool{false, true} {
-		w := newWorld(t, kubeapi.Options{NoStreaming: plain})
+		w := newTestEnv(t, kubeapi.Options{NoStreaming: plain})
 		w.put("a", "u1@10.0.0.1")
 		w.api.PutRaw("partners", "b", labels, `"addressType":"IPv4","endpoints":"none","ports":[]`)
 		w.api.PutRaw("partners", "c", labels, `"addressType":"FQDN","endpoints":[{"addresses":["a.example"]}],"ports":[{"name":"http","port":80}]`)
@@ -516,21 +516,21 @@
 		w.api.PutRaw("partners", "e", labels, `"addressType":"IPv4","endpoints":[{"addresses":["10.0.0.5"]}],"x":`+strings.Repeat("[", 300)+strings.Repeat("]", 300))
 		w.put("f", "u6@10.0.0.6")
 		w.run().await("u1 active, u4 active, u6 active")
-		w.api.PutRaw("partners", "a", labels, `"x":"`+strings.Repeat("y", mostObject)+`"`)
+		w.api.PutRaw("partners", "a", labels, `"x":"`+strings.Repeat("y", maxObjectBytes)+`"`)
 		w.put("f", "u7@10.0.0.7")
 		w.await("u1 active, u4 active, u7 active")
 		w.stats(func(s Stats) bool { return s.Unreadable >= 4 && s.Failures == 0 })
 	}
 }
 
-func TestWhileTheTakerIsBusyOnlyTheNewestStateWaits(t *testing.T) {
+func TestOnlyNewestStateWaitsForBusyReceiver(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, kubeapi.Options{})
+	w := newTestEnv(t, kubeapi.Options{})
 	w.put("a", "u1@10.0.0.1")
 	w.run().await("u1 active")
 	hold := make(chan struct{})
 	w.mu.Lock()
-	w.hold = hold
+	w.blockTell = hold
 	w.mu.Unlock()
 	const n = 2000
 	for i := range n {
@@ -542,24 +542,24 @@
 	waiting := len(w.src.set.changed)
 	w.src.mu.Unlock()
 	if waiting > 10 {
-		t.Errorf("%d wait", waiting)
+		t.Errorf("%d changes wait", waiting)
 	}
 	w.mu.Lock()
-	w.hold = nil
+	w.blockTell = nil
 	w.mu.Unlock()
 	close(hold)
 	w.await(fmt.Sprintf("u1 leaving, v%d active, w active", n-1))
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.history) > 10 {
-		t.Errorf("%d endpoints were told", len(w.history))
+		t.Errorf("%d endpoints were reported", len(w.history))
 	}
 }
 
-func TestTenThousandEndpointsInSlicesOfAThousand(t *testing.T) {
+func TestTenThousandEndpoints(t *testing.T) {
 	t.Parallel()
 	for _, plain := range []bool{false, true} {
-		w := newWorld(t, kubeapi.Options{NoStreaming: plain})
+		w := newTestEnv(t, kubeapi.Options{NoStreaming: plain})
 		pods := func(slice int) (all []string) {
 			for i := range 1000 {
 				all = append(all, fmt.Sprintf("u%d-%d@10.%d.%d.%d", slice, i, slice, i/250, i%250))
@@ -587,7 +587,7 @@
 	}
 }
 
-func TestTheTokenDoesNotFollowARedirect(t *testing.T) {
+func TestRedirectDoesNotGetToken(t *testing.T) {
 	t.Parallel()
 	got := make(chan string, 10)
 	l := httpServer(t, func(rw http.ResponseWriter, r *http.Request) { got <- r.Header.Get("Authorization") })
@@ -608,7 +608,7 @@
 func TestLinesAreBounded(t *testing.T) {
 	t.Parallel()
 	long := strings.Repeat("x", 100_000)
-	in := lines{r: strings.NewReader("a\n" + long + "\nb\n\nc" + long + "\n" + "d\ne"), most: 50_000}
+	in := lineReader{r: strings.NewReader("a\n" + long + "\nb\n\nc" + long + "\n" + "d\ne"), maxBytes: 50_000}
 	var got []string
 	for {
 		line, err := in.next()
--- a/membership/partnerlist/notices_test.go
+++ b/membership/partnerlist/notices_test.go
@@ -21,12 +21,12 @@
 	"curlewmux/internal/host"
 )
 
-// delivered runs notices on a script until nothing is left to do.
-func delivered(s *script) (n *Notices, through *[]string) {
-	n = NewNotices(s, "agent:1", quiet())
+// newScriptNotices creates Notices on a script. It is closed when nothing is left to do.
+func newScriptNotices(s *script) (n *Notices, through *[]string) {
+	n = NewNotices(s, "agent:1", discardLog())
 	through = &[]string{}
-	n.through = func(ids []string) { *through = append(*through, ids...) }
-	s.idle = n.Close
+	n.acknowledged = func(ids []string) { *through = append(*through, ids...) }
+	s.onIdle = n.Close
 	return n, through
 }
 
@@ -36,7 +36,7 @@
 
 func failed(id string) *engine.Done { return &engine.Done{ID: id, Disposition: engine.Failed} }
 
-// idsOf are the ids in a body of notices, which must be readable.
+// idsOf parses a body of notices and returns their ids.
 func idsOf(t *testing.T, body string) (ids []string) {
 	t.Helper()
 	for line := range strings.Lines(body) {
@@ -47,8 +47,8 @@
 	return ids
 }
 
-// Notices are tried until they are taken, and go out several at a time.
-func TestNoticesAreTriedUntilTaken(t *testing.T) {
+// Notices are retried until discovery accepts them, and several go into one request.
+func TestNoticesAreRetriedUntilAccepted(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
 	bodies := []string{}
@@ -67,24 +67,24 @@
 		rw.WriteHeader(204)
 	}))
 	defer s.Close()
-	n := NewNotices(host.System{}, s.Listener.Addr().String(), quiet())
+	n := NewNotices(host.System{}, s.Listener.Addr().String(), discardLog())
 	through := make(chan []string, 10)
-	n.agent.inbox.Put(&notice{id: "a"}) // with what comes next in one call
-	n.agent.inbox.Put(&notice{id: "b", deferred: true, again: time.Second})
+	n.agent.inbox.Put(&notice{id: "a"}) // goes into the same request as the next one
+	n.agent.inbox.Put(&notice{id: "b", deferred: true, retryAfter: time.Second})
 	n.Start(func(ids []string) { through <- ids })
 	defer n.Close()
 	select {
 	case ids := <-through:
 		want := `{"id":"a","status":"undeliverable"}` + "\n" + `{"id":"b","status":"deferred","again_ms":1000}` + "\n"
 		if !slices.Equal(ids, []string{"a", "b"}) || !slices.Equal(bodies, []string{want, want, want}) {
-			t.Errorf("%v through, bodies %q", ids, bodies)
+			t.Errorf("%v acknowledged, bodies %q", ids, bodies)
 		}
-	case <-time.After(generous):
-		t.Fatal("not through")
+	case <-time.After(testTimeout):
+		t.Fatal("not acknowledged")
 	}
 	n.Completed(refused("c", 0))
 	if ids := <-through; !slices.Equal(ids, []string{"c"}) {
-		t.Errorf("%v through", ids)
+		t.Errorf("%v acknowledged", ids)
 	}
 	mu.Lock()
 	defer mu.Unlock()
@@ -93,27 +93,27 @@
 	}
 }
 
-func TestWhatNobodyWaitsForIsNotTold(t *testing.T) {
+func TestNoNoticeUnlessUndelivered(t *testing.T) {
 	t.Parallel()
 	s := newScript(func(call) reply { return reply{text: status(204, "")} })
-	n, through := delivered(s)
+	n, through := newScriptNotices(s)
 	for i, how := range []engine.Disposition{engine.Delivered, engine.Closed, engine.Withdrawn} {
 		n.Completed(&engine.Done{ID: fmt.Sprint(i), Disposition: how})
 	}
 	n.run()
 	if len(s.calls) > 0 || len(*through) > 0 {
-		t.Errorf("notices %v, %v through", s.calls, *through)
+		t.Errorf("notices %v, %v acknowledged", s.calls, *through)
 	}
 }
 
-// No body is larger than discovery takes, and the order is kept over many.
+// No body is larger than discovery accepts, and the order is kept over many requests.
 func TestNoticesGoOutInOrderAndInBoundedBodies(t *testing.T) {
 	t.Parallel()
 	s := newScript(nil)
-	n, through := delivered(s)
+	n, through := newScriptNotices(s)
 	var want, got []string
 	s.serve = func(c call) reply {
-		if len(c.body) > reportBytes {
+		if len(c.body) > maxReportBytes {
 			t.Errorf("a body of %d bytes", len(c.body))
 		}
 		if len(s.calls)%2 == 0 {
@@ -130,26 +130,26 @@
 	for i := range 3000 {
 		end(i)
 	}
-	for i := range 20 { // in the pauses between
-		s.in(time.Duration(i)*10*time.Millisecond, func() { end(3000 + i) })
+	for i := range 20 { // during the pauses
+		s.after(time.Duration(i)*10*time.Millisecond, func() { end(3000 + i) })
 	}
 	n.run()
 	if !slices.Equal(got, want) || !slices.Equal(*through, want) {
-		t.Errorf("%d notices taken and %d through of %d, or another order", len(got), len(*through), len(want))
+		t.Errorf("%d notices accepted and %d acknowledged of %d, or in another order", len(got), len(*through), len(want))
 	}
 	if cap(n.pending) > 0 {
-		t.Errorf("room for %d notices is kept after the rush", cap(n.pending))
+		t.Errorf("memory for %d notices is kept after the burst", cap(n.pending))
 	}
 }
 
-// Where discovery can't read one notice of many, that one is dropped and no other; all are through.
+// If discovery can't read one of many notices, only that one is dropped. All count as acknowledged.
 func TestOneUnreadableNoticeIsDroppedAlone(t *testing.T) {
 	t.Parallel()
 	for name, bad := range map[string][]int{
 		"first": {0}, "last": {699}, "middle": {350}, "some": {17, 18, 400}, "none": nil,
 	} {
 		s := newScript(nil)
-		n, through := delivered(s)
+		n, through := newScriptNotices(s)
 		isBad := func(id string) bool {
 			return slices.ContainsFunc(bad, func(i int) bool { return fmt.Sprint(i) == id })
 		}
@@ -172,41 +172,41 @@
 		}
 		n.run()
 		if !slices.Equal(got, good) || !slices.Equal(*through, all) {
-			t.Errorf("%s: %d taken, %d through", name, len(got), len(*through))
+			t.Errorf("%s: %d accepted, %d acknowledged", name, len(got), len(*through))
 		}
-		if most := 1 + 22*len(bad); len(s.calls) > most { // twice the halvings of 700, and one
+		if most := 1 + 22*len(bad); len(s.calls) > most { // up to twice the number of times that 700 can be halved, plus one
 			t.Errorf("%s: %d calls, want %d at most", name, len(s.calls), most)
 		}
 	}
 }
 
-// Discovery that can read nothing at all is not asked without a pause, and does not keep anything for ever.
-func TestDiscoveryThatReadsNothingMakesNoBusyLoop(t *testing.T) {
+// If discovery can read no notice at all, calls are paced, and no notice is kept for ever.
+func TestNoBusyLoopIfNoticesAreUnreadable(t *testing.T) {
 	t.Parallel()
 	s := newScript(func(call) reply { return reply{text: status(400, "")} })
-	n, through := delivered(s)
+	n, through := newScriptNotices(s)
 	for i := range 100 {
 		n.Completed(failed(fmt.Sprint(i)))
 	}
 	begun := s.now
 	n.run()
 	if len(*through) != 100 {
-		t.Errorf("%d of 100 through", len(*through))
+		t.Errorf("%d of 100 acknowledged", len(*through))
 	}
-	if took := s.now.Sub(begun); len(s.calls) > paceFree+1+int(took/paceGap) {
+	if took := s.now.Sub(begun); len(s.calls) > paceBurst+1+int(took/paceInterval) {
 		t.Errorf("%d calls in %v", len(s.calls), took)
 	}
 }
 
-// What the old address has not taken goes to the new one, at once.
-func TestNoticesMoveWithDiscovery(t *testing.T) {
+// Notices that the old address has not accepted go to the new one at once.
+func TestNoticesFollowAddress(t *testing.T) {
 	t.Parallel()
 	for name, old := range map[string]reply{
-		"silent": {}, "in a pause": {text: status(500, "")}, "unreadable to it": {after: 4 * time.Millisecond, text: status(400, "")},
-		"late": {after: time.Second, text: status(400, "")},
+		"silent": {}, "in a pause": {text: status(500, "")}, "unreadable to it": {delay: 4 * time.Millisecond, text: status(400, "")},
+		"late": {delay: time.Second, text: status(400, "")},
 	} {
 		s := newScript(nil)
-		n, through := delivered(s)
+		n, through := newScriptNotices(s)
 		var lines bytes.Buffer
 		n.log = slog.New(slog.NewTextHandler(&lines, nil))
 		var got []string
@@ -221,9 +221,9 @@
 			got = append(got, idsOf(t, c.body)...)
 			return reply{text: status(204, "")}
 		}
-		s.in(5*time.Millisecond, func() {
+		s.after(5*time.Millisecond, func() {
 			if !n.SetAddress("agent:2") {
-				t.Errorf("%s: another address is not told as one", name)
+				t.Errorf("%s: SetAddress returns false for a different address", name)
 			}
 		})
 		for _, id := range []string{"a", "b", "c", "d"} {
@@ -231,7 +231,7 @@
 		}
 		n.run()
 		if !slices.Equal(got, []string{"a", "b", "c", "d"}) || !slices.Equal(*through, got) {
-			t.Errorf("%s: taken %v, through %v", name, got, *through)
+			t.Errorf("%s: accepted %v, acknowledged %v", name, got, *through)
 		}
 		if moved != 1 {
 			t.Errorf("%s: the new address is tried %d times", name, moved)
@@ -242,8 +242,8 @@
 	}
 }
 
-// A connection that is kept between calls is closed with the last address that it went to, and by Close.
-func TestNoConnectionIsLeftBehind(t *testing.T) {
+// A persistent connection is closed when the address changes, and by Close.
+func TestConnectionIsClosedOnMoveAndClose(t *testing.T) {
 	t.Parallel()
 	for name, leave := range map[string]func(*Notices){
 		"move": func(n *Notices) { n.SetAddress("127.0.0.1:1") }, "close": func(n *Notices) { n.Close() },
@@ -251,7 +251,7 @@
 		l, err := host.System{}.Listen("127.0.0.1:0")
 		must(t, err)
 		defer l.Close()
-		n := NewNotices(host.System{}, l.Addr().String(), quiet())
+		n := NewNotices(host.System{}, l.Addr().String(), discardLog())
 		through := make(chan []string, 1)
 		n.Start(func(ids []string) { through <- ids })
 		defer n.Close()
@@ -259,7 +259,7 @@
 		c, err := l.Accept()
 		must(t, err)
 		defer c.Close()
-		must(t, c.SetDeadline(time.Now().Add(generous)))
+		must(t, c.SetDeadline(time.Now().Add(testTimeout)))
 		br := bufio.NewReader(c)
 		r, err := http.ReadRequest(br)
 		must(t, err)
@@ -270,23 +270,23 @@
 		<-through
 		leave(n)
 		if _, err := br.ReadByte(); err != io.EOF {
-			t.Errorf("%s: the connection is left with %v", name, err)
+			t.Errorf("%s: reading from the connection gives %v", name, err)
 		}
 	}
 }
 
-// When the time for a call is up on a connection that was kept, no new one is tried: a dial would have no limit.
-func TestNoDialOnceTheTimeIsUp(t *testing.T) {
+// If the deadline of a call passes on a persistent connection, no new one is dialled, since the dial would have no limit.
+func TestNoDialAfterDeadline(t *testing.T) {
 	t.Parallel()
 	s := newScript(nil)
 	a := newAgent(s, "agent:1")
-	if err := a.dial(a.place(), s.now); !errors.Is(err, os.ErrDeadlineExceeded) || s.dials > 0 {
+	if err := a.dial(a.currentAddress(), s.now); !errors.Is(err, os.ErrDeadlineExceeded) || s.dials > 0 {
 		t.Errorf("%v, %d dials", err, s.dials)
 	}
 }
 
-// Close ends a call that hangs, and what comes later is dropped: the store still has it.
-func TestCloseEndsACallThatHangs(t *testing.T) {
+// Close aborts a hanging call. Later results are dropped, since the store still has them.
+func TestCloseAbortsHangingCall(t *testing.T) {
 	t.Parallel()
 	asked := make(chan bool, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -295,8 +295,8 @@
 		<-r.Context().Done()
 	}))
 	defer s.Close()
-	n := NewNotices(host.System{}, s.Listener.Addr().String(), quiet())
-	n.Start(func(ids []string) { t.Errorf("%v through", ids) })
+	n := NewNotices(host.System{}, s.Listener.Addr().String(), discardLog())
+	n.Start(func(ids []string) { t.Errorf("%v acknowledged", ids) })
 	n.Completed(failed("a"))
 	<-asked
 	n.Close()
--- a/membership/partnerlist/script_test.go
+++ b/membership/partnerlist/script_test.go
@@ -24,7 +24,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const generous = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func must(t testing.TB, err error) {
 	t.Helper()
@@ -33,9 +33,9 @@
 	}
 }
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// names know the zone "east" as 0 and "far west" as 1, and the kind "hooks" as 0.
+// names has the zones "east" (0) and "far west" (1) and the kind "hooks" (0).
 func names() NameIndex {
 	index := func(list ...string) func(string) int {
 		return func(name string) int { return slices.Index(list, name) }
@@ -43,15 +43,15 @@
 	return NameIndex{Zone: index("east", "far_west"), Kind: index("hooks")}
 }
 
-// script is a host for one goroutine, on which time passes only where that goroutine waits. What it asks of the agent is
-// answered by serve.
+// script is a simulated host for one goroutine. Time passes only while that goroutine waits. serve responds to its calls in
+// place of the agent.
 type script struct {
 	now    time.Time
-	timers []alarm
+	timers []timer
 	calls  []call
 	dials  int
 	serve  func(c call) reply
-	idle   func() // runs when nothing is left to wait for
+	onIdle func() // is called when there is nothing left to wait for
 }
 
 type call struct {
@@ -60,14 +60,14 @@
 	body               string
 }
 
-// reply is what the agent does with a call.
+// reply is the agent's response to a call.
 type reply struct {
-	after time.Duration
-	text  string // "" for silence
-	hang  bool   // the agent closes the connection behind the answer, and does not say so
+	delay  time.Duration
+	text   string // "" for no response
+	closes bool   // the agent closes the connection after the response without announcing it
 }
 
-type alarm struct {
+type timer struct {
 	at time.Time
 	do func()
 }
@@ -76,8 +76,8 @@
 	return &script{now: time.Unix(1_000_000, 0), serve: serve}
 }
 
-// pass lets time pass until t, or until something that was to happen before has.
-func (s *script) pass(t time.Time) {
+// advance advances the time to t. If a timer is due by then, it advances only to that timer and runs it.
+func (s *script) advance(t time.Time) {
 	if len(s.timers) > 0 && !s.timers[0].at.After(t) {
 		next := s.timers[0]
 		s.timers = s.timers[1:]
@@ -88,10 +88,10 @@
 	s.now = later(s.now, t)
 }
 
-// in has something happen after d.
-func (s *script) in(d time.Duration, do func()) {
-	s.timers = append(s.timers, alarm{s.now.Add(d), do})
-	slices.SortStableFunc(s.timers, func(a, b alarm) int { return a.at.Compare(b.at) })
+// after sets a timer that runs do after d.
+func (s *script) after(d time.Duration, do func()) {
+	s.timers = append(s.timers, timer{s.now.Add(d), do})
+	slices.SortStableFunc(s.timers, func(a, b timer) int { return a.at.Compare(b.at) })
 }
 
 func (s *script) Now() time.Time                             { return s.now }
@@ -132,13 +132,13 @@
 			if !b.script.now.Before(until) {
 				return into
 			}
-			b.script.pass(until)
+			b.script.advance(until)
 		case len(b.script.timers) > 0:
-			b.script.pass(b.script.timers[0].at)
-		case b.script.idle != nil:
-			b.script.idle()
+			b.script.advance(b.script.timers[0].at)
+		case b.script.onIdle != nil:
+			b.script.onIdle()
 		default:
-			panic("waits for ever")
+			panic("would wait for ever")
 		}
 	}
 	into = append(into, b.list...)
@@ -158,7 +158,7 @@
 	addr     string
 	answer   string
 	ready    time.Time
-	hang     bool
+	closes   bool
 	closed   bool
 	deadline time.Time
 }
@@ -176,14 +176,14 @@
 		panic(err)
 	}
 	k := call{c.script.now, c.addr, r.Method, r.RequestURI, string(body)}
-	if c.hang {
-		return len(b), nil // nobody reads it
+	if c.closes {
+		return len(b), nil // the agent has closed the connection
 	}
 	if c.script.calls = append(c.script.calls, k); len(c.script.calls) > 10_000 {
 		panic("a busy loop")
 	}
 	a := c.script.serve(k)
-	c.answer, c.ready, c.hang = a.text, c.script.now.Add(a.after), a.hang
+	c.answer, c.ready, c.closes = a.text, c.script.now.Add(a.delay), a.closes
 	return len(b), nil
 }
 
@@ -196,31 +196,31 @@
 			n := copy(b, c.answer)
 			c.answer = c.answer[n:]
 			return n, nil
-		case c.answer == "" && c.hang:
+		case c.answer == "" && c.closes:
 			return 0, io.EOF
 		case !c.script.now.Before(c.deadline):
 			return 0, os.ErrDeadlineExceeded
 		case c.answer != "" && c.ready.Before(c.deadline):
-			c.script.pass(c.ready)
+			c.script.advance(c.ready)
 		default:
-			c.script.pass(c.deadline)
+			c.script.advance(c.deadline)
 		}
 	}
 }
 
-func (c *scriptConn) Readable() bool                     { return false } // what is closed from afar is seen too late
+func (c *scriptConn) Readable() bool                     { return false } // the client does not notice in time that the agent has closed the connection
 func (c *scriptConn) SetReadDeadline(t time.Time) error  { c.deadline = t; return nil }
 func (c *scriptConn) SetWriteDeadline(t time.Time) error { return nil }
 func (c *scriptConn) Close() error                       { c.closed = true; return nil }
 
-// ok is an answer with 200.
+// ok returns a response with status 200.
 func ok(body string) string { return status(200, body) }
 
 func status(code int, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n%s", code, len(body), body)
 }
 
-// listText is an answer to a watch.
+// listText returns a response to a watch call.
 func listText(revision int, complete bool, ids ...string) string {
 	var members []string
 	for _, id := range ids {
@@ -229,19 +229,19 @@
 	return ok(fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, strings.Join(members, ",")))
 }
 
-// listing keeps what it is told.
+// listing records what it is given.
 type listing struct {
-	list []*engine.Members
-	gone bool // the driver has stopped
+	list    []*engine.Members
+	stopped bool // the receiver accepts nothing more
 }
 
 func (l *listing) Members(m *engine.Members) bool {
 	l.list = append(l.list, m)
-	return !l.gone
+	return !l.stopped
 }
 
-// text is what was told, in short.
-func (l *listing) text() string {
+// summary summarises what was recorded.
+func (l *listing) summary() string {
 	var out []string
 	for _, m := range l.list {
 		s := cmp.Or(map[bool]string{true: "failed"}[m.Failed], map[bool]string{true: "whole"}[m.FullList], "changes")
