--- a/engine/books.go
+++ b/engine/books.go
@@ -5,15 +5,15 @@
 	"curlewmux/ledger"
 )
 
-// Ledger has an engine keep figures that add up, and check them against its own tables.
+// LedgerSettings configure the ledger, whose counts an engine keeps and audits against its own tables.
 type Ledger struct {
 	ledger.Settings
-	Epoch ledger.Epoch // which begins where the store has no ledger, or one that can't be gone on with
+	Epoch ledger.Epoch // begins if the store has no ledger, or one that can't be continued
 
-	Part  int  // messages that one part of a sweep counts at most, 0 for 1,000; there is one part a tick at most
-	Every Time // from the begin of a sweep to that of the next, 0 for 300 ms; there is none while nothing changes
+	Part  int  // maximum number of messages in one part of an audit, 0 for 1,000; there is at most one part per tick
+	Every Time // from the start of an audit to that of the next, 0 for 300 ms; there is none while nothing changes
 
-	// Kept, where set, is asked for what the store has of a leaf, nil for none. It is called on the engine's goroutine for
+	// StoredLeaf, if set, returns the stored text of a leaf, nil for none. It is called on the engine's goroutine, for
 	// leaves whose batch is stored, and must not block.
 	Kept func(number uint64) []byte
 }
@@ -21,35 +21,36 @@
 const (
 	sweepPart  = 1000
 	sweepEvery = 300 * control.Millisecond
-	sweepLeast = 100                      // messages of a part
-	sweepParts = 32                       // about, where they are no larger than allowed
-	mostOut    = 1000                     // calls out that a sweep looks at; beyond, their items are not counted
-	leafGap    = 20 * control.Millisecond // between batches that hold nothing but leaves
-	leavesEach = 64                       // accounts that are written in a batch at most
+	sweepLeast = 100                      // messages per part, at least
+	sweepParts = 32                       // approximate number of parts, while these are within the maximum
+	mostOut    = 1000                     // with more calls out, an audit does not count their items
+	leafGap    = 20 * control.Millisecond // between batches that hold only leaves
+	leavesEach = 64                       // maximum number of accounts per batch
 )
 
-// books are the ledger of an engine, and how far a sweep has come. All posting is done in this file, called from where a
-// message is taken, admitted or not, moved and ended (message.go), and where an attempt begins and ends (call.go).
+// books holds the ledger of an engine and the progress of its audit. All postings are made in this file. It is called
+// where a message is accepted, stored or rejected, resent and ended (message.go), and where an attempt begins and ends
+// (call.go).
 type books struct {
 	set Ledger
 	*ledger.Ledger
-	anew  string  // why the epoch that the store had ends
-	open  bool    // what the store had is known: before that nothing may be written there
-	wrote []Batch // by leaf: of its newest text
-	lone  Time    // when a batch held nothing but leaves, last
-	force bool    // leaves are written in this event, whatever else is
-	gone  uint64  // messages that came into what is open, or left it
+	anew  string  // why the stored epoch ends, "" if it continues
+	open  bool    // the stored ledger has been restored: before that nothing may be written to the store
+	wrote []Batch // by leaf: the batch of its newest text
+	lone  Time    // time of the last batch that held only leaves
+	force bool    // write leaves in this event, even without other records
+	gone  uint64  // number of messages that became open or ceased to be
 
 	sweeping bool
 	round    uint32
-	cursor   *message // the next to be counted
-	stage    int      // behind the messages: what is compared next
+	cursor   *message // the next message to count
+	stage    int      // what is compared next
 	began    Time
 	parted   Time
-	seen     [2]uint64 // gone and posts, when the newest sweep began
+	seen     [2]uint64 // message changes and postings at the start of the last audit
 }
 
-// Stages of a sweep behind the messages.
+// Stages of an audit.
 const (
 	sweepMessages = iota
 	sweepCalls
@@ -78,7 +79,7 @@
 
 // ---- messages ----
 
-// bookTaking notes that a message is on its way into the store. It counts once it is there.
+// bookTaking registers the postings of a message that is being written to the store. They count once it is stored.
 func (e *Engine) bookTaking(m *message) {
 	if e.books == nil {
 		return
@@ -87,7 +88,7 @@
 	e.ofTaking(m, e.books.Await)
 }
 
-// bookTaken posts a message that is in the store.
+// bookTaken posts a message that was accepted and is in the store.
 func (e *Engine) bookTaken(m *message) {
 	if e.books == nil {
 		return
@@ -99,18 +100,18 @@
 	e.books.came(m)
 }
 
-// bookForgone forgets a message that never got into the store.
+// bookForgone drops the postings of a message that never got into the store.
 func (e *Engine) bookForgone(m *message) {
 	if e.books != nil {
 		e.ofTaking(m, e.books.Drop)
 	}
 }
 
-// ofTaking calls do with all that is posted for a message that is taken.
+// ofTaking calls do with each posting for the acceptance of a message.
 func (e *Engine) ofTaking(m *message, do func(*ledger.Account, ledger.Entry)) {
 	if m.from == nil {
 		do(m.acct, ledger.Taken)
-	} else { // the one that it was has ended: it leaves that end
+	} else { // resent: the undelivered message leaves the account in which it ended
 		do(e.books.Account(*m.from), ledger.Again)
 		do(m.acct, ledger.In)
 	}
@@ -119,7 +120,7 @@
 	}
 }
 
-// bookEnd posts the end of a message that was held.
+// bookEnd posts the end of an open message.
 func (e *Engine) bookEnd(m *message, how How) {
 	if e.books == nil {
 		return
@@ -137,14 +138,14 @@
 	switch {
 	case m.maybe.set:
 		e.books.Post(m.acct, doubt)
-	case how != Delivered && m.doubtful().set: // its attempt is out still
+	case how != Delivered && m.doubtful().set: // its attempt is still out
 		e.books.Post(m.acct, ledger.Doubted)
 		e.books.Post(m.acct, ledger.Unsure)
 	}
 }
 
-// bookDoubt posts that a message may have taken effect from now on, where an outcome says so; first tells that none said
-// so before.
+// bookDoubt posts that a message is in doubt from now on, if its latest outcome left it so. first says that it was not in
+// doubt before that outcome.
 func (e *Engine) bookDoubt(m *message, first bool) {
 	if e.books != nil && first && m.maybe.set && m.phase == held {
 		e.books.Post(m.acct, ledger.Doubted)
@@ -178,7 +179,7 @@
 
 // ---- the store ----
 
-// restoreLedger takes up what the store had.
+// restoreLedger restores the ledger that the store had.
 func (e *Engine) restoreLedger(r *RestoredLedger) {
 	b := e.books
 	if b == nil {
@@ -196,7 +197,7 @@
 	l.At(int64(e.now.Wall))
 }
 
-// restoreBooks compares the ledger that the store had with the messages that it had, or begins one with these.
+// restoreBooks audits the restored ledger against the restored messages, or begins a new epoch with these messages.
 func (e *Engine) restoreBooks() {
 	b := e.books
 	if b == nil {
@@ -228,7 +229,7 @@
 	if b.anew != "" {
 		next := b.set.Epoch
 		next.Why = b.anew
-		if l, err := b.Anew(b.set.Settings, next); err == nil { // the settings were good before
+		if l, err := b.Anew(b.set.Settings, next); err == nil { // the settings were valid before
 			b.Ledger = l
 			b.At(int64(e.now.Wall))
 			find()
@@ -244,8 +245,8 @@
 	}
 }
 
-// keepBooks puts what was posted into the batch of this event, and tells of breaches. What comes without other records
-// waits a moment for some.
+// keepBooks adds changed leaves to the batch of this event and reports breaches. Without other records in the batch, leaves
+// wait a short time for some.
 func (e *Engine) keepBooks() {
 	b := e.books
 	if b == nil {
@@ -274,7 +275,7 @@
 	b.force = false
 }
 
-// soilLeaves has those leaves written anew whose newest text is in one of the batches given.
+// soilLeaves marks the leaves whose newest text is in one of these batches to be rewritten.
 func (e *Engine) soilLeaves(from, to Batch) {
 	if e.books == nil {
 		return
@@ -287,10 +288,10 @@
 	}
 }
 
-// ask answers with a snapshot, once the store has what it shows.
+// ask answers with a snapshot, which waits until the store has the counts it shows.
 func (e *Engine) ask(t Ticket) {
 	b := e.books
-	if b == nil || e.set.Stored && !b.open { // what an earlier process counted is not known yet
+	if b == nil || e.set.Stored && !b.open { // the counts of earlier processes are not known yet
 		e.effect(&Shown{Ticket: t})
 		return
 	}
@@ -309,9 +310,9 @@
 	e.effect(f)
 }
 
-// ---- the sweep ----
+// ---- the audit ----
 
-// came notes that a message is among the open ones from now on.
+// came notes that a message became open.
 func (b *books) came(m *message) {
 	b.gone++
 	if b.sweeping && m.swept == b.round {
@@ -322,7 +323,7 @@
 	}
 }
 
-// leaves notes that an open message is none any more. It is called where the table of messages changes.
+// leaves notes that a message ceases to be open. It is called before the table of messages changes.
 func (b *books) leaves(m *message) {
 	if b == nil || m.phase != held {
 		return
@@ -336,21 +337,21 @@
 	}
 }
 
-// added has the sweep go on with a message that came while it stood behind the last one, as those there have gone.
+// added continues the audit with a new message if the cursor ran off the list because all messages left were removed.
 func (b *books) added(m *message) {
 	if b != nil && b.sweeping && b.stage == sweepMessages && b.cursor == nil {
 		b.cursor = m
 	}
 }
 
-// removed keeps the sweep going past a message that is no longer there.
+// removed moves the audit's cursor past a message that is being removed.
 func (b *books) removed(m *message) {
 	if b != nil && b.cursor == m {
 		b.cursor = m.behind
 	}
 }
 
-// wanted tells when the sweep goes on.
+// wanted returns when the next part of an audit, or the next audit, is due.
 func (b *books) wanted(tick Time) (Time, bool) {
 	switch {
 	case b.sweeping:
@@ -361,7 +362,7 @@
 	return 0, false
 }
 
-// sweep counts a part of what is live.
+// sweep runs one part of an audit.
 func (e *Engine) sweep() {
 	b := e.books
 	if b == nil {
@@ -393,7 +394,7 @@
 			}
 			b.cursor = m.behind
 		}
-		if b.cursor == nil { // who comes now comes behind all that was counted
+		if b.cursor == nil { // all were counted; messages added from now on are counted as they come
 			b.Finish()
 			b.Ends(e.ends[Delivered]+e.ends[Over], e.ends[Refused]+e.ends[Withdrawn], e.ends[Failed])
 			b.stage = sweepCalls
@@ -423,7 +424,7 @@
 	}
 }
 
-// booksDue is when the books want an event.
+// booksDue returns when the ledger wants an event.
 func (e *Engine) booksDue() (at Time, ok bool) {
 	b := e.books
 	if b == nil {
--- a/engine/call.go
+++ b/engine/call.go
@@ -6,24 +6,24 @@
 	"curlewmux/control"
 )
 
-// call is one out, or about to be.
+// call is a call that is out or about to start.
 type call struct {
 	id     CallID
 	ep     *endpoint
-	addr   string // of the endpoint when the call was made
+	addr   string // the endpoint's address when the call was made
 	items  []*item
-	size   int // bytes of the call, about, as it is sent
+	size   int // approximate encoded size in bytes
 	left   int // items without an outcome
 	late   int // items that timed out while the call goes on
 	sent   Time
 	batch  Batch
-	stored bool // its attempts are in the store, or there is none
+	stored bool // its attempts are in the store, or there is no store
 
-	only item // the room of its first item, and of the list of items: most calls have one
+	only item // these back the first item and the list: most calls have one item
 	one  [1]*item
 }
 
-// item is one attempt.
+// item is one attempt, at one message of a call.
 type item struct {
 	call      *call
 	place     int
@@ -32,34 +32,34 @@
 	due       Time
 	cancelled bool
 	done      bool
-	late      *Outcome // timed out, and its call is still open: no second copy may go out before that is over
+	late      *Outcome // its timeout, while the call goes on: no second copy may go out before the call has ended
 }
 
-// calls are those out, by id.
+// calls holds the calls out by id.
 type calls struct {
 	byCall   map[CallID]*call
 	lastCall CallID
-	newest   *call // of the Send before, in this Step
+	newest   *call // of the previous Send action in this Step
 }
 
 func newCalls() calls { return calls{byCall: map[CallID]*call{}} }
 
 const (
-	itemBytes = 48 // what an item takes beside its id, key and body in a call with several
+	itemBytes = 48 // overhead of an item beside its id, key and body in a call with several
 )
 
-// bytesOf is what a message takes in a call with several, where bodies travel as Base64.
+// bytesOf returns the encoded size of a message in a call with several, where bodies are Base64.
 func bytesOf(m *message) int {
 	return (len(m.Body)+2)/3*4 + len(m.ID) + len(m.Key) + itemBytes
 }
 
-// send adds an attempt to the calls of this Step: those to one endpoint share one, up to the limit of its kind and to
-// what a body may hold. One that the module has in a call with the Send before it goes there or back, so that no more
-// calls are out than the module reckons with.
+// send adds an attempt to the calls of this Step. Attempts at one endpoint share a call, up to the limits of its kind on
+// items and bytes. An attempt that the module joins to the previous Send's call goes into that call or is returned unsent,
+// so that no more calls are out than the module counts.
 func (e *Engine) send(list []*call, a control.Action) []*call {
 	m, ep := e.byNum[a.Message], e.byNumber[a.Endpoint]
 	if m == nil || ep == nil || m.phase != held || m.out != nil {
-		// The module and the table here have come apart. Without an outcome its slot would be lost.
+		// The module's state differs from the engine's. Without an outcome the slot would be lost.
 		e.note(noteUnknown, "the module sends message %d to endpoint %d, which can't be", a.Message, a.Endpoint)
 		tries := 0
 		if m != nil {
@@ -112,14 +112,14 @@
 	return list
 }
 
-// unsentAt gives an attempt back that can't be made.
+// unsentAt reports an attempt to the module as unsent because it can't be made.
 func (e *Engine) unsentAt(a control.Action, attempt int) {
 	e.tell(control.Event{
 		Kind: control.Outcome, Message: a.Message, Attempt: attempt, Endpoint: a.Endpoint, Result: control.Unsent,
 	})
 }
 
-// launch records the attempts of a Step and makes its calls once they are in the store.
+// launch records the attempts of a Step and emits its calls, which wait until the records are in the store.
 func (e *Engine) launch(list []*call) {
 	e.newest = nil
 	if len(list) == 0 {
@@ -162,7 +162,7 @@
 	}
 }
 
-// mayWrite tells which items of a call may still be written.
+// mayWrite answers which items of a call may still be written.
 func (e *Engine) mayWrite(id CallID) {
 	p := &Permit{Call: id}
 	if c := e.byCall[id]; c != nil {
@@ -176,18 +176,18 @@
 	e.effect(p)
 }
 
-// firstLine ends the only message of a call, which is delivered; its outcome comes when the answer is whole.
+// firstLine ends the only message of a call as delivered. The attempt's outcome comes with the complete response.
 func (e *Engine) firstLine(id CallID) {
 	if c := e.byCall[id]; c != nil && len(c.items) == 1 && !c.items[0].done {
 		e.end(c.items[0].message, Delivered, 0)
 	}
 }
 
-// outcomes takes up how items of a call ended.
+// outcomes handles the outcomes of items of a call.
 func (e *Engine) outcomes(ev *Ended) {
 	c := e.byCall[ev.Call]
 	if c == nil {
-		return // dropped: its attempts are over
+		return // rolled back: its attempts have ended
 	}
 	for i := range ev.Outcomes {
 		o := &ev.Outcomes[i]
@@ -206,7 +206,7 @@
 			e.outcome(it, o)
 		}
 	}
-	if c.left > 0 && c.left == c.late { // the call is over: now its late ones may go again
+	if c.left > 0 && c.left == c.late { // the call has ended: now its timed-out items may be retried
 		for _, it := range c.items {
 			if it.late != nil && !it.done {
 				e.outcome(it, it.late)
@@ -216,7 +216,7 @@
 	e.over(c)
 }
 
-// outcome is how an attempt ended, told to the module and, if it shows that the attempt never ran, to the store.
+// outcome ends an attempt. It informs the module and, if the attempt never ran, the store.
 func (e *Engine) outcome(it *item, o *Outcome) {
 	m, c := it.message, it.call
 	it.done = true
@@ -260,7 +260,7 @@
 	})
 }
 
-// over forgets a call without items left.
+// over removes a call whose items all have outcomes.
 func (e *Engine) over(c *call) {
 	if c.left > 0 || e.byCall[c.id] == nil {
 		return
@@ -269,7 +269,7 @@
 	c.ep.calls--
 }
 
-// unsent takes a call back whose attempts are not in the store: none was made.
+// unsent rolls back a call whose attempts are not in the store: none was made.
 func (e *Engine) unsent(c *call) {
 	if e.byCall[c.id] == nil {
 		return
@@ -284,15 +284,15 @@
 	e.over(c)
 }
 
-// cancel calls an attempt off.
+// cancel cancels an attempt.
 func (e *Engine) cancel(num control.MessageID, attempt int) {
 	if m := e.byNum[num]; m != nil && m.out != nil && m.out.attempt == attempt {
 		e.unwanted(m.out)
 	}
 }
 
-// unwanted stops waiting for an attempt. One that shares its call with others that go on keeps it: at the endpoint it is
-// still out, and its outcome, when the call ends, is the true one.
+// unwanted stops waiting for an attempt. The call is aborted only if none of its items is wanted. Otherwise the attempt
+// stays in flight at the endpoint, and its outcome comes when the call ends.
 func (e *Engine) unwanted(it *item) {
 	c := it.call
 	it.cancelled = true
@@ -301,7 +301,7 @@
 			return
 		}
 	}
-	if c.stored { // else it has not been started, and MayWrite keeps it from that
+	if c.stored { // otherwise it has not started, and MayWrite prevents it from being written
 		e.effect(&Abort{Call: c.id})
 	}
 }
--- a/engine/clock.go
+++ b/engine/clock.go
@@ -6,23 +6,23 @@
 	"curlewmux/control"
 )
 
-// Clock turns a host's time into the engine's, which is Epoch at Start.
+// Clock converts between the host's time and the engine's time, which is Epoch at Start.
 type Clock struct{ Start time.Time }
 
-// Epoch is the engine's time when its process starts. It is not 0, so that an age reckoned from before the start is no
+// Epoch is the engine's time when its process starts. It is greater than 0, so that a moment before the start is not a
 // negative time.
 const Epoch = 1000 * control.Second
 
-// At is the engine's time at t.
+// At returns the engine's time at the host's time t.
 func (c Clock) At(t time.Time) Time { return Epoch + Time(t.Sub(c.Start).Microseconds()) }
 
-// Time is the host's time at t.
+// Time returns the host's time at the engine's time t.
 func (c Clock) Time(t Time) time.Time { return c.Start.Add(Span(t - Epoch)) }
 
-// Span is a span of the engine's time as a duration.
+// Duration converts a duration in the engine's time to a time.Duration.
 func Span(t Time) time.Duration { return time.Duration(t) * time.Microsecond }
 
-// StampOf is wall time as records keep it, 0 for the zero time.
+// TimestampOf returns t as a Timestamp, 0 for the zero time.
 func StampOf(t time.Time) Stamp {
 	if t.IsZero() {
 		return 0
--- a/engine/effect.go
+++ b/engine/effect.go
@@ -7,14 +7,14 @@
 	"curlewmux/ledger"
 )
 
-// Effect is something the engine wants done. Only the types of this package are effects. Those that need a batch must
-// not be carried out before it is in the store; if that batch fails they must never be.
+// Effect is an action that the engine wants carried out. Only the types of this package are effects. An effect that
+// requires a batch must not be carried out before that batch is in the store, and never if the batch fails.
 type Effect interface {
-	// Needs is the batch that must be in the store first, 0 for none.
+	// RequiredBatch returns the batch that must be in the store first, 0 for none.
 	Needs() Batch
 }
 
-// Batch numbers what goes into the store together: 1, 2, 3 and so on. 0 is none.
+// Batch is the number of a batch of records that are stored together: 1, 2, 3 and so on. 0 means none.
 type Batch uint64
 
 // Append puts records into the store, all or none. It is answered by Stored or StoreFailed.
@@ -23,69 +23,69 @@
 	Records []Record
 }
 
-// Void says that the effects which need this batch must never be carried out, whatever the store tells later.
+// Discard says that the effects that require this batch must never be carried out, whatever the store reports later.
 type Void struct{ Batch Batch }
 
-// Answer answers a HandIn or a HandInAll.
+// Answer answers a Submit or a SubmitAll.
 type Answer struct {
 	Ticket Ticket
 	Verdict
 	needs Batch
 }
 
-// Verdict is what becomes of a HandIn or a HandInAll.
+// Verdict is the decision on a Submit or a SubmitAll.
 type Verdict struct {
 	Kind  VerdictKind
-	Again time.Duration // Busy, Unnamed, and Taken whose end was Refused: come again after so long
-	Why   string        // of what is not Taken, for people
-	Ended How           // Taken: its message ended so before, and no Done follows; 0: one does
+	Again time.Duration // for Busy, UnknownDestination, and Accepted with Disposition Refused: submit again after this time
+	Why   string        // why it is not Accepted, human-readable
+	Ended How           // for Accepted: how the message ended before, and no Done follows; 0: a Done follows
 }
 
 // VerdictKind is the kind of a Verdict.
 type VerdictKind uint8
 
-// Kinds of verdict.
+// Kinds of verdicts.
 const (
-	Taken    VerdictKind = iota + 1 // its end is owed from now on, or was already; the message may be delivered by now
-	Busy                            // not taken; handing it in again is harmless
-	Unnamed                         // the same: no list names the destination yet
-	Conflict                        // not taken: its id is another message's
-	Spent                           // not taken: the id came before and ended, perhaps after taking effect
-	Unsure                          // the store is silent: nothing is promised, and only a restart could still send it
-	Invalid                         // not taken: a field is wrong, Why names it
+	Taken    VerdictKind = iota + 1 // accepted now or earlier: the client gets a result, and the message may already be delivered
+	Busy                            // not accepted; submitting it again is harmless
+	Unnamed                         // not accepted; no list names the destination yet, and submitting it again is harmless
+	Conflict                        // not accepted: its id belongs to another message
+	Spent                           // not accepted: a message with this id has ended, perhaps after taking effect
+	Unsure                          // the store does not respond: nothing is promised, and only a restart could still send the message
+	Invalid                         // not accepted: a field is wrong, and Reason names it
 )
 
-// Call makes a call. Whoever makes it asks MayWrite after a dial, and tells each item's end once by Ended.
+// Call makes a call. The transport asks MayWrite after a dial, and reports each item's outcome once by Ended.
 type Call struct {
 	ID       CallID
 	Endpoint control.Endpoint
 	Name     string // the endpoint's id
 	Addr     string // host:port
-	Kind     int    // the endpoint's, as the settings number them, -1 if unknown
+	Kind     int    // the endpoint's kind, an index into the settings, -1 if unknown
 	Items    []Item
 	needs    Batch
-	one      [1]Item // the room of Items where there is one
+	one      [1]Item // backs Items if there is only one
 }
 
-// CallID names a call.
+// CallID identifies a call.
 type CallID uint64
 
 // Item is one message of a call.
 type Item struct {
 	ID, Key string
 	Body    []byte
-	Due     Time // it is waited for no longer than this
-	Skip    bool // it must not be written any more, and has its outcome
+	Due     Time // the call waits no longer than this for its outcome
+	Skip    bool // it must no longer be written, and has its outcome
 }
 
-// Permit answers MayWrite: the items that may be written. The others end as Moot.
+// Permit answers MayWrite: Items says of each item whether it may be written. Those that may not end as Moot.
 type Permit struct {
 	Call  CallID
 	Items []bool
 }
 
-// Abort stops waiting for a call: its connection closes, and what had no outcome ends as Cancelled, or as Moot where no
-// last byte was written.
+// Abort stops waiting for a call. Its connection closes, and items without an outcome end as Cancelled, or as Moot if
+// their last byte was not written.
 type Abort struct{ Call CallID }
 
 // CloseIdle closes the idle connections to an endpoint.
@@ -94,53 +94,53 @@
 	Addr     string
 }
 
-// Leave says that an endpoint has gone from an address: its connections close as their calls end.
+// RemoveEndpoint says that an endpoint is no longer at an address. Its connections close as their calls end.
 type Leave struct {
 	Endpoint control.Endpoint
 	Addr     string
 }
 
-// Done is a message's end; each message that was taken has one. What is Refused or Failed is owed: whoever waits for it
-// is told, and then Through says so. A restart before that tells it again. The other ends need no Through.
+// Done is the result of a message. Each accepted message gets one. The client must be notified of Refused and Failed, and
+// a Notified event must confirm it; after a restart before that, the Done is repeated. Other results need no Notified.
 type Done struct {
 	ID    string
 	How   How
-	Doubt bool          // it may have taken effect
-	Again time.Duration // for Refused: come again after so long
-	Why   string        // for Failed by Outcome.Never: its Why, unless a restart came between
+	Doubt bool          // the message may have taken effect
+	Again time.Duration // for Refused: submit again after this time
+	Why   string        // for Failed by Outcome.Permanent: the outcome's Reason, unless the process restarted since
 	needs Batch
 }
 
-// How is the way a message ended.
+// Disposition is how a message ended.
 type How uint8
 
-// Ways to end.
+// Dispositions.
 const (
 	Delivered How = iota + 1
-	Refused       // never ran, or may be repeated: handing it in again is harmless
-	Failed        // nothing is promised
-	Over          // the endpoint says that nothing more is owed
-	Withdrawn     // nobody wants it any more
+	Refused       // never ran, or may be repeated: submitting it again is harmless
+	Failed        // may have run or not
+	Over          // the endpoint says that nothing more has to be sent
+	Withdrawn     // withdrawn by the client
 )
 
-// Breached says that figures of the books do not add up, or, where Healed is set, that they do again.
+// LedgerBreach says that counts of the ledger do not add up, or, if Healed is set, that they do again.
 type Breached struct{ ledger.Breach }
 
-// Shown answers AskLedger with one consistent cut, which is whoever asked's. It waits until the store has what it shows,
-// so that no crash takes figures back that were seen, but where it is Provisional. Snapshot is nil where no books
-// are kept, or the store has not told yet what it has of them.
+// LedgerSnapshot answers RequestLedger with one consistent snapshot, which the requester owns. Unless the snapshot is
+// Provisional, the effect waits until the store has the counts it shows, so that no crash takes back counts that someone
+// has seen. Snapshot is nil if no ledger is kept, or if the ledger has not been restored yet.
 type Shown struct {
 	Ticket   Ticket
 	Snapshot *ledger.Snapshot
 	needs    Batch
 }
 
-// Note is a line for operators. The engine keeps their number down.
+// Note is a log line for operators. The engine limits their number.
 type Note struct {
-	Fault bool // something is wrong here
+	Fault bool // logged as a fault
 	Text  string
 
-	// Which message it is about, "" for none: fields of the line.
+	// The message it is about, "" for none; fields of the log line.
 	Message string `json:",omitempty"`
 	Class   string `json:",omitempty"`
 }
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -7,43 +7,43 @@
 )
 
 const (
-	turnedAway = control.Second      // what those are told to wait who find no room, store or list
-	seldom     = 10 * control.Second // how often what is of no more use is looked for
-	noteGap    = control.Second      // between two notes of one kind
+	turnedAway = control.Second      // retry-after of a submission rejected for want of room, store or endpoint list
+	seldom     = 10 * control.Second // between two cleanups of ids and endpoints that are no longer needed
+	noteGap    = control.Second      // at least, between two notes of one kind
 
-	// What takes long is done in parts, one a tick, so that nothing waits for it: a part takes less than a millisecond.
-	atOnce       = 500  // endpoints of a list, or that are forgotten, or ids
-	timersAtOnce = 1000 // messages whose time is up, and the module's other timers; or
-	timerParts   = 32   // one part in so many of all, if that is more: each end is told within 32 ticks
+	// Long work is split into parts, one per tick, so that nothing waits for it: a part takes less than a millisecond.
+	atOnce       = 500  // endpoints of a list, or endpoints or ids to remove, per part
+	timersAtOnce = 1000 // timers that fire per tick, or, if that is more,
+	timerParts   = 32   // this fraction of all timers, so that each message past its deadline ends within 32 ticks
 )
 
-// Engine is one dispatcher's messages from being handed in to their ends. It is not safe for concurrent use.
+// Engine holds one dispatcher's messages from their submission to their end. It is not safe for concurrent use.
 type Engine struct {
 	set Settings
 	mod *control.Dispatcher
 	now Now
-	out []Effect // of the event being handled
+	out []Effect // of the event that is being handled
 
 	messages        // message.go
 	ids             // ids.go
 	calls           // call.go
 	members         // member.go
 	store           // store.go
-	books    *books // books.go; nil: none are kept
+	books    *books // books.go; nil if no ledger is kept
 
-	events     []control.Event // for the module, at its next Step
+	events     []control.Event // for the decision module's next Step
 	actions    []control.Action
-	first      Time // when the Step is due that handles events
-	stepped    Time // when the last Step was
+	first      Time // when the Step that handles events is due
+	stepped    Time // time of the last Step
 	timers     timers
 	stopped    bool
 	tidied     Time
-	tidying    bool // there was more to forget than is done at once: ids
-	forgetting bool // the same: endpoints
+	tidying    bool // more ids have to expire than fit into one part
+	forgetting bool // more endpoints have to be removed than fit into one part
 	noted      [noteKinds]Time
 }
 
-// New returns an engine, or an error that names the setting at fault.
+// New returns an engine, or an error that names the invalid setting.
 func New(s Settings) (*Engine, error) {
 	if err := s.fill(); err != nil {
 		return nil, err
@@ -59,8 +59,8 @@
 	return e, nil
 }
 
-// Handle takes one event and returns what is to be done, in this order. The effects are the caller's; the slice is good
-// until the next call. An Append comes before the effects that need it.
+// Handle handles one event and returns the effects, which are to be carried out in this order. The caller owns the
+// effects, but the slice is valid only until the next call. An Append comes before the effects that require it.
 func (e *Engine) Handle(now Now, ev Event) []Effect {
 	now.At = max(now.At, e.now.At)
 	e.out = e.out[:0]
@@ -110,7 +110,7 @@
 		}
 	case *Fleet:
 		e.tell(control.Event{Kind: control.Fleet, Instances: ev.Instances})
-	case *Wake: // nothing else is done here, so that a batch that takes a message holds nothing else
+	case *Wake: // only Wake does this work, so that a batch that accepts a message holds nothing else
 		e.overdue()
 		e.letOn()
 		if at, ok := e.due(); ok && at <= e.now.At {
@@ -125,7 +125,7 @@
 	return e.out
 }
 
-// Next tells when the engine wants to be woken, if nothing else comes.
+// NextWake returns when the engine wants to be woken if no other event comes.
 func (e *Engine) Next() (Time, bool) {
 	at, ok := e.due()
 	if t, waits := e.patience(); waits && (!ok || t < at) {
@@ -146,11 +146,11 @@
 	return at, true
 }
 
-// Open is how many messages are held: taken, or about to be, and without an end.
+// OpenMessages is the number of messages that are accepted, or about to be, and have not ended.
 func (e *Engine) Open() int { return e.open }
 
-// Condition tells how a destination does, and the calls a second that are listed for it as this dispatcher's part, 0 if
-// none are. It changes nothing.
+// Condition returns the condition of a destination and this dispatcher's share of its listed rate, in calls a second, 0
+// if none is listed. It changes nothing.
 func (e *Engine) Condition(dest int) (control.Condition, float64) {
 	if e.down || e.stopped || !e.isNamed(dest) {
 		return control.Unserved, 0
@@ -158,10 +158,10 @@
 	return e.mod.Condition(e.now.At, dest)
 }
 
-// Out is how many calls are out.
+// CallsOut is the number of calls out.
 func (e *Engine) Out() int { return len(e.byCall) }
 
-// Endpoints is how many endpoints are known and not gone.
+// Endpoints is the number of endpoints that are known and not gone.
 func (e *Engine) Endpoints() (n int) {
 	for _, ep := range e.all {
 		if ep.phase != Gone {
@@ -171,8 +171,8 @@
 	return n
 }
 
-// due tells when the next Step is wanted: on the grid of ticks, so that what comes within one tick is decided together
-// and messages to one endpoint share a call.
+// due returns when the next Step is wanted. Steps come at multiples of the tick, so that all events of one tick are
+// decided together and messages to one endpoint share a call.
 func (e *Engine) due() (Time, bool) {
 	timer, waits := e.timers.next()
 	if e.stopped || len(e.events) == 0 && !waits {
@@ -191,10 +191,10 @@
 	return max(at, (e.stepped/tick+1)*tick), true
 }
 
-// tell queues what the module is told at the next Step.
+// tell queues an event for the module's next Step.
 func (e *Engine) tell(ev control.Event) {
 	at := e.now.At
-	if !e.set.Prompt || e.open == 0 { // with nothing held nobody waits for what the Step decides
+	if !e.set.Prompt || e.open == 0 { // with no open message, nobody waits for the Step's decisions
 		at = (e.now.At/e.set.Control.Tick + 1) * e.set.Control.Tick
 	}
 	if len(e.events) == 0 || at < e.first {
@@ -203,7 +203,7 @@
 	e.events = append(e.events, ev)
 }
 
-// step is one round of the module.
+// step runs one Step of the module and carries out its actions.
 func (e *Engine) step() {
 	e.stepped = e.now.At
 	for range max(timersAtOnce, len(e.timers.list)/timerParts) {
@@ -211,14 +211,14 @@
 		if !ok {
 			break
 		}
-		if t.message != nil && t.message.phase == owing { // its time is up while its end could not be recorded
+		if t.message != nil && t.message.phase == owing { // its deadline has passed and its end could not be recorded
 			e.tellAnyway(t.message)
 			continue
 		}
 		e.events = append(e.events, control.Event{Kind: control.Tick, Mark: t.mark})
 	}
 	for i := range e.events {
-		if ev := &e.events[i]; ev.Kind == control.Arrival { // its spans end now, after the wait for this Step
+		if ev := &e.events[i]; ev.Kind == control.Arrival { // durations count from now, after the wait for this Step
 			ev.Grace = 0
 			if m := e.byNum[ev.Message]; m != nil {
 				ev.Grace = m.deadline - e.now.At
@@ -254,7 +254,7 @@
 			}
 		case control.Note:
 			e.effect(&Note{Text: "module: " + a.Text})
-		case control.Probe: // the module asks for none
+		case control.Probe: // the module never requests one
 		}
 	}
 	e.launch(calls)
@@ -262,7 +262,7 @@
 
 func (e *Engine) effect(f Effect) { e.out = append(e.out, f) }
 
-// Kinds of note.
+// Kinds of notes.
 const (
 	noteStore = iota
 	noteUnknown
@@ -270,7 +270,7 @@
 	noteKinds
 )
 
-// note tells operators of a lasting fault, now and then.
+// note logs a lasting fault for operators, at most once every noteInterval for each kind.
 func (e *Engine) note(kind int, format string, args ...any) {
 	if at := e.noted[kind]; at != 0 && e.now.At-at < noteGap {
 		return
@@ -279,12 +279,12 @@
 	e.effect(&Note{Fault: true, Text: fmt.Sprintf(format, args...)})
 }
 
-// tidy forgets what is of no more use, in parts.
+// cleanUp removes ids and endpoints that are no longer needed, in parts.
 func (e *Engine) tidy() {
 	if e.now.At-e.tidied >= seldom {
 		e.tidied, e.tidying, e.forgetting = e.now.At, true, true
 	}
-	if e.forgetting && len(e.listings) == 0 { // else their places among all would shift
+	if e.forgetting && len(e.listings) == 0 { // else the indexes into allEndpoints would shift
 		e.forgetting = e.forgetGone(atOnce)
 	}
 	if e.tidying {
--- a/engine/event.go
+++ b/engine/event.go
@@ -7,155 +7,158 @@
 	"curlewmux/ledger"
 )
 
-// Time is an instant on a clock that no step of the wall clock changes, or a span, in microseconds. It starts anew with
-// each process.
+// Time is an instant on a monotonic clock, or a duration, in microseconds. The clock restarts with each process, and steps
+// of the wall clock don't change it.
 type Time = control.Time
 
-// Stamp is wall time as records keep it: microseconds since 1970 (Unix), 0 for none.
+// Timestamp is a wall time as records keep it: Unix time in microseconds, 0 for none.
 type Stamp int64
 
-// Now is the moment at which an event is handled. At never goes back.
+// Now is the moment at which an event is handled, on both clocks. At never goes back.
 type Now struct {
 	At   Time
 	Wall Stamp
 }
 
-// Event is something the engine is told. Only the types of this package are events.
+// Event is an input of the engine. Only the types of this package are events.
 type Event interface{ event() }
 
-// Ticket names one hand-in until it is answered. Whoever hands in chooses it; the engine only gives it back.
+// Ticket identifies a submission until it is answered. The caller chooses it, and the engine only returns it.
 type Ticket uint64
 
-// HandIn is a message that someone wants delivered. It is answered by one Answer with its Ticket.
+// Submit submits a message for delivery. It is answered by one Answer with its Ticket.
 type HandIn struct {
 	Ticket  Ticket
 	Message Message
-	Expires Time // how long it may still be delivered, from now on; the class's hard limit bounds it
-	Once    bool // nobody else can hand its id in: without a store it need not be remembered once the message ended
-
-	// Of a message that is sent again from the store of undelivered ones (Settings.Kept):
-	Resent    bool // it gives way to others, and Kept is not asked about it
-	DoubtAge  Time // how long ago the first attempt at an earlier life was sent that may have run, 0: none was
-	DoubtZone int
-	From      *ledger.Key // the account in which that message ended, where it is counted
+	Expires Time // how long it may still be delivered from now on; the class's Deadline bounds it
+	Once    bool // nobody else can submit this id: without a store it need not be remembered after the message's end
+
+	// For a message that is resent from the store of undelivered messages (Settings.CheckUndelivered):
+	Resent    bool        // it has lower priority than others, and CheckUndelivered is not asked about it
+	DoubtAge  Time        // age of the first attempt, under an earlier id, that may have run; 0 for none
+	DoubtZone int         // zone which that attempt went to
+	From      *ledger.Key // the account in which that message ended, nil if it is not counted in the ledger
 }
 
-// HandInAll is several messages that are taken all or none, in one batch of the store. It is answered by one Answer with
-// its Ticket: Taken, or what speaks against the first that can't be taken, those ahead that never could.
+// SubmitAll submits several messages that are accepted all or none, in one batch of the store. It is answered by one
+// Answer with its Ticket: Accepted, or the verdict on the first message that can't be accepted. A verdict that a repeated
+// submission would get again takes precedence over a temporary one.
 type HandInAll struct {
 	Ticket Ticket
-	List   []HandIn // their own tickets do not count
+	List   []HandIn // their own tickets are ignored
 }
 
-// Message is what a message brings along. The engine never changes it and keeps Body as it is, without a copy.
+// Message is a message as the client submits it. The engine never changes it and keeps Body without a copy.
 type Message struct {
 	ID     string
 	Class  string
 	Tenant string
 	Dest   int
-	Key    string // idempotency key, or what a class in order goes by
+	Key    string // idempotency key, or the order key of an ordered class
 	Body   []byte
 }
 
-// Withdraw says that nobody wants the message any more. Its Done says Withdrawn, and its call is aborted; it may have
-// run. A message that is not there, or has ended, is left as it is.
+// Withdraw says that nobody wants the message any more. Its call is aborted and its Done says Withdrawn; the message may
+// have run. It has no effect on a message that is unknown or has ended.
 type Withdraw struct{ ID string }
 
-// RestoredLedger is what the store had of the books (Settings.Ledger) at the start. It comes ahead of all Restored.
+// RestoredLedger is what the store had of the ledger (Settings.Ledger) at the start. It comes before all RestoredMessage
+// events.
 type RestoredLedger struct {
 	Leaves []ledger.Leaf
-	Anew   string // why figures may be lost (ledger.WhyDamage, ...): an epoch begins anew; "": the one that the store has goes on
+	Anew   string // why counts may be lost (ledger.WhyDamage, ...), so that a new epoch begins; "": the stored epoch continues
 }
 
-// AskLedger asks for a snapshot of the books. It is answered by one Shown, unless a batch fails that it waits for.
+// RequestLedger asks for a snapshot of the ledger. It is answered by one LedgerSnapshot, unless a batch fails that the
+// snapshot waits for.
 type AskLedger struct{ Ticket Ticket }
 
-// Restored is a message that the store had at the start, with what it has behind it. They come in the order in which
-// they were taken, before any HandIn.
+// RestoredMessage is a message that the store had at the start, with its attempts and doubt so far. These events come in
+// the order in which the messages were accepted, before any Submit.
 type Restored struct {
 	Message   Message
 	Deadline  Stamp
 	Tries     int
-	DoubtAt   Stamp // send of the first attempt that may have run, 0 if there is none
+	DoubtAt   Stamp // when the first attempt that may have run was sent, 0 if there is none
 	DoubtZone int
-	Owed      *Owed // its end was decided, and whoever waits for it may not know yet; Message.Body need not be known
+	Owed      *Owed // set if its end was decided and the client may not know yet; Message.Body may then be missing
 
-	acct *ledger.Account // the engine's
+	acct *ledger.Account // set by the engine
 }
 
-// Owed is an end that is still to be told.
+// PendingResult is the result of a message whose client has yet to be notified.
 type Owed struct {
 	How   How
-	Again time.Duration // for Refused: come again after so long
-	Print uint64        // Message.Print, as the body is kept no longer
+	Again time.Duration // for Refused: submit again after this time
+	Print uint64        // Message.Fingerprint, as the body is no longer kept
 }
 
-// RestoredEnd is a message that had ended: its id still counts.
+// RestoredEnd is a message that had ended. Its id is still remembered, so that a repeated submission is recognised.
 type RestoredEnd struct {
 	ID    string
 	How   How
-	Until Stamp
-	Print uint64 // Message.Print
+	Until Stamp  // from then on the id may be forgotten
+	Print uint64 // Message.Fingerprint
 }
 
-// RestoredLast is the last of the restored: Written is the latest wall time that any record bears. Where the clock shows
-// less, the ages of attempts can't be told, and messages in doubt count as out of their key's window; a RecShift then
-// brings the records' stamps down to the clock.
+// RestoreComplete ends the restore. LatestTimestamp is the latest wall time in any record. If the clock shows less, the
+// ages of attempts are unknown, and messages in doubt count as outside their key's window. A RecClockStep record then
+// adjusts the records' timestamps to the clock.
 type RestoredLast struct{ Written Stamp }
 
-// Members is what one source tells of endpoints. A source tells a whole list or changes to its last one. An endpoint is
-// only as usable as the worst that the sources say which ever told of it (gone, leaving, active): a whole list without
-// an endpoint of its earlier ones says that it is gone. A source that never told of an endpoint says nothing of it.
+// Members is a report of one source about endpoints: a full list, or changes to its last list. The worst claim counts
+// (gone, leaving, active) of all sources that ever reported the endpoint. A full list that omits an endpoint of that
+// source's earlier lists claims that it is gone. A source that never reported an endpoint makes no claim about it.
 type Members struct {
 	Source string
 	Whole  bool
-	Cached bool // with Whole: from before this process began, so perhaps old
-	Failed bool // the source can't be asked; what it told stays, and List is empty
+	Cached bool // with FullList: from before this process started, so perhaps out of date
+	Failed bool // the source can't be reached; its earlier claims stay, and List is empty
 	List   []Member
 }
 
-// Member is one endpoint as a source tells of it.
+// Member is one endpoint as a source reports it.
 type Member struct {
 	ID     string
 	Addr   string // host:port
-	Dest   int    // an id that comes with another one is another endpoint
-	Zone   int    // as the settings number them, -1 if unknown
-	Kind   int    // the same
+	Dest   int    // an id that comes with a new destination is a new endpoint
+	Zone   int    // index into the settings, -1 if unknown
+	Kind   int    // index into the settings, -1 if unknown
 	Phase  Phase
-	Weight float64 // calls a second that the destination takes, 0 if not told
+	Weight float64 // calls a second that the destination accepts, 0 if not reported
 }
 
-// Phase is what a source says of an endpoint.
+// Phase is the state of an endpoint as a source claims it.
 type Phase uint8
 
-// Phases, the worst first.
+// Phases, from the worst to the best.
 const (
-	Gone    Phase = iota // takes nothing more
-	Leaving              // finishes what it has
+	Gone    Phase = iota // takes no more calls
+	Leaving              // finishes the calls it has and takes no new one
 	Active
 )
 
-// Stored says that all batches up to this one are in the store, but for those that failed before. Lower numbers than
-// were told before change nothing.
+// Stored says that all batches up to this one are in the store, except those that failed before. A number lower than one
+// reported before changes nothing.
 type Stored struct{ Batch Batch }
 
 // StoreFailed says that a batch is not in the store and never will be.
 type StoreFailed struct {
 	Batch Batch
-	Full  bool // for want of room: messages can't be taken, but what was taken has the room that it needs
+	Full  bool // no room: messages can't be accepted, but those accepted before have the room that they need
 }
 
-// StoreLost says that the store has lost batches that it told as stored, down to Kept, the last it still has.
+// StoreLost says that the store lost batches that it had reported as stored. LastKept is the last one it still has.
 type StoreLost struct{ Kept Batch }
 
-// MayWrite asks, just before the first byte of a call is written, which of its items may still be. It is answered by one
-// Permit.
+// MayWrite asks, just before the first byte of a call is written, which of its items may still be written. It is answered
+// by one Permit.
 type MayWrite struct{ Call CallID }
 
-// FirstLine says that the answer to a call with one item has begun, and that it is delivered.
+// FirstLine says that the response to a call with one item has begun, and that the item is delivered.
 type FirstLine struct{ Call CallID }
 
-// Ended tells outcomes of items of a call. Each item has one.
+// Ended reports outcomes of items of a call. Each item has exactly one.
 type Ended struct {
 	Call     CallID
 	Outcomes []Outcome
@@ -163,27 +166,27 @@
 
 // Outcome is how the attempt at one item of a call ended.
 type Outcome struct {
-	Item   int // its place in the call
+	Item   int // its index in the call
 	Result control.Result
-	Over   bool          // the endpoint says that the message is over
-	Never  bool          // with a result that never ran: no try can go better, so the message fails now
-	Why    string        // of Never, for people
-	Wait   time.Duration // told wait, 0 for none
+	Over   bool          // the endpoint says that the message is closed: nothing more has to be sent
+	Never  bool          // with a result that never ran: no further attempt can succeed, so the message fails now
+	Why    string        // for Permanent, human-readable
+	Wait   time.Duration // how long the destination asked not to be called, 0 for none
 	Open   bool          // timed out, and the call goes on for its other items
-	At     Time          // when it was known, if earlier than it is told, else 0
-	Report []float32     // what the endpoint told of its load
+	At     Time          // when the outcome was known, if earlier than this event, else 0
+	Report []float32     // the endpoint's load report
 }
 
-// Through says that the ends of these messages have been told (Done) to whoever waits for them.
+// Notified says that the clients have been notified of the results (Done) of these messages.
 type Through struct{ IDs []string }
 
-// Fleet says how many dispatchers there are from now on, this one counted; it is at least 1.
+// Fleet says how many dispatchers there are from now on, including this one. It is at least 1.
 type Fleet struct{ Instances int }
 
-// Stop begins a planned stop: no call starts any more; all else goes on.
+// Stop begins a planned stop: no new call starts, everything else goes on.
 type Stop struct{}
 
-// Wake comes when Next said, or later.
+// Wake comes at the time that NextWake returned, or later.
 type Wake struct{}
 
 func (*HandIn) event()         {}
--- a/engine/gate.go
+++ b/engine/gate.go
@@ -1,13 +1,13 @@
 package engine
 
-// Gate keeps effects until the batches that they need are in the store. The zero value is ready for use. It is not safe
-// for concurrent use: the driver puts every effect and every answer of the store through one.
+// Gate delays effects until the batches that they require are in the store. The driver passes every effect and every
+// answer of the store through one. The zero value is ready for use. It is not safe for concurrent use.
 type Gate struct {
 	stored Batch
-	held   []Effect // in order of the batches that they need
+	held   []Effect // in the order of the batches that they require
 }
 
-// Pass returns those of the effects that may be carried out now, in order, behind into; the others are kept.
+// Pass appends to into the effects that may be carried out now, in order, and keeps the others.
 func (g *Gate) Pass(into, effects []Effect) []Effect {
 	for _, f := range effects {
 		switch v, ok := f.(*Void); {
@@ -22,7 +22,7 @@
 	return into
 }
 
-// Stored returns, behind into, what waited for the batches up to this one.
+// Stored appends to into the effects that waited for the batches up to this one.
 func (g *Gate) Stored(into []Effect, b Batch) []Effect {
 	g.stored = max(g.stored, b)
 	n := 0
@@ -36,7 +36,7 @@
 	return into
 }
 
-// Failed drops what waits for a batch that is not in the store and never will be.
+// Failed drops the effects that wait for a batch that is not in the store and never will be.
 func (g *Gate) Failed(b Batch) {
 	kept := g.held[:0]
 	for _, f := range g.held {
--- a/engine/givenup.go
+++ b/engine/givenup.go
@@ -2,52 +2,53 @@
 
 import "curlewmux/control"
 
-// GivenUp is what a keeper of undelivered messages is told of one that is given up, beside its end.
+// Undelivered is what the store of undelivered messages gets about a message that was refused or failed, beside its
+// disposition.
 type GivenUp struct {
-	Message  Message // without Body if Again
-	Again    bool    // the record is written a second time
+	Message  Message // without Body if Rewritten
+	Again    bool    // the record is written again
 	At       Time
 	Cause    Cause
-	Why      string // in the partner's words, if it said any
+	Why      string // in the partner's words, "" if it gave none
 	Tries    int
 	Attempts []Attempt // those of this process, oldest first
-	DoubtAt  Time      // send of the first attempt that may have run, 0 if there is none
-	Zone     int       // which it went to
-	Quiet    Time      // from then on no call of it is out
+	DoubtAt  Time      // when the first attempt that may have run was sent, 0 if there is none
+	Zone     int       // zone which that attempt went to
+	Quiet    Time      // from then on none of its calls is out
 	Resent   bool
 }
 
 // Attempt is one attempt at a message that ended.
 type Attempt struct {
-	Sent, End Time   // End 0: it is still out
-	Endpoint  string // id
+	Sent, End Time   // End is 0 if it is still out
+	Endpoint  string // the endpoint's id
 	Addr      string
 	Zone      int
 	Result    control.Result
-	Wait      Time // told wait
+	Wait      Time // how long the destination asked not to be called, 0 for none
 }
 
-// Cause is why a message is given up.
+// Cause is why a message was not delivered.
 type Cause string
 
 // Causes.
 const (
-	CauseTime   Cause = "time"   // its time is up
-	CauseTries  Cause = "tries"  // it had all its tries
-	CauseDoubt  Cause = "doubt"  // it may have run, and may not run again
-	CauseNever  Cause = "never"  // the partner says that no try can go better
-	CauseClass  Cause = "class"  // its class is no longer among the settings
-	CauseCrowds Cause = "crowds" // it gave way to others
+	CauseTime   Cause = "time"   // its deadline passed
+	CauseTries  Cause = "tries"  // it used all its tries
+	CauseDoubt  Cause = "doubt"  // it may have run and must not run twice
+	CauseNever  Cause = "never"  // the partner says that no further attempt can succeed
+	CauseClass  Cause = "class"  // its class is no longer in the settings
+	CauseCrowds Cause = "crowds" // it was shed in favour of other messages
 )
 
-// tale is what a message has behind it, where undelivered messages are kept; nil where they are not.
+// tale is the attempt history of a message, nil if undelivered messages are not kept.
 type tale struct {
 	resent   bool
 	attempts []Attempt
 	given    *GivenUp // without Body
 }
 
-// add notes an attempt that ended.
+// add adds an attempt that ended.
 func (t *tale) add(e *Engine, it *item, o *Outcome) {
 	if t == nil || o.Result == control.Unsent {
 		return
@@ -67,7 +68,7 @@
 	return a
 }
 
-// again is what a record that is written a second time has.
+// again returns what a record that is written again contains.
 func (t *tale) again() *GivenUp {
 	if t == nil {
 		return nil
@@ -75,7 +76,8 @@
 	return t.given
 }
 
-// givenUp is what a keeper is told of a message that is about to end so, nil where none wants to know.
+// givenUp describes a message that is about to be refused or to fail, for the store of undelivered messages. It returns nil
+// for other dispositions, or if undelivered messages are not kept.
 func (e *Engine) givenUp(m *message, how How) *GivenUp {
 	if m.tale == nil || how != Refused && how != Failed {
 		return nil
@@ -87,7 +89,7 @@
 	if d := m.doubtful(); d.set {
 		g.DoubtAt, g.Zone = max(d.at, 1), d.zone
 	}
-	if m.out != nil { // its call goes on as long as anybody waits for it
+	if m.out != nil { // its call may go on until the last deadline of its items
 		g.Attempts = append(g.Attempts[:len(g.Attempts):len(g.Attempts)], attemptAt(m.out, 0, nil))
 		for _, it := range m.out.call.items {
 			g.Quiet = max(g.Quiet, it.due)
--- a/engine/ids.go
+++ b/engine/ids.go
@@ -2,38 +2,38 @@
 
 import "container/heap"
 
-// ids are those of messages that ended, for as long as they may come again.
+// ids holds the ids of ended messages, for as long as clients may submit them again.
 type ids struct{ ended endedIDs }
 
 func newIDs() ids { return ids{ended: endedIDs{byID: map[string]*ended{}}} }
 
-// ended is what is left of a message.
+// ended is what is kept of a message after its end.
 type ended struct {
 	id       string
 	how      How
 	print    uint64
-	due      Time  // the message's time was up then
-	until    Time  // forgotten then
-	harmless bool  // of a class that may be repeated at will, or it never ran
-	free     bool  // its id may be taken anew at once
-	out      *item // of its last attempt, if that was still out
-	done     *Done // until its record is in the store: the end that waits for it
+	due      Time  // deadline of the message
+	until    Time  // when the id is forgotten
+	harmless bool  // its class may be repeated freely, or it never ran
+	free     bool  // its id may be used again at once
+	out      *item // its last attempt, if it was still out
+	done     *Done // the Done that waits for the record of the end, nil once that is stored
 	account
 	place int
 }
 
 func (p *ended) record(e *Engine) *RecEnded {
 	r := &RecEnded{ID: p.id, How: p.how, Print: p.print}
-	if !p.harmless { // only those must never be taken a second time, restart or not
+	if !p.harmless { // only these must never be accepted again, not even after a restart
 		r.Until = e.stamp(p.until)
 	}
 	return r
 }
 
-// endedIDs finds them by id and by when they may be forgotten, those that are harmless apart.
+// endedIDs finds ended messages by id and by the time when they may be forgotten; harmless ones have their own heap.
 type endedIDs struct {
 	byID map[string]*ended
-	soon [2]endedHeap // harmless or not
+	soon [2]endedHeap // [0] harmless, [1] the others
 }
 
 func (l *endedIDs) len() int { return len(l.byID) }
@@ -50,7 +50,7 @@
 	heap.Push(l.heap(p), p)
 }
 
-// remove forgets one; one that is not there any more is left as it is.
+// remove forgets an ended message, if it is still there.
 func (l *endedIDs) remove(p *ended) {
 	if p != nil && l.byID[p.id] == p {
 		delete(l.byID, p.id)
@@ -72,12 +72,12 @@
 	return p
 }
 
-// forgettable tells that an id may come anew: its end is in the store, and no attempt of it is out.
+// forgettable reports whether an id may be used again: its end is in the store, and no attempt of it is out.
 func (e *Engine) forgettable(p *ended) bool {
 	return e.inStore(p) && (p.out == nil || p.out.done)
 }
 
-// expire forgets ids whose time is up, so many at most; it tells whether there are more.
+// expire forgets at most so many ids whose time is up, and reports whether there are more.
 func (e *Engine) expire(most int) bool {
 	for i := range e.ended.soon {
 		for h := &e.ended.soon[i]; len(*h) > 0 && (*h)[0].until <= e.now.At; most-- {
@@ -85,7 +85,7 @@
 				return true
 			}
 			p := (*h)[0]
-			if p.done != nil && p.dirty { // it could not be recorded, but whoever waits has waited long enough
+			if p.done != nil && p.dirty { // it could not be recorded, but the client has waited long enough
 				e.effect(&Done{ID: p.done.ID, How: p.done.How, Doubt: p.done.Doubt})
 				p.done = nil
 			}
@@ -100,8 +100,9 @@
 	return false
 }
 
-// roomForID tells whether one more message than so many others may be taken, whose ids must be remembered in the end. At
-// the bound those that may be repeated at will are forgotten first, soonest first; the others never are before their time.
+// roomForID reports whether one more message may be accepted besides so many others, as their ids must be remembered
+// after their ends. At the bound, harmless ids are forgotten early, those closest to their time first. The others are
+// never forgotten before their time.
 func (e *Engine) roomForID(others int) bool {
 	for e.ended.len()+e.owing+e.open+others >= e.set.MaxIDs {
 		e.expire(atOnce)
@@ -116,19 +117,19 @@
 	return true
 }
 
-// restoreEnd takes up an id from the store.
+// restoreEnd takes over the id of an ended message from the store.
 func (e *Engine) restoreEnd(r *RestoredEnd) {
 	if e.ended.byID[r.ID] != nil {
 		return
 	}
-	// Also where its time seems to be up: the clock may have been set forward meanwhile.
+	// At least for Remember, even if its time seems to be up: the clock may have been set forward meanwhile.
 	left := max(min(Time(r.Until-e.now.Wall), e.longest()), e.set.Remember)
 	p := &ended{id: r.ID, how: r.How, print: r.Print, due: e.now.At + left - e.set.Remember, until: e.now.At + left}
 	p.last = restored
 	e.ended.add(p)
 }
 
-// remember is how long beyond its time the id of a message of a class counts.
+// remember returns how long after its deadline the id of a message of this class is remembered.
 func (e *Engine) remember(class int) Time {
 	if class >= 0 && class < len(e.set.ClassRemember) {
 		return max(e.set.Remember, e.set.ClassRemember[class])
@@ -136,7 +137,7 @@
 	return e.set.Remember
 }
 
-// longest is the longest time for which an id counts.
+// longest returns the longest time for which an id is remembered.
 func (e *Engine) longest() (t Time) {
 	for i := range e.set.Control.Classes {
 		t = max(t, e.set.Control.Classes[i].Deadline+e.remember(i))
--- a/engine/member.go
+++ b/engine/member.go
@@ -7,7 +7,7 @@
 	"curlewmux/control"
 )
 
-// endpoint is one that a source tells of, or told of a while ago.
+// endpoint is an endpoint that a source reports, or reported until recently.
 type endpoint struct {
 	num    control.Endpoint
 	id     string
@@ -16,42 +16,42 @@
 	zone   int
 	kind   int
 	weight float64
-	claims []claim // of each source that ever told of it, in the order in which they first did
+	claims []claim // one of each source that ever reported it, in the order of their first reports
 	phase  Phase
-	calls  int     // out
-	begun  []*call // calls of this Step, until they are launched
-	listed bool    // a source says that it is not gone
-	goneAt Time    // since when none does
-	moved  bool    // its id is another endpoint now, with another destination
-	listNo uint64  // the last list that changed it
+	calls  int     // number of calls out
+	begun  []*call // calls of this Step that are not launched yet
+	listed bool    // at least one source claims that it is not gone
+	goneAt Time    // since when no source claims that
+	moved  bool    // its id now belongs to an endpoint of another destination
+	listNo uint64  // number of the last list that changed it
 
-	entered control.Entry // what the module was told last
+	entered control.Entry // the entry last sent to the module
 
-	// Until then a wait binds that was told at its address before it was known to be there, 0 if there is none. To the
-	// module, which has the wait for the endpoint before, it drains so long.
+	// The end of a wait (Retry-After) that was told at its address before the endpoint came to this address, 0 for none.
+	// The module knows that wait only for the earlier endpoint, so this one is reported to it as draining until then.
 	held Time
 }
 
-// claim is what one source says of an endpoint.
+// claim is what one source says about an endpoint.
 type claim struct {
 	source string
 	phase  Phase
 }
 
-// members are the endpoints, by id, by number and in the order of their numbers.
+// members holds the endpoints by id, by number and in the order of their numbers.
 type members struct {
 	byID     map[string]*endpoint
 	byNumber map[control.Endpoint]*endpoint
-	moved    map[place]*endpoint // those whose id went on to another destination
-	waits    map[string]Time     // by address: until when somebody there told to wait, where routes are apart
-	held     []*endpoint         // with a wait of an endpoint before
-	all      []*endpoint         // those gone of late, too
+	moved    map[place]*endpoint // endpoints whose id now belongs to another destination
+	waits    map[string]Time     // by address: the end of a wait told there, for kinds with RoutesApart
+	held     []*endpoint         // with a wait of an earlier endpoint at their address
+	all      []*endpoint         // including those gone recently
 	lastEp   control.Endpoint
 	listNo   uint64
-	listings []*listing // not taken up yet, or in part
-	waiting  int        // members in them that are not taken up
-	sliced   Time       // the tick that has had its part
-	// Destinations that a list or a restored message ever named, with the endpoint that the module was told of last.
+	listings []*listing // reports that are not processed yet, or only in part
+	waiting  int        // number of members in them that are not processed
+	sliced   Time       // the tick in which the last part was processed
+	// Destinations that a list or a restored message ever named, with the endpoint last reported to the module for each.
 	named map[int]control.Endpoint
 }
 
@@ -62,17 +62,17 @@
 	}
 }
 
-// place is an id at a destination.
+// place is an endpoint id together with its destination.
 type place struct {
 	id   string
 	dest int
 }
 
-// goneKept is how long an endpoint that no source lists stays known: one that returns within it is the same, and its waits and
-// its ramp bind on.
+// goneKept is how long an endpoint that no source lists stays known. If it returns within this time, it is the same
+// endpoint: its waits and its ramp stay in force.
 const goneKept = 60 * control.Second
 
-// told is what the source says of the endpoint, nil if it never told of it.
+// told returns the claim of a source about the endpoint, nil if the source never reported it.
 func (ep *endpoint) told(source string) *claim {
 	for i := range ep.claims {
 		if ep.claims[i].source == source {
@@ -82,23 +82,23 @@
 	return nil
 }
 
-// listing is what a source told, as far as it is not taken up yet. A long one is taken in parts.
+// listing is a report of a source that is not completely processed yet. A long one is processed in parts.
 type listing struct {
 	*Members
-	no     uint64 // its number, 0 until it is begun
-	at     int    // how many of its members are taken
-	behind int    // whole: how many of all endpoints have been looked at for those that it leaves out
-	short  bool   // whole, and told to the module as that; of a long one the module is told what is new in it
+	no     uint64 // its number, 0 until processing begins
+	at     int    // number of its members that are processed
+	behind int    // full list: number of known endpoints that were checked for being omitted
+	short  bool   // a full list that fits one part, so that the module gets it as a full list; of a longer one it gets only changes
 }
 
-// tellMembers takes what one source tells and tells the module: at once, or what is long in parts, one a tick, in the
-// order in which it came.
+// tellMembers processes the report of one source and informs the module: at once, or a long one in parts, one per tick,
+// in the order in which the reports came.
 func (e *Engine) tellMembers(l *Members) {
 	if l.Failed {
 		e.tell(control.Event{Kind: control.List, ListKind: control.ListFailed})
 		return
 	}
-	if l.Whole { // it says all that its source told before
+	if l.Whole { // it replaces earlier reports of its source
 		e.listings = slices.DeleteFunc(e.listings, func(o *listing) bool {
 			old := o.no == 0 && o.Source == l.Source
 			if old {
@@ -110,13 +110,13 @@
 	e.listings = append(e.listings, &listing{Members: l})
 	e.waiting += len(l.List)
 	e.takeLists()
-	for e.waiting > 2*e.set.MaxEndpoints { // more comes than can be taken in parts
+	for e.waiting > 2*e.set.MaxEndpoints { // more comes than can be processed in parts
 		e.sliced = -1
 		e.takeLists()
 	}
 }
 
-// takeLists takes up the next part of what sources told, if this tick had none yet.
+// takeLists processes the next part of the pending reports, if this tick has not had one yet.
 func (e *Engine) takeLists() {
 	tick := e.now.At / e.set.Control.Tick
 	if len(e.listings) == 0 || tick == e.sliced {
@@ -137,8 +137,8 @@
 	}
 }
 
-// takeList takes up a part of what a source told, so many endpoints at most, and tells the module; left is what is left
-// of that number.
+// takeList processes a part of a report, at most so many endpoints, and informs the module. left is what is left of that
+// number; done says that the report is processed completely.
 func (e *Engine) takeList(l *listing, most int) (left int, done bool) {
 	if l.no == 0 {
 		e.listNo++
@@ -159,7 +159,7 @@
 	for i := range part {
 		n := &part[i]
 		if old := e.byID[n.ID]; old != nil && old.dest != n.Dest && n.Phase != Gone {
-			// The id is another endpoint's now. What is out to the old one goes on; nothing new goes there.
+			// The id now belongs to another endpoint. Calls out to the old one go on, and it gets no new ones.
 			old.moved = true
 			delete(e.byID, old.id)
 			e.moved[place{old.id, old.dest}] = old
@@ -170,7 +170,7 @@
 		}
 	}
 	done = l.at == len(l.List)
-	for done && l.Whole && l.behind < len(e.all) { // those that only other sources tell of, and those left out
+	for done && l.Whole && l.behind < len(e.all) { // endpoints that the list omits, or that only other sources report
 		if most <= 0 {
 			done = false
 			break
@@ -180,7 +180,7 @@
 		if ep.listNo == l.no {
 			continue
 		}
-		if c := ep.told(l.Source); c != nil { // it told of it before
+		if c := ep.told(l.Source); c != nil { // this source reported it before
 			if c.phase != Gone {
 				most--
 			}
@@ -205,14 +205,14 @@
 		case !l.Whole:
 		case n.Health == control.Gone && l.short:
 			ep.entered = n
-			continue // it is left out
+			continue // omitted from the full list
 		case n.Health == control.Gone:
 			if ep.entered.Health == control.Gone {
-				continue // the module has forgotten it, or will, or never knew it
+				continue // the module knows it as gone, or never knew it
 			}
-			n.Weight, n.Kind = 0, -1 // it counts for its destination no more
+			n.Weight, n.Kind = 0, -1 // it no longer counts for its destination
 		case !l.short && !news[ep.dest] && (n.Weight == 0 || e.set.Control.ReportLimit < 0):
-			continue // what endpoints report may have changed what a weight says
+			continue // unchanged; a weight that load reports may have overridden is sent again
 		}
 		if ep.entered = ep.entry(); n.Kind >= 0 {
 			e.named[ep.dest] = ep.num
@@ -223,8 +223,8 @@
 	return most, done
 }
 
-// news are the destinations of which a whole list says something new. The last entry of a destination counts for its kind
-// and its share: where that is another one now, it is told anew as well.
+// news returns the destinations for which a full list brings changes. The last entry of a destination decides its kind and
+// its share, so a new last endpoint is a change, too.
 func (e *Engine) news(l *listing, changed []*endpoint) map[int]bool {
 	if !l.Whole || l.short {
 		return nil
@@ -241,7 +241,7 @@
 	return news
 }
 
-// entry is what the module is told of an endpoint.
+// entry returns the endpoint as the module gets it.
 func (ep *endpoint) entry() control.Entry {
 	n := control.Entry{
 		Endpoint: ep.num, Dest: ep.dest, Zone: ep.zone, Kind: ep.kind, Health: control.Gone, Weight: ep.weight,
@@ -257,8 +257,8 @@
 	return n
 }
 
-// waitsAt notes a wait that was told at an address, and has it bind other endpoints that the list has there now. Where
-// routes are not apart the module has it for the whole destination.
+// waitsAt stores a wait that was told at an address, and applies it to the other endpoints listed at that address. For
+// kinds without RoutesApart the module applies the wait to the whole destination.
 func (e *Engine) waitsAt(by *endpoint, addr string, wait Time) {
 	if by.kind < 0 || by.kind >= len(e.set.Control.Kinds) || !e.set.Control.Kinds[by.kind].RoutesApart {
 		return
@@ -273,7 +273,7 @@
 	}
 }
 
-// holdOff has the wait at an endpoint's address, which it has just been found to be at, bind it.
+// holdOff applies the wait told at an address to an endpoint that is newly listed there.
 func (e *Engine) holdOff(ep *endpoint) {
 	until := e.waits[ep.addr]
 	if until <= e.now.At {
@@ -285,7 +285,7 @@
 	ep.held = max(ep.held, until)
 }
 
-// letOn ends such waits, and forgets those that are over.
+// letOn ends such waits when their time has passed.
 func (e *Engine) letOn() {
 	e.held = slices.DeleteFunc(e.held, func(ep *endpoint) bool {
 		if ep.held > e.now.At {
@@ -298,17 +298,17 @@
 	})
 }
 
-// enter is what the module is told of an endpoint, noted.
+// enter returns the endpoint's entry and stores it as the last one sent to the module.
 func (ep *endpoint) enter() control.Entry {
 	ep.entered = ep.entry()
 	return ep.entered
 }
 
-// member takes one line of what a source tells; nil if there is nothing to do.
+// member processes one member of a report. It returns nil if there is nothing to do.
 func (e *Engine) member(source string, n *Member) *endpoint {
 	ep := e.byID[n.ID]
 	if ep == nil && n.Phase != Gone {
-		if ep = e.moved[place{n.ID, n.Dest}]; ep != nil { // it is back where it was: its waits and its ramp bind on
+		if ep = e.moved[place{n.ID, n.Dest}]; ep != nil { // it is back at its old destination: its waits and its ramp stay in force
 			delete(e.moved, place{n.ID, n.Dest})
 			ep.moved, ep.claims = false, nil
 			e.byID[ep.id] = ep
@@ -316,7 +316,7 @@
 	}
 	if ep == nil {
 		if n.Phase == Gone || n.ID == "" {
-			return nil // it never was here
+			return nil // it was never known here
 		}
 		if len(e.all) >= e.set.MaxEndpoints {
 			e.note(noteMembers, "source %s tells of more than %d endpoints; %s is left out", source, e.set.MaxEndpoints, n.ID)
@@ -347,7 +347,7 @@
 	return ep
 }
 
-// settle brings an endpoint's phase up to date: the worst of what the sources say that ever told of it.
+// settle updates an endpoint's phase to the worst claim of all sources that ever reported it.
 func (e *Engine) settle(ep *endpoint) {
 	was, wasListed := ep.phase, ep.listed
 	ep.phase, ep.listed = Active, false
@@ -366,8 +366,8 @@
 	}
 }
 
-// forgetGone drops endpoints that no source has listed for a while and that have no call out, so many at most, and tells
-// whether there are more. As long as one lists it what the others say of it counts.
+// forgetGone removes at most so many endpoints that no source has listed for a while and that have no call out, and reports
+// whether there are more. While one source lists an endpoint, the claims of the others about it are kept.
 func (e *Engine) forgetGone(most int) (more bool) {
 	maps.DeleteFunc(e.waits, func(_ string, until Time) bool { return until <= e.now.At })
 	e.all = slices.DeleteFunc(e.all, func(ep *endpoint) bool {
@@ -390,7 +390,7 @@
 	return more
 }
 
-// name notes that a destination was named.
+// name stores that a destination was named.
 func (l *members) name(dest int) {
 	if !l.isNamed(dest) {
 		l.named[dest] = 0
--- a/engine/message.go
+++ b/engine/message.go
@@ -11,7 +11,7 @@
 	"curlewmux/ledger"
 )
 
-// message is one from its hand-in until its end is through.
+// message is a message from its submission until its end is recorded and its client notified.
 type message struct {
 	Message
 	num      control.MessageID
@@ -20,53 +20,53 @@
 	tenant   int
 	print    uint64
 	deadline Time
-	since    Time // when it came into this process
-	once     bool // its id need not be remembered
+	since    Time // when this process got it
+	once     bool // its id need not be remembered after its end
 	phase    phase
-	tickets  []Ticket // arriving: who waits for the answer
-	anew     bool     // its id had an earlier life ...
-	earlier  *ended   // ... which counts again if this one never gets into the store
-	dropped  bool     // arriving: withdrawn, or its hand-in was answered without waiting for the store
-	timer    int      // place from 1 of the module's timer, or of that of an end that is not recorded yet
+	tickets  []Ticket // storing: submissions that wait for the answer
+	anew     bool     // an earlier, ended message had its id ...
+	earlier  *ended   // ... which is remembered again if this one never gets into the store
+	dropped  bool     // storing: to be withdrawn once it is in the store
+	timer    int      // index plus 1 of its timer, 0 for none: the module's, or that of an end that is not recorded yet
 
-	// What it has behind it. An attempt may have run from its record on, until its outcome shows that it never ran.
+	// Its attempts so far. An attempt may have run from its record on, unless its outcome shows that it never ran.
 	tries int
-	maybe instant // the first attempt that may have run, of those whose outcome is known
-	out   *item   // the attempt whose outcome is not known yet
+	maybe instant // the first attempt that may have run, among those whose outcome is known
+	out   *item   // the attempt that has no outcome yet
 
-	owed  Owed   // owing
-	doubt bool   // owing: it may have taken effect
-	why   string // owing: Done.Why
-	told  bool   // owing: the end was told, or will be when this batch is stored
-	tell  Batch
-	tale  *tale // nil: undelivered messages are not kept
+	owed  Owed   // notifying: the result
+	doubt bool   // notifying: it may have taken effect
+	why   string // notifying: Done.Reason
+	told  bool   // notifying: Done was emitted ...
+	tell  Batch  // ... and requires this batch
+	tale  *tale  // nil if undelivered messages are not kept
 
-	acct  *ledger.Account // nil: no ledger is kept
-	from  *ledger.Key     // arriving: of the message that it was, which has ended
-	swept uint32          // the newest sweep that came by
+	acct  *ledger.Account // nil if no ledger is kept
+	from  *ledger.Key     // storing: the account of the undelivered message that it resends
+	swept uint32          // the last audit that counted it
 
-	account        // what the store has of it
+	account        // the state of its records in the store
 	before, behind *message
 }
 
-// phase is how far a message has come.
+// phase is the progress of a message.
 type phase uint8
 
 const (
-	arriving phase = iota // its record is on the way to the store
-	held                  // the module has it
-	owing                 // its end is decided and not through yet
-	over                  // it has ended, and this is of no more use
+	arriving phase = iota // its record is being written to the store
+	held                  // the decision module has it
+	owing                 // its end is decided, and its client has not confirmed the notification
+	over                  // it has ended and is no longer in the table
 )
 
-// instant is the send of an attempt.
+// instant is when and to which zone an attempt was sent.
 type instant struct {
 	at   Time
 	zone int
 	set  bool
 }
 
-// doubtful is the send of the first attempt that may have run, that which is out counted.
+// doubtful returns the send of the first attempt that may have run, including the one in flight.
 func (m *message) doubtful() instant {
 	if !m.maybe.set && m.out != nil {
 		return instant{at: m.out.call.sent, zone: m.out.call.ep.zone, set: true}
@@ -74,16 +74,16 @@
 	return m.maybe
 }
 
-// messages are all that have not ended, by id, by number and in the order in which they were taken.
+// messages holds all messages that have not ended, by id, by number and in the order of acceptance.
 type messages struct {
 	byName      map[string]*message
 	byNum       map[control.MessageID]*message
 	oldest, new *message
 	lastNum     control.MessageID
-	open        int // arriving or held
+	open        int // storing or dispatching
 	owing       int
-	bytes       int                   // of bodies
-	ends        [Withdrawn + 1]uint64 // messages that ended, by how
+	bytes       int                   // of the bodies of open messages
+	ends        [Withdrawn + 1]uint64 // number of ended messages by disposition
 	restoring   []*Restored
 }
 
@@ -91,7 +91,7 @@
 	return messages{byName: map[string]*message{}, byNum: map[control.MessageID]*message{}}
 }
 
-// add makes a message known; its number is new.
+// add adds a message to the table and gives it a new number.
 func (l *messages) add(m *message) {
 	l.lastNum++
 	m.num = l.lastNum
@@ -106,14 +106,14 @@
 	l.bytes += len(m.Body)
 }
 
-// close takes a message that ends out of what is held; its id stays known.
+// close counts a message as no longer open and frees its body. The message stays in the table.
 func (l *messages) close(m *message) {
 	l.open--
 	l.bytes -= len(m.Body)
 	m.Body = nil
 }
 
-// remove forgets a message.
+// remove removes a message from the table.
 func (l *messages) remove(m *message) {
 	m.phase = over
 	delete(l.byName, m.ID)
@@ -131,7 +131,7 @@
 	m.before, m.behind = nil, nil
 }
 
-// ---- hand-in ----
+// ---- submission ----
 
 func (e *Engine) handIn(h *HandIn) {
 	m, v := e.judge(h, room{})
@@ -148,7 +148,7 @@
 	e.answer(h.Ticket, v, 0)
 }
 
-// handInAll takes all or none.
+// submitAll accepts all messages or none.
 func (e *Engine) handInAll(h *HandInAll) {
 	var list []*message
 	var group room
@@ -168,7 +168,7 @@
 				group.messages++
 				group.bytes += len(m.Body)
 			} else if old := e.byName[one.Message.ID]; v.Kind == Taken && old != nil && old.phase == arriving {
-				// Its record goes its own way to the store and may fail there: two fates would hang on one answer.
+				// Its record is in a batch of its own, which may fail: one answer would depend on two batches.
 				v = Verdict{Kind: Busy, Again: Span(turnedAway), Why: "id: its message is on its way to the store"}
 			}
 		}
@@ -179,7 +179,7 @@
 	var b Batch
 	if worst.Kind == Taken {
 		for i, m := range list {
-			if i == 0 { // they have one batch and so one fate: one of them answers for all
+			if i == 0 { // all are in one batch, so the ticket of one answers for all
 				b = e.take(h.Ticket, m)
 			} else {
 				e.take(0, m)
@@ -189,7 +189,7 @@
 	e.answer(h.Ticket, worst, b)
 }
 
-// lasting tells that handing the same in again would bring the same verdict.
+// lasting reports whether submitting the same again would get the same verdict.
 func lasting(k VerdictKind) bool { return k == Conflict || k == Spent || k == Invalid }
 
 var conflict = Verdict{Kind: Conflict, Why: "id: another message has it"}
@@ -198,10 +198,10 @@
 	e.effect(&Answer{Ticket: t, Verdict: v, needs: needs})
 }
 
-// room is what those take that would be taken along.
+// room is what the messages take that would be accepted in the same batch.
 type room struct{ messages, bytes int }
 
-// judge tells what becomes of a hand-in, and returns the message where it is to be taken anew.
+// judge decides on a submission. It returns a message only if a new one is to be accepted.
 func (e *Engine) judge(h *HandIn, with room) (*message, Verdict) {
 	no := func(kind VerdictKind, why string) (*message, Verdict) {
 		v := Verdict{Kind: kind, Why: why}
@@ -223,27 +223,27 @@
 			return nil, conflict
 		case old.phase == arriving && old.dropped:
 			return no(Busy, "id: a message of it is being taken back")
-		case old.phase == owing && e.set.Prompt: // who waits for the Done would wait for ever: it is told once
+		case old.phase == owing && e.set.Prompt: // Done was emitted once; a client that waits for it would wait for ever
 			return nil, Verdict{Kind: Taken, Ended: old.owed.How, Again: old.owed.Again}
 		}
-		return no(Taken, "") // a client that lost the answer sent the same request again
+		return no(Taken, "") // a client that lost the response repeated its request
 	}
 	if old := e.ended.byID[m.ID]; old != nil {
 		m.anew, m.earlier = true, old
 		switch {
 		case old.out != nil && !old.out.done:
-			return no(Busy, "id: an attempt of its earlier life is still out") // another would be a second copy
+			return no(Busy, "id: an attempt of its earlier life is still out") // a new attempt would be a second copy
 		case old.free:
 		case !sameMessage(old.print, m.print):
 			return no(Conflict, "id: another message had it")
 		case old.how == Delivered || old.how == Over:
-			return no(Taken, "") // a client that lost the answer sent the same request again
+			return no(Taken, "") // a client that lost the response repeated its request
 		case old.how != Refused:
 			return no(Spent, "id: its message ended, and may have taken effect")
-		case e.now.At <= old.due: // whoever handed it in has been told when to come again, with a new id
+		case e.now.At <= old.due: // the client was told when to submit it again, with a new id
 			return no(Busy, "id: its message was handed back a moment ago")
 		}
-		if !e.inStore(old) { // that end, recorded late, would end the further life in the store
+		if !e.inStore(old) { // if the end were recorded late, it would end the new message in the store
 			return no(Busy, "id: the end of its earlier life is on its way to the store")
 		}
 	}
@@ -269,7 +269,7 @@
 	return m, Verdict{Kind: Taken}
 }
 
-// take puts a message on its way to the store and returns its batch.
+// accept writes a message to the store and returns its batch.
 func (e *Engine) take(t Ticket, m *message) Batch {
 	e.ended.remove(m.earlier)
 	e.add(m)
@@ -291,7 +291,7 @@
 	return m.taken
 }
 
-// message checks what was handed in; why names the field at fault.
+// newMessage checks a submission; reason names the invalid field.
 func (e *Engine) message(h *HandIn) (m *message, why string) {
 	m = &message{Message: h.Message, since: e.now.At, classNo: -1, tenant: -1}
 	for i := range e.set.Control.Classes {
@@ -318,10 +318,10 @@
 	case h.Expires <= 0:
 		return nil, "expiry: no time is left"
 	}
-	if m.once = h.Once && !e.set.Stored; !m.once { // else nobody comes with its id again
+	if m.once = h.Once && !e.set.Stored; !m.once { // otherwise nobody submits its id again
 		m.print = m.Print()
 	}
-	// Past the hard limit a message is worth no more than there: it would only fill the hold.
+	// Past the class's deadline a message gains nothing by waiting on: it would only take up room.
 	m.deadline = e.now.At + min(h.Expires, m.class.Deadline)
 	if h.DoubtAge > 0 {
 		m.maybe = instant{at: e.now.At - h.DoubtAge, zone: h.DoubtZone, set: true}
@@ -333,7 +333,7 @@
 	return m, ""
 }
 
-// admit tells the module of a message that is in the store; what depends on the time is told as of the Step.
+// admit passes a message that is in the store to the module. The Step adds what depends on the time.
 func (e *Engine) admit(m *message, restored bool) {
 	m.phase, m.tickets, m.earlier = held, nil, nil
 	ev := control.Event{
@@ -351,10 +351,10 @@
 
 // ---- restart ----
 
-// restore takes up what the store has from an earlier process.
+// restore takes over the messages that the store has from an earlier process.
 func (e *Engine) restore(written Stamp) {
-	// With a clock that shows less than the records bear no age can be told: whatever may have run is then out of its
-	// key's window. No time counts as gone by since the last record, so that no message gets more than it had then.
+	// If the clock shows less than the records, ages are unknown: whatever may have run counts as outside its key's window.
+	// No time counts as passed since the last record, so that no message gets more time than it had then.
 	behind := e.now.Wall < written-Stamp(steppedOver)
 	var by Stamp
 	if behind {
@@ -367,7 +367,7 @@
 	}
 	for _, r := range e.restoring {
 		m, _ := e.message(&HandIn{Message: r.Message, Expires: 1})
-		if m == nil { // a class or tenant is no longer among the settings: the module can't judge it
+		if m == nil { // its class or tenant is no longer in the settings, so the module can't handle it
 			m = &message{Message: r.Message, since: e.now.At, tenant: -1, classNo: -1}
 			m.print = m.Print()
 		}
@@ -381,12 +381,12 @@
 		if r.DoubtAt != 0 {
 			age := Time(e.now.Wall-r.DoubtAt) + steppedOver
 			if behind || age < 0 {
-				age = e.now.At // longer than any window
+				age = e.now.At // longer than any key's window
 			}
 			m.maybe = instant{at: e.now.At - age, zone: r.DoubtZone, set: true}
 		}
 		if e.byName[m.ID] != nil {
-			continue // the store tells each once; a second one would never end
+			continue // a store reports each message once; a duplicate would never end
 		}
 		e.add(m)
 		e.books.added(m)
@@ -399,7 +399,7 @@
 		}
 		switch {
 		case r.Owed != nil:
-			m.print &^= bodyPrint // the store need not keep the body of one that is owed
+			m.print &^= bodyPrint // the store need not keep the body if the result is pending
 			e.close(m)
 			m.phase, m.owed, m.doubt, m.print = owing, *r.Owed, m.maybe.set, r.Owed.Print
 			e.owing++
@@ -414,7 +414,7 @@
 		default:
 			e.admit(m, true)
 			if m.maybe.set && m.class.Effect == control.Guarded {
-				e.soil(m) // what its age counts as is recorded: else what stamps are off by would add up over restarts
+				e.soil(m) // record its age as used now; otherwise the error of timestamps would add up over restarts
 			}
 		}
 	}
@@ -424,11 +424,11 @@
 
 // ---- end ----
 
-// end is the one place where a message ends. What the module decided, what an answer told and what a caller wants all
-// come here; a message that has ended already is left as it is.
+// end is the only place where a message ends, by a decision of the module, a response or a withdrawal. It has no effect
+// on a message that has ended.
 func (e *Engine) end(m *message, how How, again time.Duration) {
 	switch m.phase {
-	case arriving: // until it is in the store nobody can know that it was taken
+	case arriving: // before it is in the store, nobody can know that it was accepted
 		m.dropped = true
 		return
 	case owing, over:
@@ -456,14 +456,14 @@
 	e.effect(done)
 }
 
-// done is the effect that tells an end which is owed.
+// done returns the effect that reports a pending result.
 func (e *Engine) done(m *message, b Batch) *Done {
 	m.told, m.tell = true, b
 	return &Done{ID: m.ID, How: m.owed.How, Doubt: m.doubt, Again: m.owed.Again, Why: m.why, needs: b}
 }
 
-// conclude records that nothing more is owed for a message; its id stays known for a while.
-// An id that nobody else has is forgotten at once: then there is nothing to return.
+// conclude records that a message has ended with no notification pending. Its id is remembered for a while, unless nobody
+// else can submit it: then it is forgotten at once, and conclude returns nil.
 func (e *Engine) conclude(m *message, how How) *ended {
 	e.books.removed(m)
 	if m.once {
@@ -474,7 +474,7 @@
 	past.until = max(past.due, e.now.At) + e.remember(m.classNo)
 	past.harmless = m.class != nil && m.class.Effect == control.Free
 	if how == Refused && m.doubt && !past.harmless {
-		past.how = Failed // to whom the id comes again late: only its client knows its key's window
+		past.how = Failed // for a late repetition of the id: only the client knows its key's window
 	}
 	e.remove(m)
 	if how == Withdrawn && !m.doubt { // it never ran
@@ -485,7 +485,7 @@
 	return past
 }
 
-// through ends the messages whose ends have been told.
+// notified concludes the messages whose clients have been notified.
 func (e *Engine) through(list []string) {
 	for _, id := range list {
 		m := e.byName[id]
@@ -498,7 +498,7 @@
 	}
 }
 
-// withdraw ends a message that nobody wants any more.
+// withdraw ends a message at its client's request.
 func (e *Engine) withdraw(id string) {
 	m := e.byName[id]
 	if m == nil {
--- a/engine/record.go
+++ b/engine/record.go
@@ -5,69 +5,70 @@
 	"hash/fnv"
 )
 
-// Record is one line of a message's account in the store. Only the types of this package are records. A store needs no
-// more than them to tell at its next start what is live: see the comment of each.
+// Record is one change that the store keeps. Only the types of this package are records. From its records alone a store
+// can rebuild at its next start what is live: see the comment of each.
 type Record interface{ record() }
 
-// RecTaken begins a message's life.
+// RecAccepted says that a message was accepted.
 type RecTaken struct {
 	Message  Message
 	Deadline Stamp
 }
 
-// RecAttempts says that attempts are about to be written to their endpoints: each message has one more try, and from its
-// first attempt on it may have run, until RecNeverRan says otherwise of just that attempt.
+// RecAttempts says that attempts are about to be written to their endpoints. Each of the messages has one more try. From
+// its first attempt on a message may have run, unless RecNeverRan withdraws exactly that attempt.
 type RecAttempts struct {
 	At   Stamp
 	List []AttemptOf
 }
 
-// AttemptOf is one message's part in RecAttempts.
+// RecAttempt is the attempt at one message in RecAttempts.
 type AttemptOf struct {
 	ID   string
 	Zone int
 }
 
-// RecNeverRan says that the newest attempt of a message provably never ran. Doubt that an earlier attempt left stays.
+// RecNeverRan says that the newest attempt of a message provably never ran. Doubt from an earlier attempt stays.
 type RecNeverRan struct{ ID string }
 
-// RecState replaces what a message has behind it: tries and doubt. The engine writes it where records were lost.
+// RecState replaces the tries and the doubt of a message. The engine writes it where records were lost.
 type RecState struct {
 	ID        string
 	Tries     int
-	DoubtAt   Stamp // 0: no attempt may have run
+	DoubtAt   Stamp // 0 if no attempt may have run
 	DoubtZone int
-	Settled   bool // the doubt is not of the newest attempt, or that one's outcome is known: RecNeverRan changes nothing
+	Settled   bool // the doubt is not from the newest attempt, or its outcome is known, so that RecNeverRan changes nothing
 }
 
-// RecOwed says that a message's end is decided and still to be told. Its body is of no more use.
+// RecPendingResult says that a message's end is decided and its client has yet to be notified. Its body is no longer
+// needed.
 type RecOwed struct {
 	ID string
 	Owed
-	GivenUp *GivenUp `json:"-"` // for a keeper of undelivered messages, nil without one; no store needs it
+	GivenUp *GivenUp `json:"-"` // for the store of undelivered messages, nil if there is none; other stores ignore it
 }
 
-// RecEnded says that nothing more is owed for a message. What is left of it is its id, until the stamp, where Until is
-// not 0: from then on the store may forget it.
+// RecEnded says that a message has ended and no notification is pending. If Until is not 0, the store keeps the id at least
+// until then; otherwise it forgets the message at once.
 type RecEnded struct {
 	ID    string
 	How   How
 	Until Stamp
-	Print uint64 // Message.Print
+	Print uint64 // Message.Fingerprint
 }
 
-// RecShift says that the wall clock was stepped by so much (microseconds, forward is more): all stamps of earlier
-// records are to be read with that added.
+// RecClockStep says that the wall clock was stepped by By microseconds, positive if forward. By has to be added to all
+// timestamps of earlier records.
 type RecShift struct{ By int64 }
 
-// RecLeaf replaces what the store has under a number, of the books (Settings.Ledger): the newest text counts, and none is
-// longer than ledger.LeafMost.
+// RecLedgerLeaf replaces the ledger's leaf with this number (Settings.Ledger). The newest text counts. None is longer than
+// ledger.LeafMost.
 type RecLeaf struct {
 	Number uint64
 	Text   []byte
 }
 
-// RecMark says nothing: it is written to see whether the store takes records.
+// RecNoop has no meaning: it is written to find out whether the store accepts records.
 type RecMark struct{}
 
 func (*RecTaken) record()    {}
@@ -80,9 +81,9 @@
 func (*RecMark) record()     {}
 func (*RecLeaf) record()     {}
 
-// Print is a fingerprint of all but the id: in the upper 32 bits of all but the body, too, in the lower of the body, where
-// 0 stands for one that is not known any more. Each is FNV-1a, 64 bits, over lengths and bytes, folded. It is the same in
-// every process.
+// Fingerprint returns a hash of the message without its id. The upper 32 bits cover class, tenant, key and destination,
+// the lower 32 the body; 0 there means that the body is no longer known. Each half is a 64-bit FNV-1a over lengths and
+// bytes, folded to 32 bits. It is the same in every process.
 func (m *Message) Print() uint64 {
 	h := fnv.New64a()
 	var n [8]byte
@@ -103,10 +104,10 @@
 	return head<<32 | max(fold(), 1)
 }
 
-// bodyPrint are the bits of a print that are of the body.
+// bodyPrint masks the bits of a fingerprint that cover the body.
 const bodyPrint = 1<<32 - 1
 
-// sameMessage tells whether two hand-ins of one id are one message, as far as that is known of both.
+// sameMessage reports whether two submissions of one id are the same message, as far as both fingerprints tell.
 func sameMessage(a, b uint64) bool {
 	return a>>32 == b>>32 && (a == b || a&bodyPrint == 0 || b&bodyPrint == 0)
 }
--- a/engine/seams.go
+++ b/engine/seams.go
@@ -5,87 +5,89 @@
 	"time"
 )
 
-// The seams round the engine. A runtime puts one engine, one store, transports, fronts, sources and a sink together: it
-// handles events on one goroutine (the driver's) and carries out effects there. No method called on the driver's
-// goroutine may block, but for the store's writing to its disk.
+// The interfaces between the engine and the other components. A runtime connects one engine, one store, transports,
+// fronts, sources and a sink: it handles events on one goroutine (the driver's) and carries out effects there. No method
+// called on the driver's goroutine may block, except for the store's writes to its disk.
 
-// ErrFull is what Store.Append returns when there is no room for a batch that takes messages.
+// ErrFull is returned by Store.Append when there is no room for a batch that accepts messages.
 var ErrFull = errors.New("the store has no room")
 
 // Store keeps records.
 type Store interface {
-	// Append adds one batch to what the next Flush writes, called by the driver. An error says that the batch is not
-	// stored and never will be; ErrFull that it is for want of room.
+	// Append adds one batch to those that the next Flush writes; called by the driver. An error means that the batch is
+	// not stored and never will be. ErrFull means that there was no room for it.
 	Append(b Batch, records []Record) error
 
-	// Flush writes what was appended, all in one, called by the driver at the end of each of its rounds. It returns the
-	// last batch up to which all that Append took are stored. With an error the batches behind that one are not stored
-	// and never will be. Without one they are still on their way, and the store tells later (as its maker says how).
+	// Flush writes all appended batches at once; called by the driver at the end of each of its rounds. It returns the
+	// number up to which all appended batches are stored. If it returns an error, the batches after that number are not
+	// stored and never will be. Otherwise they are still being written, and the store reports them later, in a way that
+	// each implementation defines.
 	Flush() (Batch, error)
 }
 
-// Aging is a Store that forgets what has expired. The driver tells it the wall time in each of its rounds, behind what the
-// round appended and before its Flush.
+// ExpiringStore is a Store that deletes expired records. The driver passes it the wall time in each of its rounds, after
+// the round's appends and before its Flush.
 type Aging interface {
 	Tick(now Stamp)
 }
 
 // Transport makes calls.
 type Transport interface {
-	// Start starts a call, called by the driver. What becomes of it is told from other goroutines.
+	// Start starts a call; called by the driver. The transport reports to on from other goroutines.
 	Start(c *Call, on CallEvents)
 
-	// Abort stops waiting for a call, called by the driver; one that has ended is left as it is.
+	// Abort stops waiting for a call; called by the driver. It has no effect on a call that has ended.
 	Abort(id CallID)
 
-	// CloseIdle closes the idle connections to an endpoint, called by the driver.
+	// CloseIdle closes the idle connections to an endpoint; called by the driver.
 	CloseIdle(c *CloseIdle)
 
-	// Leave forgets an endpoint at an address, called by the driver: idle connections close, those with calls as these
-	// end.
+	// RemoveEndpoint removes an endpoint at an address; called by the driver. Idle connections close at once, the others
+	// when their calls end.
 	Leave(l *Leave)
 }
 
-// CallEvents is what a transport tells of one call, from any goroutine.
+// CallEvents receives what a transport reports about one call, from any goroutine.
 type CallEvents interface {
-	// MayWrite asks which items may still be written. It blocks until the engine has answered; nil if the driver has
-	// stopped, and then none may.
+	// MayWrite asks which items may still be written. It blocks until the engine has answered. It returns nil if the
+	// driver has stopped; then no item may be written.
 	MayWrite(id CallID) []bool
 
-	// FirstLine tells that the first line of the answer to a call with one item says that it is delivered.
+	// FirstLine reports that the first line of the response to a call with one item says that the item is delivered.
 	FirstLine(id CallID)
 
-	// Ended tells outcomes; each item of a call has one.
+	// Ended reports outcomes. Each item of a call has exactly one.
 	Ended(id CallID, outs []Outcome)
 }
 
-// Sink is told the ends of messages.
+// Sink receives the results of messages.
 type Sink interface {
-	// Done takes an end, called by the driver. It answers with Through, from any goroutine, once whoever waits has been
-	// told.
+	// Done takes the result of a message; called by the driver. Once the client has been notified, the sink acknowledges
+	// with a Notified event, from any goroutine.
 	Done(d *Done)
 }
 
-// Intake takes what fronts hand in.
+// Intake takes messages that fronts submit.
 type Intake interface {
-	// HandIn hands a message in, which may be delivered until the deadline (the host's time). Called by fronts, from any
-	// goroutine; it blocks until there is an answer. A driver that has stopped answers Busy.
+	// Submit submits a message that may be delivered until the deadline (the host's time). Called by fronts, from any
+	// goroutine. It blocks until there is a verdict, which is Busy if the driver has stopped.
 	HandIn(m *Message, deadline time.Time) Verdict
 }
 
-// GroupIntake takes several messages at a time from fronts whose clients hand them in so.
+// GroupIntake takes several messages at a time, for fronts whose clients submit several at once.
 type GroupIntake interface {
-	// HandInEach hands messages in, each for itself, which may be delivered until their deadlines (the host's time).
-	// Called by fronts, from any goroutine; it blocks until there are all answers, in the order of the messages.
+	// SubmitEach submits messages independently of each other, with their deadlines (the host's time). Called by fronts,
+	// from any goroutine. It blocks until there is a verdict on each message, and returns them in the order of the
+	// messages.
 	HandInEach(list []*Message, deadlines []time.Time) []Verdict
 
-	// HandInAll is the same with one answer: they are taken all or none (engine.HandInAll).
+	// SubmitAll submits messages that are accepted all or none, with one verdict for all (see the event SubmitAll).
 	HandInAll(list []*Message, deadlines []time.Time) Verdict
 }
 
-// Listing takes what sources tell of endpoints.
+// MembershipReceiver takes what sources report about endpoints.
 type Listing interface {
-	// Members passes on what one source tells, from any goroutine; it does not block. It returns false once the driver
+	// Members passes on the report of one source, from any goroutine. It does not block. It returns false once the driver
 	// has stopped.
 	Members(m *Members) bool
 }
--- a/engine/settings.go
+++ b/engine/settings.go
@@ -6,34 +6,33 @@
 	"curlewmux/control"
 )
 
-// Settings are told once, at the start. Where a bound is 0 its default counts.
+// Settings configure an engine. A bound of 0 means its default.
 type Settings struct {
 	Control control.Settings // of the decision module
-	Seed    uint64           // of the module's random numbers
+	Seed    uint64           // of the module's random source
 
-	// Stored says that there is a store. Without one nothing outlasts the process: there are no records, and no effect
+	// HasStore says that there is a store. Without one nothing survives the process: there are no records, and no effect
 	// waits for one.
 	Stored bool
 
-	// Prompt lets a Step follow each round of the driver at once while messages are held, where others wait for the grid
-	// of ticks. It is for callers who wait for each answer; nothing is gathered for a shared call but what comes in one
-	// round.
+	// Prompt runs a Step right after each round of the driver while messages are open, instead of at the next tick. It is
+	// for callers who wait for each result. Only messages that come in one round can then share a call.
 	Prompt bool
 
-	MaxBytes      int    // of the bodies held, in bytes
-	MaxIDs        int    // messages whose end is not through yet, and ids of messages that ended
-	MaxEndpoints  int    // that sources may tell of, those gone of late counted
-	CallBytes     int    // a call with several messages holds so many bytes at most, as it is sent
-	KindBytes     []int  // the same for endpoints of a kind, by its number; 0, or none: CallBytes
-	Remember      Time   // how long beyond its time an id that ended still counts
-	ClassRemember []Time // the same for ids of a class, by its number, where that is longer
-	Patience      Time   // a store that has not answered within this counts as down
+	MaxBytes      int    // of the bodies of open messages
+	MaxIDs        int    // messages whose clients have not been notified yet, and remembered ids of ended messages
+	MaxEndpoints  int    // that sources may report, including those gone recently
+	CallBytes     int    // maximum encoded size of a call with several messages
+	KindBytes     []int  // the same by the kind of the endpoint; CallBytes if missing or 0
+	Remember      Time   // how long after its deadline the id of an ended message is remembered
+	ClassRemember []Time // the same by class; the longer time counts
+	Patience      Time   // a store that has not answered within this time counts as down
 
-	Ledger *Ledger // nil: no books are kept
+	Ledger *Ledger // nil: no ledger is kept
 
-	// Kept is set where undelivered messages are kept: RecOwed then has GivenUp. It is asked about each message that is
-	// handed in and would be taken, on the driver's goroutine, and must not block: a kind other than Taken is what speaks
-	// against it, and why.
+	// CheckUndelivered is set if undelivered messages are kept; RecPendingResult then has Undelivered. It is asked about
+	// each submitted message that would be accepted. It is called on the driver's goroutine and must not block. A kind
+	// other than Accepted rejects the message, for the reason in the string.
 	Kept func(m *Message) (VerdictKind, string)
 }
 
@@ -42,9 +41,9 @@
 	defaultMaxBytes     = 64 << 20
 	defaultMaxIDs       = 1 << 16
 	defaultMaxEndpoints = 1 << 16
-	defaultCallBytes    = 64 << 10                  // what a body may hold (protocol)
-	defaultRemember     = 10 * control.Second       // clients repeat a request within a second or two
-	defaultPatience     = 300 * control.Millisecond // a client waits 400 ms for its answer
+	defaultCallBytes    = 64 << 10                  // the protocol's limit for a body
+	defaultRemember     = 10 * control.Second       // clients repeat a request within one or two seconds
+	defaultPatience     = 300 * control.Millisecond // a client waits 400 ms for its response
 )
 
 func (s *Settings) fill() error {
--- a/engine/store.go
+++ b/engine/store.go
@@ -6,76 +6,76 @@
 	"curlewmux/control"
 )
 
-// store is what the engine knows of its store: what is on the way there, and what it still has to be told.
+// store is the engine's view of its store: batches being written, and records that still have to be written.
 type store struct {
-	last      Batch // number of the newest batch
-	confirmed Batch // up to here all is in the store that did not fail
-	records   []Record
-	keepers   []keeper // whose records these are, one for each
-	sending   []*call  // whose attempts are among them
-	place     int      // where among the effects the Append of this event goes
+	last      Batch    // number of the newest batch
+	confirmed Batch    // all batches up to this one are in the store, except those that failed
+	records   []Record // of the event that is being handled
+	keepers   []keeper // the owners of these records, one for each
+	sending   []*call  // the calls whose attempts are among these records
+	place     int      // index among the effects where the Append of this event goes
 	pending   []*batch // not answered yet, oldest first
-	down      bool     // it takes nothing: no attempt is made
-	retry     Time     // when it is asked again
-	dirty     []keeper // those whose account in the store is not the true one
+	down      bool     // the store accepts nothing, so no attempt is made
+	retry     Time     // when it is tried again
+	dirty     []keeper // owners whose records in the store are wrong and have to be rewritten
 
-	known  bool // a wall time has been seen
-	offset Time // wall time less the engine's, as the store's stamps go by
-	shift  Time // step of the wall clock that could not be recorded
+	known  bool // the offset is set
+	offset Time // wall time minus the engine's time, as used for timestamps in records
+	shift  Time // step of the wall clock that is not recorded yet
 }
 
-// restored is the batch of all that an earlier process recorded.
+// restored stands for the batches of all records of earlier processes.
 const restored Batch = 0
 
 const (
-	retryGap    = 100 * control.Millisecond // between two looks whether the store takes records again
-	steppedOver = 100 * control.Millisecond // a wall clock that is off by less is let be: what stamps may be off by
-	mostDirty   = 500                       // records of accounts that are written anew at once, about
+	retryGap    = 100 * control.Millisecond // between two attempts to write to a store that is down
+	steppedOver = 100 * control.Millisecond // smaller offsets of the wall clock are ignored; so this is the error of a timestamp
+	mostDirty   = 500                       // approximate number of records that are rewritten in one batch
 )
 
-// batch is one on its way to the store.
+// batch is a batch that the store has not answered yet.
 type batch struct {
 	no      Batch
 	at      Time
-	taken   []*message // all that it takes
+	taken   []*message // messages that it accepts
 	calls   []*call
 	keepers []keeper
 	shift   Time
-	given   bool // given up: the store was silent for too long
+	given   bool // the store did not answer in time
 }
 
-// keeper is what has an account in the store: a message, or the id of one that ended.
+// keeper owns records in the store: a message, or the id of an ended one.
 type keeper interface {
 	book() *account
-	// write records the true account.
+	// write records the current state.
 	write(e *Engine)
 }
 
-// account is where something's records are.
+// account tells which batches hold the records of an owner.
 type account struct {
 	taken, last Batch // of its first and newest record
-	dirty       bool
-	missing     bool // the first record is not in the store (any more)
+	dirty       bool  // the records have to be rewritten
+	missing     bool  // the first record is not in the store, or no longer
 }
 
 func (a *account) book() *account { return a }
 
-// ---- to the store ----
+// ---- writing to the store ----
 
-// begin makes ready for the records of one event: all of them go into one batch.
+// begin prepares for the records of one event: they all go into one batch.
 func (e *Engine) begin() {
 	clear(e.keepers)
-	e.records, e.keepers, e.sending = nil, e.keepers[:0], nil // the records belong to the Append
+	e.records, e.keepers, e.sending = nil, e.keepers[:0], nil // the Append owns the records
 	e.place = len(e.out)
 }
 
-// record adds a record to the batch of this event, whose number it returns: 0 without a store.
+// record adds a record to the batch of this event and returns the batch's number, 0 without a store.
 func (e *Engine) record(r Record, k keeper) Batch {
 	if !e.set.Stored {
 		return 0
 	}
 	if e.records == nil && e.books != nil {
-		e.records = make([]Record, 0, 3) // a leaf follows
+		e.records = make([]Record, 0, 3) // a ledger leaf follows
 	}
 	e.records = append(e.records, r)
 	if k != nil {
@@ -85,7 +85,7 @@
 	return e.last + 1
 }
 
-// needs is the batch of this event, 0 if it has none.
+// needs returns the batch of this event, 0 if it has none.
 func (e *Engine) needs() Batch {
 	if len(e.records) == 0 {
 		return 0
@@ -93,7 +93,7 @@
 	return e.last + 1
 }
 
-// commit puts the records of this event on their way, ahead of the effects that need them.
+// commit emits the Append of this event's records, before the effects that require it.
 func (e *Engine) commit() {
 	if len(e.records) == 0 {
 		return
@@ -113,8 +113,8 @@
 	e.out[e.place] = &Append{Batch: b.no, Records: e.records}
 }
 
-// clock follows the two clocks. Stamps go by one offset between them; a step of the wall clock is recorded, so that the
-// stamps before it stay true.
+// clock updates the two clocks. Timestamps use one offset between them. A step of the wall clock is recorded, so that
+// earlier timestamps stay correct.
 func (e *Engine) clock(now Now) {
 	offset := Time(now.Wall) - now.At
 	e.now = now
@@ -129,8 +129,8 @@
 	e.recordShift()
 }
 
-// recordShift puts a step of the wall clock on its way, in a batch of its own: no want of room for a message may take it
-// along.
+// recordShift records a step of the wall clock, in a batch of its own, so that it is not lost with a message for which the
+// store has no room.
 func (e *Engine) recordShift() {
 	if e.shift != 0 && e.set.Stored && !e.down {
 		e.last++
@@ -141,12 +141,12 @@
 	}
 }
 
-// stamp is a moment as records keep it.
+// stamp converts a time of the engine to a timestamp.
 func (e *Engine) stamp(t Time) Stamp { return Stamp(t + e.offset) }
 
-// ---- from the store ----
+// ---- answers of the store ----
 
-// stored takes up what is in the store now.
+// stored handles that all batches up to b are in the store.
 func (e *Engine) stored(b Batch) {
 	if b <= e.confirmed {
 		return
@@ -185,14 +185,14 @@
 	e.writeDirty()
 }
 
-// failed takes up that a batch is not in the store.
+// failed handles that a batch is not in the store.
 func (e *Engine) failed(no Batch, full bool) {
 	for i, p := range e.pending {
 		if p.no != no {
 			continue
 		}
 		e.pending = append(e.pending[:i:i], e.pending[i+1:]...)
-		if p.given { // what it stood for was taken back then, and is written anew
+		if p.given { // it was rolled back when it timed out, and is being rewritten
 			return
 		}
 		e.soilLeaves(no, no)
@@ -211,12 +211,12 @@
 		e.unwritten(p)
 		return
 	}
-	if no <= e.confirmed && no > 0 { // told as stored before
+	if no <= e.confirmed && no > 0 { // reported as stored before
 		e.lost(no - 1)
 	}
 }
 
-// notTaken forgets a message that never got into the store.
+// notTaken rejects and removes a message that never got into the store.
 func (e *Engine) notTaken(m *message, v Verdict) {
 	for _, t := range m.tickets {
 		e.effect(&Answer{Ticket: t, Verdict: v})
@@ -230,8 +230,8 @@
 	}
 }
 
-// unwritten takes back what a batch that is not in the store stood for, as far as it can be taken back; the rest is
-// written anew when the store takes records again. Until then no attempt is made.
+// unwritten rolls back what a failed batch recorded, as far as possible. The rest is rewritten when the store accepts
+// records again. Until then no attempt is made.
 func (e *Engine) unwritten(p *batch) {
 	if !e.down {
 		e.down = true
@@ -247,7 +247,7 @@
 		if m, ok := k.(*message); ok {
 			m.missing = m.missing || m.taken == p.no
 			if m.phase == owing && m.tell == p.no {
-				// Its end waits for the record, but no longer than for its time to be up.
+				// Its Done waits for the record, but no longer than until its deadline.
 				m.told = false
 				e.timers.push(timer{at: max(m.deadline, e.now.At)}, m)
 			}
@@ -256,11 +256,11 @@
 	}
 }
 
-// soil notes that an account has to be written anew.
+// soil marks an owner's records to be rewritten.
 func (e *Engine) soil(k keeper) {
 	a := k.book()
 	if m, ok := k.(*message); ok && (m.phase == over || m.phase == arriving) {
-		return // its id has an account of its own; it never was in the store
+		return // finished: the id has its own records; storing: it never was in the store
 	}
 	if !a.dirty {
 		a.dirty = true
@@ -268,7 +268,7 @@
 	}
 }
 
-// lost takes up that the store has no more than the batches up to this one: what changed since is written anew.
+// lost handles that the store has only the batches up to kept: what changed since is rewritten.
 func (e *Engine) lost(kept Batch) {
 	if kept >= e.confirmed {
 		return
@@ -293,10 +293,10 @@
 	}
 }
 
-// inStore tells that the newest record of an account is in the store.
+// inStore reports whether the newest record of an owner is in the store.
 func (e *Engine) inStore(k keeper) bool { return !k.book().dirty && k.book().last <= e.confirmed }
 
-// writeDirty writes accounts that are not the true ones, some at a time: the next when these are stored.
+// writeDirty rewrites the records of dirty owners, some at a time: the next ones when these are stored.
 func (e *Engine) writeDirty() {
 	for len(e.dirty) > 0 && len(e.records) < mostDirty {
 		k := e.dirty[0]
@@ -314,12 +314,12 @@
 	anew := m.missing
 	if anew {
 		m.missing, m.taken = false, e.last+1
-		if m.anew { // what the store lost may be the end of the earlier life: that one must not go on
+		if m.anew { // the store may have lost the end of the earlier message with this id, which must not be resumed
 			e.record(&RecEnded{ID: m.ID, How: Refused}, m)
 		}
 		e.record(&RecTaken{Message: m.Message, Deadline: e.stamp(m.deadline)}, m)
 	}
-	if m.tries > 0 || m.maybe.set || !anew { // also where there are none: the store may have an attempt that was taken back
+	if m.tries > 0 || m.maybe.set || !anew { // without tries, too: the store may have an attempt that was rolled back
 		r := &RecState{ID: m.ID, Tries: m.tries, Settled: m.maybe.set || m.out == nil}
 		if d := m.doubtful(); d.set {
 			r.DoubtAt, r.DoubtZone = e.stamp(d.at), d.zone
@@ -343,17 +343,17 @@
 	}
 }
 
-// tellAnyway tells an end that could not be recorded. Its time is up: after a restart the message would be given up at
-// once, and never sent.
+// tellAnyway emits the Done of an end that could not be recorded. The message's deadline has passed, so that after a
+// restart it would expire at once and never be sent.
 func (e *Engine) tellAnyway(m *message) {
 	if !m.told {
 		e.effect(e.done(m, 0))
 	}
 }
 
-// ---- a store that is silent ----
+// ---- a store that does not answer ----
 
-// patience tells when a store that has not answered counts as down, or when one that is down is asked again.
+// patience returns when a store that has not answered counts as down, or when one that is down is tried again.
 func (e *Engine) patience() (Time, bool) {
 	for _, p := range e.pending {
 		if p.shift == 0 && !p.given {
@@ -363,8 +363,8 @@
 	return e.retry, e.down && len(e.pending) == 0
 }
 
-// overdue gives up waiting for batches that the store has not answered for too long, and looks whether one that was down
-// takes records again.
+// overdue stops waiting for batches that the store has not answered in time, and tests whether a store that is down
+// accepts records again.
 func (e *Engine) overdue() {
 	for _, p := range e.pending {
 		if p.shift != 0 || p.given {
@@ -379,20 +379,20 @@
 			if m.phase != arriving {
 				continue
 			}
-			// It may get into the store yet: then it is ended there. Nobody may hand it in again meanwhile.
+			// It may still get into the store: then its end is recorded there, too. Nobody may submit it again until then.
 			for _, t := range m.tickets {
 				e.effect(&Answer{Ticket: t, Verdict: Verdict{Kind: Unsure, Why: "the store does not answer"}})
 			}
 			e.bookForgone(m)
 			e.close(m)
 			m.doubt = true
-			m.deadline = 0 // whoever comes again hears the truth, not that it is taken
+			m.deadline = 0 // a repeated submission must not be answered as accepted
 			e.conclude(m, Withdrawn)
 		}
 		e.soilLeaves(p.no, p.no)
 		e.unwritten(p)
 	}
-	// A store that owes answers is silent still: theirs will tell.
+	// A store with unanswered batches still does not respond: its answers will show when it does.
 	if e.down && e.now.At >= e.retry && len(e.pending) == 0 {
 		e.retry = e.now.At + retryGap
 		if e.writeDirty(); len(e.records) == 0 {
--- a/engine/timer.go
+++ b/engine/timer.go
@@ -1,7 +1,8 @@
 package engine
 
-// timers are the module's, soonest first; those of one instant in the order in which they were set. One of a message
-// goes with the message, which knows its place. They lie in one heap and leave nothing to collect.
+// timers holds the module's timers in one heap, ordered by time, then by the order in which they were set. A message has
+// at most one timer and knows its index, so that the timer is removed with the message. The heap holds timers by value, so
+// that they produce no garbage.
 type timers struct {
 	list []timer
 	seq  uint64
@@ -11,12 +12,12 @@
 	at      Time
 	seq     uint64
 	mark    uint64
-	message *message // of no use without it, nil if there is none
+	message *message // the message it belongs to, nil if none; removed with it
 }
 
 func (t *timer) before(o *timer) bool { return t.at < o.at || t.at == o.at && t.seq < o.seq }
 
-// push sets a timer; m, where there is one, has no other.
+// push adds a timer. If m is not nil, the timer replaces the one that m has.
 func (t *timers) push(n timer, m *message) {
 	if m != nil {
 		t.drop(m)
@@ -27,14 +28,14 @@
 	t.up(len(t.list) - 1)
 }
 
-// drop stops a message's timer.
+// drop removes the timer of a message, if it has one.
 func (t *timers) drop(m *message) {
 	if m.timer > 0 {
 		t.remove(m.timer - 1)
 	}
 }
 
-// next tells when the first is due.
+// next returns when the first timer is due.
 func (t *timers) next() (Time, bool) {
 	if len(t.list) == 0 {
 		return 0, false
@@ -42,7 +43,7 @@
 	return t.list[0].at, true
 }
 
-// pop takes the first, if it is due.
+// pop removes and returns the first timer, if it is due.
 func (t *timers) pop(now Time) (timer, bool) {
 	if len(t.list) == 0 || t.list[0].at > now {
 		return timer{}, false
@@ -68,7 +69,7 @@
 	}
 }
 
-// set puts a timer at a place.
+// set stores a timer at an index of the heap.
 func (t *timers) set(at int, n timer) {
 	t.list[at] = n
 	if n.message != nil {
--- a/engine/view.go
+++ b/engine/view.go
@@ -6,15 +6,15 @@
 	"curlewmux/control"
 )
 
-// Held is what is open for a destination.
+// DestinationBacklog describes the open messages of a destination.
 type Held struct {
 	Dest      int
-	Oldest    Time // how long its oldest message has been open in this process
+	Oldest    Time // how long the oldest message has been open in this process
 	Condition control.Condition
 }
 
-// Held tells of the destinations of open messages, by number. It looks at the oldest messages, so many at most, and more
-// says that there are others; it changes nothing.
+// Backlog returns the destinations of open messages, ordered by number. It looks at the oldest messages, at most so many;
+// more says that there are others. It changes nothing.
 func (e *Engine) Held(most int) (list []Held, more bool) {
 	seen := map[int]bool{}
 	for m := e.oldest; m != nil; m = m.behind {
