--- a/engine/bench_test.go
+++ b/engine/bench_test.go
@@ -8,8 +8,8 @@
 	"curlewmux/ledger"
 )
 
-// BenchmarkLife is a message's whole life, from being handed in to being delivered, with a store that answers at once,
-// while so many others are held whose destinations take nothing; and with books.
+// BenchmarkLife measures a message from submission to delivery, with a store that answers at once, while other messages are
+// queued whose destinations accept nothing; with and without a ledger.
 func BenchmarkLife(b *testing.B) {
 	for _, books := range []*Ledger{nil, {Epoch: ledger.NewEpoch(1, 1, ledger.WhyNew, "")}} {
 		for _, held := range []int{0, 20, 1000} {
@@ -61,7 +61,7 @@
 	}
 	handle(&RestoredLast{})
 	handle(l)
-	for len(e.listings) > 0 { // a long list is taken in parts
+	for len(e.listings) > 0 { // a long list is processed in parts
 		now.At, now.Wall = now.At+set.Control.Tick, now.Wall+Stamp(set.Control.Tick)
 		handle(&Wake{})
 	}
--- a/engine/books_test.go
+++ b/engine/books_test.go
@@ -9,7 +9,7 @@
 	"curlewmux/ledger"
 )
 
-// bookWorld is a world with books, whose figures are compared with the engine's tables at each event.
+// bookWorld is a world with a ledger, whose counts are compared with the engine's tables after each step.
 type bookWorld struct {
 	*world
 	shown, before *ledger.Snapshot
@@ -30,7 +30,7 @@
 	}()
 	newWorld(seedDice{rand.New(rand.NewPCG(seed, 5))}, true, nil, func(w *world) {
 		b.world = w
-		s := &Ledger{ // parts are small, so that messages come and go within a sweep
+		s := &Ledger{ // parts are small, so that messages come and go during an audit
 			Settings: ledger.Settings{Instance: "d", Most: 3 + int(seed%8)}, Epoch: ledger.NewEpoch(seed, 1, ledger.WhyNew, ""),
 			Part: 1 + int(seed%3), Every: control.Millisecond,
 		}
@@ -59,7 +59,7 @@
 	}
 }
 
-// check compares a snapshot with what is live, and with the one before.
+// check compares a snapshot with the open messages and calls, and with the snapshot before.
 func (b *bookWorld) check() {
 	b.handle(&AskLedger{})
 	s := b.shown
@@ -93,7 +93,7 @@
 			b.figures[name] += int(v)
 		})
 	}
-	if b.lost || b.reordered { // the store lost what it had told as stored
+	if b.lost || b.reordered { // the store lost what it had reported as stored
 		b.before, b.breaches = nil, nil
 		b.figures["lost"]++
 		return
@@ -138,7 +138,7 @@
 	}
 }
 
-// Each kind of posting, left out, made twice or to a wrong account, is found by the sweep within a second.
+// Each kind of wrong posting, left out, made twice or made to a wrong account, is found by the audit within a second.
 func TestWrongPostingsAreFoundWithinASecond(t *testing.T) {
 	t.Parallel()
 	wrong := ledger.Key{Class: "wrong"}
@@ -166,7 +166,7 @@
 	}
 }
 
-// errorRun makes one wrong posting and tells whether it was found in time; "" where it did not come to that.
+// errorRun makes one wrong posting and returns "found", a fault, or "" if the run made no such posting.
 func errorRun(seed uint64, entry ledger.Entry, tamper func(ledger.Posting) []ledger.Posting) (out string) {
 	var w *world
 	var at Time
@@ -218,7 +218,7 @@
 
 const control100ms = 100 * control.Millisecond
 
-// A cut shows what the store has, and waits for what it shows.
+// A snapshot shows only counts that the store has, or waits until the store has them.
 func TestACutWaitsForWhatItShows(t *testing.T) {
 	t.Parallel()
 	s := testSettings()
@@ -266,11 +266,11 @@
 		t.Errorf("%+v needs %d", f.Snapshot.Total, f.Needs())
 	}
 	before := e.last
-	e.Handle(now, &Ended{Call: out.ID, Outcomes: []Outcome{{Result: control.TimedOut}}}) // of which there is no record
+	e.Handle(now, &Ended{Call: out.ID, Outcomes: []Outcome{{Result: control.TimedOut}}}) // for which there is no record
 	if f := ask(); f.Snapshot.Total.Attempts.Silent != 1 || f.Needs() <= before {
 		t.Errorf("%+v needs %d, and %d was stored", f.Snapshot.Total, f.Needs(), before)
 	}
-	now.At += control.Second // the store is silent
+	now.At += control.Second // the store does not answer
 	e.Handle(now, &Wake{})
 	if f := ask(); !f.Snapshot.Provisional || f.Needs() != 0 {
 		t.Errorf("with a silent store: %+v", f)
--- a/engine/call_test.go
+++ b/engine/call_test.go
@@ -6,7 +6,7 @@
 	"curlewmux/control"
 )
 
-// A Send that can't be made gets its outcome all the same: else its slot would be lost.
+// A Send that can't be carried out still gets an outcome; otherwise its slot would be lost.
 func TestASendThatCantBeMadeGivesItsSlotBack(t *testing.T) {
 	t.Parallel()
 	e, err := New(testSettings())
--- a/engine/daemon_test.go
+++ b/engine/daemon_test.go
@@ -8,9 +8,9 @@
 	"curlewmux/control"
 )
 
-// What the daemon's loop was tested for before there was an engine, by the same names.
+// These tests are older than the engine: they tested the daemon's loop, under the same names.
 
-// bench is an engine with two unsafe messages, a and b, in one call to endpoint e.
+// bench returns an engine with two unsafe messages, a and b, in one call to endpoint e.
 func bench(t *testing.T) (*Engine, *Call) {
 	t.Helper()
 	set := testSettings()
@@ -32,7 +32,7 @@
 	return nil, nil
 }
 
-// at handles an event so long after the start of the test's engine.
+// at handles an event at the given time after the start of the engine, or now if that has passed.
 func at(e *Engine, after Time, ev Event) []Effect {
 	now := max(Epoch+after, e.now.At)
 	return slices.Clone(e.Handle(Now{At: now, Wall: testWall + Stamp(now-Epoch)}, ev))
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// A whole list that leaves an endpoint out says that it has gone.
+// A full list that omits an endpoint says that it is gone.
 func TestAbsentFromAWholeListIsGone(t *testing.T) {
 	t.Parallel()
 	e, c := bench(t)
@@ -62,12 +62,12 @@
 	}
 }
 
-// What is asked after a dial that took long, just before the first byte.
+// After a long dial, just before the first byte, the engine decides which items may still be written.
 func TestWhatStopsASendAfterADial(t *testing.T) {
 	t.Parallel()
 	const tick = 5 * control.Millisecond
 	wait := func(e *Engine, dest int, span time.Duration) {
-		// Another message's call to the destination is answered with a wait.
+		// The response to another message's call to the destination carries a wait.
 		at(e, tick, &Members{Source: "list", List: []Member{{ID: "f", Addr: "h:2", Dest: dest, Phase: Active}}})
 		at(e, tick, &HandIn{Message: Message{ID: "w", Class: "free", Dest: dest}, Expires: 10 * control.Second})
 		for _, f := range at(e, 2*tick, &Wake{}) {
@@ -76,7 +76,7 @@
 			}
 		}
 		at(e, 3*tick, &Wake{})
-		at(e, 4*tick, &Through{}) // time goes on
+		at(e, 4*tick, &Through{}) // so that time advances
 	}
 	list := func(e *Engine, phase Phase) {
 		at(e, 0, &Members{Source: "list", Whole: phase == Gone, List: []Member{{ID: "e", Addr: "h:1", Dest: 1, Phase: phase}}})
@@ -107,8 +107,8 @@
 	}
 }
 
-// At the endpoint a message of a batch is out until its call ends: called off alone it must not free the module to send
-// it again, and the others keep their call.
+// At the endpoint a message of a batch is out until its call ends. If only this message is cancelled, the module must not
+// send it again yet, and the other messages keep their call.
 func TestCancellingOneOfABatchKeepsTheCall(t *testing.T) {
 	t.Parallel()
 	e, _ := bench(t)
@@ -151,7 +151,7 @@
 	}
 }
 
-// Without its record no attempt may go out.
+// No attempt may be sent without its record.
 func TestNoAttemptWithoutAJournal(t *testing.T) {
 	t.Parallel()
 	e, err := New(testSettings())
--- a/engine/gate_test.go
+++ b/engine/gate_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// passed tells which answers are among effects, by ticket.
+// passed returns the tickets of the answers among effects.
 func passed(effects []Effect) (list []Ticket) {
 	for _, f := range effects {
 		list = append(list, f.(*Answer).Ticket)
--- a/engine/givenup_test.go
+++ b/engine/givenup_test.go
@@ -6,7 +6,7 @@
 	"curlewmux/control"
 )
 
-// kept is an engine whose undelivered messages are kept; its records are stored at once.
+// kept drives an engine whose undelivered messages are kept. Its records are stored at once.
 type kept struct {
 	t     *testing.T
 	e     *Engine
@@ -58,7 +58,7 @@
 	}
 }
 
-// pass lets time go by in ticks.
+// pass advances the time in ticks.
 func (k *kept) pass(d Time) {
 	for end := k.now.At + d; k.now.At < end; {
 		k.now.At += 5 * control.Millisecond
@@ -73,7 +73,7 @@
 	k.pass(10 * control.Millisecond)
 }
 
-// What is given up is told with its body, its attempts, why, and from when on no call of it is out.
+// The record of an undelivered message has its body, its attempts, the cause, and the time from when no call of it is out.
 func TestAKeeperIsToldAllOfWhatIsGivenUp(t *testing.T) {
 	t.Parallel()
 	end := func(k *kept, r control.Result, o Outcome) {
@@ -86,7 +86,7 @@
 		cause Cause
 		doubt bool
 		tries int
-		quiet Time // after it was given up
+		quiet Time // after the message ended
 	}{
 		"in doubt":       {func(k *kept) { end(k, control.Reset, Outcome{}) }, CauseDoubt, true, 1, 0},
 		"its call hangs": {func(k *kept) { k.pass(6 * control.Second) }, CauseTime, true, 1, 20 * control.Millisecond},
@@ -118,7 +118,7 @@
 	}
 }
 
-// The doubt of earlier lives comes along: a keyed message goes inside its window and not beyond, and the store has it.
+// A resent message keeps the doubt from before: a keyed one is sent inside its window only, and the store has the doubt.
 func TestTheDoubtOfEarlierLivesIsBroughtAlong(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
--- a/engine/instant_test.go
+++ b/engine/instant_test.go
@@ -7,7 +7,7 @@
 	"curlewmux/control"
 )
 
-// orders calls f with each order of the numbers below n.
+// orders calls f with each permutation of the numbers below n.
 func orders(n int, f func([]int)) {
 	list := make([]int, n)
 	for i := range list {
@@ -28,7 +28,7 @@
 	place(0)
 }
 
-// oneInstant is an engine with a store that holds batches back until it is told to write, in which one message is out.
+// oneInstant drives an engine with one message. Its store keeps batches back until write is called.
 type oneInstant struct {
 	t       *testing.T
 	e       *Engine
@@ -37,9 +37,9 @@
 	disk    []Record
 	waiting []*Append
 	answers map[Ticket]int
-	taken   int // lives that the store has
-	told    int // ends that were told
-	out     int // copies that are out
+	taken   int // messages accepted in the store
+	told    int // Done effects
+	out     int // calls out
 	calls   []CallID
 	trace   string
 }
@@ -89,7 +89,8 @@
 	r.do(r.gate.Stored(nil, b))
 }
 
-// A message is delivered, fails, is withdrawn, given up and handed in again, and the store answers, all in one instant.
+// In one instant a message is delivered, fails, is withdrawn, reaches its deadline and is submitted again, and the store
+// answers. In each order of these events it must end once, with one answer per submission.
 func TestWhatComesInOneInstantEndsOnceInEachOrder(t *testing.T) {
 	t.Parallel()
 	for _, class := range []string{"unsafe", "keyed", "ordered"} {
@@ -140,7 +141,7 @@
 	for _, i := range order {
 		events[i]()
 	}
-	// All that is left comes to its end.
+	// Bring everything that is left to its end.
 	for range 5 {
 		r.write()
 		for len(r.calls) > 1 {
--- a/engine/pause_test.go
+++ b/engine/pause_test.go
@@ -8,7 +8,7 @@
 	"curlewmux/control"
 )
 
-// bigEngine is one for so many endpoints and messages, without a store.
+// bigEngine returns an engine without a store, with room for n endpoints and more messages.
 func bigEngine(t testing.TB, n int) *Engine {
 	set := testSettings()
 	set.Stored = false
@@ -32,7 +32,7 @@
 	return l
 }
 
-// told counts the entries that the module is to be told at its next Step.
+// told counts the endpoint entries that wait for the module's next Step.
 func told(e *Engine) (n int) {
 	for i := range e.events {
 		n += len(e.events[i].Entries)
@@ -40,8 +40,8 @@
 	return n
 }
 
-// Guards against a pause while a list of ten thousand endpoints is taken: no tick takes more than a part of it, and in
-// the end all of it counts, with what came behind it, in the order in which it came.
+// Guards against a pause while a list of ten thousand endpoints is processed: each tick processes only a part of it. In the
+// end the whole list counts, and so do the reports after it, in the order in which they came.
 func TestALongListIsTakenInParts(t *testing.T) {
 	t.Parallel()
 	const n = 10_000
@@ -67,7 +67,7 @@
 	}
 	e.Handle(now, &Members{Source: "s", List: []Member{{ID: "e9999", Addr: "h:1", Dest: 9999, Phase: Leaving}}})
 	e.Handle(now, longList(10, Active))
-	e.Handle(now, longList(n-10, Active)) // it says all that the two before it said, which are not begun
+	e.Handle(now, longList(n-10, Active)) // it replaces the two before it, whose processing has not begun
 	e.Handle(now, &Members{Source: "s", List: []Member{{ID: "e7", Addr: "h:1", Dest: 7, Phase: Leaving}}})
 	if len(e.listings) != 3 {
 		t.Fatalf("%d lists wait, want three", len(e.listings))
@@ -88,7 +88,7 @@
 		t.Errorf("%d members count as waiting", e.waiting)
 	}
 
-	// The same again says nothing new, and one change is told as one.
+	// The same list again brings nothing new, and a change is passed on as one.
 	now.At += e.set.Control.Tick
 	e.Handle(now, &Wake{})
 	l := longList(n-10, Active)
@@ -107,7 +107,7 @@
 		t.Errorf("the changed endpoint is in phase %d", got)
 	}
 
-	// A source that tells faster than parts are taken is taken at once: what waits is bounded.
+	// Reports that come faster than parts are processed are processed at once: the number waiting is bounded.
 	for range 20 {
 		e.Handle(now, &Members{Source: "s", List: longList(n, Active).List})
 	}
@@ -116,7 +116,7 @@
 	}
 }
 
-// Guards against a pause while ids are forgotten whose time is up at once.
+// Guards against a pause when many ids expire at the same time.
 func TestIDsAreForgottenInParts(t *testing.T) {
 	t.Parallel()
 	const n = 3000
@@ -146,7 +146,7 @@
 	}
 }
 
-// What a held message, an endpoint and its destination take is bounded. The figures are in docs/operators.
+// Memory per open message and per endpoint with its destination is bounded. The figures are in docs/operators.
 func TestMemoryForEach(t *testing.T) {
 	const n = 10_000
 	heap := func() uint64 {
@@ -185,7 +185,7 @@
 	}
 }
 
-// A destination's kind is that of its endpoint that was told last: a long whole list puts it back as it has it.
+// The last entry of a destination decides its kind. After a change of that order, a long full list restores its own.
 func TestALongListSaysWhichEntryOfADestinationIsLast(t *testing.T) {
 	t.Parallel()
 	e := bigEngine(t, 1000)
@@ -200,7 +200,7 @@
 		return entries
 	}
 	l := longList(1000, Active)
-	l.List[3].Dest, l.List[3].Kind = 2, 1 // behind its sibling of kind 0
+	l.List[3].Dest, l.List[3].Kind = 2, 1 // after the other endpoint of the destination, of kind 0
 	tell(l)
 	if got := tell(l); got != 0 {
 		t.Fatalf("the same list tells the module %d endpoints", got)
@@ -211,8 +211,8 @@
 	}
 }
 
-// Guards against a pause while the time of many messages is up at once: no Step ends more than a part of them, and all
-// are told within some ticks.
+// Guards against a pause when many messages reach their deadline at once: no Step ends more than a part of them, and all
+// have ended after some ticks.
 func TestMessagesWhoseTimeIsUpEndInParts(t *testing.T) {
 	t.Parallel()
 	const n = 50_000
@@ -250,7 +250,7 @@
 	}
 }
 
-// Guards against a pause while endpoints are forgotten that went at once.
+// Guards against a pause when many endpoints that went at the same time are removed.
 func TestEndpointsAreForgottenInParts(t *testing.T) {
 	t.Parallel()
 	const n = 5000
--- a/engine/prompt_test.go
+++ b/engine/prompt_test.go
@@ -6,7 +6,7 @@
 	"curlewmux/control"
 )
 
-// promptEngine is an engine without a store whose Steps follow each event, with one endpoint for destination 1.
+// promptEngine returns a Prompt engine without a store, with one endpoint for destination 1.
 func promptEngine(t *testing.T, change ...func(*Settings)) (e *Engine, handle func(at Time, ev Event) []Effect) {
 	t.Helper()
 	set := testSettings()
@@ -54,8 +54,8 @@
 	}
 }
 
-// The Step behind the last of all ends waits for the grid: nothing hangs on it. Any other is at once, and a message that
-// comes meanwhile finds the slot free.
+// After the last open message has ended, the next Step waits for the tick, as nobody waits for it. Any other Step is run at
+// once. A message that comes before that tick finds the slot free.
 func TestAPromptEngineStepsAtOnceWhileAMessageIsHeld(t *testing.T) {
 	t.Parallel()
 	e, handle := promptEngine(t, func(s *Settings) { s.Control.Slots = 1 })
@@ -95,7 +95,7 @@
 	}
 }
 
-// An end is told once: whoever comes with the id meanwhile must not wait for it.
+// Done is emitted once. A client that submits the id again before its notification is confirmed must not wait for a Done.
 func TestAVerdictTellsThatAnEndIsOwedAlready(t *testing.T) {
 	t.Parallel()
 	_, handle := promptEngine(t, func(s *Settings) { s.Control.Slots = 1 })
--- a/engine/property_test.go
+++ b/engine/property_test.go
@@ -35,7 +35,7 @@
 	return d.IntN(below)
 }
 
-// life lets a world run for so many steps; what it returns is the rule that was broken, if one was.
+// runWorld runs a world for so many steps and returns the rule that was broken, "" if none was.
 func runWorld(d dice, steps int, quiet bool, told func(Now, Event)) (w *world, fault string) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -54,7 +54,7 @@
 	return w, ""
 }
 
-// last is the end of the trace.
+// last returns the last n lines of the trace.
 func (w *world) last(n int) string {
 	lines := strings.Split(w.trace.String(), "\n")
 	return strings.Join(lines[max(0, len(lines)-n):], "\n")
@@ -69,8 +69,7 @@
 	})
 }
 
-// reached is what must come up in the default run of many seeds, each at least once: a test of rules that never bind
-// proves nothing.
+// reached lists what must occur at least once in the default run of many seeds: otherwise a rule would not be tested.
 var reached = []string{
 	"HandIn", "HandInAll", "several answered taken", "several answered busy", "several answered unsure", "several answered conflict", "Withdraw", "Restored", "RestoredEnd", "RestoredLast", "Members", "Stored", "StoreFailed", "StoreFailed full",
 	"StoreLost", "MayWrite", "FirstLine", "Ended", "Through", "Stop", "Wake",
--- a/engine/same_test.go
+++ b/engine/same_test.go
@@ -13,19 +13,19 @@
 	"testing"
 )
 
-// asked is in the environment of the second process of TestTheSameEventsGiveTheSameEffects.
+// asked is the environment variable that marks the second process of TestTheSameEventsGiveTheSameEffects.
 const asked = "ENGINE_TEST_EFFECTS"
 
-// recorded is a stream of events, as a world told them to its engines.
+// recorded is a stream of events that a world passed to its engines.
 type recorded struct {
 	set    Settings
 	events []struct {
 		now Now
-		ev  Event // nil: a new process
+		ev  Event // nil for a new process
 	}
 }
 
-// record plays worlds until there are so many events.
+// record runs worlds until they have produced so many events.
 func record(t *testing.T, events int) (streams []recorded) {
 	for seed := uint64(0); events > 0; seed++ {
 		var r recorded
@@ -45,7 +45,7 @@
 	return streams
 }
 
-// sum plays streams and returns the SHA-256 of all effects with all that they hold, and how many there were.
+// sum replays streams and returns the SHA-256 of all effects with their contents, and the number of effects.
 func sum(t *testing.T, streams []recorded) (string, int) {
 	h := sha256.New()
 	n := 0
@@ -116,8 +116,8 @@
 	}
 }
 
-// The effects of recorded streams are those of the last change of decisions, byte for byte: what the module and the
-// engine look at may change, what they do may not.
+// The effects of recorded streams must stay the same, byte for byte: the module and the engine may change how they decide,
+// but not what they do.
 func TestTheEffectsAreThoseRecorded(t *testing.T) {
 	t.Parallel()
 	if runtime.GOARCH != "amd64" {
--- a/engine/script_test.go
+++ b/engine/script_test.go
@@ -13,15 +13,14 @@
 	"curlewmux/control"
 )
 
-// The scripts in testdata are events with the effects that they must have, in plain text. A line is
+// The scripts in testdata list events, each with the effects that it must have, in plain text. A line is
 //
 //	+5ms hand-in a class=unsafe dest=1
 //
-// the time since the line before, the event and its fields; the lines behind it that begin with > are the effects.
-// After the word "quiet" effects that are of no interest there are left out: "quiet append". A line "clock -1h" steps the
-// wall clock, and "restart 2s" ends the process and starts another one so much later from the batches that were told as
-// stored; "restart 2s landed=7" has those up to 7 in the store, told or not. With -update the files are
-// written anew: read the difference before you commit it.
+// the time since the line before, the event and its fields. The following lines that begin with > are the effects. "quiet"
+// names effects that the script leaves out: "quiet append". "clock -1h" steps the wall clock. "restart 2s" ends the process
+// and starts another one 2 s later from the batches that were reported as stored; with "restart 2s landed=7" the store has
+// the batches up to 7, reported or not. With -update the files are rewritten: read the difference before you commit it.
 var update = flag.Bool("update", false, "write the effects that came into the scripts")
 
 func TestScripts(t *testing.T) {
@@ -61,7 +60,7 @@
 	}
 }
 
-// testSettings are a dispatcher's with a class of each effect and one in order.
+// testSettings returns settings with a class of each effect and an ordered one.
 func testSettings() Settings {
 	const s, ms = control.Second, control.Millisecond
 	class := func(name string, effect control.Effect) control.Class {
@@ -88,15 +87,15 @@
 // testWall is the wall time at the engine's Epoch in tests.
 const testWall = Stamp(1_700_000_000_000_000)
 
-// play runs a script and returns it with the effects that came.
+// play runs a script and returns it with the actual effects.
 func play(text string) (string, error) {
 	var out strings.Builder
 	set := testSettings()
 	var e *Engine
 	now := Now{At: Epoch, Wall: testWall}
 	quiet := map[string]bool{}
-	var disk []*Append // of this process; those that failed are empty
-	var old []Record   // of earlier ones
+	var disk []*Append // of this process; nil for those that failed
+	var old []Record   // of earlier processes
 	stored := 0
 	handle := func(ev Event) {
 		for _, f := range e.Handle(now, ev) {
@@ -297,7 +296,7 @@
 		}
 		return n
 	}
-	wall := func(s string) Stamp { // so long ago, or with a minus ahead
+	wall := func(s string) Stamp { // this long ago, or in the future if negative
 		if s == "" {
 			return 0
 		}
@@ -430,7 +429,7 @@
 	return ev, first
 }
 
-// formatEvent writes an event as the scripts have it, as far as they can say it.
+// formatEvent formats an event as in the scripts, with the fields that these have.
 func formatEvent(ev Event, now Now) string {
 	ago := func(s Stamp) string { return Span(Time(now.Wall - s)).String() }
 	message := func(m *Message) string {
@@ -515,7 +514,7 @@
 	return fmt.Sprintf("%T", ev)
 }
 
-// format writes an effect as the scripts have it.
+// format formats an effect as in the scripts.
 func format(f Effect, now Now) string {
 	needs := ""
 	if b := f.Needs(); b > 0 {
--- a/engine/store_test.go
+++ b/engine/store_test.go
@@ -7,8 +7,8 @@
 	"curlewmux/control"
 )
 
-// A store that lost thousands of accounts is told them anew some at a time, and nothing is taken on before it has them all:
-// an end that is written late must not end a further life of its id.
+// After a store lost the records of thousands of messages, these are rewritten some at a time, and their ids are not accepted
+// again before all are stored: an end that is written late must not end a new message with the same id.
 func TestLostAccountsAreWrittenAnewSomeAtATime(t *testing.T) {
 	t.Parallel()
 	const n = 3 * mostDirty
@@ -71,7 +71,7 @@
 		t.Errorf("%d accounts were written anew, want %d", anew, n)
 	}
 	var disk []Record
-	for _, b := range batches[n+n/2:] { // what came after the loss is all that there is
+	for _, b := range batches[n+n/2:] { // only what came after the loss is left
 		disk = append(disk, b.Records...)
 	}
 	if got := len(replay(disk).live); got != n-n/2 {
@@ -82,7 +82,7 @@
 	}
 }
 
-// What can't be written anew, as it is over, does not keep the rest from being written.
+// Dirty messages that have ended, and so are not rewritten, must not keep the rest from being rewritten.
 func TestAccountsThatAreOverHoldNothingUp(t *testing.T) {
 	t.Parallel()
 	e, err := New(testSettings())
@@ -101,7 +101,7 @@
 	}
 }
 
-// A message whose end is owed holds its body no longer: it may be owed for long.
+// A message whose notification is pending must not keep its body: it may stay pending for long.
 func TestAnOwedMessageHoldsNoBody(t *testing.T) {
 	t.Parallel()
 	e, err := New(testSettings())
--- a/engine/world_test.go
+++ b/engine/world_test.go
@@ -11,12 +11,11 @@
 	"curlewmux/ledger"
 )
 
-// A world drives an engine by random but legal events: fronts, sources, calls, a store that may be late, fail or lose,
-// clocks that are stepped, and processes that end and start again from the records written so far. The rules are
-// checked by a small model that knows nothing of the engine's workings: from what is written to endpoints and what is
-// answered and told alone.
+// A world drives an engine with random but legal events: fronts, sources, calls, a store that may be late, fail or lose
+// records, clocks that are stepped, and processes that end and restart from the records written so far. A small model
+// checks the rules. It knows nothing of the engine's internals, only what is written to endpoints, answered and reported.
 
-// dice choose: a fuzzing library's, or numbers from a seed.
+// dice is a random source: a property-testing library's, or one with a seed.
 type dice interface {
 	n(label string, below int) int // 0 to below-1
 }
@@ -27,39 +26,39 @@
 	e     *Engine
 	gate  Gate
 	now   Now            // Wall may be stepped against At
-	round int            // events but the store's
-	made  map[CallID]int // in which each call was made
+	round int            // number of events, except the store's
+	made  map[CallID]int // the round in which each call was made
 	trace strings.Builder
-	quiet bool // nothing goes into trace
+	quiet bool // write no trace
 
-	// The store: what it has for good, and batches that it has not answered for.
+	// The store: its records, and batches that it has not answered yet.
 	disk      []Record
-	batches   []int           // length of disk behind each batch of this process, by its number less 1
+	batches   []int           // length of disk after each batch of this process, by its number minus 1
 	bootDisk  int             // length of what earlier processes wrote
 	lost      bool            // confirmed records were lost ...
-	reordered bool            // a batch failed ahead of others that may get there, which no driver's store does
-	longOver  map[string]bool // ... and with them the ends of these, whose time had been up for so long that nobody knows them
+	reordered bool            // a batch failed before others that may still be stored, which no real store does
+	longOver  map[string]bool // ... and with them the ends of these ids, which the engine had already forgotten
 	batchAt   []Time          // when each batch was written
 	waiting   []*Append
-	mode      int // storeSync and so on
+	mode      int // storeSync, ...
 
-	// Calls that were carried out and have items without an outcome.
+	// Calls that were started and have items without an outcome.
 	calls []*worldCall
 
-	permits []bool   // newest
-	owed    []string // told ends that are not through
+	permits []bool   // of the newest Permit
+	owed    []string // messages whose notification is not confirmed
 	tickets int
-	newest  string // id handed in last ...
+	newest  string // id submitted last ...
 	newAt   Time   // ... in true time
-	calm    int    // so many of four lists are whole and show all endpoints in use
+	calm    int    // of four lists, this many are full and list all endpoints as active
 	model   model
-	endless bool // the run is being brought to its end: nothing goes wrong any more
+	endless bool // the run is being finished: no more faults
 	stopped bool // a planned stop has begun
 
-	tally map[string]int // how often what came up
+	tally map[string]int // number of occurrences
 
-	told func(Now, Event) // hears what the engine is told, if set; a nil event is a new process
-	also func(Effect)     // hears of each effect, if set
+	told func(Now, Event) // called with each event for the engine, if set; nil for a new process
+	also func(Effect)     // called with each effect, if set
 }
 
 func (w *world) count(what string) { w.tally[what]++ }
@@ -69,7 +68,7 @@
 	dest    int
 	written []bool
 	ended   []bool
-	started bool // its bytes are out, or some
+	started bool // at least some of its bytes are written
 	aborted bool
 }
 
@@ -100,7 +99,7 @@
 	return w
 }
 
-// boot starts a process from what is on the disk.
+// boot starts a process from the records on the disk.
 func (w *world) boot() {
 	var err error
 	if w.e, err = New(w.set); err != nil {
@@ -111,7 +110,7 @@
 	}
 	w.gate, w.batches, w.waiting, w.calls, w.owed, w.mode = Gate{}, nil, nil, nil, nil, storeSync
 	w.made, w.batchAt = map[CallID]int{}, nil
-	w.now.At = Epoch // a process's own time starts anew
+	w.now.At = Epoch // a process's own time restarts
 	w.stopped = false
 	w.bootDisk = len(w.disk)
 	state := replay(w.disk)
@@ -121,11 +120,11 @@
 	for _, l := range w.model.order {
 		l.finished = true
 	}
-	for _, m := range state.live { // what counts is the order in which the store has them
+	for _, m := range state.live { // the order in the store counts
 		w.model.took++
 		l := w.model.lives[m.Message.ID]
 		l.tookAt, l.finished = w.model.took, m.Owed != nil
-		if m.Deadline > w.now.Wall+Stamp(l.deadline+w.model.unsure-w.model.time) { // a step that no record tells of
+		if m.Deadline > w.now.Wall+Stamp(l.deadline+w.model.unsure-w.model.time) { // a step of the clock that is not recorded
 			w.model.setBack = true
 		}
 		if l.bodyless = l.bodyless || m.Owed != nil; !l.bodyless {
@@ -158,7 +157,7 @@
 
 // ---- the store ----
 
-// replayed is what records say, as any store must tell it.
+// replayed is the state that records describe, as any store must restore it.
 type replayed struct {
 	live    []*Restored
 	ended   []*RestoredEnd
@@ -166,11 +165,11 @@
 	leaves  []ledger.Leaf
 }
 
-// replay reads records from the first to the last: the reference for every store.
+// replay applies records from the first to the last: the reference for every store.
 func replay(records []Record) (s replayed) {
 	type account struct {
 		*Restored
-		unproven bool // the doubt is of the newest attempt
+		unproven bool // the doubt is from the newest attempt
 	}
 	var live []*account
 	find := func(id string) *account {
@@ -243,7 +242,7 @@
 	return s
 }
 
-// append takes a batch as the store's mode has it.
+// append adds a batch to those that wait for the store's answer.
 func (w *world) append(a *Append) {
 	if a.Batch != Batch(len(w.batches)+len(w.waiting)+1) {
 		w.fail("batch %d after %d", a.Batch, len(w.batches)+len(w.waiting))
@@ -251,7 +250,7 @@
 	w.waiting = append(w.waiting, a)
 }
 
-// flush answers for batches on their way: as many as the mode has answers for.
+// flush answers for the waiting batches, as far as the store's mode allows.
 func (w *world) flush() {
 	for len(w.waiting) > 0 {
 		switch w.mode {
@@ -265,7 +264,7 @@
 	}
 }
 
-// write puts the first n batches on the disk and tells so.
+// write puts the first n waiting batches on the disk and reports them as stored.
 func (w *world) write(n int) {
 	for _, a := range w.waiting[:n] {
 		w.disk = append(w.disk, a.Records...)
@@ -277,7 +276,7 @@
 	w.carryOut(w.gate.Stored(nil, b), true)
 }
 
-// lose fails the first batch.
+// lose fails the first waiting batch.
 func (w *world) lose(full bool) {
 	a := w.waiting[0]
 	w.waiting = w.waiting[1:]
@@ -375,7 +374,7 @@
 	}
 }
 
-// carryOut does effects; late says that they waited for the store.
+// carryOut carries out effects; late says that they waited for the store.
 func (w *world) carryOut(effects []Effect, late bool) {
 	for _, f := range effects {
 		switch f := f.(type) {
@@ -386,7 +385,7 @@
 			w.calls = append(w.calls, c)
 			c.dest = messageOf(c.Items[0].ID).Dest
 			w.model.called(c)
-			if late && w.made[c.ID] != w.round { // much can have changed since
+			if late && w.made[c.ID] != w.round { // things may have changed since
 				w.permit(c)
 			} else if w.n("idle connection", 2) == 0 {
 				for i := range c.Items {
@@ -439,7 +438,7 @@
 	w.reap()
 }
 
-// put writes what may be written of a call.
+// put writes those items of a call that may be written.
 func (w *world) put(c *worldCall) {
 	c.started = true
 	for i := range c.Items {
@@ -457,7 +456,7 @@
 
 var worldClasses = []string{"keyed", "free", "unsafe", "ordered"}
 
-// step makes something happen.
+// step makes one random thing happen.
 func (w *world) step() {
 	switch what := w.n("what", 20); {
 	case what < 4:
@@ -502,7 +501,7 @@
 			m := messageOf(w.idNow())
 			m.Class = "unheard of"
 			w.handle(&HandIn{Ticket: Ticket(w.tickets), Message: m, Expires: control.Second})
-		case 7: // a planned stop; what is left the next process has
+		case 7: // a planned stop; the next process gets the rest
 			if w.stopped {
 				w.crash()
 				break
@@ -519,7 +518,7 @@
 	w.model.check()
 }
 
-// idNow is an id that is used for a few seconds only, as clients do; what the message holds follows from it.
+// idNow returns an id that is in use for a few seconds only, as with real clients. The message's contents follow from it.
 func (w *world) idNow() string {
 	if w.newest != "" && w.model.time-w.newAt < 6*control.Second && w.n("newest", 8) == 0 {
 		return w.newest
@@ -541,7 +540,7 @@
 func (w *world) handIn() {
 	w.tickets++
 	m := messageOf(w.idNow())
-	if m.ID != w.newest { // else it would be used for longer than ids are
+	if m.ID != w.newest { // otherwise the id would be in use for too long
 		w.newest, w.newAt = m.ID, w.model.time
 	}
 	if w.n("other", 12) == 0 {
@@ -552,7 +551,7 @@
 	w.handle(&HandIn{Ticket: Ticket(w.tickets), Message: m, Expires: expires})
 }
 
-// handInAll hands several in at once, some perhaps twice, or as another message.
+// handInAll submits several messages at once, some perhaps twice, or with other contents.
 func (w *world) handInAll() {
 	w.tickets++
 	h := &HandInAll{Ticket: Ticket(w.tickets)}
@@ -589,7 +588,7 @@
 	w.handle(&Withdraw{ID: id})
 }
 
-// advance lets time pass: to the next wake, a little, or much too long.
+// advance lets time pass: until the next wake, a little, or much too long.
 func (w *world) advance() {
 	var by Time
 	next, ok := w.e.Next()
@@ -620,7 +619,7 @@
 	w.handle(&Wake{})
 }
 
-// progress lets something happen to a call.
+// progress makes something happen to a call.
 func (w *world) progress() {
 	c := w.calls[w.n("call", len(w.calls))]
 	if !c.started {
@@ -666,7 +665,7 @@
 	}
 }
 
-// timeOut ends the items of a call whose time is up.
+// timeOut ends the items of a call whose deadline has passed.
 func (w *world) timeOut(c *worldCall) {
 	var outs []Outcome
 	left := 0
@@ -691,7 +690,7 @@
 	}
 }
 
-// end gives all items of a call that have none their outcome.
+// end reports an outcome for all items of a call that have none.
 func (w *world) end(c *worldCall, result func(int) control.Result, wait bool) {
 	var outs []Outcome
 	for i := range c.Items {
@@ -716,7 +715,7 @@
 	w.reap()
 }
 
-// list changes what a source tells.
+// list makes a source report a random list.
 func (w *world) list() {
 	source := []string{"one", "two"}[w.n("source", 2)]
 	l := &Members{Source: source, Whole: w.n("whole", 2) == 0}
@@ -771,7 +770,7 @@
 		if n := len(w.batches); n > 0 && len(w.waiting) == 0 && !w.e.down && w.n("loses", 3) == 0 {
 			kept := n - 1 - w.n("lost", min(n, 3))
 			if w.now.At-w.batchAt[kept] > 5*control.Second {
-				return // of what is long over nobody knows any more
+				return // the engine has forgotten what ended long ago
 			}
 			cut := w.bootDisk
 			if kept > 0 {
@@ -781,7 +780,7 @@
 			for i := kept; i < n; i++ {
 				w.batches[i] = cut
 			}
-			w.mode = storeSync // what is written anew gets there: more than that nobody could mend
+			w.mode = storeSync // rewritten records are stored: a second loss could not be repaired
 			w.lost = true
 			for _, m := range replay(w.disk).live {
 				if m.Deadline+Stamp(w.e.set.Remember) <= w.now.Wall {
@@ -793,10 +792,10 @@
 	}
 }
 
-// crash ends the process and starts the next from what is on the disk, perhaps with the newest batches cut off that
-// were never told as stored.
+// crash ends the process and starts the next one from the records on the disk. Batches that were never reported as stored
+// may be among these or not.
 func (w *world) crash() {
-	for _, a := range w.waiting { // what was under way may have come to the disk, or not
+	for _, a := range w.waiting { // batches on their way may have reached the disk, or not
 		if w.n("landed", 2) == 0 {
 			break
 		}
@@ -818,7 +817,7 @@
 	w.boot()
 }
 
-// finish brings the run to its end: the store works, calls end, time passes, and every message must have ended.
+// finish ends the run: the store works, calls end, time passes. Then every message must have ended.
 func (w *world) finish() {
 	w.endless = true
 	w.mode = storeSync
@@ -860,7 +859,7 @@
 	w.model.finished()
 }
 
-// broken is a rule that was broken.
+// broken is the panic value for a rule that was broken.
 type broken struct{ text string }
 
 func (w *world) fail(format string, args ...any) {
@@ -870,52 +869,52 @@
 // ---- the model ----
 
 type model struct {
-	several  Ticket // the newest of a HandInAll: one of its messages may be another one, and then none is taken
+	several  Ticket // of the newest SubmitAll: if one of its messages is a conflict, none is accepted
 	w        *world
-	time     Time // true time, over all processes
+	time     Time // true time, across all processes
 	lives    map[string]*life
-	order    []*life // in the order of being handed in first
+	order    []*life // in the order of their first submission
 	routes   map[string]*route
 	waits    map[string]wait // by destination, or by endpoint where routes are apart
 	took     int
 	restarts int
-	setBack  bool // the clock was, while the process was down or its store took nothing
-	unsure   Time // by so much deadlines may be off, for clocks that are slewed
+	setBack  bool // the clock was set back while the process or its store was down
+	unsure   Time // error of deadlines because of slewed clocks
 }
 
-// life is what is known of one id: what its clients heard, and what was written to endpoints.
+// life is what the model knows of one id: what its clients were told, and what was written to endpoints.
 type life struct {
 	id        string
 	message   Message
-	waiting   map[Ticket]Message // hand-ins without an answer
-	taken     bool               // a client heard so
-	print     uint64             // of what was taken
-	recorded  uint64             // the same, as far as a record was written
-	bodyless  bool               // its body is forgotten
-	told      bool               // its end was told
-	expires   Time               // of the newest hand-in
+	waiting   map[Ticket]Message // submissions without an answer
+	taken     bool               // a client was told that it is accepted
+	print     uint64             // of the accepted message
+	recorded  uint64             // of the recorded message
+	bodyless  bool               // its body is no longer known
+	told      bool               // its Done was emitted
+	expires   Time               // of the newest submission
 	deadline  Time               // in true time
 	tookAt    int
 	withdrawn bool
 	free      bool // withdrawn before it ran
 	finished  bool // its end is decided
-	ends      int  // told
+	ends      int  // number of Done effects
 	mostEnds  int
 	how       How
-	out       *worldCall // written there, without an outcome
+	out       *worldCall // the call in which it was written and has no outcome
 	doubt     bool       // it may have run
 	doubtAt   Time
 	runs      bool // delivered
-	over      bool // an endpoint said that nothing more is owed
-	rest      Time // of its key
+	over      bool // an endpoint said that the message is closed
+	rest      Time // its key rests until then
 }
 
-// route is what the sources say of an endpoint.
+// route is what the sources claim about an endpoint.
 type route struct {
 	says   map[string]Phase
 	dest   int
 	addr   string
-	goneAt Time // since when all say that it is gone, 0 if one does not
+	goneAt Time // since when all claim that it is gone, 0 if one does not
 }
 
 type wait struct{ told, until Time }
@@ -931,7 +930,7 @@
 }
 
 func (m *model) answered(a *Answer) {
-	var of []*life // several, if they were handed in at once
+	var of []*life // several, if they were submitted at once
 	for _, l := range m.order {
 		if _, ok := l.waiting[a.Ticket]; ok {
 			of = append(of, l)
@@ -963,11 +962,11 @@
 	}
 }
 
-// recorded notes what begins a message's life, or a further one: one that was refused may be taken anew.
+// recorded processes records that begin or end a message. An id that was refused may be accepted again.
 func (m *model) recorded(a *Append) {
 	for _, r := range a.Records {
 		if p, ok := r.(*RecEnded); ok && !slices.ContainsFunc(a.Records, func(o Record) bool {
-			t, ok := o.(*RecTaken) // then the account of a later life is written anew
+			t, ok := o.(*RecTaken) // then these are rewritten records of a later message with this id
 			return ok && t.Message.ID == p.ID
 		}) {
 			l := m.lives[p.ID]
@@ -987,18 +986,18 @@
 		if l := m.lives[t.Message.ID]; l.tookAt == 0 || l.finished {
 			if l.finished {
 				l.mostEnds++
-				// The ids of messages that may be repeated at will are not kept for good.
+				// The ids of messages that may be repeated freely are not always kept.
 				l.taken = l.taken && (l.message.Class == "unsafe" || l.message.Class == "keyed")
 			}
 			m.took++
 			l.deadline = m.time + min(l.expires, 20*control.Second)
-			l.taken = l.taken && !l.bodyless // whatever comes now is the message
+			l.taken = l.taken && !l.bodyless // any body is accepted now
 			l.tookAt, l.finished, l.free, l.bodyless, l.told = m.took, false, false, false, false
 		}
 	}
 }
 
-// called checks that a message is in one call at a time, and that a call is no larger than it may be.
+// called checks that a message is in one call at a time, and that a call is not too large.
 func (m *model) called(c *worldCall) {
 	size := 0
 	for _, n := range c.Items {
@@ -1038,7 +1037,7 @@
 	switch {
 	case l.out != nil:
 		w.fail("%s: two copies out", it.ID)
-	// Also by an earlier process; but where the store lost the end of one that is harmless nobody need know it any more.
+	// Also by an earlier process. But if the store lost the end of a harmless message, its id need not be known any more.
 	case l.told && !m.setBack && !(w.lost && (class.Effect == control.Free || l.withdrawn)):
 		w.fail("%s is sent after its end was told", it.ID)
 	case l.finished:
@@ -1054,7 +1053,7 @@
 	if l.doubt || l.runs {
 		w.count("sent again, " + l.message.Class)
 	}
-	if m.time >= l.deadline+m.unsure && !m.setBack { // then no record need bear how much time has gone by
+	if m.time >= l.deadline+m.unsure && !m.setBack { // otherwise no record need tell how much time has passed
 		w.fail("%s is sent %v after its time is up", it.ID, Span(m.time-l.deadline))
 	}
 	r := m.routes[c.Name]
@@ -1107,7 +1106,7 @@
 	for _, o := range outs {
 		l := m.lives[c.Items[o.Item].ID]
 		if l.out == c {
-			if !o.Open { // else it is still out, until the call ends
+			if !o.Open { // otherwise it is still out, until the call ends
 				l.out = nil
 			}
 			l.over = l.over || o.Over
@@ -1128,7 +1127,7 @@
 			m.waits[at] = wait{m.time, max(m.waits[at].until, m.time+Time(o.Wait.Microseconds()))}
 		}
 	}
-	if !slices.Contains(c.ended, false) { // the call is over, also for its late ones
+	if !slices.Contains(c.ended, false) { // the call has ended, also for items that timed out
 		for _, it := range c.Items {
 			if l := m.lives[it.ID]; l.out == c {
 				l.out = nil
@@ -1148,7 +1147,7 @@
 			}
 		}
 	}()
-	for id, r := range m.routes { // then it need not be known any more
+	for id, r := range m.routes { // gone for so long that it may be forgotten
 		if r.goneAt != 0 && m.time-r.goneAt >= 60*control.Second {
 			delete(m.routes, id)
 		}
@@ -1210,14 +1209,14 @@
 			l.doubt, l.out = true, nil
 			l.rest = m.time + m.w.set.Control.SettleAfterDoubt
 		}
-		clear(l.waiting) // their connections are gone
-		l.mostEnds++     // what was told and not through is told again
+		clear(l.waiting) // their connections are closed
+		l.mostEnds++     // a Done that is not confirmed is repeated
 	}
 	clear(m.waits)  // a restart ends them
-	clear(m.routes) // the next process hears it all anew
+	clear(m.routes) // the next process gets all lists again
 }
 
-// check looks at the bounds.
+// check checks the bounds.
 func (m *model) check() {
 	e, set := m.w.e, m.w.set
 	if e.open > set.Control.MaxOpen*(1+m.restarts) {
@@ -1234,7 +1233,7 @@
 	}
 }
 
-// finished checks that all has ended and every hand-in is answered.
+// finished checks that all messages have ended and every submission is answered.
 func (m *model) finished() {
 	e := m.w.e
 	if e.open != 0 || e.owing != 0 || len(e.byName) != 0 || len(e.byNum) != 0 || e.bytes != 0 {
@@ -1252,8 +1251,8 @@
 		}
 	}
 	for _, left := range replay(m.w.disk).live {
-		// Where the store lost the end of a message that may be repeated at will, or never ran, and ids are many, nobody
-		// knows of it any more.
+		// If the store lost the end of a message that may be repeated freely or never ran, and there are many ids, the
+		// engine has forgotten it.
 		harmless := left.Message.Class == "free" || left.Message.Class == "ordered" || m.lives[left.Message.ID].withdrawn
 		if !m.w.lost || !harmless && !m.w.longOver[left.Message.ID] {
 			m.w.fail("at the end the store still holds %s", left.Message.ID)
