--- a/engine/clock.go
+++ b/engine/clock.go
@@ -17,15 +17,15 @@
 func (c Clock) At(t time.Time) Time { return Epoch + Time(t.Sub(c.Start).Microseconds()) }
 
 // Time returns the host's time at the engine's time t.
-func (c Clock) Time(t Time) time.Time { return c.Start.Add(Span(t - Epoch)) }
+func (c Clock) Time(t Time) time.Time { return c.Start.Add(Duration(t - Epoch)) }
 
 // Duration converts a duration in the engine's time to a time.Duration.
-func Span(t Time) time.Duration { return time.Duration(t) * time.Microsecond }
+func Duration(t Time) time.Duration { return time.Duration(t) * time.Microsecond }
 
 // TimestampOf returns t as a Timestamp, 0 for the zero time.
-func StampOf(t time.Time) Stamp {
+func TimestampOf(t time.Time) Timestamp {
 	if t.IsZero() {
 		return 0
 	}
-	return Stamp(t.UnixMicro())
+	return Timestamp(t.UnixMicro())
 }
--- a/engine/effect.go
+++ b/engine/effect.go
@@ -11,7 +11,7 @@
 // requires a batch must not be carried out before that batch is in the store, and never if the batch fails.
 type Effect interface {
 	// RequiredBatch returns the batch that must be in the store first, 0 for none.
-	Needs() Batch
+	RequiredBatch() Batch
 }
 
 // Batch is the number of a batch of records that are stored together: 1, 2, 3 and so on. 0 means none.
@@ -24,7 +24,7 @@
 }
 
 // Discard says that the effects that require this batch must never be carried out, whatever the store reports later.
-type Void struct{ Batch Batch }
+type Discard struct{ Batch Batch }
 
 // Answer answers a Submit or a SubmitAll.
 type Answer struct {
@@ -35,10 +35,10 @@
 
 // Verdict is the decision on a Submit or a SubmitAll.
 type Verdict struct {
-	Kind  VerdictKind
-	Again time.Duration // for Busy, UnknownDestination, and Accepted with Disposition Refused: submit again after this time
-	Why   string        // why it is not Accepted, human-readable
-	Ended How           // for Accepted: how the message ended before, and no Done follows; 0: a Done follows
+	Kind        VerdictKind
+	RetryAfter  time.Duration // for Busy, UnknownDestination, and Accepted with Disposition Refused: submit again after this time
+	Reason      string        // why it is not Accepted, human-readable
+	Disposition Disposition   // for Accepted: how the message ended before, and no Done follows; 0: a Done follows
 }
 
 // VerdictKind is the kind of a Verdict.
@@ -46,25 +46,25 @@
 
 // Kinds of verdicts.
 const (
-	Taken    VerdictKind = iota + 1 // accepted now or earlier: the client gets a result, and the message may already be delivered
-	Busy                            // not accepted; submitting it again is harmless
-	Unnamed                         // not accepted; no list names the destination yet, and submitting it again is harmless
-	Conflict                        // not accepted: its id belongs to another message
-	Spent                           // not accepted: a message with this id has ended, perhaps after taking effect
-	Unsure                          // the store does not respond: nothing is promised, and only a restart could still send the message
-	Invalid                         // not accepted: a field is wrong, and Reason names it
+	Accepted           VerdictKind = iota + 1 // accepted now or earlier: the client gets a result, and the message may already be delivered
+	Busy                                      // not accepted; submitting it again is harmless
+	UnknownDestination                        // not accepted; no list names the destination yet, and submitting it again is harmless
+	Conflict                                  // not accepted: its id belongs to another message
+	AlreadyEnded                              // not accepted: a message with this id has ended, perhaps after taking effect
+	Unconfirmed                               // the store does not respond: nothing is promised, and only a restart could still send the message
+	Invalid                                   // not accepted: a field is wrong, and Reason names it
 )
 
 // Call makes a call. The transport asks MayWrite after a dial, and reports each item's outcome once by Ended.
 type Call struct {
-	ID       CallID
-	Endpoint control.Endpoint
-	Name     string // the endpoint's id
-	Addr     string // host:port
-	Kind     int    // the endpoint's kind, an index into the settings, -1 if unknown
-	Items    []Item
-	needs    Batch
-	one      [1]Item // backs Items if there is only one
+	ID         CallID
+	Endpoint   control.Endpoint
+	EndpointID string // the endpoint's id
+	Addr       string // host:port
+	Kind       int    // the endpoint's kind, an index into the settings, -1 if unknown
+	Items      []Item
+	needs      Batch
+	one        [1]Item // backs Items if there is only one
 }
 
 // CallID identifies a call.
@@ -72,10 +72,10 @@
 
 // Item is one message of a call.
 type Item struct {
-	ID, Key string
-	Body    []byte
-	Due     Time // the call waits no longer than this for its outcome
-	Skip    bool // it must no longer be written, and has its outcome
+	ID, Key  string
+	Body     []byte
+	Deadline Time // the call waits no longer than this for its outcome
+	Skip     bool // it must no longer be written, and has its outcome
 }
 
 // Permit answers MayWrite: Items says of each item whether it may be written. Those that may not end as Moot.
@@ -95,7 +95,7 @@
 }
 
 // RemoveEndpoint says that an endpoint is no longer at an address. Its connections close as their calls end.
-type Leave struct {
+type RemoveEndpoint struct {
 	Endpoint control.Endpoint
 	Addr     string
 }
@@ -103,33 +103,33 @@
 // Done is the result of a message. Each accepted message gets one. The client must be notified of Refused and Failed, and
 // a Notified event must confirm it; after a restart before that, the Done is repeated. Other results need no Notified.
 type Done struct {
-	ID    string
-	How   How
-	Doubt bool          // the message may have taken effect
-	Again time.Duration // for Refused: submit again after this time
-	Why   string        // for Failed by Outcome.Permanent: the outcome's Reason, unless the process restarted since
-	needs Batch
+	ID          string
+	Disposition Disposition
+	InDoubt     bool          // the message may have taken effect
+	RetryAfter  time.Duration // for Refused: submit again after this time
+	Reason      string        // for Failed by Outcome.Permanent: the outcome's Reason, unless the process restarted since
+	needs       Batch
 }
 
 // Disposition is how a message ended.
-type How uint8
+type Disposition uint8
 
 // Dispositions.
 const (
-	Delivered How = iota + 1
-	Refused       // never ran, or may be repeated: submitting it again is harmless
-	Failed        // may have run or not
-	Over          // the endpoint says that nothing more has to be sent
-	Withdrawn     // withdrawn by the client
+	Delivered Disposition = iota + 1
+	Refused               // never ran, or may be repeated: submitting it again is harmless
+	Failed                // may have run or not
+	Closed                // the endpoint says that nothing more has to be sent
+	Withdrawn             // withdrawn by the client
 )
 
 // LedgerBreach says that counts of the ledger do not add up, or, if Healed is set, that they do again.
-type Breached struct{ ledger.Breach }
+type LedgerBreach struct{ ledger.Breach }
 
 // LedgerSnapshot answers RequestLedger with one consistent snapshot, which the requester owns. Unless the snapshot is
 // Provisional, the effect waits until the store has the counts it shows, so that no crash takes back counts that someone
 // has seen. Snapshot is nil if no ledger is kept, or if the ledger has not been restored yet.
-type Shown struct {
+type LedgerSnapshot struct {
 	Ticket   Ticket
 	Snapshot *ledger.Snapshot
 	needs    Batch
@@ -145,15 +145,15 @@
 	Class   string `json:",omitempty"`
 }
 
-func (*Append) Needs() Batch    { return 0 }
-func (*Breached) Needs() Batch  { return 0 }
-func (s *Shown) Needs() Batch   { return s.needs }
-func (*Void) Needs() Batch      { return 0 }
-func (e *Answer) Needs() Batch  { return e.needs }
-func (e *Call) Needs() Batch    { return e.needs }
-func (*Permit) Needs() Batch    { return 0 }
-func (*Abort) Needs() Batch     { return 0 }
-func (*CloseIdle) Needs() Batch { return 0 }
-func (*Leave) Needs() Batch     { return 0 }
-func (e *Done) Needs() Batch    { return e.needs }
-func (*Note) Needs() Batch      { return 0 }
+func (*Append) RequiredBatch() Batch           { return 0 }
+func (*LedgerBreach) RequiredBatch() Batch     { return 0 }
+func (s *LedgerSnapshot) RequiredBatch() Batch { return s.needs }
+func (*Discard) RequiredBatch() Batch          { return 0 }
+func (e *Answer) RequiredBatch() Batch         { return e.needs }
+func (e *Call) RequiredBatch() Batch           { return e.needs }
+func (*Permit) RequiredBatch() Batch           { return 0 }
+func (*Abort) RequiredBatch() Batch            { return 0 }
+func (*CloseIdle) RequiredBatch() Batch        { return 0 }
+func (*RemoveEndpoint) RequiredBatch() Batch   { return 0 }
+func (e *Done) RequiredBatch() Batch           { return e.needs }
+func (*Note) RequiredBatch() Batch             { return 0 }
--- a/engine/ids.go
+++ b/engine/ids.go
@@ -10,7 +10,7 @@
 // ended is what is kept of a message after its end.
 type ended struct {
 	id       string
-	how      How
+	how      Disposition
 	print    uint64
 	due      Time  // deadline of the message
 	until    Time  // when the id is forgotten
@@ -23,7 +23,7 @@
 }
 
 func (p *ended) record(e *Engine) *RecEnded {
-	r := &RecEnded{ID: p.id, How: p.how, Print: p.print}
+	r := &RecEnded{ID: p.id, Disposition: p.how, Fingerprint: p.print}
 	if !p.harmless { // only these must never be accepted again, not even after a restart
 		r.Until = e.stamp(p.until)
 	}
@@ -86,7 +86,7 @@
 			}
 			p := (*h)[0]
 			if p.done != nil && p.dirty { // it could not be recorded, but the client has waited long enough
-				e.effect(&Done{ID: p.done.ID, How: p.done.How, Doubt: p.done.Doubt})
+				e.effect(&Done{ID: p.done.ID, Disposition: p.done.Disposition, InDoubt: p.done.InDoubt})
 				p.done = nil
 			}
 			if e.forgettable(p) {
@@ -124,7 +124,7 @@
 	}
 	// At least for Remember, even if its time seems to be up: the clock may have been set forward meanwhile.
 	left := max(min(Time(r.Until-e.now.Wall), e.longest()), e.set.Remember)
-	p := &ended{id: r.ID, how: r.How, print: r.Print, due: e.now.At + left - e.set.Remember, until: e.now.At + left}
+	p := &ended{id: r.ID, how: r.Disposition, print: r.Fingerprint, due: e.now.At + left - e.set.Remember, until: e.now.At + left}
 	p.last = restored
 	e.ended.add(p)
 }
--- a/engine/record.go
+++ b/engine/record.go
@@ -10,20 +10,20 @@
 type Record interface{ record() }
 
 // RecAccepted says that a message was accepted.
-type RecTaken struct {
+type RecAccepted struct {
 	Message  Message
-	Deadline Stamp
+	Deadline Timestamp
 }
 
 // RecAttempts says that attempts are about to be written to their endpoints. Each of the messages has one more try. From
 // its first attempt on a message may have run, unless RecNeverRan withdraws exactly that attempt.
 type RecAttempts struct {
-	At   Stamp
-	List []AttemptOf
+	At   Timestamp
+	List []RecAttempt
 }
 
 // RecAttempt is the attempt at one message in RecAttempts.
-type AttemptOf struct {
+type RecAttempt struct {
 	ID   string
 	Zone int
 }
@@ -35,56 +35,56 @@
 type RecState struct {
 	ID        string
 	Tries     int
-	DoubtAt   Stamp // 0 if no attempt may have run
+	DoubtAt   Timestamp // 0 if no attempt may have run
 	DoubtZone int
 	Settled   bool // the doubt is not from the newest attempt, or its outcome is known, so that RecNeverRan changes nothing
 }
 
 // RecPendingResult says that a message's end is decided and its client has yet to be notified. Its body is no longer
 // needed.
-type RecOwed struct {
+type RecPendingResult struct {
 	ID string
-	Owed
-	GivenUp *GivenUp `json:"-"` // for the store of undelivered messages, nil if there is none; other stores ignore it
+	PendingResult
+	Undelivered *Undelivered `json:"-"` // for the store of undelivered messages, nil if there is none; other stores ignore it
 }
 
 // RecEnded says that a message has ended and no notification is pending. If Until is not 0, the store keeps the id at least
 // until then; otherwise it forgets the message at once.
 type RecEnded struct {
-	ID    string
-	How   How
-	Until Stamp
-	Print uint64 // Message.Fingerprint
+	ID          string
+	Disposition Disposition
+	Until       Timestamp
+	Fingerprint uint64 // Message.Fingerprint
 }
 
 // RecClockStep says that the wall clock was stepped by By microseconds, positive if forward. By has to be added to all
 // timestamps of earlier records.
-type RecShift struct{ By int64 }
+type RecClockStep struct{ By int64 }
 
 // RecLedgerLeaf replaces the ledger's leaf with this number (Settings.Ledger). The newest text counts. None is longer than
 // ledger.LeafMost.
-type RecLeaf struct {
+type RecLedgerLeaf struct {
 	Number uint64
 	Text   []byte
 }
 
 // RecNoop has no meaning: it is written to find out whether the store accepts records.
-type RecMark struct{}
-
-func (*RecTaken) record()    {}
-func (*RecAttempts) record() {}
-func (*RecNeverRan) record() {}
-func (*RecState) record()    {}
-func (*RecOwed) record()     {}
-func (*RecEnded) record()    {}
-func (*RecShift) record()    {}
-func (*RecMark) record()     {}
-func (*RecLeaf) record()     {}
+type RecNoop struct{}
+
+func (*RecAccepted) record()      {}
+func (*RecAttempts) record()      {}
+func (*RecNeverRan) record()      {}
+func (*RecState) record()         {}
+func (*RecPendingResult) record() {}
+func (*RecEnded) record()         {}
+func (*RecClockStep) record()     {}
+func (*RecNoop) record()          {}
+func (*RecLedgerLeaf) record()    {}
 
 // Fingerprint returns a hash of the message without its id. The upper 32 bits cover class, tenant, key and destination,
 // the lower 32 the body; 0 there means that the body is no longer known. Each half is a 64-bit FNV-1a over lengths and
 // bytes, folded to 32 bits. It is the same in every process.
-func (m *Message) Print() uint64 {
+func (m *Message) Fingerprint() uint64 {
 	h := fnv.New64a()
 	var n [8]byte
 	put := func(v int) {
@@ -96,7 +96,7 @@
 		put(len(s))
 		h.Write([]byte(s))
 	}
-	put(m.Dest)
+	put(m.Destination)
 	head := fold()
 	h.Reset()
 	put(len(m.Body))
--- a/engine/seams.go
+++ b/engine/seams.go
@@ -27,8 +27,8 @@
 
 // ExpiringStore is a Store that deletes expired records. The driver passes it the wall time in each of its rounds, after
 // the round's appends and before its Flush.
-type Aging interface {
-	Tick(now Stamp)
+type ExpiringStore interface {
+	Tick(now Timestamp)
 }
 
 // Transport makes calls.
@@ -44,7 +44,7 @@
 
 	// RemoveEndpoint removes an endpoint at an address; called by the driver. Idle connections close at once, the others
 	// when their calls end.
-	Leave(l *Leave)
+	RemoveEndpoint(l *RemoveEndpoint)
 }
 
 // CallEvents receives what a transport reports about one call, from any goroutine.
@@ -56,7 +56,7 @@
 	// FirstLine reports that the first line of the response to a call with one item says that the item is delivered.
 	FirstLine(id CallID)
 
-	// Ended reports outcomes. Each item of a call has exactly one.
+	// Disposition reports outcomes. Each item of a call has exactly one.
 	Ended(id CallID, outs []Outcome)
 }
 
@@ -64,14 +64,14 @@
 type Sink interface {
 	// Done takes the result of a message; called by the driver. Once the client has been notified, the sink acknowledges
 	// with a Notified event, from any goroutine.
-	Done(d *Done)
+	Completed(d *Done)
 }
 
 // Intake takes messages that fronts submit.
 type Intake interface {
 	// Submit submits a message that may be delivered until the deadline (the host's time). Called by fronts, from any
 	// goroutine. It blocks until there is a verdict, which is Busy if the driver has stopped.
-	HandIn(m *Message, deadline time.Time) Verdict
+	Submit(m *Message, deadline time.Time) Verdict
 }
 
 // GroupIntake takes several messages at a time, for fronts whose clients submit several at once.
@@ -79,14 +79,14 @@
 	// SubmitEach submits messages independently of each other, with their deadlines (the host's time). Called by fronts,
 	// from any goroutine. It blocks until there is a verdict on each message, and returns them in the order of the
 	// messages.
-	HandInEach(list []*Message, deadlines []time.Time) []Verdict
+	SubmitEach(list []*Message, deadlines []time.Time) []Verdict
 
 	// SubmitAll submits messages that are accepted all or none, with one verdict for all (see the event SubmitAll).
-	HandInAll(list []*Message, deadlines []time.Time) Verdict
+	SubmitAll(list []*Message, deadlines []time.Time) Verdict
 }
 
 // MembershipReceiver takes what sources report about endpoints.
-type Listing interface {
+type MembershipReceiver interface {
 	// Members passes on the report of one source, from any goroutine. It does not block. It returns false once the driver
 	// has stopped.
 	Members(m *Members) bool
--- a/engine/settings.go
+++ b/engine/settings.go
@@ -13,7 +13,7 @@
 
 	// HasStore says that there is a store. Without one nothing survives the process: there are no records, and no effect
 	// waits for one.
-	Stored bool
+	HasStore bool
 
 	// Prompt runs a Step right after each round of the driver while messages are open, instead of at the next tick. It is
 	// for callers who wait for each result. Only messages that come in one round can then share a call.
@@ -26,14 +26,14 @@
 	KindBytes     []int  // the same by the kind of the endpoint; CallBytes if missing or 0
 	Remember      Time   // how long after its deadline the id of an ended message is remembered
 	ClassRemember []Time // the same by class; the longer time counts
-	Patience      Time   // a store that has not answered within this time counts as down
+	StoreTimeout  Time   // a store that has not answered within this time counts as down
 
-	Ledger *Ledger // nil: no ledger is kept
+	Ledger *LedgerSettings // nil: no ledger is kept
 
 	// CheckUndelivered is set if undelivered messages are kept; RecPendingResult then has Undelivered. It is asked about
 	// each submitted message that would be accepted. It is called on the driver's goroutine and must not block. A kind
 	// other than Accepted rejects the message, for the reason in the string.
-	Kept func(m *Message) (VerdictKind, string)
+	CheckUndelivered func(m *Message) (VerdictKind, string)
 }
 
 // Defaults of the settings.
@@ -72,14 +72,14 @@
 			return fmt.Errorf("setting ClassRemember[%d]: a negative time is out of range", i)
 		}
 	}
-	if s.Remember < 0 || s.Patience < 0 {
+	if s.Remember < 0 || s.StoreTimeout < 0 {
 		return fmt.Errorf("setting Remember or Patience: a negative time is out of range")
 	}
 	if s.Remember == 0 {
 		s.Remember = defaultRemember
 	}
-	if s.Patience == 0 {
-		s.Patience = defaultPatience
+	if s.StoreTimeout == 0 {
+		s.StoreTimeout = defaultPatience
 	}
 	return nil
 }
