--- a/engine/bench_test.go
+++ b/engine/bench_test.go
@@ -61,7 +61,7 @@
 	}
 	handle(&RestoreComplete{})
 	handle(l)
-	for len(e.listings) > 0 { // a long list is processed in parts
+	for len(e.reports) > 0 { // a long list is processed in parts
 		now.At, now.Wall = now.At+set.Control.Tick, now.Wall+Timestamp(set.Control.Tick)
 		handle(&Wake{})
 	}
--- a/engine/books.go
+++ b/engine/books.go
@@ -19,110 +19,110 @@
 }
 
 const (
-	sweepPart  = 1000
-	sweepEvery = 300 * control.Millisecond
-	sweepLeast = 100                      // messages per part, at least
-	sweepParts = 32                       // approximate number of parts, while these are within the maximum
-	mostOut    = 1000                     // with more calls out, an audit does not count their items
-	leafGap    = 20 * control.Millisecond // between batches that hold only leaves
-	leavesEach = 64                       // maximum number of accounts per batch
+	defaultAuditPart     = 1000
+	defaultAuditInterval = 300 * control.Millisecond
+	minAuditPart         = 100                      // messages per part, at least
+	maxAuditParts        = 32                       // approximate number of parts, while these are within the maximum
+	maxAuditedCalls      = 1000                     // with more calls out, an audit does not count their items
+	leafInterval         = 20 * control.Millisecond // between batches that hold only leaves
+	maxAccountsPerBatch  = 64                       // maximum number of accounts per batch
 )
 
-// books holds the ledger of an engine and the progress of its audit. All postings are made in this file. It is called
+// ledgerState holds the ledger of an engine and the progress of its audit. All postings are made in this file. It is called
 // where a message is accepted, stored or rejected, resent and ended (message.go), and where an attempt begins and ends
 // (call.go).
-type books struct {
-	set LedgerSettings
+type ledgerState struct {
+	settings LedgerSettings
 	*ledger.Ledger
-	anew  string  // why the stored epoch ends, "" if it continues
-	open  bool    // the stored ledger has been restored: before that nothing may be written to the store
-	wrote []Batch // by leaf: the batch of its newest text
-	lone  Time    // time of the last batch that held only leaves
-	force bool    // write leaves in this event, even without other records
-	gone  uint64  // number of messages that became open or ceased to be
-
-	sweeping bool
-	round    uint32
-	cursor   *message // the next message to count
-	stage    int      // what is compared next
-	began    Time
-	parted   Time
-	seen     [2]uint64 // message changes and postings at the start of the last audit
+	resetReason       string  // why the stored epoch ends, "" if it continues
+	restored          bool    // the stored ledger has been restored: before that nothing may be written to the store
+	leafBatches       []Batch // by leaf: the batch of its newest text
+	lastLeafOnlyBatch Time    // time of the last batch that held only leaves
+	writeLeaves       bool    // write leaves in this event, even without other records
+	messageChanges    uint64  // number of messages that became open or ceased to be
+
+	auditing       bool
+	auditRound     uint32
+	cursor         *message // the next message to count
+	auditStage     int      // what is compared next
+	auditStarted   Time
+	lastAuditPart  Time
+	auditedChanges [2]uint64 // message changes and postings at the start of the last audit
 }
 
 // Stages of an audit.
 const (
-	sweepMessages = iota
-	sweepCalls
-	sweepLeaves
+	auditMessages = iota
+	auditCalls
+	auditLeaves
 )
 
-func newBooks(s *LedgerSettings) (*books, error) {
+func newLedgerState(s *LedgerSettings) (*ledgerState, error) {
 	if s == nil {
 		return nil, nil
 	}
-	b := &books{set: *s}
-	if b.set.AuditPart <= 0 {
-		b.set.AuditPart = sweepPart
+	b := &ledgerState{settings: *s}
+	if b.settings.AuditPart <= 0 {
+		b.settings.AuditPart = defaultAuditPart
 	}
-	if b.set.AuditInterval <= 0 {
-		b.set.AuditInterval = sweepEvery
+	if b.settings.AuditInterval <= 0 {
+		b.settings.AuditInterval = defaultAuditInterval
 	}
 	var err error
 	b.Ledger, err = ledger.New(s.Settings, s.Epoch)
 	return b, err
 }
 
-func (m *Message) account() ledger.Key {
+func (m *Message) ledgerKey() ledger.Key {
 	return ledger.Key{Class: m.Class, Destination: m.Destination, Tenant: m.Tenant}
 }
 
 // ---- messages ----
 
-// bookTaking registers the postings of a message that is being written to the store. They count once it is stored.
-func (e *Engine) bookTaking(m *message) {
-	if e.books == nil {
+// awaitAcceptance registers the postings of a message that is being written to the store. They count once it is stored.
+func (e *Engine) awaitAcceptance(m *message) {
+	if e.ledger == nil {
 		return
 	}
-	m.acct = e.books.Account(m.Message.account())
-	e.ofTaking(m, e.books.PostPending)
+	m.ledgerAccount = e.ledger.Account(m.Message.ledgerKey())
+	e.eachAcceptancePosting(m, e.ledger.PostPending)
 }
 
-// bookTaken posts a message that was accepted and is in the store.
-func (e *Engine) bookTaken(m *message) {
-	if e.books == nil {
+// postAcceptance posts a message that was accepted and is in the store.
+func (e *Engine) postAcceptance(m *message) {
+	if e.ledger == nil {
 		return
 	}
-	e.ofTaking(m, e.books.ConfirmPending)
-	if m.from != nil {
-		e.books.CompareTransfers()
+	e.eachAcceptancePosting(m, e.ledger.ConfirmPending)
+	if m.resentFrom != nil {
+		e.ledger.CompareTransfers()
 	}
-	e.books.came(m)
+	e.ledger.messageOpened(m)
 }
 
-// bookForgone drops the postings of a message that never got into the store.
-func (e *Engine) bookForgone(m *message) {
-	if e.books != nil {
-		e.ofTaking(m, e.books.DropPending)
+// dropAcceptance drops the postings of a message that never got into the store.
+func (e *Engine) dropAcceptance(m *message) {
+	if e.ledger != nil {
+		e.eachAcceptancePosting(m, e.ledger.DropPending)
 	}
 }
 
-// ofTaking calls do with each posting for the acceptance of a message.
-func (e *Engine) ofTaking(m *message, do func(*ledger.Account, ledger.Entry)) {
-	if m.from == nil {
-		do(m.acct, ledger.Accepted)
+// eachAcceptancePosting calls do with each posting for the acceptance of a message.
+func (e *Engine) eachAcceptancePosting(m *message, do func(*ledger.Account, ledger.Entry)) {
+	if m.resentFrom == nil {
+		do(m.ledgerAccount, ledger.Accepted)
 	} else { // resent: the undelivered message leaves the account in which it ended
-		do(e.books.Account(*m.from), ledger.Reopened)
-		do(m.acct, ledger.MovedIn)
+		do(e.ledger.Account(*m.resentFrom), ledger.Reopened)
+		do(m.ledgerAccount, ledger.MovedIn)
 	}
-	if m.maybe.set {
-		do(m.acct, ledger.DoubtOpened)
+	if m.firstDoubt.set {
+		do(m.ledgerAccount, ledger.DoubtOpened)
 	}
 }
 
-// bookEnd posts the end of an open message.
-func (e *Engine) bookEnd(m *message, how Disposition) {
-	if e.books == nil {
+// postEnd posts the end of an open message.
+func (e *Engine) postEnd(m *message, how Disposition) {
+	if e.ledger == nil {
 		return
 	}
 	end, doubt := ledger.Failed, ledger.DoubtUnresolved
@@ -134,37 +134,37 @@
 	case Refused, Withdrawn:
 		end = ledger.Refused
 	}
-	e.books.Post(m.acct, end)
+	e.ledger.Post(m.ledgerAccount, end)
 	switch {
-	case m.maybe.set:
-		e.books.Post(m.acct, doubt)
-	case how != Delivered && m.doubtful().set: // its attempt is still out
-		e.books.Post(m.acct, ledger.DoubtOpened)
-		e.books.Post(m.acct, ledger.DoubtUnresolved)
+	case m.firstDoubt.set:
+		e.ledger.Post(m.ledgerAccount, doubt)
+	case how != Delivered && m.firstPossibleRun().set: // its attempt is still out
+		e.ledger.Post(m.ledgerAccount, ledger.DoubtOpened)
+		e.ledger.Post(m.ledgerAccount, ledger.DoubtUnresolved)
 	}
 }
 
-// bookDoubt posts that a message is in doubt from now on, if its latest outcome left it so. first says that it was not in
+// postDoubt posts that a message is in doubt from now on, if its latest outcome left it so. first says that it was not in
 // doubt before that outcome.
-func (e *Engine) bookDoubt(m *message, first bool) {
-	if e.books != nil && first && m.maybe.set && m.phase == held {
-		e.books.Post(m.acct, ledger.DoubtOpened)
-		if b := e.books; b.sweeping && m.swept == b.round {
-			m.acct.CountDoubt(1)
+func (e *Engine) postDoubt(m *message, first bool) {
+	if e.ledger != nil && first && m.firstDoubt.set && m.phase == dispatching {
+		e.ledger.Post(m.ledgerAccount, ledger.DoubtOpened)
+		if b := e.ledger; b.auditing && m.auditRound == b.auditRound {
+			m.ledgerAccount.CountDoubt(1)
 		}
 	}
 }
 
 // ---- attempts ----
 
-func (e *Engine) bookSent(it *item) {
-	if e.books != nil {
-		e.books.Post(it.message.acct, ledger.AttemptSent)
+func (e *Engine) postSent(it *item) {
+	if e.ledger != nil {
+		e.ledger.Post(it.message.ledgerAccount, ledger.AttemptSent)
 	}
 }
 
-func (e *Engine) bookOutcome(it *item, r control.Result) {
-	if e.books == nil {
+func (e *Engine) postOutcome(it *item, r control.Result) {
+	if e.ledger == nil {
 		return
 	}
 	how := ledger.AttemptAnswered
@@ -174,47 +174,47 @@
 	case r == control.TimedOut, r == control.Reset, r == control.Cancelled:
 		how = ledger.AttemptUnanswered
 	}
-	e.books.Post(it.message.acct, how)
+	e.ledger.Post(it.message.ledgerAccount, how)
 }
 
 // ---- the store ----
 
 // restoreLedger restores the ledger that the store had.
 func (e *Engine) restoreLedger(r *RestoredLedger) {
-	b := e.books
+	b := e.ledger
 	if b == nil {
 		return
 	}
-	l, err := ledger.Restore(b.set.Settings, r.Leaves, b.set.Epoch)
+	l, err := ledger.Restore(b.settings.Settings, r.Leaves, b.settings.Epoch)
 	if err != nil {
 		e.effect(&Note{Fault: true, Text: "the ledger in the store can't be read, and begins anew: " + err.Error()})
-		b.anew = ledger.ReasonDamage
+		b.resetReason = ledger.ReasonDamage
 		return
 	}
-	if b.Ledger, b.anew = l, r.ResetReason; r.ResetReason == "" && l.Rebooted() {
-		b.anew = ledger.ReasonReboot
+	if b.Ledger, b.resetReason = l, r.ResetReason; r.ResetReason == "" && l.Rebooted() {
+		b.resetReason = ledger.ReasonReboot
 	}
 	l.SetWallTime(int64(e.now.Wall))
 }
 
-// restoreBooks audits the restored ledger against the restored messages, or begins a new epoch with these messages.
-func (e *Engine) restoreBooks() {
-	b := e.books
+// reconcileLedger audits the restored ledger against the restored messages, or begins a new epoch with these messages.
+func (e *Engine) reconcileLedger() {
+	b := e.ledger
 	if b == nil {
 		return
 	}
-	b.open = true
+	b.restored = true
 	b.SetWallTime(int64(e.now.Wall))
 	b.BeginAudit()
 	find := func() {
 		for _, r := range e.restoring {
-			r.acct = b.Account(r.Message.account())
+			r.account = b.Account(r.Message.ledgerKey())
 		}
 	}
 	find()
 	if b.Restored() {
 		for _, r := range e.restoring {
-			if a := r.acct; r.Pending == nil {
+			if a := r.account; r.Pending == nil {
 				a.CountOpen(1)
 				if r.DoubtAt != 0 {
 					a.CountDoubt(1)
@@ -222,21 +222,21 @@
 			}
 		}
 		b.ReconcileRestart()
-		if b.anew == "" {
+		if b.resetReason == "" {
 			return
 		}
 	}
-	if b.anew != "" {
-		next := b.set.Epoch
-		next.Reason = b.anew
-		if l, err := b.NextEpoch(b.set.Settings, next); err == nil { // the settings were valid before
+	if b.resetReason != "" {
+		next := b.settings.Epoch
+		next.Reason = b.resetReason
+		if l, err := b.NextEpoch(b.settings.Settings, next); err == nil { // the settings were valid before
 			b.Ledger = l
 			b.SetWallTime(int64(e.now.Wall))
 			find()
 		}
 	}
 	for _, r := range e.restoring {
-		if a := r.acct; r.Pending == nil {
+		if a := r.account; r.Pending == nil {
 			b.Post(a, ledger.CarriedOver)
 			if r.DoubtAt != 0 {
 				b.Post(a, ledger.DoubtOpened)
@@ -245,66 +245,66 @@
 	}
 }
 
-// keepBooks adds changed leaves to the batch of this event and reports breaches. Without other records in the batch, leaves
+// recordLedger adds changed leaves to the batch of this event and reports breaches. Without other records in the batch, leaves
 // wait a short time for some.
-func (e *Engine) keepBooks() {
-	b := e.books
+func (e *Engine) recordLedger() {
+	b := e.ledger
 	if b == nil {
 		return
 	}
 	for _, f := range b.TakeNewBreaches() {
 		e.effect(&LedgerBreach{Breach: f})
 	}
-	if !e.set.HasStore || !b.open || !b.Dirty() {
+	if !e.settings.HasStore || !b.restored || !b.Dirty() {
 		return
 	}
-	if len(e.records) == 0 && (e.down || !b.force && e.now.At < b.lone+leafGap) {
+	if len(e.records) == 0 && (e.storeDown || !b.writeLeaves && e.now.At < b.lastLeafOnlyBatch+leafInterval) {
 		return
 	}
 	if len(e.records) == 0 {
-		b.lone = e.now.At
+		b.lastLeafOnlyBatch = e.now.At
 	}
-	for !b.WriteLeaves(leavesEach, func(l ledger.Leaf) {
+	for !b.WriteLeaves(maxAccountsPerBatch, func(l ledger.Leaf) {
 		e.records = append(e.records, &RecLedgerLeaf{Number: l.Number, Text: l.Text})
-		for uint64(len(b.wrote)) <= l.Number {
-			b.wrote = append(b.wrote, 0)
+		for uint64(len(b.leafBatches)) <= l.Number {
+			b.leafBatches = append(b.leafBatches, 0)
 		}
-		b.wrote[l.Number] = e.last + 1
-	}) && b.force {
+		b.leafBatches[l.Number] = e.lastBatch + 1
+	}) && b.writeLeaves {
 	}
-	b.force = false
+	b.writeLeaves = false
 }
 
-// soilLeaves marks the leaves whose newest text is in one of these batches to be rewritten.
-func (e *Engine) soilLeaves(from, to Batch) {
-	if e.books == nil {
+// markLeavesDirty marks the leaves whose newest text is in one of these batches to be rewritten.
+func (e *Engine) markLeavesDirty(from, to Batch) {
+	if e.ledger == nil {
 		return
 	}
-	for n, b := range e.books.wrote {
+	for n, b := range e.ledger.leafBatches {
 		if b >= from && b <= to {
-			e.books.wrote[n] = 0
-			e.books.MarkUnwritten(uint64(n))
+			e.ledger.leafBatches[n] = 0
+			e.ledger.MarkUnwritten(uint64(n))
 		}
 	}
 }
 
-// ask answers with a snapshot, which waits until the store has the counts it shows.
-func (e *Engine) ask(t Ticket) {
-	b := e.books
-	if b == nil || e.set.HasStore && !b.open { // the counts of earlier processes are not known yet
+// snapshotLedger answers with a snapshot, which waits until the store has the counts it shows.
+func (e *Engine) snapshotLedger(t Ticket) {
+	b := e.ledger
+	if b == nil || e.settings.HasStore && !b.restored { // the counts of earlier processes are not known yet
 		e.effect(&LedgerSnapshot{Ticket: t})
 		return
 	}
 	s := b.Snapshot(int64(e.now.Wall))
-	b.force = !e.down
-	e.keepBooks()
+	b.writeLeaves = !e.storeDown
+	e.recordLedger()
 	f := &LedgerSnapshot{Ticket: t, Snapshot: s}
-	if e.set.HasStore {
-		if s.Provisional = e.down || b.Dirty(); !s.Provisional {
-			if n := len(e.pending); n > 0 {
-				f.needs = e.pending[n-1].no
+	if e.settings.HasStore {
+		if s.Provisional = e.storeDown || b.Dirty(); !s.Provisional {
+			if n := len(e.unansweredBatches); n > 0 {
+				f.requiredBatch = e.unansweredBatches[n-1].number
 			}
-			f.needs = max(f.needs, e.needs())
+			f.requiredBatch = max(f.requiredBatch, e.currentBatch())
 		}
 	}
 	e.effect(f)
@@ -312,127 +312,127 @@
 
 // ---- the audit ----
 
-// came notes that a message became open.
-func (b *books) came(m *message) {
-	b.gone++
-	if b.sweeping && m.swept == b.round {
-		m.acct.CountOpen(1)
-		if m.maybe.set {
-			m.acct.CountDoubt(1)
+// messageOpened notes that a message became open.
+func (b *ledgerState) messageOpened(m *message) {
+	b.messageChanges++
+	if b.auditing && m.auditRound == b.auditRound {
+		m.ledgerAccount.CountOpen(1)
+		if m.firstDoubt.set {
+			m.ledgerAccount.CountDoubt(1)
 		}
 	}
 }
 
-// leaves notes that a message ceases to be open. It is called before the table of messages changes.
-func (b *books) leaves(m *message) {
-	if b == nil || m.phase != held {
+// messageClosed notes that a message ceases to be open. It is called before the table of messages changes.
+func (b *ledgerState) messageClosed(m *message) {
+	if b == nil || m.phase != dispatching {
 		return
 	}
-	b.gone++
-	if b.sweeping && m.swept == b.round {
-		m.acct.CountOpen(-1)
-		if m.maybe.set {
-			m.acct.CountDoubt(-1)
+	b.messageChanges++
+	if b.auditing && m.auditRound == b.auditRound {
+		m.ledgerAccount.CountOpen(-1)
+		if m.firstDoubt.set {
+			m.ledgerAccount.CountDoubt(-1)
 		}
 	}
 }
 
-// added continues the audit with a new message if the cursor ran off the list because all messages left were removed.
-func (b *books) added(m *message) {
-	if b != nil && b.sweeping && b.stage == sweepMessages && b.cursor == nil {
+// messageAdded continues the audit with a new message if the cursor ran off the list because all messages left were removed.
+func (b *ledgerState) messageAdded(m *message) {
+	if b != nil && b.auditing && b.auditStage == auditMessages && b.cursor == nil {
 		b.cursor = m
 	}
 }
 
-// removed moves the audit's cursor past a message that is being removed.
-func (b *books) removed(m *message) {
+// messageRemoved moves the audit's cursor past a message that is being removed.
+func (b *ledgerState) messageRemoved(m *message) {
 	if b != nil && b.cursor == m {
-		b.cursor = m.behind
+		b.cursor = m.next
 	}
 }
 
-// wanted returns when the next part of an audit, or the next audit, is due.
-func (b *books) wanted(tick Time) (Time, bool) {
+// nextAudit returns when the next part of an audit, or the next audit, is due.
+func (b *ledgerState) nextAudit(tick Time) (Time, bool) {
 	switch {
-	case b.sweeping:
-		return b.parted + tick, true
-	case b.seen != [2]uint64{b.gone, b.PostingCount()}:
-		return b.began + b.set.AuditInterval, true
+	case b.auditing:
+		return b.lastAuditPart + tick, true
+	case b.auditedChanges != [2]uint64{b.messageChanges, b.PostingCount()}:
+		return b.auditStarted + b.settings.AuditInterval, true
 	}
 	return 0, false
 }
 
-// sweep runs one part of an audit.
-func (e *Engine) sweep() {
-	b := e.books
+// audit runs one part of an audit.
+func (e *Engine) audit() {
+	b := e.ledger
 	if b == nil {
 		return
 	}
-	at, ok := b.wanted(e.set.Control.Tick)
+	at, ok := b.nextAudit(e.settings.Control.Tick)
 	if !ok || e.now.At < at {
 		return
 	}
-	b.parted = e.now.At
-	if !b.sweeping {
-		b.sweeping, b.stage, b.began, b.cursor = true, sweepMessages, e.now.At, e.oldest
-		b.seen = [2]uint64{b.gone, b.PostingCount()}
-		b.round++
+	b.lastAuditPart = e.now.At
+	if !b.auditing {
+		b.auditing, b.auditStage, b.auditStarted, b.cursor = true, auditMessages, e.now.At, e.oldestMessage
+		b.auditedChanges = [2]uint64{b.messageChanges, b.PostingCount()}
+		b.auditRound++
 		b.BeginAudit()
 	}
-	switch b.stage {
-	case sweepMessages:
-		for range min(b.set.AuditPart, max(sweepLeast, len(e.byNum)/sweepParts)) {
+	switch b.auditStage {
+	case auditMessages:
+		for range min(b.settings.AuditPart, max(minAuditPart, len(e.messageByNumber)/maxAuditParts)) {
 			m := b.cursor
 			if m == nil {
 				break
 			}
-			if m.swept = b.round; m.phase == held {
-				m.acct.CountOpen(1)
-				if m.maybe.set {
-					m.acct.CountDoubt(1)
+			if m.auditRound = b.auditRound; m.phase == dispatching {
+				m.ledgerAccount.CountOpen(1)
+				if m.firstDoubt.set {
+					m.ledgerAccount.CountDoubt(1)
 				}
 			}
-			b.cursor = m.behind
+			b.cursor = m.next
 		}
 		if b.cursor == nil { // all were counted; messages added from now on are counted as they come
 			b.FinishAudit()
-			b.CompareDispositions(e.ends[Delivered]+e.ends[Closed], e.ends[Refused]+e.ends[Withdrawn], e.ends[Failed])
-			b.stage = sweepCalls
+			b.CompareDispositions(e.endCounts[Delivered]+e.endCounts[Closed], e.endCounts[Refused]+e.endCounts[Withdrawn], e.endCounts[Failed])
+			b.auditStage = auditCalls
 		}
-	case sweepCalls:
-		if len(e.byCall) <= mostOut {
-			for _, c := range e.byCall {
+	case auditCalls:
+		if len(e.callByID) <= maxAuditedCalls {
+			for _, c := range e.callByID {
 				for _, it := range c.items {
 					if !it.done {
-						it.message.acct.CountOut()
+						it.message.ledgerAccount.CountOut()
 					}
 				}
 			}
 			b.FinishAttemptAudit()
 		}
-		b.stage = sweepLeaves
-		if b.set.StoredLeaf == nil || !e.set.HasStore {
-			b.sweeping = false
+		b.auditStage = auditLeaves
+		if b.settings.StoredLeaf == nil || !e.settings.HasStore {
+			b.auditing = false
 		}
-	case sweepLeaves:
+	case auditLeaves:
 		for i := range b.Accounts() {
 			b.CompareStored(i, func(n uint64) bool {
-				return n < uint64(len(b.wrote)) && b.wrote[n] > 0 && b.wrote[n] <= e.confirmed
-			}, b.set.StoredLeaf)
+				return n < uint64(len(b.leafBatches)) && b.leafBatches[n] > 0 && b.leafBatches[n] <= e.storedUpTo
+			}, b.settings.StoredLeaf)
 		}
-		b.sweeping = false
+		b.auditing = false
 	}
 }
 
-// booksDue returns when the ledger wants an event.
-func (e *Engine) booksDue() (at Time, ok bool) {
-	b := e.books
+// nextLedgerEvent returns when the ledger wants an event.
+func (e *Engine) nextLedgerEvent() (at Time, ok bool) {
+	b := e.ledger
 	if b == nil {
 		return 0, false
 	}
-	at, ok = b.wanted(e.set.Control.Tick)
-	if e.set.HasStore && b.open && !e.down && b.Dirty() && (!ok || b.lone+leafGap < at) {
-		return b.lone + leafGap, true
+	at, ok = b.nextAudit(e.settings.Control.Tick)
+	if e.settings.HasStore && b.restored && !e.storeDown && b.Dirty() && (!ok || b.lastLeafOnlyBatch+leafInterval < at) {
+		return b.lastLeafOnlyBatch + leafInterval, true
 	}
 	return at, ok
 }
--- a/engine/books_test.go
+++ b/engine/books_test.go
@@ -64,22 +64,22 @@
 	b.handle(&RequestLedger{})
 	s := b.shown
 	live := map[ledger.Key]ledger.Counts{}
-	for m := b.e.oldest; m != nil; m = m.behind {
-		if k := m.acct.Key(); m.phase == held {
+	for m := b.e.oldestMessage; m != nil; m = m.next {
+		if k := m.ledgerAccount.Key(); m.phase == dispatching {
 			f := live[k]
 			f.Open++
-			if m.maybe.set {
+			if m.firstDoubt.set {
 				f.Doubt.Open++
 			}
 			live[k] = f
 		}
 	}
-	for _, c := range b.e.byCall {
+	for _, c := range b.e.callByID {
 		for _, it := range c.items {
 			if !it.done {
-				f := live[it.message.acct.Key()]
+				f := live[it.message.ledgerAccount.Key()]
 				f.Attempts.Out++
-				live[it.message.acct.Key()] = f
+				live[it.message.ledgerAccount.Key()] = f
 			}
 		}
 	}
@@ -200,7 +200,7 @@
 		}
 		next, _ := w.e.NextWake() // as a driver does
 		if next > at+control.Second && !found {
-			return fmt.Sprintf("not found a second later: %+v", w.e.books.Snapshot(0))
+			return fmt.Sprintf("not found a second later: %+v", w.e.ledger.Snapshot(0))
 		}
 		by := max(next-w.now.At, 1)
 		w.now.At, w.now.Wall = w.now.At+by, w.now.Wall+Timestamp(by)
@@ -243,17 +243,17 @@
 	}
 	e.Handle(now, &RestoredLedger{})
 	e.Handle(now, &RestoreComplete{})
-	e.Handle(now, &Stored{Batch: e.last})
+	e.Handle(now, &Stored{Batch: e.lastBatch})
 	e.Handle(now, &Members{Source: "s", FullList: true, List: []Member{{ID: "e", Addr: "h:1", Destination: 1, Phase: Active}}})
 	e.Handle(now, &Wake{})
 	m := messageOf("m0")
 	m.Destination, m.Class, m.Key = 1, "free", ""
 	e.Handle(now, &Submit{Ticket: 1, Message: m, ExpiresIn: control.Second})
-	taken := e.last
+	taken := e.lastBatch
 	if f := ask(); f.Snapshot.Total.Accepted != 0 || f.RequiredBatch() < taken || f.Snapshot.Provisional {
 		t.Errorf("on its way: %d taken, needs batch %d of %d", f.Snapshot.Total.Accepted, f.RequiredBatch(), taken)
 	}
-	e.Handle(now, &Stored{Batch: e.last})
+	e.Handle(now, &Stored{Batch: e.lastBatch})
 	now.At += 10 * control.Millisecond
 	var out *Call
 	for _, f := range e.Handle(now, &Wake{}) {
@@ -261,11 +261,11 @@
 			out = c
 		}
 	}
-	e.Handle(now, &Stored{Batch: e.last})
+	e.Handle(now, &Stored{Batch: e.lastBatch})
 	if f := ask(); f.Snapshot.Total.Accepted != 1 || f.Snapshot.Total.Attempts.Out != 1 || f.RequiredBatch() != 0 {
 		t.Errorf("%+v needs %d", f.Snapshot.Total, f.RequiredBatch())
 	}
-	before := e.last
+	before := e.lastBatch
 	e.Handle(now, &Ended{Call: out.ID, Outcomes: []Outcome{{Result: control.TimedOut}}}) // for which there is no record
 	if f := ask(); f.Snapshot.Total.Attempts.Unanswered != 1 || f.RequiredBatch() <= before {
 		t.Errorf("%+v needs %d, and %d was stored", f.Snapshot.Total, f.RequiredBatch(), before)
--- a/engine/call.go
+++ b/engine/call.go
@@ -8,155 +8,155 @@
 
 // call is a call that is out or about to start.
 type call struct {
-	id     CallID
-	ep     *endpoint
-	addr   string // the endpoint's address when the call was made
-	items  []*item
-	size   int // approximate encoded size in bytes
-	left   int // items without an outcome
-	late   int // items that timed out while the call goes on
-	sent   Time
-	batch  Batch
-	stored bool // its attempts are in the store, or there is no store
+	id        CallID
+	endpoint  *endpoint
+	addr      string // the endpoint's address when the call was made
+	items     []*item
+	size      int // approximate encoded size in bytes
+	remaining int // items without an outcome
+	timedOut  int // items that timed out while the call goes on
+	sentAt    Time
+	batch     Batch
+	stored    bool // its attempts are in the store, or there is no store
 
-	only item // these back the first item and the list: most calls have one item
-	one  [1]*item
+	firstItem   item // these back the first item and the list: most calls have one item
+	itemsBuffer [1]*item
 }
 
 // item is one attempt, at one message of a call.
 type item struct {
 	call      *call
-	place     int
+	index     int
 	message   *message
 	attempt   int
-	due       Time
+	deadline  Time
 	cancelled bool
 	done      bool
-	late      *Outcome // its timeout, while the call goes on: no second copy may go out before the call has ended
+	timeout   *Outcome // its timeout, while the call goes on: no second copy may go out before the call has ended
 }
 
 // calls holds the calls out by id.
 type calls struct {
-	byCall   map[CallID]*call
+	callByID map[CallID]*call
 	lastCall CallID
-	newest   *call // of the previous Send action in this Step
+	lastSend *call // of the previous Send action in this Step
 }
 
-func newCalls() calls { return calls{byCall: map[CallID]*call{}} }
+func newCalls() calls { return calls{callByID: map[CallID]*call{}} }
 
 const (
-	itemBytes = 48 // overhead of an item beside its id, key and body in a call with several
+	itemOverheadBytes = 48 // overhead of an item beside its id, key and body in a call with several
 )
 
-// bytesOf returns the encoded size of a message in a call with several, where bodies are Base64.
-func bytesOf(m *message) int {
-	return (len(m.Body)+2)/3*4 + len(m.ID) + len(m.Key) + itemBytes
+// encodedSize returns the encoded size of a message in a call with several, where bodies are Base64.
+func encodedSize(m *message) int {
+	return (len(m.Body)+2)/3*4 + len(m.ID) + len(m.Key) + itemOverheadBytes
 }
 
-// send adds an attempt to the calls of this Step. Attempts at one endpoint share a call, up to the limits of its kind on
+// addAttempt adds an attempt to the calls of this Step. Attempts at one endpoint share a call, up to the limits of its kind on
 // items and bytes. An attempt that the module joins to the previous Send's call goes into that call or is returned unsent,
 // so that no more calls are out than the module counts.
-func (e *Engine) send(list []*call, a control.Action) []*call {
-	m, ep := e.byNum[a.Message], e.byNumber[a.Endpoint]
-	if m == nil || ep == nil || m.phase != held || m.out != nil {
+func (e *Engine) addAttempt(list []*call, a control.Action) []*call {
+	m, ep := e.messageByNumber[a.Message], e.endpointByNumber[a.Endpoint]
+	if m == nil || ep == nil || m.phase != dispatching || m.inFlight != nil {
 		// The module's state differs from the engine's. Without an outcome the slot would be lost.
 		e.note(noteUnknown, "the module sends message %d to endpoint %d, which can't be", a.Message, a.Endpoint)
 		tries := 0
 		if m != nil {
 			tries = m.tries
 		}
-		e.unsentAt(a, tries)
+		e.reportUnsent(a, tries)
 		return list
 	}
 	most := 1
-	if ep.kind >= 0 && ep.kind < len(e.set.Control.Kinds) {
-		most = e.set.Control.Kinds[ep.kind].Batch
+	if ep.kind >= 0 && ep.kind < len(e.settings.Control.Kinds) {
+		most = e.settings.Control.Kinds[ep.kind].Batch
 	}
-	size, room := bytesOf(m), e.set.CallBytes
-	if ep.kind >= 0 && ep.kind < len(e.set.KindBytes) && e.set.KindBytes[ep.kind] > 0 {
-		room = e.set.KindBytes[ep.kind]
+	size, room := encodedSize(m), e.settings.CallBytes
+	if ep.kind >= 0 && ep.kind < len(e.settings.KindBytes) && e.settings.KindBytes[ep.kind] > 0 {
+		room = e.settings.KindBytes[ep.kind]
 	}
 	fits := func(c *call) bool {
-		return c.ep == ep && len(c.items) < most && c.size+size <= room
+		return c.endpoint == ep && len(c.items) < most && c.size+size <= room
 	}
 	var c *call
 	switch {
 	case !a.SameCall:
-		if at := slices.IndexFunc(ep.begun, fits); at >= 0 {
-			c = ep.begun[at]
+		if at := slices.IndexFunc(ep.stepCalls, fits); at >= 0 {
+			c = ep.stepCalls[at]
 		} else {
-			c = &call{ep: ep, addr: ep.addr, sent: e.now.At}
-			c.items = c.one[:0]
+			c = &call{endpoint: ep, addr: ep.addr, sentAt: e.now.At}
+			c.items = c.itemsBuffer[:0]
 			list = append(list, c)
-			ep.begun = append(ep.begun, c)
+			ep.stepCalls = append(ep.stepCalls, c)
 		}
-	case e.newest != nil && fits(e.newest):
-		c = e.newest
+	case e.lastSend != nil && fits(e.lastSend):
+		c = e.lastSend
 	default:
-		e.unsentAt(a, m.tries)
+		e.reportUnsent(a, m.tries)
 		return list
 	}
-	e.newest = c
-	it := &c.only
+	e.lastSend = c
+	it := &c.firstItem
 	if len(c.items) > 0 {
 		it = &item{}
 	}
-	*it = item{call: c, place: len(c.items), message: m, attempt: m.tries, due: m.deadline}
+	*it = item{call: c, index: len(c.items), message: m, attempt: m.tries, deadline: m.deadline}
 	if a.After > 0 {
-		it.due = min(it.due, e.now.At+a.After)
+		it.deadline = min(it.deadline, e.now.At+a.After)
 	}
 	c.items = append(c.items, it)
 	c.size += size
-	m.out = it
+	m.inFlight = it
 	m.tries++
 	return list
 }
 
-// unsentAt reports an attempt to the module as unsent because it can't be made.
-func (e *Engine) unsentAt(a control.Action, attempt int) {
-	e.tell(control.Event{
+// reportUnsent reports an attempt to the module as unsent because it can't be made.
+func (e *Engine) reportUnsent(a control.Action, attempt int) {
+	e.queueEvent(control.Event{
 		Kind: control.Outcome, Message: a.Message, Attempt: attempt, Endpoint: a.Endpoint, Result: control.Unsent,
 	})
 }
 
 // launch records the attempts of a Step and emits its calls, which wait until the records are in the store.
 func (e *Engine) launch(list []*call) {
-	e.newest = nil
+	e.lastSend = nil
 	if len(list) == 0 {
 		return
 	}
 	var b Batch
-	if e.set.HasStore {
-		r := &RecAttempts{At: e.stamp(e.now.At)}
+	if e.settings.HasStore {
+		r := &RecAttempts{At: e.timestamp(e.now.At)}
 		for _, c := range list {
 			for _, it := range c.items {
-				r.List = append(r.List, RecAttempt{ID: it.message.ID, Zone: it.call.ep.zone})
+				r.List = append(r.List, RecAttempt{ID: it.message.ID, Zone: it.call.endpoint.zone})
 			}
 		}
 		b = e.record(r, nil)
 	}
 	if b != 0 {
-		e.sending = list
+		e.recordedCalls = list
 		for _, c := range list {
 			for _, it := range c.items {
-				it.message.last = b
+				it.message.lastBatch = b
 			}
 		}
 	}
 	for _, c := range list {
-		clear(c.ep.begun)
-		c.ep.begun = c.ep.begun[:0]
+		clear(c.endpoint.stepCalls)
+		c.endpoint.stepCalls = c.endpoint.stepCalls[:0]
 		e.lastCall++
-		c.id, c.batch, c.stored, c.left = e.lastCall, b, b == 0, len(c.items)
-		e.byCall[c.id] = c
-		c.ep.calls++
-		f := &Call{ID: c.id, Endpoint: c.ep.num, EndpointID: c.ep.id, Addr: c.addr, Kind: c.ep.kind, needs: b}
-		if f.Items = f.one[:]; len(c.items) > 1 {
+		c.id, c.batch, c.stored, c.remaining = e.lastCall, b, b == 0, len(c.items)
+		e.callByID[c.id] = c
+		c.endpoint.calls++
+		f := &Call{ID: c.id, Endpoint: c.endpoint.number, EndpointID: c.endpoint.id, Addr: c.addr, Kind: c.endpoint.kind, requiredBatch: b}
+		if f.Items = f.itemsBuffer[:]; len(c.items) > 1 {
 			f.Items = make([]Item, len(c.items))
 		}
 		for i, it := range c.items {
-			e.bookSent(it)
-			f.Items[i] = Item{ID: it.message.ID, Key: it.message.Key, Body: it.message.Body, Deadline: it.due}
+			e.postSent(it)
+			f.Items[i] = Item{ID: it.message.ID, Key: it.message.Key, Body: it.message.Body, Deadline: it.deadline}
 		}
 		e.effect(f)
 	}
@@ -165,12 +165,12 @@
 // mayWrite answers which items of a call may still be written.
 func (e *Engine) mayWrite(id CallID) {
 	p := &Permit{Call: id}
-	if c := e.byCall[id]; c != nil {
+	if c := e.callByID[id]; c != nil {
 		p.Items = make([]bool, len(c.items))
 		for i, it := range c.items {
-			p.Items[i] = !e.stopped && !it.done && it.late == nil && !it.cancelled && it.message.phase == held &&
-				c.ep.addr == c.addr && c.ep.phase == Active && e.now.At >= c.ep.held && e.now.At < it.due &&
-				e.mod.MayWrite(e.now.At, it.message.num, it.attempt)
+			p.Items[i] = !e.stopped && !it.done && it.timeout == nil && !it.cancelled && it.message.phase == dispatching &&
+				c.endpoint.addr == c.addr && c.endpoint.phase == Active && e.now.At >= c.endpoint.waitUntil && e.now.At < it.deadline &&
+				e.module.MayWrite(e.now.At, it.message.number, it.attempt)
 		}
 	}
 	e.effect(p)
@@ -178,14 +178,14 @@
 
 // firstLine ends the only message of a call as delivered. The attempt's outcome comes with the complete response.
 func (e *Engine) firstLine(id CallID) {
-	if c := e.byCall[id]; c != nil && len(c.items) == 1 && !c.items[0].done {
+	if c := e.callByID[id]; c != nil && len(c.items) == 1 && !c.items[0].done {
 		e.end(c.items[0].message, Delivered, 0)
 	}
 }
 
 // outcomes handles the outcomes of items of a call.
 func (e *Engine) outcomes(ev *Ended) {
-	c := e.byCall[ev.Call]
+	c := e.callByID[ev.Call]
 	if c == nil {
 		return // rolled back: its attempts have ended
 	}
@@ -196,42 +196,42 @@
 		}
 		it := c.items[o.Item]
 		switch {
-		case it.done || it.late != nil:
-		case o.CallOpen && c.left-c.late > 1:
+		case it.done || it.timeout != nil:
+		case o.CallOpen && c.remaining-c.timedOut > 1:
 			late := *o
 			late.CallOpen = false
-			it.late = &late
-			c.late++
+			it.timeout = &late
+			c.timedOut++
 		default:
-			e.outcome(it, o)
+			e.endAttempt(it, o)
 		}
 	}
-	if c.left > 0 && c.left == c.late { // the call has ended: now its timed-out items may be retried
+	if c.remaining > 0 && c.remaining == c.timedOut { // the call has ended: now its timed-out items may be retried
 		for _, it := range c.items {
-			if it.late != nil && !it.done {
-				e.outcome(it, it.late)
+			if it.timeout != nil && !it.done {
+				e.endAttempt(it, it.timeout)
 			}
 		}
 	}
-	e.over(c)
+	e.removeCall(c)
 }
 
-// outcome ends an attempt. It informs the module and, if the attempt never ran, the store.
-func (e *Engine) outcome(it *item, o *Outcome) {
+// endAttempt ends an attempt. It informs the module and, if the attempt never ran, the store.
+func (e *Engine) endAttempt(it *item, o *Outcome) {
 	m, c := it.message, it.call
 	it.done = true
-	e.bookOutcome(it, o.Result)
-	c.left--
-	m.tale.add(e, it, o)
-	first := !m.maybe.set
-	closed := m.phase != held
-	m.out = nil
+	e.postOutcome(it, o.Result)
+	c.remaining--
+	m.history.add(e, it, o)
+	first := !m.firstDoubt.set
+	closed := m.phase != dispatching
+	m.inFlight = nil
 	switch {
 	case o.Result == control.Unsent:
 		m.tries--
 	case !control.NeverRan(o.Result) && o.Result != control.OK && first:
-		m.maybe = instant{at: c.sent, zone: c.ep.zone, set: true}
-	case control.NeverRan(o.Result) && first && m.phase == held:
+		m.firstDoubt = attemptStart{at: c.sentAt, zone: c.endpoint.zone, set: true}
+	case control.NeverRan(o.Result) && first && m.phase == dispatching:
 		e.record(&RecNeverRan{ID: m.ID}, m)
 	}
 	if o.Result == control.OK || o.Closed {
@@ -239,11 +239,11 @@
 		if o.Closed {
 			how = Closed
 		}
-		e.bookDoubt(m, first)
+		e.postDoubt(m, first)
 		e.end(m, how, 0)
 		closed = true
-	} else if e.bookDoubt(m, first); o.Permanent && m.phase == held {
-		m.why = o.Reason
+	} else if e.postDoubt(m, first); o.Permanent && m.phase == dispatching {
+		m.reason = o.Reason
 		e.end(m, Failed, 0)
 		closed = true
 	}
@@ -252,48 +252,48 @@
 		at = e.now.At
 	}
 	if o.RetryAfter > 0 {
-		e.waitsAt(c.ep, c.addr, Time(o.RetryAfter.Microseconds()))
+		e.applyWait(c.endpoint, c.addr, Time(o.RetryAfter.Microseconds()))
 	}
-	e.tell(control.Event{
-		Kind: control.Outcome, Message: m.num, Attempt: it.attempt, Endpoint: c.ep.num, Result: o.Result, Closed: closed,
-		Latency: max(at-c.sent, 0), RetryAfter: Time(o.RetryAfter.Microseconds()), Report: o.LoadReport,
+	e.queueEvent(control.Event{
+		Kind: control.Outcome, Message: m.number, Attempt: it.attempt, Endpoint: c.endpoint.number, Result: o.Result, Closed: closed,
+		Latency: max(at-c.sentAt, 0), RetryAfter: Time(o.RetryAfter.Microseconds()), Report: o.LoadReport,
 	})
 }
 
-// over removes a call whose items all have outcomes.
-func (e *Engine) over(c *call) {
-	if c.left > 0 || e.byCall[c.id] == nil {
+// removeCall removes a call whose items all have outcomes.
+func (e *Engine) removeCall(c *call) {
+	if c.remaining > 0 || e.callByID[c.id] == nil {
 		return
 	}
-	delete(e.byCall, c.id)
-	c.ep.calls--
+	delete(e.callByID, c.id)
+	c.endpoint.calls--
 }
 
-// unsent rolls back a call whose attempts are not in the store: none was made.
-func (e *Engine) unsent(c *call) {
-	if e.byCall[c.id] == nil {
+// rollBackCall rolls back a call whose attempts are not in the store: none was made.
+func (e *Engine) rollBackCall(c *call) {
+	if e.callByID[c.id] == nil {
 		return
 	}
 	for _, it := range c.items {
 		if !it.done {
-			it.message.out = nil
-			e.outcome(it, &Outcome{Item: it.place, Result: control.Unsent})
+			it.message.inFlight = nil
+			e.endAttempt(it, &Outcome{Item: it.index, Result: control.Unsent})
 		}
-		e.soil(it.message)
+		e.markDirty(it.message)
 	}
-	e.over(c)
+	e.removeCall(c)
 }
 
-// cancel cancels an attempt.
-func (e *Engine) cancel(num control.MessageID, attempt int) {
-	if m := e.byNum[num]; m != nil && m.out != nil && m.out.attempt == attempt {
-		e.unwanted(m.out)
+// cancelAttempt cancels an attempt.
+func (e *Engine) cancelAttempt(num control.MessageID, attempt int) {
+	if m := e.messageByNumber[num]; m != nil && m.inFlight != nil && m.inFlight.attempt == attempt {
+		e.abandon(m.inFlight)
 	}
 }
 
-// unwanted stops waiting for an attempt. The call is aborted only if none of its items is wanted. Otherwise the attempt
+// abandon stops waiting for an attempt. The call is aborted only if none of its items is wanted. Otherwise the attempt
 // stays in flight at the endpoint, and its outcome comes when the call ends.
-func (e *Engine) unwanted(it *item) {
+func (e *Engine) abandon(it *item) {
 	c := it.call
 	it.cancelled = true
 	for _, o := range c.items {
--- a/engine/call_test.go
+++ b/engine/call_test.go
@@ -13,7 +13,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	calls := e.send(nil, control.Action{Kind: control.Send, Message: 7, Endpoint: 9})
+	calls := e.addAttempt(nil, control.Action{Kind: control.Send, Message: 7, Endpoint: 9})
 	if len(calls) != 0 || len(e.events) != 1 {
 		t.Fatalf("%d calls, %d events", len(calls), len(e.events))
 	}
--- a/engine/daemon_test.go
+++ b/engine/daemon_test.go
@@ -56,8 +56,8 @@
 		t.Error("an endpoint that a whole list leaves out is still used")
 	}
 	at(e, 0, &Ended{Call: c.ID, Outcomes: []Outcome{{Result: control.OK}, {Item: 1, Result: control.OK}}})
-	at(e, goneKept+2*seldom, &Wake{})
-	if len(e.all) != 0 || len(e.byID) != 0 || len(e.byNumber) != 0 {
+	at(e, goneRetention+2*cleanupInterval, &Wake{})
+	if len(e.allEndpoints) != 0 || len(e.endpointByID) != 0 || len(e.endpointByNumber) != 0 {
 		t.Error("what is gone and without calls is kept")
 	}
 }
@@ -87,7 +87,7 @@
 	}{
 		"nothing":     {func(*Engine, *Call) {}, []bool{true, true}},
 		"one is over": {func(e *Engine, _ *Call) { at(e, 0, &Withdraw{ID: "a"}) }, []bool{false, true}},
-		"called off":  {func(e *Engine, _ *Call) { e.cancel(e.byName["b"].num, 0) }, []bool{true, false}},
+		"called off":  {func(e *Engine, _ *Call) { e.cancelAttempt(e.messageByID["b"].number, 0) }, []bool{true, false}},
 		"out of time": {func(e *Engine, _ *Call) { at(e, 11*control.Second, &Notified{}) }, []bool{false, false}},
 		"draining":    {func(e *Engine, _ *Call) { list(e, Leaving) }, []bool{false, false}},
 		"gone":        {func(e *Engine, _ *Call) { list(e, Gone) }, []bool{false, false}},
@@ -113,23 +113,23 @@
 	t.Parallel()
 	e, _ := bench(t)
 	aborts := func(num control.MessageID, attempt int) (n int) {
-		e.out = e.out[:0]
-		e.cancel(num, attempt)
-		for _, f := range e.out {
+		e.effects = e.effects[:0]
+		e.cancelAttempt(num, attempt)
+		for _, f := range e.effects {
 			if _, ok := f.(*Abort); ok {
 				n++
 			}
 		}
 		return n
 	}
-	a, b := e.byName["a"], e.byName["b"]
-	if aborts(a.num, 0) != 0 || a.out == nil || len(e.events) != 0 {
+	a, b := e.messageByID["a"], e.messageByID["b"]
+	if aborts(a.number, 0) != 0 || a.inFlight == nil || len(e.events) != 0 {
 		t.Fatal("the call was ended, or the module told, for one of two")
 	}
-	if aborts(b.num, 1) != 0 {
+	if aborts(b.number, 1) != 0 {
 		t.Fatal("an attempt that is not out ended the call")
 	}
-	if aborts(b.num, 0) != 1 {
+	if aborts(b.number, 0) != 1 {
 		t.Error("nobody wants the call and it goes on")
 	}
 }
@@ -137,16 +137,16 @@
 func TestOutcomesReachTheModuleAndTheJournal(t *testing.T) {
 	t.Parallel()
 	e, c := bench(t)
-	b := e.byName["b"]
+	b := e.messageByID["b"]
 	at(e, 0, &Ended{Call: c.ID, Outcomes: []Outcome{{Item: 1, Result: control.Refused, RetryAfter: time.Second}}})
-	if ev := e.events[0]; ev.Result != control.Refused || ev.RetryAfter != control.Second || ev.Closed || ev.Message != b.num {
+	if ev := e.events[0]; ev.Result != control.Refused || ev.RetryAfter != control.Second || ev.Closed || ev.Message != b.number {
 		t.Errorf("event %+v", ev)
 	}
-	if b.doubtful().set || !e.byName["a"].doubtful().set || e.CallsOut() != 1 {
+	if b.firstPossibleRun().set || !e.messageByID["a"].firstPossibleRun().set || e.CallsOut() != 1 {
 		t.Error("the proof, or the other message's doubt, is not kept")
 	}
 	at(e, 0, &Ended{Call: c.ID, Outcomes: []Outcome{{Result: control.Moot, Closed: true}}})
-	if ev := e.events[1]; !ev.Closed || e.byName["a"] != nil || e.CallsOut() != 0 || e.OpenMessages() != 1 {
+	if ev := e.events[1]; !ev.Closed || e.messageByID["a"] != nil || e.CallsOut() != 0 || e.OpenMessages() != 1 {
 		t.Errorf("over: event %+v, %d held", ev, e.OpenMessages())
 	}
 }
@@ -174,7 +174,7 @@
 	if len(e.events) != 2 || e.events[0].Kind != control.Pause || !e.events[0].Paused || e.events[1].Result != control.Unsent {
 		t.Errorf("events %+v", e.events)
 	}
-	if e.CallsOut() != 0 || e.byName["a"].tries != 0 || slices.Contains(permit(e, call), true) {
+	if e.CallsOut() != 0 || e.messageByID["a"].tries != 0 || slices.Contains(permit(e, call), true) {
 		t.Error("the attempt counts, or may be written")
 	}
 	got := at(e, 0, &Submit{Message: Message{ID: "c", Class: "unsafe", Destination: 1}, ExpiresIn: 10 * control.Second})
@@ -186,23 +186,23 @@
 func TestStepsKeepToTheTick(t *testing.T) {
 	t.Parallel()
 	e, c := bench(t)
-	tick := e.set.Control.Tick
+	tick := e.settings.Control.Tick
 	at(e, tick+tick/3, &Ended{Call: c.ID, Outcomes: []Outcome{{Result: control.Errored}, {Item: 1, Result: control.Errored}}})
-	due, ok := e.due()
+	due, ok := e.nextStep()
 	if !ok || due%tick != 0 || due <= e.now.At || due > e.now.At+tick {
 		t.Errorf("due at %d of %d, %v", due, e.now.At, ok)
 	}
 	at(e, due-Epoch-1, &Wake{})
-	if e.stepped >= due {
+	if e.lastStep >= due {
 		t.Error("a Step before its tick")
 	}
 	at(e, due-Epoch, &Wake{})
-	e.tell(control.Event{Kind: control.Tick})
-	if next, ok := e.due(); e.stepped != due || !ok || next/tick <= e.stepped/tick {
-		t.Errorf("next at %d after a Step at %d", next, e.stepped)
+	e.queueEvent(control.Event{Kind: control.Tick})
+	if next, ok := e.nextStep(); e.lastStep != due || !ok || next/tick <= e.lastStep/tick {
+		t.Errorf("next at %d after a Step at %d", next, e.lastStep)
 	}
 	e.events, e.timers = nil, timers{}
-	if _, ok := e.due(); ok {
+	if _, ok := e.nextStep(); ok {
 		t.Error("a Step is due while idle")
 	}
 }
--- a/engine/effect.go
+++ b/engine/effect.go
@@ -30,7 +30,7 @@
 type Answer struct {
 	Ticket Ticket
 	Verdict
-	needs Batch
+	requiredBatch Batch
 }
 
 // Verdict is the decision on a Submit or a SubmitAll.
@@ -57,14 +57,14 @@
 
 // Call makes a call. The transport asks MayWrite after a dial, and reports each item's outcome once by Ended.
 type Call struct {
-	ID         CallID
-	Endpoint   control.Endpoint
-	EndpointID string // the endpoint's id
-	Addr       string // host:port
-	Kind       int    // the endpoint's kind, an index into the settings, -1 if unknown
-	Items      []Item
-	needs      Batch
-	one        [1]Item // backs Items if there is only one
+	ID            CallID
+	Endpoint      control.Endpoint
+	EndpointID    string // the endpoint's id
+	Addr          string // host:port
+	Kind          int    // the endpoint's kind, an index into the settings, -1 if unknown
+	Items         []Item
+	requiredBatch Batch
+	itemsBuffer   [1]Item // backs Items if there is only one
 }
 
 // CallID identifies a call.
@@ -103,12 +103,12 @@
 // Done is the result of a message. Each accepted message gets one. The client must be notified of Refused and Failed, and
 // a Notified event must confirm it; after a restart before that, the Done is repeated. Other results need no Notified.
 type Done struct {
-	ID          string
-	Disposition Disposition
-	InDoubt     bool          // the message may have taken effect
-	RetryAfter  time.Duration // for Refused: submit again after this time
-	Reason      string        // for Failed by Outcome.Permanent: the outcome's Reason, unless the process restarted since
-	needs       Batch
+	ID            string
+	Disposition   Disposition
+	InDoubt       bool          // the message may have taken effect
+	RetryAfter    time.Duration // for Refused: submit again after this time
+	Reason        string        // for Failed by Outcome.Permanent: the outcome's Reason, unless the process restarted since
+	requiredBatch Batch
 }
 
 // Disposition is how a message ended.
@@ -130,9 +130,9 @@
 // Provisional, the effect waits until the store has the counts it shows, so that no crash takes back counts that someone
 // has seen. Snapshot is nil if no ledger is kept, or if the ledger has not been restored yet.
 type LedgerSnapshot struct {
-	Ticket   Ticket
-	Snapshot *ledger.Snapshot
-	needs    Batch
+	Ticket        Ticket
+	Snapshot      *ledger.Snapshot
+	requiredBatch Batch
 }
 
 // Note is a log line for operators. The engine limits their number.
@@ -147,13 +147,13 @@
 
 func (*Append) RequiredBatch() Batch           { return 0 }
 func (*LedgerBreach) RequiredBatch() Batch     { return 0 }
-func (s *LedgerSnapshot) RequiredBatch() Batch { return s.needs }
+func (s *LedgerSnapshot) RequiredBatch() Batch { return s.requiredBatch }
 func (*Discard) RequiredBatch() Batch          { return 0 }
-func (e *Answer) RequiredBatch() Batch         { return e.needs }
-func (e *Call) RequiredBatch() Batch           { return e.needs }
+func (e *Answer) RequiredBatch() Batch         { return e.requiredBatch }
+func (e *Call) RequiredBatch() Batch           { return e.requiredBatch }
 func (*Permit) RequiredBatch() Batch           { return 0 }
 func (*Abort) RequiredBatch() Batch            { return 0 }
 func (*CloseIdle) RequiredBatch() Batch        { return 0 }
 func (*RemoveEndpoint) RequiredBatch() Batch   { return 0 }
-func (e *Done) RequiredBatch() Batch           { return e.needs }
+func (e *Done) RequiredBatch() Batch           { return e.requiredBatch }
 func (*Note) RequiredBatch() Batch             { return 0 }
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -7,53 +7,53 @@
 )
 
 const (
-	turnedAway = control.Second      // retry-after of a submission rejected for want of room, store or endpoint list
-	seldom     = 10 * control.Second // between two cleanups of ids and endpoints that are no longer needed
-	noteGap    = control.Second      // at least, between two notes of one kind
+	rejectedRetryAfter = control.Second      // retry-after of a submission rejected for want of room, store or endpoint list
+	cleanupInterval    = 10 * control.Second // between two cleanups of ids and endpoints that are no longer needed
+	noteInterval       = control.Second      // at least, between two notes of one kind
 
 	// Long work is split into parts, one per tick, so that nothing waits for it: a part takes less than a millisecond.
-	atOnce       = 500  // endpoints of a list, or endpoints or ids to remove, per part
-	timersAtOnce = 1000 // timers that fire per tick, or, if that is more,
-	timerParts   = 32   // this fraction of all timers, so that each message past its deadline ends within 32 ticks
+	maxPerPart       = 500  // endpoints of a list, or endpoints or ids to remove, per part
+	maxTimersPerPart = 1000 // timers that fire per tick, or, if that is more,
+	maxTimerParts    = 32   // this fraction of all timers, so that each message past its deadline ends within 32 ticks
 )
 
 // Engine holds one dispatcher's messages from their submission to their end. It is not safe for concurrent use.
 type Engine struct {
-	set Settings
-	mod *control.Dispatcher
-	now Now
-	out []Effect // of the event that is being handled
+	settings Settings
+	module   *control.Dispatcher
+	now      Now
+	effects  []Effect // of the event that is being handled
 
-	messages        // message.go
-	ids             // ids.go
-	calls           // call.go
-	members         // member.go
-	store           // store.go
-	books    *books // books.go; nil if no ledger is kept
+	messages              // message.go
+	ids                   // ids.go
+	calls                 // call.go
+	members               // member.go
+	store                 // store.go
+	ledger   *ledgerState // books.go; nil if no ledger is kept
 
-	events     []control.Event // for the decision module's next Step
-	actions    []control.Action
-	first      Time // when the Step that handles events is due
-	stepped    Time // time of the last Step
-	timers     timers
-	stopped    bool
-	tidied     Time
-	tidying    bool // more ids have to expire than fit into one part
-	forgetting bool // more endpoints have to be removed than fit into one part
-	noted      [noteKinds]Time
+	events            []control.Event // for the decision module's next Step
+	actions           []control.Action
+	stepDue           Time // when the Step that handles events is due
+	lastStep          Time // time of the last Step
+	timers            timers
+	stopped           bool
+	lastCleanup       Time
+	expiringIDs       bool // more ids have to expire than fit into one part
+	removingEndpoints bool // more endpoints have to be removed than fit into one part
+	lastNotes         [noteKinds]Time
 }
 
 // New returns an engine, or an error that names the invalid setting.
 func New(s Settings) (*Engine, error) {
-	if err := s.fill(); err != nil {
+	if err := s.setDefaults(); err != nil {
 		return nil, err
 	}
 	mod, err := control.New(s.Control, s.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("engine: %w", err)
 	}
-	e := &Engine{set: s, mod: mod, messages: newMessages(), ids: newIDs(), calls: newCalls(), members: newMembers()}
-	if e.books, err = newBooks(s.Ledger); err != nil {
+	e := &Engine{settings: s, module: mod, messages: newMessages(), ids: newIDs(), calls: newCalls(), members: newMembers()}
+	if e.ledger, err = newLedgerState(s.Ledger); err != nil {
 		return nil, fmt.Errorf("engine: setting Ledger: %w", err)
 	}
 	return e, nil
@@ -63,17 +63,17 @@
 // effects, but the slice is valid only until the next call. An Append comes before the effects that require it.
 func (e *Engine) Handle(now Now, ev Event) []Effect {
 	now.At = max(now.At, e.now.At)
-	e.out = e.out[:0]
-	e.clock(now)
-	if e.books != nil {
-		e.books.SetWallTime(int64(e.now.Wall))
+	e.effects = e.effects[:0]
+	e.updateClock(now)
+	if e.ledger != nil {
+		e.ledger.SetWallTime(int64(e.now.Wall))
 	}
-	e.begin()
+	e.beginBatch()
 	switch ev := ev.(type) {
 	case *Submit:
-		e.handIn(ev)
+		e.submit(ev)
 	case *SubmitAll:
-		e.handInAll(ev)
+		e.submitAll(ev)
 	case *Withdraw:
 		e.withdraw(ev.ID)
 	case *RestoredLedger:
@@ -83,16 +83,16 @@
 	case *RestoredEnd:
 		e.restoreEnd(ev)
 	case *RestoreComplete:
-		e.restoreBooks()
+		e.reconcileLedger()
 		e.restore(ev.LatestTimestamp)
 	case *Members:
-		e.tellMembers(ev)
+		e.receiveReport(ev)
 	case *Stored:
-		e.stored(ev.Batch)
+		e.batchesStored(ev.Batch)
 	case *StoreFailed:
-		e.failed(ev.Batch, ev.Full)
+		e.batchFailed(ev.Batch, ev.Full)
 	case *StoreLost:
-		e.lost(ev.LastKept)
+		e.batchesLost(ev.LastKept)
 	case *MayWrite:
 		e.mayWrite(ev.Call)
 	case *FirstLine:
@@ -100,47 +100,47 @@
 	case *Ended:
 		e.outcomes(ev)
 	case *Notified:
-		e.through(ev.IDs)
+		e.notified(ev.IDs)
 	case *RequestLedger:
-		e.ask(ev.Ticket)
+		e.snapshotLedger(ev.Ticket)
 	case *Stop:
 		e.stopped = true
-		if e.books != nil {
-			e.books.force = true
+		if e.ledger != nil {
+			e.ledger.writeLeaves = true
 		}
 	case *Fleet:
-		e.tell(control.Event{Kind: control.FleetSize, Instances: ev.Instances})
+		e.queueEvent(control.Event{Kind: control.FleetSize, Instances: ev.Instances})
 	case *Wake: // only Wake does this work, so that a batch that accepts a message holds nothing else
-		e.overdue()
-		e.letOn()
-		if at, ok := e.due(); ok && at <= e.now.At {
+		e.checkStore()
+		e.endWaits()
+		if at, ok := e.nextStep(); ok && at <= e.now.At {
 			e.step()
 		}
-		e.takeLists()
-		e.tidy()
+		e.processReports()
+		e.cleanUp()
 	}
-	e.sweep()
-	e.keepBooks()
-	e.commit()
-	return e.out
+	e.audit()
+	e.recordLedger()
+	e.commitBatch()
+	return e.effects
 }
 
 // NextWake returns when the engine wants to be woken if no other event comes.
 func (e *Engine) NextWake() (Time, bool) {
-	at, ok := e.due()
-	if t, waits := e.patience(); waits && (!ok || t < at) {
+	at, ok := e.nextStep()
+	if t, waits := e.nextStoreCheck(); waits && (!ok || t < at) {
 		at, ok = t, true
 	}
 	if !ok {
-		at = e.tidied + seldom
+		at = e.lastCleanup + cleanupInterval
 	}
-	for _, ep := range e.held {
-		at = min(at, ep.held)
+	for _, ep := range e.waitingEndpoints {
+		at = min(at, ep.waitUntil)
 	}
-	if t, ok := e.booksDue(); ok {
+	if t, ok := e.nextLedgerEvent(); ok {
 		at = min(at, t)
 	}
-	if soon := e.now.At + e.set.Control.Tick; soon < at && (e.tidying || e.forgetting || len(e.listings) > 0) {
+	if soon := e.now.At + e.settings.Control.Tick; soon < at && (e.expiringIDs || e.removingEndpoints || len(e.reports) > 0) {
 		at = soon
 	}
 	return at, true
@@ -152,18 +152,18 @@
 // Condition returns the condition of a destination and this dispatcher's share of its listed rate, in calls a second, 0
 // if none is listed. It changes nothing.
 func (e *Engine) Condition(dest int) (control.Condition, float64) {
-	if e.down || e.stopped || !e.isNamed(dest) {
+	if e.storeDown || e.stopped || !e.isNamed(dest) {
 		return control.Unavailable, 0
 	}
-	return e.mod.Condition(e.now.At, dest)
+	return e.module.Condition(e.now.At, dest)
 }
 
 // CallsOut is the number of calls out.
-func (e *Engine) CallsOut() int { return len(e.byCall) }
+func (e *Engine) CallsOut() int { return len(e.callByID) }
 
 // Endpoints is the number of endpoints that are known and not gone.
 func (e *Engine) Endpoints() (n int) {
-	for _, ep := range e.all {
+	for _, ep := range e.allEndpoints {
 		if ep.phase != Gone {
 			n++
 		}
@@ -171,48 +171,48 @@
 	return n
 }
 
-// due returns when the next Step is wanted. Steps come at multiples of the tick, so that all events of one tick are
+// nextStep returns when the next Step is wanted. Steps come at multiples of the tick, so that all events of one tick are
 // decided together and messages to one endpoint share a call.
-func (e *Engine) due() (Time, bool) {
+func (e *Engine) nextStep() (Time, bool) {
 	timer, waits := e.timers.next()
 	if e.stopped || len(e.events) == 0 && !waits {
 		return 0, false
 	}
-	tick := e.set.Control.Tick
-	at := e.first
+	tick := e.settings.Control.Tick
+	at := e.stepDue
 	if waits {
 		if t := (timer + tick - 1) / tick * tick; len(e.events) == 0 || t < at {
 			at = t
 		}
 	}
-	if e.set.Prompt && len(e.events) > 0 {
+	if e.settings.Prompt && len(e.events) > 0 {
 		return at, true
 	}
-	return max(at, (e.stepped/tick+1)*tick), true
+	return max(at, (e.lastStep/tick+1)*tick), true
 }
 
-// tell queues an event for the module's next Step.
-func (e *Engine) tell(ev control.Event) {
+// queueEvent queues an event for the module's next Step.
+func (e *Engine) queueEvent(ev control.Event) {
 	at := e.now.At
-	if !e.set.Prompt || e.open == 0 { // with no open message, nobody waits for the Step's decisions
-		at = (e.now.At/e.set.Control.Tick + 1) * e.set.Control.Tick
+	if !e.settings.Prompt || e.open == 0 { // with no open message, nobody waits for the Step's decisions
+		at = (e.now.At/e.settings.Control.Tick + 1) * e.settings.Control.Tick
 	}
-	if len(e.events) == 0 || at < e.first {
-		e.first = at
+	if len(e.events) == 0 || at < e.stepDue {
+		e.stepDue = at
 	}
 	e.events = append(e.events, ev)
 }
 
 // step runs one Step of the module and carries out its actions.
 func (e *Engine) step() {
-	e.stepped = e.now.At
-	for range max(timersAtOnce, len(e.timers.list)/timerParts) {
+	e.lastStep = e.now.At
+	for range max(maxTimersPerPart, len(e.timers.list)/maxTimerParts) {
 		t, ok := e.timers.pop(e.now.At)
 		if !ok {
 			break
 		}
-		if t.message != nil && t.message.phase == owing { // its deadline has passed and its end could not be recorded
-			e.tellAnyway(t.message)
+		if t.message != nil && t.message.phase == notifying { // its deadline has passed and its end could not be recorded
+			e.emitUnrecordedDone(t.message)
 			continue
 		}
 		e.events = append(e.events, control.Event{Kind: control.Tick, TimerID: t.mark})
@@ -220,24 +220,24 @@
 	for i := range e.events {
 		if ev := &e.events[i]; ev.Kind == control.Arrival { // durations count from now, after the wait for this Step
 			ev.TimeLeft = 0
-			if m := e.byNum[ev.Message]; m != nil {
+			if m := e.messageByNumber[ev.Message]; m != nil {
 				ev.TimeLeft = m.deadline - e.now.At
-				if m.maybe.set {
-					ev.DoubtAge, ev.DoubtZone = max(e.now.At-m.maybe.at, 1), m.maybe.zone
+				if m.firstDoubt.set {
+					ev.DoubtAge, ev.DoubtZone = max(e.now.At-m.firstDoubt.at, 1), m.firstDoubt.zone
 				}
 			}
 		}
 	}
-	e.actions = e.mod.Step(e.now.At, e.events, e.actions[:0])
+	e.actions = e.module.Step(e.now.At, e.events, e.actions[:0])
 	clear(e.events)
 	e.events = e.events[:0]
 	var calls []*call
 	for _, a := range e.actions {
 		switch a.Kind {
 		case control.Send:
-			calls = e.send(calls, a)
+			calls = e.addAttempt(calls, a)
 		case control.Refuse, control.Fail:
-			if m := e.byNum[a.Message]; m != nil {
+			if m := e.messageByNumber[a.Message]; m != nil {
 				how := Failed
 				if a.Kind == control.Refuse {
 					how = Refused
@@ -245,12 +245,12 @@
 				e.end(m, how, Duration(a.After))
 			}
 		case control.Cancel:
-			e.cancel(a.Message, a.Attempt)
+			e.cancelAttempt(a.Message, a.Attempt)
 		case control.Timer:
-			e.timers.push(timer{at: e.now.At + a.After, mark: a.TimerID}, e.byNum[a.Message])
+			e.timers.push(timer{at: e.now.At + a.After, mark: a.TimerID}, e.messageByNumber[a.Message])
 		case control.Close:
-			if ep := e.byNumber[a.Endpoint]; ep != nil {
-				e.effect(&CloseIdle{Endpoint: ep.num, Addr: ep.addr})
+			if ep := e.endpointByNumber[a.Endpoint]; ep != nil {
+				e.effect(&CloseIdle{Endpoint: ep.number, Addr: ep.addr})
 			}
 		case control.Note:
 			e.effect(&Note{Text: "module: " + a.Text})
@@ -260,7 +260,7 @@
 	e.launch(calls)
 }
 
-func (e *Engine) effect(f Effect) { e.out = append(e.out, f) }
+func (e *Engine) effect(f Effect) { e.effects = append(e.effects, f) }
 
 // Kinds of notes.
 const (
@@ -272,22 +272,22 @@
 
 // note logs a lasting fault for operators, at most once every noteInterval for each kind.
 func (e *Engine) note(kind int, format string, args ...any) {
-	if at := e.noted[kind]; at != 0 && e.now.At-at < noteGap {
+	if at := e.lastNotes[kind]; at != 0 && e.now.At-at < noteInterval {
 		return
 	}
-	e.noted[kind] = e.now.At
+	e.lastNotes[kind] = e.now.At
 	e.effect(&Note{Fault: true, Text: fmt.Sprintf(format, args...)})
 }
 
 // cleanUp removes ids and endpoints that are no longer needed, in parts.
-func (e *Engine) tidy() {
-	if e.now.At-e.tidied >= seldom {
-		e.tidied, e.tidying, e.forgetting = e.now.At, true, true
+func (e *Engine) cleanUp() {
+	if e.now.At-e.lastCleanup >= cleanupInterval {
+		e.lastCleanup, e.expiringIDs, e.removingEndpoints = e.now.At, true, true
 	}
-	if e.forgetting && len(e.listings) == 0 { // else the indexes into allEndpoints would shift
-		e.forgetting = e.forgetGone(atOnce)
+	if e.removingEndpoints && len(e.reports) == 0 { // else the indexes into allEndpoints would shift
+		e.removingEndpoints = e.removeGone(maxPerPart)
 	}
-	if e.tidying {
-		e.tidying = e.expire(atOnce)
+	if e.expiringIDs {
+		e.expiringIDs = e.expireIDs(maxPerPart)
 	}
 }
--- a/engine/event.go
+++ b/engine/event.go
@@ -83,7 +83,7 @@
 	DoubtZone int
 	Pending   *PendingResult // set if its end was decided and the client may not know yet; Message.Body may then be missing
 
-	acct *ledger.Account // set by the engine
+	account *ledger.Account // set by the engine
 }
 
 // PendingResult is the result of a message whose client has yet to be notified.
--- a/engine/gate.go
+++ b/engine/gate.go
@@ -3,8 +3,8 @@
 // Gate delays effects until the batches that they require are in the store. The driver passes every effect and every
 // answer of the store through one. The zero value is ready for use. It is not safe for concurrent use.
 type Gate struct {
-	stored Batch
-	held   []Effect // in the order of the batches that they require
+	stored  Batch
+	waiting []Effect // in the order of the batches that they require
 }
 
 // Pass appends to into the effects that may be carried out now, in order, and keeps the others.
@@ -16,7 +16,7 @@
 		case f.RequiredBatch() <= g.stored:
 			into = append(into, f)
 		default:
-			g.held = append(g.held, f)
+			g.waiting = append(g.waiting, f)
 		}
 	}
 	return into
@@ -26,24 +26,24 @@
 func (g *Gate) Stored(into []Effect, b Batch) []Effect {
 	g.stored = max(g.stored, b)
 	n := 0
-	for n < len(g.held) && g.held[n].RequiredBatch() <= b {
+	for n < len(g.waiting) && g.waiting[n].RequiredBatch() <= b {
 		n++
 	}
-	into = append(into, g.held[:n]...)
-	rest := copy(g.held, g.held[n:])
-	clear(g.held[rest:])
-	g.held = g.held[:rest]
+	into = append(into, g.waiting[:n]...)
+	rest := copy(g.waiting, g.waiting[n:])
+	clear(g.waiting[rest:])
+	g.waiting = g.waiting[:rest]
 	return into
 }
 
 // Failed drops the effects that wait for a batch that is not in the store and never will be.
 func (g *Gate) Failed(b Batch) {
-	kept := g.held[:0]
-	for _, f := range g.held {
+	kept := g.waiting[:0]
+	for _, f := range g.waiting {
 		if f.RequiredBatch() != b {
 			kept = append(kept, f)
 		}
 	}
-	clear(g.held[len(kept):])
-	g.held = kept
+	clear(g.waiting[len(kept):])
+	g.waiting = kept
 }
--- a/engine/gate_test.go
+++ b/engine/gate_test.go
@@ -22,7 +22,7 @@
 			t.Errorf("%s: %v pass, want %v", what, passed(got), want)
 		}
 	}
-	answer := func(ticket Ticket, needs Batch) Effect { return &Answer{Ticket: ticket, needs: needs} }
+	answer := func(ticket Ticket, needs Batch) Effect { return &Answer{Ticket: ticket, requiredBatch: needs} }
 	expect("new", g.Pass(nil, []Effect{answer(1, 0), answer(2, 1), answer(3, 0), answer(4, 2), answer(5, 2), answer(6, 4)}), 1, 3)
 	expect("too low", g.Stored(nil, 0))
 	expect("stored 1", g.Stored(nil, 1), 2)
@@ -34,7 +34,7 @@
 	expect("a lower number", g.Stored(nil, 1))
 	expect("below the highest", g.Pass(nil, []Effect{answer(8, 9), answer(9, 10)}), 8)
 	expect("stored 10", g.Stored(nil, 10), 9)
-	if len(g.held) != 0 {
-		t.Errorf("%d effects are kept for nothing", len(g.held))
+	if len(g.waiting) != 0 {
+		t.Errorf("%d effects are kept for nothing", len(g.waiting))
 	}
 }
--- a/engine/givenup.go
+++ b/engine/givenup.go
@@ -41,15 +41,15 @@
 	CauseDisplaced    Cause = "crowds" // it was shed in favour of other messages
 )
 
-// tale is the attempt history of a message, nil if undelivered messages are not kept.
-type tale struct {
-	resent   bool
-	attempts []Attempt
-	given    *Undelivered // without Body
+// attemptHistory is the attempt history of a message, nil if undelivered messages are not kept.
+type attemptHistory struct {
+	resent      bool
+	attempts    []Attempt
+	undelivered *Undelivered // without Body
 }
 
 // add adds an attempt that ended.
-func (t *tale) add(e *Engine, it *item, o *Outcome) {
+func (t *attemptHistory) add(e *Engine, it *item, o *Outcome) {
 	if t == nil || o.Result == control.Unsent {
 		return
 	}
@@ -57,53 +57,53 @@
 	if at == 0 {
 		at = e.now.At
 	}
-	t.attempts = append(t.attempts, attemptAt(it, at, o))
+	t.attempts = append(t.attempts, newAttempt(it, at, o))
 }
 
-func attemptAt(it *item, end Time, o *Outcome) Attempt {
-	a := Attempt{Sent: it.call.sent, End: end, Endpoint: it.call.ep.id, Addr: it.call.addr, Zone: it.call.ep.zone}
+func newAttempt(it *item, end Time, o *Outcome) Attempt {
+	a := Attempt{Sent: it.call.sentAt, End: end, Endpoint: it.call.endpoint.id, Addr: it.call.addr, Zone: it.call.endpoint.zone}
 	if o != nil {
 		a.Result, a.RetryAfter = o.Result, Time(o.RetryAfter.Microseconds())
 	}
 	return a
 }
 
-// again returns what a record that is written again contains.
-func (t *tale) again() *Undelivered {
+// rewritten returns what a record that is written again contains.
+func (t *attemptHistory) rewritten() *Undelivered {
 	if t == nil {
 		return nil
 	}
-	return t.given
+	return t.undelivered
 }
 
-// givenUp describes a message that is about to be refused or to fail, for the store of undelivered messages. It returns nil
+// undelivered describes a message that is about to be refused or to fail, for the store of undelivered messages. It returns nil
 // for other dispositions, or if undelivered messages are not kept.
-func (e *Engine) givenUp(m *message, how Disposition) *Undelivered {
-	if m.tale == nil || how != Refused && how != Failed {
+func (e *Engine) undelivered(m *message, how Disposition) *Undelivered {
+	if m.history == nil || how != Refused && how != Failed {
 		return nil
 	}
 	g := &Undelivered{
-		Message: m.Message, At: e.now.At, Reason: m.why, Tries: m.tries, Attempts: m.tale.attempts, CallsOverAt: e.now.At,
-		Resent: m.tale.resent,
+		Message: m.Message, At: e.now.At, Reason: m.reason, Tries: m.tries, Attempts: m.history.attempts, CallsOverAt: e.now.At,
+		Resent: m.history.resent,
 	}
-	if d := m.doubtful(); d.set {
+	if d := m.firstPossibleRun(); d.set {
 		g.DoubtAt, g.DoubtZone = max(d.at, 1), d.zone
 	}
-	if m.out != nil { // its call may go on until the last deadline of its items
-		g.Attempts = append(g.Attempts[:len(g.Attempts):len(g.Attempts)], attemptAt(m.out, 0, nil))
-		for _, it := range m.out.call.items {
-			g.CallsOverAt = max(g.CallsOverAt, it.due)
+	if m.inFlight != nil { // its call may go on until the last deadline of its items
+		g.Attempts = append(g.Attempts[:len(g.Attempts):len(g.Attempts)], newAttempt(m.inFlight, 0, nil))
+		for _, it := range m.inFlight.call.items {
+			g.CallsOverAt = max(g.CallsOverAt, it.deadline)
 		}
 	}
-	last := 2*e.set.Control.Tick + control.Millisecond
+	last := 2*e.settings.Control.Tick + control.Millisecond
 	switch {
 	case m.class == nil:
 		g.Cause = CauseUnknownClass
-	case m.why != "":
+	case m.reason != "":
 		g.Cause = CausePermanent
 	case e.now.At+last >= m.deadline:
 		g.Cause = CauseDeadline
-	case m.tries >= e.set.Control.MaxTries:
+	case m.tries >= e.settings.Control.MaxTries:
 		g.Cause = CauseTries
 	case g.DoubtAt != 0 && m.class.Effect != control.Free:
 		g.Cause = CauseDoubt
@@ -112,6 +112,6 @@
 	}
 	short := *g
 	short.Message.Body, short.Rewritten = nil, true
-	m.tale.given = &short
+	m.history.undelivered = &short
 	return g
 }
--- a/engine/givenup_test.go
+++ b/engine/givenup_test.go
@@ -112,7 +112,7 @@
 		if g.CallsOverAt < g.At || g.CallsOverAt > g.At+c.quiet || c.quiet > 0 && g.CallsOverAt != Epoch+5*control.Second {
 			t.Errorf("%s: given up at %d, quiet from %d on", name, g.At-Epoch, g.CallsOverAt-Epoch)
 		}
-		if m := k.e.byName["m"]; m == nil || m.tale.given == nil || m.tale.given.Message.Body != nil || !m.tale.given.Rewritten {
+		if m := k.e.messageByID["m"]; m == nil || m.history.undelivered == nil || m.history.undelivered.Message.Body != nil || !m.history.undelivered.Rewritten {
 			t.Errorf("%s: what it tells a second time is not as it should be", name)
 		}
 	}
--- a/engine/instant_test.go
+++ b/engine/instant_test.go
@@ -161,7 +161,7 @@
 	if r.told != r.taken || r.taken > 2 || r.taken == 2 && class == "unsafe" && result == control.Reset {
 		t.Fatalf("order %v: %d lives, %d ends told\n%s", order, r.taken, r.told, r.trace)
 	}
-	if left := replay(r.disk).live; len(left) > 0 || r.e.OpenMessages() != 0 || r.e.CallsOut() != 0 || r.e.owing != 0 {
-		t.Fatalf("order %v: the store holds %d, the engine %d, %d calls, %d owed\n%s", order, len(left), r.e.OpenMessages(), r.e.CallsOut(), r.e.owing, r.trace)
+	if left := replay(r.disk).live; len(left) > 0 || r.e.OpenMessages() != 0 || r.e.CallsOut() != 0 || r.e.notifying != 0 {
+		t.Fatalf("order %v: the store holds %d, the engine %d, %d calls, %d owed\n%s", order, len(left), r.e.OpenMessages(), r.e.CallsOut(), r.e.notifying, r.trace)
 	}
 }
--- a/engine/message.go
+++ b/engine/message.go
@@ -14,165 +14,165 @@
 // message is a message from its submission until its end is recorded and its client notified.
 type message struct {
 	Message
-	num      control.MessageID
-	class    *control.Class
-	classNo  int
-	tenant   int
-	print    uint64
-	deadline Time
-	since    Time // when this process got it
-	once     bool // its id need not be remembered after its end
-	phase    phase
-	tickets  []Ticket // storing: submissions that wait for the answer
-	anew     bool     // an earlier, ended message had its id ...
-	earlier  *ended   // ... which is remembered again if this one never gets into the store
-	dropped  bool     // storing: to be withdrawn once it is in the store
-	timer    int      // index plus 1 of its timer, 0 for none: the module's, or that of an end that is not recorded yet
+	number      control.MessageID
+	class       *control.Class
+	classIndex  int
+	tenantIndex int
+	fingerprint uint64
+	deadline    Time
+	addedAt     Time // when this process got it
+	uniqueID    bool // its id need not be remembered after its end
+	phase       phase
+	tickets     []Ticket      // storing: submissions that wait for the answer
+	reusesID    bool          // an earlier, ended message had its id ...
+	earlierEnd  *endedMessage // ... which is remembered again if this one never gets into the store
+	withdrawn   bool          // storing: to be withdrawn once it is in the store
+	timerIndex  int           // index plus 1 of its timer, 0 for none: the module's, or that of an end that is not recorded yet
 
 	// Its attempts so far. An attempt may have run from its record on, unless its outcome shows that it never ran.
-	tries int
-	maybe instant // the first attempt that may have run, among those whose outcome is known
-	out   *item   // the attempt that has no outcome yet
-
-	owed  PendingResult // notifying: the result
-	doubt bool          // notifying: it may have taken effect
-	why   string        // notifying: Done.Reason
-	told  bool          // notifying: Done was emitted ...
-	tell  Batch         // ... and requires this batch
-	tale  *tale         // nil if undelivered messages are not kept
-
-	acct  *ledger.Account // nil if no ledger is kept
-	from  *ledger.Key     // storing: the account of the undelivered message that it resends
-	swept uint32          // the last audit that counted it
-
-	account        // the state of its records in the store
-	before, behind *message
+	tries      int
+	firstDoubt attemptStart // the first attempt that may have run, among those whose outcome is known
+	inFlight   *item        // the attempt that has no outcome yet
+
+	pending     PendingResult   // notifying: the result
+	inDoubt     bool            // notifying: it may have taken effect
+	reason      string          // notifying: Done.Reason
+	doneEmitted bool            // notifying: Done was emitted ...
+	doneBatch   Batch           // ... and requires this batch
+	history     *attemptHistory // nil if undelivered messages are not kept
+
+	ledgerAccount *ledger.Account // nil if no ledger is kept
+	resentFrom    *ledger.Key     // storing: the account of the undelivered message that it resends
+	auditRound    uint32          // the last audit that counted it
+
+	recordState    // the state of its records in the store
+	previous, next *message
 }
 
 // phase is the progress of a message.
 type phase uint8
 
 const (
-	arriving phase = iota // its record is being written to the store
-	held                  // the decision module has it
-	owing                 // its end is decided, and its client has not confirmed the notification
-	over                  // it has ended and is no longer in the table
+	storing     phase = iota // its record is being written to the store
+	dispatching              // the decision module has it
+	notifying                // its end is decided, and its client has not confirmed the notification
+	finished                 // it has ended and is no longer in the table
 )
 
-// instant is when and to which zone an attempt was sent.
-type instant struct {
+// attemptStart is when and to which zone an attempt was sent.
+type attemptStart struct {
 	at   Time
 	zone int
 	set  bool
 }
 
-// doubtful returns the send of the first attempt that may have run, including the one in flight.
-func (m *message) doubtful() instant {
-	if !m.maybe.set && m.out != nil {
-		return instant{at: m.out.call.sent, zone: m.out.call.ep.zone, set: true}
+// firstPossibleRun returns the send of the first attempt that may have run, including the one in flight.
+func (m *message) firstPossibleRun() attemptStart {
+	if !m.firstDoubt.set && m.inFlight != nil {
+		return attemptStart{at: m.inFlight.call.sentAt, zone: m.inFlight.call.endpoint.zone, set: true}
 	}
-	return m.maybe
+	return m.firstDoubt
 }
 
 // messages holds all messages that have not ended, by id, by number and in the order of acceptance.
 type messages struct {
-	byName      map[string]*message
-	byNum       map[control.MessageID]*message
-	oldest, new *message
-	lastNum     control.MessageID
-	open        int // storing or dispatching
-	owing       int
-	bytes       int                   // of the bodies of open messages
-	ends        [Withdrawn + 1]uint64 // number of ended messages by disposition
-	restoring   []*RestoredMessage
+	messageByID                  map[string]*message
+	messageByNumber              map[control.MessageID]*message
+	oldestMessage, newestMessage *message
+	lastNumber                   control.MessageID
+	open                         int // storing or dispatching
+	notifying                    int
+	bodyBytes                    int                   // of the bodies of open messages
+	endCounts                    [Withdrawn + 1]uint64 // number of ended messages by disposition
+	restoring                    []*RestoredMessage
 }
 
 func newMessages() messages {
-	return messages{byName: map[string]*message{}, byNum: map[control.MessageID]*message{}}
+	return messages{messageByID: map[string]*message{}, messageByNumber: map[control.MessageID]*message{}}
 }
 
-// add adds a message to the table and gives it a new number.
-func (l *messages) add(m *message) {
-	l.lastNum++
-	m.num = l.lastNum
-	l.byName[m.ID], l.byNum[m.num] = m, m
-	if m.before = l.new; l.new != nil {
-		l.new.behind = m
+// addMessage adds a message to the table and gives it a new number.
+func (l *messages) addMessage(m *message) {
+	l.lastNumber++
+	m.number = l.lastNumber
+	l.messageByID[m.ID], l.messageByNumber[m.number] = m, m
+	if m.previous = l.newestMessage; l.newestMessage != nil {
+		l.newestMessage.next = m
 	} else {
-		l.oldest = m
+		l.oldestMessage = m
 	}
-	l.new = m
+	l.newestMessage = m
 	l.open++
-	l.bytes += len(m.Body)
+	l.bodyBytes += len(m.Body)
 }
 
-// close counts a message as no longer open and frees its body. The message stays in the table.
-func (l *messages) close(m *message) {
+// closeMessage counts a message as no longer open and frees its body. The message stays in the table.
+func (l *messages) closeMessage(m *message) {
 	l.open--
-	l.bytes -= len(m.Body)
+	l.bodyBytes -= len(m.Body)
 	m.Body = nil
 }
 
-// remove removes a message from the table.
-func (l *messages) remove(m *message) {
-	m.phase = over
-	delete(l.byName, m.ID)
-	delete(l.byNum, m.num)
-	if m.before != nil {
-		m.before.behind = m.behind
+// removeMessage removes a message from the table.
+func (l *messages) removeMessage(m *message) {
+	m.phase = finished
+	delete(l.messageByID, m.ID)
+	delete(l.messageByNumber, m.number)
+	if m.previous != nil {
+		m.previous.next = m.next
 	} else {
-		l.oldest = m.behind
+		l.oldestMessage = m.next
 	}
-	if m.behind != nil {
-		m.behind.before = m.before
+	if m.next != nil {
+		m.next.previous = m.previous
 	} else {
-		l.new = m.before
+		l.newestMessage = m.previous
 	}
-	m.before, m.behind = nil, nil
+	m.previous, m.next = nil, nil
 }
 
 // ---- submission ----
 
-func (e *Engine) handIn(h *Submit) {
-	m, v := e.judge(h, room{})
+func (e *Engine) submit(h *Submit) {
+	m, v := e.decide(h, reservation{})
 	if m != nil {
-		e.answer(h.Ticket, v, e.take(h.Ticket, m))
+		e.answer(h.Ticket, v, e.accept(h.Ticket, m))
 		return
 	}
-	old := e.byName[h.Message.ID]
-	if v.Kind == Accepted && old != nil && old.phase == arriving {
+	old := e.messageByID[h.Message.ID]
+	if v.Kind == Accepted && old != nil && old.phase == storing {
 		old.tickets = append(old.tickets, h.Ticket)
-		e.answer(h.Ticket, v, old.taken)
+		e.answer(h.Ticket, v, old.firstBatch)
 		return
 	}
 	e.answer(h.Ticket, v, 0)
 }
 
 // submitAll accepts all messages or none.
-func (e *Engine) handInAll(h *SubmitAll) {
+func (e *Engine) submitAll(h *SubmitAll) {
 	var list []*message
-	var group room
+	var group reservation
 	worst := Verdict{Kind: Accepted}
 	for i := range h.Submissions {
 		one := &h.Submissions[i]
 		var v Verdict
 		if at := slices.IndexFunc(list, func(o *message) bool { return o.ID == one.Message.ID }); at >= 0 {
-			if v = conflict; sameMessage(list[at].print, one.Message.Fingerprint()) {
+			if v = conflict; sameMessage(list[at].fingerprint, one.Message.Fingerprint()) {
 				continue
 			}
 		} else {
 			var m *message
-			m, v = e.judge(one, group)
+			m, v = e.decide(one, group)
 			if m != nil {
 				list = append(list, m)
 				group.messages++
 				group.bytes += len(m.Body)
-			} else if old := e.byName[one.Message.ID]; v.Kind == Accepted && old != nil && old.phase == arriving {
+			} else if old := e.messageByID[one.Message.ID]; v.Kind == Accepted && old != nil && old.phase == storing {
 				// Its record is in a batch of its own, which may fail: one answer would depend on two batches.
-				v = Verdict{Kind: Busy, RetryAfter: Duration(turnedAway), Reason: "id: its message is on its way to the store"}
+				v = Verdict{Kind: Busy, RetryAfter: Duration(rejectedRetryAfter), Reason: "id: its message is on its way to the store"}
 			}
 		}
-		if v.Kind != Accepted && (worst.Kind == Accepted || lasting(v.Kind) && !lasting(worst.Kind)) {
+		if v.Kind != Accepted && (worst.Kind == Accepted || permanent(v.Kind) && !permanent(worst.Kind)) {
 			worst = v
 		}
 	}
@@ -180,128 +180,128 @@
 	if worst.Kind == Accepted {
 		for i, m := range list {
 			if i == 0 { // all are in one batch, so the ticket of one answers for all
-				b = e.take(h.Ticket, m)
+				b = e.accept(h.Ticket, m)
 			} else {
-				e.take(0, m)
+				e.accept(0, m)
 			}
 		}
 	}
 	e.answer(h.Ticket, worst, b)
 }
 
-// lasting reports whether submitting the same again would get the same verdict.
-func lasting(k VerdictKind) bool { return k == Conflict || k == AlreadyEnded || k == Invalid }
+// permanent reports whether submitting the same again would get the same verdict.
+func permanent(k VerdictKind) bool { return k == Conflict || k == AlreadyEnded || k == Invalid }
 
 var conflict = Verdict{Kind: Conflict, Reason: "id: another message has it"}
 
 func (e *Engine) answer(t Ticket, v Verdict, needs Batch) {
-	e.effect(&Answer{Ticket: t, Verdict: v, needs: needs})
+	e.effect(&Answer{Ticket: t, Verdict: v, requiredBatch: needs})
 }
 
-// room is what the messages take that would be accepted in the same batch.
-type room struct{ messages, bytes int }
+// reservation is what the messages take that would be accepted in the same batch.
+type reservation struct{ messages, bytes int }
 
-// judge decides on a submission. It returns a message only if a new one is to be accepted.
-func (e *Engine) judge(h *Submit, with room) (*message, Verdict) {
+// decide decides on a submission. It returns a message only if a new one is to be accepted.
+func (e *Engine) decide(h *Submit, with reservation) (*message, Verdict) {
 	no := func(kind VerdictKind, why string) (*message, Verdict) {
 		v := Verdict{Kind: kind, Reason: why}
 		if kind == Busy || kind == UnknownDestination {
-			v.RetryAfter = Duration(turnedAway)
+			v.RetryAfter = Duration(rejectedRetryAfter)
 		}
-		if past := e.ended.byID[h.Message.ID]; past != nil && kind == Accepted {
-			v.Disposition = past.how
+		if past := e.endedIDs.byID[h.Message.ID]; past != nil && kind == Accepted {
+			v.Disposition = past.disposition
 		}
 		return nil, v
 	}
-	m, why := e.message(h)
+	m, why := e.newMessage(h)
 	if why != "" {
 		return no(Invalid, why)
 	}
-	if old := e.byName[m.ID]; old != nil {
+	if old := e.messageByID[m.ID]; old != nil {
 		switch {
-		case !sameMessage(old.print, m.print):
+		case !sameMessage(old.fingerprint, m.fingerprint):
 			return nil, conflict
-		case old.phase == arriving && old.dropped:
+		case old.phase == storing && old.withdrawn:
 			return no(Busy, "id: a message of it is being taken back")
-		case old.phase == owing && e.set.Prompt: // Done was emitted once; a client that waits for it would wait for ever
-			return nil, Verdict{Kind: Accepted, Disposition: old.owed.Disposition, RetryAfter: old.owed.RetryAfter}
+		case old.phase == notifying && e.settings.Prompt: // Done was emitted once; a client that waits for it would wait for ever
+			return nil, Verdict{Kind: Accepted, Disposition: old.pending.Disposition, RetryAfter: old.pending.RetryAfter}
 		}
 		return no(Accepted, "") // a client that lost the response repeated its request
 	}
-	if old := e.ended.byID[m.ID]; old != nil {
-		m.anew, m.earlier = true, old
+	if old := e.endedIDs.byID[m.ID]; old != nil {
+		m.reusesID, m.earlierEnd = true, old
 		switch {
-		case old.out != nil && !old.out.done:
+		case old.inFlight != nil && !old.inFlight.done:
 			return no(Busy, "id: an attempt of its earlier life is still out") // a new attempt would be a second copy
-		case old.free:
-		case !sameMessage(old.print, m.print):
+		case old.reusable:
+		case !sameMessage(old.fingerprint, m.fingerprint):
 			return no(Conflict, "id: another message had it")
-		case old.how == Delivered || old.how == Closed:
+		case old.disposition == Delivered || old.disposition == Closed:
 			return no(Accepted, "") // a client that lost the response repeated its request
-		case old.how != Refused:
+		case old.disposition != Refused:
 			return no(AlreadyEnded, "id: its message ended, and may have taken effect")
-		case e.now.At <= old.due: // the client was told when to submit it again, with a new id
+		case e.now.At <= old.deadline: // the client was told when to submit it again, with a new id
 			return no(Busy, "id: its message was handed back a moment ago")
 		}
 		if !e.inStore(old) { // if the end were recorded late, it would end the new message in the store
 			return no(Busy, "id: the end of its earlier life is on its way to the store")
 		}
 	}
-	if e.set.CheckUndelivered != nil && !h.Resent {
-		if kind, why := e.set.CheckUndelivered(&m.Message); kind != Accepted {
+	if e.settings.CheckUndelivered != nil && !h.Resent {
+		if kind, why := e.settings.CheckUndelivered(&m.Message); kind != Accepted {
 			return no(kind, why)
 		}
 	}
 	switch {
-	case len(e.named) == 0:
+	case len(e.namedDestinations) == 0:
 		return no(Busy, "no list of endpoints is at hand yet")
 	case !e.isNamed(m.Destination):
 		return no(UnknownDestination, fmt.Sprintf("destination %d: no list names it yet", m.Destination))
-	case e.open+with.messages >= e.set.Control.MaxOpen:
+	case e.open+with.messages >= e.settings.Control.MaxOpen:
 		return no(Busy, "holding as many messages as it may")
-	case e.bytes+with.bytes+len(m.Body) > e.set.MaxBytes:
+	case e.bodyBytes+with.bytes+len(m.Body) > e.settings.MaxBytes:
 		return no(Busy, "no memory is left for bodies")
-	case !e.roomForID(with.messages):
+	case !e.hasRoomForID(with.messages):
 		return no(Busy, "as many messages as may be remembered ended of late")
-	case e.down:
+	case e.storeDown:
 		return no(Busy, "the store takes nothing")
 	}
 	return m, Verdict{Kind: Accepted}
 }
 
 // accept writes a message to the store and returns its batch.
-func (e *Engine) take(t Ticket, m *message) Batch {
-	e.ended.remove(m.earlier)
-	e.add(m)
-	e.books.added(m)
-	m.phase = arriving
+func (e *Engine) accept(t Ticket, m *message) Batch {
+	e.endedIDs.remove(m.earlierEnd)
+	e.addMessage(m)
+	e.ledger.messageAdded(m)
+	m.phase = storing
 	if t != 0 {
 		m.tickets = append(m.tickets, t)
 	}
-	e.bookTaking(m)
-	if !e.set.HasStore {
-		e.bookTaken(m)
-		e.admit(m, false)
+	e.awaitAcceptance(m)
+	if !e.settings.HasStore {
+		e.postAcceptance(m)
+		e.enqueue(m, false)
 		return 0
 	}
-	m.taken = e.record(&RecAccepted{Message: m.Message, Deadline: e.stamp(m.deadline)}, m)
-	if m.maybe.set {
-		e.record(&RecState{ID: m.ID, DoubtAt: e.stamp(m.maybe.at), DoubtZone: m.maybe.zone, Settled: true}, m)
+	m.firstBatch = e.record(&RecAccepted{Message: m.Message, Deadline: e.timestamp(m.deadline)}, m)
+	if m.firstDoubt.set {
+		e.record(&RecState{ID: m.ID, DoubtAt: e.timestamp(m.firstDoubt.at), DoubtZone: m.firstDoubt.zone, Settled: true}, m)
 	}
-	return m.taken
+	return m.firstBatch
 }
 
 // newMessage checks a submission; reason names the invalid field.
-func (e *Engine) message(h *Submit) (m *message, why string) {
-	m = &message{Message: h.Message, since: e.now.At, classNo: -1, tenant: -1}
-	for i := range e.set.Control.Classes {
-		if e.set.Control.Classes[i].Name == m.Class {
-			m.class, m.classNo = &e.set.Control.Classes[i], i
+func (e *Engine) newMessage(h *Submit) (m *message, why string) {
+	m = &message{Message: h.Message, addedAt: e.now.At, classIndex: -1, tenantIndex: -1}
+	for i := range e.settings.Control.Classes {
+		if e.settings.Control.Classes[i].Name == m.Class {
+			m.class, m.classIndex = &e.settings.Control.Classes[i], i
 		}
 	}
-	for i := range e.set.Control.Tenants {
-		if e.set.Control.Tenants[i].Name == m.Tenant {
-			m.tenant = i
+	for i := range e.settings.Control.Tenants {
+		if e.settings.Control.Tenants[i].Name == m.Tenant {
+			m.tenantIndex = i
 		}
 	}
 	switch {
@@ -309,7 +309,7 @@
 		return nil, "id: missing"
 	case m.class == nil:
 		return nil, fmt.Sprintf("class: %q is unknown", m.Class)
-	case m.tenant < 0 && len(e.set.Control.Tenants) > 0:
+	case m.tenantIndex < 0 && len(e.settings.Control.Tenants) > 0:
 		return nil, fmt.Sprintf("tenant: %q is unknown", m.Tenant)
 	case m.Destination < 0 || m.Destination > math.MaxUint16:
 		return nil, fmt.Sprintf("destination: %d is out of range", m.Destination)
@@ -318,26 +318,26 @@
 	case h.ExpiresIn <= 0:
 		return nil, "expiry: no time is left"
 	}
-	if m.once = h.UniqueID && !e.set.HasStore; !m.once { // otherwise nobody submits its id again
-		m.print = m.Fingerprint()
+	if m.uniqueID = h.UniqueID && !e.settings.HasStore; !m.uniqueID { // otherwise nobody submits its id again
+		m.fingerprint = m.Fingerprint()
 	}
 	// Past the class's deadline a message gains nothing by waiting on: it would only take up room.
 	m.deadline = e.now.At + min(h.ExpiresIn, m.class.Deadline)
 	if h.DoubtAge > 0 {
-		m.maybe = instant{at: e.now.At - h.DoubtAge, zone: h.DoubtZone, set: true}
+		m.firstDoubt = attemptStart{at: e.now.At - h.DoubtAge, zone: h.DoubtZone, set: true}
 	}
-	if e.set.CheckUndelivered != nil {
-		m.tale = &tale{resent: h.Resent}
+	if e.settings.CheckUndelivered != nil {
+		m.history = &attemptHistory{resent: h.Resent}
 	}
-	m.from = h.ResentFrom
+	m.resentFrom = h.ResentFrom
 	return m, ""
 }
 
-// admit passes a message that is in the store to the module. The Step adds what depends on the time.
-func (e *Engine) admit(m *message, restored bool) {
-	m.phase, m.tickets, m.earlier = held, nil, nil
+// enqueue passes a message that is in the store to the module. The Step adds what depends on the time.
+func (e *Engine) enqueue(m *message, restored bool) {
+	m.phase, m.tickets, m.earlierEnd = dispatching, nil, nil
 	ev := control.Event{
-		Kind: control.Arrival, Message: m.num, Class: m.classNo, Tenant: m.tenant, Destination: m.Destination, Tries: m.tries,
+		Kind: control.Arrival, Message: m.number, Class: m.classIndex, Tenant: m.tenantIndex, Destination: m.Destination, Tries: m.tries,
 		Restored: restored,
 	}
 	if m.class.InOrder && m.Key != "" {
@@ -345,8 +345,8 @@
 		h.Write([]byte(m.Key))
 		ev.Key = max(h.Sum64(), 1) // 0 is no key
 	}
-	ev.Resent = m.tale != nil && m.tale.resent
-	e.tell(ev)
+	ev.Resent = m.history != nil && m.history.resent
+	e.queueEvent(ev)
 }
 
 // ---- restart ----
@@ -355,66 +355,66 @@
 func (e *Engine) restore(written Timestamp) {
 	// If the clock shows less than the records, ages are unknown: whatever may have run counts as outside its key's window.
 	// No time counts as passed since the last record, so that no message gets more time than it had then.
-	behind := e.now.Wall < written-Timestamp(steppedOver)
+	behind := e.now.Wall < written-Timestamp(clockTolerance)
 	var by Timestamp
 	if behind {
 		by = e.now.Wall - written
-		e.shift += Time(by)
-		e.recordShift()
+		e.clockStep += Time(by)
+		e.recordClockStep()
 	}
-	if len(e.restoring) > 0 || e.ended.len() > 0 || written > 0 {
-		e.tell(control.Event{Kind: control.Restarted})
+	if len(e.restoring) > 0 || e.endedIDs.len() > 0 || written > 0 {
+		e.queueEvent(control.Event{Kind: control.Restarted})
 	}
 	for _, r := range e.restoring {
-		m, _ := e.message(&Submit{Message: r.Message, ExpiresIn: 1})
+		m, _ := e.newMessage(&Submit{Message: r.Message, ExpiresIn: 1})
 		if m == nil { // its class or tenant is no longer in the settings, so the module can't handle it
-			m = &message{Message: r.Message, since: e.now.At, tenant: -1, classNo: -1}
-			m.print = m.Fingerprint()
+			m = &message{Message: r.Message, addedAt: e.now.At, tenantIndex: -1, classIndex: -1}
+			m.fingerprint = m.Fingerprint()
 		}
-		m.tries, m.phase = r.Tries, held
-		m.taken, m.last = restored, restored
+		m.tries, m.phase = r.Tries, dispatching
+		m.firstBatch, m.lastBatch = restoredBatch, restoredBatch
 		left := Time(r.Deadline + by - e.now.Wall)
 		if m.class != nil {
 			left = min(left, m.class.Deadline)
 		}
 		m.deadline = e.now.At + left
 		if r.DoubtAt != 0 {
-			age := Time(e.now.Wall-r.DoubtAt) + steppedOver
+			age := Time(e.now.Wall-r.DoubtAt) + clockTolerance
 			if behind || age < 0 {
 				age = e.now.At // longer than any key's window
 			}
-			m.maybe = instant{at: e.now.At - age, zone: r.DoubtZone, set: true}
+			m.firstDoubt = attemptStart{at: e.now.At - age, zone: r.DoubtZone, set: true}
 		}
-		if e.byName[m.ID] != nil {
+		if e.messageByID[m.ID] != nil {
 			continue // a store reports each message once; a duplicate would never end
 		}
-		e.add(m)
-		e.books.added(m)
-		if e.books != nil {
-			m.acct = r.acct
+		e.addMessage(m)
+		e.ledger.messageAdded(m)
+		if e.ledger != nil {
+			m.ledgerAccount = r.account
 		}
-		e.name(m.Destination)
-		if m.tale == nil && e.set.CheckUndelivered != nil {
-			m.tale = &tale{}
+		e.nameDestination(m.Destination)
+		if m.history == nil && e.settings.CheckUndelivered != nil {
+			m.history = &attemptHistory{}
 		}
 		switch {
 		case r.Pending != nil:
-			m.print &^= bodyPrint // the store need not keep the body if the result is pending
-			e.close(m)
-			m.phase, m.owed, m.doubt, m.print = owing, *r.Pending, m.maybe.set, r.Pending.Fingerprint
-			e.owing++
-			e.effect(e.done(m, 0))
+			m.fingerprint &^= bodyMask // the store need not keep the body if the result is pending
+			e.closeMessage(m)
+			m.phase, m.pending, m.inDoubt, m.fingerprint = notifying, *r.Pending, m.firstDoubt.set, r.Pending.Fingerprint
+			e.notifying++
+			e.effect(e.doneEffect(m, 0))
 		case m.class == nil:
 			e.effect(&Note{Fault: true, Text: "a message's class is unknown, and it is given up", Message: m.ID, Class: m.Class})
 			how := Refused
-			if m.maybe.set {
+			if m.firstDoubt.set {
 				how = Failed
 			}
 			e.end(m, how, 0)
 		default:
-			e.admit(m, true)
-			if m.maybe.set && m.class.Effect == control.Guarded {
-				e.soil(m) // record its age as used now; otherwise the error of timestamps would add up over restarts
+			e.enqueue(m, true)
+			if m.firstDoubt.set && m.class.Effect == control.Guarded {
+				e.markDirty(m) // record its age as used now; otherwise the error of timestamps would add up over restarts
 			}
 		}
 	}
@@ -428,86 +428,86 @@
 // on a message that has ended.
 func (e *Engine) end(m *message, how Disposition, again time.Duration) {
 	switch m.phase {
-	case arriving: // before it is in the store, nobody can know that it was accepted
-		m.dropped = true
+	case storing: // before it is in the store, nobody can know that it was accepted
+		m.withdrawn = true
 		return
-	case owing, over:
+	case notifying, finished:
 		return
 	}
 	e.timers.drop(m)
-	given := e.givenUp(m, how)
-	e.books.leaves(m)
-	e.close(m)
-	e.ends[how]++
-	e.bookEnd(m, how)
-	m.doubt = how != Delivered && m.doubtful().set
+	given := e.undelivered(m, how)
+	e.ledger.messageClosed(m)
+	e.closeMessage(m)
+	e.endCounts[how]++
+	e.postEnd(m, how)
+	m.inDoubt = how != Delivered && m.firstPossibleRun().set
 	if how == Refused || how == Failed {
-		m.phase, m.owed = owing, PendingResult{Disposition: how, RetryAfter: again, Fingerprint: m.print}
-		e.owing++
-		b := e.record(&RecPendingResult{ID: m.ID, PendingResult: m.owed, Undelivered: given}, m)
-		e.effect(e.done(m, b))
+		m.phase, m.pending = notifying, PendingResult{Disposition: how, RetryAfter: again, Fingerprint: m.fingerprint}
+		e.notifying++
+		b := e.record(&RecPendingResult{ID: m.ID, PendingResult: m.pending, Undelivered: given}, m)
+		e.effect(e.doneEffect(m, b))
 		return
 	}
 	past := e.conclude(m, how)
-	done := &Done{ID: m.ID, Disposition: how, InDoubt: m.doubt, needs: e.needs()}
+	done := &Done{ID: m.ID, Disposition: how, InDoubt: m.inDoubt, requiredBatch: e.currentBatch()}
 	if past != nil {
-		past.done = done
+		past.pendingDone = done
 	}
 	e.effect(done)
 }
 
-// done returns the effect that reports a pending result.
-func (e *Engine) done(m *message, b Batch) *Done {
-	m.told, m.tell = true, b
-	return &Done{ID: m.ID, Disposition: m.owed.Disposition, InDoubt: m.doubt, RetryAfter: m.owed.RetryAfter, Reason: m.why, needs: b}
+// doneEffect returns the effect that reports a pending result.
+func (e *Engine) doneEffect(m *message, b Batch) *Done {
+	m.doneEmitted, m.doneBatch = true, b
+	return &Done{ID: m.ID, Disposition: m.pending.Disposition, InDoubt: m.inDoubt, RetryAfter: m.pending.RetryAfter, Reason: m.reason, requiredBatch: b}
 }
 
 // conclude records that a message has ended with no notification pending. Its id is remembered for a while, unless nobody
 // else can submit it: then it is forgotten at once, and conclude returns nil.
-func (e *Engine) conclude(m *message, how Disposition) *ended {
-	e.books.removed(m)
-	if m.once {
-		e.remove(m)
+func (e *Engine) conclude(m *message, how Disposition) *endedMessage {
+	e.ledger.messageRemoved(m)
+	if m.uniqueID {
+		e.removeMessage(m)
 		return nil
 	}
-	past := &ended{id: m.ID, how: how, print: m.print, due: m.deadline, out: m.out}
-	past.until = max(past.due, e.now.At) + e.remember(m.classNo)
+	past := &endedMessage{id: m.ID, disposition: how, fingerprint: m.fingerprint, deadline: m.deadline, inFlight: m.inFlight}
+	past.forgetAt = max(past.deadline, e.now.At) + e.rememberTime(m.classIndex)
 	past.harmless = m.class != nil && m.class.Effect == control.Free
-	if how == Refused && m.doubt && !past.harmless {
-		past.how = Failed // for a late repetition of the id: only the client knows its key's window
+	if how == Refused && m.inDoubt && !past.harmless {
+		past.disposition = Failed // for a late repetition of the id: only the client knows its key's window
 	}
-	e.remove(m)
-	if how == Withdrawn && !m.doubt { // it never ran
-		past.harmless, past.free = true, true
+	e.removeMessage(m)
+	if how == Withdrawn && !m.inDoubt { // it never ran
+		past.harmless, past.reusable = true, true
 	}
-	e.ended.add(past)
+	e.endedIDs.add(past)
 	e.record(past.record(e), past)
 	return past
 }
 
 // notified concludes the messages whose clients have been notified.
-func (e *Engine) through(list []string) {
+func (e *Engine) notified(list []string) {
 	for _, id := range list {
-		m := e.byName[id]
-		if m == nil || m.phase != owing {
+		m := e.messageByID[id]
+		if m == nil || m.phase != notifying {
 			continue
 		}
 		e.timers.drop(m)
-		e.owing--
-		e.conclude(m, m.owed.Disposition)
+		e.notifying--
+		e.conclude(m, m.pending.Disposition)
 	}
 }
 
 // withdraw ends a message at its client's request.
 func (e *Engine) withdraw(id string) {
-	m := e.byName[id]
+	m := e.messageByID[id]
 	if m == nil {
 		return
 	}
-	if m.phase == held {
-		e.tell(control.Event{Kind: control.Withdrawn, Message: m.num})
-		if m.out != nil {
-			e.unwanted(m.out)
+	if m.phase == dispatching {
+		e.queueEvent(control.Event{Kind: control.Withdrawn, Message: m.number})
+		if m.inFlight != nil {
+			e.abandon(m.inFlight)
 		}
 	}
 	e.end(m, Withdrawn, 0)
--- a/engine/pause_test.go
+++ b/engine/pause_test.go
@@ -48,13 +48,13 @@
 	e := bigEngine(t, n)
 	now := Now{At: Epoch, Wall: testWall}
 	ticks := func(most int) (took int) {
-		for len(e.listings) > 0 && took <= most {
-			now.At += e.set.Control.Tick
+		for len(e.reports) > 0 && took <= most {
+			now.At += e.settings.Control.Tick
 			e.Handle(now, &Wake{})
-			if next, ok := e.NextWake(); len(e.listings) > 0 && (!ok || next > now.At+e.set.Control.Tick) {
-				t.Fatalf("%d lists are left and the next wake is %d after %d", len(e.listings), next, now.At)
+			if next, ok := e.NextWake(); len(e.reports) > 0 && (!ok || next > now.At+e.settings.Control.Tick) {
+				t.Fatalf("%d lists are left and the next wake is %d after %d", len(e.reports), next, now.At)
 			}
-			if got := told(e); got > atOnce {
+			if got := told(e); got > maxPerPart {
 				t.Fatalf("the module is told %d endpoints at once", got)
 			}
 			took++
@@ -62,48 +62,48 @@
 		return took
 	}
 	e.Handle(now, longList(n, Active))
-	if got := e.Endpoints(); got != atOnce {
-		t.Fatalf("%d endpoints are known at once, want %d", got, atOnce)
+	if got := e.Endpoints(); got != maxPerPart {
+		t.Fatalf("%d endpoints are known at once, want %d", got, maxPerPart)
 	}
 	e.Handle(now, &Members{Source: "s", List: []Member{{ID: "e9999", Addr: "h:1", Destination: 9999, Phase: Leaving}}})
 	e.Handle(now, longList(10, Active))
 	e.Handle(now, longList(n-10, Active)) // it replaces the two before it, whose processing has not begun
 	e.Handle(now, &Members{Source: "s", List: []Member{{ID: "e7", Addr: "h:1", Destination: 7, Phase: Leaving}}})
-	if len(e.listings) != 3 {
-		t.Fatalf("%d lists wait, want three", len(e.listings))
+	if len(e.reports) != 3 {
+		t.Fatalf("%d lists wait, want three", len(e.reports))
 	}
-	if took := ticks(100); took > 2*n/atOnce+3 {
+	if took := ticks(100); took > 2*n/maxPerPart+3 {
 		t.Errorf("two lists of %d took %d ticks", n, took)
 	}
 	if got := e.Endpoints(); got != n-10 {
 		t.Errorf("%d endpoints are known, want %d", got, n-10)
 	}
-	if got := e.byID["e9999"].phase; got != Gone {
+	if got := e.endpointByID["e9999"].phase; got != Gone {
 		t.Errorf("an endpoint that the newest list leaves out is in phase %d", got)
 	}
-	if got := e.byID["e7"].phase; got != Leaving {
+	if got := e.endpointByID["e7"].phase; got != Leaving {
 		t.Errorf("an endpoint that was told as leaving behind the list is in phase %d", got)
 	}
-	if e.waiting != 0 {
-		t.Errorf("%d members count as waiting", e.waiting)
+	if e.unprocessedMembers != 0 {
+		t.Errorf("%d members count as waiting", e.unprocessedMembers)
 	}
 
 	// The same list again brings nothing new, and a change is passed on as one.
-	now.At += e.set.Control.Tick
+	now.At += e.settings.Control.Tick
 	e.Handle(now, &Wake{})
 	l := longList(n-10, Active)
 	l.List[5000].Phase = Leaving
 	e.Handle(now, l)
 	entries := told(e)
-	for len(e.listings) > 0 {
-		now.At += e.set.Control.Tick
+	for len(e.reports) > 0 {
+		now.At += e.settings.Control.Tick
 		e.Handle(now, &Wake{})
 		entries += told(e)
 	}
 	if entries != 2 { // and that e7 is active again
 		t.Errorf("a list with two changes tells the module %d endpoints", entries)
 	}
-	if got := e.byID["e5000"].phase; got != Leaving {
+	if got := e.endpointByID["e5000"].phase; got != Leaving {
 		t.Errorf("the changed endpoint is in phase %d", got)
 	}
 
@@ -111,8 +111,8 @@
 	for range 20 {
 		e.Handle(now, &Members{Source: "s", List: longList(n, Active).List})
 	}
-	if most := 2*e.set.MaxEndpoints + n; e.waiting > most {
-		t.Errorf("%d members wait to be taken, %d at most", e.waiting, most)
+	if most := 2*e.settings.MaxEndpoints + n; e.unprocessedMembers > most {
+		t.Errorf("%d members wait to be taken, %d at most", e.unprocessedMembers, most)
 	}
 }
 
@@ -128,21 +128,21 @@
 		e.Handle(now, &Submit{Message: Message{ID: id, Class: "free"}, ExpiresIn: control.Second})
 		e.Handle(now, &Withdraw{ID: id})
 	}
-	if e.ended.len() != n {
-		t.Fatalf("%d ids ended, want %d", e.ended.len(), n)
+	if e.endedIDs.len() != n {
+		t.Fatalf("%d ids ended, want %d", e.endedIDs.len(), n)
 	}
 	now.At += 60 * control.Second
 	for left := n; left > 0; {
 		e.Handle(now, &Wake{})
-		got := e.ended.len()
-		if got < left-atOnce || got >= left {
+		got := e.endedIDs.len()
+		if got < left-maxPerPart || got >= left {
 			t.Fatalf("%d ids left after %d", got, left)
 		}
-		if next, _ := e.NextWake(); got > 0 && next > now.At+e.set.Control.Tick {
+		if next, _ := e.NextWake(); got > 0 && next > now.At+e.settings.Control.Tick {
 			t.Fatalf("the next part is due at %d, it is %d", next, now.At)
 		}
 		left = got
-		now.At += e.set.Control.Tick
+		now.At += e.settings.Control.Tick
 	}
 }
 
@@ -160,7 +160,7 @@
 	e := bigEngine(t, n)
 	ticks := func() {
 		for range 60 {
-			now.At += e.set.Control.Tick
+			now.At += e.settings.Control.Tick
 			e.Handle(now, &Wake{})
 		}
 	}
@@ -194,7 +194,7 @@
 		e.Handle(now, l)
 		for range 10 {
 			entries += told(e)
-			now.At += e.set.Control.Tick
+			now.At += e.settings.Control.Tick
 			e.Handle(now, &Wake{})
 		}
 		return entries
@@ -222,7 +222,7 @@
 	for i := range n {
 		e.Handle(now, &Submit{Message: Message{ID: fmt.Sprint("m", i), Class: "free"}, ExpiresIn: 2 * control.Second})
 	}
-	now.At += e.set.Control.Tick
+	now.At += e.settings.Control.Tick
 	e.Handle(now, &Wake{})
 	now.At = Epoch + 2*control.Second
 	ended, steps := 0, 0
@@ -233,19 +233,19 @@
 				part++
 			}
 		}
-		if part > max(timersAtOnce, n/timerParts+1) {
+		if part > max(maxTimersPerPart, n/maxTimerParts+1) {
 			t.Fatalf("%d messages end at once", part)
 		}
 		ended += part
-		if next, _ := e.NextWake(); ended < n && next > now.At+e.set.Control.Tick {
+		if next, _ := e.NextWake(); ended < n && next > now.At+e.settings.Control.Tick {
 			t.Fatalf("the next part is due at %d, it is %d", next, now.At)
 		}
-		now.At += e.set.Control.Tick
+		now.At += e.settings.Control.Tick
 	}
 	if ended != n {
 		t.Fatalf("%d of %d ended", ended, n)
 	}
-	if steps > 2*timerParts+n/timersAtOnce {
+	if steps > 2*maxTimerParts+n/maxTimersPerPart {
 		t.Errorf("it took %d ticks", steps)
 	}
 }
@@ -257,23 +257,23 @@
 	e := bigEngine(t, n)
 	now := Now{At: Epoch, Wall: testWall}
 	e.Handle(now, longList(n, Active))
-	for range 2*n/atOnce + 2 {
-		now.At += e.set.Control.Tick
+	for range 2*n/maxPerPart + 2 {
+		now.At += e.settings.Control.Tick
 		e.Handle(now, &Wake{})
 	}
 	e.Handle(now, &Members{Source: "s", FullList: true})
-	for range 2*n/atOnce + 2 {
-		now.At += e.set.Control.Tick
+	for range 2*n/maxPerPart + 2 {
+		now.At += e.settings.Control.Tick
 		e.Handle(now, &Wake{})
 	}
-	now.At += goneKept + seldom
-	for left := n; left > 0; now.At += e.set.Control.Tick {
+	now.At += goneRetention + cleanupInterval
+	for left := n; left > 0; now.At += e.settings.Control.Tick {
 		e.Handle(now, &Wake{})
-		got := len(e.all)
-		if got < left-atOnce || got >= left || got != len(e.byID) || got != len(e.byNumber) {
-			t.Fatalf("%d endpoints left after %d; %d by id, %d by number", got, left, len(e.byID), len(e.byNumber))
+		got := len(e.allEndpoints)
+		if got < left-maxPerPart || got >= left || got != len(e.endpointByID) || got != len(e.endpointByNumber) {
+			t.Fatalf("%d endpoints left after %d; %d by id, %d by number", got, left, len(e.endpointByID), len(e.endpointByNumber))
 		}
-		if next, _ := e.NextWake(); got > 0 && next > now.At+e.set.Control.Tick {
+		if next, _ := e.NextWake(); got > 0 && next > now.At+e.settings.Control.Tick {
 			t.Fatalf("the next part is due at %d, it is %d", next, now.At)
 		}
 		left = got
--- a/engine/prompt_test.go
+++ b/engine/prompt_test.go
@@ -65,7 +65,7 @@
 	ok := func(c *Call) *Ended { return &Ended{Call: c.ID, Outcomes: []Outcome{{Result: control.OK}}} }
 	a := effectOf[*Call](in(1, "a"))
 	handle(2, ok(a))
-	if next, _ := e.NextWake(); next != Epoch+e.set.Control.Tick || len(e.events) != 1 {
+	if next, _ := e.NextWake(); next != Epoch+e.settings.Control.Tick || len(e.events) != 1 {
 		t.Fatalf("with nothing held the next Step is at %v with %d events", next, len(e.events))
 	}
 	b := effectOf[*Call](in(3, "b"))
@@ -89,8 +89,8 @@
 		if d == nil || d.Disposition != Delivered {
 			t.Fatalf("once=%v: %+v", once, d)
 		}
-		if want := map[bool]int{false: 1, true: 0}[once]; e.ended.len() != want || len(e.byName) != 0 {
-			t.Errorf("once=%v: %d ids remembered, want %d", once, e.ended.len(), want)
+		if want := map[bool]int{false: 1, true: 0}[once]; e.endedIDs.len() != want || len(e.messageByID) != 0 {
+			t.Errorf("once=%v: %d ids remembered, want %d", once, e.endedIDs.len(), want)
 		}
 	}
 }
--- a/engine/property_test.go
+++ b/engine/property_test.go
@@ -71,13 +71,13 @@
 
 // reached lists what must occur at least once in the default run of many seeds: otherwise a rule would not be tested.
 var reached = []string{
-	"HandIn", "HandInAll", "several answered taken", "several answered busy", "several answered unsure", "several answered conflict", "Withdraw", "Restored", "RestoredEnd", "RestoredLast", "Members", "Stored", "StoreFailed", "StoreFailed full",
-	"StoreLost", "MayWrite", "FirstLine", "Ended", "Through", "Stop", "Wake",
+	"Submit", "SubmitAll", "several answered taken", "several answered busy", "several answered unsure", "several answered conflict", "Withdraw", "RestoredMessage", "RestoredEnd", "RestoreComplete", "Members", "Stored", "StoreFailed", "StoreFailed full",
+	"StoreLost", "MayWrite", "FirstLine", "Ended", "Notified", "Stop", "Wake",
 
-	"Append", "Void", "Answer", "Call", "Call with several", "Permit", "Permit withheld", "Abort", "CloseIdle", "Leave",
+	"Append", "Discard", "Answer", "Call", "Call with several", "Permit", "Permit withheld", "Abort", "CloseIdle", "RemoveEndpoint",
 	"Done", "Note",
 
-	"RecTaken", "RecAttempts", "RecNeverRan", "RecState", "RecOwed", "RecEnded", "RecShift", "RecMark",
+	"RecAccepted", "RecAttempts", "RecNeverRan", "RecState", "RecPendingResult", "RecEnded", "RecClockStep", "RecNoop",
 
 	"verdict taken", "verdict busy", "verdict unnamed", "verdict conflict", "verdict spent", "verdict unsure", "verdict invalid",
 	"id: a message of it is being taken back", "id: an attempt of its earlier life is still out",
--- a/engine/record.go
+++ b/engine/record.go
@@ -91,7 +91,7 @@
 		binary.LittleEndian.PutUint64(n[:], uint64(v))
 		h.Write(n[:])
 	}
-	fold := func() uint64 { return h.Sum64()>>32 ^ h.Sum64()&bodyPrint }
+	fold := func() uint64 { return h.Sum64()>>32 ^ h.Sum64()&bodyMask }
 	for _, s := range []string{m.Class, m.Tenant, m.Key} {
 		put(len(s))
 		h.Write([]byte(s))
@@ -104,10 +104,10 @@
 	return head<<32 | max(fold(), 1)
 }
 
-// bodyPrint masks the bits of a fingerprint that cover the body.
-const bodyPrint = 1<<32 - 1
+// bodyMask masks the bits of a fingerprint that cover the body.
+const bodyMask = 1<<32 - 1
 
 // sameMessage reports whether two submissions of one id are the same message, as far as both fingerprints tell.
 func sameMessage(a, b uint64) bool {
-	return a>>32 == b>>32 && (a == b || a&bodyPrint == 0 || b&bodyPrint == 0)
+	return a>>32 == b>>32 && (a == b || a&bodyMask == 0 || b&bodyMask == 0)
 }
--- a/engine/record_test.go
+++ b/engine/record_test.go
@@ -38,7 +38,7 @@
 	if other.Fingerprint() != base.Fingerprint() {
 		t.Error("the id is in the print")
 	}
-	bodyless := base.Fingerprint() &^ bodyPrint
+	bodyless := base.Fingerprint() &^ bodyMask
 	if !sameMessage(bodyless, base.Fingerprint()) || !sameMessage(base.Fingerprint(), bodyless) || !sameMessage(bodyless, bodyless) {
 		t.Error("a print without its body is another message's")
 	}
--- a/engine/settings.go
+++ b/engine/settings.go
@@ -46,7 +46,7 @@
 	defaultPatience     = 300 * control.Millisecond // a client waits 400 ms for its response
 )
 
-func (s *Settings) fill() error {
+func (s *Settings) setDefaults() error {
 	for _, b := range []struct {
 		name   string
 		v      *int
--- a/engine/settings_test.go
+++ b/engine/settings_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := e.set; s.MaxBytes <= 0 || s.MaxIDs <= 0 || s.MaxEndpoints <= 0 || s.CallBytes <= 0 || s.Remember <= 0 || s.StoreTimeout <= 0 {
+	if s := e.settings; s.MaxBytes <= 0 || s.MaxIDs <= 0 || s.MaxEndpoints <= 0 || s.CallBytes <= 0 || s.Remember <= 0 || s.StoreTimeout <= 0 {
 		t.Errorf("a bound without a setting is none: %+v", s)
 	}
 }
--- a/engine/store.go
+++ b/engine/store.go
@@ -8,393 +8,395 @@
 
 // store is the engine's view of its store: batches being written, and records that still have to be written.
 type store struct {
-	last      Batch    // number of the newest batch
-	confirmed Batch    // all batches up to this one are in the store, except those that failed
-	records   []Record // of the event that is being handled
-	keepers   []keeper // the owners of these records, one for each
-	sending   []*call  // the calls whose attempts are among these records
-	place     int      // index among the effects where the Append of this event goes
-	pending   []*batch // not answered yet, oldest first
-	down      bool     // the store accepts nothing, so no attempt is made
-	retry     Time     // when it is tried again
-	dirty     []keeper // owners whose records in the store are wrong and have to be rewritten
-
-	known  bool // the offset is set
-	offset Time // wall time minus the engine's time, as used for timestamps in records
-	shift  Time // step of the wall clock that is not recorded yet
+	lastBatch         Batch         // number of the newest batch
+	storedUpTo        Batch         // all batches up to this one are in the store, except those that failed
+	records           []Record      // of the event that is being handled
+	recordOwners      []recordOwner // the owners of these records, one for each
+	recordedCalls     []*call       // the calls whose attempts are among these records
+	appendIndex       int           // index among the effects where the Append of this event goes
+	unansweredBatches []*batch      // not answered yet, oldest first
+	storeDown         bool          // the store accepts nothing, so no attempt is made
+	storeRetryAt      Time          // when it is tried again
+	dirtyOwners       []recordOwner // owners whose records in the store are wrong and have to be rewritten
+
+	wallOffsetKnown bool // the offset is set
+	wallOffset      Time // wall time minus the engine's time, as used for timestamps in records
+	clockStep       Time // step of the wall clock that is not recorded yet
 }
 
-// restored stands for the batches of all records of earlier processes.
-const restored Batch = 0
+// restoredBatch stands for the batches of all records of earlier processes.
+const restoredBatch Batch = 0
 
 const (
-	retryGap    = 100 * control.Millisecond // between two attempts to write to a store that is down
-	steppedOver = 100 * control.Millisecond // smaller offsets of the wall clock are ignored; so this is the error of a timestamp
-	mostDirty   = 500                       // approximate number of records that are rewritten in one batch
+	storeRetryInterval  = 100 * control.Millisecond // between two attempts to write to a store that is down
+	clockTolerance      = 100 * control.Millisecond // smaller offsets of the wall clock are ignored; so this is the error of a timestamp
+	maxRewrittenRecords = 500                       // approximate number of records that are rewritten in one batch
 )
 
 // batch is a batch that the store has not answered yet.
 type batch struct {
-	no      Batch
-	at      Time
-	taken   []*message // messages that it accepts
-	calls   []*call
-	keepers []keeper
-	shift   Time
-	given   bool // the store did not answer in time
+	number     Batch
+	appendedAt Time
+	accepted   []*message // messages that it accepts
+	calls      []*call
+	owners     []recordOwner
+	clockStep  Time
+	timedOut   bool // the store did not answer in time
 }
 
-// keeper owns records in the store: a message, or the id of an ended one.
-type keeper interface {
-	book() *account
+// recordOwner owns records in the store: a message, or the id of an ended one.
+type recordOwner interface {
+	state() *recordState
 	// write records the current state.
 	write(e *Engine)
 }
 
-// account tells which batches hold the records of an owner.
-type account struct {
-	taken, last Batch // of its first and newest record
-	dirty       bool  // the records have to be rewritten
-	missing     bool  // the first record is not in the store, or no longer
+// recordState tells which batches hold the records of an owner.
+type recordState struct {
+	firstBatch, lastBatch Batch // of its first and newest record
+	dirty                 bool  // the records have to be rewritten
+	firstMissing          bool  // the first record is not in the store, or no longer
 }
 
-func (a *account) book() *account { return a }
+func (a *recordState) state() *recordState { return a }
 
 // ---- writing to the store ----
 
-// begin prepares for the records of one event: they all go into one batch.
-func (e *Engine) begin() {
-	clear(e.keepers)
-	e.records, e.keepers, e.sending = nil, e.keepers[:0], nil // the Append owns the records
-	e.place = len(e.out)
+// beginBatch prepares for the records of one event: they all go into one batch.
+func (e *Engine) beginBatch() {
+	clear(e.recordOwners)
+	e.records, e.recordOwners, e.recordedCalls = nil, e.recordOwners[:0], nil // the Append owns the records
+	e.appendIndex = len(e.effects)
 }
 
 // record adds a record to the batch of this event and returns the batch's number, 0 without a store.
-func (e *Engine) record(r Record, k keeper) Batch {
-	if !e.set.HasStore {
+func (e *Engine) record(r Record, k recordOwner) Batch {
+	if !e.settings.HasStore {
 		return 0
 	}
-	if e.records == nil && e.books != nil {
+	if e.records == nil && e.ledger != nil {
 		e.records = make([]Record, 0, 3) // a ledger leaf follows
 	}
 	e.records = append(e.records, r)
 	if k != nil {
-		e.keepers = append(e.keepers, k)
-		k.book().last = e.last + 1
+		e.recordOwners = append(e.recordOwners, k)
+		k.state().lastBatch = e.lastBatch + 1
 	}
-	return e.last + 1
+	return e.lastBatch + 1
 }
 
-// needs returns the batch of this event, 0 if it has none.
-func (e *Engine) needs() Batch {
+// currentBatch returns the batch of this event, 0 if it has none.
+func (e *Engine) currentBatch() Batch {
 	if len(e.records) == 0 {
 		return 0
 	}
-	return e.last + 1
+	return e.lastBatch + 1
 }
 
-// commit emits the Append of this event's records, before the effects that require it.
-func (e *Engine) commit() {
+// commitBatch emits the Append of this event's records, before the effects that require it.
+func (e *Engine) commitBatch() {
 	if len(e.records) == 0 {
 		return
 	}
-	e.last++
-	b := &batch{no: e.last, at: e.now.At, calls: e.sending, keepers: append([]keeper(nil), e.keepers...)}
+	e.lastBatch++
+	b := &batch{number: e.lastBatch, appendedAt: e.now.At, calls: e.recordedCalls, owners: append([]recordOwner(nil), e.recordOwners...)}
 	for _, r := range e.records {
 		if t, ok := r.(*RecAccepted); ok {
-			if m := e.byName[t.Message.ID]; m != nil && m.phase == arriving {
-				b.taken = append(b.taken, m)
+			if m := e.messageByID[t.Message.ID]; m != nil && m.phase == storing {
+				b.accepted = append(b.accepted, m)
 			}
 		}
 	}
-	e.pending = append(e.pending, b)
-	e.out = append(e.out, nil)
-	copy(e.out[e.place+1:], e.out[e.place:])
-	e.out[e.place] = &Append{Batch: b.no, Records: e.records}
+	e.unansweredBatches = append(e.unansweredBatches, b)
+	e.effects = append(e.effects, nil)
+	copy(e.effects[e.appendIndex+1:], e.effects[e.appendIndex:])
+	e.effects[e.appendIndex] = &Append{Batch: b.number, Records: e.records}
 }
 
-// clock updates the two clocks. Timestamps use one offset between them. A step of the wall clock is recorded, so that
+// updateClock updates the two clocks. Timestamps use one offset between them. A step of the wall clock is recorded, so that
 // earlier timestamps stay correct.
-func (e *Engine) clock(now Now) {
+func (e *Engine) updateClock(now Now) {
 	offset := Time(now.Wall) - now.At
 	e.now = now
-	if !e.known {
-		e.known, e.offset = true, offset
+	if !e.wallOffsetKnown {
+		e.wallOffsetKnown, e.wallOffset = true, offset
 		return
 	}
-	if by := offset - e.offset; by > steppedOver || by < -steppedOver {
-		e.offset = offset
-		e.shift += by
+	if by := offset - e.wallOffset; by > clockTolerance || by < -clockTolerance {
+		e.wallOffset = offset
+		e.clockStep += by
 	}
-	e.recordShift()
+	e.recordClockStep()
 }
 
-// recordShift records a step of the wall clock, in a batch of its own, so that it is not lost with a message for which the
+// recordClockStep records a step of the wall clock, in a batch of its own, so that it is not lost with a message for which the
 // store has no room.
-func (e *Engine) recordShift() {
-	if e.shift != 0 && e.set.HasStore && !e.down {
-		e.last++
-		e.pending = append(e.pending, &batch{no: e.last, at: e.now.At, shift: e.shift})
-		e.effect(&Append{Batch: e.last, Records: []Record{&RecClockStep{By: int64(e.shift)}}})
-		e.shift = 0
-		e.place = len(e.out)
+func (e *Engine) recordClockStep() {
+	if e.clockStep != 0 && e.settings.HasStore && !e.storeDown {
+		e.lastBatch++
+		e.unansweredBatches = append(e.unansweredBatches, &batch{number: e.lastBatch, appendedAt: e.now.At, clockStep: e.clockStep})
+		e.effect(&Append{Batch: e.lastBatch, Records: []Record{&RecClockStep{By: int64(e.clockStep)}}})
+		e.clockStep = 0
+		e.appendIndex = len(e.effects)
 	}
 }
 
-// stamp converts a time of the engine to a timestamp.
-func (e *Engine) stamp(t Time) Timestamp { return Timestamp(t + e.offset) }
+// timestamp converts a time of the engine to a timestamp.
+func (e *Engine) timestamp(t Time) Timestamp { return Timestamp(t + e.wallOffset) }
 
 // ---- answers of the store ----
 
-// stored handles that all batches up to b are in the store.
-func (e *Engine) stored(b Batch) {
-	if b <= e.confirmed {
+// batchesStored handles that all batches up to b are in the store.
+func (e *Engine) batchesStored(b Batch) {
+	if b <= e.storedUpTo {
 		return
 	}
-	e.confirmed = b
-	for len(e.pending) > 0 && e.pending[0].no <= b {
-		p := e.pending[0]
-		e.pending[0] = nil
-		e.pending = e.pending[1:]
+	e.storedUpTo = b
+	for len(e.unansweredBatches) > 0 && e.unansweredBatches[0].number <= b {
+		p := e.unansweredBatches[0]
+		e.unansweredBatches[0] = nil
+		e.unansweredBatches = e.unansweredBatches[1:]
 		for _, c := range p.calls {
 			c.stored = true
 		}
-		for _, k := range p.keepers {
-			if past, ok := k.(*ended); ok {
-				past.done = nil
+		for _, k := range p.owners {
+			if past, ok := k.(*endedMessage); ok {
+				past.pendingDone = nil
 			}
 		}
-		for _, m := range p.taken {
+		for _, m := range p.accepted {
 			switch {
-			case m.phase != arriving:
-			case m.dropped:
-				m.phase = held
-				e.bookTaken(m)
+			case m.phase != storing:
+			case m.withdrawn:
+				m.phase = dispatching
+				e.postAcceptance(m)
 				e.end(m, Withdrawn, 0)
 			default:
-				m.phase = held
-				e.bookTaken(m)
-				e.admit(m, false)
+				m.phase = dispatching
+				e.postAcceptance(m)
+				e.enqueue(m, false)
 			}
 		}
 	}
-	if e.down && !slices.ContainsFunc(e.pending, func(p *batch) bool { return p.given }) {
-		e.down = false
-		e.tell(control.Event{Kind: control.Pause})
+	if e.storeDown && !slices.ContainsFunc(e.unansweredBatches, func(p *batch) bool { return p.timedOut }) {
+		e.storeDown = false
+		e.queueEvent(control.Event{Kind: control.Pause})
 	}
 	e.writeDirty()
 }
 
-// failed handles that a batch is not in the store.
-func (e *Engine) failed(no Batch, full bool) {
-	for i, p := range e.pending {
-		if p.no != no {
+// batchFailed handles that a batch is not in the store.
+func (e *Engine) batchFailed(no Batch, full bool) {
+	for i, p := range e.unansweredBatches {
+		if p.number != no {
 			continue
 		}
-		e.pending = append(e.pending[:i:i], e.pending[i+1:]...)
-		if p.given { // it was rolled back when it timed out, and is being rewritten
+		e.unansweredBatches = append(e.unansweredBatches[:i:i], e.unansweredBatches[i+1:]...)
+		if p.timedOut { // it was rolled back when it timed out, and is being rewritten
 			return
 		}
-		e.soilLeaves(no, no)
-		for _, m := range p.taken {
-			if m.phase == arriving {
+		e.markLeavesDirty(no, no)
+		for _, m := range p.accepted {
+			if m.phase == storing {
 				why := "the store takes nothing"
 				if full {
 					why = "the store has no room"
 				}
-				e.notTaken(m, Verdict{Kind: Busy, RetryAfter: Duration(turnedAway), Reason: why})
+				e.rejectUnstored(m, Verdict{Kind: Busy, RetryAfter: Duration(rejectedRetryAfter), Reason: why})
 			}
 		}
-		if full && len(p.taken) > 0 {
+		if full && len(p.accepted) > 0 {
 			return
 		}
-		e.unwritten(p)
+		e.rollBackBatch(p)
 		return
 	}
-	if no <= e.confirmed && no > 0 { // reported as stored before
-		e.lost(no - 1)
+	if no <= e.storedUpTo && no > 0 { // reported as stored before
+		e.batchesLost(no - 1)
 	}
 }
 
-// notTaken rejects and removes a message that never got into the store.
-func (e *Engine) notTaken(m *message, v Verdict) {
+// rejectUnstored rejects and removes a message that never got into the store.
+func (e *Engine) rejectUnstored(m *message, v Verdict) {
 	for _, t := range m.tickets {
 		e.effect(&Answer{Ticket: t, Verdict: v})
 	}
-	e.bookForgone(m)
-	e.close(m)
-	e.books.removed(m)
-	e.remove(m)
-	if m.earlier != nil {
-		e.ended.add(m.earlier)
+	e.dropAcceptance(m)
+	e.closeMessage(m)
+	e.ledger.messageRemoved(m)
+	e.removeMessage(m)
+	if m.earlierEnd != nil {
+		e.endedIDs.add(m.earlierEnd)
 	}
 }
 
-// unwritten rolls back what a failed batch recorded, as far as possible. The rest is rewritten when the store accepts
+// rollBackBatch rolls back what a failed batch recorded, as far as possible. The rest is rewritten when the store accepts
 // records again. Until then no attempt is made.
-func (e *Engine) unwritten(p *batch) {
-	if !e.down {
-		e.down = true
-		e.tell(control.Event{Kind: control.Pause, Paused: true})
+func (e *Engine) rollBackBatch(p *batch) {
+	if !e.storeDown {
+		e.storeDown = true
+		e.queueEvent(control.Event{Kind: control.Pause, Paused: true})
 		e.note(noteStore, "the store takes nothing: no message is taken on, and no attempt is made")
 	}
-	e.retry = e.now.At + retryGap
-	e.shift += p.shift
+	e.storeRetryAt = e.now.At + storeRetryInterval
+	e.clockStep += p.clockStep
 	for _, c := range p.calls {
-		e.unsent(c)
+		e.rollBackCall(c)
 	}
-	for _, k := range p.keepers {
+	for _, k := range p.owners {
 		if m, ok := k.(*message); ok {
-			m.missing = m.missing || m.taken == p.no
-			if m.phase == owing && m.tell == p.no {
+			m.firstMissing = m.firstMissing || m.firstBatch == p.number
+			if m.phase == notifying && m.doneBatch == p.number {
 				// Its Done waits for the record, but no longer than until its deadline.
-				m.told = false
+				m.doneEmitted = false
 				e.timers.push(timer{at: max(m.deadline, e.now.At)}, m)
 			}
 		}
-		e.soil(k)
+		e.markDirty(k)
 	}
 }
 
-// soil marks an owner's records to be rewritten.
-func (e *Engine) soil(k keeper) {
-	a := k.book()
-	if m, ok := k.(*message); ok && (m.phase == over || m.phase == arriving) {
+// markDirty marks an owner's records to be rewritten.
+func (e *Engine) markDirty(k recordOwner) {
+	a := k.state()
+	if m, ok := k.(*message); ok && (m.phase == finished || m.phase == storing) {
 		return // finished: the id has its own records; storing: it never was in the store
 	}
 	if !a.dirty {
 		a.dirty = true
-		e.dirty = append(e.dirty, k)
+		e.dirtyOwners = append(e.dirtyOwners, k)
 	}
 }
 
-// lost handles that the store has only the batches up to kept: what changed since is rewritten.
-func (e *Engine) lost(kept Batch) {
-	if kept >= e.confirmed {
+// batchesLost handles that the store has only the batches up to kept: what changed since is rewritten.
+func (e *Engine) batchesLost(kept Batch) {
+	if kept >= e.storedUpTo {
 		return
 	}
-	for m := e.oldest; m != nil; m = m.behind {
-		if m.phase != arriving && m.last > kept {
-			m.missing = m.missing || m.taken > kept
-			e.soil(m)
+	for m := e.oldestMessage; m != nil; m = m.next {
+		if m.phase != storing && m.lastBatch > kept {
+			m.firstMissing = m.firstMissing || m.firstBatch > kept
+			e.markDirty(m)
 		}
 	}
-	for _, list := range e.ended.soon {
+	for _, list := range e.endedIDs.heaps {
 		for _, p := range list {
-			if p.last > kept {
-				e.soil(p)
+			if p.lastBatch > kept {
+				e.markDirty(p)
 			}
 		}
 	}
-	e.soilLeaves(kept+1, e.last)
+	e.markLeavesDirty(kept+1, e.lastBatch)
 	e.note(noteStore, "the store lost records; what they said is written anew")
-	if !e.down {
+	if !e.storeDown {
 		e.writeDirty()
 	}
 }
 
 // inStore reports whether the newest record of an owner is in the store.
-func (e *Engine) inStore(k keeper) bool { return !k.book().dirty && k.book().last <= e.confirmed }
+func (e *Engine) inStore(k recordOwner) bool {
+	return !k.state().dirty && k.state().lastBatch <= e.storedUpTo
+}
 
 // writeDirty rewrites the records of dirty owners, some at a time: the next ones when these are stored.
 func (e *Engine) writeDirty() {
-	for len(e.dirty) > 0 && len(e.records) < mostDirty {
-		k := e.dirty[0]
-		e.dirty[0] = nil
-		e.dirty = e.dirty[1:]
-		k.book().dirty = false
+	for len(e.dirtyOwners) > 0 && len(e.records) < maxRewrittenRecords {
+		k := e.dirtyOwners[0]
+		e.dirtyOwners[0] = nil
+		e.dirtyOwners = e.dirtyOwners[1:]
+		k.state().dirty = false
 		k.write(e)
 	}
 }
 
 func (m *message) write(e *Engine) {
-	if m.phase == over || m.phase == arriving {
+	if m.phase == finished || m.phase == storing {
 		return
 	}
-	anew := m.missing
+	anew := m.firstMissing
 	if anew {
-		m.missing, m.taken = false, e.last+1
-		if m.anew { // the store may have lost the end of the earlier message with this id, which must not be resumed
+		m.firstMissing, m.firstBatch = false, e.lastBatch+1
+		if m.reusesID { // the store may have lost the end of the earlier message with this id, which must not be resumed
 			e.record(&RecEnded{ID: m.ID, Disposition: Refused}, m)
 		}
-		e.record(&RecAccepted{Message: m.Message, Deadline: e.stamp(m.deadline)}, m)
+		e.record(&RecAccepted{Message: m.Message, Deadline: e.timestamp(m.deadline)}, m)
 	}
-	if m.tries > 0 || m.maybe.set || !anew { // without tries, too: the store may have an attempt that was rolled back
-		r := &RecState{ID: m.ID, Tries: m.tries, Settled: m.maybe.set || m.out == nil}
-		if d := m.doubtful(); d.set {
-			r.DoubtAt, r.DoubtZone = e.stamp(d.at), d.zone
+	if m.tries > 0 || m.firstDoubt.set || !anew { // without tries, too: the store may have an attempt that was rolled back
+		r := &RecState{ID: m.ID, Tries: m.tries, Settled: m.firstDoubt.set || m.inFlight == nil}
+		if d := m.firstPossibleRun(); d.set {
+			r.DoubtAt, r.DoubtZone = e.timestamp(d.at), d.zone
 		}
 		e.record(r, m)
 	}
-	if m.phase == owing {
-		b := e.record(&RecPendingResult{ID: m.ID, PendingResult: m.owed, Undelivered: m.tale.again()}, m)
-		if !m.told {
+	if m.phase == notifying {
+		b := e.record(&RecPendingResult{ID: m.ID, PendingResult: m.pending, Undelivered: m.history.rewritten()}, m)
+		if !m.doneEmitted {
 			e.timers.drop(m)
-			e.effect(e.done(m, b))
+			e.effect(e.doneEffect(m, b))
 		}
 	}
 }
 
-func (p *ended) write(e *Engine) {
+func (p *endedMessage) write(e *Engine) {
 	b := e.record(p.record(e), p)
-	if p.done != nil {
-		p.done = &Done{ID: p.done.ID, Disposition: p.done.Disposition, InDoubt: p.done.InDoubt, needs: b}
-		e.effect(p.done)
+	if p.pendingDone != nil {
+		p.pendingDone = &Done{ID: p.pendingDone.ID, Disposition: p.pendingDone.Disposition, InDoubt: p.pendingDone.InDoubt, requiredBatch: b}
+		e.effect(p.pendingDone)
 	}
 }
 
-// tellAnyway emits the Done of an end that could not be recorded. The message's deadline has passed, so that after a
+// emitUnrecordedDone emits the Done of an end that could not be recorded. The message's deadline has passed, so that after a
 // restart it would expire at once and never be sent.
-func (e *Engine) tellAnyway(m *message) {
-	if !m.told {
-		e.effect(e.done(m, 0))
+func (e *Engine) emitUnrecordedDone(m *message) {
+	if !m.doneEmitted {
+		e.effect(e.doneEffect(m, 0))
 	}
 }
 
 // ---- a store that does not answer ----
 
-// patience returns when a store that has not answered counts as down, or when one that is down is tried again.
-func (e *Engine) patience() (Time, bool) {
-	for _, p := range e.pending {
-		if p.shift == 0 && !p.given {
-			return p.at + e.set.StoreTimeout, true
+// nextStoreCheck returns when a store that has not answered counts as down, or when one that is down is tried again.
+func (e *Engine) nextStoreCheck() (Time, bool) {
+	for _, p := range e.unansweredBatches {
+		if p.clockStep == 0 && !p.timedOut {
+			return p.appendedAt + e.settings.StoreTimeout, true
 		}
 	}
-	return e.retry, e.down && len(e.pending) == 0
+	return e.storeRetryAt, e.storeDown && len(e.unansweredBatches) == 0
 }
 
-// overdue stops waiting for batches that the store has not answered in time, and tests whether a store that is down
+// checkStore stops waiting for batches that the store has not answered in time, and tests whether a store that is down
 // accepts records again.
-func (e *Engine) overdue() {
-	for _, p := range e.pending {
-		if p.shift != 0 || p.given {
+func (e *Engine) checkStore() {
+	for _, p := range e.unansweredBatches {
+		if p.clockStep != 0 || p.timedOut {
 			continue
 		}
-		if e.now.At < p.at+e.set.StoreTimeout {
+		if e.now.At < p.appendedAt+e.settings.StoreTimeout {
 			break
 		}
-		p.given = true
-		e.effect(&Discard{Batch: p.no})
-		for _, m := range p.taken {
-			if m.phase != arriving {
+		p.timedOut = true
+		e.effect(&Discard{Batch: p.number})
+		for _, m := range p.accepted {
+			if m.phase != storing {
 				continue
 			}
 			// It may still get into the store: then its end is recorded there, too. Nobody may submit it again until then.
 			for _, t := range m.tickets {
 				e.effect(&Answer{Ticket: t, Verdict: Verdict{Kind: Unconfirmed, Reason: "the store does not answer"}})
 			}
-			e.bookForgone(m)
-			e.close(m)
-			m.doubt = true
+			e.dropAcceptance(m)
+			e.closeMessage(m)
+			m.inDoubt = true
 			m.deadline = 0 // a repeated submission must not be answered as accepted
 			e.conclude(m, Withdrawn)
 		}
-		e.soilLeaves(p.no, p.no)
-		e.unwritten(p)
+		e.markLeavesDirty(p.number, p.number)
+		e.rollBackBatch(p)
 	}
 	// A store with unanswered batches still does not respond: its answers will show when it does.
-	if e.down && e.now.At >= e.retry && len(e.pending) == 0 {
-		e.retry = e.now.At + retryGap
+	if e.storeDown && e.now.At >= e.storeRetryAt && len(e.unansweredBatches) == 0 {
+		e.storeRetryAt = e.now.At + storeRetryInterval
 		if e.writeDirty(); len(e.records) == 0 {
 			e.record(&RecNoop{}, nil)
 		}
--- a/engine/store_test.go
+++ b/engine/store_test.go
@@ -11,7 +11,7 @@
 // again before all are stored: an end that is written late must not end a new message with the same id.
 func TestLostAccountsAreWrittenAnewSomeAtATime(t *testing.T) {
 	t.Parallel()
-	const n = 3 * mostDirty
+	const n = 3 * maxRewrittenRecords
 	set := testSettings()
 	set.Control.MaxOpen = n + n/8
 	e, err := New(set)
@@ -53,15 +53,15 @@
 	anew := 0
 	for len(batches) > before {
 		b := batches[len(batches)-1]
-		if len(b.Records) > mostDirty+3 {
+		if len(b.Records) > maxRewrittenRecords+3 {
 			t.Fatalf("%d records are written anew at once", len(b.Records))
 		}
 		anew += len(b.Records)
 		before = len(batches)
-		if len(e.dirty) > 0 {
+		if len(e.dirtyOwners) > 0 {
 			for _, a := range handle(in(0)) {
 				if a.Kind != Busy {
-					t.Fatalf("taken on with %d accounts to be written: %s", len(e.dirty), kinds[a.Kind])
+					t.Fatalf("taken on with %d accounts to be written: %s", len(e.dirtyOwners), kinds[a.Kind])
 				}
 			}
 		}
@@ -89,15 +89,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	past := &ended{id: "left", how: Delivered}
-	for range 2 * mostDirty {
-		e.dirty = append(e.dirty, &message{phase: over})
+	past := &endedMessage{id: "left", disposition: Delivered}
+	for range 2 * maxRewrittenRecords {
+		e.dirtyOwners = append(e.dirtyOwners, &message{phase: finished})
 	}
-	e.dirty = append(e.dirty, past)
-	e.begin()
+	e.dirtyOwners = append(e.dirtyOwners, past)
+	e.beginBatch()
 	e.writeDirty()
-	if len(e.dirty) != 0 || len(e.records) != 1 {
-		t.Errorf("%d accounts are left, %d records written", len(e.dirty), len(e.records))
+	if len(e.dirtyOwners) != 0 || len(e.records) != 1 {
+		t.Errorf("%d accounts are left, %d records written", len(e.dirtyOwners), len(e.records))
 	}
 }
 
@@ -111,10 +111,10 @@
 	now := Now{At: Epoch, Wall: testWall}
 	e.Handle(now, &RestoredMessage{Message: Message{ID: "m", Class: "bygone", Body: make([]byte, 100)}, Deadline: testWall + 1e6})
 	e.Handle(now, &RestoreComplete{LatestTimestamp: testWall})
-	if m := e.byName["m"]; m == nil || m.phase != owing || m.Body != nil {
+	if m := e.messageByID["m"]; m == nil || m.phase != notifying || m.Body != nil {
 		t.Errorf("message %+v", m)
 	}
-	if e.bytes != 0 {
-		t.Errorf("%d bytes count as held", e.bytes)
+	if e.bodyBytes != 0 {
+		t.Errorf("%d bytes count as held", e.bodyBytes)
 	}
 }
--- a/engine/timer.go
+++ b/engine/timer.go
@@ -30,8 +30,8 @@
 
 // drop removes the timer of a message, if it has one.
 func (t *timers) drop(m *message) {
-	if m.timer > 0 {
-		t.remove(m.timer - 1)
+	if m.timerIndex > 0 {
+		t.remove(m.timerIndex - 1)
 	}
 }
 
@@ -55,7 +55,7 @@
 
 func (t *timers) remove(at int) {
 	if m := t.list[at].message; m != nil {
-		m.timer = 0
+		m.timerIndex = 0
 	}
 	last := len(t.list) - 1
 	n := t.list[last]
@@ -73,7 +73,7 @@
 func (t *timers) set(at int, n timer) {
 	t.list[at] = n
 	if n.message != nil {
-		n.message.timer = at + 1
+		n.message.timerIndex = at + 1
 	}
 }
 
--- a/engine/timer_test.go
+++ b/engine/timer_test.go
@@ -28,16 +28,16 @@
 		m := messages[rng.IntN(len(messages))]
 		switch rng.IntN(4) {
 		case 0: // a message has one timer: the newest
-			if m.timer != 0 {
-				old := list.list[m.timer-1].mark
+			if m.timerIndex != 0 {
+				old := list.list[m.timerIndex-1].mark
 				left = slices.DeleteFunc(left, func(w want) bool { return w.mark == old })
 			}
 			list.push(timer{at: at, mark: mark}, m)
 			of[mark] = m
 			left = append(left, want{at, mark})
 		case 1:
-			if m.timer != 0 {
-				old := list.list[m.timer-1].mark
+			if m.timerIndex != 0 {
+				old := list.list[m.timerIndex-1].mark
 				left = slices.DeleteFunc(left, func(w want) bool { return w.mark == old })
 			}
 			list.drop(m)
@@ -60,7 +60,7 @@
 			if len(left) == 0 || n.at != left[0].at || n.mark != left[0].mark {
 				t.Fatalf("at %d came timer %d of %d, want %v", now, n.mark, n.at, left[:min(1, len(left))])
 			}
-			if m := of[n.mark]; m != nil && m.timer != 0 {
+			if m := of[n.mark]; m != nil && m.timerIndex != 0 {
 				t.Fatalf("the message of timer %d still has it", n.mark)
 			}
 			left = left[1:]
--- a/engine/view.go
+++ b/engine/view.go
@@ -17,17 +17,17 @@
 // more says that there are others. It changes nothing.
 func (e *Engine) Backlog(most int) (list []DestinationBacklog, more bool) {
 	seen := map[int]bool{}
-	for m := e.oldest; m != nil; m = m.behind {
+	for m := e.oldestMessage; m != nil; m = m.next {
 		if most--; most < 0 {
 			more = true
 			break
 		}
-		if m.phase != held || seen[m.Destination] {
+		if m.phase != dispatching || seen[m.Destination] {
 			continue
 		}
 		seen[m.Destination] = true
 		condition, _ := e.Condition(m.Destination)
-		list = append(list, DestinationBacklog{m.Destination, e.now.At - m.since, condition})
+		list = append(list, DestinationBacklog{m.Destination, e.now.At - m.addedAt, condition})
 	}
 	slices.SortFunc(list, func(a, b DestinationBacklog) int { return a.Destination - b.Destination })
 	return list, more
--- a/engine/world_test.go
+++ b/engine/world_test.go
@@ -144,7 +144,7 @@
 	}
 	for _, p := range state.ended {
 		l := w.model.lives[p.ID]
-		if l.bodyless = p.Fingerprint&bodyPrint == 0; !l.bodyless {
+		if l.bodyless = p.Fingerprint&bodyMask == 0; !l.bodyless {
 			l.print, l.recorded = p.Fingerprint, p.Fingerprint
 		}
 		w.handle(p)
@@ -767,7 +767,7 @@
 			w.write(1 + w.n("batches", len(w.waiting)))
 		}
 	case 5:
-		if n := len(w.batches); n > 0 && len(w.waiting) == 0 && !w.e.down && w.n("loses", 3) == 0 {
+		if n := len(w.batches); n > 0 && len(w.waiting) == 0 && !w.e.storeDown && w.n("loses", 3) == 0 {
 			kept := n - 1 - w.n("lost", min(n, 3))
 			if w.now.At-w.batchAt[kept] > 5*control.Second {
 				return // the engine has forgotten what ended long ago
@@ -783,7 +783,7 @@
 			w.mode = storeSync // rewritten records are stored: a second loss could not be repaired
 			w.lost = true
 			for _, m := range replay(w.disk).live {
-				if m.Deadline+Timestamp(w.e.set.Remember) <= w.now.Wall {
+				if m.Deadline+Timestamp(w.e.settings.Remember) <= w.now.Wall {
 					w.longOver[m.Message.ID] = true
 				}
 			}
@@ -842,7 +842,7 @@
 			w.handle(&Notified{IDs: []string{id}})
 		}
 		w.flush()
-		if w.e.open == 0 && w.e.owing == 0 && len(w.calls) == 0 && len(w.e.dirty) == 0 && !w.e.down {
+		if w.e.open == 0 && w.e.notifying == 0 && len(w.calls) == 0 && len(w.e.dirtyOwners) == 0 && !w.e.storeDown {
 			break
 		}
 		next, ok := w.e.NextWake()
@@ -1222,25 +1222,25 @@
 	if e.open > set.Control.MaxOpen*(1+m.restarts) {
 		m.w.fail("%d messages are held", e.open)
 	}
-	if n := e.ended.len() + e.owing + e.open; n > (set.MaxIDs+set.Control.MaxOpen)*(1+m.restarts) {
+	if n := e.endedIDs.len() + e.notifying + e.open; n > (set.MaxIDs+set.Control.MaxOpen)*(1+m.restarts) {
 		m.w.fail("%d ids are remembered", n)
 	}
-	if len(e.byCall) > set.Control.Slots {
-		m.w.fail("%d calls are out", len(e.byCall))
+	if len(e.callByID) > set.Control.Slots {
+		m.w.fail("%d calls are out", len(e.callByID))
 	}
-	if got := len(e.timers.list); got > len(e.byNum)+8 {
-		m.w.fail("%d timers for %d messages", got, len(e.byNum))
+	if got := len(e.timers.list); got > len(e.messageByNumber)+8 {
+		m.w.fail("%d timers for %d messages", got, len(e.messageByNumber))
 	}
 }
 
 // finished checks that all messages have ended and every submission is answered.
 func (m *model) finished() {
 	e := m.w.e
-	if e.open != 0 || e.owing != 0 || len(e.byName) != 0 || len(e.byNum) != 0 || e.bytes != 0 {
-		m.w.fail("at the end %d are held, %d owed, %d bytes", e.open, e.owing, e.bytes)
+	if e.open != 0 || e.notifying != 0 || len(e.messageByID) != 0 || len(e.messageByNumber) != 0 || e.bodyBytes != 0 {
+		m.w.fail("at the end %d are held, %d owed, %d bytes", e.open, e.notifying, e.bodyBytes)
 	}
-	if len(e.byCall) != 0 {
-		m.w.fail("at the end %d calls are out", len(e.byCall))
+	if len(e.callByID) != 0 {
+		m.w.fail("at the end %d calls are out", len(e.callByID))
 	}
 	for _, l := range m.order {
 		if len(l.waiting) > 0 {
--- a/internal/standin/kubeapi/conformance/weigh/nethttp/main.go
+++ b/internal/standin/kubeapi/conformance/weigh/nethttp/main.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		panic(err)
 	}
-	s, err := endpointslice.New(c, endpointslice.Partner{Name: "all", Namespace: "partners", Selector: "kubernetes.io/service-name", Port: "http"}, slog.Default())
+	s, err := endpointslice.New(c, endpointslice.Partner{Name: "all", Namespace: "partners", Selector: "kubernetes.io/service-name", PortName: "http"}, slog.Default())
 	if err != nil {
 		panic(err)
 	}
@@ -31,7 +31,7 @@
 	go s.Run(context.Background(), func(u membership.Update) {
 		mu.Lock()
 		defer mu.Unlock()
-		table.Tell(time.Now(), s.Name(), u)
+		table.Apply(time.Now(), s.Name(), u)
 	})
 	weigh.Print(func() string {
 		mu.Lock()
