--- a/engine/books_test.go
+++ b/engine/books_test.go
@@ -9,26 +9,26 @@
 	"curlewmux/ledger"
 )
 
-// bookWorld is a world with a ledger, whose counts are compared with the engine's tables after each step.
-type bookWorld struct {
+// ledgerWorld is a world with a ledger, whose counts are compared with the engine's tables after each step.
+type ledgerWorld struct {
 	*world
-	shown, before *ledger.Snapshot
-	breaches      []ledger.Breach
-	figures       map[string]int
+	snapshot, before *ledger.Snapshot
+	breaches         []ledger.Breach
+	figures          map[string]int
 }
 
-func runBooks(seed uint64, steps int, change func(*LedgerSettings)) (b *bookWorld, fault string) {
-	b = &bookWorld{figures: map[string]int{}}
+func runLedgerWorld(seed uint64, steps int, change func(*LedgerSettings)) (b *ledgerWorld, fault string) {
+	b = &ledgerWorld{figures: map[string]int{}}
 	defer func() {
 		if p := recover(); p != nil {
-			f, ok := p.(broken)
+			f, ok := p.(brokenRule)
 			if !ok {
 				panic(p)
 			}
 			fault = f.text
 		}
 	}()
-	newWorld(seedDice{rand.New(rand.NewPCG(seed, 5))}, true, nil, func(w *world) {
+	newWorld(seededSource{rand.New(rand.NewPCG(seed, 5))}, true, nil, func(w *world) {
 		b.world = w
 		s := &LedgerSettings{ // parts are small, so that messages come and go during an audit
 			Settings: ledger.Settings{Instance: "d", MaxAccounts: 3 + int(seed%8)}, Epoch: ledger.NewEpoch(seed, 1, ledger.ReasonNoLedger, ""),
@@ -37,7 +37,7 @@
 		if change != nil {
 			change(s)
 		}
-		w.set.Ledger, w.also = s, b.hear
+		w.set.Ledger, w.onEffect = s, b.observe
 	})
 	for range steps {
 		b.step()
@@ -48,21 +48,21 @@
 	return b, ""
 }
 
-func (b *bookWorld) hear(f Effect) {
+func (b *ledgerWorld) observe(f Effect) {
 	switch f := f.(type) {
 	case *LedgerBreach:
 		if f.ResolvedAt == 0 {
 			b.breaches = append(b.breaches, f.Breach)
 		}
 	case *LedgerSnapshot:
-		b.shown = f.Snapshot
+		b.snapshot = f.Snapshot
 	}
 }
 
 // check compares a snapshot with the open messages and calls, and with the snapshot before.
-func (b *bookWorld) check() {
+func (b *ledgerWorld) check() {
 	b.handle(&RequestLedger{})
-	s := b.shown
+	s := b.snapshot
 	live := map[ledger.Key]ledger.Counts{}
 	for m := b.e.oldestMessage; m != nil; m = m.next {
 		if k := m.ledgerAccount.Key(); m.phase == dispatching {
@@ -113,7 +113,7 @@
 			b.fail("%v, %+v\n%+v\n%+v", err, d.Decreases, b.before, s)
 		}
 	}
-	if !s.Provisional && len(b.waiting) == 0 {
+	if !s.Provisional && len(b.unanswered) == 0 {
 		b.before = s
 	}
 }
@@ -122,7 +122,7 @@
 	t.Parallel()
 	figures := map[string]int{}
 	for seed := range uint64(100) {
-		b, fault := runBooks(seed, 300, nil)
+		b, fault := runLedgerWorld(seed, 300, nil)
 		if fault != "" {
 			t.Fatalf("seed %d: %s", seed, fault)
 		}
@@ -155,7 +155,7 @@
 					if seed == 400 {
 						t.Fatal("it was found in too few of 400 runs")
 					}
-					if late := errorRun(seed, entry, tamper); late == "found" {
+					if late := runWithWrongPosting(seed, entry, tamper); late == "found" {
 						found++
 					} else if late != "" {
 						t.Fatalf("seed %d: %s", seed, late)
@@ -166,8 +166,8 @@
 	}
 }
 
-// errorRun makes one wrong posting and returns "found", a fault, or "" if the run made no such posting.
-func errorRun(seed uint64, entry ledger.Entry, tamper func(ledger.Posting) []ledger.Posting) (out string) {
+// runWithWrongPosting makes one wrong posting and returns "found", a fault, or "" if the run made no such posting.
+func runWithWrongPosting(seed uint64, entry ledger.Entry, tamper func(ledger.Posting) []ledger.Posting) (out string) {
 	var w *world
 	var at Time
 	found := false
@@ -176,7 +176,7 @@
 			out = ""
 		}
 	}()
-	newWorld(seedDice{rand.New(rand.NewPCG(seed, 6))}, true, nil, func(v *world) {
+	newWorld(seededSource{rand.New(rand.NewPCG(seed, 6))}, true, nil, func(v *world) {
 		w = v
 		w.set.Ledger = &LedgerSettings{Epoch: ledger.NewEpoch(1, 1, "", ""), Settings: ledger.Settings{InterceptPost: func(p ledger.Posting) []ledger.Posting {
 			if p.Entry == entry && at == 0 && w.now.At > Epoch+control100ms {
@@ -185,7 +185,7 @@
 			}
 			return []ledger.Posting{p}
 		}}}
-		w.also = func(f Effect) {
+		w.onEffect = func(f Effect) {
 			if _, ok := f.(*LedgerBreach); ok && at != 0 {
 				found = true
 			}
@@ -219,7 +219,7 @@
 const control100ms = 100 * control.Millisecond
 
 // A snapshot shows only counts that the store has, or waits until the store has them.
-func TestACutWaitsForWhatItShows(t *testing.T) {
+func TestASnapshotWaitsForItsRecords(t *testing.T) {
 	t.Parallel()
 	s := testSettings()
 	s.HasStore, s.Ledger = true, &LedgerSettings{Settings: ledger.Settings{Instance: "d"}, Epoch: ledger.NewEpoch(1, 1, "", "")}
--- a/engine/clock_test.go
+++ b/engine/clock_test.go
@@ -7,7 +7,7 @@
 	"curlewmux/control"
 )
 
-func TestTheClockGoesThereAndBack(t *testing.T) {
+func TestTheClockConvertsBothWays(t *testing.T) {
 	t.Parallel()
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	c := Clock{Start: start}
--- a/engine/daemon_test.go
+++ b/engine/daemon_test.go
@@ -10,8 +10,8 @@
 
 // These tests are older than the engine: they tested the daemon's loop, under the same names.
 
-// bench returns an engine with two unsafe messages, a and b, in one call to endpoint e.
-func bench(t *testing.T) (*Engine, *Call) {
+// newEngineWithCall returns an engine with two unsafe messages, a and b, in one call to endpoint e.
+func newEngineWithCall(t *testing.T) (*Engine, *Call) {
 	t.Helper()
 	set := testSettings()
 	set.HasStore = false
@@ -50,7 +50,7 @@
 // A full list that omits an endpoint says that it is gone.
 func TestAbsentFromAWholeListIsGone(t *testing.T) {
 	t.Parallel()
-	e, c := bench(t)
+	e, c := newEngineWithCall(t)
 	at(e, 0, &Members{Source: "list", FullList: true})
 	if e.Endpoints() != 0 || !slices.Equal(permit(e, c), []bool{false, false}) {
 		t.Error("an endpoint that a whole list leaves out is still used")
@@ -99,7 +99,7 @@
 		"a wait over": {func(e *Engine, _ *Call) { wait(e, 1, time.Microsecond) }, []bool{true, true}},
 		"other's":     {func(e *Engine, _ *Call) { wait(e, 2, time.Hour) }, []bool{true, true}},
 	} {
-		e, call := bench(t)
+		e, call := newEngineWithCall(t)
 		c.change(e, call)
 		if got := permit(e, call); !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
@@ -111,7 +111,7 @@
 // send it again yet, and the other messages keep their call.
 func TestCancellingOneOfABatchKeepsTheCall(t *testing.T) {
 	t.Parallel()
-	e, _ := bench(t)
+	e, _ := newEngineWithCall(t)
 	aborts := func(num control.MessageID, attempt int) (n int) {
 		e.effects = e.effects[:0]
 		e.cancelAttempt(num, attempt)
@@ -136,7 +136,7 @@
 
 func TestOutcomesReachTheModuleAndTheJournal(t *testing.T) {
 	t.Parallel()
-	e, c := bench(t)
+	e, c := newEngineWithCall(t)
 	b := e.messageByID["b"]
 	at(e, 0, &Ended{Call: c.ID, Outcomes: []Outcome{{Item: 1, Result: control.Refused, RetryAfter: time.Second}}})
 	if ev := e.events[0]; ev.Result != control.Refused || ev.RetryAfter != control.Second || ev.Closed || ev.Message != b.number {
@@ -185,7 +185,7 @@
 
 func TestStepsKeepToTheTick(t *testing.T) {
 	t.Parallel()
-	e, c := bench(t)
+	e, c := newEngineWithCall(t)
 	tick := e.settings.Control.Tick
 	at(e, tick+tick/3, &Ended{Call: c.ID, Outcomes: []Outcome{{Result: control.Errored}, {Item: 1, Result: control.Errored}}})
 	due, ok := e.nextStep()
--- a/engine/givenup_test.go
+++ b/engine/givenup_test.go
@@ -6,20 +6,20 @@
 	"curlewmux/control"
 )
 
-// kept drives an engine whose undelivered messages are kept. Its records are stored at once.
-type kept struct {
-	t     *testing.T
-	e     *Engine
-	now   Now
-	taken []Record
-	given *Undelivered
-	calls []*Call
-	said  Verdict
-	asked int
+// keptEngine drives an engine whose undelivered messages are kept. Its records are stored at once.
+type keptEngine struct {
+	t           *testing.T
+	e           *Engine
+	now         Now
+	records     []Record
+	undelivered *Undelivered
+	calls       []*Call
+	verdict     Verdict
+	asked       int
 }
 
-func newKept(t *testing.T, no VerdictKind) *kept {
-	k := &kept{t: t, now: Now{At: Epoch, Wall: testWall}}
+func newKept(t *testing.T, no VerdictKind) *keptEngine {
+	k := &keptEngine{t: t, now: Now{At: Epoch, Wall: testWall}}
 	set := testSettings()
 	set.CheckUndelivered = func(m *Message) (VerdictKind, string) {
 		k.asked++
@@ -34,7 +34,7 @@
 	return k
 }
 
-func (k *kept) do(ev Event) {
+func (k *keptEngine) do(ev Event) {
 	k.t.Helper()
 	var batches []Batch
 	for _, f := range append([]Effect(nil), k.e.Handle(k.now, ev)...) {
@@ -42,15 +42,15 @@
 		case *Append:
 			batches = append(batches, f.Batch)
 			for _, r := range f.Records {
-				k.taken = append(k.taken, r)
+				k.records = append(k.records, r)
 				if o, ok := r.(*RecPendingResult); ok {
-					k.given = o.Undelivered
+					k.undelivered = o.Undelivered
 				}
 			}
 		case *Call:
 			k.calls = append(k.calls, f)
 		case *Answer:
-			k.said = f.Verdict
+			k.verdict = f.Verdict
 		}
 	}
 	for _, b := range batches {
@@ -59,7 +59,7 @@
 }
 
 // pass advances the time in ticks.
-func (k *kept) pass(d Time) {
+func (k *keptEngine) pass(d Time) {
 	for end := k.now.At + d; k.now.At < end; {
 		k.now.At += 5 * control.Millisecond
 		k.now.Wall += Timestamp(5 * control.Millisecond)
@@ -67,7 +67,7 @@
 	}
 }
 
-func (k *kept) hand(class, id string, with Submit) {
+func (k *keptEngine) submit(class, id string, with Submit) {
 	with.Ticket, with.Message, with.ExpiresIn = 1, Message{ID: id, Class: class, Destination: 1, Key: "k", Body: []byte("body")}, 5*control.Second
 	k.do(&with)
 	k.pass(10 * control.Millisecond)
@@ -76,32 +76,32 @@
 // The record of an undelivered message has its body, its attempts, the cause, and the time from when no call of it is out.
 func TestAKeeperIsToldAllOfWhatIsGivenUp(t *testing.T) {
 	t.Parallel()
-	end := func(k *kept, r control.Result, o Outcome) {
+	end := func(k *keptEngine, r control.Result, o Outcome) {
 		o.Result = r
 		k.do(&Ended{Call: k.calls[len(k.calls)-1].ID, Outcomes: []Outcome{o}})
 		k.pass(20 * control.Millisecond)
 	}
 	for name, c := range map[string]struct {
-		play  func(k *kept)
+		play  func(k *keptEngine)
 		cause Cause
 		doubt bool
 		tries int
 		quiet Time // after the message ended
 	}{
-		"in doubt":       {func(k *kept) { end(k, control.Reset, Outcome{}) }, CauseDoubt, true, 1, 0},
-		"its call hangs": {func(k *kept) { k.pass(6 * control.Second) }, CauseDeadline, true, 1, 20 * control.Millisecond},
-		"no try can go better": {func(k *kept) {
+		"in doubt":       {func(k *keptEngine) { end(k, control.Reset, Outcome{}) }, CauseDoubt, true, 1, 0},
+		"its call hangs": {func(k *keptEngine) { k.pass(6 * control.Second) }, CauseDeadline, true, 1, 20 * control.Millisecond},
+		"no try can go better": {func(k *keptEngine) {
 			end(k, control.Refused, Outcome{Permanent: true, Reason: "no such user"})
 		}, CausePermanent, false, 1, 0},
 	} {
 		k := newKept(t, 0)
-		k.hand("unsafe", "m", Submit{})
+		k.submit("unsafe", "m", Submit{})
 		if len(k.calls) != 1 {
 			t.Fatalf("%s: %d calls", name, len(k.calls))
 		}
 		sent := k.now.At
 		c.play(k)
-		g := k.given
+		g := k.undelivered
 		if g == nil || string(g.Message.Body) != "body" || g.Cause != c.cause || (g.DoubtAt != 0) != c.doubt || g.Tries != c.tries || len(g.Attempts) != 1 {
 			t.Errorf("%s: %+v", name, g)
 			continue
@@ -126,25 +126,25 @@
 		calls int
 	}{{control.Second, 1}, {4*control.Second + 990*control.Millisecond, 0}, {6 * control.Second, 0}} {
 		k := newKept(t, AlreadyEnded)
-		k.hand("keyed", "m", Submit{Resent: true, DoubtAge: c.age, DoubtZone: 1})
-		if k.said.Kind != Accepted || k.asked != 0 || len(k.calls) != c.calls {
-			t.Errorf("doubt of %d ms: %+v, asked %d times, %d calls", c.age/control.Millisecond, k.said, k.asked, len(k.calls))
+		k.submit("keyed", "m", Submit{Resent: true, DoubtAge: c.age, DoubtZone: 1})
+		if k.verdict.Kind != Accepted || k.asked != 0 || len(k.calls) != c.calls {
+			t.Errorf("doubt of %d ms: %+v, asked %d times, %d calls", c.age/control.Millisecond, k.verdict, k.asked, len(k.calls))
 		}
-		state := replay(k.taken)
+		state := replay(k.records)
 		if c.calls > 0 && (len(state.live) != 1 || state.live[0].DoubtAt == 0 || state.live[0].DoubtAt > Timestamp(testWall)) {
 			t.Errorf("the store has %+v", state.live)
 		}
-		if c.calls == 0 && (k.given == nil || k.given.DoubtAt == 0) {
-			t.Errorf("given up: %+v", k.given)
+		if c.calls == 0 && (k.undelivered == nil || k.undelivered.DoubtAt == 0) {
+			t.Errorf("given up: %+v", k.undelivered)
 		}
 	}
 }
 
-func TestWhatIsKeptSpeaksAgainstAHandIn(t *testing.T) {
+func TestCheckUndeliveredRejectsASubmission(t *testing.T) {
 	t.Parallel()
 	k := newKept(t, AlreadyEnded)
-	k.hand("unsafe", "m", Submit{})
-	if k.said.Kind != AlreadyEnded || k.said.Reason != "kept as number 7" || len(k.calls) > 0 || k.asked != 1 {
-		t.Errorf("%+v, %d calls, asked %d times", k.said, len(k.calls), k.asked)
+	k.submit("unsafe", "m", Submit{})
+	if k.verdict.Kind != AlreadyEnded || k.verdict.Reason != "kept as number 7" || len(k.calls) > 0 || k.asked != 1 {
+		t.Errorf("%+v, %d calls, asked %d times", k.verdict, len(k.calls), k.asked)
 	}
 }
--- a/engine/instant_test.go
+++ b/engine/instant_test.go
@@ -30,18 +30,18 @@
 
 // oneInstant drives an engine with one message. Its store keeps batches back until write is called.
 type oneInstant struct {
-	t       *testing.T
-	e       *Engine
-	gate    Gate
-	now     Now
-	disk    []Record
-	waiting []*Append
-	answers map[Ticket]int
-	taken   int // messages accepted in the store
-	told    int // Done effects
-	out     int // calls out
-	calls   []CallID
-	trace   string
+	t        *testing.T
+	e        *Engine
+	gate     Gate
+	now      Now
+	disk     []Record
+	waiting  []*Append
+	answers  map[Ticket]int
+	accepted int // messages accepted in the store
+	dones    int // Done effects
+	callsOut int // calls out
+	calls    []CallID
+	trace    string
 }
 
 func (r *oneInstant) handle(ev Event) {
@@ -61,9 +61,9 @@
 		case *Answer:
 			r.answers[f.Ticket]++
 		case *Done:
-			r.told++
+			r.dones++
 		case *Call:
-			if r.out++; r.out > 1 {
+			if r.callsOut++; r.callsOut > 1 {
 				r.t.Fatalf("two copies out\n%s", r.trace)
 			}
 			r.calls = append(r.calls, f.ID)
@@ -79,7 +79,7 @@
 	for _, a := range r.waiting {
 		for _, rec := range a.Records {
 			if _, ok := rec.(*RecAccepted); ok {
-				r.taken++
+				r.accepted++
 			}
 		}
 		r.disk = append(r.disk, a.Records...)
@@ -117,7 +117,7 @@
 	pass(5 * control.Millisecond)
 	r.handle(&Wake{})
 	r.write()
-	if r.out != 1 {
+	if r.callsOut != 1 {
 		t.Fatalf("no call is out\n%s", r.trace)
 	}
 	pass(control.Second)
@@ -130,7 +130,7 @@
 		},
 		func() {
 			ended = true
-			r.out--
+			r.callsOut--
 			r.handle(&Ended{Call: 1, Outcomes: []Outcome{{Result: result}}})
 		},
 		func() { r.handle(&Withdraw{ID: "m"}) },
@@ -145,7 +145,7 @@
 	for range 5 {
 		r.write()
 		for len(r.calls) > 1 {
-			r.out--
+			r.callsOut--
 			r.handle(&Ended{Call: r.calls[1], Outcomes: []Outcome{{Result: control.Errored}}})
 			r.calls = append(r.calls[:1], r.calls[2:]...)
 		}
@@ -158,8 +158,8 @@
 	if r.answers[1] != 1 || r.answers[2] != 1 {
 		t.Fatalf("order %v: answers %v\n%s", order, r.answers, r.trace)
 	}
-	if r.told != r.taken || r.taken > 2 || r.taken == 2 && class == "unsafe" && result == control.Reset {
-		t.Fatalf("order %v: %d lives, %d ends told\n%s", order, r.taken, r.told, r.trace)
+	if r.dones != r.accepted || r.accepted > 2 || r.accepted == 2 && class == "unsafe" && result == control.Reset {
+		t.Fatalf("order %v: %d lives, %d ends told\n%s", order, r.accepted, r.dones, r.trace)
 	}
 	if left := replay(r.disk).live; len(left) > 0 || r.e.OpenMessages() != 0 || r.e.CallsOut() != 0 || r.e.notifying != 0 {
 		t.Fatalf("order %v: the store holds %d, the engine %d, %d calls, %d owed\n%s", order, len(left), r.e.OpenMessages(), r.e.CallsOut(), r.e.notifying, r.trace)
--- a/engine/pause_test.go
+++ b/engine/pause_test.go
@@ -32,8 +32,8 @@
 	return l
 }
 
-// told counts the endpoint entries that wait for the module's next Step.
-func told(e *Engine) (n int) {
+// queuedEntries counts the endpoint entries that wait for the module's next Step.
+func queuedEntries(e *Engine) (n int) {
 	for i := range e.events {
 		n += len(e.events[i].Entries)
 	}
@@ -42,7 +42,7 @@
 
 // Guards against a pause while a list of ten thousand endpoints is processed: each tick processes only a part of it. In the
 // end the whole list counts, and so do the reports after it, in the order in which they came.
-func TestALongListIsTakenInParts(t *testing.T) {
+func TestALongListIsProcessedInParts(t *testing.T) {
 	t.Parallel()
 	const n = 10_000
 	e := bigEngine(t, n)
@@ -54,7 +54,7 @@
 			if next, ok := e.NextWake(); len(e.reports) > 0 && (!ok || next > now.At+e.settings.Control.Tick) {
 				t.Fatalf("%d lists are left and the next wake is %d after %d", len(e.reports), next, now.At)
 			}
-			if got := told(e); got > maxPerPart {
+			if got := queuedEntries(e); got > maxPerPart {
 				t.Fatalf("the module is told %d endpoints at once", got)
 			}
 			took++
@@ -94,11 +94,11 @@
 	l := longList(n-10, Active)
 	l.List[5000].Phase = Leaving
 	e.Handle(now, l)
-	entries := told(e)
+	entries := queuedEntries(e)
 	for len(e.reports) > 0 {
 		now.At += e.settings.Control.Tick
 		e.Handle(now, &Wake{})
-		entries += told(e)
+		entries += queuedEntries(e)
 	}
 	if entries != 2 { // and that e7 is active again
 		t.Errorf("a list with two changes tells the module %d endpoints", entries)
@@ -193,7 +193,7 @@
 	tell := func(l *Members) (entries int) {
 		e.Handle(now, l)
 		for range 10 {
-			entries += told(e)
+			entries += queuedEntries(e)
 			now.At += e.settings.Control.Tick
 			e.Handle(now, &Wake{})
 		}
--- a/engine/prompt_test.go
+++ b/engine/prompt_test.go
@@ -42,7 +42,7 @@
 	return f
 }
 
-func TestAPromptEngineCallsAtTheInstantOfTheHandIn(t *testing.T) {
+func TestAPromptEngineCallsAtTheInstantOfTheSubmission(t *testing.T) {
 	t.Parallel()
 	_, handle := promptEngine(t)
 	for i, at := range []Time{1, 2, 7} { // far less than a tick apart
@@ -56,7 +56,7 @@
 
 // After the last open message has ended, the next Step waits for the tick, as nobody waits for it. Any other Step is run at
 // once. A message that comes before that tick finds the slot free.
-func TestAPromptEngineStepsAtOnceWhileAMessageIsHeld(t *testing.T) {
+func TestAPromptEngineStepsAtOnceWhileAMessageIsOpen(t *testing.T) {
 	t.Parallel()
 	e, handle := promptEngine(t, func(s *Settings) { s.Control.Slots = 1 })
 	in := func(at Time, id string) []Effect {
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestAnIDThatIsHandedInOnceIsForgottenAtItsEnd(t *testing.T) {
+func TestAUniqueIDIsForgottenAtItsEnd(t *testing.T) {
 	t.Parallel()
 	for _, once := range []bool{false, true} {
 		e, handle := promptEngine(t)
@@ -96,7 +96,7 @@
 }
 
 // Done is emitted once. A client that submits the id again before its notification is confirmed must not wait for a Done.
-func TestAVerdictTellsThatAnEndIsOwedAlready(t *testing.T) {
+func TestAVerdictNamesAPendingDisposition(t *testing.T) {
 	t.Parallel()
 	_, handle := promptEngine(t, func(s *Settings) { s.Control.Slots = 1 })
 	handle(1, &Submit{Message: Message{ID: "first", Class: "free", Destination: 1}, ExpiresIn: control.Second})
--- a/engine/property_test.go
+++ b/engine/property_test.go
@@ -17,18 +17,18 @@
 
 var traceLines = flag.Int("lines", 80, "lines of a failing run that are shown")
 
-type rapidDice struct{ *rapid.T }
+type rapidSource struct{ *rapid.T }
 
-func (d rapidDice) n(label string, below int) int {
+func (d rapidSource) n(label string, below int) int {
 	if below <= 1 {
 		return 0
 	}
 	return rapid.IntRange(0, below-1).Draw(d.T, label)
 }
 
-type seedDice struct{ *rand.Rand }
+type seededSource struct{ *rand.Rand }
 
-func (d seedDice) n(_ string, below int) int {
+func (d seededSource) n(_ string, below int) int {
 	if below <= 1 {
 		return 0
 	}
@@ -36,10 +36,10 @@
 }
 
 // runWorld runs a world for so many steps and returns the rule that was broken, "" if none was.
-func runWorld(d dice, steps int, quiet bool, told func(Now, Event)) (w *world, fault string) {
+func runWorld(d randomSource, steps int, quiet bool, told func(Now, Event)) (w *world, fault string) {
 	defer func() {
 		if p := recover(); p != nil {
-			b, ok := p.(broken)
+			b, ok := p.(brokenRule)
 			if !ok {
 				panic(p)
 			}
@@ -63,7 +63,7 @@
 func TestTheRulesHoldWhateverHappens(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		if w, fault := runWorld(rapidDice{t}, rapid.IntRange(10, 150).Draw(t, "steps"), false, nil); fault != "" {
+		if w, fault := runWorld(rapidSource{t}, rapid.IntRange(10, 150).Draw(t, "steps"), false, nil); fault != "" {
 			t.Fatalf("%s\n%s", fault, w.last(*traceLines))
 		}
 	})
@@ -114,7 +114,7 @@
 								panic(fmt.Sprintf("seed %d: %v\n%s", seed, p, debug.Stack()))
 							}
 						}()
-						return runWorld(seedDice{rand.New(rand.NewPCG(seed, 1))}, 300, quiet, nil)
+						return runWorld(seededSource{rand.New(rand.NewPCG(seed, 1))}, 300, quiet, nil)
 					}
 					w, fault := run(true)
 					if fault != "" {
--- a/engine/record_test.go
+++ b/engine/record_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestAPrintTellsMessagesApart(t *testing.T) {
+func TestFingerprintsDistinguishMessages(t *testing.T) {
 	t.Parallel()
 	base := Message{ID: "m", Class: "c", Tenant: "t", Destination: 1, Key: "k", Body: []byte("body")}
 	if got, want := base.Fingerprint(), uint64(0x7e25c060d5fc2d2d); got != want {
--- a/engine/same_test.go
+++ b/engine/same_test.go
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// asked is the environment variable that marks the second process of TestTheSameEventsGiveTheSameEffects.
-const asked = "ENGINE_TEST_EFFECTS"
+// secondProcess is the environment variable that marks the second process of TestTheSameEventsGiveTheSameEffects.
+const secondProcess = "ENGINE_TEST_EFFECTS"
 
 // recorded is a stream of events that a world passed to its engines.
 type recorded struct {
@@ -29,7 +29,7 @@
 func record(t *testing.T, events int) (streams []recorded) {
 	for seed := uint64(0); events > 0; seed++ {
 		var r recorded
-		w, fault := runWorld(seedDice{rand.New(rand.NewPCG(seed, 7))}, 300, true, func(now Now, ev Event) {
+		w, fault := runWorld(seededSource{rand.New(rand.NewPCG(seed, 7))}, 300, true, func(now Now, ev Event) {
 			r.events = append(r.events, struct {
 				now Now
 				ev  Event
@@ -95,7 +95,7 @@
 	const events = 20_000
 	streams := record(t, events)
 	first, n := sum(t, streams)
-	if os.Getenv(asked) != "" {
+	if os.Getenv(secondProcess) != "" {
 		fmt.Printf("effects %s\n", first)
 		return
 	}
@@ -106,7 +106,7 @@
 		t.Errorf("the second run gave %s, the first %s", second, first)
 	}
 	cmd := exec.Command(os.Args[0], "-test.run=^TestTheSameEventsGiveTheSameEffects$", "-test.v")
-	cmd.Env = append(os.Environ(), asked+"=1")
+	cmd.Env = append(os.Environ(), secondProcess+"=1")
 	out, err := cmd.CombinedOutput()
 	if err != nil {
 		t.Fatalf("second process: %v\n%s", err, out)
--- a/engine/script_test.go
+++ b/engine/script_test.go
@@ -242,10 +242,10 @@
 }
 
 var (
-	phases  = []string{"gone", "leaving", "active"}
-	hows    = []string{"", "delivered", "refused", "failed", "over", "withdrawn"}
-	kinds   = []string{"", "taken", "busy", "unnamed", "conflict", "spent", "unsure", "invalid"}
-	results = []string{"ok", "errored", "full", "timed-out", "connect-failed", "reset", "cancelled", "moot", "unsent"}
+	phases       = []string{"gone", "leaving", "active"}
+	dispositions = []string{"", "delivered", "refused", "failed", "over", "withdrawn"}
+	verdictKinds = []string{"", "taken", "busy", "unnamed", "conflict", "spent", "unsure", "invalid"}
+	results      = []string{"ok", "errored", "full", "timed-out", "connect-failed", "reset", "cancelled", "moot", "unsent"}
 )
 
 func index(list []string, s string) (int, error) {
@@ -361,12 +361,12 @@
 			Message: message(), Deadline: wall(field["deadline"]), Tries: num(field["tries"]), DoubtAt: wall(field["doubt"]),
 		}
 		if h, ok := field["owed"]; ok {
-			r.Pending = &PendingResult{Disposition: Disposition(at(hows, h)), Fingerprint: r.Message.Fingerprint()}
+			r.Pending = &PendingResult{Disposition: Disposition(at(dispositions, h)), Fingerprint: r.Message.Fingerprint()}
 		}
 		ev = r
 	case "restored-end":
 		m := message()
-		ev = &RestoredEnd{ID: m.ID, Disposition: Disposition(at(hows, field["how"])), Until: wall(field["until"]), Fingerprint: m.Fingerprint()}
+		ev = &RestoredEnd{ID: m.ID, Disposition: Disposition(at(dispositions, field["how"])), Until: wall(field["until"]), Fingerprint: m.Fingerprint()}
 	case "restored-last":
 		ev = &RestoreComplete{LatestTimestamp: wall(field["written"])}
 	case "members": // members source [whole] [cached] [failed] id:dest[:phase[:addr]] ...
@@ -452,11 +452,11 @@
 			s += " doubt=" + ago(ev.DoubtAt)
 		}
 		if ev.Pending != nil {
-			s += " owed=" + hows[ev.Pending.Disposition]
+			s += " owed=" + dispositions[ev.Pending.Disposition]
 		}
 		return s
 	case *RestoredEnd:
-		return fmt.Sprintf("restored-end %s how=%s until=%s", ev.ID, hows[ev.Disposition], ago(ev.Until))
+		return fmt.Sprintf("restored-end %s how=%s until=%s", ev.ID, dispositions[ev.Disposition], ago(ev.Until))
 	case *RestoreComplete:
 		return "restored-last written=" + ago(ev.LatestTimestamp)
 	case *Members:
@@ -533,7 +533,7 @@
 	case *Discard:
 		return fmt.Sprintf("void %d", f.Batch)
 	case *Answer:
-		s := fmt.Sprintf("answer %d %s", f.Ticket, kinds[f.Kind])
+		s := fmt.Sprintf("answer %d %s", f.Ticket, verdictKinds[f.Kind])
 		if f.RetryAfter > 0 {
 			s += " again=" + f.RetryAfter.String()
 		}
@@ -556,7 +556,7 @@
 	case *RemoveEndpoint:
 		return fmt.Sprintf("leave %d %s", f.Endpoint, f.Addr)
 	case *Done:
-		s := fmt.Sprintf("done %s %s", f.ID, hows[f.Disposition])
+		s := fmt.Sprintf("done %s %s", f.ID, dispositions[f.Disposition])
 		if f.InDoubt {
 			s += " doubt"
 		}
@@ -600,9 +600,9 @@
 		}
 		return s
 	case *RecPendingResult:
-		return fmt.Sprintf("owed %s %s", r.ID, hows[r.Disposition])
+		return fmt.Sprintf("owed %s %s", r.ID, dispositions[r.Disposition])
 	case *RecEnded:
-		s := fmt.Sprintf("ended %s %s", r.ID, hows[r.Disposition])
+		s := fmt.Sprintf("ended %s %s", r.ID, dispositions[r.Disposition])
 		if r.Until != 0 {
 			s += " until=" + Duration(Time(r.Until-now.Wall)).String()
 		}
--- a/engine/store_test.go
+++ b/engine/store_test.go
@@ -9,7 +9,7 @@
 
 // After a store lost the records of thousands of messages, these are rewritten some at a time, and their ids are not accepted
 // again before all are stored: an end that is written late must not end a new message with the same id.
-func TestLostAccountsAreWrittenAnewSomeAtATime(t *testing.T) {
+func TestLostRecordsAreRewrittenSomeAtATime(t *testing.T) {
 	t.Parallel()
 	const n = 3 * maxRewrittenRecords
 	set := testSettings()
@@ -61,7 +61,7 @@
 		if len(e.dirtyOwners) > 0 {
 			for _, a := range handle(in(0)) {
 				if a.Kind != Busy {
-					t.Fatalf("taken on with %d accounts to be written: %s", len(e.dirtyOwners), kinds[a.Kind])
+					t.Fatalf("taken on with %d accounts to be written: %s", len(e.dirtyOwners), verdictKinds[a.Kind])
 				}
 			}
 		}
@@ -83,7 +83,7 @@
 }
 
 // Dirty messages that have ended, and so are not rewritten, must not keep the rest from being rewritten.
-func TestAccountsThatAreOverHoldNothingUp(t *testing.T) {
+func TestEndedMessagesDoNotBlockRewriting(t *testing.T) {
 	t.Parallel()
 	e, err := New(testSettings())
 	if err != nil {
--- a/engine/world_test.go
+++ b/engine/world_test.go
@@ -15,61 +15,61 @@
 // records, clocks that are stepped, and processes that end and restart from the records written so far. A small model
 // checks the rules. It knows nothing of the engine's internals, only what is written to endpoints, answered and reported.
 
-// dice is a random source: a property-testing library's, or one with a seed.
-type dice interface {
+// randomSource is a random source: a property-testing library's, or one with a seed.
+type randomSource interface {
 	n(label string, below int) int // 0 to below-1
 }
 
 type world struct {
-	dice
-	set   Settings
-	e     *Engine
-	gate  Gate
-	now   Now            // Wall may be stepped against At
-	round int            // number of events, except the store's
-	made  map[CallID]int // the round in which each call was made
-	trace strings.Builder
-	quiet bool // write no trace
+	randomSource
+	set        Settings
+	e          *Engine
+	gate       Gate
+	now        Now            // Wall may be stepped against At
+	round      int            // number of events, except the store's
+	callRounds map[CallID]int // the round in which each call was made
+	trace      strings.Builder
+	quiet      bool // write no trace
 
 	// The store: its records, and batches that it has not answered yet.
-	disk      []Record
-	batches   []int           // length of disk after each batch of this process, by its number minus 1
-	bootDisk  int             // length of what earlier processes wrote
-	lost      bool            // confirmed records were lost ...
-	reordered bool            // a batch failed before others that may still be stored, which no real store does
-	longOver  map[string]bool // ... and with them the ends of these ids, which the engine had already forgotten
-	batchAt   []Time          // when each batch was written
-	waiting   []*Append
-	mode      int // storeSync, ...
+	disk          []Record
+	batches       []int           // length of disk after each batch of this process, by its number minus 1
+	bootDisk      int             // length of what earlier processes wrote
+	lost          bool            // confirmed records were lost ...
+	reordered     bool            // a batch failed before others that may still be stored, which no real store does
+	forgottenEnds map[string]bool // ... and with them the ends of these ids, which the engine had already forgotten
+	batchAt       []Time          // when each batch was written
+	unanswered    []*Append
+	storeMode     int // storeSync, ...
 
 	// Calls that were started and have items without an outcome.
 	calls []*worldCall
 
-	permits []bool   // of the newest Permit
-	owed    []string // messages whose notification is not confirmed
-	tickets int
-	newest  string // id submitted last ...
-	newAt   Time   // ... in true time
-	calm    int    // of four lists, this many are full and list all endpoints as active
-	model   model
-	endless bool // the run is being finished: no more faults
-	stopped bool // a planned stop has begun
+	permits     []bool   // of the newest Permit
+	unconfirmed []string // messages whose notification is not confirmed
+	tickets     int
+	newest      string // id submitted last ...
+	newestAt    Time   // ... in true time
+	calmLists   int    // of four lists, this many are full and list all endpoints as active
+	model       model
+	finishing   bool // the run is being finished: no more faults
+	stopped     bool // a planned stop has begun
 
 	tally map[string]int // number of occurrences
 
-	told func(Now, Event) // called with each event for the engine, if set; nil for a new process
-	also func(Effect)     // called with each effect, if set
+	onEvent  func(Now, Event) // called with each event for the engine, if set; nil for a new process
+	onEffect func(Effect)     // called with each effect, if set
 }
 
 func (w *world) count(what string) { w.tally[what]++ }
 
 type worldCall struct {
 	Call
-	dest    int
-	written []bool
-	ended   []bool
-	started bool // at least some of its bytes are written
-	aborted bool
+	destination int
+	written     []bool
+	ended       []bool
+	started     bool // at least some of its bytes are written
+	aborted     bool
 }
 
 // How the store behaves.
@@ -81,17 +81,17 @@
 	storeModes
 )
 
-func newWorld(d dice, quiet bool, told func(Now, Event), change ...func(*world)) *world {
-	w := &world{told: told, dice: d, quiet: quiet, set: testSettings(), now: Now{At: Epoch, Wall: testWall}, longOver: map[string]bool{}, tally: map[string]int{}}
+func newWorld(d randomSource, quiet bool, told func(Now, Event), change ...func(*world)) *world {
+	w := &world{onEvent: told, randomSource: d, quiet: quiet, set: testSettings(), now: Now{At: Epoch, Wall: testWall}, forgottenEnds: map[string]bool{}, tally: map[string]int{}}
 	w.set.Control.MaxOpen = 4 + d.n("open", 16)
 	w.set.Control.Slots = 1 + d.n("slots", 5)
 	w.set.Control.MayCancel = d.n("may cancel", 3) > 0
 	w.set.Control.Kinds[1].RoutesApart = d.n("apart", 3) == 0
 	w.set.MaxIDs = 10 + d.n("ids", 30)
 	w.set.CallBytes = 300
-	w.calm = d.n("calm", 5)
+	w.calmLists = d.n("calm", 5)
 	w.set.MaxBytes = 200 + 200*d.n("bytes", 4)
-	w.model = model{w: w, lives: map[string]*life{}, routes: map[string]*route{}, waits: map[string]wait{}}
+	w.model = model{w: w, ids: map[string]*idState{}, routes: map[string]*route{}, waits: map[string]wait{}}
 	for _, f := range change {
 		f(w)
 	}
@@ -105,11 +105,11 @@
 	if w.e, err = New(w.set); err != nil {
 		panic(err)
 	}
-	if w.told != nil {
-		w.told(w.now, nil)
+	if w.onEvent != nil {
+		w.onEvent(w.now, nil)
 	}
-	w.gate, w.batches, w.waiting, w.calls, w.owed, w.mode = Gate{}, nil, nil, nil, nil, storeSync
-	w.made, w.batchAt = map[CallID]int{}, nil
+	w.gate, w.batches, w.unanswered, w.calls, w.unconfirmed, w.storeMode = Gate{}, nil, nil, nil, nil, storeSync
+	w.callRounds, w.batchAt = map[CallID]int{}, nil
 	w.now.At = Epoch // a process's own time restarts
 	w.stopped = false
 	w.bootDisk = len(w.disk)
@@ -121,14 +121,14 @@
 		l.finished = true
 	}
 	for _, m := range state.live { // the order in the store counts
-		w.model.took++
-		l := w.model.lives[m.Message.ID]
-		l.tookAt, l.finished = w.model.took, m.Pending != nil
-		if m.Deadline > w.now.Wall+Timestamp(l.deadline+w.model.unsure-w.model.time) { // a step of the clock that is not recorded
+		w.model.acceptances++
+		l := w.model.ids[m.Message.ID]
+		l.acceptedAt, l.finished = w.model.acceptances, m.Pending != nil
+		if m.Deadline > w.now.Wall+Timestamp(l.deadline+w.model.clockError-w.model.time) { // a step of the clock that is not recorded
 			w.model.setBack = true
 		}
-		if l.bodyless = l.bodyless || m.Pending != nil; !l.bodyless {
-			l.print, l.recorded = m.Message.Fingerprint(), m.Message.Fingerprint()
+		if l.bodyUnknown = l.bodyUnknown || m.Pending != nil; !l.bodyUnknown {
+			l.fingerprint, l.recorded = m.Message.Fingerprint(), m.Message.Fingerprint()
 		}
 		switch {
 		case m.Pending != nil:
@@ -143,9 +143,9 @@
 		w.handle(m)
 	}
 	for _, p := range state.ended {
-		l := w.model.lives[p.ID]
-		if l.bodyless = p.Fingerprint&bodyMask == 0; !l.bodyless {
-			l.print, l.recorded = p.Fingerprint, p.Fingerprint
+		l := w.model.ids[p.ID]
+		if l.bodyUnknown = p.Fingerprint&bodyMask == 0; !l.bodyUnknown {
+			l.fingerprint, l.recorded = p.Fingerprint, p.Fingerprint
 		}
 		w.handle(p)
 	}
@@ -244,20 +244,20 @@
 
 // append adds a batch to those that wait for the store's answer.
 func (w *world) append(a *Append) {
-	if a.Batch != Batch(len(w.batches)+len(w.waiting)+1) {
-		w.fail("batch %d after %d", a.Batch, len(w.batches)+len(w.waiting))
+	if a.Batch != Batch(len(w.batches)+len(w.unanswered)+1) {
+		w.fail("batch %d after %d", a.Batch, len(w.batches)+len(w.unanswered))
 	}
-	w.waiting = append(w.waiting, a)
+	w.unanswered = append(w.unanswered, a)
 }
 
 // flush answers for the waiting batches, as far as the store's mode allows.
 func (w *world) flush() {
-	for len(w.waiting) > 0 {
-		switch w.mode {
+	for len(w.unanswered) > 0 {
+		switch w.storeMode {
 		case storeSync:
-			w.write(len(w.waiting))
+			w.write(len(w.unanswered))
 		case storeFails:
-			w.lose(w.n("full", 4) == 0)
+			w.failBatch(w.n("full", 4) == 0)
 		default:
 			return
 		}
@@ -266,23 +266,23 @@
 
 // write puts the first n waiting batches on the disk and reports them as stored.
 func (w *world) write(n int) {
-	for _, a := range w.waiting[:n] {
+	for _, a := range w.unanswered[:n] {
 		w.disk = append(w.disk, a.Records...)
 		w.batches, w.batchAt = append(w.batches, len(w.disk)), append(w.batchAt, w.now.At)
 	}
-	w.waiting = w.waiting[n:]
+	w.unanswered = w.unanswered[n:]
 	b := Batch(len(w.batches))
 	w.handle(&Stored{Batch: b})
 	w.carryOut(w.gate.Stored(nil, b), true)
 }
 
-// lose fails the first waiting batch.
-func (w *world) lose(full bool) {
-	a := w.waiting[0]
-	w.waiting = w.waiting[1:]
+// failBatch fails the first waiting batch.
+func (w *world) failBatch(full bool) {
+	a := w.unanswered[0]
+	w.unanswered = w.unanswered[1:]
 	w.batches, w.batchAt = append(w.batches, len(w.disk)), append(w.batchAt, w.now.At)
 	w.gate.Failed(a.Batch)
-	w.reordered = w.reordered || len(w.waiting) > 0 && w.mode != storeFails
+	w.reordered = w.reordered || len(w.unanswered) > 0 && w.storeMode != storeFails
 	var taken []*RecAccepted
 	takes := true
 	for _, r := range a.Records {
@@ -296,7 +296,7 @@
 	}
 	if takes = takes && len(taken) > 0; takes {
 		for _, r := range taken {
-			w.model.lives[r.Message.ID].tookAt = 0
+			w.model.ids[r.Message.ID].acceptedAt = 0
 		}
 	}
 	w.handle(&StoreFailed{Batch: a.Batch, Full: full && takes})
@@ -323,14 +323,14 @@
 	default:
 		w.round++
 	}
-	if w.told != nil {
-		w.told(w.now, ev)
+	if w.onEvent != nil {
+		w.onEvent(w.now, ev)
 	}
 	effects := append([]Effect(nil), w.e.Handle(w.now, ev)...)
 	for _, f := range effects {
 		w.count(fmt.Sprintf("%T", f)[len("*engine."):])
-		if w.also != nil {
-			w.also(f)
+		if w.onEffect != nil {
+			w.onEffect(f)
 		}
 		switch f := f.(type) {
 		case *Append:
@@ -338,12 +338,12 @@
 				w.count(fmt.Sprintf("%T", r)[len("*engine."):])
 			}
 		case *Answer:
-			w.count("verdict " + kinds[f.Kind])
+			w.count("verdict " + verdictKinds[f.Kind])
 			if f.Kind == Busy || f.Kind == AlreadyEnded || f.Kind == Conflict {
 				w.count(f.Reason)
 			}
 		case *Done:
-			w.count("end " + hows[f.Disposition])
+			w.count("end " + dispositions[f.Disposition])
 			if f.InDoubt {
 				w.count("end in doubt")
 			}
@@ -357,13 +357,13 @@
 			}
 		}
 		if c, ok := f.(*Call); ok {
-			w.made[c.ID] = w.round
+			w.callRounds[c.ID] = w.round
 		}
 		if !w.quiet {
 			fmt.Fprintf(&w.trace, "  %s\n", format(f, w.now))
 		}
 		if d, ok := f.(*Done); ok {
-			w.model.lives[d.ID].finished = true
+			w.model.ids[d.ID].finished = true
 		}
 		if a, ok := f.(*Append); ok {
 			w.model.recorded(a)
@@ -383,15 +383,15 @@
 		case *Call:
 			c := &worldCall{Call: *f, written: make([]bool, len(f.Items)), ended: make([]bool, len(f.Items))}
 			w.calls = append(w.calls, c)
-			c.dest = messageOf(c.Items[0].ID).Destination
+			c.destination = messageOf(c.Items[0].ID).Destination
 			w.model.called(c)
-			if late && w.made[c.ID] != w.round { // things may have changed since
+			if late && w.callRounds[c.ID] != w.round { // things may have changed since
 				w.permit(c)
 			} else if w.n("idle connection", 2) == 0 {
 				for i := range c.Items {
 					c.written[i] = true
 				}
-				w.put(c)
+				w.writeItems(c)
 			}
 		case *Abort:
 			for _, c := range w.calls {
@@ -402,7 +402,7 @@
 		case *Done:
 			w.model.done(f)
 			if f.Disposition == Refused || f.Disposition == Failed {
-				w.owed = append(w.owed, f.ID)
+				w.unconfirmed = append(w.unconfirmed, f.ID)
 			}
 		case *Permit:
 			w.permits = f.Items
@@ -430,7 +430,7 @@
 			outs = append(outs, Outcome{Item: i, Result: control.Moot})
 		}
 	}
-	w.put(c)
+	w.writeItems(c)
 	if len(outs) > 0 {
 		w.model.outcomes(c, outs)
 		w.handle(&Ended{Call: c.ID, Outcomes: outs})
@@ -438,12 +438,12 @@
 	w.reap()
 }
 
-// put writes those items of a call that may be written.
-func (w *world) put(c *worldCall) {
+// writeItems writes those items of a call that may be written.
+func (w *world) writeItems(c *worldCall) {
 	c.started = true
 	for i := range c.Items {
 		if c.written[i] && !c.ended[i] {
-			w.model.wrote(c, i)
+			w.model.written(c, i)
 		}
 	}
 }
@@ -460,7 +460,7 @@
 func (w *world) step() {
 	switch what := w.n("what", 20); {
 	case what < 4:
-		w.handIn()
+		w.submitOne()
 	case what < 9:
 		w.advance()
 	case what < 14 && len(w.calls) > 0:
@@ -468,11 +468,11 @@
 	case what < 15:
 		w.list()
 	case what < 17:
-		w.storeDoes()
-	case what < 18 && len(w.owed) > 0:
-		i := w.n("through", len(w.owed))
-		id := w.owed[i]
-		w.owed = slices.Delete(w.owed, i, i+1)
+		w.storeEvent()
+	case what < 18 && len(w.unconfirmed) > 0:
+		i := w.n("through", len(w.unconfirmed))
+		id := w.unconfirmed[i]
+		w.unconfirmed = slices.Delete(w.unconfirmed, i, i+1)
 		w.handle(&Notified{IDs: []string{id}})
 	case what == 18:
 		switch w.n("rare", 10) {
@@ -498,7 +498,7 @@
 			w.handle(&Notified{IDs: []string{"nobody"}})
 		case 6:
 			w.tickets++
-			m := messageOf(w.idNow())
+			m := messageOf(w.currentID())
 			m.Class = "unheard of"
 			w.handle(&Submit{Ticket: Ticket(w.tickets), Message: m, ExpiresIn: control.Second})
 		case 7: // a planned stop; the next process gets the rest
@@ -509,18 +509,18 @@
 			w.stopped = true
 			w.handle(&Stop{})
 		case 8, 9:
-			w.handInAll()
+			w.submitSeveral()
 		}
 	default:
-		w.handIn()
+		w.submitOne()
 	}
 	w.flush()
 	w.model.check()
 }
 
-// idNow returns an id that is in use for a few seconds only, as with real clients. The message's contents follow from it.
-func (w *world) idNow() string {
-	if w.newest != "" && w.model.time-w.newAt < 6*control.Second && w.n("newest", 8) == 0 {
+// currentID returns an id that is in use for a few seconds only, as with real clients. The message's contents follow from it.
+func (w *world) currentID() string {
+	if w.newest != "" && w.model.time-w.newestAt < 6*control.Second && w.n("newest", 8) == 0 {
 		return w.newest
 	}
 	return fmt.Sprintf("m%d-%d", w.model.time/(6*control.Second), w.n("id", 10))
@@ -537,40 +537,40 @@
 	return m
 }
 
-func (w *world) handIn() {
+func (w *world) submitOne() {
 	w.tickets++
-	m := messageOf(w.idNow())
+	m := messageOf(w.currentID())
 	if m.ID != w.newest { // otherwise the id would be in use for too long
-		w.newest, w.newAt = m.ID, w.model.time
+		w.newest, w.newestAt = m.ID, w.model.time
 	}
 	if w.n("other", 12) == 0 {
 		m.Body = []byte("another body")
 	}
 	expires := Time(1+w.n("expires", 8)) * control.Second
-	w.model.handedIn(Ticket(w.tickets), m, expires)
+	w.model.submitted(Ticket(w.tickets), m, expires)
 	w.handle(&Submit{Ticket: Ticket(w.tickets), Message: m, ExpiresIn: expires})
 }
 
-// handInAll submits several messages at once, some perhaps twice, or with other contents.
-func (w *world) handInAll() {
+// submitSeveral submits several messages at once, some perhaps twice, or with other contents.
+func (w *world) submitSeveral() {
 	w.tickets++
 	h := &SubmitAll{Ticket: Ticket(w.tickets)}
 	expires := Time(1+w.n("expires", 8)) * control.Second
 	seen := map[string]bool{}
 	for range 2 + w.n("several", 3) {
-		m := messageOf(w.idNow())
+		m := messageOf(w.currentID())
 		if m.ID != w.newest {
-			w.newest, w.newAt = m.ID, w.model.time
+			w.newest, w.newestAt = m.ID, w.model.time
 		}
 		if w.n("other", 24) == 0 && !seen[m.ID] {
 			m.Body = []byte("another body")
 		} else if seen[m.ID] && w.n("again", 2) == 0 {
 			continue
 		}
-		w.model.several = h.Ticket
+		w.model.groupTicket = h.Ticket
 		h.Submissions = append(h.Submissions, Submit{Message: m, ExpiresIn: expires})
 		if !seen[m.ID] {
-			w.model.handedIn(h.Ticket, m, expires)
+			w.model.submitted(h.Ticket, m, expires)
 		}
 		seen[m.ID] = true
 	}
@@ -578,11 +578,11 @@
 }
 
 func (w *world) withdraw() {
-	id := w.idNow()
-	if w.newest != "" && w.model.time-w.newAt < 6*control.Second && w.n("newest", 2) == 0 {
+	id := w.currentID()
+	if w.newest != "" && w.model.time-w.newestAt < 6*control.Second && w.n("newest", 2) == 0 {
 		id = w.newest
 	}
-	if l := w.model.lives[id]; l != nil {
+	if l := w.model.ids[id]; l != nil {
 		l.withdrawn = true
 	}
 	w.handle(&Withdraw{ID: id})
@@ -646,7 +646,7 @@
 	switch w.n("call does", 6) {
 	case 0:
 		if len(c.Items) == 1 && c.written[0] {
-			w.model.line(c)
+			w.model.firstLine(c)
 			w.handle(&FirstLine{Call: c.ID})
 			w.end(c, func(int) control.Result { return control.OK }, false)
 		}
@@ -697,7 +697,7 @@
 		if !c.ended[i] {
 			c.ended[i] = true
 			o := Outcome{Item: i, Result: result(i)}
-			if !w.endless && c.started && !c.aborted && w.n("over", 15) == 0 {
+			if !w.finishing && c.started && !c.aborted && w.n("over", 15) == 0 {
 				o.Closed = true
 				w.count("over")
 			}
@@ -723,7 +723,7 @@
 		w.handle(&Members{Source: source, Failed: true})
 		return
 	}
-	calm := w.n("calm list", 4) < w.calm
+	calm := w.n("calm list", 4) < w.calmLists
 	l.FullList = l.FullList || calm
 	for id := range 5 {
 		if !calm && w.n("listed", 4) == 0 {
@@ -750,24 +750,24 @@
 	w.handle(l)
 }
 
-func (w *world) storeDoes() {
+func (w *world) storeEvent() {
 	switch w.n("store", 6) {
 	case 0, 1:
-		w.mode = storeSync
+		w.storeMode = storeSync
 	case 2:
-		w.mode = w.n("mode", storeModes)
-		w.count([]string{"store in time", "store late", "store fails", "store silent"}[w.mode])
+		w.storeMode = w.n("mode", storeModes)
+		w.count([]string{"store in time", "store late", "store fails", "store silent"}[w.storeMode])
 	case 3, 4:
-		if len(w.waiting) == 0 || w.mode == storeSilent && w.n("wakes", 3) > 0 {
+		if len(w.unanswered) == 0 || w.storeMode == storeSilent && w.n("wakes", 3) > 0 {
 			return
 		}
-		if w.mode == storeLate && w.n("fails", 5) == 0 {
-			w.lose(false)
+		if w.storeMode == storeLate && w.n("fails", 5) == 0 {
+			w.failBatch(false)
 		} else {
-			w.write(1 + w.n("batches", len(w.waiting)))
+			w.write(1 + w.n("batches", len(w.unanswered)))
 		}
 	case 5:
-		if n := len(w.batches); n > 0 && len(w.waiting) == 0 && !w.e.storeDown && w.n("loses", 3) == 0 {
+		if n := len(w.batches); n > 0 && len(w.unanswered) == 0 && !w.e.storeDown && w.n("loses", 3) == 0 {
 			kept := n - 1 - w.n("lost", min(n, 3))
 			if w.now.At-w.batchAt[kept] > 5*control.Second {
 				return // the engine has forgotten what ended long ago
@@ -780,11 +780,11 @@
 			for i := kept; i < n; i++ {
 				w.batches[i] = cut
 			}
-			w.mode = storeSync // rewritten records are stored: a second loss could not be repaired
+			w.storeMode = storeSync // rewritten records are stored: a second loss could not be repaired
 			w.lost = true
 			for _, m := range replay(w.disk).live {
 				if m.Deadline+Timestamp(w.e.settings.Remember) <= w.now.Wall {
-					w.longOver[m.Message.ID] = true
+					w.forgottenEnds[m.Message.ID] = true
 				}
 			}
 			w.handle(&StoreLost{LastKept: Batch(kept)})
@@ -795,7 +795,7 @@
 // crash ends the process and starts the next one from the records on the disk. Batches that were never reported as stored
 // may be among these or not.
 func (w *world) crash() {
-	for _, a := range w.waiting { // batches on their way may have reached the disk, or not
+	for _, a := range w.unanswered { // batches on their way may have reached the disk, or not
 		if w.n("landed", 2) == 0 {
 			break
 		}
@@ -812,15 +812,15 @@
 		w.model.setBack = true
 	}
 	w.count("restart")
-	w.model.unsure += 200 * control.Millisecond
+	w.model.clockError += 200 * control.Millisecond
 	w.model.crashed()
 	w.boot()
 }
 
 // finish ends the run: the store works, calls end, time passes. Then every message must have ended.
 func (w *world) finish() {
-	w.endless = true
-	w.mode = storeSync
+	w.finishing = true
+	w.storeMode = storeSync
 	w.flush()
 	if w.stopped {
 		w.crash()
@@ -836,9 +836,9 @@
 				return control.Errored
 			}, false)
 		}
-		for len(w.owed) > 0 {
-			id := w.owed[0]
-			w.owed = w.owed[1:]
+		for len(w.unconfirmed) > 0 {
+			id := w.unconfirmed[0]
+			w.unconfirmed = w.unconfirmed[1:]
 			w.handle(&Notified{IDs: []string{id}})
 		}
 		w.flush()
@@ -859,78 +859,78 @@
 	w.model.finished()
 }
 
-// broken is the panic value for a rule that was broken.
-type broken struct{ text string }
+// brokenRule is the panic value for a rule that was broken.
+type brokenRule struct{ text string }
 
 func (w *world) fail(format string, args ...any) {
-	panic(broken{fmt.Sprintf(format, args...)})
+	panic(brokenRule{fmt.Sprintf(format, args...)})
 }
 
 // ---- the model ----
 
 type model struct {
-	several  Ticket // of the newest SubmitAll: if one of its messages is a conflict, none is accepted
-	w        *world
-	time     Time // true time, across all processes
-	lives    map[string]*life
-	order    []*life // in the order of their first submission
-	routes   map[string]*route
-	waits    map[string]wait // by destination, or by endpoint where routes are apart
-	took     int
-	restarts int
-	setBack  bool // the clock was set back while the process or its store was down
-	unsure   Time // error of deadlines because of slewed clocks
+	groupTicket Ticket // of the newest SubmitAll: if one of its messages is a conflict, none is accepted
+	w           *world
+	time        Time // true time, across all processes
+	ids         map[string]*idState
+	order       []*idState // in the order of their first submission
+	routes      map[string]*route
+	waits       map[string]wait // by destination, or by endpoint where routes are apart
+	acceptances int
+	restarts    int
+	setBack     bool // the clock was set back while the process or its store was down
+	clockError  Time // error of deadlines because of slewed clocks
 }
 
-// life is what the model knows of one id: what its clients were told, and what was written to endpoints.
-type life struct {
-	id        string
-	message   Message
-	waiting   map[Ticket]Message // submissions without an answer
-	taken     bool               // a client was told that it is accepted
-	print     uint64             // of the accepted message
-	recorded  uint64             // of the recorded message
-	bodyless  bool               // its body is no longer known
-	told      bool               // its Done was emitted
-	expires   Time               // of the newest submission
-	deadline  Time               // in true time
-	tookAt    int
-	withdrawn bool
-	free      bool // withdrawn before it ran
-	finished  bool // its end is decided
-	ends      int  // number of Done effects
-	mostEnds  int
-	how       Disposition
-	out       *worldCall // the call in which it was written and has no outcome
-	doubt     bool       // it may have run
-	doubtAt   Time
-	runs      bool // delivered
-	over      bool // an endpoint said that the message is closed
-	rest      Time // its key rests until then
+// idState is what the model knows of one id: what its clients were told, and what was written to endpoints.
+type idState struct {
+	id          string
+	message     Message
+	waiting     map[Ticket]Message // submissions without an answer
+	accepted    bool               // a client was told that it is accepted
+	fingerprint uint64             // of the accepted message
+	recorded    uint64             // of the recorded message
+	bodyUnknown bool               // its body is no longer known
+	doneEmitted bool               // its Done was emitted
+	expires     Time               // of the newest submission
+	deadline    Time               // in true time
+	acceptedAt  int
+	withdrawn   bool
+	reusable    bool // withdrawn before it ran
+	finished    bool // its end is decided
+	doneCount   int  // number of Done effects
+	maxDones    int
+	disposition Disposition
+	out         *worldCall // the call in which it was written and has no outcome
+	doubt       bool       // it may have run
+	doubtAt     Time
+	delivered   bool // delivered
+	closed      bool // an endpoint said that the message is closed
+	restsUntil  Time // its key rests until then
 }
 
 // route is what the sources claim about an endpoint.
 type route struct {
-	says   map[string]Phase
-	dest   int
-	addr   string
-	goneAt Time // since when all claim that it is gone, 0 if one does not
+	claims      map[string]Phase
+	destination int
+	addr        string
+	goneAt      Time // since when all claim that it is gone, 0 if one does not
 }
 
 type wait struct{ told, until Time }
 
-func (m *model) handedIn(t Ticket, msg Message, expires Time) {
-	l := m.lives[msg.ID]
+func (m *model) submitted(t Ticket, msg Message, expires Time) {
+	l := m.ids[msg.ID]
 	if l == nil {
-		l = &life{id: msg.ID, message: messageOf(msg.ID), waiting: map[Ticket]Message{}, mostEnds: 1}
-		m.lives[msg.ID] = l
+		l = &idState{id: msg.ID, message: messageOf(msg.ID), waiting: map[Ticket]Message{}, maxDones: 1}
+		m.ids[msg.ID] = l
 		m.order = append(m.order, l)
 	}
 	l.waiting[t], l.expires = msg, expires
 }
 
 func (m *model) answered(a *Answer) {
-	var of []*life // several, if they were submitted at once
+	var of []*idState // several, if they were submitted at once
 	for _, l := range m.order {
 		if _, ok := l.waiting[a.Ticket]; ok {
 			of = append(of, l)
@@ -940,22 +940,22 @@
 		msg := l.waiting[a.Ticket]
 		print := msg.Fingerprint()
 		delete(l.waiting, a.Ticket)
-		if a.Kind == Conflict && print == l.print && print == l.recorded && a.Ticket > m.several {
+		if a.Kind == Conflict && print == l.fingerprint && print == l.recorded && a.Ticket > m.groupTicket {
 			m.w.fail("ticket %d: the same request for %s is told as another message", a.Ticket, l.id)
 		}
 		if a.Kind != Accepted {
 			continue
 		}
-		if len(of) > 1 && l.tookAt == 0 {
+		if len(of) > 1 && l.acceptedAt == 0 {
 			m.w.fail("ticket %d: %s is told as taken with others and was not", a.Ticket, l.id)
 		}
-		if l.taken && print != l.print && !l.bodyless {
+		if l.accepted && print != l.fingerprint && !l.bodyUnknown {
 			m.w.fail("ticket %d: %s is another message and is told as taken", a.Ticket, l.id)
 		}
-		l.taken, l.print = !l.free, print
+		l.accepted, l.fingerprint = !l.reusable, print
 	}
 	if len(of) > 1 {
-		m.w.count("several answered " + kinds[a.Kind])
+		m.w.count("several answered " + verdictKinds[a.Kind])
 	}
 	if a.Ticket > Ticket(m.w.tickets) {
 		m.w.fail("ticket %d was never given", a.Ticket)
@@ -969,30 +969,30 @@
 			t, ok := o.(*RecAccepted) // then these are rewritten records of a later message with this id
 			return ok && t.Message.ID == p.ID
 		}) {
-			l := m.lives[p.ID]
+			l := m.ids[p.ID]
 			l.finished = true
 			if p.Disposition == Withdrawn && p.Until == 0 { // it never ran: its id is free again
-				l.taken, l.free = false, true
+				l.accepted, l.reusable = false, true
 			}
 		}
 		if o, ok := r.(*RecPendingResult); ok {
-			m.lives[o.ID].finished = true
+			m.ids[o.ID].finished = true
 		}
 		t, ok := r.(*RecAccepted)
 		if !ok {
 			continue
 		}
-		m.lives[t.Message.ID].recorded = t.Message.Fingerprint()
-		if l := m.lives[t.Message.ID]; l.tookAt == 0 || l.finished {
+		m.ids[t.Message.ID].recorded = t.Message.Fingerprint()
+		if l := m.ids[t.Message.ID]; l.acceptedAt == 0 || l.finished {
 			if l.finished {
-				l.mostEnds++
+				l.maxDones++
 				// The ids of messages that may be repeated freely are not always kept.
-				l.taken = l.taken && (l.message.Class == "unsafe" || l.message.Class == "keyed")
+				l.accepted = l.accepted && (l.message.Class == "unsafe" || l.message.Class == "keyed")
 			}
-			m.took++
+			m.acceptances++
 			l.deadline = m.time + min(l.expires, 20*control.Second)
-			l.taken = l.taken && !l.bodyless // any body is accepted now
-			l.tookAt, l.finished, l.free, l.bodyless, l.told = m.took, false, false, false, false
+			l.accepted = l.accepted && !l.bodyUnknown // any body is accepted now
+			l.acceptedAt, l.finished, l.reusable, l.bodyUnknown, l.doneEmitted = m.acceptances, false, false, false, false
 		}
 	}
 }
@@ -1015,21 +1015,21 @@
 	}
 }
 
-func (m *model) apart(name string) bool {
+func (m *model) routesApart(name string) bool {
 	return m.w.set.Control.Kinds[1].RoutesApart && (name[1]-'0')%2 == 1
 }
 
-func (m *model) limit(name string, dest int) string {
-	if m.apart(name) {
+func (m *model) waitKey(name string, dest int) string {
+	if m.routesApart(name) {
 		return fmt.Sprint(name, "/", dest)
 	}
 	return fmt.Sprint(dest)
 }
 
-// wrote checks a message as it is written to an endpoint.
-func (m *model) wrote(c *worldCall, i int) {
+// written checks a message as it is written to an endpoint.
+func (m *model) written(c *worldCall, i int) {
 	it, w := c.Items[i], m.w
-	l := m.lives[it.ID]
+	l := m.ids[it.ID]
 	if l == nil {
 		w.fail("%s was never handed in", it.ID)
 	}
@@ -1038,39 +1038,39 @@
 	case l.out != nil:
 		w.fail("%s: two copies out", it.ID)
 	// Also by an earlier process. But if the store lost the end of a harmless message, its id need not be known any more.
-	case l.told && !m.setBack && !(w.lost && (class.Effect == control.Free || l.withdrawn)):
+	case l.doneEmitted && !m.setBack && !(w.lost && (class.Effect == control.Free || l.withdrawn)):
 		w.fail("%s is sent after its end was told", it.ID)
 	case l.finished:
 		w.fail("%s is sent after its end", it.ID)
-	case class.Effect == control.SingleShot && (l.doubt || l.runs):
+	case class.Effect == control.SingleShot && (l.doubt || l.delivered):
 		w.fail("%s, unsafe, is sent again after it may have run", it.ID)
-	case class.Effect == control.Guarded && (l.doubt || l.runs) && m.time >= l.doubtAt+class.Window:
+	case class.Effect == control.Guarded && (l.doubt || l.delivered) && m.time >= l.doubtAt+class.Window:
 		w.fail("%s, keyed, is sent again %v after its first send that may have run", it.ID, Duration(m.time-l.doubtAt))
 	}
 	if w.stopped {
 		w.fail("%s is sent after the stop", it.ID)
 	}
-	if l.doubt || l.runs {
+	if l.doubt || l.delivered {
 		w.count("sent again, " + l.message.Class)
 	}
-	if m.time >= l.deadline+m.unsure && !m.setBack { // otherwise no record need tell how much time has passed
+	if m.time >= l.deadline+m.clockError && !m.setBack { // otherwise no record need tell how much time has passed
 		w.fail("%s is sent %v after its time is up", it.ID, Duration(m.time-l.deadline))
 	}
 	r := m.routes[c.EndpointID]
 	switch {
 	case r == nil:
 		w.fail("no source told of endpoint %s", c.EndpointID)
-	case r.dest != l.message.Destination:
-		w.fail("%s goes to destination %d at %s", it.ID, r.dest, c.EndpointID)
+	case r.destination != l.message.Destination:
+		w.fail("%s goes to destination %d at %s", it.ID, r.destination, c.EndpointID)
 	case r.addr != c.Addr:
 		w.fail("%s goes to %s, which %s has left", it.ID, c.Addr, c.EndpointID)
 	}
 	for _, source := range []string{"one", "two"} {
-		if says, ok := r.says[source]; ok && says != Active {
+		if says, ok := r.claims[source]; ok && says != Active {
 			w.fail("%s goes to %s, which is %s as source %s tells", it.ID, c.EndpointID, phases[says], source)
 		}
 	}
-	wait := m.waits[m.limit(c.EndpointID, c.dest)]
+	wait := m.waits[m.waitKey(c.EndpointID, c.destination)]
 	if wait.until > 0 && m.time >= wait.until {
 		w.count("sent after a told wait")
 	}
@@ -1084,13 +1084,13 @@
 		switch {
 		case o.out != nil:
 			w.fail("%s goes out while %s of its key is out", it.ID, o.id)
-		case o.taken && l.taken && o.tookAt < l.tookAt && !o.finished && !o.runs:
+		case o.accepted && l.accepted && o.acceptedAt < l.acceptedAt && !o.finished && !o.delivered:
 			w.fail("%s goes out before %s, which was taken earlier", it.ID, o.id)
-		case m.time < o.rest && !l.doubt:
+		case m.time < o.restsUntil && !l.doubt:
 			w.fail("%s goes out while its key rests", it.ID)
 		}
 	}
-	if l.rest > 0 && class.InOrder {
+	if l.restsUntil > 0 && class.InOrder {
 		w.count("sent after its key rested")
 	}
 	l.out = c
@@ -1099,37 +1099,37 @@
 	}
 }
 
-func (m *model) line(c *worldCall) { m.lives[c.Items[0].ID].runs = true }
+func (m *model) firstLine(c *worldCall) { m.ids[c.Items[0].ID].delivered = true }
 
 func (m *model) outcomes(c *worldCall, outs []Outcome) {
 	w := m.w
 	for _, o := range outs {
-		l := m.lives[c.Items[o.Item].ID]
+		l := m.ids[c.Items[o.Item].ID]
 		if l.out == c {
 			if !o.CallOpen { // otherwise it is still out, until the call ends
 				l.out = nil
 			}
-			l.over = l.over || o.Closed
+			l.closed = l.closed || o.Closed
 			if o.CallOpen {
 				w.count("timed out, and its call goes on")
 			}
 			if !control.NeverRan(o.Result) {
 				l.doubt = true
-				l.runs = l.runs || o.Result == control.OK
+				l.delivered = l.delivered || o.Result == control.OK
 			}
 			switch o.Result {
 			case control.TimedOut, control.Reset, control.Cancelled:
-				l.rest = m.time + w.set.Control.SettleAfterDoubt
+				l.restsUntil = m.time + w.set.Control.SettleAfterDoubt
 			}
 		}
 		if o.RetryAfter > 0 {
-			at := m.limit(c.EndpointID, c.dest)
+			at := m.waitKey(c.EndpointID, c.destination)
 			m.waits[at] = wait{m.time, max(m.waits[at].until, m.time+Time(o.RetryAfter.Microseconds()))}
 		}
 	}
 	if !slices.Contains(c.ended, false) { // the call has ended, also for items that timed out
 		for _, it := range c.Items {
-			if l := m.lives[it.ID]; l.out == c {
+			if l := m.ids[it.ID]; l.out == c {
 				l.out = nil
 			}
 		}
@@ -1140,7 +1140,7 @@
 	defer func() {
 		for _, r := range m.routes {
 			r.goneAt = cmp.Or(r.goneAt, max(m.time, 1))
-			for _, says := range r.says {
+			for _, says := range r.claims {
 				if says != Gone {
 					r.goneAt = 0
 				}
@@ -1154,39 +1154,39 @@
 	}
 	if l.FullList {
 		for _, r := range m.routes {
-			if _, ok := r.says[l.Source]; ok {
-				r.says[l.Source] = Gone
+			if _, ok := r.claims[l.Source]; ok {
+				r.claims[l.Source] = Gone
 			}
 		}
 	}
 	for _, n := range l.List {
 		r := m.routes[n.ID]
-		if r == nil || r.dest != n.Destination && n.Phase != Gone {
+		if r == nil || r.destination != n.Destination && n.Phase != Gone {
 			if n.Phase == Gone {
 				continue
 			}
 			if r != nil {
 				m.w.count("an id moves to another destination")
 			}
-			r = &route{says: map[string]Phase{}, dest: n.Destination}
+			r = &route{claims: map[string]Phase{}, destination: n.Destination}
 			m.routes[n.ID] = r
 		}
-		if r.says[l.Source] == Gone && n.Phase != Gone && r.addr != "" {
+		if r.claims[l.Source] == Gone && n.Phase != Gone && r.addr != "" {
 			m.w.count("an endpoint returns")
 		}
 		if r.addr != "" && r.addr != n.Addr {
 			m.w.count("an address changes")
 		}
-		r.says[l.Source], r.addr = n.Phase, n.Addr
+		r.claims[l.Source], r.addr = n.Phase, n.Addr
 	}
 }
 
 func (m *model) done(d *Done) {
-	l := m.lives[d.ID]
+	l := m.ids[d.ID]
 	switch {
 	case l == nil:
 		m.w.fail("%s was never handed in and ends", d.ID)
-	case d.Disposition == Delivered && !l.runs:
+	case d.Disposition == Delivered && !l.delivered:
 		m.w.fail("%s is told as delivered and was not", d.ID)
 	case d.Disposition == Refused && l.doubt && l.message.Class == "unsafe":
 		m.w.fail("%s, unsafe, is refused though it may have run", d.ID)
@@ -1196,9 +1196,9 @@
 	if class := m.w.set.Control.Classes[slices.Index(worldClasses, l.message.Class)]; l.doubt && m.time >= l.doubtAt+class.Window {
 		m.w.count("ends in doubt after its key's window, " + class.Name)
 	}
-	l.how, l.told = d.Disposition, true
-	if l.ends++; l.ends > l.mostEnds {
-		m.w.fail("%s ends %d times", d.ID, l.ends)
+	l.disposition, l.doneEmitted = d.Disposition, true
+	if l.doneCount++; l.doneCount > l.maxDones {
+		m.w.fail("%s ends %d times", d.ID, l.doneCount)
 	}
 }
 
@@ -1207,10 +1207,10 @@
 	for _, l := range m.order {
 		if l.out != nil { // it may have run
 			l.doubt, l.out = true, nil
-			l.rest = m.time + m.w.set.Control.SettleAfterDoubt
+			l.restsUntil = m.time + m.w.set.Control.SettleAfterDoubt
 		}
 		clear(l.waiting) // their connections are closed
-		l.mostEnds++     // a Done that is not confirmed is repeated
+		l.maxDones++     // a Done that is not confirmed is repeated
 	}
 	clear(m.waits)  // a restart ends them
 	clear(m.routes) // the next process gets all lists again
@@ -1246,15 +1246,15 @@
 		if len(l.waiting) > 0 {
 			m.w.fail("%s: %d hand-ins were never answered", l.id, len(l.waiting))
 		}
-		if l.taken && l.ends == 0 && !l.runs && !l.over && !l.withdrawn {
+		if l.accepted && l.doneCount == 0 && !l.delivered && !l.closed && !l.withdrawn {
 			m.w.fail("%s was taken and never ended", l.id)
 		}
 	}
 	for _, left := range replay(m.w.disk).live {
 		// If the store lost the end of a message that may be repeated freely or never ran, and there are many ids, the
 		// engine has forgotten it.
-		harmless := left.Message.Class == "free" || left.Message.Class == "ordered" || m.lives[left.Message.ID].withdrawn
-		if !m.w.lost || !harmless && !m.w.longOver[left.Message.ID] {
+		harmless := left.Message.Class == "free" || left.Message.Class == "ordered" || m.ids[left.Message.ID].withdrawn
+		if !m.w.lost || !harmless && !m.w.forgottenEnds[left.Message.ID] {
 			m.w.fail("at the end the store still holds %s", left.Message.ID)
 		}
 	}
