--- a/engine/books.go
+++ b/engine/books.go
@@ -121,12 +121,12 @@
 }
 
 // postEnd posts the end of an open message.
-func (e *Engine) postEnd(m *message, how Disposition) {
+func (e *Engine) postEnd(m *message, disposition Disposition) {
 	if e.ledger == nil {
 		return
 	}
 	end, doubt := ledger.Failed, ledger.DoubtUnresolved
-	switch how {
+	switch disposition {
 	case Delivered:
 		end, doubt = ledger.Delivered, ledger.DoubtTwice
 	case Closed:
@@ -138,7 +138,7 @@
 	switch {
 	case m.firstDoubt.set:
 		e.ledger.Post(m.ledgerAccount, doubt)
-	case how != Delivered && m.firstPossibleRun().set: // its attempt is still out
+	case disposition != Delivered && m.firstPossibleRun().set: // its attempt is still out
 		e.ledger.Post(m.ledgerAccount, ledger.DoubtOpened)
 		e.ledger.Post(m.ledgerAccount, ledger.DoubtUnresolved)
 	}
@@ -181,38 +181,38 @@
 
 // restoreLedger restores the ledger that the store had.
 func (e *Engine) restoreLedger(r *RestoredLedger) {
-	b := e.ledger
-	if b == nil {
+	state := e.ledger
+	if state == nil {
 		return
 	}
-	l, err := ledger.Restore(b.settings.Settings, r.Leaves, b.settings.Epoch)
+	l, err := ledger.Restore(state.settings.Settings, r.Leaves, state.settings.Epoch)
 	if err != nil {
 		e.effect(&Note{Fault: true, Text: "the ledger in the store can't be read, and begins anew: " + err.Error()})
-		b.resetReason = ledger.ReasonDamage
+		state.resetReason = ledger.ReasonDamage
 		return
 	}
-	if b.Ledger, b.resetReason = l, r.ResetReason; r.ResetReason == "" && l.Rebooted() {
-		b.resetReason = ledger.ReasonReboot
+	if state.Ledger, state.resetReason = l, r.ResetReason; r.ResetReason == "" && l.Rebooted() {
+		state.resetReason = ledger.ReasonReboot
 	}
 	l.SetWallTime(int64(e.now.Wall))
 }
 
 // reconcileLedger audits the restored ledger against the restored messages, or begins a new epoch with these messages.
 func (e *Engine) reconcileLedger() {
-	b := e.ledger
-	if b == nil {
+	state := e.ledger
+	if state == nil {
 		return
 	}
-	b.restored = true
-	b.SetWallTime(int64(e.now.Wall))
-	b.BeginAudit()
+	state.restored = true
+	state.SetWallTime(int64(e.now.Wall))
+	state.BeginAudit()
 	find := func() {
 		for _, r := range e.restoring {
-			r.account = b.Account(r.Message.ledgerKey())
+			r.account = state.Account(r.Message.ledgerKey())
 		}
 	}
 	find()
-	if b.Restored() {
+	if state.Restored() {
 		for _, r := range e.restoring {
 			if a := r.account; r.Pending == nil {
 				a.CountOpen(1)
@@ -221,25 +221,25 @@
 				}
 			}
 		}
-		b.ReconcileRestart()
-		if b.resetReason == "" {
+		state.ReconcileRestart()
+		if state.resetReason == "" {
 			return
 		}
 	}
-	if b.resetReason != "" {
-		next := b.settings.Epoch
-		next.Reason = b.resetReason
-		if l, err := b.NextEpoch(b.settings.Settings, next); err == nil { // the settings were valid before
-			b.Ledger = l
-			b.SetWallTime(int64(e.now.Wall))
+	if state.resetReason != "" {
+		next := state.settings.Epoch
+		next.Reason = state.resetReason
+		if l, err := state.NextEpoch(state.settings.Settings, next); err == nil { // the settings were valid before
+			state.Ledger = l
+			state.SetWallTime(int64(e.now.Wall))
 			find()
 		}
 	}
 	for _, r := range e.restoring {
 		if a := r.account; r.Pending == nil {
-			b.Post(a, ledger.CarriedOver)
+			state.Post(a, ledger.CarriedOver)
 			if r.DoubtAt != 0 {
-				b.Post(a, ledger.DoubtOpened)
+				state.Post(a, ledger.DoubtOpened)
 			}
 		}
 	}
@@ -248,31 +248,31 @@
 // recordLedger adds changed leaves to the batch of this event and reports breaches. Without other records in the batch, leaves
 // wait a short time for some.
 func (e *Engine) recordLedger() {
-	b := e.ledger
-	if b == nil {
+	state := e.ledger
+	if state == nil {
 		return
 	}
-	for _, f := range b.TakeNewBreaches() {
+	for _, f := range state.TakeNewBreaches() {
 		e.effect(&LedgerBreach{Breach: f})
 	}
-	if !e.settings.HasStore || !b.restored || !b.Dirty() {
+	if !e.settings.HasStore || !state.restored || !state.Dirty() {
 		return
 	}
-	if len(e.records) == 0 && (e.storeDown || !b.writeLeaves && e.now.At < b.lastLeafOnlyBatch+leafInterval) {
+	if len(e.records) == 0 && (e.storeDown || !state.writeLeaves && e.now.At < state.lastLeafOnlyBatch+leafInterval) {
 		return
 	}
 	if len(e.records) == 0 {
-		b.lastLeafOnlyBatch = e.now.At
+		state.lastLeafOnlyBatch = e.now.At
 	}
-	for !b.WriteLeaves(maxAccountsPerBatch, func(l ledger.Leaf) {
+	for !state.WriteLeaves(maxAccountsPerBatch, func(l ledger.Leaf) {
 		e.records = append(e.records, &RecLedgerLeaf{Number: l.Number, Text: l.Text})
-		for uint64(len(b.leafBatches)) <= l.Number {
-			b.leafBatches = append(b.leafBatches, 0)
+		for uint64(len(state.leafBatches)) <= l.Number {
+			state.leafBatches = append(state.leafBatches, 0)
 		}
-		b.leafBatches[l.Number] = e.lastBatch + 1
-	}) && b.writeLeaves {
+		state.leafBatches[l.Number] = e.lastBatch + 1
+	}) && state.writeLeaves {
 	}
-	b.writeLeaves = false
+	state.writeLeaves = false
 }
 
 // markLeavesDirty marks the leaves whose newest text is in one of these batches to be rewritten.
@@ -290,17 +290,17 @@
 
 // snapshotLedger answers with a snapshot, which waits until the store has the counts it shows.
 func (e *Engine) snapshotLedger(t Ticket) {
-	b := e.ledger
-	if b == nil || e.settings.HasStore && !b.restored { // the counts of earlier processes are not known yet
+	state := e.ledger
+	if state == nil || e.settings.HasStore && !state.restored { // the counts of earlier processes are not known yet
 		e.effect(&LedgerSnapshot{Ticket: t})
 		return
 	}
-	s := b.Snapshot(int64(e.now.Wall))
-	b.writeLeaves = !e.storeDown
+	s := state.Snapshot(int64(e.now.Wall))
+	state.writeLeaves = !e.storeDown
 	e.recordLedger()
 	f := &LedgerSnapshot{Ticket: t, Snapshot: s}
 	if e.settings.HasStore {
-		if s.Provisional = e.storeDown || b.Dirty(); !s.Provisional {
+		if s.Provisional = e.storeDown || state.Dirty(); !s.Provisional {
 			if n := len(e.unansweredBatches); n > 0 {
 				f.requiredBatch = e.unansweredBatches[n-1].number
 			}
@@ -364,40 +364,40 @@
 
 // audit runs one part of an audit.
 func (e *Engine) audit() {
-	b := e.ledger
-	if b == nil {
+	state := e.ledger
+	if state == nil {
 		return
 	}
-	at, ok := b.nextAudit(e.settings.Control.Tick)
+	at, ok := state.nextAudit(e.settings.Control.Tick)
 	if !ok || e.now.At < at {
 		return
 	}
-	b.lastAuditPart = e.now.At
-	if !b.auditing {
-		b.auditing, b.auditStage, b.auditStarted, b.cursor = true, auditMessages, e.now.At, e.oldestMessage
-		b.auditedChanges = [2]uint64{b.messageChanges, b.PostingCount()}
-		b.auditRound++
-		b.BeginAudit()
+	state.lastAuditPart = e.now.At
+	if !state.auditing {
+		state.auditing, state.auditStage, state.auditStarted, state.cursor = true, auditMessages, e.now.At, e.oldestMessage
+		state.auditedChanges = [2]uint64{state.messageChanges, state.PostingCount()}
+		state.auditRound++
+		state.BeginAudit()
 	}
-	switch b.auditStage {
+	switch state.auditStage {
 	case auditMessages:
-		for range min(b.settings.AuditPart, max(minAuditPart, len(e.messageByNumber)/maxAuditParts)) {
-			m := b.cursor
+		for range min(state.settings.AuditPart, max(minAuditPart, len(e.messageByNumber)/maxAuditParts)) {
+			m := state.cursor
 			if m == nil {
 				break
 			}
-			if m.auditRound = b.auditRound; m.phase == dispatching {
+			if m.auditRound = state.auditRound; m.phase == dispatching {
 				m.ledgerAccount.CountOpen(1)
 				if m.firstDoubt.set {
 					m.ledgerAccount.CountDoubt(1)
 				}
 			}
-			b.cursor = m.next
+			state.cursor = m.next
 		}
-		if b.cursor == nil { // all were counted; messages added from now on are counted as they come
-			b.FinishAudit()
-			b.CompareDispositions(e.endCounts[Delivered]+e.endCounts[Closed], e.endCounts[Refused]+e.endCounts[Withdrawn], e.endCounts[Failed])
-			b.auditStage = auditCalls
+		if state.cursor == nil { // all were counted; messages added from now on are counted as they come
+			state.FinishAudit()
+			state.CompareDispositions(e.endCounts[Delivered]+e.endCounts[Closed], e.endCounts[Refused]+e.endCounts[Withdrawn], e.endCounts[Failed])
+			state.auditStage = auditCalls
 		}
 	case auditCalls:
 		if len(e.callByID) <= maxAuditedCalls {
@@ -408,31 +408,31 @@
 					}
 				}
 			}
-			b.FinishAttemptAudit()
+			state.FinishAttemptAudit()
 		}
-		b.auditStage = auditLeaves
-		if b.settings.StoredLeaf == nil || !e.settings.HasStore {
-			b.auditing = false
+		state.auditStage = auditLeaves
+		if state.settings.StoredLeaf == nil || !e.settings.HasStore {
+			state.auditing = false
 		}
 	case auditLeaves:
-		for i := range b.Accounts() {
-			b.CompareStored(i, func(n uint64) bool {
-				return n < uint64(len(b.leafBatches)) && b.leafBatches[n] > 0 && b.leafBatches[n] <= e.storedUpTo
-			}, b.settings.StoredLeaf)
+		for i := range state.Accounts() {
+			state.CompareStored(i, func(n uint64) bool {
+				return n < uint64(len(state.leafBatches)) && state.leafBatches[n] > 0 && state.leafBatches[n] <= e.storedUpTo
+			}, state.settings.StoredLeaf)
 		}
-		b.auditing = false
+		state.auditing = false
 	}
 }
 
 // nextLedgerEvent returns when the ledger wants an event.
 func (e *Engine) nextLedgerEvent() (at Time, ok bool) {
-	b := e.ledger
-	if b == nil {
+	state := e.ledger
+	if state == nil {
 		return 0, false
 	}
-	at, ok = b.nextAudit(e.settings.Control.Tick)
-	if e.settings.HasStore && b.restored && !e.storeDown && b.Dirty() && (!ok || b.lastLeafOnlyBatch+leafInterval < at) {
-		return b.lastLeafOnlyBatch + leafInterval, true
+	at, ok = state.nextAudit(e.settings.Control.Tick)
+	if e.settings.HasStore && state.restored && !e.storeDown && state.Dirty() && (!ok || state.lastLeafOnlyBatch+leafInterval < at) {
+		return state.lastLeafOnlyBatch + leafInterval, true
 	}
 	return at, ok
 }
--- a/engine/call.go
+++ b/engine/call.go
@@ -68,16 +68,16 @@
 		e.reportUnsent(a, tries)
 		return list
 	}
-	most := 1
+	maxItems := 1
 	if ep.kind >= 0 && ep.kind < len(e.settings.Control.Kinds) {
-		most = e.settings.Control.Kinds[ep.kind].Batch
+		maxItems = e.settings.Control.Kinds[ep.kind].Batch
 	}
-	size, room := encodedSize(m), e.settings.CallBytes
+	size, maxBytes := encodedSize(m), e.settings.CallBytes
 	if ep.kind >= 0 && ep.kind < len(e.settings.KindBytes) && e.settings.KindBytes[ep.kind] > 0 {
-		room = e.settings.KindBytes[ep.kind]
+		maxBytes = e.settings.KindBytes[ep.kind]
 	}
 	fits := func(c *call) bool {
-		return c.endpoint == ep && len(c.items) < most && c.size+size <= room
+		return c.endpoint == ep && len(c.items) < maxItems && c.size+size <= maxBytes
 	}
 	var c *call
 	switch {
--- a/engine/givenup.go
+++ b/engine/givenup.go
@@ -78,8 +78,8 @@
 
 // undelivered describes a message that is about to be refused or to fail, for the store of undelivered messages. It returns nil
 // for other dispositions, or if undelivered messages are not kept.
-func (e *Engine) undelivered(m *message, how Disposition) *Undelivered {
-	if m.history == nil || how != Refused && how != Failed {
+func (e *Engine) undelivered(m *message, disposition Disposition) *Undelivered {
+	if m.history == nil || disposition != Refused && disposition != Failed {
 		return nil
 	}
 	g := &Undelivered{
--- a/engine/ids.go
+++ b/engine/ids.go
@@ -77,11 +77,11 @@
 	return e.inStore(p) && (p.inFlight == nil || p.inFlight.done)
 }
 
-// expireIDs forgets at most so many ids whose time is up, and reports whether there are more.
-func (e *Engine) expireIDs(most int) bool {
+// expireIDs forgets at most limit ids whose time is up, and reports whether there are more.
+func (e *Engine) expireIDs(limit int) bool {
 	for i := range e.endedIDs.heaps {
-		for h := &e.endedIDs.heaps[i]; len(*h) > 0 && (*h)[0].forgetAt <= e.now.At; most-- {
-			if most <= 0 {
+		for h := &e.endedIDs.heaps[i]; len(*h) > 0 && (*h)[0].forgetAt <= e.now.At; limit-- {
+			if limit <= 0 {
 				return true
 			}
 			p := (*h)[0]
--- a/engine/member.go
+++ b/engine/member.go
@@ -137,13 +137,13 @@
 	}
 }
 
-// processReport processes a part of a report, at most so many endpoints, and informs the module. left is what is left of that
+// processReport processes a part of a report, at most limit endpoints, and informs the module. left is what is left of that
 // number; done says that the report is processed completely.
-func (e *Engine) processReport(l *report, most int) (left int, done bool) {
+func (e *Engine) processReport(l *report, limit int) (left int, done bool) {
 	if l.number == 0 {
 		e.lastListNumber++
 		l.number = e.lastListNumber
-		l.sentAsFullList = l.FullList && len(l.List)+len(e.allEndpoints) <= most
+		l.sentAsFullList = l.FullList && len(l.List)+len(e.allEndpoints) <= limit
 	}
 	var changed []*endpoint
 	touch := func(ep *endpoint) {
@@ -152,10 +152,10 @@
 			changed = append(changed, ep)
 		}
 	}
-	part := l.List[l.processed:min(l.processed+most, len(l.List))]
+	part := l.List[l.processed:min(l.processed+limit, len(l.List))]
 	l.processed += len(part)
 	e.unprocessedMembers -= len(part)
-	most -= len(part)
+	limit -= len(part)
 	for i := range part {
 		n := &part[i]
 		if old := e.endpointByID[n.ID]; old != nil && old.destination != n.Destination && n.Phase != Gone {
@@ -171,7 +171,7 @@
 	}
 	done = l.processed == len(l.List)
 	for done && l.FullList && l.checked < len(e.allEndpoints) { // endpoints that the list omits, or that only other sources report
-		if most <= 0 {
+		if limit <= 0 {
 			done = false
 			break
 		}
@@ -182,7 +182,7 @@
 		}
 		if c := ep.claimOf(l.Source); c != nil { // this source reported it before
 			if c.phase != Gone {
-				most--
+				limit--
 			}
 			c.phase = Gone
 		}
@@ -220,7 +220,7 @@
 		ev.Entries = append(ev.Entries, n)
 	}
 	e.queueEvent(ev)
-	return most, done
+	return limit, done
 }
 
 // changedDestinations returns the destinations for which a full list brings changes. The last entry of a destination decides its kind and
@@ -366,18 +366,18 @@
 	}
 }
 
-// removeGone removes at most so many endpoints that no source has listed for a while and that have no call out, and reports
+// removeGone removes at most limit endpoints that no source has listed for a while and that have no call out, and reports
 // whether there are more. While one source lists an endpoint, the claims of the others about it are kept.
-func (e *Engine) removeGone(most int) (more bool) {
+func (e *Engine) removeGone(limit int) (more bool) {
 	maps.DeleteFunc(e.addressWaits, func(_ string, until Time) bool { return until <= e.now.At })
 	e.allEndpoints = slices.DeleteFunc(e.allEndpoints, func(ep *endpoint) bool {
 		old := !ep.listed && ep.calls == 0 && e.now.At-ep.goneAt >= goneRetention
-		if old && most == 0 {
+		if old && limit == 0 {
 			more = true
 			return false
 		}
 		if old {
-			most--
+			limit--
 			delete(e.endpointByNumber, ep.number)
 			if ep.moved {
 				delete(e.movedEndpoints, endpointKey{ep.id, ep.destination})
--- a/engine/message.go
+++ b/engine/message.go
@@ -133,19 +133,19 @@
 
 // ---- submission ----
 
-func (e *Engine) submit(h *Submit) {
-	m, v := e.decide(h, reservation{})
+func (e *Engine) submit(submission *Submit) {
+	m, v := e.decide(submission, reservation{})
 	if m != nil {
-		e.answer(h.Ticket, v, e.accept(h.Ticket, m))
+		e.answer(submission.Ticket, v, e.accept(submission.Ticket, m))
 		return
 	}
-	old := e.messageByID[h.Message.ID]
+	old := e.messageByID[submission.Message.ID]
 	if v.Kind == Accepted && old != nil && old.phase == storing {
-		old.tickets = append(old.tickets, h.Ticket)
-		e.answer(h.Ticket, v, old.firstBatch)
+		old.tickets = append(old.tickets, submission.Ticket)
+		e.answer(submission.Ticket, v, old.firstBatch)
 		return
 	}
-	e.answer(h.Ticket, v, 0)
+	e.answer(submission.Ticket, v, 0)
 }
 
 // submitAll accepts all messages or none.
@@ -202,69 +202,69 @@
 type reservation struct{ messages, bytes int }
 
 // decide decides on a submission. It returns a message only if a new one is to be accepted.
-func (e *Engine) decide(h *Submit, with reservation) (*message, Verdict) {
-	no := func(kind VerdictKind, why string) (*message, Verdict) {
+func (e *Engine) decide(submission *Submit, group reservation) (*message, Verdict) {
+	reject := func(kind VerdictKind, why string) (*message, Verdict) {
 		v := Verdict{Kind: kind, Reason: why}
 		if kind == Busy || kind == UnknownDestination {
 			v.RetryAfter = Duration(rejectedRetryAfter)
 		}
-		if past := e.endedIDs.byID[h.Message.ID]; past != nil && kind == Accepted {
+		if past := e.endedIDs.byID[submission.Message.ID]; past != nil && kind == Accepted {
 			v.Disposition = past.disposition
 		}
 		return nil, v
 	}
-	m, why := e.newMessage(h)
+	m, why := e.newMessage(submission)
 	if why != "" {
-		return no(Invalid, why)
+		return reject(Invalid, why)
 	}
 	if old := e.messageByID[m.ID]; old != nil {
 		switch {
 		case !sameMessage(old.fingerprint, m.fingerprint):
 			return nil, conflict
 		case old.phase == storing && old.withdrawn:
-			return no(Busy, "id: a message of it is being taken back")
+			return reject(Busy, "id: a message of it is being taken back")
 		case old.phase == notifying && e.settings.Prompt: // Done was emitted once; a client that waits for it would wait for ever
 			return nil, Verdict{Kind: Accepted, Disposition: old.pending.Disposition, RetryAfter: old.pending.RetryAfter}
 		}
-		return no(Accepted, "") // a client that lost the response repeated its request
+		return reject(Accepted, "") // a client that lost the response repeated its request
 	}
 	if old := e.endedIDs.byID[m.ID]; old != nil {
 		m.reusesID, m.earlierEnd = true, old
 		switch {
 		case old.inFlight != nil && !old.inFlight.done:
-			return no(Busy, "id: an attempt of its earlier life is still out") // a new attempt would be a second copy
+			return reject(Busy, "id: an attempt of its earlier life is still out") // a new attempt would be a second copy
 		case old.reusable:
 		case !sameMessage(old.fingerprint, m.fingerprint):
-			return no(Conflict, "id: another message had it")
+			return reject(Conflict, "id: another message had it")
 		case old.disposition == Delivered || old.disposition == Closed:
-			return no(Accepted, "") // a client that lost the response repeated its request
+			return reject(Accepted, "") // a client that lost the response repeated its request
 		case old.disposition != Refused:
-			return no(AlreadyEnded, "id: its message ended, and may have taken effect")
+			return reject(AlreadyEnded, "id: its message ended, and may have taken effect")
 		case e.now.At <= old.deadline: // the client was told when to submit it again, with a new id
-			return no(Busy, "id: its message was handed back a moment ago")
+			return reject(Busy, "id: its message was handed back a moment ago")
 		}
 		if !e.inStore(old) { // if the end were recorded late, it would end the new message in the store
-			return no(Busy, "id: the end of its earlier life is on its way to the store")
+			return reject(Busy, "id: the end of its earlier life is on its way to the store")
 		}
 	}
-	if e.settings.CheckUndelivered != nil && !h.Resent {
+	if e.settings.CheckUndelivered != nil && !submission.Resent {
 		if kind, why := e.settings.CheckUndelivered(&m.Message); kind != Accepted {
-			return no(kind, why)
+			return reject(kind, why)
 		}
 	}
 	switch {
 	case len(e.namedDestinations) == 0:
-		return no(Busy, "no list of endpoints is at hand yet")
+		return reject(Busy, "no list of endpoints is at hand yet")
 	case !e.isNamed(m.Destination):
-		return no(UnknownDestination, fmt.Sprintf("destination %d: no list names it yet", m.Destination))
-	case e.open+with.messages >= e.settings.Control.MaxOpen:
-		return no(Busy, "holding as many messages as it may")
-	case e.bodyBytes+with.bytes+len(m.Body) > e.settings.MaxBytes:
-		return no(Busy, "no memory is left for bodies")
-	case !e.hasRoomForID(with.messages):
-		return no(Busy, "as many messages as may be remembered ended of late")
+		return reject(UnknownDestination, fmt.Sprintf("destination %d: no list names it yet", m.Destination))
+	case e.open+group.messages >= e.settings.Control.MaxOpen:
+		return reject(Busy, "holding as many messages as it may")
+	case e.bodyBytes+group.bytes+len(m.Body) > e.settings.MaxBytes:
+		return reject(Busy, "no memory is left for bodies")
+	case !e.hasRoomForID(group.messages):
+		return reject(Busy, "as many messages as may be remembered ended of late")
 	case e.storeDown:
-		return no(Busy, "the store takes nothing")
+		return reject(Busy, "the store takes nothing")
 	}
 	return m, Verdict{Kind: Accepted}
 }
@@ -292,8 +292,8 @@
 }
 
 // newMessage checks a submission; reason names the invalid field.
-func (e *Engine) newMessage(h *Submit) (m *message, why string) {
-	m = &message{Message: h.Message, addedAt: e.now.At, classIndex: -1, tenantIndex: -1}
+func (e *Engine) newMessage(submission *Submit) (m *message, reason string) {
+	m = &message{Message: submission.Message, addedAt: e.now.At, classIndex: -1, tenantIndex: -1}
 	for i := range e.settings.Control.Classes {
 		if e.settings.Control.Classes[i].Name == m.Class {
 			m.class, m.classIndex = &e.settings.Control.Classes[i], i
@@ -315,21 +315,21 @@
 		return nil, fmt.Sprintf("destination: %d is out of range", m.Destination)
 	case m.class.Effect == control.Guarded && m.Key == "":
 		return nil, fmt.Sprintf("key: missing, class %q needs it", m.Class)
-	case h.ExpiresIn <= 0:
+	case submission.ExpiresIn <= 0:
 		return nil, "expiry: no time is left"
 	}
-	if m.uniqueID = h.UniqueID && !e.settings.HasStore; !m.uniqueID { // otherwise nobody submits its id again
+	if m.uniqueID = submission.UniqueID && !e.settings.HasStore; !m.uniqueID { // otherwise nobody submits its id again
 		m.fingerprint = m.Fingerprint()
 	}
 	// Past the class's deadline a message gains nothing by waiting on: it would only take up room.
-	m.deadline = e.now.At + min(h.ExpiresIn, m.class.Deadline)
-	if h.DoubtAge > 0 {
-		m.firstDoubt = attemptStart{at: e.now.At - h.DoubtAge, zone: h.DoubtZone, set: true}
+	m.deadline = e.now.At + min(submission.ExpiresIn, m.class.Deadline)
+	if submission.DoubtAge > 0 {
+		m.firstDoubt = attemptStart{at: e.now.At - submission.DoubtAge, zone: submission.DoubtZone, set: true}
 	}
 	if e.settings.CheckUndelivered != nil {
-		m.history = &attemptHistory{resent: h.Resent}
+		m.history = &attemptHistory{resent: submission.Resent}
 	}
-	m.resentFrom = h.ResentFrom
+	m.resentFrom = submission.ResentFrom
 	return m, ""
 }
 
@@ -426,7 +426,7 @@
 
 // end is the only place where a message ends, by a decision of the module, a response or a withdrawal. It has no effect
 // on a message that has ended.
-func (e *Engine) end(m *message, how Disposition, again time.Duration) {
+func (e *Engine) end(m *message, disposition Disposition, retryAfter time.Duration) {
 	switch m.phase {
 	case storing: // before it is in the store, nobody can know that it was accepted
 		m.withdrawn = true
@@ -435,21 +435,21 @@
 		return
 	}
 	e.timers.drop(m)
-	given := e.undelivered(m, how)
+	given := e.undelivered(m, disposition)
 	e.ledger.messageClosed(m)
 	e.closeMessage(m)
-	e.endCounts[how]++
-	e.postEnd(m, how)
-	m.inDoubt = how != Delivered && m.firstPossibleRun().set
-	if how == Refused || how == Failed {
-		m.phase, m.pending = notifying, PendingResult{Disposition: how, RetryAfter: again, Fingerprint: m.fingerprint}
+	e.endCounts[disposition]++
+	e.postEnd(m, disposition)
+	m.inDoubt = disposition != Delivered && m.firstPossibleRun().set
+	if disposition == Refused || disposition == Failed {
+		m.phase, m.pending = notifying, PendingResult{Disposition: disposition, RetryAfter: retryAfter, Fingerprint: m.fingerprint}
 		e.notifying++
 		b := e.record(&RecPendingResult{ID: m.ID, PendingResult: m.pending, Undelivered: given}, m)
 		e.effect(e.doneEffect(m, b))
 		return
 	}
-	past := e.conclude(m, how)
-	done := &Done{ID: m.ID, Disposition: how, InDoubt: m.inDoubt, requiredBatch: e.currentBatch()}
+	past := e.conclude(m, disposition)
+	done := &Done{ID: m.ID, Disposition: disposition, InDoubt: m.inDoubt, requiredBatch: e.currentBatch()}
 	if past != nil {
 		past.pendingDone = done
 	}
@@ -464,20 +464,20 @@
 
 // conclude records that a message has ended with no notification pending. Its id is remembered for a while, unless nobody
 // else can submit it: then it is forgotten at once, and conclude returns nil.
-func (e *Engine) conclude(m *message, how Disposition) *endedMessage {
+func (e *Engine) conclude(m *message, disposition Disposition) *endedMessage {
 	e.ledger.messageRemoved(m)
 	if m.uniqueID {
 		e.removeMessage(m)
 		return nil
 	}
-	past := &endedMessage{id: m.ID, disposition: how, fingerprint: m.fingerprint, deadline: m.deadline, inFlight: m.inFlight}
+	past := &endedMessage{id: m.ID, disposition: disposition, fingerprint: m.fingerprint, deadline: m.deadline, inFlight: m.inFlight}
 	past.forgetAt = max(past.deadline, e.now.At) + e.rememberTime(m.classIndex)
 	past.harmless = m.class != nil && m.class.Effect == control.Free
-	if how == Refused && m.inDoubt && !past.harmless {
+	if disposition == Refused && m.inDoubt && !past.harmless {
 		past.disposition = Failed // for a late repetition of the id: only the client knows its key's window
 	}
 	e.removeMessage(m)
-	if how == Withdrawn && !m.inDoubt { // it never ran
+	if disposition == Withdrawn && !m.inDoubt { // it never ran
 		past.harmless, past.reusable = true, true
 	}
 	e.endedIDs.add(past)
--- a/engine/store.go
+++ b/engine/store.go
@@ -313,15 +313,15 @@
 	if m.phase == finished || m.phase == storing {
 		return
 	}
-	anew := m.firstMissing
-	if anew {
+	firstMissing := m.firstMissing
+	if firstMissing {
 		m.firstMissing, m.firstBatch = false, e.lastBatch+1
 		if m.reusesID { // the store may have lost the end of the earlier message with this id, which must not be resumed
 			e.record(&RecEnded{ID: m.ID, Disposition: Refused}, m)
 		}
 		e.record(&RecAccepted{Message: m.Message, Deadline: e.timestamp(m.deadline)}, m)
 	}
-	if m.tries > 0 || m.firstDoubt.set || !anew { // without tries, too: the store may have an attempt that was rolled back
+	if m.tries > 0 || m.firstDoubt.set || !firstMissing { // without tries, too: the store may have an attempt that was rolled back
 		r := &RecState{ID: m.ID, Tries: m.tries, Settled: m.firstDoubt.set || m.inFlight == nil}
 		if d := m.firstPossibleRun(); d.set {
 			r.DoubtAt, r.DoubtZone = e.timestamp(d.at), d.zone
--- a/engine/view.go
+++ b/engine/view.go
@@ -13,12 +13,12 @@
 	Condition   control.Condition
 }
 
-// Backlog returns the destinations of open messages, ordered by number. It looks at the oldest messages, at most so many;
+// Backlog returns the destinations of open messages, ordered by number. It looks at the oldest messages, at most limit;
 // more says that there are others. It changes nothing.
-func (e *Engine) Backlog(most int) (list []DestinationBacklog, more bool) {
+func (e *Engine) Backlog(limit int) (list []DestinationBacklog, more bool) {
 	seen := map[int]bool{}
 	for m := e.oldestMessage; m != nil; m = m.next {
-		if most--; most < 0 {
+		if limit--; limit < 0 {
 			more = true
 			break
 		}
