--- a/engine/bench_test.go
+++ b/engine/bench_test.go
@@ -8,8 +8,8 @@
 	"curlewmux/ledger"
 )
 
-// BenchmarkLife measures a message from submission to delivery, with a store that answers at once, while other messages are
-// queued whose destinations accept nothing; with and without a ledger.
+// BenchmarkLife measures a message from submission to delivery, with a store that answers at once, while other
+// messages are queued whose destinations accept nothing; with and without a ledger.
 func BenchmarkLife(b *testing.B) {
 	for _, books := range []*LedgerSettings{nil, {Epoch: ledger.NewEpoch(1, 1, ledger.ReasonNoLedger, "")}} {
 		for _, held := range []int{0, 20, 1000} {
--- a/engine/books.go
+++ b/engine/books.go
@@ -28,9 +28,9 @@
 	maxAccountsPerBatch  = 64                       // maximum number of accounts per batch
 )
 
-// ledgerState holds the ledger of an engine and the progress of its audit. All postings are made in this file. It is called
-// where a message is accepted, stored or rejected, resent and ended (message.go), and where an attempt begins and ends
-// (call.go).
+// ledgerState holds the ledger of an engine and the progress of its audit. All postings are made in this file. It is
+// called where a message is accepted, stored or rejected, resent and ended (message.go), and where an attempt begins
+// and ends (call.go).
 type ledgerState struct {
 	settings LedgerSettings
 	*ledger.Ledger
@@ -245,8 +245,8 @@
 	}
 }
 
-// recordLedger adds changed leaves to the batch of this event and reports breaches. Without other records in the batch, leaves
-// wait a short time for some.
+// recordLedger adds changed leaves to the batch of this event and reports breaches. Without other records in the
+// batch, leaves wait a short time for some.
 func (e *Engine) recordLedger() {
 	state := e.ledger
 	if state == nil {
@@ -337,7 +337,8 @@
 	}
 }
 
-// messageAdded continues the audit with a new message if the cursor ran off the list because all messages left were removed.
+// messageAdded continues the audit with a new message if the cursor ran off the list because all messages left were
+// removed.
 func (b *ledgerState) messageAdded(m *message) {
 	if b != nil && b.auditing && b.auditStage == auditMessages && b.cursor == nil {
 		b.cursor = m
--- a/engine/call.go
+++ b/engine/call.go
@@ -53,9 +53,9 @@
 	return (len(m.Body)+2)/3*4 + len(m.ID) + len(m.Key) + itemOverheadBytes
 }
 
-// addAttempt adds an attempt to the calls of this Step. Attempts at one endpoint share a call, up to the limits of its kind on
-// items and bytes. An attempt that the module joins to the previous Send's call goes into that call or is returned unsent,
-// so that no more calls are out than the module counts.
+// addAttempt adds an attempt to the calls of this Step. Attempts at one endpoint share a call, up to the limits of
+// its kind on items and bytes. An attempt that the module joins to the previous Send's call goes into that call or is
+// returned unsent, so that no more calls are out than the module counts.
 func (e *Engine) addAttempt(list []*call, a control.Action) []*call {
 	m, ep := e.messageByNumber[a.Message], e.endpointByNumber[a.Endpoint]
 	if m == nil || ep == nil || m.phase != dispatching || m.inFlight != nil {
--- a/engine/event.go
+++ b/engine/event.go
@@ -7,8 +7,8 @@
 	"curlewmux/ledger"
 )
 
-// Time is an instant on a monotonic clock, or a duration, in microseconds. The clock restarts with each process, and steps
-// of the wall clock don't change it.
+// Time is an instant on a monotonic clock, or a duration, in microseconds. The clock restarts with each process, and
+// steps of the wall clock don't change it.
 type Time = control.Time
 
 // Timestamp is a wall time as records keep it: Unix time in microseconds, 0 for none.
@@ -138,8 +138,8 @@
 	Active
 )
 
-// HasStore says that all batches up to this one are in the store, except those that failed before. A number lower than one
-// reported before changes nothing.
+// HasStore says that all batches up to this one are in the store, except those that failed before. A number lower
+// than one reported before changes nothing.
 type Stored struct{ Batch Batch }
 
 // StoreFailed says that a batch is not in the store and never will be.
--- a/engine/givenup.go
+++ b/engine/givenup.go
@@ -76,8 +76,8 @@
 	return t.undelivered
 }
 
-// undelivered describes a message that is about to be refused or to fail, for the store of undelivered messages. It returns nil
-// for other dispositions, or if undelivered messages are not kept.
+// undelivered describes a message that is about to be refused or to fail, for the store of undelivered messages. It
+// returns nil for other dispositions, or if undelivered messages are not kept.
 func (e *Engine) undelivered(m *message, disposition Disposition) *Undelivered {
 	if m.history == nil || disposition != Refused && disposition != Failed {
 		return nil
--- a/engine/givenup_test.go
+++ b/engine/givenup_test.go
@@ -73,7 +73,8 @@
 	k.pass(10 * control.Millisecond)
 }
 
-// The record of an undelivered message has its body, its attempts, the cause, and the time from when no call of it is out.
+// The record of an undelivered message has its body, its attempts, the cause, and the time from when no call of it is
+// out.
 func TestAKeeperIsToldAllOfWhatIsGivenUp(t *testing.T) {
 	t.Parallel()
 	end := func(k *keptEngine, r control.Result, o Outcome) {
--- a/engine/member.go
+++ b/engine/member.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// processReport processes a part of a report, at most limit endpoints, and informs the module. left is what is left of that
-// number; done says that the report is processed completely.
+// processReport processes a part of a report, at most limit endpoints, and informs the module. left is what is left
+// of that number; done says that the report is processed completely.
 func (e *Engine) processReport(l *report, limit int) (left int, done bool) {
 	if l.number == 0 {
 		e.lastListNumber++
@@ -223,8 +223,8 @@
 	return limit, done
 }
 
-// changedDestinations returns the destinations for which a full list brings changes. The last entry of a destination decides its kind and
-// its share, so a new last endpoint is a change, too.
+// changedDestinations returns the destinations for which a full list brings changes. The last entry of a destination
+// decides its kind and its share, so a new last endpoint is a change, too.
 func (e *Engine) changedDestinations(l *report, changed []*endpoint) map[int]bool {
 	if !l.FullList || l.sentAsFullList {
 		return nil
--- a/engine/pause_test.go
+++ b/engine/pause_test.go
@@ -40,8 +40,8 @@
 	return n
 }
 
-// Guards against a pause while a list of ten thousand endpoints is processed: each tick processes only a part of it. In the
-// end the whole list counts, and so do the reports after it, in the order in which they came.
+// Guards against a pause while a list of ten thousand endpoints is processed: each tick processes only a part of it.
+// In the end the whole list counts, and so do the reports after it, in the order in which they came.
 func TestALongListIsProcessedInParts(t *testing.T) {
 	t.Parallel()
 	const n = 10_000
--- a/engine/prompt_test.go
+++ b/engine/prompt_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// After the last open message has ended, the next Step waits for the tick, as nobody waits for it. Any other Step is run at
-// once. A message that comes before that tick finds the slot free.
+// After the last open message has ended, the next Step waits for the tick, as nobody waits for it. Any other Step is
+// run at once. A message that comes before that tick finds the slot free.
 func TestAPromptEngineStepsAtOnceWhileAMessageIsOpen(t *testing.T) {
 	t.Parallel()
 	e, handle := promptEngine(t, func(s *Settings) { s.Control.Slots = 1 })
--- a/engine/record.go
+++ b/engine/record.go
@@ -48,8 +48,8 @@
 	Undelivered *Undelivered `json:"-"` // for the store of undelivered messages, nil if there is none; other stores ignore it
 }
 
-// RecEnded says that a message has ended and no notification is pending. If Until is not 0, the store keeps the id at least
-// until then; otherwise it forgets the message at once.
+// RecEnded says that a message has ended and no notification is pending. If Until is not 0, the store keeps the id at
+// least until then; otherwise it forgets the message at once.
 type RecEnded struct {
 	ID          string
 	Disposition Disposition
@@ -61,8 +61,8 @@
 // timestamps of earlier records.
 type RecClockStep struct{ By int64 }
 
-// RecLedgerLeaf replaces the ledger's leaf with this number (Settings.Ledger). The newest text counts. None is longer than
-// ledger.LeafMost.
+// RecLedgerLeaf replaces the ledger's leaf with this number (Settings.Ledger). The newest text counts. None is longer
+// than ledger.LeafMost.
 type RecLedgerLeaf struct {
 	Number uint64
 	Text   []byte
--- a/engine/same_test.go
+++ b/engine/same_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// The effects of recorded streams must stay the same, byte for byte: the module and the engine may change how they decide,
-// but not what they do.
+// The effects of recorded streams must stay the same, byte for byte: the module and the engine may change how they
+// decide, but not what they do.
 func TestTheEffectsAreThoseRecorded(t *testing.T) {
 	t.Parallel()
 	if runtime.GOARCH != "amd64" {
--- a/engine/script_test.go
+++ b/engine/script_test.go
@@ -17,10 +17,11 @@
 //
 //	+5ms hand-in a class=unsafe dest=1
 //
-// the time since the line before, the event and its fields. The following lines that begin with > are the effects. "quiet"
-// names effects that the script leaves out: "quiet append". "clock -1h" steps the wall clock. "restart 2s" ends the process
-// and starts another one 2 s later from the batches that were reported as stored; with "restart 2s landed=7" the store has
-// the batches up to 7, reported or not. With -update the files are rewritten: read the difference before you commit it.
+// the time since the line before, the event and its fields. The following lines that begin with > are the effects.
+// "quiet" names effects that the script leaves out: "quiet append". "clock -1h" steps the wall clock. "restart 2s"
+// ends the process and starts another one 2 s later from the batches that were reported as stored; with "restart 2s
+// landed=7" the store has the batches up to 7, reported or not. With -update the files are rewritten: read the
+// difference before you commit it.
 var update = flag.Bool("update", false, "write the effects that came into the scripts")
 
 func TestScripts(t *testing.T) {
--- a/engine/settings.go
+++ b/engine/settings.go
@@ -43,7 +43,7 @@
 	defaultMaxEndpoints = 1 << 16
 	defaultCallBytes    = 64 << 10                  // the protocol's limit for a body
 	defaultRemember     = 10 * control.Second       // clients repeat a request within one or two seconds
-	defaultPatience     = 300 * control.Millisecond // a client waits 400 ms for its response
+	defaultStoreTimeout = 300 * control.Millisecond // a client waits 400 ms for its response
 )
 
 func (s *Settings) setDefaults() error {
@@ -73,13 +73,13 @@
 		}
 	}
 	if s.Remember < 0 || s.StoreTimeout < 0 {
-		return fmt.Errorf("setting Remember or Patience: a negative time is out of range")
+		return fmt.Errorf("setting Remember or StoreTimeout: a negative time is out of range")
 	}
 	if s.Remember == 0 {
 		s.Remember = defaultRemember
 	}
 	if s.StoreTimeout == 0 {
-		s.StoreTimeout = defaultPatience
+		s.StoreTimeout = defaultStoreTimeout
 	}
 	return nil
 }
--- a/engine/settings_test.go
+++ b/engine/settings_test.go
@@ -13,7 +13,7 @@
 		"MaxEndpoints": func(s *Settings) { s.MaxEndpoints = -1 },
 		"CallBytes":    func(s *Settings) { s.CallBytes = -1 },
 		"Remember":     func(s *Settings) { s.Remember = -1 },
-		"Patience":     func(s *Settings) { s.StoreTimeout = -1 },
+		"StoreTimeout": func(s *Settings) { s.StoreTimeout = -1 },
 		"Slots":        func(s *Settings) { s.Control.Slots = 0 },
 	} {
 		s := testSettings()
--- a/engine/store.go
+++ b/engine/store.go
@@ -113,8 +113,8 @@
 	e.effects[e.appendIndex] = &Append{Batch: b.number, Records: e.records}
 }
 
-// updateClock updates the two clocks. Timestamps use one offset between them. A step of the wall clock is recorded, so that
-// earlier timestamps stay correct.
+// updateClock updates the two clocks. Timestamps use one offset between them. A step of the wall clock is recorded,
+// so that earlier timestamps stay correct.
 func (e *Engine) updateClock(now Now) {
 	offset := Time(now.Wall) - now.At
 	e.now = now
@@ -129,8 +129,8 @@
 	e.recordClockStep()
 }
 
-// recordClockStep records a step of the wall clock, in a batch of its own, so that it is not lost with a message for which the
-// store has no room.
+// recordClockStep records a step of the wall clock, in a batch of its own, so that it is not lost with a message for
+// which the store has no room.
 func (e *Engine) recordClockStep() {
 	if e.clockStep != 0 && e.settings.HasStore && !e.storeDown {
 		e.lastBatch++
@@ -345,8 +345,8 @@
 	}
 }
 
-// emitUnrecordedDone emits the Done of an end that could not be recorded. The message's deadline has passed, so that after a
-// restart it would expire at once and never be sent.
+// emitUnrecordedDone emits the Done of an end that could not be recorded. The message's deadline has passed, so that
+// after a restart it would expire at once and never be sent.
 func (e *Engine) emitUnrecordedDone(m *message) {
 	if !m.doneEmitted {
 		e.effect(e.doneEffect(m, 0))
--- a/engine/store_test.go
+++ b/engine/store_test.go
@@ -7,8 +7,8 @@
 	"curlewmux/control"
 )
 
-// After a store lost the records of thousands of messages, these are rewritten some at a time, and their ids are not accepted
-// again before all are stored: an end that is written late must not end a new message with the same id.
+// After a store lost the records of thousands of messages, these are rewritten some at a time, and their ids are not
+// accepted again before all are stored: an end that is written late must not end a new message with the same id.
 func TestLostRecordsAreRewrittenSomeAtATime(t *testing.T) {
 	t.Parallel()
 	const n = 3 * maxRewrittenRecords
--- a/engine/timer.go
+++ b/engine/timer.go
@@ -1,8 +1,8 @@
 package engine
 
-// timers holds the module's timers in one heap, ordered by time, then by the order in which they were set. A message has
-// at most one timer and knows its index, so that the timer is removed with the message. The heap holds timers by value, so
-// that they produce no garbage.
+// timers holds the module's timers in one heap, ordered by time, then by the order in which they were set. A message
+// has at most one timer and knows its index, so that the timer is removed with the message. The heap holds timers by
+// value, so that they produce no garbage.
 type timers struct {
 	list []timer
 	seq  uint64
--- a/engine/world_test.go
+++ b/engine/world_test.go
@@ -518,7 +518,8 @@
 	w.model.check()
 }
 
-// currentID returns an id that is in use for a few seconds only, as with real clients. The message's contents follow from it.
+// currentID returns an id that is in use for a few seconds only, as with real clients. The message's contents follow
+// from it.
 func (w *world) currentID() string {
 	if w.newest != "" && w.model.time-w.newestAt < 6*control.Second && w.n("newest", 8) == 0 {
 		return w.newest
