--- a/engine/books_test.go
+++ b/engine/books_test.go
@@ -9,35 +9,35 @@
 	"curlewmux/ledger"
 )
 
-// bookWorld is a world with books, whose figures are compared with the engine's tables at each event.
-type bookWorld struct {
+// ledgerWorld is a world with a ledger, whose counts are compared with the engine's tables after each step.
+type ledgerWorld struct {
 	*world
-	shown, before *ledger.Snapshot
-	breaches      []ledger.Breach
-	figures       map[string]int
+	snapshot, before *ledger.Snapshot
+	breaches         []ledger.Breach
+	figures          map[string]int
 }
 
-func runBooks(seed uint64, steps int, change func(*LedgerSettings)) (b *bookWorld, fault string) {
-	b = &bookWorld{figures: map[string]int{}}
+func runLedgerWorld(seed uint64, steps int, change func(*LedgerSettings)) (b *ledgerWorld, fault string) {
+	b = &ledgerWorld{figures: map[string]int{}}
 	defer func() {
 		if p := recover(); p != nil {
-			f, ok := p.(broken)
+			f, ok := p.(brokenRule)
 			if !ok {
 				panic(p)
 			}
 			fault = f.text
 		}
 	}()
-	newWorld(seedDice{rand.New(rand.NewPCG(seed, 5))}, true, nil, func(w *world) {
+	newWorld(seededSource{rand.New(rand.NewPCG(seed, 5))}, true, nil, func(w *world) {
 		b.world = w
-		s := &LedgerSettings{ // parts are small, so that messages come and go within a sweep
+		s := &LedgerSettings{ // parts are small, so that messages come and go during an audit
 			Settings: ledger.Settings{Instance: "d", MaxAccounts: 3 + int(seed%8)}, Epoch: ledger.NewEpoch(seed, 1, ledger.ReasonNoLedger, ""),
 			AuditPart: 1 + int(seed%3), AuditInterval: control.Millisecond,
 		}
 		if change != nil {
 			change(s)
 		}
-		w.set.Ledger, w.also = s, b.hear
+		w.set.Ledger, w.onEffect = s, b.observe
 	})
 	for range steps {
 		b.step()
@@ -48,38 +48,38 @@
 	return b, ""
 }
 
-func (b *bookWorld) hear(f Effect) {
+func (b *ledgerWorld) observe(f Effect) {
 	switch f := f.(type) {
 	case *LedgerBreach:
 		if f.ResolvedAt == 0 {
 			b.breaches = append(b.breaches, f.Breach)
 		}
 	case *LedgerSnapshot:
-		b.shown = f.Snapshot
+		b.snapshot = f.Snapshot
 	}
 }
 
-// check compares a snapshot with what is live, and with the one before.
-func (b *bookWorld) check() {
+// check compares a snapshot with the open messages and calls, and with the snapshot before.
+func (b *ledgerWorld) check() {
 	b.handle(&RequestLedger{})
-	s := b.shown
+	s := b.snapshot
 	live := map[ledger.Key]ledger.Counts{}
-	for m := b.e.oldest; m != nil; m = m.behind {
-		if k := m.acct.Key(); m.phase == held {
+	for m := b.e.oldestMessage; m != nil; m = m.next {
+		if k := m.ledgerAccount.Key(); m.phase == dispatching {
 			f := live[k]
 			f.Open++
-			if m.maybe.set {
+			if m.firstDoubt.set {
 				f.Doubt.Open++
 			}
 			live[k] = f
 		}
 	}
-	for _, c := range b.e.byCall {
+	for _, c := range b.e.callByID {
 		for _, it := range c.items {
 			if !it.done {
-				f := live[it.message.acct.Key()]
+				f := live[it.message.ledgerAccount.Key()]
 				f.Attempts.Out++
-				live[it.message.acct.Key()] = f
+				live[it.message.ledgerAccount.Key()] = f
 			}
 		}
 	}
@@ -93,7 +93,7 @@
 			b.figures[name] += int(v)
 		})
 	}
-	if b.lost || b.reordered { // the store lost what it had told as stored
+	if b.lost || b.reordered { // the store lost what it had reported as stored
 		b.before, b.breaches = nil, nil
 		b.figures["lost"]++
 		return
@@ -113,7 +113,7 @@
 			b.fail("%v, %+v\n%+v\n%+v", err, d.Decreases, b.before, s)
 		}
 	}
-	if !s.Provisional && len(b.waiting) == 0 {
+	if !s.Provisional && len(b.unanswered) == 0 {
 		b.before = s
 	}
 }
@@ -122,7 +122,7 @@
 	t.Parallel()
 	figures := map[string]int{}
 	for seed := range uint64(100) {
-		b, fault := runBooks(seed, 300, nil)
+		b, fault := runLedgerWorld(seed, 300, nil)
 		if fault != "" {
 			t.Fatalf("seed %d: %s", seed, fault)
 		}
@@ -138,7 +138,7 @@
 	}
 }
 
-// Each kind of posting, left out, made twice or to a wrong account, is found by the sweep within a second.
+// Each kind of wrong posting, left out, made twice or made to a wrong account, is found by the audit within a second.
 func TestWrongPostingsAreFoundWithinASecond(t *testing.T) {
 	t.Parallel()
 	wrong := ledger.Key{Class: "wrong"}
@@ -155,7 +155,7 @@
 					if seed == 400 {
 						t.Fatal("it was found in too few of 400 runs")
 					}
-					if late := errorRun(seed, entry, tamper); late == "found" {
+					if late := runWithWrongPosting(seed, entry, tamper); late == "found" {
 						found++
 					} else if late != "" {
 						t.Fatalf("seed %d: %s", seed, late)
@@ -166,8 +166,8 @@
 	}
 }
 
-// errorRun makes one wrong posting and tells whether it was found in time; "" where it did not come to that.
-func errorRun(seed uint64, entry ledger.Entry, tamper func(ledger.Posting) []ledger.Posting) (out string) {
+// runWithWrongPosting makes one wrong posting and returns "found", a fault, or "" if the run made no such posting.
+func runWithWrongPosting(seed uint64, entry ledger.Entry, tamper func(ledger.Posting) []ledger.Posting) (out string) {
 	var w *world
 	var at Time
 	found := false
@@ -176,7 +176,7 @@
 			out = ""
 		}
 	}()
-	newWorld(seedDice{rand.New(rand.NewPCG(seed, 6))}, true, nil, func(v *world) {
+	newWorld(seededSource{rand.New(rand.NewPCG(seed, 6))}, true, nil, func(v *world) {
 		w = v
 		w.set.Ledger = &LedgerSettings{Epoch: ledger.NewEpoch(1, 1, "", ""), Settings: ledger.Settings{InterceptPost: func(p ledger.Posting) []ledger.Posting {
 			if p.Entry == entry && at == 0 && w.now.At > Epoch+control100ms {
@@ -185,7 +185,7 @@
 			}
 			return []ledger.Posting{p}
 		}}}
-		w.also = func(f Effect) {
+		w.onEffect = func(f Effect) {
 			if _, ok := f.(*LedgerBreach); ok && at != 0 {
 				found = true
 			}
@@ -200,7 +200,7 @@
 		}
 		next, _ := w.e.NextWake() // as a driver does
 		if next > at+control.Second && !found {
-			return fmt.Sprintf("not found a second later: %+v", w.e.books.Snapshot(0))
+			return fmt.Sprintf("not found a second later: %+v", w.e.ledger.Snapshot(0))
 		}
 		by := max(next-w.now.At, 1)
 		w.now.At, w.now.Wall = w.now.At+by, w.now.Wall+Timestamp(by)
@@ -218,8 +218,8 @@
 
 const control100ms = 100 * control.Millisecond
 
-// A cut shows what the store has, and waits for what it shows.
-func TestACutWaitsForWhatItShows(t *testing.T) {
+// A snapshot shows only counts that the store has, or waits until the store has them.
+func TestASnapshotWaitsForItsRecords(t *testing.T) {
 	t.Parallel()
 	s := testSettings()
 	s.HasStore, s.Ledger = true, &LedgerSettings{Settings: ledger.Settings{Instance: "d"}, Epoch: ledger.NewEpoch(1, 1, "", "")}
@@ -243,17 +243,17 @@
 	}
 	e.Handle(now, &RestoredLedger{})
 	e.Handle(now, &RestoreComplete{})
-	e.Handle(now, &Stored{Batch: e.last})
+	e.Handle(now, &Stored{Batch: e.lastBatch})
 	e.Handle(now, &Members{Source: "s", FullList: true, List: []Member{{ID: "e", Addr: "h:1", Destination: 1, Phase: Active}}})
 	e.Handle(now, &Wake{})
 	m := messageOf("m0")
 	m.Destination, m.Class, m.Key = 1, "free", ""
 	e.Handle(now, &Submit{Ticket: 1, Message: m, ExpiresIn: control.Second})
-	taken := e.last
+	taken := e.lastBatch
 	if f := ask(); f.Snapshot.Total.Accepted != 0 || f.RequiredBatch() < taken || f.Snapshot.Provisional {
 		t.Errorf("on its way: %d taken, needs batch %d of %d", f.Snapshot.Total.Accepted, f.RequiredBatch(), taken)
 	}
-	e.Handle(now, &Stored{Batch: e.last})
+	e.Handle(now, &Stored{Batch: e.lastBatch})
 	now.At += 10 * control.Millisecond
 	var out *Call
 	for _, f := range e.Handle(now, &Wake{}) {
@@ -261,16 +261,16 @@
 			out = c
 		}
 	}
-	e.Handle(now, &Stored{Batch: e.last})
+	e.Handle(now, &Stored{Batch: e.lastBatch})
 	if f := ask(); f.Snapshot.Total.Accepted != 1 || f.Snapshot.Total.Attempts.Out != 1 || f.RequiredBatch() != 0 {
 		t.Errorf("%+v needs %d", f.Snapshot.Total, f.RequiredBatch())
 	}
-	before := e.last
-	e.Handle(now, &Ended{Call: out.ID, Outcomes: []Outcome{{Result: control.TimedOut}}}) // of which there is no record
+	before := e.lastBatch
+	e.Handle(now, &Ended{Call: out.ID, Outcomes: []Outcome{{Result: control.TimedOut}}}) // for which there is no record
 	if f := ask(); f.Snapshot.Total.Attempts.Unanswered != 1 || f.RequiredBatch() <= before {
 		t.Errorf("%+v needs %d, and %d was stored", f.Snapshot.Total, f.RequiredBatch(), before)
 	}
-	now.At += control.Second // the store is silent
+	now.At += control.Second // the store does not answer
 	e.Handle(now, &Wake{})
 	if f := ask(); !f.Snapshot.Provisional || f.RequiredBatch() != 0 {
 		t.Errorf("with a silent store: %+v", f)
--- a/engine/call_test.go
+++ b/engine/call_test.go
@@ -6,14 +6,14 @@
 	"curlewmux/control"
 )
 
-// A Send that can't be made gets its outcome all the same: else its slot would be lost.
+// A Send that can't be carried out still gets an outcome; otherwise its slot would be lost.
 func TestASendThatCantBeMadeGivesItsSlotBack(t *testing.T) {
 	t.Parallel()
 	e, err := New(testSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
-	calls := e.send(nil, control.Action{Kind: control.Send, Message: 7, Endpoint: 9})
+	calls := e.addAttempt(nil, control.Action{Kind: control.Send, Message: 7, Endpoint: 9})
 	if len(calls) != 0 || len(e.events) != 1 {
 		t.Fatalf("%d calls, %d events", len(calls), len(e.events))
 	}
--- a/engine/givenup.go
+++ b/engine/givenup.go
@@ -2,53 +2,54 @@
 
 import "curlewmux/control"
 
-// Undelivered is what a keeper of undelivered messages is told of one that is given up, beside its end.
+// Undelivered is what the store of undelivered messages gets about a message that was refused or failed, beside its
+// disposition.
 type Undelivered struct {
-	Message     Message // without Body if Again
-	Rewritten   bool    // the record is written a second time
+	Message     Message // without Body if Rewritten
+	Rewritten   bool    // the record is written again
 	At          Time
 	Cause       Cause
-	Reason      string // in the partner's words, if it said any
+	Reason      string // in the partner's words, "" if it gave none
 	Tries       int
 	Attempts    []Attempt // those of this process, oldest first
-	DoubtAt     Time      // send of the first attempt that may have run, 0 if there is none
-	DoubtZone   int       // which it went to
-	CallsOverAt Time      // from then on no call of it is out
+	DoubtAt     Time      // when the first attempt that may have run was sent, 0 if there is none
+	DoubtZone   int       // zone which that attempt went to
+	CallsOverAt Time      // from then on none of its calls is out
 	Resent      bool
 }
 
 // Attempt is one attempt at a message that ended.
 type Attempt struct {
-	Sent, End  Time   // End 0: it is still out
-	Endpoint   string // id
+	Sent, End  Time   // End is 0 if it is still out
+	Endpoint   string // the endpoint's id
 	Addr       string
 	Zone       int
 	Result     control.Result
-	RetryAfter Time // told wait
+	RetryAfter Time // how long the destination asked not to be called, 0 for none
 }
 
-// Cause is why a message is given up.
+// Cause is why a message was not delivered.
 type Cause string
 
 // Causes.
 const (
-	CauseDeadline     Cause = "time"   // its time is up
-	CauseTries        Cause = "tries"  // it had all its tries
-	CauseDoubt        Cause = "doubt"  // it may have run, and may not run again
-	CausePermanent    Cause = "never"  // the partner says that no try can go better
-	CauseUnknownClass Cause = "class"  // its class is no longer among the settings
-	CauseDisplaced    Cause = "crowds" // it gave way to others
+	CauseDeadline     Cause = "time"   // its deadline passed
+	CauseTries        Cause = "tries"  // it used all its tries
+	CauseDoubt        Cause = "doubt"  // it may have run and must not run twice
+	CausePermanent    Cause = "never"  // the partner says that no further attempt can succeed
+	CauseUnknownClass Cause = "class"  // its class is no longer in the settings
+	CauseDisplaced    Cause = "crowds" // it was shed in favour of other messages
 )
 
-// tale is what a message has behind it, where undelivered messages are kept; nil where they are not.
-type tale struct {
-	resent   bool
-	attempts []Attempt
-	given    *Undelivered // without Body
+// attemptHistory is the attempt history of a message, nil if undelivered messages are not kept.
+type attemptHistory struct {
+	resent      bool
+	attempts    []Attempt
+	undelivered *Undelivered // without Body
 }
 
-// add notes an attempt that ended.
-func (t *tale) add(e *Engine, it *item, o *Outcome) {
+// add adds an attempt that ended.
+func (t *attemptHistory) add(e *Engine, it *item, o *Outcome) {
 	if t == nil || o.Result == control.Unsent {
 		return
 	}
@@ -56,52 +57,53 @@
 	if at == 0 {
 		at = e.now.At
 	}
-	t.attempts = append(t.attempts, attemptAt(it, at, o))
+	t.attempts = append(t.attempts, newAttempt(it, at, o))
 }
 
-func attemptAt(it *item, end Time, o *Outcome) Attempt {
-	a := Attempt{Sent: it.call.sent, End: end, Endpoint: it.call.ep.id, Addr: it.call.addr, Zone: it.call.ep.zone}
+func newAttempt(it *item, end Time, o *Outcome) Attempt {
+	a := Attempt{Sent: it.call.sentAt, End: end, Endpoint: it.call.endpoint.id, Addr: it.call.addr, Zone: it.call.endpoint.zone}
 	if o != nil {
 		a.Result, a.RetryAfter = o.Result, Time(o.RetryAfter.Microseconds())
 	}
 	return a
 }
 
-// again is what a record that is written a second time has.
-func (t *tale) again() *Undelivered {
+// rewritten returns what a record that is written again contains.
+func (t *attemptHistory) rewritten() *Undelivered {
 	if t == nil {
 		return nil
 	}
-	return t.given
+	return t.undelivered
 }
 
-// givenUp is what a keeper is told of a message that is about to end so, nil where none wants to know.
-func (e *Engine) givenUp(m *message, how Disposition) *Undelivered {
-	if m.tale == nil || how != Refused && how != Failed {
+// undelivered describes a message that is about to be refused or to fail, for the store of undelivered messages. It
+// returns nil for other dispositions, or if undelivered messages are not kept.
+func (e *Engine) undelivered(m *message, disposition Disposition) *Undelivered {
+	if m.history == nil || disposition != Refused && disposition != Failed {
 		return nil
 	}
 	g := &Undelivered{
-		Message: m.Message, At: e.now.At, Reason: m.why, Tries: m.tries, Attempts: m.tale.attempts, CallsOverAt: e.now.At,
-		Resent: m.tale.resent,
+		Message: m.Message, At: e.now.At, Reason: m.reason, Tries: m.tries, Attempts: m.history.attempts, CallsOverAt: e.now.At,
+		Resent: m.history.resent,
 	}
-	if d := m.doubtful(); d.set {
+	if d := m.firstPossibleRun(); d.set {
 		g.DoubtAt, g.DoubtZone = max(d.at, 1), d.zone
 	}
-	if m.out != nil { // its call goes on as long as anybody waits for it
-		g.Attempts = append(g.Attempts[:len(g.Attempts):len(g.Attempts)], attemptAt(m.out, 0, nil))
-		for _, it := range m.out.call.items {
-			g.CallsOverAt = max(g.CallsOverAt, it.due)
+	if m.inFlight != nil { // its call may go on until the last deadline of its items
+		g.Attempts = append(g.Attempts[:len(g.Attempts):len(g.Attempts)], newAttempt(m.inFlight, 0, nil))
+		for _, it := range m.inFlight.call.items {
+			g.CallsOverAt = max(g.CallsOverAt, it.deadline)
 		}
 	}
-	last := 2*e.set.Control.Tick + control.Millisecond
+	last := 2*e.settings.Control.Tick + control.Millisecond
 	switch {
 	case m.class == nil:
 		g.Cause = CauseUnknownClass
-	case m.why != "":
+	case m.reason != "":
 		g.Cause = CausePermanent
 	case e.now.At+last >= m.deadline:
 		g.Cause = CauseDeadline
-	case m.tries >= e.set.Control.MaxTries:
+	case m.tries >= e.settings.Control.MaxTries:
 		g.Cause = CauseTries
 	case g.DoubtAt != 0 && m.class.Effect != control.Free:
 		g.Cause = CauseDoubt
@@ -110,6 +112,6 @@
 	}
 	short := *g
 	short.Message.Body, short.Rewritten = nil, true
-	m.tale.given = &short
+	m.history.undelivered = &short
 	return g
 }
--- a/engine/prompt_test.go
+++ b/engine/prompt_test.go
@@ -6,7 +6,7 @@
 	"curlewmux/control"
 )
 
-// promptEngine is an engine without a store whose Steps follow each event, with one endpoint for destination 1.
+// promptEngine returns a Prompt engine without a store, with one endpoint for destination 1.
 func promptEngine(t *testing.T, change ...func(*Settings)) (e *Engine, handle func(at Time, ev Event) []Effect) {
 	t.Helper()
 	set := testSettings()
@@ -42,7 +42,7 @@
 	return f
 }
 
-func TestAPromptEngineCallsAtTheInstantOfTheHandIn(t *testing.T) {
+func TestAPromptEngineCallsAtTheInstantOfTheSubmission(t *testing.T) {
 	t.Parallel()
 	_, handle := promptEngine(t)
 	for i, at := range []Time{1, 2, 7} { // far less than a tick apart
@@ -54,9 +54,9 @@
 	}
 }
 
-// The Step behind the last of all ends waits for the grid: nothing hangs on it. Any other is at once, and a message that
-// comes meanwhile finds the slot free.
-func TestAPromptEngineStepsAtOnceWhileAMessageIsHeld(t *testing.T) {
+// After the last open message has ended, the next Step waits for the tick, as nobody waits for it. Any other Step is
+// run at once. A message that comes before that tick finds the slot free.
+func TestAPromptEngineStepsAtOnceWhileAMessageIsOpen(t *testing.T) {
 	t.Parallel()
 	e, handle := promptEngine(t, func(s *Settings) { s.Control.Slots = 1 })
 	in := func(at Time, id string) []Effect {
@@ -65,7 +65,7 @@
 	ok := func(c *Call) *Ended { return &Ended{Call: c.ID, Outcomes: []Outcome{{Result: control.OK}}} }
 	a := effectOf[*Call](in(1, "a"))
 	handle(2, ok(a))
-	if next, _ := e.NextWake(); next != Epoch+e.set.Control.Tick || len(e.events) != 1 {
+	if next, _ := e.NextWake(); next != Epoch+e.settings.Control.Tick || len(e.events) != 1 {
 		t.Fatalf("with nothing held the next Step is at %v with %d events", next, len(e.events))
 	}
 	b := effectOf[*Call](in(3, "b"))
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestAnIDThatIsHandedInOnceIsForgottenAtItsEnd(t *testing.T) {
+func TestAUniqueIDIsForgottenAtItsEnd(t *testing.T) {
 	t.Parallel()
 	for _, once := range []bool{false, true} {
 		e, handle := promptEngine(t)
@@ -89,14 +89,14 @@
 		if d == nil || d.Disposition != Delivered {
 			t.Fatalf("once=%v: %+v", once, d)
 		}
-		if want := map[bool]int{false: 1, true: 0}[once]; e.ended.len() != want || len(e.byName) != 0 {
-			t.Errorf("once=%v: %d ids remembered, want %d", once, e.ended.len(), want)
+		if want := map[bool]int{false: 1, true: 0}[once]; e.endedIDs.len() != want || len(e.messageByID) != 0 {
+			t.Errorf("once=%v: %d ids remembered, want %d", once, e.endedIDs.len(), want)
 		}
 	}
 }
 
-// An end is told once: whoever comes with the id meanwhile must not wait for it.
-func TestAVerdictTellsThatAnEndIsOwedAlready(t *testing.T) {
+// Done is emitted once. A client that submits the id again before its notification is confirmed must not wait for a Done.
+func TestAVerdictNamesAPendingDisposition(t *testing.T) {
 	t.Parallel()
 	_, handle := promptEngine(t, func(s *Settings) { s.Control.Slots = 1 })
 	handle(1, &Submit{Message: Message{ID: "first", Class: "free", Destination: 1}, ExpiresIn: control.Second})
--- a/engine/same_test.go
+++ b/engine/same_test.go
@@ -13,23 +13,23 @@
 	"testing"
 )
 
-// asked is in the environment of the second process of TestTheSameEventsGiveTheSameEffects.
-const asked = "ENGINE_TEST_EFFECTS"
+// secondProcess is the environment variable that marks the second process of TestTheSameEventsGiveTheSameEffects.
+const secondProcess = "ENGINE_TEST_EFFECTS"
 
-// recorded is a stream of events, as a world told them to its engines.
+// recorded is a stream of events that a world passed to its engines.
 type recorded struct {
 	set    Settings
 	events []struct {
 		now Now
-		ev  Event // nil: a new process
+		ev  Event // nil for a new process
 	}
 }
 
-// record plays worlds until there are so many events.
+// record runs worlds until they have produced so many events.
 func record(t *testing.T, events int) (streams []recorded) {
 	for seed := uint64(0); events > 0; seed++ {
 		var r recorded
-		w, fault := runWorld(seedDice{rand.New(rand.NewPCG(seed, 7))}, 300, true, func(now Now, ev Event) {
+		w, fault := runWorld(seededSource{rand.New(rand.NewPCG(seed, 7))}, 300, true, func(now Now, ev Event) {
 			r.events = append(r.events, struct {
 				now Now
 				ev  Event
@@ -45,7 +45,7 @@
 	return streams
 }
 
-// sum plays streams and returns the SHA-256 of all effects with all that they hold, and how many there were.
+// sum replays streams and returns the SHA-256 of all effects with their contents, and the number of effects.
 func sum(t *testing.T, streams []recorded) (string, int) {
 	h := sha256.New()
 	n := 0
@@ -95,7 +95,7 @@
 	const events = 20_000
 	streams := record(t, events)
 	first, n := sum(t, streams)
-	if os.Getenv(asked) != "" {
+	if os.Getenv(secondProcess) != "" {
 		fmt.Printf("effects %s\n", first)
 		return
 	}
@@ -106,7 +106,7 @@
 		t.Errorf("the second run gave %s, the first %s", second, first)
 	}
 	cmd := exec.Command(os.Args[0], "-test.run=^TestTheSameEventsGiveTheSameEffects$", "-test.v")
-	cmd.Env = append(os.Environ(), asked+"=1")
+	cmd.Env = append(os.Environ(), secondProcess+"=1")
 	out, err := cmd.CombinedOutput()
 	if err != nil {
 		t.Fatalf("second process: %v\n%s", err, out)
@@ -116,8 +116,8 @@
 	}
 }
 
-// The effects of recorded streams are those of the last change of decisions, byte for byte: what the module and the
-// engine look at may change, what they do may not.
+// The effects of recorded streams must stay the same, byte for byte: the module and the engine may change how they
+// decide, but not what they do.
 func TestTheEffectsAreThoseRecorded(t *testing.T) {
 	t.Parallel()
 	if runtime.GOARCH != "amd64" {
--- a/engine/script_test.go
+++ b/engine/script_test.go
@@ -13,15 +13,15 @@
 	"curlewmux/control"
 )
 
-// The scripts in testdata are events with the effects that they must have, in plain text. A line is
+// The scripts in testdata list events, each with the effects that it must have, in plain text. A line is
 //
 //	+5ms hand-in a class=unsafe dest=1
 //
-// the time since the line before, the event and its fields; the lines behind it that begin with > are the effects.
-// After the word "quiet" effects that are of no interest there are left out: "quiet append". A line "clock -1h" steps the
-// wall clock, and "restart 2s" ends the process and starts another one so much later from the batches that were told as
-// stored; "restart 2s landed=7" has those up to 7 in the store, told or not. With -update the files are
-// written anew: read the difference before you commit it.
+// the time since the line before, the event and its fields. The following lines that begin with > are the effects.
+// "quiet" names effects that the script leaves out: "quiet append". "clock -1h" steps the wall clock. "restart 2s"
+// ends the process and starts another one 2 s later from the batches that were reported as stored; with "restart 2s
+// landed=7" the store has the batches up to 7, reported or not. With -update the files are rewritten: read the
+// difference before you commit it.
 var update = flag.Bool("update", false, "write the effects that came into the scripts")
 
 func TestScripts(t *testing.T) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// testSettings are a dispatcher's with a class of each effect and one in order.
+// testSettings returns settings with a class of each effect and an ordered one.
 func testSettings() Settings {
 	const s, ms = control.Second, control.Millisecond
 	class := func(name string, effect control.Effect) control.Class {
@@ -88,15 +88,15 @@
 // testWall is the wall time at the engine's Epoch in tests.
 const testWall = Timestamp(1_700_000_000_000_000)
 
-// play runs a script and returns it with the effects that came.
+// play runs a script and returns it with the actual effects.
 func play(text string) (string, error) {
 	var out strings.Builder
 	set := testSettings()
 	var e *Engine
 	now := Now{At: Epoch, Wall: testWall}
 	quiet := map[string]bool{}
-	var disk []*Append // of this process; those that failed are empty
-	var old []Record   // of earlier ones
+	var disk []*Append // of this process; nil for those that failed
+	var old []Record   // of earlier processes
 	stored := 0
 	handle := func(ev Event) {
 		for _, f := range e.Handle(now, ev) {
@@ -243,10 +243,10 @@
 }
 
 var (
-	phases  = []string{"gone", "leaving", "active"}
-	hows    = []string{"", "delivered", "refused", "failed", "over", "withdrawn"}
-	kinds   = []string{"", "taken", "busy", "unnamed", "conflict", "spent", "unsure", "invalid"}
-	results = []string{"ok", "errored", "full", "timed-out", "connect-failed", "reset", "cancelled", "moot", "unsent"}
+	phases       = []string{"gone", "leaving", "active"}
+	dispositions = []string{"", "delivered", "refused", "failed", "over", "withdrawn"}
+	verdictKinds = []string{"", "taken", "busy", "unnamed", "conflict", "spent", "unsure", "invalid"}
+	results      = []string{"ok", "errored", "full", "timed-out", "connect-failed", "reset", "cancelled", "moot", "unsent"}
 )
 
 func index(list []string, s string) (int, error) {
@@ -297,7 +297,7 @@
 		}
 		return n
 	}
-	wall := func(s string) Timestamp { // so long ago, or with a minus ahead
+	wall := func(s string) Timestamp { // this long ago, or in the future if negative
 		if s == "" {
 			return 0
 		}
@@ -362,12 +362,12 @@
 			Message: message(), Deadline: wall(field["deadline"]), Tries: num(field["tries"]), DoubtAt: wall(field["doubt"]),
 		}
 		if h, ok := field["owed"]; ok {
-			r.Pending = &PendingResult{Disposition: Disposition(at(hows, h)), Fingerprint: r.Message.Fingerprint()}
+			r.Pending = &PendingResult{Disposition: Disposition(at(dispositions, h)), Fingerprint: r.Message.Fingerprint()}
 		}
 		ev = r
 	case "restored-end":
 		m := message()
-		ev = &RestoredEnd{ID: m.ID, Disposition: Disposition(at(hows, field["how"])), Until: wall(field["until"]), Fingerprint: m.Fingerprint()}
+		ev = &RestoredEnd{ID: m.ID, Disposition: Disposition(at(dispositions, field["how"])), Until: wall(field["until"]), Fingerprint: m.Fingerprint()}
 	case "restored-last":
 		ev = &RestoreComplete{LatestTimestamp: wall(field["written"])}
 	case "members": // members source [whole] [cached] [failed] id:dest[:phase[:addr]] ...
@@ -430,7 +430,7 @@
 	return ev, first
 }
 
-// formatEvent writes an event as the scripts have it, as far as they can say it.
+// formatEvent formats an event as in the scripts, with the fields that these have.
 func formatEvent(ev Event, now Now) string {
 	ago := func(s Timestamp) string { return Duration(Time(now.Wall - s)).String() }
 	message := func(m *Message) string {
@@ -453,11 +453,11 @@
 			s += " doubt=" + ago(ev.DoubtAt)
 		}
 		if ev.Pending != nil {
-			s += " owed=" + hows[ev.Pending.Disposition]
+			s += " owed=" + dispositions[ev.Pending.Disposition]
 		}
 		return s
 	case *RestoredEnd:
-		return fmt.Sprintf("restored-end %s how=%s until=%s", ev.ID, hows[ev.Disposition], ago(ev.Until))
+		return fmt.Sprintf("restored-end %s how=%s until=%s", ev.ID, dispositions[ev.Disposition], ago(ev.Until))
 	case *RestoreComplete:
 		return "restored-last written=" + ago(ev.LatestTimestamp)
 	case *Members:
@@ -515,7 +515,7 @@
 	return fmt.Sprintf("%T", ev)
 }
 
-// format writes an effect as the scripts have it.
+// format formats an effect as in the scripts.
 func format(f Effect, now Now) string {
 	needs := ""
 	if b := f.RequiredBatch(); b > 0 {
@@ -534,7 +534,7 @@
 	case *Discard:
 		return fmt.Sprintf("void %d", f.Batch)
 	case *Answer:
-		s := fmt.Sprintf("answer %d %s", f.Ticket, kinds[f.Kind])
+		s := fmt.Sprintf("answer %d %s", f.Ticket, verdictKinds[f.Kind])
 		if f.RetryAfter > 0 {
 			s += " again=" + f.RetryAfter.String()
 		}
@@ -557,7 +557,7 @@
 	case *RemoveEndpoint:
 		return fmt.Sprintf("leave %d %s", f.Endpoint, f.Addr)
 	case *Done:
-		s := fmt.Sprintf("done %s %s", f.ID, hows[f.Disposition])
+		s := fmt.Sprintf("done %s %s", f.ID, dispositions[f.Disposition])
 		if f.InDoubt {
 			s += " doubt"
 		}
@@ -601,9 +601,9 @@
 		}
 		return s
 	case *RecPendingResult:
-		return fmt.Sprintf("owed %s %s", r.ID, hows[r.Disposition])
+		return fmt.Sprintf("owed %s %s", r.ID, dispositions[r.Disposition])
 	case *RecEnded:
-		s := fmt.Sprintf("ended %s %s", r.ID, hows[r.Disposition])
+		s := fmt.Sprintf("ended %s %s", r.ID, dispositions[r.Disposition])
 		if r.Until != 0 {
 			s += " until=" + Duration(Time(r.Until-now.Wall)).String()
 		}
--- a/engine/store_test.go
+++ b/engine/store_test.go
@@ -7,11 +7,11 @@
 	"curlewmux/control"
 )
 
-// A store that lost thousands of accounts is told them anew some at a time, and nothing is taken on before it has them all:
-// an end that is written late must not end a further life of its id.
-func TestLostAccountsAreWrittenAnewSomeAtATime(t *testing.T) {
+// After a store lost the records of thousands of messages, these are rewritten some at a time, and their ids are not
+// accepted again before all are stored: an end that is written late must not end a new message with the same id.
+func TestLostRecordsAreRewrittenSomeAtATime(t *testing.T) {
 	t.Parallel()
-	const n = 3 * mostDirty
+	const n = 3 * maxRewrittenRecords
 	set := testSettings()
 	set.Control.MaxOpen = n + n/8
 	e, err := New(set)
@@ -53,15 +53,15 @@
 	anew := 0
 	for len(batches) > before {
 		b := batches[len(batches)-1]
-		if len(b.Records) > mostDirty+3 {
+		if len(b.Records) > maxRewrittenRecords+3 {
 			t.Fatalf("%d records are written anew at once", len(b.Records))
 		}
 		anew += len(b.Records)
 		before = len(batches)
-		if len(e.dirty) > 0 {
+		if len(e.dirtyOwners) > 0 {
 			for _, a := range handle(in(0)) {
 				if a.Kind != Busy {
-					t.Fatalf("taken on with %d accounts to be written: %s", len(e.dirty), kinds[a.Kind])
+					t.Fatalf("taken on with %d accounts to be written: %s", len(e.dirtyOwners), verdictKinds[a.Kind])
 				}
 			}
 		}
@@ -71,7 +71,7 @@
 		t.Errorf("%d accounts were written anew, want %d", anew, n)
 	}
 	var disk []Record
-	for _, b := range batches[n+n/2:] { // what came after the loss is all that there is
+	for _, b := range batches[n+n/2:] { // only what came after the loss is left
 		disk = append(disk, b.Records...)
 	}
 	if got := len(replay(disk).live); got != n-n/2 {
@@ -82,26 +82,26 @@
 	}
 }
 
-// What can't be written anew, as it is over, does not keep the rest from being written.
-func TestAccountsThatAreOverHoldNothingUp(t *testing.T) {
+// Dirty messages that have ended, and so are not rewritten, must not keep the rest from being rewritten.
+func TestEndedMessagesDoNotBlockRewriting(t *testing.T) {
 	t.Parallel()
 	e, err := New(testSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
-	past := &ended{id: "left", how: Delivered}
-	for range 2 * mostDirty {
-		e.dirty = append(e.dirty, &message{phase: over})
+	past := &endedMessage{id: "left", disposition: Delivered}
+	for range 2 * maxRewrittenRecords {
+		e.dirtyOwners = append(e.dirtyOwners, &message{phase: finished})
 	}
-	e.dirty = append(e.dirty, past)
-	e.begin()
+	e.dirtyOwners = append(e.dirtyOwners, past)
+	e.beginBatch()
 	e.writeDirty()
-	if len(e.dirty) != 0 || len(e.records) != 1 {
-		t.Errorf("%d accounts are left, %d records written", len(e.dirty), len(e.records))
+	if len(e.dirtyOwners) != 0 || len(e.records) != 1 {
+		t.Errorf("%d accounts are left, %d records written", len(e.dirtyOwners), len(e.records))
 	}
 }
 
-// A message whose end is owed holds its body no longer: it may be owed for long.
+// A message whose notification is pending must not keep its body: it may stay pending for long.
 func TestAnOwedMessageHoldsNoBody(t *testing.T) {
 	t.Parallel()
 	e, err := New(testSettings())
@@ -111,10 +111,10 @@
 	now := Now{At: Epoch, Wall: testWall}
 	e.Handle(now, &RestoredMessage{Message: Message{ID: "m", Class: "bygone", Body: make([]byte, 100)}, Deadline: testWall + 1e6})
 	e.Handle(now, &RestoreComplete{LatestTimestamp: testWall})
-	if m := e.byName["m"]; m == nil || m.phase != owing || m.Body != nil {
+	if m := e.messageByID["m"]; m == nil || m.phase != notifying || m.Body != nil {
 		t.Errorf("message %+v", m)
 	}
-	if e.bytes != 0 {
-		t.Errorf("%d bytes count as held", e.bytes)
+	if e.bodyBytes != 0 {
+		t.Errorf("%d bytes count as held", e.bodyBytes)
 	}
 }
