--- a/control/control.go
+++ b/control/control.go
@@ -1,8 +1,10 @@
 package control
 
-// The interface - settings, events, actions - is in api.go. This file holds
-// every decision. A message's path: arrive -> hold (lanes of its destination)
-// -> dispatch -> gate -> launch -> outcome -> back to its hold, or finish.
+// This file holds every decision. Settings, events and actions are in api.go.
+//
+// A message arrives (handleArrival) and waits in a queue of its destination (enqueue). In each round dispatch
+// goes through the destinations in turn and sends what planSend and permits allow (send). The outcome
+// (handleOutcome) puts the message back into its queue or ends it (finish, remove).
 
 import (
 	"math"
@@ -11,107 +13,133 @@
 	"curlewmux/pace"
 )
 
-// Tuned values. None is a figure of one deployment; each says what it trades.
+// Tuning constants. None of them is specific to one deployment.
 const (
-	fairF       = 4                 // F: completions of a whole window between two revisions
-	cleanShare  = 0.1               // an interval with more than this share of bad ends is not clean
+	fairF      = 4   // completions between two revisions of a window, as a multiple of the window
+	cleanShare = 0.1 // an interval with a larger share of failed calls is not clean
+
+	// Latency, response timeouts and outages.
 	latGain     = 1.0 / 8           // weight of a new latency sample
-	baseGain    = 1.0 / 64          // the same for the long view, against which slow is told
+	baseGain    = 1.0 / 64          // its weight in the long-term baseline that slowness is measured against
 	priorCount  = 2                 // samples that the latency of the kind counts for
-	devs        = 6                 // deviations past the mean before silence is suspicious, more at first
-	firstLat    = 400 * Millisecond // latency believed before the first answer
-	leastSilent = 300 * Millisecond // silence shorter than this is never suspicious: short pauses are common
-	failStreak  = 5                 // errors in a row that make an endpoint suspect
-	sureAfter   = 2                 // calls in a row that met nobody or silence before an outage is sure
-	sureLost    = 6                 // so many more for the share of answers that get lost, times this
-	lostGain    = 1.0 / 8           // weight of a new call in the share of answers that get lost over a kind
-	leastLost   = 0.01              // share of them reckoned with at least
-	lostDevs    = 1                 // silence: so many deviations and one more for each factor e in that share
-	slowFactor  = 3.0               // latency over its long view by this much: a slow destination
-	trialGrow   = 1.5               // each failed trial spaces the next one so much wider ...
-	trialMost   = 2 * Second        // ... up to this; longer would waste what a returned endpoint can do
-	doubtFade   = 4                 // warm-ups in which one unseen since its failure may have got warm
-	doubtEnd    = 8                 // ... and after which it is tried like any other
-	trialPart   = 0.5               // part of that which trials of a suspect take, as new senders try it, too
-	backoffBase = 100 * Millisecond // least first pause after a refusal that told no wait; doubles ...
-	backoffMost = 4 * Second        // ... up to this
-	pauseCalls  = 8                 // ... but no longer at first than so many messages take to come
-	chanceFirst = 0.06              // share of the calls that a place refuses by chance, before more is known
-	chanceMost  = 0.25              // where more are refused that is a limit
-	chanceSure  = 0.05              // such a share, once measured, is borne whatever the number of calls ...
-	chanceFew   = 1.0               // ... else refusals are borne where chance makes at least so many expected
-	chanceDevs  = 3                 // roots of what is expected that are chance, too; 1 before it is measured
-	chanceTest  = 24                // calls at well under what was answered that measure it after a cut ...
-	chanceFor   = Second            // ... within this time; these weigh as much as each other, and ...
-	chancePrior = 8                 // ... what was known before as much as so many
-	chanceTells = 16                // after so many of them it may explain the cut ...
-	chanceSlack = 1.5               // ... if the share refused before was no more than this many times it
-	chanceWait  = Second / 2        // sooner after a cut, and before that many calls, refusals are weighed first
-	lowPart     = 0.9               // part of what was answered that is well under it
-	allowCut    = 0.7               // share of the own demand allowed after a refusal, of the share before
-	allowOK     = 0.1               // its growth by an ok, but no faster than this in a second ...
-	allowRise   = 0.05              // and by a message of the demand, two a second at most
-	leastAllow  = 0.05              // its floor
-	heldAims    = 2                 // aims after which a held message is demand again, times the square of ...
-	firstAgain  = 0.3               // ... how often over a kind the call after a refusal goes well, at first
-	unfelt      = 2.0               // past so many times the demand a limit is not felt any more
-	rateTau     = 2 * Second        // memory of the measured rates
-	meterStart  = Second / 2        // history reckoned for a rate that has just begun to be measured
-	demandTau   = 10 * Second       // memory of the demand that ramps and shares are sized by
-	fadeTaus    = 4                 // so many times this is how long a demand counts of which no more comes
-	leaveLate   = 2                 // overload spans for which one that fails may be leaving, and the list late
-	rateBurst   = 0.5               // seconds of the release rate that may go at once
-	burstMost   = 5                 // calls that a share may let go at once, or what rampTicks take
-	roughSlack  = 1.5               // a rough listed rate may be this much too low
-	rampMargin  = 1.5               // a ramp's rate over own demand x warmth, under tip-multiple
-	rampHold    = 1.0               // warm-ups after a return until all that is held may go at once
-	rampTicks   = 4                 // ticks of what a ramp lets go that may gather, if more than a call
-	batchExtra  = 0.25              // push of each further message of a call on a cold endpoint
-	scarceFor   = 30 * Second       // connections count as scarce so long after the last sign of it
-	dropsSure   = 0.2               // share of calls on idle connections that fail before they count as dropped
-	keepShare   = 0.8               // idle connections are used up to this part of the age at which one failed
-	keepGrow    = 1.02              // growth of that age by an ok
-	overMargin  = 1.1               // a tenant is over its share when past it by this factor
-	leastAhead  = 500 * Millisecond // bounds on how far ahead the wait for a turn is reckoned; the upper one
-	mostAhead   = 8 * Second        // keeps a stalled hold comparable with a busy one
-	leastFlow   = 0.2               // calls a second reckoned for a destination that answers nothing
-	worthTie    = 0.01              // of its worth counts for a message that loses nothing by waiting
-	stuckAfter  = 2                 // silences after which a call is given up
-	openReserve = 16                // one part in so many of max-open is kept free for better messages
-	wakeTicks   = 4                 // ticks between looks at the clock while anything is held or out
-	sendsAtOnce = 250               // calls that one Step starts at most: the next Step follows at once
-	looksAtOnce = 1000              // destinations that it wakes, and as many whose calls it judges
-	seldom      = 10 * Second       // how often state without use is looked for and operators are told something
+	devs        = 6                 // most deviations above the mean in a timeout; more with few samples
+	firstLat    = 400 * Millisecond // assumed before the first response
+	leastSilent = 300 * Millisecond // no shorter silence is suspicious, as short pauses are common
+	failStreak  = 5                 // consecutive errors that make an endpoint suspect
+	sureAfter   = 2                 // consecutive failed connects or timeouts that confirm an outage ...
+	sureLost    = 6                 // ... and how many more, times the share of lost responses
+	lostGain    = 1.0 / 8           // weight of a new call in that share, and in those known by kind
+	leastLost   = 0.01              // lower bound of that share
+	lostDevs    = 1                 // deviations in a timeout, and one more for each factor e in 1/that share
+	slowFactor  = 3.0               // a destination is slow if its latency exceeds its baseline by this factor
+
+	// Trial calls to suspect endpoints.
+	trialGrow = 1.5        // growth of the gap to the next trial call, with each one
+	trialMost = 2 * Second // upper bound of that gap: a longer one wastes capacity of a returned endpoint
+	doubtFade = 4          // warm-ups within which an endpoint not seen since its failure may have become warm
+	doubtEnd  = 8          // warm-ups after which its trial calls are no longer limited by a ramp
+	trialPart = 0.5        // share of a ramp's rate that trial calls use, as new senders try the endpoint, too
+
+	// Backoff after a refusal that told no wait.
+	backoffBase = 100 * Millisecond // the first one; it doubles with each further refusal
+	backoffMost = 4 * Second        // upper bound
+	pauseCalls  = 8                 // the first one lasts no longer than this many messages take to arrive
+
+	// Refusals at random, as opposed to those of a rate limit.
+	chanceFirst = 0.06       // share of calls assumed to be refused at random until it is measured
+	chanceMost  = 0.25       // a larger refused share is a rate limit
+	chanceSure  = 0.05       // from this measured share on, refusals are tolerated for any number of calls ...
+	chanceFew   = 1.0        // ... otherwise only if at least this many random ones are expected
+	chanceDevs  = 3          // tolerated excess, in square roots of the expected number; 1 until measured
+	chanceTest  = 24         // calls at a low rate after a cut that measure the share ...
+	chanceFor   = Second     // ... if they go within this time; all of them weigh the same
+	chancePrior = 8          // calls that the earlier estimate counts for
+	chanceTells = 16         // low-rate calls after which random refusals may explain the cut ...
+	chanceSlack = 1.5        // ... if the share refused before it is at most this many times theirs
+	chanceWait  = Second / 2 // sooner after a cut and with fewer calls than that, refusals are only counted
+	lowPart     = 0.9        // up to this part of the answered rate, a rate is low
+
+	// The allowance: the share of its demand that a destination is sent while it refuses calls.
+	allowCut   = 0.7  // factor on the allowance at a refusal
+	allowOK    = 0.1  // its growth by an OK, but no faster than this in a second ...
+	allowRise  = 0.05 // ... and by a message of the demand, at most two a second
+	leastAllow = 0.05 // its lower bound
+	heldAims   = 2    // a backlog adds demand as if it were sent within this many aims, times the square of ...
+	firstAgain = 0.3  // ... how often the call after a refusal succeeds; this is its initial value for a kind
+	unfelt     = 2.0  // from this allowance on, a limit no longer has an effect
+
+	// Measured rates, bursts and ramps.
+	rateTau    = 2 * Second  // time constant of the measured rates
+	meterStart = Second / 2  // history assumed for a rate that has just begun to be measured
+	demandTau  = 10 * Second // time constant of the demand that ramps and shares are sized by
+	fadeTaus   = 4           // a demand counts for this many of its time constants after the last message
+	leaveLate  = 2           // overload spans by which the list may be late when a failing endpoint leaves
+	rateBurst  = 0.5         // seconds of the allowed rate that may go at once
+	burstMost  = 5           // most calls that an allowance lets go at once, unless rampTicks allow more
+	roughSlack = 1.5         // a rough listed rate may be too low by this factor
+	rampMargin = 1.5         // a ramp's rate over own demand x warmth; below tip-multiple
+	rampHold   = 1.0         // warm-ups after a return until the whole backlog may go at once
+	rampTicks  = 4           // ticks of a ramp's rate that may accumulate, if that is more than one call
+	batchExtra = 0.25        // load of each further message of a call on a cold endpoint
+
+	// Connections.
+	scarceFor = 30 * Second // connections count as scarce for this long after the last sign of it
+	dropsSure = 0.2         // share of calls failing on idle connections which shows that these are dropped
+	keepShare = 0.8         // idle connections are used up to this part of the age at which one failed
+	keepGrow  = 1.02        // growth of that age by an OK
+
+	// Choice of messages.
+	overMargin = 1.1               // a tenant is over its share when it exceeds it by this factor
+	leastAhead = 500 * Millisecond // bounds on the estimated queue delay; the upper one ...
+	mostAhead  = 8 * Second        // ... keeps a stalled queue comparable with a busy one
+	leastFlow  = 0.2               // calls a second assumed for a destination that answers nothing
+	worthTie   = 0.01              // share of its worth that counts for a message that loses nothing by waiting
+
+	stuckAfter  = 2           // response timeouts after which a call is abandoned
+	openReserve = 16          // one part in this many of max-open is kept free for better messages
+	wakeTicks   = 4           // ticks until the next timer while any message is open or call is out
+	sendsAtOnce = 250         // most calls that one Step starts; the next Step follows at once
+	looksAtOnce = 1000        // most destinations that a Step wakes, and most whose calls it checks
+	seldom      = 10 * Second // interval of the cleanup, and least interval of notes to the operators
 )
 
-// Dispatcher decides for one relay. It is deterministic and not safe for concurrent use.
+// Dispatcher makes all decisions of one dispatcher process. It is deterministic and not safe for concurrent
+// use.
 type Dispatcher struct {
-	set                       Settings
-	rng                       uint64
-	aim                       Time // the least aim of a class
-	now, wake, tidied, noteAt Time
-	out                       []Action
-	msgs                      map[MessageID]*message
-	keys                      map[uint64]*keyTurn
-	byNo                      map[int]*dest
-	byID                      map[Endpoint]*endpoint
-	resting                   []*keyTurn
-	dests                     []*dest
-	kinds                     []*kind
-	left, away                []*endpoint // calls there ended in this round; those gone that failed or were cold
-	busy, open                int         // slots taken; messages owed an answer
-	count, round              uint64
-	tenants                   []meter
-	all                       meter
-	quota, slack              float64 // messages a second within all shares; factor on a listed rate
-	lost                      float64 // share of answers that get lost
-	wasShort                  bool
-	short, paused             bool // messages wait for want of slots; nothing can be sent
-	more                      bool // this Step left something to the next
-	keysRest                  Time // until then new keys rest: calls of an earlier process may run
-
-	rounds  // which destinations a round looks at: rounds.go
-	lookout // which calls are to be judged, and which destination has least to lose: lookout.go
+	set      Settings
+	rng      uint64 // state of the random source
+	aim      Time   // the least aim of a class
+	now      Time
+	wake     Time // when the next timer is due
+	tidied   Time // of the last cleanup
+	noteAt   Time // no note to operators before this
+	out      []Action
+	msgs     map[MessageID]*message
+	keys     map[uint64]*keyTurn
+	byNo     map[int]*dest
+	byID     map[Endpoint]*endpoint
+	resting  []*keyTurn // keys without messages
+	dests    []*dest
+	kinds    []*kind
+	left     []*endpoint // those where a call ended in this round
+	away     []*endpoint // those gone from their destination that failed or were cold
+	busy     int         // slots in use
+	open     int         // messages without a final answer
+	count    uint64      // messages that have arrived
+	round    uint64
+	tenants  []meter
+	all      meter   // rate of all messages
+	quota    float64 // messages a second within the shares of all tenants
+	slack    float64 // factor on a listed rate
+	lost     float64 // share of responses that get lost
+	wasShort bool    // short, in the round before
+	short    bool    // messages wait for want of slots
+	paused   bool    // nothing can be sent
+	more     bool    // this Step left work to the next
+	keysRest Time    // new keys rest until then: calls of an earlier process may still run
+
+	rounds  // which destinations a round scans: rounds.go
+	lookout // which calls have to be checked, and which destination has least to lose: lookout.go
 	values
 	comings // state.go
 }
@@ -142,7 +170,7 @@
 	return d, nil
 }
 
-// Step handles the events of one round, dispatches once and returns actions with its own appended.
+// Step handles the events of one round, dispatches once, and appends the resulting actions to those given.
 func (d *Dispatcher) Step(now Time, events []Event, actions []Action) []Action {
 	if d.round == 0 {
 		d.all = meter{tau: demandTau, at: now, t0: now}
@@ -187,7 +215,7 @@
 		if m := d.msgs[e.Message]; m != nil {
 			d.end(m)
 		}
-	case Tick: // the message's time is nearly up
+	case Tick: // the message's deadline is near
 		if m := d.msgs[MessageID(e.Mark-1)]; e.Mark > 0 && m != nil && !m.ended {
 			d.finish(m, true)
 		}
@@ -202,7 +230,7 @@
 	}
 }
 
-// ---- arrival, hold, end ----
+// ---- Messages: arrival, queueing, end ----
 
 func (d *Dispatcher) arrive(e *Event) {
 	if d.msgs[e.Message] != nil {
@@ -220,7 +248,7 @@
 		m.doubt, m.doubtAt, m.doubtZone = true, d.now-e.Doubt, e.DoubtZone
 	}
 	age := Time(0)
-	if e.Restored { // what was held does not all come now: it would swell the demand that ramps are sized by
+	if e.Restored { // it came earlier: counted as new it would inflate the demand that ramps are sized by
 		age = max(d.now-m.born, 0)
 	}
 	m.resent = e.Resent
@@ -233,11 +261,11 @@
 	d.rouse(m.dest)
 	d.open++
 	m.dest.open++
-	if !e.Resent { // ramps and shares are sized by the demand: a return must not be pushed over by what lay here
+	if !e.Resent { // a backlog of resent messages must not inflate the ramp of a destination that returns
 		m.dest.demand.came(d.now, age)
 		d.repace(m.dest)
 	}
-	// The answer leaves before the time is up, one round early for rounding.
+	// The client has its answer before the deadline: two ticks early, one of them for rounding.
 	a := Action{Kind: Timer, Message: m.id, After: max(e.Grace-2*d.set.Tick, 0), Mark: uint64(m.id) + 1}
 	d.out = append(d.out, a)
 	if c.InOrder && e.Key != 0 {
@@ -250,7 +278,7 @@
 		k.queue = append(k.queue, m)
 	}
 	switch {
-	case d.spent(m): // taken over from a process that ended
+	case d.spent(m): // restored from an earlier process, with no attempt left
 		d.finish(m, true)
 	case m.key != nil:
 		d.turn(m.key)
@@ -259,7 +287,9 @@
 	}
 }
 
-// overShare tells whether a tenant now sends more than its share, measured against what comes here.
+// exceedsQuota reports whether a tenant now sends more than its share here. Its quota is for all dispatchers
+// together. The part of it that applies here is the rate of all arrivals here over the sum of all quotas, or
+// an equal part for each dispatcher if that is more.
 func (d *Dispatcher) overShare(t int, age Time) bool {
 	d.all.came(d.now, age)
 	if t < 0 || t >= len(d.tenants) || d.quota <= 0 {
@@ -270,26 +300,27 @@
 	return d.tenants[t].rate(d.now) > d.set.Tenants[t].Quota*part*overMargin
 }
 
-// turn puts the message whose turn it is into its hold. One that waits for its turn is in no hold.
+// advanceKey queues the first message of an order key. The others stay out of the queues until it has ended.
 func (d *Dispatcher) turn(k *keyTurn) {
 	for len(k.queue) > 0 && k.queue[0].ended && k.queue[0].out == nil {
 		k.queue = k.queue[1:]
 	}
 	if len(k.queue) == 0 {
-		if !k.parked { // its rest binds those to come; it is dropped later
+		if !k.parked { // later messages with this key have to wait for its rest: it is kept until that ends
 			k.parked = true
 			d.resting = append(d.resting, k)
 		}
 		return
 	}
-	if m := k.queue[0]; m.held { // another one with its key, elsewhere, was before it
+	if m := k.queue[0]; m.held { // queued, but blocked until now by one with its key elsewhere
 		d.rouse(m.dest)
 	} else if !m.ended && m.out == nil {
 		d.hold(m)
 	}
 }
 
-// hold puts a message into its lane, by age. A hold turning non-empty takes the least other counter.
+// enqueue puts a message into its queue, in order of arrival. A destination whose queues were all empty takes
+// the least counter of the others.
 func (d *Dispatcher) hold(m *message) {
 	t := m.dest
 	d.rouse(t)
@@ -300,23 +331,24 @@
 	d.use(t)
 }
 
-// finish gives a final answer: handed back, if that is wanted and provably harmless, else failed.
+// finish gives a message its final answer. If back is set and a repeat is known to be harmless, it is refused
+// so that the client may submit it again, otherwise it fails.
 func (d *Dispatcher) finish(m *message, back bool) {
 	a := Action{Kind: Fail, Message: m.id}
 	if back && d.refusable(m) {
-		a.Kind, a.After = Refuse, max(m.dest.limit.wait-d.now, 0) // sooner it would only be held
+		a.Kind, a.After = Refuse, max(m.dest.limit.wait-d.now, 0) // until then it would only wait here
 	}
 	d.out = append(d.out, a)
 	d.end(m)
 }
 
-// refusable tells whether handing the message in again can do no harm.
+// refusable reports whether a message can be submitted again without harm.
 func (d *Dispatcher) refusable(m *message) bool {
 	maybe := m.doubt || m.out != nil
 	return !maybe || m.class.Effect == Free || m.class.Effect == Guarded && !m.class.ZoneGroup
 }
 
-// end drops a message that is answered; one with an attempt out is kept until its outcome.
+// remove forgets a message that has its final answer. One with an attempt out is kept until the outcome.
 func (d *Dispatcher) end(m *message) {
 	if !m.ended {
 		m.ended = true
@@ -337,22 +369,22 @@
 	}
 }
 
-// shed keeps room below max-open by handing back what is worth least, from the lanes' two ends. Guards
-// against overload and outages filling the hold. It could hurt just before an outage ends.
+// shed keeps the number of open messages below max-open by refusing those worth least, from both ends of the
+// queues. It keeps overload and outages from filling them. Risk: it does harm just before an outage ends.
 func (d *Dispatcher) shed() {
 	for d.open > d.set.MaxOpen-d.set.MaxOpen/openReserve-1 {
 		worst := d.worst()
 		if worst == nil {
 			return
 		}
-		// Other senders know as little of a limit where traffic is rare: clients should not try them.
+		// Where traffic is rare, other dispatchers know no more of the limit: clients should not try them.
 		hopeless := worst.dest.limit.allowed(d.now) < 1 && worst.dest.demand.rate(d.now)*d.aim.Seconds() < 1
 		d.finish(worst, !hopeless)
 	}
 }
 
-// cheapest is the message of a destination that is worth least, and what it is worth: of the two ends of each
-// lane, as it will be when the hold is worked off.
+// leastValuable returns the message of a destination that is worth least, and its worth, judged at the time
+// at which the backlog will have been sent. It looks at both ends of each queue.
 func (d *Dispatcher) cheapest(t *dest, now Time) (worst *message, least float64) {
 	least = math.Inf(1)
 	then := now + d.ahead(t, now)
@@ -372,10 +404,10 @@
 	return worst, least
 }
 
-// ---- ordinary path: turns and windows ----
+// ---- Sending: turns and windows ----
 
-// dispatch hands free slots to the destinations with the smallest counters. Slots are short where a message
-// could go for all else.
+// dispatch gives free slots to the destinations with the smallest counters. Slots are short if a message
+// could be sent but for the want of one.
 func (d *Dispatcher) dispatch() {
 	d.wasShort, d.short = d.short, false
 	d.openRound()
@@ -401,8 +433,8 @@
 	}
 }
 
-// plan tells what a destination would send, and where, or why it can't. Asking changes nothing, but that
-// messages which can't be tried again end.
+// planSend returns the next message of a destination and its endpoint, or the reason why it can't send. It
+// changes nothing, except that it ends messages that have no attempt left.
 func (d *Dispatcher) plan(t *dest) (ep *endpoint, m *message, trial bool, why stop) {
 	if ep, trial = d.choose(t); ep == nil {
 		return nil, nil, false, noEndpoint
@@ -414,7 +446,7 @@
 	return ep, m, trial, goes
 }
 
-// release sends the head of a destination's hold, with others in the same call where its kind allows.
+// send starts a call with a message of a destination, and with more of them if its kind allows.
 func (d *Dispatcher) release(t *dest, ep *endpoint, m *message, trial bool) {
 	c := &call{ep: ep, sent: d.now, trial: trial, idle: d.freshen(ep)}
 	c.low = d.testing(ep.limit) && ep.limit.allowed(d.now) <= ep.limit.lowTo
@@ -439,7 +471,7 @@
 	ep.calls = append(ep.calls, c)
 	ep.open, ep.used = true, d.now
 	ep.limit.tokens.Take(d.now, 1)
-	if !d.unsure(ep, d.now) { // the trial that makes sure is not of the ramp
+	if !d.unsure(ep, d.now) { // a trial that is to confirm the outage does not count for the ramp
 		ep.ramp.Take(d.now, 1+batchExtra*float64(len(c.msgs)-1))
 	}
 	if c.trial {
@@ -451,7 +483,7 @@
 	d.watchBy(t, d.now+leastSilent)
 }
 
-// gate is the one place that permits a send; every rule that binds sends is here.
+// permits is the only place that permits a send. Every rule that forbids one is here.
 func (d *Dispatcher) gate(m *message, ep *endpoint) bool {
 	c := m.class
 	switch {
@@ -469,28 +501,28 @@
 	return d.now+d.set.Tick < m.doubtAt+c.Window && (!c.ZoneGroup || ep.zone == m.doubtZone)
 }
 
-// May tells whether an attempt that has not been written yet still may be: the gate's rules on health, waits
-// and time, as far as they can have changed since.
+// MayWrite reports whether an attempt that has not been written yet still may be. It checks again those rules
+// of permits on health, waits and time that can have changed since the send.
 func (d *Dispatcher) May(now Time, id MessageID, attempt int) bool {
 	m := d.msgs[id]
 	if m == nil || m.ended || m.out == nil || m.tries-1 != attempt || m.out.asked {
 		return false
 	}
 	if m.doubt && m.class.Effect == Guarded && now+d.set.Tick >= m.doubtAt+m.class.Window {
-		return false // a dial may take longer than the key is remembered
+		return false // connecting may take longer than repeats are dropped
 	}
 	return m.out.ep.health == Ready && now >= m.out.ep.limit.told && now < m.deadline
 }
 
-// head picks the message to send: of the oldest of each lane, the one that would lose most worth by
-// waiting until the hold is worked off. With a short hold none loses any and worth decides.
+// nextMessage picks the message to send: of the oldest in each queue, the one that would lose most worth by
+// waiting until the backlog has been sent. With a short backlog none loses any, and the worth decides.
 func (d *Dispatcher) head(t *dest, ep *endpoint, trial bool) *message {
 	var best *message
 	top := -1.0
 	mean, _ := d.latency(t)
 	soon := d.now + Time(mean)
 	wait := d.ahead(t, d.now)
-	for i := range t.lanes { // before all else: the next one with its key may come into another lane
+	for i := range t.lanes { // first of all, as the next message with the same key may enter another queue
 		for t.lanes[i].len() > 0 && d.spent(t.lanes[i].all()[0]) {
 			d.finish(t.lanes[i].all()[0], true)
 		}
@@ -499,7 +531,7 @@
 		if t.lanes[i].len() == 0 {
 			continue
 		}
-		// The oldest, and the oldest still in time: late worth may have nothing more to lose.
+		// The oldest, and the oldest one within its aim: one past it may have no more worth to lose.
 		l := t.lanes[i].all()
 		fresh, _ := slices.BinarySearchFunc(l, soon, byAim)
 		for _, m := range [2]*message{l[0], l[min(fresh, len(l)-1)]} {
@@ -515,20 +547,21 @@
 	return best
 }
 
-// risky tells that a trial may not take a message of the class: a doubtful unsafe one could only fail. Trials
-// risk it after proof that calls do not run, or when they are rare.
+// tooRiskyForTrial reports whether messages of a class may not be used for a trial call to an endpoint. A
+// single-shot message that is in doubt afterwards can only fail. It is used all the same if the last failure
+// proved that calls do not run there, if trials have become rare, or if a trial is overdue by RiskAfter.
 func (d *Dispatcher) risky(c *Class, ep *endpoint) bool {
 	overdue := d.set.RiskAfter > 0 && d.now >= ep.trialAt+d.set.RiskAfter
 	return c.Effect == SingleShot && !ep.proven && ep.trialGap < trialMost && !overdue
 }
 
-// ahead reckons how long the hold takes to be worked off.
+// queueDelay estimates how long it takes to send the backlog of a destination.
 func (d *Dispatcher) ahead(t *dest, now Time) Time {
 	wait := float64(t.held) / max(t.limit.ok.rate(now), leastFlow) * float64(Second)
 	return min(max(Time(wait), leastAhead), mostAhead)
 }
 
-// spent tells that no attempt can ever be made again.
+// exhausted reports whether no further attempt can ever be made for a message.
 func (d *Dispatcher) spent(m *message) bool {
 	if m.tries >= d.set.MaxTries || m.doubt && m.class.Effect == SingleShot {
 		return true
@@ -536,16 +569,16 @@
 	return m.doubt && m.class.Effect == Guarded && d.now+d.set.Tick >= m.doubtAt+m.class.Window
 }
 
-// ceiling is the most calls out to one destination: under three quarters of the slots.
+// maxWindow returns the most calls that one destination may have out: less than three quarters of the slots.
 func (d *Dispatcher) ceiling() int { return max(1, (3*d.set.Slots+3)/4-1) }
 
-// sick tells that a destination fails or is slow.
+// destUnhealthy reports whether a destination is slow or has a suspect endpoint.
 func (d *Dispatcher) sick(t *dest) bool {
 	return t.lat.mean > slowFactor*t.base || slices.ContainsFunc(t.eps, doubted)
 }
 
-// room is the window in force: failing and slow destinations share half of the slots among them all, so
-// that two of them cannot hold two slots of two.
+// effectiveWindow returns the window that applies to a destination now. All unhealthy destinations together
+// get half of the slots, so that two of them can't hold both slots of a dispatcher with two.
 func (d *Dispatcher) room(t *dest) int {
 	d.started(t)
 	if !d.sick(t) {
@@ -554,8 +587,9 @@
 	return min(t.wmax, d.sickRoom()-(d.sickOut-t.weighed), d.ceiling())
 }
 
-// sickRoom is the most calls out to all those that fail or are slow: less while messages wait for slots.
-// Guards against a slow one with much traffic, whose calls take ten times as long, in half of the slots.
+// maxUnhealthyCalls returns the most calls out to all unhealthy destinations together: half of the slots, or
+// a third while messages wait for slots. The third keeps a slow destination with much traffic, whose calls
+// take ten times as long, from holding half of them.
 func (d *Dispatcher) sickRoom() int {
 	if d.wasShort {
 		return max(1, d.set.Slots/3)
@@ -563,7 +597,8 @@
 	return max(1, d.set.Slots/2)
 }
 
-// revise is the window's completion test; w still counts the call that ended.
+// reviseWindow grows or shrinks the window of a destination when enough calls have completed. Its number of
+// calls out still includes the one that ended.
 func (d *Dispatcher) revise(t *dest, r Result) {
 	if r == Cancelled || r == Moot || r == Unsent {
 		return
@@ -589,7 +624,7 @@
 	t.ends, t.badEnds = 0, 0
 }
 
-// ---- outcomes and what is learned from them ----
+// ---- Outcomes, and what is learned from them ----
 
 func (d *Dispatcher) outcome(e *Event) {
 	m := d.msgs[e.Message]
@@ -628,9 +663,10 @@
 	}
 }
 
-// charge is what a call costs its destination's counter: the seconds that it held a slot, over the listed
-// weight. Where none are listed the rate at which messages come for it stands in. Guards against one with
-// much of the traffic getting no more of scarce slots than any other. It could hurt beside a flooded one.
+// slotCost returns what a call adds to its destination's counter: the seconds that it held a slot, divided by
+// the destination's listed weight. Where no weights are listed, the rate of its arrivals takes their place,
+// so that a destination with most of the traffic gets more of scarce slots than the others. Risk: one that is
+// flooded takes slots from them.
 func (d *Dispatcher) charge(t *dest, held Time) float64 {
 	if d.set.Weights != WeightNone {
 		return held.Seconds() / t.share
@@ -638,13 +674,14 @@
 	return held.Seconds() / max(1, t.demand.rate(d.now))
 }
 
-// settle takes one message of a call off it; the first outcome is learned from, the last frees the slot.
+// settleCall removes one message from its call. The call is learned from at its first outcome, and frees its
+// slot at the last.
 func (d *Dispatcher) settle(c *call, e *Event) {
 	c.left--
-	if e.Wait > 0 { // every outcome's wait binds, also of a call learned from already
+	if e.Wait > 0 { // the wait of every outcome applies, also when the call has been learned from already
 		c.ep.limit.told = max(c.ep.limit.told, d.now+e.Wait)
 		c.ep.limit.wait = max(c.ep.limit.wait, d.now+e.Wait+d.set.Tick)
-		if e.Wait > d.set.OverloadFor { // no limit tells so long a wait: it is shut, and opens then, cold
+		if e.Wait > d.set.OverloadFor { // too long for a rate limit: it is shut until then, and cold afterwards
 			d.chillAll(c.ep, c.ep.limit.told)
 		}
 	}
@@ -681,12 +718,12 @@
 		ep.heard = d.now
 		d.refused(ep, c, e.Wait)
 	case ConnectFailed:
-		// An outage, or all its connections are taken. Idle ones of many senders fill a table made for calls.
+		// An outage, or its connection table is full: idle connections of many dispatchers can fill it.
 		if d.set.Instances > d.set.Slots {
 			t.kind.scarce = d.now + scarceFor
 		}
 		if ep.bad == 0 && len(ep.calls) > 1 && d.now-ep.heard < d.silence(t) {
-			d.refused(ep, c, 0) // others are answered: no outage
+			d.refused(ep, c, 0) // other calls are answered: no outage
 			return
 		}
 		d.failed(ep, c, true)
@@ -700,7 +737,8 @@
 	}
 }
 
-// latency is what a destination's calls take and how much that varies: its own samples, or those of its kind.
+// latency returns the mean latency of a destination's calls and its mean deviation. Without samples of its
+// own it has those of its kind.
 func (d *Dispatcher) latency(t *dest) (mean, dev float64) {
 	if t.lat.n > 0 {
 		return t.lat.mean, t.lat.dev
@@ -715,7 +753,7 @@
 	return float64(firstLat), float64(firstLat) / 2
 }
 
-// sample learns the latency of a destination and of its kind.
+// recordLatency adds a latency sample to a destination and to its kind.
 func (d *Dispatcher) sample(t *dest, lag float64) {
 	if t.lat.n == 0 {
 		t.lat.mean, t.lat.dev = d.latency(t)
@@ -726,7 +764,8 @@
 	t.kind.lat.add(lag, max(baseGain, 1/(t.kind.lat.n+1)))
 }
 
-// silence is how long a destination may say nothing with a call out before that is suspicious.
+// responseTimeout returns for how long a destination with a call out may send no response before that is
+// suspicious. The fewer responses get lost, the longer it is.
 func (d *Dispatcher) silence(t *dest) Time {
 	mean, dev := d.latency(t)
 	return silent(mean, dev, min(devs, lostDevs-math.Log(d.lost)), t.lat.n)
@@ -754,14 +793,14 @@
 		k.keep = min(Time(keepGrow*float64(k.keep)), d.set.ConnIdle*2)
 	}
 	if p.streak > 0 && p.fullSince > 0 && d.now-p.fullSince > d.set.OverloadFor {
-		d.chillAll(ep, d.now) // it may have been shut
+		d.chillAll(ep, d.now) // it refused for so long that it may have been shut
 	}
 	if p.streak > 0 {
 		ep.dest.kind.again += lostGain * (1 - ep.dest.kind.again)
 	}
 	down, sure := d.outage(ep)
 	gone := d.now - down
-	few := c.trial || d.cold(ep, d.now) // calls go there one by one; else it may only be slow
+	few := c.trial || d.cold(ep, d.now) // calls go there one by one; otherwise it may only have been slow
 	sure = few && (ep.proven || sure && gone > d.set.OverloadFor/2)
 	switch {
 	case down > p.okAt && (sure || gone > 2*d.set.OverloadFor && d.pushes(ep.dest)):
@@ -772,15 +811,15 @@
 	p.streak, p.cuts, p.fullSince, p.okAt = 0, 0, 0, d.now
 	ep.suspect, ep.proven, ep.dropped = false, false, 0
 	ep.heard, ep.bad, ep.errs = d.now, 0, 0
-	if c.sent >= ep.downAt { // one that was late says nothing of the others
+	if c.sent >= ep.downAt { // a late response to an earlier call tells nothing of the other endpoints
 		p.bad = 0
 	}
 }
 
-// outage tells since when endpoints of a limit are suspect, and whether what failed there means an outage. It
-// mostly takes all of them: where none has answered since, the first answer is the return of all, tried or
-// not. It came at some moment since the last failure: the latest that can be is now, and who reckons so does
-// not take it for warmer than it is.
+// outage returns since when endpoints that share a limit are suspect, and whether their failures confirm an
+// outage. An outage mostly affects all of them. If none has answered since, the first response is taken as
+// the return of all of them, also of those that were not tried. The return came at some time after the last
+// failure. It is assumed to be now, the latest possible time, so that no endpoint seems warmer than it is.
 func (d *Dispatcher) outage(ep *endpoint) (since Time, sure bool) {
 	since = never
 	for _, o := range ep.dest.eps {
@@ -791,14 +830,15 @@
 	return since, sure
 }
 
-// returned judges what the first answer of a suspect tells where others have answered meanwhile, or soon. A
-// failure that the next call does not bear out was a lost answer or a dropped connection.
+// handleReturn handles the first response of a suspect endpoint where other endpoints have answered
+// meanwhile, or where it came soon. A failure that the next call does not confirm was a lost response or a
+// dropped connection, and is counted as that.
 func (d *Dispatcher) returned(ep *endpoint, c *call) {
 	gone := d.now - ep.downAt
 	switch {
 	case d.coldBeside(ep) || gone > d.set.OverloadFor/2 && d.cold(ep, d.now):
 		d.chill(ep, d.now)
-	case !c.trial && gone <= 2*d.set.OverloadFor: // late, not lost: it is slow
+	case !c.trial && gone <= 2*d.set.OverloadFor: // the response was late, not lost: the endpoint is slow
 	case gone > d.set.OverloadFor && (d.sure(ep) || ep.proven),
 		gone > 2*d.set.OverloadFor && d.pushes(ep.dest):
 		d.chill(ep, d.now)
@@ -813,13 +853,14 @@
 	}
 }
 
-// pushes tells that a destination has so much traffic that what goes there could push it over.
+// couldOverload reports whether a destination has so much traffic that this could overload it.
 func (d *Dispatcher) pushes(t *dest) bool {
 	return t.held > 0 || t.demand.rate(d.now)*d.set.OverloadFor.Seconds() > 0.5
 }
 
-// sure tells that what failed in a row means an outage. It mostly takes all endpoints of a destination: those
-// that fail now bear each other out. Where answers get lost it takes more of them.
+// outageConfirmed reports whether the consecutive failures of an endpoint amount to an outage. As an outage
+// mostly affects all endpoints of a destination, failures at the others count, too. Where responses get lost,
+// more failures are needed.
 func (d *Dispatcher) sure(ep *endpoint) bool {
 	n := sureAfter
 	if !ep.proven {
@@ -828,7 +869,7 @@
 	return max(ep.bad, ep.limit.bad) >= n || ep.errs >= failStreak
 }
 
-// chillAll starts the ramps of all that share an endpoint's limit.
+// startRamps starts the ramps of all endpoints that share the limit of the one given.
 func (d *Dispatcher) chillAll(ep *endpoint, back Time) {
 	for _, o := range ep.dest.eps {
 		if o.limit == ep.limit {
@@ -837,7 +878,8 @@
 	}
 }
 
-// chill starts an endpoint's ramp, as if it had come back, or were to, at the moment given.
+// startRamp marks an endpoint as cold and starts its ramp, as if it had returned at the time given, which may
+// lie ahead.
 func (d *Dispatcher) chill(ep *endpoint, back Time) {
 	ep.coldAt, ep.ramp = back, pace.NewBucket(d.now, d.random())
 	if back <= d.now {
@@ -845,20 +887,22 @@
 	}
 }
 
-// failed counts calls that met nobody or silence; only one sent after the last failure was known is new
-// evidence. One is enough to hold messages back and send single trials, as a sender with little traffic may
-// see no second. Guards against crashes, silence, hangs and floods of errors. It could hurt at rare answers.
+// recordFailure handles a call that could not connect or got no response; proven means that it can't have
+// run. Only a call sent after the last failure was known is new evidence. One failure makes the endpoint
+// suspect, so that it gets single trials only: a dispatcher with little traffic may see no second one. It
+// protects from crashes, missing responses, hangs and floods of errors. Risk: it does harm where responses
+// are rare.
 func (d *Dispatcher) failed(ep *endpoint, c *call, proven bool) {
 	if c.sent >= ep.failedAt {
 		ep.bad++
-		ep.limit.bad++ // kept when an endpoint that failed leaves the list
+		ep.limit.bad++ // it remains when a failed endpoint leaves the list
 		ep.failedAt, ep.proven, ep.dropped = d.now, proven, c.idle
 	}
-	ep.proven = ep.proven || proven // silence at first, then no connection: it was no lost answer
+	ep.proven = ep.proven || proven // a failed connect after a timeout shows that no response was lost
 	if ep.suspect {
 		return
 	}
-	if t := ep.dest; !slices.ContainsFunc(t.eps, d.ill) { // in an outage and on a ramp it takes less
+	if t := ep.dest; !slices.ContainsFunc(t.eps, d.ill) { // the rate is lower in an outage and on a ramp
 		t.steady = t.served.rate(t.served.at)
 	}
 	ep.suspect, ep.downAt, ep.ramp = true, d.now, pace.NewBucket(d.now, d.random())
@@ -867,7 +911,8 @@
 	}
 }
 
-// refused learns from a refusal: waits are kept, a smaller share of the own demand is let go.
+// recordRefusal handles a refusal: it cuts the allowance and, if no wait was told, starts a backoff. A
+// refusal without a told wait that may be a random one has neither effect.
 func (d *Dispatcher) refused(ep *endpoint, c *call, wait Time) {
 	p, k := ep.limit, ep.dest.kind
 	if p.fullSince == 0 {
@@ -895,30 +940,31 @@
 	}
 	was, part := min(p.allowed(d.now), 1), p.no.v/(p.all.v+chancePrior/2)
 	if was > p.lowTo {
-		p.cutFor = 0 // else this cut is for the same as the one before
+		p.cutFor = 0 // otherwise this cut has the same cause as the one before
 	}
 	p.cutFor, p.lowTo = max(p.cutFor, part), lowPart*was*(1-part)
 	p.cutAt, p.lows, p.no, p.all = d.now, 0, d.answers(), d.answers()
 	p.allow, p.allowAt = max(min(was*allowCut, p.lowTo), leastAllow), max(d.now, p.wait)
-	p.tokens.Limit(d.now, d.random()) // retries, too, stay within the share
+	p.tokens.Limit(d.now, d.random()) // retries have to stay within the allowance, too
 }
 
-// borne tells that the refusals since the last cut are no more than chance has. Guards against cuts by
-// refusals at random, which no lower rate avoids. It could hurt at a true limit: some more calls are over it.
+// refusalsTolerated reports whether there were no more refusals since the last cut than random ones explain.
+// A lower rate does not avoid those, so it is not cut for them. Risk: some more calls exceed a real limit.
 func (d *Dispatcher) borne(p *limit, want float64) bool {
 	no, all := p.no.v, p.all.v
 	few := p.chance * all
 	if (few >= chanceFew || p.devs > 1 && p.chance >= chanceSure) && no < few+p.devs*math.Sqrt(few) {
 		return true
 	}
-	// Right behind a cut single refusals tell nothing yet, where calls are so many that more is known soon.
+	// Soon after a cut a few refusals prove nothing, and with many calls more is known shortly.
 	most := chanceMost * all
 	soon := all < chanceTells && d.now-p.cutAt < chanceWait && want*chanceWait.Seconds() > chanceTells/2
 	return soon && no < 1+most+math.Sqrt(most)
 }
 
-// chance learns which share of the calls a place refuses whatever comes: from calls at well under what it
-// answered, where a limit refuses none. If that explains the last cut, there is no limit.
+// learnRandomRefusals estimates the share of calls that is refused however low their rate. It counts calls
+// that went at a rate well below the answered one, where a limit refuses none. If the estimate explains the
+// last cut, there is no limit.
 func (d *Dispatcher) chance(p *limit, c *call, refused float64) {
 	if !c.low || c.sent < p.cutAt {
 		return
@@ -935,20 +981,22 @@
 	}
 }
 
-// testing tells that calls are to tell chance from a limit: what is held does not swell their rate.
+// testsRandomRefusals reports whether calls after a cut are used to tell random refusals from a limit. The
+// backlog does not raise the rate meanwhile.
 func (d *Dispatcher) testing(p *limit) bool {
 	return p.cutAt > 0 && p.lows < chanceTest && d.now-p.cutAt < chanceFor
 }
 
-// ---- connections ----
+// ---- Connections ----
 
-// keep is the age up to which an idle connection is used.
+// maxIdleAge returns the age up to which an idle connection is used.
 func (d *Dispatcher) keep(t *dest) Time {
 	return min(d.set.ConnIdle, Time(keepShare*float64(t.kind.keep)))
 }
 
-// leave closes what this round left idle where connections are scarce. Guards against tables filled by the
-// idle connections of many senders. It could hurt by handshakes, where the failed connect was an outage.
+// closeScarce closes connections that became idle in this round where connections are scarce, as the idle
+// ones of many dispatchers can fill an endpoint's table. Risk: needless handshakes, if the failed connect was
+// due to an outage.
 func (d *Dispatcher) leave() {
 	for _, ep := range d.left {
 		if len(ep.calls) == 0 && ep.open && d.now < ep.dest.kind.scarce {
@@ -959,8 +1007,9 @@
 	d.left = d.left[:0]
 }
 
-// freshen closes connections idle for longer than is known to be safe before a call goes out on one, and
-// tells how long the one that is used was idle. Guards against connections that were dropped unseen.
+// closeStale closes the connections to an endpoint if they have been idle for longer than is known to be
+// safe, as they may have been dropped without notice. It returns for how long the connection that the next
+// call uses has been idle, 0 if it is new or in use.
 func (d *Dispatcher) freshen(ep *endpoint) Time {
 	idle := d.now - ep.used
 	if len(ep.calls) > 0 || !ep.open {
@@ -974,11 +1023,12 @@
 	return 0
 }
 
-// ---- health ----
+// ---- Health ----
 
-// watch judges calls still out by their age and gives up those overtaken by later ones or at a suspect: those
-// whose messages can go again, others only where messages wait for slots. Guards against hangs, lost answers
-// and dead connections. It could hurt a slow destination, where work is done twice; trials wait longer.
+// checkCalls records a failure where the oldest call of an endpoint has been out for longer than the response
+// timeout. It abandons old calls if later ones were answered or the endpoint is suspect. Calls with messages
+// that can't be sent again are abandoned only where messages wait for slots. It protects from hangs, lost
+// responses and dead connections. Risk: a slow destination does work twice. Trials are given more time.
 func (d *Dispatcher) watch(t *dest) {
 	limit := d.silence(t)
 	for _, ep := range t.eps {
@@ -990,13 +1040,13 @@
 			ep.downAt = min(ep.downAt, max(old.sent, ep.heard))
 		}
 		for _, c := range ep.calls {
-			// Where answers get lost or messages wait for slots one silence is enough.
+			// Where responses get lost or messages wait for slots, one response timeout is enough.
 			age, once := float64(d.now-c.sent)/float64(limit), min(1, sureLost*d.lost)
 			patience := stuckAfter - once
 			switch {
 			case c.trial:
 				patience = float64(1 + min(ep.bad, failStreak))
-			case d.short: // a slot of two is dearer than one of ten
+			case d.short: // the fewer slots there are, the more each one is needed
 				patience = max(1, patience-2/float64(d.set.Slots))
 			}
 			if age > patience && (ep.okSent > c.sent || ep.suspect) {
@@ -1006,7 +1056,7 @@
 	}
 }
 
-// recall stops waiting for a call whose messages can go again; force also gives up the others.
+// cancelCall stops waiting for a call whose messages can all be sent again, or, with force, for any call.
 func (d *Dispatcher) recall(c *call, force bool) {
 	if c.asked || !d.set.MayCancel {
 		return
@@ -1025,16 +1075,17 @@
 	}
 }
 
-// bound tells that a call has messages that can't go again.
+// unrepeatable reports whether a call has messages out that can't be sent again.
 func (c *call) bound(most int) bool {
 	return slices.ContainsFunc(c.msgs, func(m *message) bool {
 		return m.out == c && (m.class.Effect == SingleShot || m.tries >= most)
 	})
 }
 
-// choose picks an endpoint: a trial that is due, else the least loaded, warm and near one.
+// chooseEndpoint picks a suspect endpoint that is due for a trial, otherwise the least loaded one that may
+// get a call. With RiskAfter set, a suspect comes last if all queued messages are too risky for a trial.
 func (d *Dispatcher) choose(t *dest) (best *endpoint, trial bool) {
-	var tried *endpoint // that which nothing held may try
+	var tried *endpoint // a suspect that no queued message may be risked on
 	for _, ep := range t.eps {
 		if d.opensAt(ep) > d.now {
 			continue
@@ -1056,8 +1107,8 @@
 	return best, false
 }
 
-// opensAt is the first moment, now or later, at which health, waits, limit and ramp let a call go to an
-// endpoint, if nothing happens until then.
+// nextSendAt returns the first time, now or later, at which health, waits, limit and ramp allow a call to an
+// endpoint, if nothing else happens until then.
 func (d *Dispatcher) opensAt(ep *endpoint) Time {
 	if ep.health != Ready || ep.suspect && ep.trying() {
 		return never
@@ -1079,12 +1130,12 @@
 	return at
 }
 
-// unsure tells that a call to a suspect at a moment is to tell whether there is an outage at all.
+// unconfirmed reports whether a call to a suspect endpoint at a time is to show if there is an outage at all.
 func (d *Dispatcher) unsure(ep *endpoint, at Time) bool {
 	return ep.suspect && !d.sure(ep) && !d.cold(ep, at)
 }
 
-// rank is the load of an endpoint in calls; a handshake or a crossing counts as one more.
+// load returns the load of an endpoint in calls. A handshake and another zone count as one more call each.
 func (d *Dispatcher) rank(ep *endpoint) float64 {
 	v := float64(len(ep.calls))
 	if ep.zone != d.set.Zone {
@@ -1096,8 +1147,8 @@
 	return v
 }
 
-// repace sets what the limits and the ramps of a destination let go from now on. It is called when something
-// that this goes by has changed, and only then: between two happenings all of it is a function of time.
+// updateRates sets the rates that the limits and ramps of a destination allow from now on. It is called when
+// something that they depend on has changed, and only then: between two changes they are functions of time.
 func (d *Dispatcher) repace(t *dest) {
 	own := t.demand.rate(d.now)
 	held := t.kind.again * t.kind.again * float64(t.held) / (heldAims * d.aim.Seconds())
@@ -1108,7 +1159,7 @@
 			want = own
 		}
 		p.allow, p.allowAt, p.grow = p.allowed(d.now), max(d.now, p.wait), allowRise*min(want, 2)
-		// Where no more comes what is let go falls off.
+		// The rate falls if no more messages arrive.
 		r := pace.Rate{From: p.allow * want, Rise: p.grow * want, End: unfelt * want}
 		if r.Rise -= p.allow * own / (fadeTaus * demandTau).Seconds(); r.Rise < 0 {
 			r.End = p.allow * held
@@ -1132,10 +1183,10 @@
 	}
 }
 
-// ramp sets what may go to a suspect, or to one back from an outage: its part of what its destination took
-// before (of the demand where that is not known) times its warmth, with a drawn start, so that all senders
-// together stay within what a cold one can do however many they are. Guards against pushing it over. It could
-// hurt a wrongly suspected one, which is used less for the warm-up.
+// updateRamp sets the rate allowed to an endpoint that is suspect or back from an outage: its part of what
+// the destination took before (of the demand, if that is not known) times its warmth. The first call goes at
+// a random time. So all dispatchers together, however many, stay within what a cold endpoint can do and do
+// not overload it. Risk: an endpoint suspected wrongly is used less during the warm-up.
 func (d *Dispatcher) ramp(t *dest, ep *endpoint, own float64) {
 	if t.steady > 0 {
 		own = t.steady
@@ -1152,47 +1203,49 @@
 	ep.ramp.Set(d.now, from, r, max(1, own*rampTicks*d.set.Tick.Seconds()))
 }
 
-// cold tells that an endpoint is not warm for sure at a moment, or will open, cold, only then.
+// cold reports whether an endpoint may not be warm yet at a time, or returns, cold, only later.
 func (d *Dispatcher) cold(ep *endpoint, at Time) bool { return ep.coldAt != 0 && at < d.warmAt(ep) }
 
-// warmAt is when an endpoint that was cold is warm for sure.
+// warmAt returns the time from which on a cold endpoint is certain to be warm.
 func (d *Dispatcher) warmAt(ep *endpoint) Time {
 	return ep.coldAt.After(Time(rampHold * float64(d.set.WarmUp)))
 }
 
-// started gives a destination without calls yet its first window: a fair share of the slots, as listed.
+// initWindow gives a destination that has completed no call yet its first window: a fair share of the slots,
+// by the newest list.
 func (d *Dispatcher) started(t *dest) {
 	if t.starting && t.ends == 0 && t.listed != d.lists {
 		t.wmax, t.listed = d.fair, d.lists
 	}
 }
 
-// fairShare is a fair share of the slots.
+// fairShare returns an equal share of the slots for each destination, at least one.
 func (d *Dispatcher) fairShare() int { return max(1, d.set.Slots/len(d.dests)) }
 
-// joined judges an endpoint new to the list: one that joins a destination which is all down or cold shares
-// its fate, as the held messages must not be dumped on it.
+// handleJoin handles an endpoint that is new to the list. If all others of its destination are suspect or
+// cold, it starts cold as well, so that it does not get the whole backlog at once.
 func (d *Dispatcher) joined(t *dest, ep *endpoint) {
 	switch {
 	case t.limit.bad == 0 && !slices.ContainsFunc(t.eps, d.ill) || slices.ContainsFunc(t.eps, d.well):
 	case !t.outage && t.ready() == 0:
-		t.limit.bad = 0 // what failed there left
+		t.limit.bad = 0 // the endpoints that failed have left
 	default:
 		d.chill(ep, d.now)
 	}
 }
 
-// deserted judges what the last endpoint of a destination leaves behind when it goes: an outage, if one had
-// failed for longer than a list is late, or was cold. Else it failed because it was going: those that replace
-// it are well, and have much to do. It could hurt where an outage begins just before all are replaced.
+// handleLastLeft decides whether a destination is in an outage when its last endpoint has left. It is if an
+// endpoint has been failing for longer than a list may be late, or was cold. Otherwise the endpoint failed
+// because it was leaving: its replacements are healthy and have a backlog to send. Risk: an outage that
+// begins just before all endpoints are replaced is missed.
 func (d *Dispatcher) deserted(t *dest) {
 	t.outage = slices.ContainsFunc(t.eps, func(o *endpoint) bool {
 		return o.suspect && d.now-o.downAt > leaveLate*d.set.OverloadFor || !o.suspect && d.cold(o, d.now)
 	})
 }
 
-// coldBeside tells that another endpoint of the same limit is back from an outage: its first answer has wiped
-// what failed at all of them.
+// coldSibling reports whether another endpoint with the same limit is back from an outage. Its first response
+// has reset the count of failures that they share.
 func (d *Dispatcher) coldBeside(ep *endpoint) bool {
 	return slices.ContainsFunc(ep.dest.eps, func(o *endpoint) bool {
 		return o != ep && o.limit == ep.limit && d.cold(o, d.now) && !o.suspect
