--- a/control/condition.go
+++ b/control/condition.go
@@ -1,22 +1,22 @@
 package control
 
-// Condition is how a destination does, for those who send only what can wait.
+// Condition is the state of a destination as seen by senders whose messages can wait, such as resends.
 type Condition uint8
 
-// Conditions.
+// Conditions of a destination. String returns their outer names.
 const (
 	Unserved Condition = iota // no endpoint takes new work
-	Pressed                   // it is told to wait, refuses, or has messages of its own waiting; or the slots are all taken
-	Ailing                    // it failed, refused, was slow or is cold, and nobody is trying it now
-	Well
+	Pressed                   // it told to wait, refuses calls or has messages queued, or all slots are in use
+	Ailing                    // it failed, refused calls, was slow or is cold, and no trial call is out
+	Well                      // a warm endpoint takes the whole demand, and latency is as usual
 )
 
 func (c Condition) String() string {
 	return [...]string{"unserved", "pressed", "ailing", "well"}[c]
 }
 
-// Condition tells how a destination does, and the calls a second that are listed for it as this dispatcher's part, 0 if
-// none are. It changes nothing.
+// Condition returns the condition of a destination and this dispatcher's part of the rate limit that is listed or
+// reported for it, in calls a second, 0 if there is none. It changes nothing.
 func (d *Dispatcher) Condition(now Time, no int) (c Condition, rate float64) {
 	t := d.byNo[no]
 	if t == nil || t.ready() == 0 {
@@ -28,14 +28,14 @@
 		if ep.health != Ready {
 			continue
 		}
-		if ep.limit != t.limit || rate == 0 { // routes apart add up
+		if ep.limit != t.limit || rate == 0 { // the limits of separate routes add up
 			rate += p.bound
 		}
 		if now < p.wait {
 			continue
 		}
 		waits = false
-		// A trial has been due for long and nobody makes one: what is held is of classes that trials spare.
+		// A trial has been due for long and none was made: the queued messages are too risky for one.
 		left = left || ep.suspect && !ep.trying() && now-ep.trialAt > trialMost
 		good = good || !ep.suspect && !d.cold(ep, now) && p.streak == 0 && p.allowed(now) >= 1
 	}
--- a/control/order.go
+++ b/control/order.go
@@ -2,11 +2,11 @@
 
 import "cmp"
 
-// order holds destinations by a key, the least first, those of one key by the number given with it. A destination knows
-// its place in each order, so that it can be moved or taken out from anywhere: a binary heap with places. It decides
-// nothing, and takes memory for as many as were ever in it at once.
+// destinationHeap is a binary heap of destinations, ordered by a key and then by a sequence number. Each destination
+// stores its position in each heap, so that it can be moved or removed from anywhere. The heap keeps memory for as many
+// entries as it ever held at once.
 type order[K cmp.Ordered] struct {
-	no   int // of a destination's places, the one in this order
+	no   int // of this heap's entry in a destination's places
 	list []ranked[K]
 }
 
@@ -20,10 +20,10 @@
 	return a.key < b.key || a.key == b.key && a.seq < b.seq
 }
 
-// has tells whether a destination is in the order.
+// contains reports whether a destination is in the heap.
 func (o *order[K]) has(t *dest) bool { return t.places[o.no] > 0 }
 
-// put adds a destination, or moves it to another key.
+// set adds a destination, or changes its key.
 func (o *order[K]) put(t *dest, key K, seq uint64) {
 	at := t.places[o.no] - 1
 	if at < 0 {
@@ -40,14 +40,14 @@
 	}
 }
 
-// sooner is put, but for one that is there with a lesser key.
+// lowerKey is like set, but keeps the key of a destination whose key is no larger.
 func (o *order[K]) sooner(t *dest, key K, seq uint64) {
 	if at := t.places[o.no] - 1; at < 0 || key < o.list[at].key {
 		o.put(t, key, seq)
 	}
 }
 
-// drop takes a destination out, if it is in.
+// remove removes a destination, if the heap contains it.
 func (o *order[K]) drop(t *dest) {
 	at := t.places[o.no] - 1
 	if at < 0 {
@@ -66,7 +66,7 @@
 	}
 }
 
-// first is the least, nil if there is none.
+// first returns the destination with the least key, nil if there is none.
 func (o *order[K]) first() *dest {
 	if len(o.list) == 0 {
 		return nil
@@ -74,10 +74,10 @@
 	return o.list[0].t
 }
 
-// isDue tells whether the first one's key is no more than until.
+// isDue reports whether the least key is until or less.
 func (o *order[K]) isDue(until K) bool { return len(o.list) > 0 && o.list[0].key <= until }
 
-// due takes out the first, if its key is no more than until.
+// popDue removes and returns the first destination if its key is until or less, otherwise it returns nil.
 func (o *order[K]) due(until K) *dest {
 	if !o.isDue(until) {
 		return nil
@@ -87,7 +87,7 @@
 	return t
 }
 
-// clear takes all out.
+// clear removes all destinations.
 func (o *order[K]) clear() {
 	for i := range o.list {
 		o.list[i].t.places[o.no] = 0
