--- a/control/charge_test.go
+++ b/control/charge_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Slots are scarce, no weights are listed, and one destination gets most of the messages: slow ones that get few must not
-// take as much slot-time each, so that most messages wait.
+// Guards against most messages waiting where slots are scarce and no weights are listed: slow destinations with few
+// messages must not get as much slot time each as the one that gets most of the messages.
 func TestScarceSlotsGoByTrafficWhereNoWeightIsListed(t *testing.T) {
 	t.Parallel()
 	const few, step = 4, 10 * Millisecond
@@ -25,10 +25,10 @@
 			came[dest]++
 			events = append(events, e)
 		}
-		if n%5 == 0 { // 20 a second, which keep two slots busy
+		if n%5 == 0 { // 20 a second, which use two slots
 			arrive(1)
 		}
-		if n%50 == 0 { // 2 a second each, which would keep five busy
+		if n%50 == 0 { // 2 a second each, which would use five slots
 			for dest := 2; dest < 2+few; dest++ {
 				arrive(dest)
 			}
@@ -52,11 +52,11 @@
 		}
 	}
 	if part := float64(served[1]) / float64(came[1]); part < 0.9 {
-		t.Errorf("%.2f of the messages are served where most come, at half of the slots", part)
+		t.Errorf("%.2f of the messages are served at the destination that gets most and needs half of the slots", part)
 	}
 	for dest := 2; dest < 2+few; dest++ {
 		if served[dest] < came[dest]/5 {
-			t.Errorf("destination %d gets next to nothing: %d of %d", dest, served[dest], came[dest])
+			t.Errorf("destination %d: only %d of %d messages are served", dest, served[dest], came[dest])
 		}
 	}
 }
--- a/control/churn_test.go
+++ b/control/churn_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Endpoints, destinations, keys and messages that never return leave nothing behind for longer than two looks.
+// Endpoints, destinations, keys and messages that never return are forgotten within two cleanup intervals.
 func TestNothingGrowsWithIdsThatNeverReturn(t *testing.T) {
 	s := Settings{
 		Instances: 1, Tick: 5 * Millisecond, Slots: 8, MaxOpen: 50, MaxTries: 3, ConnIdle: 5 * Second,
@@ -32,7 +32,7 @@
 	}
 	// In ten seconds 500 endpoints, keys and messages come and go here.
 	if most > 4000 {
-		t.Errorf("%d ids were remembered at once", most)
+		t.Errorf("%d ids were kept at once", most)
 	}
 	for range 3 {
 		now += 2 * seldom
@@ -43,8 +43,8 @@
 	}
 }
 
-// Guards against a pause while thousands that went at once are forgotten: a Step forgets a part of them, and the next
-// Steps go on.
+// Guards against a long Step when thousands of endpoints and destinations become obsolete at once: each Step removes only
+// a part of them, and the next ones go on.
 func TestWhatWentAtOnceIsForgottenInParts(t *testing.T) {
 	const n = 5000
 	d, err := New(Settings{
@@ -67,12 +67,12 @@
 		d.Step(now, events, nil)
 		got := len(d.dests) + len(d.byID)
 		if got < left-2*tidiedAtOnce {
-			t.Fatalf("%d are left after %d", got, left)
+			t.Fatalf("%d ids are left of %d: too many were removed in one Step", got, left)
 		}
 		left, events = got, nil
 		now += 5 * Millisecond
 	}
 	if steps > n/tidiedAtOnce+3 {
-		t.Errorf("it took %d Steps", steps)
+		t.Errorf("the cleanup took %d Steps", steps)
 	}
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -12,7 +12,7 @@
 
 const s = Second
 
-// classes of the scripted tests, by number.
+// Indexes of the classes in testSettings.
 const (
 	free = iota
 	guarded
@@ -35,7 +35,7 @@
 	}
 }
 
-// rig drives a Dispatcher by script.
+// harness runs a Dispatcher by script.
 type rig struct {
 	t   *testing.T
 	d   *Dispatcher
@@ -60,14 +60,14 @@
 	return Entry{Endpoint: ep(dest, n), Dest: dest, Kind: kind, Health: Ready}
 }
 
-// at moves the clock on and plays one round; timers are left out of what is returned.
+// step advances the clock, runs one round and returns its actions without timers and notes.
 func (r *rig) at(after Time, events ...Event) []Action {
 	r.now += after
 	acts := r.d.Step(r.now, events, nil)
 	return slices.DeleteFunc(acts, func(a Action) bool { return a.Kind == Timer || a.Kind == Note })
 }
 
-// msg makes the arrival of the next message.
+// arrival returns the arrival of the next message.
 func (r *rig) msg(class, dest int) Event {
 	r.id++
 	return Event{Kind: Arrival, Message: r.id, Class: class, Dest: dest, Grace: 20 * s}
@@ -112,7 +112,7 @@
 	}
 }
 
-// wait plays empty rounds of 20 ms and gathers their actions.
+// advance runs rounds of 20 ms without events and returns their actions.
 func (r *rig) wait(span Time) (acts []Action) {
 	for end := r.now + span; r.now < end; {
 		acts = append(acts, r.at(min(20*Millisecond, end-r.now))...)
@@ -136,7 +136,7 @@
 		}
 	}
 	if lines > 1200 {
-		t.Errorf("control.go has %d lines that are not blank, 1200 at most", lines)
+		t.Errorf("control.go has %d lines that are not blank, at most 1200 are allowed", lines)
 	}
 }
 
@@ -172,13 +172,13 @@
 	}
 }
 
-// One slot, two destinations. A's call holds it 2 s, so A stands at 2; B, reviving, took the least other
-// counter, 0. B goes first, for 1 s; at 1 it is still the smaller and goes again; at 3 A has its turn.
+// One slot, two destinations. A's call holds the slot for 2 s, so A's counter is 2. B, which was idle, takes the least
+// other counter, 0. B goes first, for 1 s. Its counter of 1 is still the smaller one, so it goes again. At 3 it is A's turn.
 func TestTurnsBySlotTime(t *testing.T) {
 	set := testSettings()
 	set.Slots = 1
 	r := newRig(t, set, entry(1, 0, 0), entry(2, 0, 0))
-	r.want(r.at(0, r.msg(free, 1)), 1) // free slot and window: leaves at once
+	r.want(r.at(0, r.msg(free, 1)), 1) // slot and window are free: sent at once
 	r.want(r.at(s/10, r.msg(free, 1), r.msg(free, 2), r.msg(free, 2), r.msg(free, 2)))
 	r.want(r.at(2*s-s/10, done(1, 0, OK)), 3)
 	r.want(r.at(s, done(3, 0, OK)), 4)
@@ -211,28 +211,28 @@
 	r.d.use(r.d.byNo[2])
 	r.at(s/10, r.msg(free, 3))
 	if got := r.d.byNo[3].acc; got != 5 {
-		t.Errorf("revived at %v, want 5", got)
+		t.Errorf("restarted with counter %v, want 5", got)
 	}
 	r.at(s/10, done(1, 0, OK), done(2, 0, OK), done(3, 0, OK))
 	r.at(s/10, r.msg(free, 1))
 	if got := r.d.byNo[1].acc; got != 0 {
-		t.Errorf("revived alone at %v, want 0: idle counters are dropped", got)
+		t.Errorf("restarted alone with counter %v, want 0: idle counters are dropped", got)
 	}
 }
 
-// Eight slots, two destinations: Wmax starts at 4, gains one an ok, and stays under three quarters (5).
+// Eight slots, two destinations: the window starts at 4, grows by one with each OK, and stays below three quarters (5).
 func TestWindowStartGrowthAndCap(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0))
 	d := r.d.byNo[1]
 	if r.d.started(d); d.wmax != 4 {
-		t.Fatalf("Wmax starts at %d, want 4", d.wmax)
+		t.Fatalf("the window starts at %d, want 4", d.wmax)
 	}
 	for i := range 3 {
 		r.at(s/10, r.msg(free, 1))
 		r.at(s/10, done(MessageID(i+1), 0, OK))
 	}
 	if d.wmax != 5 {
-		t.Errorf("Wmax is %d after three oks, want the cap of 5", d.wmax)
+		t.Errorf("the window is %d after three OKs, want the cap of 5", d.wmax)
 	}
 }
 
@@ -255,7 +255,7 @@
 			r.d.revise(d, res)
 		}
 		if d.wmax != c.want {
-			t.Errorf("%s: Wmax %d, want %d", c.name, d.wmax, c.want)
+			t.Errorf("%s: window %d, want %d", c.name, d.wmax, c.want)
 		}
 	}
 }
@@ -283,10 +283,10 @@
 	}{
 		{"free is resent", free, TimedOut, 3 * s, true, 0},
 		{"guarded inside its window", guarded, Errored, 9900 * Millisecond, true, 0},
-		{"guarded past its window is handed back", guarded, Errored, 10 * s, false, Refuse},
-		{"unsafe in doubt only fails", single, Reset, s, false, Fail},
-		{"unsafe turned away is resent", single, Full, s, true, 0},
-		{"unsafe that met nobody is resent", single, ConnectFailed, s, true, 0},
+		{"guarded past its window is refused", guarded, Errored, 10 * s, false, Refuse},
+		{"single-shot in doubt only fails", single, Reset, s, false, Fail},
+		{"single-shot that was refused is resent", single, Full, s, true, 0},
+		{"single-shot that could not connect is resent", single, ConnectFailed, s, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
@@ -311,7 +311,7 @@
 	r := newRig(t, set, entry(1, 0, 0), far)
 	acts := r.at(0, r.msg(guarded, 1))
 	if acts[0].Endpoint != ep(1, 0) {
-		t.Fatalf("the own zone comes first, sent to %d", acts[0].Endpoint)
+		t.Fatalf("sent to %d, want the endpoint in the own zone", acts[0].Endpoint)
 	}
 	gone := entry(1, 0, 0)
 	gone.Health = Draining
@@ -339,7 +339,7 @@
 		}
 		r.wantEnd(r.at(due, Event{Kind: Tick, Mark: mark}), c.end, 1)
 		if more := r.at(s, Event{Kind: Tick, Mark: mark}, done(1, 0, TimedOut), done(1, 0, OK)); len(more) > 0 {
-			t.Errorf("acts for an ended message: %+v", more)
+			t.Errorf("actions for an ended message: %+v", more)
 		}
 	}
 }
@@ -348,7 +348,7 @@
 	r := newRig(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
 	r.at(0, r.msg(free, 1), r.msg(single, 1))
 	r.want(r.at(s/10, full(1, 0, 2*s), r.msg(guarded, 1)))
-	r.want(r.at(2*s, r.msg(free, 1))) // the last permitted moment to be still
+	r.want(r.at(2*s, r.msg(free, 1))) // the wait still applies at its last microsecond
 	if got := sent(r.wait(s)); len(got) == 0 {
 		t.Error("nothing sent after the wait")
 	}
@@ -360,11 +360,11 @@
 	again := r.at(s/10, full(1, 0, 5*s))
 	r.want(again, 1)
 	if again[0].Endpoint == acts[0].Endpoint {
-		t.Error("sent again to the route that told a wait")
+		t.Error("resent to the route that told a wait")
 	}
 }
 
-// A wait told with a later outcome of a batched call was once missed, as the call had been learned from.
+// Guards against ignoring the wait told with a later outcome of a batched call, after the call has been learned from.
 func TestEveryOutcomeOfABatchTellsItsWait(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 1))
 	r.at(0, r.msg(free, 1), r.msg(free, 1))
@@ -380,7 +380,7 @@
 		r.at(0, Event{Kind: List, Entries: []Entry{e}})
 		r.want(r.at(s/10, r.msg(free, 1)))
 		r.at(s/10, Event{Kind: List, ListKind: ListFailed})
-		r.want(r.wait(s)) // held, not answered
+		r.want(r.wait(s)) // queued, not answered
 		fresh := entry(1, 1, 0)
 		r.want(r.at(s/10, Event{Kind: List, ListKind: ListFull, Entries: []Entry{fresh}}), 1)
 	}
@@ -390,11 +390,11 @@
 	r := newRig(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
 	r.want(r.at(0, r.keyed(9), r.keyed(9), r.keyed(5)), 1, 3)
 	r.want(r.at(s/10, done(1, 0, OK)), 2)
-	r.want(r.at(s/10, done(2, 0, Reset), r.keyed(9)), 2) // another try is not delayed, the next one waits
+	r.want(r.at(s/10, done(2, 0, Reset), r.keyed(9)), 2) // the retry is not delayed, the next message waits
 	r.want(r.at(s/10, done(2, 1, OK)))
-	r.want(r.at(2700 * Millisecond)) // the key rests 3 s from the doubt, to its last moment
+	r.want(r.at(2700 * Millisecond)) // the key rests for 3 s after the doubt, including the last microsecond
 	if got := sent(r.wait(300 * Millisecond)); !slices.Equal(got, []MessageID{4}) {
-		t.Errorf("after the rest sent %v, want 4", got)
+		t.Errorf("sent %v after the rest, want 4", got)
 	}
 }
 
@@ -415,7 +415,8 @@
 	r.wantEnd(r.at(s/10, done(1, 1, Errored)), Refuse, 1)
 }
 
-// A hang shows as age, long before any time-out: the destination is not fed, and a trial is harmless.
+// A hang is detected by the age of the call, long before any time-out. The destination then gets only trials, made with
+// messages that are safe to repeat.
 func TestHangIsJudgedByAge(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0))
 	for i := range 4 {
@@ -425,17 +426,18 @@
 	r.want(r.at(0, r.msg(single, 1)), 5)
 	r.wait(2 * s)
 	if e := r.d.byID[ep(1, 0)]; !e.suspect {
-		t.Fatal("a call out for 20 times the usual raises no suspicion")
+		t.Fatal("not suspect though a call is out for 20 times the usual latency")
 	}
 	if got := sent(append(r.at(0, r.msg(single, 1)), r.wait(300*Millisecond)...)); len(got) > 0 {
-		t.Errorf("an unsafe message was risked: %v", got)
+		t.Errorf("a single-shot message was used for a trial: %v", got)
 	}
 	if got := sent(append(r.at(0, r.msg(free, 1)), r.wait(2*s)...)); !slices.Contains(got, 7) {
-		t.Errorf("no harmless trial: %v", got)
+		t.Errorf("no trial with a safe message: %v", got)
 	}
 }
 
-// A sender with little traffic sees one refused connection and no second: it must not come back at full rate.
+// With little traffic there is one refused connection and no second one. The endpoint must not get the full rate when it
+// returns.
 func TestOneRefusedConnectionSuspectsAndReturnIsRamped(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0))
 	r.want(r.at(0, r.msg(free, 1)), 1)
@@ -448,16 +450,16 @@
 		trials = append(trials, sent(r.at(s/10, r.msg(free, 1)))...)
 	}
 	if len(trials) != 1 {
-		t.Fatalf("trials %v, want a single one", trials)
+		t.Fatalf("trials %v, want one", trials)
 	}
 	r.at(s/10, done(trials[0], r.d.msgs[trials[0]].tries-1, OK))
 	if got := sent(r.wait(s)); len(got) > 5 {
-		t.Errorf("%d messages in the first second of its return", len(got))
+		t.Errorf("%d messages in the first second after its return", len(got))
 	}
 }
 
-// Hundreds of senders' idle connections fill a destination's table: after a failed connect those of its kind are
-// closed after use, and left open again when nothing of the sort has been seen for a while.
+// Idle connections of hundreds of dispatchers fill a destination's connection table. After a failed connect, connections to
+// destinations of its kind are closed after use, until no connect has failed for a while.
 func TestConnectionsAreClosedWhereTheyAreScarce(t *testing.T) {
 	set := testSettings()
 	set.Instances = 20
@@ -467,44 +469,44 @@
 	}
 	r.want(r.at(0, r.msg(free, 1)), 1)
 	if closed(r.at(s/10, done(1, 0, OK)), ep(1, 0)) {
-		t.Fatal("closed without need")
+		t.Fatal("closed though connections are not scarce")
 	}
 	r.want(r.at(s/10, r.msg(free, 1), r.msg(free, 2), r.msg(free, 3)), 2, 3, 4)
 	r.at(s/10, done(2, 0, ConnectFailed))
 	if !closed(r.at(s/10, done(3, 0, OK)), ep(2, 0)) {
-		t.Error("left open at the kind that had no room")
+		t.Error("left open though connections are scarce at this kind")
 	}
 	if closed(r.at(s/10, done(4, 0, OK)), ep(3, 0)) {
-		t.Error("closed at another kind")
+		t.Error("closed at a destination of another kind")
 	}
 	r.wait(scarceFor)
 	r.at(s/10, r.msg(free, 2))
 	if closed(r.at(s/10, done(5, 0, OK)), ep(2, 0)) {
-		t.Error("the lesson is never forgotten")
+		t.Error("connections still count as scarce after a long time")
 	}
 }
 
-// Connections that were dropped unseen after a while without use: the next call goes out on a fresh one.
+// When idle connections turn out to be dropped without notice after some time, the next call uses a new connection.
 func TestReapedConnectionsAreClosedBeforeUse(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0))
 	r.want(r.at(0, r.msg(free, 1)), 1)
 	r.at(s/10, done(1, 0, OK))
-	for range 2 { // two signs are needed
+	for range 2 { // two failures are needed
 		r.want(r.at(3*s, r.msg(free, 1)), r.id)
-		acts := r.at(s/10, done(r.id, 0, Reset)) // goes again at once, on a new connection
+		acts := r.at(s/10, done(r.id, 0, Reset)) // sent again at once, on a new connection
 		r.want(acts, r.id)
 		if acts[0].Kind != Close {
-			t.Fatalf("sent again without closing: %+v", acts)
+			t.Fatalf("resent without closing the connection: %+v", acts)
 		}
 		r.at(s/10, done(r.id, 1, OK))
 	}
 	acts := r.at(2900*Millisecond, r.msg(single, 1))
 	if len(acts) != 2 || acts[0].Kind != Close || acts[1].Kind != Send {
-		t.Errorf("an unsafe message was risked on a connection idle for as long: %+v", acts)
+		t.Errorf("a single-shot message was sent on a connection that was idle for as long: %+v", acts)
 	}
 	r.at(s/10, done(r.id, 0, OK))
 	if acts = r.at(s/2, r.msg(free, 1)); len(acts) != 1 {
-		t.Errorf("closed one that is young: %+v", acts)
+		t.Errorf("closed a connection that was idle only briefly: %+v", acts)
 	}
 }
 
@@ -519,11 +521,11 @@
 		r.at(s/10, done(MessageID(i+1), 0, res))
 	}
 	if r.d.byID[ep(1, 0)].suspect {
-		t.Error("an endpoint that answers every fourth call is shut off")
+		t.Error("an endpoint that answers every fourth call is suspect")
 	}
 }
 
-// A fresh endpoint listed while all others of its destination are down once got the whole held backlog.
+// Guards against sending the whole backlog to an endpoint that is listed while all others of its destination are down.
 func TestEndpointJoiningADownDestinationStartsCold(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0))
 	r.at(0, r.msg(free, 1))
@@ -533,11 +535,11 @@
 	}
 	acts := r.at(s/20, Event{Kind: List, Entries: []Entry{entry(1, 1, 0)}})
 	if got := sent(acts); len(got) > 1 {
-		t.Errorf("dumped %d messages on it", len(got))
+		t.Errorf("%d messages were sent to it at once", len(got))
 	}
 }
 
-// After refusals the release rate comes back within seconds; it once took half a minute.
+// After refusals the allowed rate recovers within seconds. Guards against a recovery that takes half a minute.
 func TestReleaseRateRecovers(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0))
 	p := r.d.byNo[1].limit
@@ -561,11 +563,11 @@
 	}
 	n /= 2
 	if p.allowed(r.now) < 1 || served < n*8/10 {
-		t.Errorf("allowed share %v after 24 s, %d of %d served", p.allow, served, n)
+		t.Errorf("allowance %v after 24 s, %d of %d served", p.allow, served, n)
 	}
 }
 
-// Late worth that has reached its floor yields to messages still in time.
+// Late messages whose worth has reached its floor go after messages that are still in time.
 func TestOldLateMessagesYield(t *testing.T) {
 	set := testSettings()
 	set.LateHalving, set.Slots = true, 1
@@ -595,16 +597,16 @@
 		if a.Kind == Refuse {
 			refused++
 			if a.Message%2 == 0 {
-				t.Errorf("message %d of the better class was shed", a.Message)
+				t.Errorf("message %d of the class with more worth was shed", a.Message)
 			}
 		}
 	}
 	if refused == 0 || r.d.open > 8 {
-		t.Errorf("%d refused, %d held", refused, r.d.open)
+		t.Errorf("%d refused, %d open", refused, r.d.open)
 	}
 }
 
-// A hang must not starve the others of slots.
+// A hanging destination must not keep the slots from the others.
 func TestReclaimTakesSlotsBackFromASuspect(t *testing.T) {
 	set := testSettings()
 	set.Slots = 2
@@ -613,7 +615,7 @@
 	r.at(s, r.msg(free, 3))
 	acts := r.wait(8 * s)
 	if !slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == Cancel }) {
-		t.Error("no slot was taken back")
+		t.Error("no call was cancelled")
 	}
 }
 
@@ -622,11 +624,11 @@
 	acts := r.at(0, done(99, 0, OK), Event{Kind: Withdrawn, Message: 99}, Event{Kind: Tick, Mark: 12345},
 		Event{Kind: Probed, Endpoint: 4}, Event{Kind: Started, Message: 3})
 	if len(acts) > 0 {
-		t.Errorf("acts: %+v", acts)
+		t.Errorf("actions: %+v", acts)
 	}
 	bad := r.msg(99, 1)
 	r.wantEnd(r.at(0, bad), Refuse, bad.Message)
-	r.want(r.at(s, r.msg(free, 77))) // no endpoint is listed: held
+	r.want(r.at(s, r.msg(free, 77))) // no endpoint is listed: queued
 }
 
 func TestSameEventsSameActions(t *testing.T) {
@@ -642,11 +644,12 @@
 		return all
 	}
 	if !slices.Equal(play(), play()) {
-		t.Error("two plays differ")
+		t.Error("two runs differ")
 	}
 }
 
-// Slow is not dead: the late answer to a call sent before the silence lifts suspicion without a ramp.
+// The late response to a call sent before the failure shows a slow endpoint, not an outage: it ends the suspicion without
+// a ramp.
 func TestLateAnswerLiftsSuspicionWithoutRamp(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0))
 	r.want(r.at(0, r.msg(single, 1)), 1)
@@ -661,7 +664,7 @@
 	}
 }
 
-// Several sick destinations together must leave half of the slots to the others.
+// Several unhealthy destinations together must leave half of the slots to the others.
 func TestSickDestinationsShareHalfOfTheSlots(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
 	for n := 1; n <= 3; n++ {
@@ -672,14 +675,14 @@
 	one.lat.mean, two.lat.mean, two.w = 900, 900, 3
 	r.d.weigh(two)
 	if got := r.d.room(one); got != 1 {
-		t.Errorf("room %d beside a sick destination with three calls out, want 1", got)
+		t.Errorf("window %d beside an unhealthy destination with three calls out, want 1", got)
 	}
 	two.lat.mean = 100
 	r.d.weigh(two)
 	if got := r.d.room(one); got != 4 {
-		t.Errorf("room %d as the only sick one, want half of the slots", got)
+		t.Errorf("window %d as the only unhealthy one, want half of the slots", got)
 	}
-	// Eight slots all taken, and a message of another waits: a third of them is what the sick may have.
+	// All eight slots are in use and a message of another destination waits: unhealthy ones may have a third of the slots.
 	for range 8 {
 		r.at(s/100, r.msg(free, 3))
 	}
@@ -687,6 +690,6 @@
 	r.at(s/100, r.msg(free, 2))
 	r.at(s / 100)
 	if got := r.d.room(one); got != 2 {
-		t.Errorf("room %d while others wait for slots, want a third of them", got)
+		t.Errorf("window %d while others wait for slots, want a third of them", got)
 	}
 }
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -6,7 +6,7 @@
 	"curlewmux/control"
 )
 
-// A dispatcher is told what happened and answers with what to do.
+// A Dispatcher is given events and returns actions.
 func Example() {
 	d, err := control.New(control.Settings{
 		Instances: 1, Tick: 5 * control.Millisecond, Slots: 4, MaxOpen: 100, MaxTries: 3, ReportLeft: -1, ReportLimit: -1,
--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -15,14 +15,14 @@
 )
 
 var (
-	record    = flag.Bool("record", false, "write testdata/actions.txt anew")
-	moreSeeds = flag.Uint64("more", 0, "so many more seeds of each scene, with looks at all beside as few as can be")
+	record    = flag.Bool("record", false, "rewrite testdata/actions.txt")
+	moreSeeds = flag.Uint64("more", 0, "number of additional seeds of each scene that are run with full scans and without")
 )
 
 const goldens = "actions.txt"
 
-// The module's actions are those recorded, byte for byte: testdata has the SHA-256 of each stream's. A change that is meant
-// to decide nothing anew leaves them as they are.
+// The module's actions must be those recorded, byte for byte: testdata holds the SHA-256 of the actions of each stream. A
+// change that is not meant to change decisions leaves them as they are.
 func TestActionsAreThoseRecorded(t *testing.T) {
 	t.Parallel()
 	if runtime.GOARCH != "amd64" {
@@ -61,10 +61,10 @@
 				count[k] += n
 			}
 		}
-		t.Logf("%s: %d sent, %d handed back, %d failed, %d cancelled, %d closed", c.name, count[Send], count[Refuse],
+		t.Logf("%s: %d sent, %d refused, %d failed, %d cancelled, %d closed", c.name, count[Send], count[Refuse],
 			count[Fail], count[Cancel], count[Close])
 		if count[Send] == 0 || count[Refuse] == 0 {
-			t.Errorf("%s: nothing happens: %v", c.name, count)
+			t.Errorf("%s: no message was sent or none was refused: %v", c.name, count)
 		}
 	}
 	if *record {
@@ -74,8 +74,8 @@
 	}
 }
 
-// Looks change nothing: a module that looks at all in each Step does the same, in the same Step, as one that sleeps until
-// something can have changed.
+// Scans change nothing: a module that scans all destinations in each Step does the same, in the same Step, as one that scans
+// a destination only when something can have changed.
 func TestLooksChangeNothing(t *testing.T) {
 	t.Parallel()
 	for _, c := range scenes() {
@@ -89,11 +89,11 @@
 			}
 		}
 		switch c.name {
-		case "grow": // a first window goes by the newest list also where its first call ended without a look since
+		case "grow": // a first window follows the newest list also if the first call ended with no scan since
 			against(t, c, 1003, 0)
-		case "hoard": // unsafe ones alone are held, and the trial that they may make comes due while they sleep
+		case "hoard": // single-shot messages alone are queued, and their trial becomes due with no scan
 			against(t, c, 1001, 100*Millisecond)
-		case "wide": // woken by a change of what counts as sure
+		case "wide": // destinations are scanned because the number of failures that confirm an outage changes
 			against(t, c, 1008, 0)
 		}
 	}
--- a/control/hard_test.go
+++ b/control/hard_test.go
@@ -6,7 +6,7 @@
 	. "curlewmux/control"
 )
 
-// yard drives a module in ticks with partners that the test speaks for.
+// tickHarness runs a Dispatcher tick by tick. The test decides what the endpoints answer.
 type yard struct {
 	t     *testing.T
 	d     *Dispatcher
@@ -15,8 +15,8 @@
 	last  MessageID
 	tries map[MessageID]int
 	dest  map[MessageID]int
-	left  map[Time][]Event // outcomes by the tick in which they come
-	asked bool             // the newest Step wanted to be woken in the next tick
+	left  map[Time][]Event // outcomes by the tick in which they arrive
+	asked bool             // the last Step asked for a timer in the next tick
 }
 
 func newYard(t *testing.T, set Settings) *yard {
@@ -43,8 +43,7 @@
 	return Event{Kind: Arrival, Message: y.last, Dest: dest, Grace: 3600 * Second}
 }
 
-// step plays one round and returns the messages that it sent; answer tells how each call ends, and after how long (0:
-// never).
+// step runs one round and returns the messages sent in it. answer returns how a call ends and after how long (0: never).
 func (y *yard) step(after Time, events []Event, answer func(dest int) (Event, Time)) (sent []MessageID) {
 	y.now += after
 	for at := (y.now-after)/y.tick + 1; at <= y.now/y.tick; at++ {
@@ -76,8 +75,8 @@
 
 func ones(int) float64 { return 0 }
 
-// Ten thousand waits end in the same millisecond: no Step sends more than its bound, each asks for the next at once, and
-// all have gone when as many Steps have passed as that takes.
+// Ten thousand waits end in the same millisecond. No Step may send more than its bound. Each asks for the next one at once,
+// and all messages are sent in as many Steps as that takes.
 func TestWaitsThatEndAtOnceAreWorkedOffInBoundedSteps(t *testing.T) {
 	t.Parallel()
 	const n = 10_000
@@ -88,7 +87,7 @@
 	}
 	until := y.now + 2*Second
 	sent := 0
-	for sent < n { // all are refused, with a wait until the same moment
+	for sent < n { // all are refused, with a wait until the same time
 		sent += len(y.step(y.tick, events, func(int) (Event, Time) {
 			return Event{Result: Full, Wait: until - y.now - Millisecond}, Millisecond
 		}))
@@ -111,19 +110,19 @@
 		if got == 250 && sent < n {
 			bounded++
 			if !y.asked {
-				t.Fatalf("%d are left, and the Step does not ask for the next at once", n-sent)
+				t.Fatalf("%d messages are left, and the Step does not ask for the next one at once", n-sent)
 			}
 		}
-		if y.now > until+10*Second { // the refusals cut the share that is let go, and rare traffic earns its next call slowly
+		if y.now > until+10*Second { // the refusals cut the allowance, and it grows slowly with rare traffic
 			t.Fatalf("%d of %d sent in %d Steps", sent, n, steps)
 		}
 	}
 	if bounded < 5 {
-		t.Errorf("the bound came up in %d Steps: that proves nothing", bounded)
+		t.Errorf("only %d Steps reached the bound, too few for this test", bounded)
 	}
 }
 
-// All are free at once and the slots are the limit: each destination gets slot-time by its weight.
+// If all destinations have messages to send and only the slots are scarce, each gets slot time by its weight.
 func TestSlotTimeGoesByWeight(t *testing.T) {
 	t.Parallel()
 	const n, slots = 24, 6
@@ -161,18 +160,19 @@
 	}
 	for dest, v := range time {
 		if v < 0.95*mean || v > 1.05*mean {
-			t.Errorf("destination %d of weight %v has %.3f of the mean slot-time per weight", dest, weight(dest), v/mean)
+			t.Errorf("destination %d of weight %v has %.3f of the mean slot time per weight", dest, weight(dest), v/mean)
 		}
 	}
 }
 
-// One destination holds 100,000, and the others one each: theirs go before more than a window of its own.
+// One destination has a backlog of 100,000 messages and the others one message each. Their messages must all be sent before
+// more than one window of the backlog.
 func TestABigHoldDoesNotStandBeforeSmallOnes(t *testing.T) {
 	t.Parallel()
 	const n, big, slots = 2000, 100_000, 40
 	set := blockedSettings(n)
 	set.Slots, set.MaxOpen = slots, 2*big
-	set.Tenants = make([]Tenant, 100) // all of them over their share
+	set.Tenants = make([]Tenant, 100) // all tenants are over their share
 	for i := range set.Tenants {
 		set.Tenants[i].Quota = 0.001
 	}
@@ -199,16 +199,16 @@
 		}
 		events = nil
 		if y.now > 1010*Second {
-			t.Fatalf("%d of %d small ones went in 10 s", small, n-1)
+			t.Fatalf("%d of %d small backlogs were sent in 10 s", small, n-1)
 		}
 	}
 	if ofBig > slots {
-		t.Errorf("%d of the big hold went before the last small one", ofBig)
+		t.Errorf("%d messages of the big backlog were sent before the last small one", ofBig)
 	}
 }
 
-// A Step that is a second late sends no more to a destination with a listed rate than that second allows, and no more to
-// any than its window.
+// A Step that is a second late sends a destination with a listed rate no more than that second allows, and no destination
+// more than its window.
 func TestALateStepIsNoBurst(t *testing.T) {
 	t.Parallel()
 	set := blockedSettings(50)
@@ -229,14 +229,14 @@
 	for range 100 {
 		y.step(y.tick, nil, ok)
 	}
-	// What its rate allows in that second may go; no destination has three quarters of the slots.
+	// One may get what its rate allows in a second. No destination may have three quarters of the slots.
 	if got := sends(y.step(Second, nil, ok)); got[0] > 10 || got[0] == 0 || got[1] > 37 || got[1] == 0 {
-		t.Errorf("a late Step sends %d to a destination that takes ten a second, and %d to another", got[0], got[1])
+		t.Errorf("a late Step sends %d to a destination that accepts ten a second, and %d to the other", got[0], got[1])
 	}
 }
 
-// For an hour half of the destinations are replaced each 20 s by others with new ids, and half of all calls fail: what is
-// remembered stays the same.
+// For an hour, half of the destinations are replaced every 20 s by others with new ids, and half of all calls fail. The
+// size of what is remembered must not grow.
 func TestMemoryIsFlatWhileIDsNeverReturn(t *testing.T) {
 	t.Parallel()
 	const n = 40
@@ -273,7 +273,7 @@
 			if y.now < end-1800*Second {
 				half[name] = max(half[name], size)
 			} else if size > half[name]+half[name]/5+10 {
-				t.Fatalf("%s: %d are remembered, %d in the first half hour", name, size, half[name])
+				t.Fatalf("%s: %d entries are kept, %d in the first half hour", name, size, half[name])
 			}
 		}
 	}
--- a/control/orders_test.go
+++ b/control/orders_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// An order gives back what a sorted list would, whatever is put in, moved and taken out.
+// A heap returns what a sorted list would, whatever is added, moved and removed.
 func TestAnOrderIsInOrder(t *testing.T) {
 	t.Parallel()
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		if len(o.list) != len(keys) {
-			t.Fatalf("%d are in, want %d", len(o.list), len(keys))
+			t.Fatalf("the heap holds %d entries, want %d", len(o.list), len(keys))
 		}
 	}
 	last := ranked[float64]{key: -1}
@@ -46,16 +46,17 @@
 			t.Fatalf("%v comes after %v, its key is %v", x, last, keys[x.t])
 		}
 		if last = x; o.due(x.key) != x.t {
-			t.Fatal("the first is not due at its key")
+			t.Fatal("the first entry is not due at its key")
 		}
 	}
 	o.put(all[0], 1, 1)
 	if o.clear(); len(o.list) > 0 || all[0].places[inReady] != 0 {
-		t.Error("something is left in a cleared order")
+		t.Error("a cleared heap is not empty")
 	}
 }
 
-// A first window is a fair share as listed: when a list names fewer, those that slept with a full one have room.
+// The first window of a destination is a fair share of the slots. When a new list has fewer destinations, one that waited
+// with a full first window can send again.
 func TestASmallerListWakesThoseWithAFullFirstWindow(t *testing.T) {
 	var list []Entry
 	for n := 1; n <= 8; n++ {
@@ -71,11 +72,11 @@
 	r.at(0, Event{Kind: List, Entries: gone})
 	a, b := r.msg(free, 1), r.msg(free, 1)
 	r.want(r.at(900*Millisecond, a, b), a.Message)
-	r.want(r.wait(200 * Millisecond)) // the others are forgotten meanwhile
+	r.want(r.wait(200 * Millisecond)) // the other destinations are removed meanwhile
 	r.want(r.at(0, Event{Kind: List}), b.Message)
 }
 
-// Another kind may mean that silence is suspicious sooner: a call that is out is judged by it at once.
+// Another kind of destination may have a shorter response timeout. It applies at once to calls that are out.
 func TestACallIsJudgedByItsDestinationsNewKind(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0), entry(2, 0, 1))
 	for range 60 {
@@ -88,15 +89,15 @@
 	r.want(r.at(0, r.msg(free, 1)), r.id)
 	r.wait(500 * Millisecond)
 	if r.d.byID[ep(1, 0)].suspect {
-		t.Fatal("suspect by its old kind")
+		t.Fatal("suspect with the timeout of its old kind")
 	}
 	r.at(0, Event{Kind: List, Entries: []Entry{entry(1, 0, 1)}})
 	if !r.d.byID[ep(1, 0)].suspect {
-		t.Error("not suspect half a second after a call that its new kind answers in 10 ms")
+		t.Error("not suspect half a second after a call, though its new kind answers in 10 ms")
 	}
 }
 
-// A destination whose failing endpoint was forgotten is well again, and leaves its part of the room to others.
+// A destination whose failing endpoint has been removed is healthy again, and no longer takes slots of the unhealthy ones.
 func TestAForgottenEndpointLeavesItsRoomToTheSick(t *testing.T) {
 	set := testSettings()
 	set.Slots, set.MayCancel = 4, false
@@ -110,22 +111,22 @@
 	}
 	r.d.failed(bad, bad.calls[0], false)
 	bad.trialAt = never
-	r.at(10*Millisecond, done(r.id, 0, Errored)) // it goes again, to the other endpoint
+	r.at(10*Millisecond, done(r.id, 0, Errored)) // it is sent again, to the other endpoint
 	gone := entry(1, int(bad.id)%10, 0)
 	gone.Health = Gone
 	r.at(0, Event{Kind: List, Entries: []Entry{gone}})
 	if one.w != 1 || r.d.sickOut != 1 {
-		t.Fatalf("%d calls are out, %d of them to sick ones", one.w, r.d.sickOut)
+		t.Fatalf("%d calls are out, %d of them to unhealthy destinations", one.w, r.d.sickOut)
 	}
 	two.lat, two.base, two.starting, two.wmax = latency{mean: 9e4, dev: 1, n: 50}, 1e4, false, 2
 	a, b := r.msg(free, 2), r.msg(free, 2)
 	r.want(r.at(700*Millisecond, a, b), a.Message)
 	if got := sent(r.wait(400 * Millisecond)); !slices.Contains(got, b.Message) {
-		t.Errorf("sent %v, not %d: %d calls count as out to sick ones", got, b.Message, r.d.sickOut)
+		t.Errorf("sent %v, not %d: %d calls count as out to unhealthy destinations", got, b.Message, r.d.sickOut)
 	}
 }
 
-// A lane holds what a sorted list would, whatever comes and goes, and keeps no memory when it is empty.
+// A queue holds what a sorted list would, whatever is added and removed, and keeps no memory when it is empty.
 func TestALaneIsInOrderOfArrival(t *testing.T) {
 	t.Parallel()
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -135,7 +136,7 @@
 		m := &message{arrived: n}
 		switch k := rng.IntN(5); {
 		case k < 2 || len(want) == 0:
-		case k == 2 && len(away) > 0: // it comes back
+		case k == 2 && len(away) > 0: // a removed message returns
 			i := rng.IntN(len(away))
 			m = away[i]
 			away = slices.Delete(away, i, i+1)
@@ -150,14 +151,14 @@
 		want = append(want, m)
 		slices.SortFunc(want, func(a, b *message) int { return int(a.arrived) - int(b.arrived) })
 		if !slices.Equal(l.all(), want) || l.len() != len(want) {
-			t.Fatalf("after %d: %d are in, want %d", n, l.len(), len(want))
+			t.Fatalf("after %d messages: the queue holds %d, want %d", n, l.len(), len(want))
 		}
 		if len(want) > 300 {
 			for _, m := range want {
 				l.drop(m)
 			}
 			if cap(l.list) > laneKept || l.front != 0 {
-				t.Fatal("an empty lane keeps its memory")
+				t.Fatal("an empty queue keeps its memory")
 			}
 			want, away = nil, nil
 		}
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// judge follows a Dispatcher from outside and holds what it does against the rules.
+// ruleChecker follows a Dispatcher from outside and checks its actions against the rules.
 type judge struct {
 	t     *testing.T
 	set   Settings
 	now   Time
 	msgs  map[MessageID]*judged
-	wait  map[int]Time      // until when a destination told to wait
+	wait  map[int]Time      // end of the wait that a destination told
 	ready map[Endpoint]bool // listed ready
-	calls map[[2]int64]int  // messages out by round and endpoint: one call
+	calls map[[2]int64]int  // messages out by round and endpoint; each key is one call
 	order map[uint64][]*judged
 	rest  map[uint64]Time
 	marks []Action
@@ -58,13 +58,13 @@
 		return
 	}
 	if m == nil {
-		j.t.Fatalf("acts for a message never taken: %+v", a)
+		j.t.Fatalf("action for a message that was never accepted: %+v", a)
 	}
 	switch a.Kind {
 	case Refuse, Fail:
-		j.check(!m.ended, m, "a second final answer")
+		j.check(!m.ended, m, "two final answers")
 		maybe := (m.doubt || m.out) && m.class.Effect != Free
-		j.check(a.Kind == Fail || !maybe || m.class.Effect == Guarded, m, "handed back though it may have run")
+		j.check(a.Kind == Fail || !maybe || m.class.Effect == Guarded, m, "refused though it may have run")
 		m.ended = true
 	case Send:
 		j.send(m, a)
@@ -72,13 +72,13 @@
 }
 
 func (j *judge) send(m *judged, a Action) {
-	j.check(!m.ended && !m.out, m, "sent though ended or out")
+	j.check(!m.ended && !m.out, m, "sent though it has ended or is out")
 	j.check(j.ready[a.Endpoint] && int(a.Endpoint)/10 == m.dest, m, "sent to an endpoint not listed ready")
 	j.check(j.now >= j.wait[m.dest], m, "sent during a told wait")
 	j.check(m.tries < j.set.MaxTries && j.now < m.deadline, m, "sent too often or too late")
 	if m.doubt {
-		j.check(m.class.Effect != SingleShot, m, "unsafe message sent again in doubt")
-		j.check(m.class.Effect == Free || j.now < m.doubtAt+m.class.Window, m, "repeat past its window")
+		j.check(m.class.Effect != SingleShot, m, "single-shot message in doubt sent again")
+		j.check(m.class.Effect == Free || j.now < m.doubtAt+m.class.Window, m, "repeated after its window")
 	}
 	if m.key != 0 {
 		q := j.order[m.key]
@@ -86,7 +86,7 @@
 			q = q[1:]
 		}
 		j.order[m.key] = q
-		j.check(q[0] == m, m, "out of order")
+		j.check(q[0] == m, m, "sent out of order")
 		j.check(m.tries > 0 || j.now >= j.rest[m.key], m, "sent while its key rests")
 	}
 	m.tries++
@@ -96,7 +96,7 @@
 	j.check(len(j.calls) <= j.set.Slots, m, "more calls than slots")
 }
 
-// resolve makes the outcome of one attempt out and notes what it tells.
+// resolve returns the outcome event of an attempt that is out, and records what follows from it.
 func (j *judge) resolve(m *judged, res Result, wait Time) Event {
 	m.out = false
 	call := [2]int64{int64(m.round), int64(m.ep)}
@@ -123,7 +123,7 @@
 		Lag: j.now - m.round, Wait: wait}
 }
 
-// Random events, legal and not, for several seeds: whatever comes, the rules hold and each message has one answer.
+// With random events, valid and invalid, the rules hold and each message gets one final answer.
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range int64(12) {
 		play(t, seed)
@@ -145,7 +145,7 @@
 	for round := Time(0); round < 6000; round++ {
 		j.now = round * 20 * Millisecond
 		var events []Event
-		for dest := 1; dest <= 4; dest++ { // destinations fall ill and well
+		for dest := 1; dest <= 4; dest++ { // destinations fail and recover
 			if rng.Intn(300) == 0 {
 				sick[dest] = Result(rng.Intn(int(Moot)))
 			}
@@ -198,14 +198,14 @@
 		})
 	}
 	if len(d.msgs) > 0 || d.busy != 0 || d.open != 0 {
-		t.Errorf("seed %d: left %d messages, %d slots, %d open", seed, len(d.msgs), d.busy, d.open)
+		t.Errorf("seed %d: %d messages, %d used slots and %d open messages are left", seed, len(d.msgs), d.busy, d.open)
 	}
 }
 
-// cancel checks that what is called off is out; its outcome comes like any other, sometimes never before its time.
+// cancel checks that a cancelled attempt is out. Its outcome arrives like any other, possibly only at the deadline.
 func (j *judge) cancel(a Action) {
 	m := j.msgs[a.Message]
-	j.check(m != nil && m.out && m.tries-1 == a.Attempt, m, "cancels what is not out")
+	j.check(m != nil && m.out && m.tries-1 == a.Attempt, m, "cancelled though it is not out")
 }
 
 func (j *judge) arrival(rng *rand.Rand) Event {
@@ -222,7 +222,7 @@
 	return Event{Kind: Arrival, Message: m.id, Class: class, Dest: m.dest, Key: m.key, Grace: grace}
 }
 
-// illegal makes events that no honest caller sends: they must change nothing that the rules see.
+// illegalEvents returns events that no correct caller sends. They must change nothing that the rules depend on.
 func illegal(rng *rand.Rand) []Event {
 	switch rng.Intn(8) {
 	case 0:
@@ -235,7 +235,7 @@
 	return nil
 }
 
-// What is handed back while its destination's wait runs comes with the time until there is room again.
+// A message that is refused during its destination's wait tells the client for how long to stay away.
 func TestARefusalTellsWhenToComeBack(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0))
 	m := r.msg(free, 1)
@@ -245,14 +245,14 @@
 	r.wantEnd(acts, Refuse, m.Message)
 	for _, a := range acts {
 		if a.Kind == Refuse && (a.After < 4*s || a.After > 6*s) {
-			t.Errorf("stay away for %v of the five seconds that the wait has left", a.After)
+			t.Errorf("told to stay away for %v, the wait has five seconds left", a.After)
 		}
 	}
 	n := r.msg(free, 2) // no endpoint, no wait
 	r.at(0, n)
 	for _, a := range r.at(s, Event{Kind: Tick, Mark: uint64(n.Message) + 1}) {
 		if a.Kind == Refuse && a.After != 0 {
-			t.Errorf("stay away for %v without a wait", a.After)
+			t.Errorf("told to stay away for %v without a wait", a.After)
 		}
 	}
 }
--- a/control/shut_test.go
+++ b/control/shut_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// traffic plays messages of a free class to destination 1.
+// traffic sends a steady stream of messages of the free class to destination 1.
 type traffic struct {
 	*rig
 	perSecond float64
-	answer    func(m MessageID, attempt int) Event // what becomes of a call, 100 ms later
+	answer    func(m MessageID, attempt int) Event // outcome of a call, 100 ms after it was sent
 	owed      float64
 	out       []due
 	tries     map[MessageID]int
@@ -31,7 +31,7 @@
 
 func accept(m MessageID, attempt int) Event { return done(m, attempt, OK) }
 
-// play goes on for a span and returns how many calls went out in each tenth of a second.
+// play runs for a span and returns the number of calls sent in each tenth of a second.
 func (r *traffic) play(span Time) (sends []int) {
 	const step = 20 * Millisecond
 	for end, n := r.now+span, 0; r.now < end; n++ {
@@ -55,7 +55,7 @@
 	return sends
 }
 
-// most is the greatest number of calls in so many tenths of a second.
+// maxInWindow returns the largest number of calls in any window of so many tenths of a second.
 func most(sends []int, window int) (n int) {
 	for i := range sends {
 		sum := 0
@@ -67,8 +67,7 @@
 	return n
 }
 
-// A destination that is shut tells when it opens. It is cold then: what was held for it in all that time must not go at
-// once.
+// A destination that is shut tells in a long wait when it opens. It is cold then, so the backlog must not be sent at once.
 func TestADestinationThatWasShutIsRampedFromTheEndOfItsWait(t *testing.T) {
 	t.Parallel()
 	r := newTraffic(t, 5)
@@ -77,14 +76,14 @@
 	r.answer = func(m MessageID, a int) Event { return full(m, a, opens-r.now) }
 	r.play(12 * s)
 	r.answer = accept
-	// It may be sent 2 times what it can do, and that is a fifth of the demand and a little more.
+	// It may get twice what it can do, which is a fifth of the demand and a little more.
 	if sends := r.play(2 * s); most(sends, 20) > 5 || most(sends, 20) == 0 {
 		t.Errorf("%d calls in its first two seconds, 1 to 5 are right: %v", most(sends, 20), sends)
 	}
 }
 
-// A wait as a limit tells it is no outage: no ramp follows. And what comes meanwhile is no sign that the limit is not felt
-// any more: the share that is let go does not grow by it.
+// A wait as long as rate limits tell is no outage, so no ramp follows. Messages that arrive during the wait must not raise
+// the allowance.
 func TestALimitsWaitStartsNoRampAndEarnsNoAllowance(t *testing.T) {
 	t.Parallel()
 	r := newTraffic(t, 5)
@@ -102,15 +101,15 @@
 		r.play(20 * Millisecond)
 	}
 	if r.d.ill(ep) {
-		t.Error("a told wait of 1.9 s makes a ramp")
+		t.Error("a told wait of 1.9 s starts a ramp")
 	}
 	if ep.limit.allowed(r.now) > allowCut+0.02 {
-		t.Errorf("a wait of 1.9 s brings the share that is let go from %v to %v", allowCut, ep.limit.allow)
+		t.Errorf("a wait of 1.9 s raises the allowance from %v to %v", allowCut, ep.limit.allow)
 	}
 }
 
-// The moment of a return is only guessed, half of the time too early: until it is warm for sure, what has gathered must
-// not all go in one burst.
+// The time of a return is an estimate, and half of the time too early. Until the endpoint is certain to be warm, the
+// backlog must not go in one burst.
 func TestARampDoesNotEndInABurstBeforeAllIsWarm(t *testing.T) {
 	t.Parallel()
 	r := newTraffic(t, 5)
@@ -123,17 +122,17 @@
 		t.Errorf("%d calls in two seconds of the warm-up, at a demand of 5 a second: %v", n, sends)
 	}
 	if n := most(r.play(20*s), 20); n <= 2*5+1 { // the first answer comes after a trial's pause at most
-		t.Errorf("the hold is not worked off when it is warm: %d calls in two seconds", n)
+		t.Errorf("the backlog is not sent when the endpoint is warm: %d calls in two seconds", n)
 	}
 }
 
-// Refusals at random hold nothing up, whatever their share and however many messages come; a true limit is found all the
-// same, and few of the calls are over it. Messages live 3 s, a call takes 4 ms, and no refusal tells a wait.
+// Random refusals delay nothing, whatever their share and the message rate. A real rate limit is detected all the same, and
+// few calls exceed it. Messages have a deadline of 3 s, a call takes 4 ms, and no refusal tells a wait.
 func TestChanceIsToldFromALimit(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		come, share, limit float64 // messages a second; share refused at random, or calls a second that the place takes
-		served             float64 // at least this part of the messages, of the limit where there is one
+		come, share, limit float64 // messages a second; share refused at random, or calls a second that the endpoint accepts
+		served             float64 // at least this share of the messages, or of the limit if there is one
 		p99, over          float64 // ms; calls over the limit a second
 	}{
 		{100, 0.01, 0, 0.99, 100, 0},
@@ -151,7 +150,7 @@
 		{100, 0, 80, 0.95, 3000, 2.5},
 		{1000, 0, 900, 0.95, 3000, 10},
 		{10, 0, 8, 0.99, 3000, 2},
-		{100, 0, 50, 0.95, 3000, 40}, // half of what comes: its calls are taken for chance at first
+		{100, 0, 50, 0.95, 3000, 40}, // half of the demand: its refusals seem random at first
 		{100, 0, 20, 0.95, 3000, 15},
 	} {
 		for seed := range uint64(4) {
@@ -164,14 +163,14 @@
 			t.Logf("%v of %v a second, seed %d: %.3f served, p99 %.0f ms, %.1f over the limit a second", c.share+c.limit, c.come,
 				seed, served, p99, over)
 			if served < c.served || p99 > c.p99 || over > c.over {
-				t.Errorf("not as in %+v", c)
+				t.Errorf("outside of the bounds %+v", c)
 			}
 		}
 	}
 }
 
-// refusing plays 12 s with a place that refuses, and returns the part of the messages that were served in time, the 99th
-// percentile of what these took in ms, and how many calls a second were refused.
+// playRefusals runs 12 s with an endpoint that refuses calls. It returns the share of messages served in time, the 99th
+// percentile of their latency in ms, and the number of refused calls a second.
 func refusing(t *testing.T, come, share, limit float64, seed uint64) (served, p99, refused float64) {
 	const (
 		step, span, takes, lives = 2 * Millisecond, 12 * s, 4 * Millisecond, 3 * s
@@ -222,8 +221,8 @@
 	return float64(len(lags)) / float64(r.id), lags[len(lags)*99/100], refused / span.Seconds()
 }
 
-// The only endpoint of a destination fails as it is replaced, and the list is late: its successor is well, and gets what
-// is held at once. After an outage it shares the destination's fate.
+// If the only endpoint of a destination fails because it is being replaced, and the list is late, its successor is healthy
+// and gets the backlog at once. If it had been down for longer, its successor starts cold.
 func TestAnEndpointThatReplacesOneThatFailedInLeavingIsWell(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -251,13 +250,13 @@
 		r.answer = accept
 		r.at(20*Millisecond, Event{Kind: List, Entries: []Entry{entry(1, 2, 0)}})
 		if cold := r.d.byID[ep(1, 2)].coldAt != 0; cold != c.cold {
-			t.Errorf("%s: the new endpoint is reckoned cold: %v", name, cold)
+			t.Errorf("%s: the new endpoint counts as cold: %v", name, cold)
 		}
 	}
 }
 
-// Two endpoints of a destination are silent and come back. The first answer of one starts its ramp and wipes what failed at
-// both: the other, at which little was tried, is no less cold.
+// Two endpoints of a destination give no response and then return. The first response of one starts its ramp and resets the
+// failures of both. The other one, which got few calls, is cold all the same.
 func TestTheSecondEndpointBackFromAnOutageIsRampedToo(t *testing.T) {
 	t.Parallel()
 	r := newTraffic(t, 5)
@@ -269,13 +268,13 @@
 		r.play(s / 10)
 	}
 	r.play(8 * s)
-	two.bad = 1 // one call found it silent, which alone makes no outage sure; and it is tried as the second
+	two.bad = 1 // a single timeout, which confirms no outage; it gets its trial after the other one
 	two.trialAt = r.now + 4*s
 	r.answer = accept
 	for one.suspect || two.suspect {
 		r.play(s / 50)
 	}
 	if one.coldAt == 0 || two.coldAt == 0 {
-		t.Errorf("cold since %d and %d, it is %d: one of the two counts as well", one.coldAt, two.coldAt, r.now)
+		t.Errorf("cold since %d and %d, it is %d: one of the two counts as healthy", one.coldAt, two.coldAt, r.now)
 	}
 }
