--- a/control/control.go
+++ b/control/control.go
@@ -34,8 +34,8 @@
 	slowFactor  = 3.0               // a destination is slow if its latency exceeds its baseline by this factor
 
 	// Trial calls to suspect endpoints.
-	trialGrow = 1.5        // growth of the gap to the next trial call, with each one
-	trialMost = 2 * Second // upper bound of that gap: a longer one wastes capacity of a returned endpoint
+	trialGrow = 1.5        // growth of the interval to the next trial call, with each one
+	trialMost = 2 * Second // its upper bound: a longer one wastes capacity of a returned endpoint
 	doubtFade = 4          // warm-ups within which an endpoint not seen since its failure may have become warm
 	doubtEnd  = 8          // warm-ups after which its trial calls are no longer limited by a ramp
 	trialPart = 0.5        // share of a ramp's rate that trial calls use, as new senders try the endpoint, too
@@ -51,22 +51,22 @@
 	chanceSure  = 0.05       // from this measured share on, refusals are tolerated for any number of calls ...
 	chanceFew   = 1.0        // ... otherwise only if at least this many random ones are expected
 	chanceDevs  = 3          // tolerated excess, in square roots of the expected number; 1 until measured
-	chanceTest  = 24         // calls at a low rate after a cut that measure the share ...
+	chanceTest  = 24         // calls well below the answered rate, after a cut, that measure the share ...
 	chanceFor   = Second     // ... if they go within this time; all of them weigh the same
 	chancePrior = 8          // calls that the earlier estimate counts for
-	chanceTells = 16         // low-rate calls after which random refusals may explain the cut ...
+	chanceTells = 16         // such calls after which random refusals may explain the cut ...
 	chanceSlack = 1.5        // ... if the share refused before it is at most this many times theirs
 	chanceWait  = Second / 2 // sooner after a cut and with fewer calls than that, refusals are only counted
-	lowPart     = 0.9        // up to this part of the answered rate, a rate is low
+	lowPart     = 0.9        // up to this part of the answered rate, a rate is well below it
 
-	// The allowance: the share of its demand that a destination is sent while it refuses calls.
-	allowCut   = 0.7  // factor on the allowance at a refusal
+	// The allowed share: how much of its demand a destination is sent while it refuses calls.
+	allowCut   = 0.7  // factor on the allowed share at a refusal
 	allowOK    = 0.1  // its growth by an OK, but no faster than this in a second ...
 	allowRise  = 0.05 // ... and by a message of the demand, at most two a second
 	leastAllow = 0.05 // its lower bound
 	heldAims   = 2    // a backlog adds demand as if it were sent within this many aims, times the square of ...
 	firstAgain = 0.3  // ... how often the call after a refusal succeeds; this is its initial value for a kind
-	unfelt     = 2.0  // from this allowance on, a limit no longer has an effect
+	unfelt     = 2.0  // from this allowed share on, a limit no longer has an effect
 
 	// Measured rates, bursts and ramps.
 	rateTau    = 2 * Second  // time constant of the measured rates
@@ -75,7 +75,7 @@
 	fadeTaus   = 4           // a demand counts for this many of its time constants after the last message
 	leaveLate  = 2           // overload spans by which the list may be late when a failing endpoint leaves
 	rateBurst  = 0.5         // seconds of the allowed rate that may go at once
-	burstMost  = 5           // most calls that an allowance lets go at once, unless rampTicks allow more
+	burstMost  = 5           // most calls that an allowed share lets go at once, unless rampBurstTicks do
 	roughSlack = 1.5         // a rough listed rate may be too low by this factor
 	rampMargin = 1.5         // a ramp's rate over own demand x warmth; below tip-multiple
 	rampHold   = 1.0         // warm-ups after a return until the whole backlog may go at once
@@ -136,7 +136,7 @@
 	short    bool    // messages wait for want of slots
 	paused   bool    // nothing can be sent
 	more     bool    // this Step left work to the next
-	keysRest Time    // new keys rest until then: calls of an earlier process may still run
+	keysRest Time    // new keys are blocked until then: calls of an earlier process may run
 
 	rounds  // which destinations a round scans: rounds.go
 	lookout // which calls have to be checked, and which destination has least to lose: lookout.go
@@ -205,6 +205,7 @@
 	return d.out
 }
 
+// handleEvent applies one event.
 func (d *Dispatcher) handle(e *Event) {
 	switch e.Kind {
 	case Arrival:
@@ -232,6 +233,7 @@
 
 // ---- Messages: arrival, queueing, end ----
 
+// handleArrival accepts a message and queues it if it may be sent now as far as its order key is concerned.
 func (d *Dispatcher) arrive(e *Event) {
 	if d.msgs[e.Message] != nil {
 		return
@@ -261,7 +263,7 @@
 	d.rouse(m.dest)
 	d.open++
 	m.dest.open++
-	if !e.Resent { // a backlog of resent messages must not inflate the ramp of a destination that returns
+	if !e.Resent { // ramps and shares are sized by the demand, and resends must not overload a return
 		m.dest.demand.came(d.now, age)
 		d.repace(m.dest)
 	}
@@ -306,7 +308,7 @@
 		k.queue = k.queue[1:]
 	}
 	if len(k.queue) == 0 {
-		if !k.parked { // later messages with this key have to wait for its rest: it is kept until that ends
+		if !k.parked { // it may still block later messages, so it is kept for a while
 			k.parked = true
 			d.resting = append(d.resting, k)
 		}
@@ -320,7 +322,7 @@
 }
 
 // enqueue puts a message into its queue, in order of arrival. A destination whose queues were all empty takes
-// the least counter of the others.
+// the least virtual time of the others.
 func (d *Dispatcher) hold(m *message) {
 	t := m.dest
 	d.rouse(t)
@@ -406,7 +408,7 @@
 
 // ---- Sending: turns and windows ----
 
-// dispatch gives free slots to the destinations with the smallest counters. Slots are short if a message
+// dispatch gives free slots to the destinations with the smallest virtual times. Slots are short if a message
 // could be sent but for the want of one.
 func (d *Dispatcher) dispatch() {
 	d.wasShort, d.short = d.short, false
@@ -572,7 +574,7 @@
 // maxWindow returns the most calls that one destination may have out: less than three quarters of the slots.
 func (d *Dispatcher) ceiling() int { return max(1, (3*d.set.Slots+3)/4-1) }
 
-// destUnhealthy reports whether a destination is slow or has a suspect endpoint.
+// destinationUnhealthy reports whether a destination is slow or has a suspect endpoint.
 func (d *Dispatcher) sick(t *dest) bool {
 	return t.lat.mean > slowFactor*t.base || slices.ContainsFunc(t.eps, doubted)
 }
@@ -626,6 +628,8 @@
 
 // ---- Outcomes, and what is learned from them ----
 
+// handleOutcome ends an attempt. The message is queued again, or ends if it was delivered or has no attempt
+// left.
 func (d *Dispatcher) outcome(e *Event) {
 	m := d.msgs[e.Message]
 	if m == nil || m.out == nil || m.tries-1 != e.Attempt {
@@ -663,10 +667,10 @@
 	}
 }
 
-// slotCost returns what a call adds to its destination's counter: the seconds that it held a slot, divided by
-// the destination's listed weight. Where no weights are listed, the rate of its arrivals takes their place,
-// so that a destination with most of the traffic gets more of scarce slots than the others. Risk: one that is
-// flooded takes slots from them.
+// slotCost returns what a call adds to its destination's virtual time: the seconds that it held a slot,
+// divided by the destination's listed weight. Where no weights are listed, the rate of its arrivals takes
+// their place, so that a destination with most of the traffic gets more of scarce slots than the others.
+// Risk: one that is flooded takes slots from them.
 func (d *Dispatcher) charge(t *dest, held Time) float64 {
 	if d.set.Weights != WeightNone {
 		return held.Seconds() / t.share
@@ -705,6 +709,7 @@
 	d.left = append(d.left, c.ep)
 }
 
+// learnOutcome updates what is known of an endpoint and its destination by the outcome of a call.
 func (d *Dispatcher) learn(c *call, e *Event) {
 	ep, t := c.ep, c.ep.dest
 	if i := d.set.ReportLimit; i >= 0 && i < len(e.Report) && e.Report[i] > 0 {
@@ -746,6 +751,7 @@
 	return t.kind.latency()
 }
 
+// latency returns the mean latency and mean deviation of a kind, or assumed ones before the first response.
 func (k *kind) latency() (mean, dev float64) {
 	if k.lat.n > 0 {
 		return k.lat.mean, k.lat.dev
@@ -771,10 +777,13 @@
 	return silent(mean, dev, min(devs, lostDevs-math.Log(d.lost)), t.lat.n)
 }
 
+// timeoutFor returns the response timeout for a latency of n samples. It is longer with few samples.
 func silent(mean, dev, devs, n float64) Time {
 	return max(leastSilent, Time(mean+dev*devs*(1+1/(1+n))))
 }
 
+// recordSuccess handles a call answered with OK: it raises the allowed share, ends a suspicion, and starts
+// ramps if the endpoint is back from an outage.
 func (d *Dispatcher) succeeded(ep *endpoint, c *call) {
 	ep.okSent = max(ep.okSent, c.sent)
 	p := ep.limit
@@ -911,7 +920,7 @@
 	}
 }
 
-// recordRefusal handles a refusal: it cuts the allowance and, if no wait was told, starts a backoff. A
+// recordRefusal handles a refusal: it cuts the allowed share and, if no wait was told, starts a backoff. A
 // refusal without a told wait that may be a random one has neither effect.
 func (d *Dispatcher) refused(ep *endpoint, c *call, wait Time) {
 	p, k := ep.limit, ep.dest.kind
@@ -945,7 +954,7 @@
 	p.cutFor, p.lowTo = max(p.cutFor, part), lowPart*was*(1-part)
 	p.cutAt, p.lows, p.no, p.all = d.now, 0, d.answers(), d.answers()
 	p.allow, p.allowAt = max(min(was*allowCut, p.lowTo), leastAllow), max(d.now, p.wait)
-	p.tokens.Limit(d.now, d.random()) // retries have to stay within the allowance, too
+	p.tokens.Limit(d.now, d.random()) // retries have to stay within the allowed share, too
 }
 
 // refusalsTolerated reports whether there were no more refusals since the last cut than random ones explain.
@@ -1252,6 +1261,10 @@
 	})
 }
 
-func doubted(ep *endpoint) bool              { return ep.suspect }
-func (d *Dispatcher) ill(ep *endpoint) bool  { return ep.suspect || d.cold(ep, d.now) }
+func doubted(ep *endpoint) bool { return ep.suspect }
+
+// unhealthy reports whether an endpoint is suspect or cold.
+func (d *Dispatcher) ill(ep *endpoint) bool { return ep.suspect || d.cold(ep, d.now) }
+
+// healthy reports whether an endpoint is listed ready and not unhealthy.
 func (d *Dispatcher) well(ep *endpoint) bool { return ep.health == Ready && !d.ill(ep) }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -172,8 +172,9 @@
 	}
 }
 
-// One slot, two destinations. A's call holds the slot for 2 s, so A's counter is 2. B, which was idle, takes the least
-// other counter, 0. B goes first, for 1 s. Its counter of 1 is still the smaller one, so it goes again. At 3 it is A's turn.
+// One slot, two destinations. A's call holds the slot for 2 s, so A's virtual time is 2. B, which was idle, takes the least
+// other virtual time, 0. B goes first, for 1 s. Its virtual time of 1 is still the smaller one, so it goes again. When B
+// is at 3, it is A's turn.
 func TestTurnsBySlotTime(t *testing.T) {
 	set := testSettings()
 	set.Slots = 1
@@ -184,7 +185,7 @@
 	r.want(r.at(s, done(3, 0, OK)), 4)
 	r.want(r.at(2*s, done(4, 0, OK)), 2)
 	if a, b := r.d.byNo[1].acc, r.d.byNo[2].acc; a != 2 || b != 3 {
-		t.Errorf("counters %v and %v, want 2 and 3", a, b)
+		t.Errorf("virtual times %v and %v, want 2 and 3", a, b)
 	}
 }
 
@@ -211,12 +212,12 @@
 	r.d.use(r.d.byNo[2])
 	r.at(s/10, r.msg(free, 3))
 	if got := r.d.byNo[3].acc; got != 5 {
-		t.Errorf("restarted with counter %v, want 5", got)
+		t.Errorf("restarted with virtual time %v, want 5", got)
 	}
 	r.at(s/10, done(1, 0, OK), done(2, 0, OK), done(3, 0, OK))
 	r.at(s/10, r.msg(free, 1))
 	if got := r.d.byNo[1].acc; got != 0 {
-		t.Errorf("restarted alone with counter %v, want 0: idle counters are dropped", got)
+		t.Errorf("restarted alone with virtual time %v, want 0: idle virtual times are dropped", got)
 	}
 }
 
@@ -563,7 +564,7 @@
 	}
 	n /= 2
 	if p.allowed(r.now) < 1 || served < n*8/10 {
-		t.Errorf("allowance %v after 24 s, %d of %d served", p.allow, served, n)
+		t.Errorf("allowed share %v after 24 s, %d of %d served", p.allow, served, n)
 	}
 }
 
--- a/control/hard_test.go
+++ b/control/hard_test.go
@@ -113,7 +113,7 @@
 				t.Fatalf("%d messages are left, and the Step does not ask for the next one at once", n-sent)
 			}
 		}
-		if y.now > until+10*Second { // the refusals cut the allowance, and it grows slowly with rare traffic
+		if y.now > until+10*Second { // the refusals cut the allowed share, which grows slowly with rare traffic
 			t.Fatalf("%d of %d sent in %d Steps", sent, n, steps)
 		}
 	}
--- a/control/shut_test.go
+++ b/control/shut_test.go
@@ -83,7 +83,7 @@
 }
 
 // A wait as long as rate limits tell is no outage, so no ramp follows. Messages that arrive during the wait must not raise
-// the allowance.
+// the allowed share.
 func TestALimitsWaitStartsNoRampAndEarnsNoAllowance(t *testing.T) {
 	t.Parallel()
 	r := newTraffic(t, 5)
@@ -104,7 +104,7 @@
 		t.Error("a told wait of 1.9 s starts a ramp")
 	}
 	if ep.limit.allowed(r.now) > allowCut+0.02 {
-		t.Errorf("a wait of 1.9 s raises the allowance from %v to %v", allowCut, ep.limit.allow)
+		t.Errorf("a wait of 1.9 s raises the allowed share from %v to %v", allowCut, ep.limit.allow)
 	}
 }
 
