--- a/control/control.go
+++ b/control/control.go
@@ -26,47 +26,51 @@
 	firstLat    = 400 * Millisecond // assumed before the first response
 	leastSilent = 300 * Millisecond // no shorter silence is suspicious, as short pauses are common
 	failStreak  = 5                 // consecutive errors that make an endpoint suspect
-	sureAfter   = 2                 // consecutive failed connects or timeouts that confirm an outage ...
-	sureLost    = 6                 // ... and how many more, times the share of lost responses
-	lostGain    = 1.0 / 8           // weight of a new call in that share, and in those known by kind
-	leastLost   = 0.01              // lower bound of that share
-	lostDevs    = 1                 // deviations in a timeout, and one more for each factor e in 1/that share
-	slowFactor  = 3.0               // a destination is slow if its latency exceeds its baseline by this factor
+	sureAfter   = 2                 // consecutive failed connects or timeouts that confirm an outage
+	sureLost    = 6                 // further ones needed for it, times the share of lost responses
+	lostGain    = 1.0 / 8           // weight of a new call in the share of lost responses, and in the shares of a kind
+	leastLost   = 0.01              // lower bound of the share of lost responses
+	// Deviations in a timeout if all responses get lost. A share smaller by a factor e adds one deviation.
+	lostDevs   = 1
+	slowFactor = 3.0 // a destination is slow if its latency exceeds its baseline by this factor
 
 	// Trial calls to suspect endpoints.
-	trialGrow = 1.5        // growth of the interval to the next trial call, with each one
-	trialMost = 2 * Second // its upper bound: a longer one wastes capacity of a returned endpoint
+	trialGrow = 1.5        // factor by which the interval to the next trial call grows with each one
+	trialMost = 2 * Second // upper bound of that interval: a longer one wastes capacity of a returned endpoint
 	doubtFade = 4          // warm-ups within which an endpoint not seen since its failure may have become warm
-	doubtEnd  = 8          // warm-ups after which its trial calls are no longer limited by a ramp
+	doubtEnd  = 8          // warm-ups after a failure until a ramp no longer limits the trial calls
 	trialPart = 0.5        // share of a ramp's rate that trial calls use, as new senders try the endpoint, too
 
 	// Backoff after a refusal that told no wait.
-	backoffBase = 100 * Millisecond // the first one; it doubles with each further refusal
-	backoffMost = 4 * Second        // upper bound
-	pauseCalls  = 8                 // the first one lasts no longer than this many messages take to arrive
+	backoffBase = 100 * Millisecond // first backoff; each further one in a row is twice as long
+	backoffMost = 4 * Second        // upper bound of a backoff
+	pauseCalls  = 8                 // the first backoff lasts no longer than this many messages take to arrive
 
 	// Refusals at random, as opposed to those of a rate limit.
-	chanceFirst = 0.06       // share of calls assumed to be refused at random until it is measured
-	chanceMost  = 0.25       // a larger refused share is a rate limit
-	chanceSure  = 0.05       // from this measured share on, refusals are tolerated for any number of calls ...
-	chanceFew   = 1.0        // ... otherwise only if at least this many random ones are expected
-	chanceDevs  = 3          // tolerated excess, in square roots of the expected number; 1 until measured
-	chanceTest  = 24         // calls well below the answered rate, after a cut, that measure the share ...
-	chanceFor   = Second     // ... if they go within this time; all of them weigh the same
-	chancePrior = 8          // calls that the earlier estimate counts for
-	chanceTells = 16         // such calls after which random refusals may explain the cut ...
-	chanceSlack = 1.5        // ... if the share refused before it is at most this many times theirs
-	chanceWait  = Second / 2 // sooner after a cut and with fewer calls than that, refusals are only counted
-	lowPart     = 0.9        // up to this part of the answered rate, a rate is well below it
+	chanceFirst = 0.06   // share of calls assumed to be refused at random until it is measured
+	chanceMost  = 0.25   // a larger refused share is a rate limit
+	chanceSure  = 0.05   // from this measured share on, refusals are tolerated for any number of calls
+	chanceFew   = 1.0    // below that share they are tolerated if at least this many random ones are expected
+	chanceDevs  = 3      // tolerated excess of refusals, in square roots of the expected number; 1 until measured
+	chanceTest  = 24     // calls well below the answered rate that measure the share after a cut; all weigh the same
+	chanceFor   = Second // time after a cut within which these calls have to go
+	chancePrior = 8      // calls that the estimate from before these calls counts for
+	chanceTells = 16     // calls well below the answered rate after which random refusals may explain the cut
+	chanceSlack = 1.5    // they do if the refused share before the cut is at most this many times theirs
+	// Sooner after a cut, and before chanceTells calls, refusals are only counted if that many are soon due.
+	chanceWait = Second / 2
+	lowPart    = 0.9 // up to this part of the answered rate, a rate is well below it
 
 	// The allowed share: how much of its demand a destination is sent while it refuses calls.
 	allowCut   = 0.7  // factor on the allowed share at a refusal
-	allowOK    = 0.1  // its growth by an OK, but no faster than this in a second ...
-	allowRise  = 0.05 // ... and by a message of the demand, at most two a second
-	leastAllow = 0.05 // its lower bound
-	heldAims   = 2    // a backlog adds demand as if it were sent within this many aims, times the square of ...
-	firstAgain = 0.3  // ... how often the call after a refusal succeeds; this is its initial value for a kind
-	unfelt     = 2.0  // from this allowed share on, a limit no longer has an effect
+	allowOK    = 0.1  // growth of the allowed share by an OK, and the most by OKs in one second
+	allowRise  = 0.05 // growth of the allowed share by a message of the demand, at most two a second
+	leastAllow = 0.05 // lower bound of the allowed share
+	// A backlog adds demand as if it were sent within this many aims, times the square of the kind's share of
+	// calls that succeed after a refusal.
+	heldAims   = 2
+	firstAgain = 0.3 // initial value of that share
+	unfelt     = 2.0 // from this allowed share on, a limit no longer has an effect
 
 	// Measured rates, bursts and ramps.
 	rateTau    = 2 * Second  // time constant of the measured rates
@@ -75,7 +79,7 @@
 	fadeTaus   = 4           // a demand counts for this many of its time constants after the last message
 	leaveLate  = 2           // overload spans by which the list may be late when a failing endpoint leaves
 	rateBurst  = 0.5         // seconds of the allowed rate that may go at once
-	burstMost  = 5           // most calls that an allowed share lets go at once, unless rampBurstTicks do
+	burstMost  = 5           // most calls that an allowed share lets go at once, if rampTicks do not allow more
 	roughSlack = 1.5         // a rough listed rate may be too low by this factor
 	rampMargin = 1.5         // a ramp's rate over own demand x warmth; below tip-multiple
 	rampHold   = 1.0         // warm-ups after a return until the whole backlog may go at once
@@ -90,8 +94,8 @@
 
 	// Choice of messages.
 	overMargin = 1.1               // a tenant is over its share when it exceeds it by this factor
-	leastAhead = 500 * Millisecond // bounds on the estimated queue delay; the upper one ...
-	mostAhead  = 8 * Second        // ... keeps a stalled queue comparable with a busy one
+	leastAhead = 500 * Millisecond // lower bound of the estimated queue delay
+	mostAhead  = 8 * Second        // its upper bound, which keeps a stalled queue comparable with a busy one
 	leastFlow  = 0.2               // calls a second assumed for a destination that answers nothing
 	worthTie   = 0.01              // share of its worth that counts for a message that loses nothing by waiting
 
@@ -231,8 +235,6 @@
 	}
 }
 
-// ---- Messages: arrival, queueing, end ----
-
 // handleArrival accepts a message and queues it if it may be sent now as far as its order key is concerned.
 func (d *Dispatcher) arrive(e *Event) {
 	if d.msgs[e.Message] != nil {
@@ -406,8 +408,6 @@
 	return worst, least
 }
 
-// ---- Sending: turns and windows ----
-
 // dispatch gives free slots to the destinations with the smallest virtual times. Slots are short if a message
 // could be sent but for the want of one.
 func (d *Dispatcher) dispatch() {
@@ -626,8 +626,6 @@
 	t.ends, t.badEnds = 0, 0
 }
 
-// ---- Outcomes, and what is learned from them ----
-
 // handleOutcome ends an attempt. The message is queued again, or ends if it was delivered or has no attempt
 // left.
 func (d *Dispatcher) outcome(e *Event) {
@@ -996,8 +994,6 @@
 	return p.cutAt > 0 && p.lows < chanceTest && d.now-p.cutAt < chanceFor
 }
 
-// ---- Connections ----
-
 // maxIdleAge returns the age up to which an idle connection is used.
 func (d *Dispatcher) keep(t *dest) Time {
 	return min(d.set.ConnIdle, Time(keepShare*float64(t.kind.keep)))
@@ -1032,8 +1028,6 @@
 	return 0
 }
 
-// ---- Health ----
-
 // checkCalls records a failure where the oldest call of an endpoint has been out for longer than the response
 // timeout. It abandons old calls if later ones were answered or the endpoint is suspect. Calls with messages
 // that can't be sent again are abandoned only where messages wait for slots. It protects from hangs, lost
--- a/control/order.go
+++ b/control/order.go
@@ -10,12 +10,14 @@
 	list []ranked[K]
 }
 
+// heapEntry is a destination in a heap with its key.
 type ranked[K cmp.Ordered] struct {
 	key K
 	seq uint64
 	t   *dest
 }
 
+// less reports whether an entry comes before another: by key, and by sequence number if the keys are equal.
 func (a *ranked[K]) before(b *ranked[K]) bool {
 	return a.key < b.key || a.key == b.key && a.seq < b.seq
 }
@@ -96,6 +98,7 @@
 	o.list = o.list[:0]
 }
 
+// siftUp moves the entry at a position up to its place, and reports whether it moved.
 func (o *order[K]) up(at int) (moved bool) {
 	x := o.list[at]
 	for at > 0 {
@@ -112,6 +115,7 @@
 	return moved
 }
 
+// siftDown moves the entry at a position down to its place.
 func (o *order[K]) down(at int) {
 	x := o.list[at]
 	for {
