--- a/control/order.go
+++ b/control/order.go
@@ -5,134 +5,136 @@
 // destinationHeap is a binary heap of destinations, ordered by a key and then by a sequence number. Each destination
 // stores its position in each heap, so that it can be moved or removed from anywhere. The heap keeps memory for as many
 // entries as it ever held at once.
-type order[K cmp.Ordered] struct {
-	no   int // of this heap's entry in a destination's places
-	list []ranked[K]
+type destinationHeap[K cmp.Ordered] struct {
+	index   int // of this heap's entry in a destination's places
+	entries []heapEntry[K]
 }
 
 // heapEntry is a destination in a heap with its key.
-type ranked[K cmp.Ordered] struct {
-	key K
-	seq uint64
-	t   *dest
+type heapEntry[K cmp.Ordered] struct {
+	key         K
+	seq         uint64
+	destination *destination
 }
 
 // less reports whether an entry comes before another: by key, and by sequence number if the keys are equal.
-func (a *ranked[K]) before(b *ranked[K]) bool {
+func (a *heapEntry[K]) less(b *heapEntry[K]) bool {
 	return a.key < b.key || a.key == b.key && a.seq < b.seq
 }
 
 // contains reports whether a destination is in the heap.
-func (o *order[K]) has(t *dest) bool { return t.places[o.no] > 0 }
+func (o *destinationHeap[K]) contains(t *destination) bool { return t.heapPositions[o.index] > 0 }
 
 // set adds a destination, or changes its key.
-func (o *order[K]) put(t *dest, key K, seq uint64) {
-	at := t.places[o.no] - 1
+func (o *destinationHeap[K]) set(t *destination, key K, seq uint64) {
+	at := t.heapPositions[o.index] - 1
 	if at < 0 {
-		at = len(o.list)
-		o.list = append(o.list, ranked[K]{key, seq, t})
-		t.places[o.no] = at + 1
-	} else if old := &o.list[at]; old.key == key && old.seq == seq {
+		at = len(o.entries)
+		o.entries = append(o.entries, heapEntry[K]{key, seq, t})
+		t.heapPositions[o.index] = at + 1
+	} else if old := &o.entries[at]; old.key == key && old.seq == seq {
 		return
 	} else {
 		old.key, old.seq = key, seq
 	}
-	if !o.up(at) {
-		o.down(at)
+	if !o.siftUp(at) {
+		o.siftDown(at)
 	}
 }
 
 // lowerKey is like set, but keeps the key of a destination whose key is no larger.
-func (o *order[K]) sooner(t *dest, key K, seq uint64) {
-	if at := t.places[o.no] - 1; at < 0 || key < o.list[at].key {
-		o.put(t, key, seq)
+func (o *destinationHeap[K]) lowerKey(t *destination, key K, seq uint64) {
+	if at := t.heapPositions[o.index] - 1; at < 0 || key < o.entries[at].key {
+		o.set(t, key, seq)
 	}
 }
 
 // remove removes a destination, if the heap contains it.
-func (o *order[K]) drop(t *dest) {
-	at := t.places[o.no] - 1
+func (o *destinationHeap[K]) remove(t *destination) {
+	at := t.heapPositions[o.index] - 1
 	if at < 0 {
 		return
 	}
-	last := len(o.list) - 1
+	last := len(o.entries) - 1
 	if at != last {
-		o.list[at] = o.list[last]
-		o.list[at].t.places[o.no] = at + 1
+		o.entries[at] = o.entries[last]
+		o.entries[at].destination.heapPositions[o.index] = at + 1
 	}
-	o.list[last] = ranked[K]{}
-	o.list = o.list[:last]
-	t.places[o.no] = 0
-	if at < last && !o.up(at) {
-		o.down(at)
+	o.entries[last] = heapEntry[K]{}
+	o.entries = o.entries[:last]
+	t.heapPositions[o.index] = 0
+	if at < last && !o.siftUp(at) {
+		o.siftDown(at)
 	}
 }
 
-// first returns the destination with the least key, nil if there is none.
-func (o *order[K]) first() *dest {
-	if len(o.list) == 0 {
+// firstDestination returns the destination with the least key, nil if there is none.
+func (o *destinationHeap[K]) first() *destination {
+	if len(o.entries) == 0 {
 		return nil
 	}
-	return o.list[0].t
+	return o.entries[0].destination
 }
 
 // isDue reports whether the least key is until or less.
-func (o *order[K]) isDue(until K) bool { return len(o.list) > 0 && o.list[0].key <= until }
+func (o *destinationHeap[K]) isDue(until K) bool {
+	return len(o.entries) > 0 && o.entries[0].key <= until
+}
 
 // popDue removes and returns the first destination if its key is until or less, otherwise it returns nil.
-func (o *order[K]) due(until K) *dest {
+func (o *destinationHeap[K]) popDue(until K) *destination {
 	if !o.isDue(until) {
 		return nil
 	}
-	t := o.list[0].t
-	o.drop(t)
+	t := o.entries[0].destination
+	o.remove(t)
 	return t
 }
 
 // clear removes all destinations.
-func (o *order[K]) clear() {
-	for i := range o.list {
-		o.list[i].t.places[o.no] = 0
+func (o *destinationHeap[K]) clear() {
+	for i := range o.entries {
+		o.entries[i].destination.heapPositions[o.index] = 0
 	}
-	clear(o.list)
-	o.list = o.list[:0]
+	clear(o.entries)
+	o.entries = o.entries[:0]
 }
 
 // siftUp moves the entry at a position up to its place, and reports whether it moved.
-func (o *order[K]) up(at int) (moved bool) {
-	x := o.list[at]
+func (o *destinationHeap[K]) siftUp(at int) (moved bool) {
+	x := o.entries[at]
 	for at > 0 {
 		above := (at - 1) / 2
-		if !x.before(&o.list[above]) {
+		if !x.less(&o.entries[above]) {
 			break
 		}
-		o.list[at] = o.list[above]
-		o.list[at].t.places[o.no] = at + 1
+		o.entries[at] = o.entries[above]
+		o.entries[at].destination.heapPositions[o.index] = at + 1
 		at, moved = above, true
 	}
-	o.list[at] = x
-	x.t.places[o.no] = at + 1
+	o.entries[at] = x
+	x.destination.heapPositions[o.index] = at + 1
 	return moved
 }
 
 // siftDown moves the entry at a position down to its place.
-func (o *order[K]) down(at int) {
-	x := o.list[at]
+func (o *destinationHeap[K]) siftDown(at int) {
+	x := o.entries[at]
 	for {
 		below := 2*at + 1
-		if below >= len(o.list) {
+		if below >= len(o.entries) {
 			break
 		}
-		if right := below + 1; right < len(o.list) && o.list[right].before(&o.list[below]) {
+		if right := below + 1; right < len(o.entries) && o.entries[right].less(&o.entries[below]) {
 			below = right
 		}
-		if !o.list[below].before(&x) {
+		if !o.entries[below].less(&x) {
 			break
 		}
-		o.list[at] = o.list[below]
-		o.list[at].t.places[o.no] = at + 1
+		o.entries[at] = o.entries[below]
+		o.entries[at].destination.heapPositions[o.index] = at + 1
 		at = below
 	}
-	o.list[at] = x
-	x.t.places[o.no] = at + 1
+	o.entries[at] = x
+	x.destination.heapPositions[o.index] = at + 1
 }
