--- a/control/control.go
+++ b/control/control.go
@@ -18,93 +18,94 @@
 	windowsPerRevision   = 4   // completions between two revisions of a window, as a multiple of the window
 	maxCleanFailureShare = 0.1 // an interval with a larger share of failed calls is not clean
 
-	// Latency, response timeouts and outages.
-	latencyGain          = 1.0 / 8           // weight of a new latency sample
-	baselineGain         = 1.0 / 64          // its weight in the long-term baseline that slowness is measured against
-	latencyPriorCount    = 2                 // samples that the latency of the kind counts for
-	timeoutDeviations    = 6                 // most deviations above the mean in a timeout; more with few samples
-	initialLatency       = 400 * Millisecond // assumed before the first response
-	minResponseTimeout   = 300 * Millisecond // no shorter silence is suspicious, as short pauses are common
-	errorStreakLimit     = 5                 // consecutive errors that make an endpoint suspect
-	failuresToConfirm    = 2                 // consecutive failed connects or timeouts that confirm an outage
-	failuresPerLostShare = 6                 // further ones needed for it, times the share of lost responses
-	lostGain             = 1.0 / 8           // weight of a new call in the share of lost responses, and in the shares of a kind
-	minLostShare         = 0.01              // lower bound of the share of lost responses
-	// Deviations in a timeout if all responses get lost. A share smaller by a factor e adds one deviation.
-	lostDeviations = 1
-	slowFactor     = 3.0 // a destination is slow if its latency exceeds its baseline by this factor
+	// Latency and response timeouts.
+	latencyGain        = 1.0 / 8           // weight of a new latency sample
+	baselineGain       = 1.0 / 64          // weight of a new sample in the long-term latency
+	latencyPriorCount  = 2                 // samples that the latency of the kind counts for
+	timeoutDeviations  = 6                 // most deviations above the mean in a timeout; more with few samples
+	initialLatency     = 400 * Millisecond // assumed before the first response
+	minResponseTimeout = 300 * Millisecond // no shorter silence is suspicious: short pauses are common
+
+	// Failures and outages.
+	errorStreakLimit     = 5       // consecutive errors that make an endpoint suspect
+	failuresToConfirm    = 2       // consecutive failed connects or timeouts that confirm an outage
+	failuresPerLostShare = 6       // additional failures to confirm an outage, per share of lost responses
+	lostGain             = 1.0 / 8 // weight of a new call in the share of lost responses and in shares by kind
+	minLostShare         = 0.01    // lower bound of the share of lost responses
+	lostDeviations       = 1       // deviations in a timeout, plus one for each factor e in 1/lostShare
+	slowFactor           = 3.0     // a slow destination's latency exceeds its long-term latency by this factor
 
 	// Trial calls to suspect endpoints.
-	trialIntervalGrowth = 1.5        // factor by which the interval to the next trial call grows with each one
-	maxTrialInterval    = 2 * Second // upper bound of that interval: a longer one wastes capacity of a returned endpoint
-	unseenWarmUps       = 4          // warm-ups within which an endpoint not seen since its failure may have become warm
-	maxUnseenWarmUps    = 8          // warm-ups after a failure until a ramp no longer limits the trial calls
-	trialShare          = 0.5        // share of a ramp's rate that trial calls use, as new senders try the endpoint, too
+	trialIntervalGrowth = 1.5        // factor on the interval to the next trial call, with each trial call
+	maxTrialInterval    = 2 * Second // a longer interval would waste what a returned endpoint can do
+	unseenWarmUps       = 4          // warm-ups within which an endpoint unseen since it failed may get warm
+	maxUnseenWarmUps    = 8          // warm-ups after a failure until a ramp no longer limits trial calls
+	trialShare          = 0.5        // share of a ramp's rate for trial calls, as new senders try it, too
 
 	// Backoff after a refusal that told no wait.
-	initialBackoff     = 100 * Millisecond // first backoff; each further one in a row is twice as long
+	initialBackoff     = 100 * Millisecond // the first one in a row; each further one is twice as long
 	maxBackoff         = 4 * Second        // upper bound of a backoff
-	maxBackoffMessages = 8                 // the first backoff lasts no longer than this many messages take to arrive
+	maxBackoffMessages = 8                 // the first backoff ends once this many messages should have arrived
 
 	// Refusals at random, as opposed to those of a rate limit.
-	initialRandomShare  = 0.06   // weight of calls assumed to be refused at random until it is measured
-	maxRandomShare      = 0.25   // a larger refused share is a rate limit
-	measuredRandomShare = 0.05   // from this measured share on, refusals are tolerated for any number of calls
-	minExpectedRefusals = 1.0    // below that share they are tolerated if at least this many random ones are expected
-	randomDeviations    = 3      // tolerated excess of refusals, in square roots of the expected number; 1 until measured
-	randomTestCalls     = 24     // calls well below the answered rate that measure the share after a cut; all weigh the same
-	randomTestDuration  = Second // time after a cut within which these calls have to go
-	randomPriorCalls    = 8      // calls that the estimate from before these calls counts for
-	randomDecisionCalls = 16     // calls well below the answered rate after which random refusals may explain the cut
-	randomCutFactor     = 1.5    // they do if the refused share before the cut is at most this many times theirs
-	// Sooner after a cut, and before randomDecisionCalls calls, refusals are only counted if that many are soon due.
-	cutGracePeriod = Second / 2
-	wellBelowPart  = 0.9 // up to this part of the answered rate, a rate is well below it
+	initialRandomShare  = 0.06       // share of calls assumed to be refused at random until it is measured
+	maxRandomShare      = 0.25       // a larger refused share is a rate limit
+	measuredRandomShare = 0.05       // a measured share from this on is tolerated with any number of calls
+	minExpectedRefusals = 1.0        // a smaller share is tolerated if it makes this many refusals expected
+	randomDeviations    = 3          // tolerated excess in square roots of the expected number; 1 until measured
+	randomTestCalls     = 24         // calls well below the answered rate, equally weighted, per measurement
+	randomTestDuration  = Second     // time after a cut in which calls measure the share
+	randomPriorCalls    = 8          // calls that the earlier estimate of the share counts for
+	randomDecisionCalls = 16         // calls of a measurement after which it may explain the cut
+	randomCutFactor     = 1.5        // a share explains a cut after at most this many times as many refusals
+	cutGracePeriod      = Second / 2 // sooner after a cut and with few calls, only many refusals cut again
+	wellBelowPart       = 0.9        // rates up to this part of the answered rate are well below it
 
 	// The allowed share: how much of its demand a destination is sent while it refuses calls.
 	allowedShareCut        = 0.7  // factor on the allowed share at a refusal
-	allowedSharePerOK      = 0.1  // growth of the allowed share by an OK, and the most by OKs in one second
-	allowedSharePerMessage = 0.05 // growth of the allowed share by a message of the demand, at most two a second
+	allowedSharePerOK      = 0.1  // growth by an OK, and the most growth by OKs in one second
+	allowedSharePerMessage = 0.05 // growth by a message of the demand, for two messages a second at most
 	minAllowedShare        = 0.05 // lower bound of the allowed share
-	// A backlog adds demand as if it were sent within this many aims, times the square of the kind's share of
-	// calls that succeed after a refusal.
+	// A backlog counts as demand as if it were sent within this many aims, times the square of the kind's share
+	// of calls that succeed right after a refusal.
 	backlogAims         = 2
-	initialRetrySuccess = 0.3 // initial value of that share
-	unlimitedShare      = 2.0 // from this allowed share on, a limit no longer has an effect
+	initialRetrySuccess = 0.3 // share of calls assumed to succeed right after a refusal until it is measured
+	unlimitedShare      = 2.0 // from this allowed share on, a limit has no effect any more
 
 	// Measured rates, bursts and ramps.
 	rateTau             = 2 * Second  // time constant of the measured rates
 	initialMeterHistory = Second / 2  // history assumed for a rate that has just begun to be measured
 	demandTau           = 10 * Second // time constant of the demand that ramps and shares are sized by
-	demandFadeTaus      = 4           // a demand counts for this many of its time constants after the last message
-	listDelaySpans      = 2           // overload spans by which the list may be late when a failing endpoint leaves
+	demandFadeTaus      = 4           // times demandTau, the time for which demand counts if no more arrives
+	listDelaySpans      = 2           // overload spans that the list may be late when a failing endpoint leaves
 	rateBurstSeconds    = 0.5         // seconds of the allowed rate that may go at once
-	maxBurstCalls       = 5           // most calls that an allowed share lets go at once, if rampBurstTicks do not allow more
+	maxBurstCalls       = 5           // calls that an allowed share lets go at once, or what rampBurstTicks take
 	roughWeightSlack    = 1.5         // a rough listed rate may be too low by this factor
-	rampMargin          = 1.5         // a ramp's rate over own demand x warmth; below tip-multiple
+	rampMargin          = 1.5         // factor of a ramp's rate over own demand x warmth, under tip-multiple
 	rampWarmUps         = 1.0         // warm-ups after a return until the whole backlog may go at once
-	rampBurstTicks      = 4           // ticks of a ramp's rate that may accumulate, if that is more than one call
-	batchMessageCost    = 0.25        // load of each further message of a call on a cold endpoint
+	rampBurstTicks      = 4           // ticks of a ramp's rate that may accumulate, if more than one call
+	batchMessageCost    = 0.25        // load of each further message of a call on a cold endpoint, in calls
 
 	// Connections.
 	scarceDuration     = 30 * Second // connections count as scarce for this long after the last sign of it
-	confirmedDropShare = 0.2         // share of calls failing on idle connections which shows that these are dropped
+	confirmedDropShare = 0.2         // share of calls failing on idle connections that shows these are dropped
 	safeIdleShare      = 0.8         // idle connections are used up to this part of the age at which one failed
-	safeIdleGrowth     = 1.02        // growth of that age by an OK
+	safeIdleGrowth     = 1.02        // factor on the idle age known to be safe, with each OK
 
 	// Choice of messages.
 	quotaMargin    = 1.1               // a tenant is over its share when it exceeds it by this factor
 	minQueueDelay  = 500 * Millisecond // lower bound of the estimated queue delay
-	maxQueueDelay  = 8 * Second        // its upper bound, which keeps a stalled queue comparable with a busy one
+	maxQueueDelay  = 8 * Second        // upper bound of it, so that a stalled queue compares with a busy one
 	minServiceRate = 0.2               // calls a second assumed for a destination that answers nothing
-	worthTieBreak  = 0.01              // share of its worth that counts for a message that loses nothing by waiting
+	worthTieBreak  = 0.01              // share of its worth that counts for a message losing none by waiting
 
+	// Bounds on calls and Steps.
 	stuckTimeouts      = 2           // response timeouts after which a call is abandoned
 	openReserveDivisor = 16          // one part in this many of max-open is kept free for better messages
 	wakeTicks          = 4           // ticks until the next timer while any message is open or call is out
-	maxSendsPerStep    = 250         // maxInWindow calls that one Step starts; the next Step follows at once
+	maxSendsPerStep    = 250         // most calls that one Step starts; the next Step follows at once
 	maxScansPerStep    = 1000        // most destinations that a Step wakes, and most whose calls it checks
-	cleanupInterval    = 10 * Second // interval of the cleanup, and least interval of notes to the operators
+	cleanupInterval    = 10 * Second // time between cleanups, and least time between notes to the operators
 )
 
 // Dispatcher makes all decisions of one dispatcher process. It is deterministic and not safe for concurrent
@@ -154,9 +155,11 @@
 		return nil, err
 	}
 	d := &Dispatcher{
-		settings: s, randomState: seed*2862933555777941757 + 3037000493, minAim: s.Classes[0].Aim, lostShare: minLostShare,
-		messages: map[MessageID]*message{}, keys: map[uint64]*orderKey{}, destinationByNumber: map[int]*destination{},
-		endpointByID: map[Endpoint]*endpoint{}, tenantRates: make([]meter, len(s.Tenants)),
+		settings: s, randomState: seed*2862933555777941757 + 3037000493, minAim: s.Classes[0].Aim,
+		lostShare: minLostShare,
+		messages:  map[MessageID]*message{}, keys: map[uint64]*orderKey{},
+		destinationByNumber: map[int]*destination{},
+		endpointByID:        map[Endpoint]*endpoint{}, tenantRates: make([]meter, len(s.Tenants)),
 	}
 	if d.weightSlack = 1; s.Weights == WeightRough {
 		d.weightSlack = roughWeightSlack
@@ -246,7 +249,8 @@
 	}
 	c := &d.settings.Classes[e.Class]
 	d.arrivalCount++
-	m := &message{id: e.Message, class: c, destination: d.destination(e.Destination), arrivalNumber: d.arrivalCount, deadline: d.now + e.TimeLeft}
+	m := &message{id: e.Message, class: c, destination: d.destination(e.Destination),
+		arrivalNumber: d.arrivalCount, deadline: d.now + e.TimeLeft}
 	m.submittedAt = m.deadline - c.Deadline
 	if m.tries = e.Tries; e.DoubtAge > 0 {
 		m.inDoubt, m.doubtSince, m.doubtZone = true, d.now-e.DoubtAge, e.DoubtZone
@@ -270,7 +274,8 @@
 		d.updateRates(m.destination)
 	}
 	// The client has its answer before the deadline: two ticks early, one of them for rounding.
-	a := Action{Kind: Timer, Message: m.id, After: max(e.TimeLeft-2*d.settings.Tick, 0), TimerID: uint64(m.id) + 1}
+	a := Action{Kind: Timer, Message: m.id, After: max(e.TimeLeft-2*d.settings.Tick, 0),
+		TimerID: uint64(m.id) + 1}
 	d.actions = append(d.actions, a)
 	if c.InOrder && e.Key != 0 {
 		k := d.keys[e.Key]
@@ -382,7 +387,8 @@
 			return
 		}
 		// Where traffic is rare, other dispatchers know no more of the limit: clients should not try them.
-		hopeless := worst.destination.limit.allowedShareAt(d.now) < 1 && worst.destination.demand.rate(d.now)*d.minAim.Seconds() < 1
+		hopeless := worst.destination.limit.allowedShareAt(d.now) < 1 &&
+			worst.destination.demand.rate(d.now)*d.minAim.Seconds() < 1
 		d.finish(worst, !hopeless)
 	}
 }
@@ -451,7 +457,8 @@
 // send starts a call with a message of a destination, and with more of them if its kind allows.
 func (d *Dispatcher) send(t *destination, ep *endpoint, m *message, trial bool) {
 	c := &call{endpoint: ep, sentAt: d.now, trial: trial, connIdle: d.closeStale(ep)}
-	c.wellBelowLimit = d.testsRandomRefusals(ep.limit) && ep.limit.allowedShareAt(d.now) <= ep.limit.wellBelowShare
+	c.wellBelowLimit = d.testsRandomRefusals(ep.limit) &&
+		ep.limit.allowedShareAt(d.now) <= ep.limit.wellBelowShare
 	for n := ep.batch; m != nil && n > 0; n-- {
 		t.dequeue(m)
 		m.call = c
@@ -683,7 +690,7 @@
 	if e.RetryAfter > 0 { // the wait of every outcome applies, also when the call has been learned from already
 		c.endpoint.limit.toldWaitUntil = max(c.endpoint.limit.toldWaitUntil, d.now+e.RetryAfter)
 		c.endpoint.limit.waitUntil = max(c.endpoint.limit.waitUntil, d.now+e.RetryAfter+d.settings.Tick)
-		if e.RetryAfter > d.settings.OverloadFor { // too long for a rate limit: it is shut until then, and cold afterwards
+		if e.RetryAfter > d.settings.OverloadFor { // too long for a rate limit: it is shut, and cold afterwards
 			d.startRamps(c.endpoint, c.endpoint.limit.toldWaitUntil)
 		}
 	}
@@ -740,7 +747,7 @@
 	}
 }
 
-// latencyStats returns the mean latency of a destination's calls and its mean deviation. Without samples of its
+// latency returns the mean latency of a destination's calls and its mean deviation. Without samples of its
 // own it has those of its kind.
 func (d *Dispatcher) latency(t *destination) (mean, dev float64) {
 	if t.latencyStats.samples > 0 {
@@ -749,7 +756,7 @@
 	return t.kind.latency()
 }
 
-// latencyStats returns the mean latency and mean deviation of a kind, or assumed ones before the first response.
+// latency returns the mean latency and mean deviation of a kind, or assumed ones before the first response.
 func (k *kindState) latency() (mean, dev float64) {
 	if k.latencyStats.samples > 0 {
 		return k.latencyStats.mean, k.latencyStats.deviation
@@ -772,7 +779,8 @@
 // suspicious. The fewer responses get lost, the longer it is.
 func (d *Dispatcher) responseTimeout(t *destination) Time {
 	mean, dev := d.latency(t)
-	return timeoutFor(mean, dev, min(timeoutDeviations, lostDeviations-math.Log(d.lostShare)), t.latencyStats.samples)
+	return timeoutFor(mean, dev, min(timeoutDeviations, lostDeviations-math.Log(d.lostShare)),
+		t.latencyStats.samples)
 }
 
 // timeoutFor returns the response timeout for a latency of n samples. It is longer with few samples.
@@ -792,7 +800,8 @@
 	d.lostShare += lostGain * (minLostShare - d.lostShare)
 	d.learnRandomRefusals(p, c, 0)
 	if p.allowedShare < unlimitedShare {
-		p.allowedShare = p.allowedShareAt(d.now) + allowedSharePerOK*min(1, (d.now-max(p.lastOKAt, p.lastCutAt)).Seconds())
+		p.allowedShare = p.allowedShareAt(d.now) +
+			allowedSharePerOK*min(1, (d.now-max(p.lastOKAt, p.lastCutAt)).Seconds())
 		p.shareSince = max(d.now, p.shareSince)
 	}
 	if k := ep.destination.kind; c.connIdle > 0 {
@@ -823,7 +832,7 @@
 	}
 }
 
-// outageRemembered returns since when endpoints that share a limit are suspect, and whether their failures confirm an
+// outage returns since when endpoints that share a limit are suspect, and whether their failures confirm an
 // outage. An outage mostly affects all of them. If none has answered since, the first response is taken as
 // the return of all of them, also of those that were not tried. The return came at some time after the last
 // failure. It is assumed to be now, the latest possible time, so that no endpoint seems warmer than it is.
@@ -909,7 +918,7 @@
 	if ep.suspect {
 		return
 	}
-	if t := ep.destination; !slices.ContainsFunc(t.endpoints, d.unhealthy) { // the rate is lower in an outage and on a ramp
+	if t := ep.destination; !slices.ContainsFunc(t.endpoints, d.unhealthy) { // later rates are lower
 		t.rateBeforeOutage = t.served.rate(t.served.at)
 	}
 	ep.suspect, ep.downSince, ep.ramp = true, d.now, pace.NewBucket(d.now, d.random())
@@ -951,7 +960,8 @@
 	}
 	p.cutRefusedShare, p.wellBelowShare = max(p.cutRefusedShare, part), wellBelowPart*was*(1-part)
 	p.lastCutAt, p.wellBelowCalls, p.refusedMeter, p.endedMeter = d.now, 0, d.newCallMeter(), d.newCallMeter()
-	p.allowedShare, p.shareSince = max(min(was*allowedShareCut, p.wellBelowShare), minAllowedShare), max(d.now, p.waitUntil)
+	p.allowedShare, p.shareSince = max(min(was*allowedShareCut, p.wellBelowShare), minAllowedShare),
+		max(d.now, p.waitUntil)
 	p.tokens.Cap(d.now, d.random()) // retries have to stay within the allowed share, too
 }
 
@@ -960,12 +970,14 @@
 func (d *Dispatcher) refusalsTolerated(p *rateLimit, want float64) bool {
 	no, all := p.refusedMeter.sum, p.endedMeter.sum
 	few := p.randomShare * all
-	if (few >= minExpectedRefusals || p.toleratedDeviations > 1 && p.randomShare >= measuredRandomShare) && no < few+p.toleratedDeviations*math.Sqrt(few) {
+	if (few >= minExpectedRefusals || p.toleratedDeviations > 1 && p.randomShare >= measuredRandomShare) &&
+		no < few+p.toleratedDeviations*math.Sqrt(few) {
 		return true
 	}
 	// Soon after a cut a few refusals prove nothing, and with many calls more is known shortly.
 	most := maxRandomShare * all
-	soon := all < randomDecisionCalls && d.now-p.lastCutAt < cutGracePeriod && want*cutGracePeriod.Seconds() > randomDecisionCalls/2
+	soon := all < randomDecisionCalls && d.now-p.lastCutAt < cutGracePeriod &&
+		want*cutGracePeriod.Seconds() > randomDecisionCalls/2
 	return soon && no < 1+most+math.Sqrt(most)
 }
 
@@ -977,7 +989,8 @@
 		return
 	}
 	p.wellBelowCalls++
-	if p.randomShare += (refused - p.randomShare) / (p.wellBelowCalls + randomPriorCalls); p.randomShare > maxRandomShare {
+	if p.randomShare += (refused - p.randomShare) /
+		(p.wellBelowCalls + randomPriorCalls); p.randomShare > maxRandomShare {
 		p.randomShare = 0
 	}
 	if p.wellBelowCalls < randomDecisionCalls {
@@ -1161,7 +1174,8 @@
 		if d.testsRandomRefusals(p) {
 			want = own
 		}
-		p.allowedShare, p.shareSince, p.shareGrowth = p.allowedShareAt(d.now), max(d.now, p.waitUntil), allowedSharePerMessage*min(want, 2)
+		p.allowedShare, p.shareSince, p.shareGrowth = p.allowedShareAt(d.now), max(d.now, p.waitUntil),
+			allowedSharePerMessage*min(want, 2)
 		// The rate falls if no more messages arrive.
 		r := pace.Rate{From: p.allowedShare * want, Rise: p.shareGrowth * want, End: unlimitedShare * want}
 		if r.Rise -= p.allowedShare * own / (demandFadeTaus * demandTau).Seconds(); r.Rise < 0 {
@@ -1173,7 +1187,8 @@
 		case p.knownRate > 0:
 			r.From, r.End = min(r.From, p.knownRate), min(r.End, p.knownRate)
 		}
-		burst := max(min(rateBurstSeconds*p.allowedShare*own, maxBurstCalls), rampBurstTicks*d.settings.Tick.Seconds()*r.From)
+		burst := max(min(rateBurstSeconds*p.allowedShare*own, maxBurstCalls),
+			rampBurstTicks*d.settings.Tick.Seconds()*r.From)
 		most := max(1, burst, rateBurstSeconds*p.knownRate)
 		if p.unlimited = p.allowedShare >= unlimitedShare && p.knownRate <= 0; p.unlimited {
 			p.tokens = pace.NewBucket(d.now, most)
@@ -1229,7 +1244,8 @@
 // cold, it starts cold as well, so that it does not get the whole backlog at once.
 func (d *Dispatcher) handleJoin(t *destination, ep *endpoint) {
 	switch {
-	case t.limit.failureStreak == 0 && !slices.ContainsFunc(t.endpoints, d.unhealthy) || slices.ContainsFunc(t.endpoints, d.healthy):
+	case t.limit.failureStreak == 0 && !slices.ContainsFunc(t.endpoints, d.unhealthy) ||
+		slices.ContainsFunc(t.endpoints, d.healthy):
 	case !t.outageRemembered && t.readyCount() == 0:
 		t.limit.failureStreak = 0 // the endpoints that failed have left
 	default:
@@ -1243,7 +1259,8 @@
 // begins just before all endpoints are replaced is missed.
 func (d *Dispatcher) handleLastLeft(t *destination) {
 	t.outageRemembered = slices.ContainsFunc(t.endpoints, func(o *endpoint) bool {
-		return o.suspect && d.now-o.downSince > listDelaySpans*d.settings.OverloadFor || !o.suspect && d.cold(o, d.now)
+		return o.suspect && d.now-o.downSince > listDelaySpans*d.settings.OverloadFor ||
+			!o.suspect && d.cold(o, d.now)
 	})
 }
 
