--- a/control/churn_test.go
+++ b/control/churn_test.go
@@ -45,7 +45,7 @@
 
 // Guards against a long Step when thousands of endpoints and destinations become obsolete at once: each Step removes only
 // a part of them, and the next ones go on.
-func TestWhatWentAtOnceIsForgottenInParts(t *testing.T) {
+func TestCleanupIsSplitOverSteps(t *testing.T) {
 	const n = 5000
 	d, err := New(Settings{
 		Instances: 1, Tick: 5 * Millisecond, Slots: 8, MaxOpen: 50, MaxTries: 3,
--- a/control/condition.go
+++ b/control/condition.go
@@ -17,40 +17,40 @@
 
 // Condition returns the condition of a destination and this dispatcher's part of the rate limit that is listed or
 // reported for it, in calls a second, 0 if there is none. It changes nothing.
-func (d *Dispatcher) Condition(now Time, no int) (c Condition, rate float64) {
-	t := d.destinationByNumber[no]
-	if t == nil || t.readyCount() == 0 {
+func (d *Dispatcher) Condition(now Time, number int) (condition Condition, rate float64) {
+	dest := d.destinationByNumber[number]
+	if dest == nil || dest.readyCount() == 0 {
 		return Unavailable, 0
 	}
-	good, waits, left := false, true, false
-	for _, ep := range t.endpoints {
-		p := ep.limit
+	hasFree, allWait, trialOverdue := false, true, false
+	for _, ep := range dest.endpoints {
+		limit := ep.limit
 		if ep.health != Ready {
 			continue
 		}
-		if ep.limit != t.limit || rate == 0 { // the limits of separate routes add up
-			rate += p.knownRate
+		if ep.limit != dest.limit || rate == 0 { // the limits of separate routes add up
+			rate += limit.knownRate
 		}
-		if now < p.waitUntil {
+		if now < limit.waitUntil {
 			continue
 		}
-		waits = false
+		allWait = false
 		// A trial has been due for long and none was made: the queued messages are too risky for one.
-		left = left || ep.suspect && !ep.hasTrialOut() && now-ep.nextTrialAt > maxTrialInterval
-		good = good || !ep.suspect && !d.cold(ep, now) && p.refusalStreak == 0 && p.allowedShareAt(now) >= 1
+		trialOverdue = trialOverdue || ep.suspect && !ep.hasTrialOut() && now-ep.nextTrialAt > maxTrialInterval
+		hasFree = hasFree || !ep.suspect && !d.cold(ep, now) && limit.refusalStreak == 0 && limit.allowedShareAt(now) >= 1
 	}
 	rate /= d.weightSlack * float64(max(d.settings.Instances, 1))
-	slow := t.latencyStats.samples > 0 && t.latencyStats.mean > slowFactor*t.longTermLatency
+	slow := dest.latencyStats.samples > 0 && dest.latencyStats.mean > slowFactor*dest.longTermLatency
 	switch {
-	case waits || d.paused || d.slotsShort || d.usedSlots >= d.settings.Slots:
+	case allWait || d.paused || d.slotsShort || d.usedSlots >= d.settings.Slots:
 		return Busy, rate
-	case left && !good && t.callsOut == 0:
+	case trialOverdue && !hasFree && dest.callsOut == 0:
 		return Unhealthy, rate
-	case t.queued > 0:
+	case dest.queued > 0:
 		return Busy, rate
-	case good && !slow:
+	case hasFree && !slow:
 		return Healthy, rate
-	case t.openMessages > 0 || t.callsOut > 0:
+	case dest.openMessages > 0 || dest.callsOut > 0:
 		return Busy, rate
 	}
 	return Unhealthy, rate
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -204,7 +204,7 @@
 	}
 }
 
-func TestRevivalTakesTheLeastOtherCounter(t *testing.T) {
+func TestRevivalTakesTheLeastOtherVirtualTime(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(2, 0, 0), listEntry(3, 0, 0))
 	r.step(0, r.arrival(freeClass, 1), r.arrival(freeClass, 2))
 	r.d.destinationByNumber[1].virtualTime, r.d.destinationByNumber[2].virtualTime, r.d.destinationByNumber[3].virtualTime = 7, 5, 90
@@ -418,7 +418,7 @@
 
 // A hang is detected by the age of the call, long before any time-out. The destination then gets only trials, made with
 // messages that are safe to repeat.
-func TestHangIsJudgedByAge(t *testing.T) {
+func TestHangIsDetectedByAge(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(2, 0, 0))
 	for i := range 4 {
 		r.step(second/10, r.arrival(freeClass, 1))
@@ -620,7 +620,7 @@
 	}
 }
 
-func TestStrangeEventsDoNothing(t *testing.T) {
+func TestInvalidEventsDoNothing(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	acts := r.step(0, outcomeOf(99, 0, OK), Event{Kind: Withdrawn, Message: 99}, Event{Kind: Tick, TimerID: 12345},
 		Event{Kind: Probed, Endpoint: 4}, Event{Kind: Started, Message: 3})
@@ -666,7 +666,7 @@
 }
 
 // Several unhealthy destinations together must leave half of the slots to the others.
-func TestSickDestinationsShareHalfOfTheSlots(t *testing.T) {
+func TestUnhealthyDestinationsShareHalfOfTheSlots(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(2, 0, 0), listEntry(3, 0, 0))
 	for n := 1; n <= 3; n++ {
 		d := r.d.destinationByNumber[n]
--- a/control/hard_test.go
+++ b/control/hard_test.go
@@ -77,7 +77,7 @@
 
 // Ten thousand waits end in the same millisecond. No Step may send more than its bound. Each asks for the next one at once,
 // and all messages are sent in as many Steps as that takes.
-func TestWaitsThatEndAtOnceAreWorkedOffInBoundedSteps(t *testing.T) {
+func TestWaitsThatEndAtOnceAreHandledInBoundedSteps(t *testing.T) {
 	t.Parallel()
 	const n = 10_000
 	y := newTickHarness(t, blockedSettings(n))
@@ -167,7 +167,7 @@
 
 // One destination has a backlog of 100,000 messages and the others one message each. Their messages must all be sent before
 // more than one window of the backlog.
-func TestABigHoldDoesNotStandBeforeSmallOnes(t *testing.T) {
+func TestLargeBacklogDoesNotDelaySmallOnes(t *testing.T) {
 	t.Parallel()
 	const n, big, slots = 2000, 100_000, 40
 	set := blockedSettings(n)
--- a/control/order.go
+++ b/control/order.go
@@ -6,7 +6,7 @@
 // stores its position in each heap, so that it can be moved or removed from anywhere. The heap keeps memory for as many
 // entries as it ever held at once.
 type destinationHeap[K cmp.Ordered] struct {
-	index   int // of this heap's entry in a destination's places
+	index   int // position of this heap in destination.heapPositions
 	entries []heapEntry[K]
 }
 
@@ -18,123 +18,123 @@
 }
 
 // less reports whether an entry comes before another: by key, and by sequence number if the keys are equal.
-func (a *heapEntry[K]) less(b *heapEntry[K]) bool {
-	return a.key < b.key || a.key == b.key && a.seq < b.seq
+func (e *heapEntry[K]) less(other *heapEntry[K]) bool {
+	return e.key < other.key || e.key == other.key && e.seq < other.seq
 }
 
 // contains reports whether a destination is in the heap.
-func (o *destinationHeap[K]) contains(t *destination) bool { return t.heapPositions[o.index] > 0 }
+func (h *destinationHeap[K]) contains(dest *destination) bool { return dest.heapPositions[h.index] > 0 }
 
 // set adds a destination, or changes its key.
-func (o *destinationHeap[K]) set(t *destination, key K, seq uint64) {
-	at := t.heapPositions[o.index] - 1
-	if at < 0 {
-		at = len(o.entries)
-		o.entries = append(o.entries, heapEntry[K]{key, seq, t})
-		t.heapPositions[o.index] = at + 1
-	} else if old := &o.entries[at]; old.key == key && old.seq == seq {
+func (h *destinationHeap[K]) set(dest *destination, key K, seq uint64) {
+	position := dest.heapPositions[h.index] - 1
+	if position < 0 {
+		position = len(h.entries)
+		h.entries = append(h.entries, heapEntry[K]{key, seq, dest})
+		dest.heapPositions[h.index] = position + 1
+	} else if old := &h.entries[position]; old.key == key && old.seq == seq {
 		return
 	} else {
 		old.key, old.seq = key, seq
 	}
-	if !o.siftUp(at) {
-		o.siftDown(at)
+	if !h.siftUp(position) {
+		h.siftDown(position)
 	}
 }
 
 // lowerKey is like set, but keeps the key of a destination whose key is no larger.
-func (o *destinationHeap[K]) lowerKey(t *destination, key K, seq uint64) {
-	if at := t.heapPositions[o.index] - 1; at < 0 || key < o.entries[at].key {
-		o.set(t, key, seq)
+func (h *destinationHeap[K]) lowerKey(dest *destination, key K, seq uint64) {
+	if position := dest.heapPositions[h.index] - 1; position < 0 || key < h.entries[position].key {
+		h.set(dest, key, seq)
 	}
 }
 
 // remove removes a destination, if the heap contains it.
-func (o *destinationHeap[K]) remove(t *destination) {
-	at := t.heapPositions[o.index] - 1
-	if at < 0 {
+func (h *destinationHeap[K]) remove(dest *destination) {
+	position := dest.heapPositions[h.index] - 1
+	if position < 0 {
 		return
 	}
-	last := len(o.entries) - 1
-	if at != last {
-		o.entries[at] = o.entries[last]
-		o.entries[at].destination.heapPositions[o.index] = at + 1
+	last := len(h.entries) - 1
+	if position != last {
+		h.entries[position] = h.entries[last]
+		h.entries[position].destination.heapPositions[h.index] = position + 1
 	}
-	o.entries[last] = heapEntry[K]{}
-	o.entries = o.entries[:last]
-	t.heapPositions[o.index] = 0
-	if at < last && !o.siftUp(at) {
-		o.siftDown(at)
+	h.entries[last] = heapEntry[K]{}
+	h.entries = h.entries[:last]
+	dest.heapPositions[h.index] = 0
+	if position < last && !h.siftUp(position) {
+		h.siftDown(position)
 	}
 }
 
 // firstDestination returns the destination with the least key, nil if there is none.
-func (o *destinationHeap[K]) first() *destination {
-	if len(o.entries) == 0 {
+func (h *destinationHeap[K]) first() *destination {
+	if len(h.entries) == 0 {
 		return nil
 	}
-	return o.entries[0].destination
+	return h.entries[0].destination
 }
 
 // isDue reports whether the least key is until or less.
-func (o *destinationHeap[K]) isDue(until K) bool {
-	return len(o.entries) > 0 && o.entries[0].key <= until
+func (h *destinationHeap[K]) isDue(until K) bool {
+	return len(h.entries) > 0 && h.entries[0].key <= until
 }
 
 // popDue removes and returns the first destination if its key is until or less, otherwise it returns nil.
-func (o *destinationHeap[K]) popDue(until K) *destination {
-	if !o.isDue(until) {
+func (h *destinationHeap[K]) popDue(until K) *destination {
+	if !h.isDue(until) {
 		return nil
 	}
-	t := o.entries[0].destination
-	o.remove(t)
-	return t
+	dest := h.entries[0].destination
+	h.remove(dest)
+	return dest
 }
 
 // clear removes all destinations.
-func (o *destinationHeap[K]) clear() {
-	for i := range o.entries {
-		o.entries[i].destination.heapPositions[o.index] = 0
+func (h *destinationHeap[K]) clear() {
+	for i := range h.entries {
+		h.entries[i].destination.heapPositions[h.index] = 0
 	}
-	clear(o.entries)
-	o.entries = o.entries[:0]
+	clear(h.entries)
+	h.entries = h.entries[:0]
 }
 
 // siftUp moves the entry at a position up to its place, and reports whether it moved.
-func (o *destinationHeap[K]) siftUp(at int) (moved bool) {
-	x := o.entries[at]
-	for at > 0 {
-		above := (at - 1) / 2
-		if !x.less(&o.entries[above]) {
+func (h *destinationHeap[K]) siftUp(position int) (moved bool) {
+	entry := h.entries[position]
+	for position > 0 {
+		parent := (position - 1) / 2
+		if !entry.less(&h.entries[parent]) {
 			break
 		}
-		o.entries[at] = o.entries[above]
-		o.entries[at].destination.heapPositions[o.index] = at + 1
-		at, moved = above, true
+		h.entries[position] = h.entries[parent]
+		h.entries[position].destination.heapPositions[h.index] = position + 1
+		position, moved = parent, true
 	}
-	o.entries[at] = x
-	x.destination.heapPositions[o.index] = at + 1
+	h.entries[position] = entry
+	entry.destination.heapPositions[h.index] = position + 1
 	return moved
 }
 
 // siftDown moves the entry at a position down to its place.
-func (o *destinationHeap[K]) siftDown(at int) {
-	x := o.entries[at]
+func (h *destinationHeap[K]) siftDown(position int) {
+	entry := h.entries[position]
 	for {
-		below := 2*at + 1
-		if below >= len(o.entries) {
+		child := 2*position + 1
+		if child >= len(h.entries) {
 			break
 		}
-		if right := below + 1; right < len(o.entries) && o.entries[right].less(&o.entries[below]) {
-			below = right
+		if right := child + 1; right < len(h.entries) && h.entries[right].less(&h.entries[child]) {
+			child = right
 		}
-		if !o.entries[below].less(&x) {
+		if !h.entries[child].less(&entry) {
 			break
 		}
-		o.entries[at] = o.entries[below]
-		o.entries[at].destination.heapPositions[o.index] = at + 1
-		at = below
+		h.entries[position] = h.entries[child]
+		h.entries[position].destination.heapPositions[h.index] = position + 1
+		position = child
 	}
-	o.entries[at] = x
-	x.destination.heapPositions[o.index] = at + 1
+	h.entries[position] = entry
+	entry.destination.heapPositions[h.index] = position + 1
 }
--- a/control/orders_test.go
+++ b/control/orders_test.go
@@ -7,7 +7,7 @@
 )
 
 // A heap returns what a sorted list would, whatever is added, moved and removed.
-func TestAnOrderIsInOrder(t *testing.T) {
+func TestHeapIsInOrder(t *testing.T) {
 	t.Parallel()
 	rng := rand.New(rand.NewPCG(1, 2))
 	o := destinationHeap[float64]{index: runnableHeap}
@@ -77,7 +77,7 @@
 }
 
 // Another kind of destination may have a shorter response timeout. It applies at once to calls that are out.
-func TestACallIsJudgedByItsDestinationsNewKind(t *testing.T) {
+func TestNewKindAppliesToCallsThatAreOut(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(2, 0, 1))
 	for range 60 {
 		m := r.arrival(freeClass, 2)
@@ -98,7 +98,7 @@
 }
 
 // A destination whose failing endpoint has been removed is healthy again, and no longer takes slots of the unhealthy ones.
-func TestAForgottenEndpointLeavesItsRoomToTheSick(t *testing.T) {
+func TestRemovedEndpointLeavesItsSlotsToOtherUnhealthyOnes(t *testing.T) {
 	set := testSettings()
 	set.Slots, set.MayCancel = 4, false
 	r := newHarness(t, set, listEntry(1, 0, 0), listEntry(1, 1, 0), listEntry(2, 0, 0))
@@ -127,7 +127,7 @@
 }
 
 // A queue holds what a sorted list would, whatever is added and removed, and keeps no memory when it is empty.
-func TestALaneIsInOrderOfArrival(t *testing.T) {
+func TestQueueIsInOrderOfArrival(t *testing.T) {
 	t.Parallel()
 	rng := rand.New(rand.NewPCG(3, 4))
 	var l messageQueue
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -236,7 +236,7 @@
 }
 
 // A message that is refused during its destination's wait tells the client for how long to stay away.
-func TestARefusalTellsWhenToComeBack(t *testing.T) {
+func TestRefusalTellsWhenToComeBack(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	m := r.arrival(freeClass, 1)
 	r.wantSent(r.step(0, m), m.Message)
--- a/control/shut_test.go
+++ b/control/shut_test.go
@@ -84,7 +84,7 @@
 
 // A wait as long as rate limits tell is no outage, so no ramp follows. Messages that arrive during the wait must not raise
 // the allowed share.
-func TestALimitsWaitStartsNoRampAndEarnsNoAllowance(t *testing.T) {
+func TestRateLimitWaitStartsNoRampAndRaisesNoShare(t *testing.T) {
 	t.Parallel()
 	r := newTraffic(t, 5)
 	r.play(20 * second)
@@ -128,7 +128,7 @@
 
 // Random refusals delay nothing, whatever their share and the message rate. A real rate limit is detected all the same, and
 // few calls exceed it. Messages have a deadline of 3 s, a call takes 4 ms, and no refusal tells a wait.
-func TestChanceIsToldFromALimit(t *testing.T) {
+func TestRandomRefusalsAreToldFromALimit(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		come, share, limit float64 // messages a second; share refused at random, or calls a second that the endpoint accepts
@@ -223,7 +223,7 @@
 
 // If the only endpoint of a destination fails because it is being replaced, and the list is late, its successor is healthy
 // and gets the backlog at once. If it had been down for longer, its successor starts cold.
-func TestAnEndpointThatReplacesOneThatFailedInLeavingIsWell(t *testing.T) {
+func TestReplacementOfALeavingEndpointIsHealthy(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		failing Time
