--- a/control/order.go
+++ b/control/order.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// firstDestination returns the destination with the least key, nil if there is none.
+// first returns the destination with the least key, nil if there is none.
 func (h *destinationHeap[K]) first() *destination {
 	if len(h.entries) == 0 {
 		return nil
--- a/control/shut_test.go
+++ b/control/shut_test.go
@@ -31,7 +31,7 @@
 
 func acceptCall(m MessageID, attempt int) Event { return outcomeOf(m, attempt, OK) }
 
-// playRandomEvents runs for a span and returns the number of calls sent in each tenth of a second.
+// play runs for a span and returns the number of calls sent in each tenth of a second.
 func (r *traffic) play(span Time) (sends []int) {
 	const step = 20 * Millisecond
 	for end, n := r.now+span, 0; r.now < end; n++ {
