--- a/control/charge_test.go
+++ b/control/charge_test.go
@@ -14,16 +14,16 @@
 		entries = append(entries, listEntry(dest, 1, 0))
 	}
 	r := newHarness(t, set, entries...)
-	took := map[int]Time{1: 100 * Millisecond}
-	dests, came, served := map[MessageID]int{}, map[int]int{}, map[int]int{}
-	var out []dueEvent
+	latencies := map[int]Time{1: 100 * Millisecond}
+	destinationOf, arrived, served := map[MessageID]int{}, map[int]int{}, map[int]int{}
+	var pending []dueEvent
 	for n := range 2000 {
 		var events []Event
 		arrive := func(dest int) {
-			e := r.arrival(freeClass, dest)
-			dests[e.Message] = dest
-			came[dest]++
-			events = append(events, e)
+			event := r.arrival(freeClass, dest)
+			destinationOf[event.Message] = dest
+			arrived[dest]++
+			events = append(events, event)
 		}
 		if n%5 == 0 { // 20 a second, which use two slots
 			arrive(1)
@@ -33,30 +33,30 @@
 				arrive(dest)
 			}
 		}
-		rest := out[:0]
-		for _, o := range out {
-			if o.at <= r.now+step {
-				events = append(events, o.e)
-				served[dests[o.e.Message]]++
+		remaining := pending[:0]
+		for _, due := range pending {
+			if due.at <= r.now+step {
+				events = append(events, due.event)
+				served[destinationOf[due.event.Message]]++
 			} else {
-				rest = append(rest, o)
+				remaining = append(remaining, due)
 			}
 		}
-		out = rest
+		pending = remaining
 		for _, id := range sentMessages(r.step(step, events...)) {
-			lag := took[dests[id]]
-			if lag == 0 {
-				lag = 600 * Millisecond
+			latency := latencies[destinationOf[id]]
+			if latency == 0 {
+				latency = 600 * Millisecond
 			}
-			out = append(out, dueEvent{r.now + lag, outcomeOf(id, 0, OK)})
+			pending = append(pending, dueEvent{r.now + latency, outcomeOf(id, 0, OK)})
 		}
 	}
-	if part := float64(served[1]) / float64(came[1]); part < 0.9 {
-		t.Errorf("%.2f of the messages are served at the destination that gets most and needs half of the slots", part)
+	if servedShare := float64(served[1]) / float64(arrived[1]); servedShare < 0.9 {
+		t.Errorf("%.2f of the messages are served at the destination that gets most and needs half of the slots", servedShare)
 	}
 	for dest := 2; dest < 2+few; dest++ {
-		if served[dest] < came[dest]/5 {
-			t.Errorf("destination %d: only %d of %d messages are served", dest, served[dest], came[dest])
+		if served[dest] < arrived[dest]/5 {
+			t.Errorf("destination %d: only %d of %d messages are served", dest, served[dest], arrived[dest])
 		}
 	}
 }
--- a/control/churn_test.go
+++ b/control/churn_test.go
@@ -4,16 +4,16 @@
 
 // Endpoints, destinations, keys and messages that never return are forgotten within two cleanup intervals.
 func TestNothingGrowsWithIdsThatNeverReturn(t *testing.T) {
-	s := Settings{
+	set := Settings{
 		Instances: 1, Tick: 5 * Millisecond, Slots: 8, MaxOpen: 50, MaxTries: 3, ConnIdle: 5 * Second,
 		Classes: []Class{{Name: "a", Aim: Second, Deadline: 2 * Second, Worth: 1, InOrder: true}},
 	}
-	d, err := New(s, 1)
+	d, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := 1000 * Second
-	most := 0
+	maxKept := 0
 	for i := range 5000 {
 		now += 20 * Millisecond
 		ep, id, dest := Endpoint(i+1), MessageID(i+1), i/3
@@ -22,17 +22,17 @@
 			{Kind: Arrival, Message: id, Destination: dest, Key: uint64(i + 1), TimeLeft: 2 * Second},
 		}
 		gone := []Event{{Kind: Withdrawn, Message: id}, {Kind: List, Entries: []Entry{{Endpoint: ep, Destination: dest, Health: Gone}}}}
-		for _, a := range append(d.Step(now, events, nil), d.Step(now+s.Tick, gone, nil)...) {
+		for _, a := range append(d.Step(now, events, nil), d.Step(now+set.Tick, gone, nil)...) {
 			if a.Kind == Send {
-				end := Event{Kind: Outcome, Message: a.Message, Endpoint: a.Endpoint, Result: Result(i % 2), Latency: s.Tick}
-				d.Step(now+2*s.Tick, []Event{end}, nil)
+				end := Event{Kind: Outcome, Message: a.Message, Endpoint: a.Endpoint, Result: Result(i % 2), Latency: set.Tick}
+				d.Step(now+2*set.Tick, []Event{end}, nil)
 			}
 		}
-		most = max(most, len(d.endpointByID)+len(d.destinationByNumber)+len(d.keys)+len(d.messages)+len(d.destinations)+len(d.idleKeys))
+		maxKept = max(maxKept, len(d.endpointByID)+len(d.destinationByNumber)+len(d.keys)+len(d.messages)+len(d.destinations)+len(d.idleKeys))
 	}
 	// In ten seconds 500 endpoints, keys and messages come and go here.
-	if most > 4000 {
-		t.Errorf("%d ids were kept at once", most)
+	if maxKept > 4000 {
+		t.Errorf("%d ids were kept at once", maxKept)
 	}
 	for range 3 {
 		now += 2 * cleanupInterval
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -79,12 +79,12 @@
 	return e
 }
 
-func outcomeOf(m MessageID, attempt int, res Result) Event {
-	return Event{Kind: Outcome, Message: m, Attempt: attempt, Result: res, Closed: res == OK, Latency: 100 * Millisecond}
+func outcomeOf(id MessageID, attempt int, res Result) Event {
+	return Event{Kind: Outcome, Message: id, Attempt: attempt, Result: res, Closed: res == OK, Latency: 100 * Millisecond}
 }
 
-func refusal(m MessageID, attempt int, wait Time) Event {
-	e := outcomeOf(m, attempt, Refused)
+func refusal(id MessageID, attempt int, wait Time) Event {
+	e := outcomeOf(id, attempt, Refused)
 	e.RetryAfter = wait
 	return e
 }
@@ -121,18 +121,18 @@
 }
 
 func TestPolicySize(t *testing.T) {
-	f, err := os.Open("control.go")
+	file, err := os.Open("control.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer file.Close()
 	lines := 0
-	for sc := bufio.NewScanner(f); sc.Scan(); {
-		if strings.TrimSpace(sc.Text()) != "" {
+	for scanner := bufio.NewScanner(file); scanner.Scan(); {
+		if strings.TrimSpace(scanner.Text()) != "" {
 			lines++
 		}
-		if len(sc.Text()) > 110 {
-			t.Errorf("line too long: %s", sc.Text())
+		if len(scanner.Text()) > 110 {
+			t.Errorf("line too long: %s", scanner.Text())
 		}
 	}
 	if lines > 1200 {
@@ -141,7 +141,7 @@
 }
 
 func TestNewNamesTheSetting(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+	for name, makeInvalid := range map[string]func(*Settings){
 		"Slots":     func(s *Settings) { s.Slots = 0 },
 		"MaxOpen":   func(s *Settings) { s.MaxOpen = 0 },
 		"MaxTries":  func(s *Settings) { s.MaxTries = 0 },
@@ -163,10 +163,10 @@
 		"SettleAfterDoubt":     func(s *Settings) { s.SettleAfterDoubt = -1 },
 	} {
 		set := testSettings()
-		spoil(&set)
+		makeInvalid(&set)
 		_, err := New(set, 1)
-		var out *SettingError
-		if !errors.As(err, &out) || out.Field != name {
+		var settingErr *SettingError
+		if !errors.As(err, &settingErr) || settingErr.Field != name {
 			t.Errorf("error %v does not name %s", err, name)
 		}
 	}
@@ -193,9 +193,9 @@
 	for _, c := range []struct{ weight, want float64 }{{4, 0.5}, {0, 2}} {
 		set := testSettings()
 		set.Weights = WeightNominal
-		e := listEntry(1, 0, 0)
-		e.Weight = c.weight
-		r := newHarness(t, set, e)
+		entry := listEntry(1, 0, 0)
+		entry.Weight = c.weight
+		r := newHarness(t, set, entry)
 		r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
 		r.step(2*second, outcomeOf(1, 0, OK))
 		if got := r.d.destinationByNumber[1].virtualTime; got != c.want {
@@ -224,39 +224,39 @@
 // Eight slots, two destinations: the window starts at 4, grows by one with each OK, and stays below three quarters (5).
 func TestWindowStartGrowthAndCap(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(2, 0, 0))
-	d := r.d.destinationByNumber[1]
-	if r.d.initWindow(d); d.window != 4 {
-		t.Fatalf("the window starts at %d, want 4", d.window)
+	dest := r.d.destinationByNumber[1]
+	if r.d.initWindow(dest); dest.window != 4 {
+		t.Fatalf("the window starts at %d, want 4", dest.window)
 	}
 	for i := range 3 {
 		r.step(second/10, r.arrival(freeClass, 1))
 		r.step(second/10, outcomeOf(MessageID(i+1), 0, OK))
 	}
-	if d.window != 5 {
-		t.Errorf("the window is %d after three OKs, want the cap of 5", d.window)
+	if dest.window != 5 {
+		t.Errorf("the window is %d after three OKs, want the cap of 5", dest.window)
 	}
 }
 
 func TestWindowIntervalTest(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		bad, w     int
-		wmax, want int
+		name             string
+		failed, callsOut int
+		window, want     int
 	}{
 		{"clean and full", 0, 2, 2, 3}, {"not clean", 3, 2, 2, 1}, {"window not full", 0, 1, 2, 2}, {"floor", 4, 1, 1, 1},
 	} {
 		r := newHarness(t, testSettings(), listEntry(1, 0, 0))
-		d := r.d.destinationByNumber[1]
-		d.windowSlowStart, d.window, d.callsOut = false, c.wmax, c.w
-		for i := range windowsPerRevision * c.wmax {
+		dest := r.d.destinationByNumber[1]
+		dest.windowSlowStart, dest.window, dest.callsOut = false, c.window, c.callsOut
+		for i := range windowsPerRevision * c.window {
 			res := OK
-			if i < c.bad {
+			if i < c.failed {
 				res = Errored
 			}
-			r.d.reviseWindow(d, res)
+			r.d.reviseWindow(dest, res)
 		}
-		if d.window != c.want {
-			t.Errorf("%s: window %d, want %d", c.name, d.window, c.want)
+		if dest.window != c.want {
+			t.Errorf("%s: window %d, want %d", c.name, dest.window, c.want)
 		}
 	}
 }
@@ -328,18 +328,18 @@
 	}{{freeClass, Refuse}, {singleShotClass, Fail}} {
 		r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 		acts := r.d.Step(r.now, []Event{r.arrival(c.class, 1)}, nil)
-		var mark uint64
+		var timerID uint64
 		var due Time
 		for _, a := range acts {
 			if a.Kind == Timer && a.TimerID != 0 {
-				mark, due = a.TimerID, a.After
+				timerID, due = a.TimerID, a.After
 			}
 		}
 		if due >= 20*second {
 			t.Fatalf("timer at %v is too late", due)
 		}
-		r.wantAction(r.step(due, Event{Kind: Tick, TimerID: mark}), c.end, 1)
-		if more := r.step(second, Event{Kind: Tick, TimerID: mark}, outcomeOf(1, 0, TimedOut), outcomeOf(1, 0, OK)); len(more) > 0 {
+		r.wantAction(r.step(due, Event{Kind: Tick, TimerID: timerID}), c.end, 1)
+		if more := r.step(second, Event{Kind: Tick, TimerID: timerID}, outcomeOf(1, 0, TimedOut), outcomeOf(1, 0, OK)); len(more) > 0 {
 			t.Errorf("actions for an ended message: %+v", more)
 		}
 	}
@@ -374,11 +374,11 @@
 }
 
 func TestDrainingAndGoneEndpointsGetNothing(t *testing.T) {
-	for _, h := range []Health{Draining, Gone} {
+	for _, health := range []Health{Draining, Gone} {
 		r := newHarness(t, testSettings(), listEntry(1, 0, 0))
-		e := listEntry(1, 0, 0)
-		e.Health = h
-		r.step(0, Event{Kind: List, Entries: []Entry{e}})
+		entry := listEntry(1, 0, 0)
+		entry.Health = health
+		r.step(0, Event{Kind: List, Entries: []Entry{entry}})
 		r.wantSent(r.step(second/10, r.arrival(freeClass, 1)))
 		r.step(second/10, Event{Kind: List, ListKind: ListFailed})
 		r.wantSent(r.advance(second)) // queued, not answered
@@ -426,7 +426,7 @@
 	}
 	r.wantSent(r.step(0, r.arrival(singleShotClass, 1)), 5)
 	r.advance(2 * second)
-	if e := r.d.endpointByID[endpointID(1, 0)]; !e.suspect {
+	if ep := r.d.endpointByID[endpointID(1, 0)]; !ep.suspect {
 		t.Fatal("not suspect though a call is out for 20 times the usual latency")
 	}
 	if got := sentMessages(append(r.step(0, r.arrival(singleShotClass, 1)), r.advance(300*Millisecond)...)); len(got) > 0 {
@@ -543,13 +543,13 @@
 // After refusals the allowed rate recovers within seconds. Guards against a recovery that takes half a minute.
 func TestReleaseRateRecovers(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
-	p := r.d.destinationByNumber[1].limit
-	n, served := 0, 0
+	limit := r.d.destinationByNumber[1].limit
+	rounds, served := 0, 0
 	var next []Event
 	for r.now < 1030*second {
 		events := next
 		next = nil
-		if n++; n%2 == 0 {
+		if rounds++; rounds%2 == 0 {
 			events = append(events, r.arrival(freeClass, 1))
 		}
 		for _, id := range sentMessages(r.step(second/20, events...)) {
@@ -562,9 +562,9 @@
 			next = append(next, e)
 		}
 	}
-	n /= 2
-	if p.allowedShareAt(r.now) < 1 || served < n*8/10 {
-		t.Errorf("allowed share %v after 24 s, %d of %d served", p.allowedShare, served, n)
+	rounds /= 2
+	if limit.allowedShareAt(r.now) < 1 || served < rounds*8/10 {
+		t.Errorf("allowed share %v after 24 s, %d of %d served", limit.allowedShare, served, rounds)
 	}
 }
 
@@ -655,13 +655,13 @@
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	r.wantSent(r.step(0, r.arrival(singleShotClass, 1)), 1)
 	r.advance(3 * second)
-	e := r.d.endpointByID[endpointID(1, 0)]
-	if !e.suspect {
+	ep := r.d.endpointByID[endpointID(1, 0)]
+	if !ep.suspect {
 		t.Fatal("not suspect after 3 s")
 	}
 	r.step(0, outcomeOf(1, 0, OK))
-	if e.suspect || r.d.cold(e, r.now) {
-		t.Errorf("suspect %v, cold since %v", e.suspect, e.rampStart)
+	if ep.suspect || r.d.cold(ep, r.now) {
+		t.Errorf("suspect %v, cold since %v", ep.suspect, ep.rampStart)
 	}
 }
 
@@ -669,8 +669,8 @@
 func TestUnhealthyDestinationsShareHalfOfTheSlots(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(2, 0, 0), listEntry(3, 0, 0))
 	for n := 1; n <= 3; n++ {
-		d := r.d.destinationByNumber[n]
-		d.window, d.longTermLatency, d.latencyStats.mean, d.callsOut, d.windowSlowStart = 5, 100, 100, 0, false
+		dest := r.d.destinationByNumber[n]
+		dest.window, dest.longTermLatency, dest.latencyStats.mean, dest.callsOut, dest.windowSlowStart = 5, 100, 100, 0, false
 	}
 	one, two := r.d.destinationByNumber[1], r.d.destinationByNumber[2]
 	one.latencyStats.mean, two.latencyStats.mean, two.callsOut = 900, 900, 3
--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -106,15 +106,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	looks, err := New(p.set, seed)
+	fullScans, err := New(p.set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var acts []Action
 	steps := 0
 	if err := p.play(d, func(now Time, events []Event, got []Action) error {
-		looks.WakeAll()
-		acts = looks.Step(now, events, acts[:0])
+		fullScans.WakeAll()
+		acts = fullScans.Step(now, events, acts[:0])
 		if steps++; steps%5 == 0 {
 			if err := d.CheckHeaps(); err != nil {
 				return err
--- a/control/hard_test.go
+++ b/control/hard_test.go
@@ -8,15 +8,15 @@
 
 // tickHarness runs a Dispatcher tick by tick. The test decides what the endpoints answer.
 type tickHarness struct {
-	t     *testing.T
-	d     *Dispatcher
-	now   Time
-	tick  Time
-	last  MessageID
-	tries map[MessageID]int
-	dest  map[MessageID]int
-	left  map[Time][]Event // outcomes by the tick in which they arrive
-	asked bool             // the last Step asked for a timer in the next tick
+	t        *testing.T
+	d        *Dispatcher
+	now      Time
+	tick     Time
+	last     MessageID
+	tries    map[MessageID]int
+	dest     map[MessageID]int
+	outcomes map[Time][]Event // outcomes by the tick in which they arrive
+	asked    bool             // the last Step asked for a timer in the next tick
 }
 
 func newTickHarness(t *testing.T, set Settings) *tickHarness {
@@ -26,10 +26,10 @@
 		t.Fatal(err)
 	}
 	return &tickHarness{t: t, d: d, now: 1000 * Second, tick: set.Tick, tries: map[MessageID]int{}, dest: map[MessageID]int{},
-		left: map[Time][]Event{}}
+		outcomes: map[Time][]Event{}}
 }
 
-func (y *tickHarness) list(n int, weight func(dest int) float64) Event {
+func (h *tickHarness) list(n int, weight func(dest int) float64) Event {
 	ev := Event{Kind: List, ListKind: ListFull}
 	for dest := range n {
 		ev.Entries = append(ev.Entries, Entry{Endpoint: Endpoint(dest + 1), Destination: dest, Health: Ready, Weight: weight(dest)})
@@ -37,37 +37,37 @@
 	return ev
 }
 
-func (y *tickHarness) arrival(dest int) Event {
-	y.last++
-	y.dest[y.last] = dest
-	return Event{Kind: Arrival, Message: y.last, Destination: dest, TimeLeft: 3600 * Second}
+func (h *tickHarness) arrival(dest int) Event {
+	h.last++
+	h.dest[h.last] = dest
+	return Event{Kind: Arrival, Message: h.last, Destination: dest, TimeLeft: 3600 * Second}
 }
 
 // step runs one round and returns the messages sent in it. answer returns how a call ends and after how long (0: never).
-func (y *tickHarness) step(after Time, events []Event, answer func(dest int) (Event, Time)) (sent []MessageID) {
-	y.now += after
-	for at := (y.now-after)/y.tick + 1; at <= y.now/y.tick; at++ {
-		if ends := y.left[at]; ends != nil {
+func (h *tickHarness) step(after Time, events []Event, answer func(dest int) (Event, Time)) (sent []MessageID) {
+	h.now += after
+	for at := (h.now-after)/h.tick + 1; at <= h.now/h.tick; at++ {
+		if ends := h.outcomes[at]; ends != nil {
 			events = append(events, ends...)
-			delete(y.left, at)
+			delete(h.outcomes, at)
 		}
 	}
-	y.asked = false
-	for _, a := range y.d.Step(y.now, events, nil) {
-		if a.Kind == Timer && a.TimerID == 0 && a.After <= y.tick {
-			y.asked = true
+	h.asked = false
+	for _, a := range h.d.Step(h.now, events, nil) {
+		if a.Kind == Timer && a.TimerID == 0 && a.After <= h.tick {
+			h.asked = true
 		}
 		if a.Kind != Send {
 			continue
 		}
 		sent = append(sent, a.Message)
-		ev, lag := answer(y.dest[a.Message])
-		ev.Kind, ev.Message, ev.Attempt, ev.Endpoint, ev.Latency = Outcome, a.Message, y.tries[a.Message], a.Endpoint, lag
+		ev, lag := answer(h.dest[a.Message])
+		ev.Kind, ev.Message, ev.Attempt, ev.Endpoint, ev.Latency = Outcome, a.Message, h.tries[a.Message], a.Endpoint, lag
 		ev.Closed = ev.Result == OK
-		y.tries[a.Message]++
+		h.tries[a.Message]++
 		if lag > 0 {
-			at := (y.now + lag + y.tick - 1) / y.tick
-			y.left[at] = append(y.left[at], ev)
+			at := (h.now + lag + h.tick - 1) / h.tick
+			h.outcomes[at] = append(h.outcomes[at], ev)
 		}
 	}
 	return sent
@@ -80,21 +80,21 @@
 func TestWaitsThatEndAtOnceAreHandledInBoundedSteps(t *testing.T) {
 	t.Parallel()
 	const n = 10_000
-	y := newTickHarness(t, blockedSettings(n))
-	events := []Event{y.list(n, noWeight)}
+	h := newTickHarness(t, blockedSettings(n))
+	events := []Event{h.list(n, noWeight)}
 	for dest := range n {
-		events = append(events, y.arrival(dest))
+		events = append(events, h.arrival(dest))
 	}
-	until := y.now + 2*Second
+	until := h.now + 2*Second
 	sent := 0
 	for sent < n { // all are refused, with a wait until the same time
-		sent += len(y.step(y.tick, events, func(int) (Event, Time) {
-			return Event{Result: Refused, RetryAfter: until - y.now - Millisecond}, Millisecond
+		sent += len(h.step(h.tick, events, func(int) (Event, Time) {
+			return Event{Result: Refused, RetryAfter: until - h.now - Millisecond}, Millisecond
 		}))
 		events = nil
 	}
-	for y.now < until {
-		if got := y.step(y.tick, nil, nil); len(got) > 0 {
+	for h.now < until {
+		if got := h.step(h.tick, nil, nil); len(got) > 0 {
 			t.Fatalf("%d sent during their waits", len(got))
 		}
 	}
@@ -102,18 +102,18 @@
 	sent = 0
 	bounded := 0
 	for steps := 0; sent < n; steps++ {
-		got := len(y.step(y.tick, nil, ok))
+		got := len(h.step(h.tick, nil, ok))
 		if got > 250 {
 			t.Fatalf("one Step sends %d", got)
 		}
 		sent += got
 		if got == 250 && sent < n {
 			bounded++
-			if !y.asked {
+			if !h.asked {
 				t.Fatalf("%d messages are left, and the Step does not ask for the next one at once", n-sent)
 			}
 		}
-		if y.now > until+10*Second { // the refusals cut the allowed share, which grows slowly with rare traffic
+		if h.now > until+10*Second { // the refusals cut the allowed share, which grows slowly with rare traffic
 			t.Fatalf("%d of %d sent in %d Steps", sent, n, steps)
 		}
 	}
@@ -128,37 +128,37 @@
 	const n, slots = 24, 6
 	set := blockedSettings(n)
 	set.Slots, set.MaxOpen, set.Weights = slots, 1<<20, WeightNominal
-	y := newTickHarness(t, set)
+	h := newTickHarness(t, set)
 	weight := func(dest int) float64 { return 1000 * float64(1+dest%4) } // a rate that is never reached
 	lag := func(dest int) Time { return Time(10+5*(dest%7)) * Millisecond }
-	events := []Event{y.list(n, weight)}
-	held := make([]int, n)
-	time := make([]float64, n)
-	top := func() {
-		for dest := range held {
-			for ; held[dest] < 6; held[dest]++ {
-				events = append(events, y.arrival(dest))
+	events := []Event{h.list(n, weight)}
+	queued := make([]int, n)
+	slotTime := make([]float64, n)
+	refill := func() {
+		for dest := range queued {
+			for ; queued[dest] < 6; queued[dest]++ {
+				events = append(events, h.arrival(dest))
 			}
 		}
 	}
-	begun := y.now + 5*Second // windows have grown by then
-	for y.now < begun+600*Second {
-		top()
-		for _, id := range y.step(y.tick, events, func(dest int) (Event, Time) { return Event{Result: OK}, lag(dest) }) {
-			dest := y.dest[id]
-			if held[dest]--; y.now > begun {
-				time[dest] += float64(lag(dest)) / weight(dest)
+	begun := h.now + 5*Second // windows have grown by then
+	for h.now < begun+600*Second {
+		refill()
+		for _, id := range h.step(h.tick, events, func(dest int) (Event, Time) { return Event{Result: OK}, lag(dest) }) {
+			dest := h.dest[id]
+			if queued[dest]--; h.now > begun {
+				slotTime[dest] += float64(lag(dest)) / weight(dest)
 			}
-			delete(y.dest, id)
-			delete(y.tries, id)
+			delete(h.dest, id)
+			delete(h.tries, id)
 		}
 		events = events[:0]
 	}
 	mean := 0.0
-	for _, v := range time {
+	for _, v := range slotTime {
 		mean += v / n
 	}
-	for dest, v := range time {
+	for dest, v := range slotTime {
 		if v < 0.95*mean || v > 1.05*mean {
 			t.Errorf("destination %d of weight %v has %.3f of the mean slot time per weight", dest, weight(dest), v/mean)
 		}
@@ -176,34 +176,34 @@
 	for i := range set.Tenants {
 		set.Tenants[i].Quota = 0.001
 	}
-	y := newTickHarness(t, set)
-	events := []Event{y.list(n, noWeight)}
+	h := newTickHarness(t, set)
+	events := []Event{h.list(n, noWeight)}
 	for range big {
-		events = append(events, y.arrival(0))
+		events = append(events, h.arrival(0))
 	}
 	for dest := 1; dest < n; dest++ {
-		events = append(events, y.arrival(dest))
+		events = append(events, h.arrival(dest))
 	}
 	for i := 1; i < len(events); i++ {
 		events[i].Tenant = i % 100
 	}
 	ok := func(int) (Event, Time) { return Event{Result: OK}, 20 * Millisecond }
-	small, ofBig := 0, 0
-	for small < n-1 {
-		for _, id := range y.step(y.tick, events, ok) {
-			if y.dest[id] == 0 {
-				ofBig++
+	sentSmall, sentBig := 0, 0
+	for sentSmall < n-1 {
+		for _, id := range h.step(h.tick, events, ok) {
+			if h.dest[id] == 0 {
+				sentBig++
 			} else {
-				small++
+				sentSmall++
 			}
 		}
 		events = nil
-		if y.now > 1010*Second {
-			t.Fatalf("%d of %d small backlogs were sent in 10 s", small, n-1)
+		if h.now > 1010*Second {
+			t.Fatalf("%d of %d small backlogs were sent in 10 s", sentSmall, n-1)
 		}
 	}
-	if ofBig > slots {
-		t.Errorf("%d messages of the big backlog were sent before the last small one", ofBig)
+	if sentBig > slots {
+		t.Errorf("%d messages of the big backlog were sent before the last small one", sentBig)
 	}
 }
 
@@ -213,24 +213,24 @@
 	t.Parallel()
 	set := blockedSettings(50)
 	set.Weights, set.MaxOpen = WeightNominal, 5000
-	y := newTickHarness(t, set)
-	events := []Event{y.list(2, func(dest int) float64 { return []float64{10, 0}[dest] })}
+	h := newTickHarness(t, set)
+	events := []Event{h.list(2, func(dest int) float64 { return []float64{10, 0}[dest] })}
 	for range 2000 {
-		events = append(events, y.arrival(0), y.arrival(1))
+		events = append(events, h.arrival(0), h.arrival(1))
 	}
 	ok := func(int) (Event, Time) { return Event{Result: OK}, 20 * Millisecond }
 	sends := func(ids []MessageID) (n [2]int) {
 		for _, id := range ids {
-			n[y.dest[id]]++
+			n[h.dest[id]]++
 		}
 		return n
 	}
-	y.step(y.tick, events, ok)
+	h.step(h.tick, events, ok)
 	for range 100 {
-		y.step(y.tick, nil, ok)
+		h.step(h.tick, nil, ok)
 	}
 	// One may get what its rate allows in a second. No destination may have three quarters of the slots.
-	if got := sends(y.step(Second, nil, ok)); got[0] > 10 || got[0] == 0 || got[1] > 37 || got[1] == 0 {
+	if got := sends(h.step(Second, nil, ok)); got[0] > 10 || got[0] == 0 || got[1] > 37 || got[1] == 0 {
 		t.Errorf("a late Step sends %d to a destination that accepts ten a second, and %d to the other", got[0], got[1])
 	}
 }
@@ -243,41 +243,41 @@
 	set := blockedSettings(n)
 	set.Slots, set.MaxOpen, set.WarmUp, set.Tick = 10, 200, 2*Second, 50*Millisecond
 	set.Classes[0].Deadline = 5 * Second
-	y := newTickHarness(t, set)
+	h := newTickHarness(t, set)
 	events := []Event{}
 	first, next := 0, 0
-	half := map[string]int{}
-	for end := y.now + 3600*Second; y.now < end; {
+	firstHalf := map[string]int{}
+	for end := h.now + 3600*Second; h.now < end; {
 		for next < first+n {
 			events = append(events, Event{Kind: List, Entries: []Entry{{Endpoint: Endpoint(next + 1), Destination: next, Health: Ready}}})
 			next++
 		}
-		events = append(events, y.arrival(first+int(y.last)%n))
-		if y.last > 200 {
-			delete(y.dest, y.last-200)
-			delete(y.tries, y.last-200)
-			events = append(events, Event{Kind: Withdrawn, Message: y.last - 200})
+		events = append(events, h.arrival(first+int(h.last)%n))
+		if h.last > 200 {
+			delete(h.dest, h.last-200)
+			delete(h.tries, h.last-200)
+			events = append(events, Event{Kind: Withdrawn, Message: h.last - 200})
 		}
-		y.step(y.tick, events, func(dest int) (Event, Time) {
+		h.step(h.tick, events, func(dest int) (Event, Time) {
 			return Event{Result: []Result{OK, ConnectFailed, Refused, Reset}[dest%4]}, 20 * Millisecond
 		})
 		events = events[:0]
-		if y.now%Second < y.tick {
+		if h.now%Second < h.tick {
 			events = append(events, Event{Kind: List, Entries: []Entry{{Endpoint: Endpoint(first + 1), Destination: first, Health: Gone}}})
 			first++
 		}
-		if y.now%Second >= y.tick {
+		if h.now%Second >= h.tick {
 			continue
 		}
-		for name, size := range y.d.Sizes() {
-			if y.now < end-1800*Second {
-				half[name] = max(half[name], size)
-			} else if size > half[name]+half[name]/5+10 {
-				t.Fatalf("%s: %d entries are kept, %d in the first half hour", name, size, half[name])
+		for name, size := range h.d.Sizes() {
+			if h.now < end-1800*Second {
+				firstHalf[name] = max(firstHalf[name], size)
+			} else if size > firstHalf[name]+firstHalf[name]/5+10 {
+				t.Fatalf("%s: %d entries are kept, %d in the first half hour", name, size, firstHalf[name])
 			}
 		}
 	}
-	if err := y.d.CheckHeaps(); err != nil {
+	if err := h.d.CheckHeaps(); err != nil {
 		t.Error(err)
 	}
 }
--- a/control/orders_test.go
+++ b/control/orders_test.go
@@ -10,47 +10,47 @@
 func TestHeapIsInOrder(t *testing.T) {
 	t.Parallel()
 	rng := rand.New(rand.NewPCG(1, 2))
-	o := destinationHeap[float64]{index: runnableHeap}
+	h := destinationHeap[float64]{index: runnableHeap}
 	var all []*destination
 	keys := map[*destination]float64{}
 	for i := range 200 {
 		all = append(all, &destination{number: i, activation: uint64(i)})
 	}
 	for range 20_000 {
-		x := all[rng.IntN(len(all))]
+		dest := all[rng.IntN(len(all))]
 		switch rng.IntN(4) {
 		case 0:
-			o.remove(x)
-			delete(keys, x)
+			h.remove(dest)
+			delete(keys, dest)
 		case 1:
-			k := float64(rng.IntN(30))
-			if old, ok := keys[x]; !ok || k < old {
-				keys[x] = k
+			key := float64(rng.IntN(30))
+			if old, ok := keys[dest]; !ok || key < old {
+				keys[dest] = key
 			}
-			o.lowerKey(x, k, x.activation)
+			h.lowerKey(dest, key, dest.activation)
 		default:
-			keys[x] = float64(rng.IntN(30))
-			o.set(x, keys[x], x.activation)
+			keys[dest] = float64(rng.IntN(30))
+			h.set(dest, keys[dest], dest.activation)
 		}
-		if err := checkHeap(&o)(); err != nil {
+		if err := checkHeap(&h)(); err != nil {
 			t.Fatal(err)
 		}
-		if len(o.entries) != len(keys) {
-			t.Fatalf("the heap holds %d entries, want %d", len(o.entries), len(keys))
+		if len(h.entries) != len(keys) {
+			t.Fatalf("the heap holds %d entries, want %d", len(h.entries), len(keys))
 		}
 	}
 	last := heapEntry[float64]{key: -1}
 	for n := len(keys); n > 0; n-- {
-		x := o.entries[0]
-		if x.key != keys[x.destination] || !last.less(&x) {
-			t.Fatalf("%v comes after %v, its key is %v", x, last, keys[x.destination])
+		entry := h.entries[0]
+		if entry.key != keys[entry.destination] || !last.less(&entry) {
+			t.Fatalf("%v comes after %v, its key is %v", entry, last, keys[entry.destination])
 		}
-		if last = x; o.popDue(x.key) != x.destination {
+		if last = entry; h.popDue(entry.key) != entry.destination {
 			t.Fatal("the first entry is not due at its key")
 		}
 	}
-	o.set(all[0], 1, 1)
-	if o.clear(); len(o.entries) > 0 || all[0].heapPositions[runnableHeap] != 0 {
+	h.set(all[0], 1, 1)
+	if h.clear(); len(h.entries) > 0 || all[0].heapPositions[runnableHeap] != 0 {
 		t.Error("a cleared heap is not empty")
 	}
 }
@@ -130,37 +130,37 @@
 func TestQueueIsInOrderOfArrival(t *testing.T) {
 	t.Parallel()
 	rng := rand.New(rand.NewPCG(3, 4))
-	var l messageQueue
-	var want, away []*message
+	var queue messageQueue
+	var want, removed []*message
 	for n := range uint64(30_000) {
 		m := &message{arrivalNumber: n}
-		switch k := rng.IntN(5); {
-		case k < 2 || len(want) == 0:
-		case k == 2 && len(away) > 0: // a removed message returns
-			i := rng.IntN(len(away))
-			m = away[i]
-			away = slices.Delete(away, i, i+1)
+		switch choice := rng.IntN(5); {
+		case choice < 2 || len(want) == 0:
+		case choice == 2 && len(removed) > 0: // a removed message returns
+			i := rng.IntN(len(removed))
+			m = removed[i]
+			removed = slices.Delete(removed, i, i+1)
 		default:
 			i := min(rng.IntN(len(want)), rng.IntN(len(want)))
-			away = append(away, want[i])
-			l.remove(want[i])
+			removed = append(removed, want[i])
+			queue.remove(want[i])
 			want = slices.Delete(want, i, i+1)
 			continue
 		}
-		l.insert(m)
+		queue.insert(m)
 		want = append(want, m)
 		slices.SortFunc(want, func(a, b *message) int { return int(a.arrivalNumber) - int(b.arrivalNumber) })
-		if !slices.Equal(l.all(), want) || l.len() != len(want) {
-			t.Fatalf("after %d messages: the queue holds %d, want %d", n, l.len(), len(want))
+		if !slices.Equal(queue.all(), want) || queue.len() != len(want) {
+			t.Fatalf("after %d messages: the queue holds %d, want %d", n, queue.len(), len(want))
 		}
 		if len(want) > 300 {
 			for _, m := range want {
-				l.remove(m)
+				queue.remove(m)
 			}
-			if cap(l.messages) > keptCapacity || l.head != 0 {
+			if cap(queue.messages) > keptCapacity || queue.head != 0 {
 				t.Fatal("an empty queue keeps its memory")
 			}
-			want, away = nil, nil
+			want, removed = nil, nil
 		}
 	}
 }
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -63,8 +63,8 @@
 	switch a.Kind {
 	case Refuse, Fail:
 		j.check(!m.ended, m, "two final answers")
-		maybe := (m.doubt || m.out) && m.class.Effect != Free
-		j.check(a.Kind == Fail || !maybe || m.class.Effect == Guarded, m, "refused though it may have run")
+		mayHaveRun := (m.doubt || m.out) && m.class.Effect != Free
+		j.check(a.Kind == Fail || !mayHaveRun || m.class.Effect == Guarded, m, "refused though it may have run")
 		m.ended = true
 	case Send:
 		j.send(m, a)
@@ -81,12 +81,12 @@
 		j.check(m.class.Effect == Free || j.now < m.doubtAt+m.class.Window, m, "repeated after its window")
 	}
 	if m.key != 0 {
-		q := j.order[m.key]
-		for len(q) > 0 && q[0].ended && !q[0].out {
-			q = q[1:]
+		queue := j.order[m.key]
+		for len(queue) > 0 && queue[0].ended && !queue[0].out {
+			queue = queue[1:]
 		}
-		j.order[m.key] = q
-		j.check(q[0] == m, m, "sent out of order")
+		j.order[m.key] = queue
+		j.check(queue[0] == m, m, "sent out of order")
 		j.check(m.tries > 0 || j.now >= j.rest[m.key], m, "sent while its key rests")
 	}
 	m.tries++
@@ -141,13 +141,13 @@
 	}
 	j := &ruleChecker{t: t, set: set, msgs: map[MessageID]*trackedMessage{}, wait: map[int]Time{}, ready: map[Endpoint]bool{},
 		calls: map[[2]int64]int{}, order: map[uint64][]*trackedMessage{}, rest: map[uint64]Time{}}
-	sick := map[int]Result{}
+	failing := map[int]Result{}
 	for round := Time(0); round < 6000; round++ {
 		j.now = round * 20 * Millisecond
 		var events []Event
 		for dest := 1; dest <= 4; dest++ { // destinations fail and recover
 			if rng.Intn(300) == 0 {
-				sick[dest] = Result(rng.Intn(int(Moot)))
+				failing[dest] = Result(rng.Intn(int(Moot)))
 			}
 		}
 		if round == 0 || rng.Intn(100) == 0 {
@@ -164,7 +164,7 @@
 		}
 		rest := j.out[:0]
 		for _, m := range j.out {
-			res, lost := sick[m.dest], sick[m.dest] == TimedOut
+			res, lost := failing[m.dest], failing[m.dest] == TimedOut
 			switch {
 			case j.now >= m.deadline:
 				events = append(events, j.resolve(m, TimedOut, 0))
@@ -211,15 +211,15 @@
 func (j *ruleChecker) arrival(rng *rand.Rand) Event {
 	class := rng.Intn(4)
 	m := &trackedMessage{id: MessageID(len(j.msgs) + 1), class: &j.set.Classes[class], dest: 1 + rng.Intn(4)}
-	grace := Time(1+rng.Intn(20)) * second
-	m.deadline = j.now + grace
+	timeLeft := Time(1+rng.Intn(20)) * second
+	m.deadline = j.now + timeLeft
 	if m.class.InOrder {
 		m.key = uint64(1 + m.dest)
 		j.order[m.key] = append(j.order[m.key], m)
 	}
 	j.msgs[m.id] = m
 	j.open = append(j.open, m)
-	return Event{Kind: Arrival, Message: m.id, Class: class, Destination: m.dest, Key: m.key, TimeLeft: grace}
+	return Event{Kind: Arrival, Message: m.id, Class: class, Destination: m.dest, Key: m.key, TimeLeft: timeLeft}
 }
 
 // illegalEvents returns events that no correct caller sends. They must change nothing that the rules depend on.
--- a/control/shut_test.go
+++ b/control/shut_test.go
@@ -9,16 +9,16 @@
 // traffic sends a steady stream of messages of the free class to destination 1.
 type traffic struct {
 	*harness
-	perSecond float64
-	answer    func(m MessageID, attempt int) Event // outcome of a call, 100 ms after it was sent
-	owed      float64
-	out       []dueEvent
-	tries     map[MessageID]int
+	perSecond   float64
+	answer      func(id MessageID, attempt int) Event // outcome of a call, 100 ms after it was sent
+	arrivalsDue float64
+	pending     []dueEvent
+	tries       map[MessageID]int
 }
 
 type dueEvent struct {
-	at Time
-	e  Event
+	at    Time
+	event Event
 }
 
 func newTraffic(t *testing.T, perSecond float64) *traffic {
@@ -29,26 +29,26 @@
 	}
 }
 
-func acceptCall(m MessageID, attempt int) Event { return outcomeOf(m, attempt, OK) }
+func acceptCall(id MessageID, attempt int) Event { return outcomeOf(id, attempt, OK) }
 
 // play runs for a span and returns the number of calls sent in each tenth of a second.
 func (r *traffic) play(span Time) (sends []int) {
 	const step = 20 * Millisecond
 	for end, n := r.now+span, 0; r.now < end; n++ {
 		var events []Event
-		for r.owed += r.perSecond * step.Seconds(); r.owed >= 1; r.owed-- {
+		for r.arrivalsDue += r.perSecond * step.Seconds(); r.arrivalsDue >= 1; r.arrivalsDue-- {
 			events = append(events, r.arrival(freeClass, 1))
 		}
-		for len(r.out) > 0 && r.out[0].at <= r.now+step {
-			events = append(events, r.out[0].e)
-			r.out = r.out[1:]
+		for len(r.pending) > 0 && r.pending[0].at <= r.now+step {
+			events = append(events, r.pending[0].event)
+			r.pending = r.pending[1:]
 		}
 		if n%5 == 0 {
 			sends = append(sends, 0)
 		}
 		for _, id := range sentMessages(r.step(step, events...)) {
 			sends[len(sends)-1]++
-			r.out = append(r.out, dueEvent{r.now + 100*Millisecond, r.answer(id, r.tries[id])})
+			r.pending = append(r.pending, dueEvent{r.now + 100*Millisecond, r.answer(id, r.tries[id])})
 			r.tries[id]++
 		}
 	}
@@ -59,8 +59,8 @@
 func maxInWindow(sends []int, window int) (n int) {
 	for i := range sends {
 		sum := 0
-		for _, k := range sends[max(0, i+1-window) : i+1] {
-			sum += k
+		for _, count := range sends[max(0, i+1-window) : i+1] {
+			sum += count
 		}
 		n = max(n, sum)
 	}
@@ -72,8 +72,8 @@
 	t.Parallel()
 	r := newTraffic(t, 5)
 	r.play(20 * second)
-	opens := r.now + 12*second
-	r.answer = func(m MessageID, a int) Event { return refusal(m, a, opens-r.now) }
+	opensAt := r.now + 12*second
+	r.answer = func(id MessageID, attempt int) Event { return refusal(id, attempt, opensAt-r.now) }
 	r.play(12 * second)
 	r.answer = acceptCall
 	// It may get twice what it can do, which is a fifth of the demand and a little more.
@@ -90,12 +90,12 @@
 	r.play(20 * second)
 	ep := r.d.endpointByID[endpointID(1, 1)]
 	until := Time(0)
-	r.answer = func(m MessageID, a int) Event {
+	r.answer = func(id MessageID, attempt int) Event {
 		if until == 0 {
 			until = r.now + 100*Millisecond + 1900*Millisecond
-			return refusal(m, a, 1900*Millisecond)
+			return refusal(id, attempt, 1900*Millisecond)
 		}
-		return acceptCall(m, a)
+		return acceptCall(id, attempt)
 	}
 	for r.play(20 * Millisecond); until == 0 || r.now <= until+20*Millisecond; {
 		r.play(20 * Millisecond)
@@ -114,7 +114,7 @@
 	t.Parallel()
 	r := newTraffic(t, 5)
 	r.play(20 * second)
-	r.answer = func(m MessageID, a int) Event { return outcomeOf(m, a, ConnectFailed) }
+	r.answer = func(id MessageID, attempt int) Event { return outcomeOf(id, attempt, ConnectFailed) }
 	r.play(15 * second)
 	r.answer = acceptCall
 	sends := r.play(testSettings().WarmUp) // it comes back now
@@ -131,9 +131,10 @@
 func TestRandomRefusalsAreToldFromALimit(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		come, share, limit float64 // messages a second; share refused at random, or calls a second that the endpoint accepts
-		served             float64 // at least this share of the messages, or of the limit if there is one
-		p99, over          float64 // ms; calls over the limit a second
+		// Messages a second; share refused at random; calls a second that the endpoint accepts, 0 if there is no limit.
+		arrivalRate, share, limit float64
+		served                    float64 // at least this share of the messages, or of the limit if there is one
+		p99, overLimit            float64 // at most so many ms, and so many calls a second over the limit
 	}{
 		{100, 0.01, 0, 0.99, 100, 0},
 		{100, 0.05, 0, 0.99, 1200, 0},
@@ -154,15 +155,15 @@
 		{100, 0, 20, 0.95, 3000, 15},
 	} {
 		for seed := range uint64(4) {
-			served, p99, over := playRefusals(t, c.come, c.share, c.limit, seed)
+			served, p99, overLimit := playRefusals(t, c.arrivalRate, c.share, c.limit, seed)
 			if c.limit > 0 {
-				served /= c.limit / c.come
+				served /= c.limit / c.arrivalRate
 			} else {
-				over = 0
+				overLimit = 0
 			}
-			t.Logf("%v of %v a second, seed %d: %.3f served, p99 %.0f ms, %.1f over the limit a second", c.share+c.limit, c.come,
-				seed, served, p99, over)
-			if served < c.served || p99 > c.p99 || over > c.over {
+			t.Logf("%v of %v a second, seed %d: %.3f served, p99 %.0f ms, %.1f over the limit a second", c.share+c.limit, c.arrivalRate,
+				seed, served, p99, overLimit)
+			if served < c.served || p99 > c.p99 || overLimit > c.overLimit {
 				t.Errorf("outside of the bounds %+v", c)
 			}
 		}
@@ -171,54 +172,54 @@
 
 // playRefusals runs 12 s with an endpoint that refuses calls. It returns the share of messages served in time, the 99th
 // percentile of their latency in ms, and the number of refused calls a second.
-func playRefusals(t *testing.T, come, share, limit float64, seed uint64) (served, p99, refused float64) {
+func playRefusals(t *testing.T, arrivalRate, share, limit float64, seed uint64) (served, p99, refused float64) {
 	const (
-		step, span, takes, lives = 2 * Millisecond, 12 * second, 4 * Millisecond, 3 * second
-		burst                    = 9.0
+		step, span, callDuration, timeLeft = 2 * Millisecond, 12 * second, 4 * Millisecond, 3 * second
+		burst                              = 9.0
 	)
 	set := testSettings()
 	set.Slots, set.MaxOpen, set.Instances = 200, 20_000, 1
 	for i := range set.Classes {
-		set.Classes[i].Deadline = lives
+		set.Classes[i].Deadline = timeLeft
 	}
 	r := newHarness(t, set, listEntry(1, 1, 0), listEntry(2, 1, 0))
 	r.d.randomState += seed * 2862933555777941757
 	rng := rand.New(rand.NewPCG(seed, 1))
-	due, tries, born := map[Time][]Event{}, map[MessageID]int{}, map[MessageID]Time{}
-	var lags []float64
-	owed, level, at := 0.0, burst, r.now
-	for end := r.now + span; r.now < end+lives; {
+	due, tries, submittedAt := map[Time][]Event{}, map[MessageID]int{}, map[MessageID]Time{}
+	var latencies []float64
+	arrivalsDue, tokens, at := 0.0, burst, r.now
+	for end := r.now + span; r.now < end+timeLeft; {
 		now := r.now + step
 		events := due[now]
 		delete(due, now)
 		for _, e := range events {
 			if e.Result == OK {
-				lags = append(lags, 1000*(now-born[e.Message]).Seconds())
+				latencies = append(latencies, 1000*(now-submittedAt[e.Message]).Seconds())
 			}
 		}
 		if now < end {
-			for owed += come * step.Seconds(); owed >= 1; owed-- {
+			for arrivalsDue += arrivalRate * step.Seconds(); arrivalsDue >= 1; arrivalsDue-- {
 				e := r.arrival(freeClass, 1)
-				e.TimeLeft, born[e.Message] = lives, now
+				e.TimeLeft, submittedAt[e.Message] = timeLeft, now
 				events = append(events, e)
 			}
 		}
 		for _, id := range sentMessages(r.step(step, events...)) {
 			e := outcomeOf(id, tries[id], OK)
-			e.Latency = takes
+			e.Latency = callDuration
 			tries[id]++
-			level, at = min(burst, level+limit*(now-at).Seconds()), now
-			if limit > 0 && level < 1 || rng.Float64() < share {
+			tokens, at = min(burst, tokens+limit*(now-at).Seconds()), now
+			if limit > 0 && tokens < 1 || rng.Float64() < share {
 				e = refusal(id, e.Attempt, 0)
 				refused++
 			} else {
-				level--
+				tokens--
 			}
-			due[now+takes] = append(due[now+takes], e)
+			due[now+callDuration] = append(due[now+callDuration], e)
 		}
 	}
-	slices.Sort(lags)
-	return float64(len(lags)) / float64(r.lastID), lags[len(lags)*99/100], refused / span.Seconds()
+	slices.Sort(latencies)
+	return float64(len(latencies)) / float64(r.lastID), latencies[len(latencies)*99/100], refused / span.Seconds()
 }
 
 // If the only endpoint of a destination fails because it is being replaced, and the list is late, its successor is healthy
@@ -237,7 +238,7 @@
 	} {
 		r := newTraffic(t, 5)
 		r.play(20 * second)
-		r.answer = func(m MessageID, a int) Event { return outcomeOf(m, a, ConnectFailed) }
+		r.answer = func(id MessageID, attempt int) Event { return outcomeOf(id, attempt, ConnectFailed) }
 		r.play(c.failing)
 		gone := listEntry(1, 1, 0)
 		gone.Health = Gone
@@ -263,7 +264,7 @@
 	r.step(0, Event{Kind: List, Entries: []Entry{listEntry(1, 2, 0)}})
 	r.play(20 * second)
 	one, two := r.d.endpointByID[endpointID(1, 1)], r.d.endpointByID[endpointID(1, 2)]
-	r.answer = func(m MessageID, a int) Event { return outcomeOf(m, a, TimedOut) }
+	r.answer = func(id MessageID, attempt int) Event { return outcomeOf(id, attempt, TimedOut) }
 	for !one.suspect || !two.suspect {
 		r.play(second / 10)
 	}
