--- a/control/control_test.go
+++ b/control/control_test.go
@@ -204,7 +204,7 @@
 	}
 }
 
-func TestRevivalTakesTheLeastOtherVirtualTime(t *testing.T) {
+func TestReactivatedDestinationTakesTheLeastVirtualTime(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(2, 0, 0), listEntry(3, 0, 0))
 	r.step(0, r.arrival(freeClass, 1), r.arrival(freeClass, 2))
 	r.d.destinationByNumber[1].virtualTime, r.d.destinationByNumber[2].virtualTime, r.d.destinationByNumber[3].virtualTime = 7, 5, 90
@@ -304,7 +304,7 @@
 	}
 }
 
-func TestGuardedByZoneStaysInItsZoneAndIsNotHandedBack(t *testing.T) {
+func TestGuardedByZoneStaysInItsZoneAndIsNotRefused(t *testing.T) {
 	set := testSettings()
 	set.Classes[guardedClass].ZoneGroup = true
 	far := listEntry(1, 1, 0)
@@ -321,7 +321,7 @@
 	r.wantAction(r.advance(11*second), Fail, 1)
 }
 
-func TestAnswerBeforeTheTimeIsUp(t *testing.T) {
+func TestFinalAnswerBeforeTheDeadline(t *testing.T) {
 	for _, c := range []struct {
 		class int
 		end   ActionKind
@@ -488,7 +488,7 @@
 }
 
 // When idle connections turn out to be dropped without notice after some time, the next call uses a new connection.
-func TestReapedConnectionsAreClosedBeforeUse(t *testing.T) {
+func TestDroppedIdleConnectionsAreClosedBeforeUse(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
 	r.step(second/10, outcomeOf(1, 0, OK))
@@ -580,7 +580,7 @@
 	r.wantSent(r.step(second/10, outcomeOf(1, 0, OK)), 3)
 }
 
-func TestSheddingKeepsTheBetter(t *testing.T) {
+func TestSheddingKeepsMessagesOfMoreWorth(t *testing.T) {
 	set := testSettings()
 	set.MaxOpen, set.Slots = 8, 1
 	set.Classes[singleShotClass].Worth = 5
@@ -608,7 +608,7 @@
 }
 
 // A hanging destination must not keep the slots from the others.
-func TestReclaimTakesSlotsBackFromASuspect(t *testing.T) {
+func TestSlotsOfASuspectAreReclaimed(t *testing.T) {
 	set := testSettings()
 	set.Slots = 2
 	r := newHarness(t, set, listEntry(1, 0, 0), listEntry(2, 0, 0), listEntry(3, 0, 0))
@@ -651,7 +651,7 @@
 
 // The late response to a call sent before the failure shows a slow endpoint, not an outage: it ends the suspicion without
 // a ramp.
-func TestLateAnswerLiftsSuspicionWithoutRamp(t *testing.T) {
+func TestLateResponseEndsSuspicionWithoutRamp(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	r.wantSent(r.step(0, r.arrival(singleShotClass, 1)), 1)
 	r.advance(3 * second)
