--- a/control/charge_test.go
+++ b/control/charge_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Slots are scarce, no weights are listed, and one destination gets most of the messages: slow ones that get few must not
-// take as much slot-time each, so that most messages wait.
+// Guards against most messages waiting where slots are scarce and no weights are listed: slow destinations with few
+// messages must not get as much slot time each as the one that gets most of the messages.
 func TestScarceSlotsGoByTrafficWhereNoWeightIsListed(t *testing.T) {
 	t.Parallel()
 	const few, step = 4, 10 * Millisecond
@@ -14,49 +14,49 @@
 		entries = append(entries, listEntry(dest, 1, 0))
 	}
 	r := newHarness(t, set, entries...)
-	took := map[int]Time{1: 100 * Millisecond}
-	dests, came, served := map[MessageID]int{}, map[int]int{}, map[int]int{}
-	var out []dueEvent
+	latencies := map[int]Time{1: 100 * Millisecond}
+	destinationOf, arrived, served := map[MessageID]int{}, map[int]int{}, map[int]int{}
+	var pending []dueEvent
 	for n := range 2000 {
 		var events []Event
 		arrive := func(dest int) {
-			e := r.arrival(freeClass, dest)
-			dests[e.Message] = dest
-			came[dest]++
-			events = append(events, e)
+			event := r.arrival(freeClass, dest)
+			destinationOf[event.Message] = dest
+			arrived[dest]++
+			events = append(events, event)
 		}
-		if n%5 == 0 { // 20 a second, which keep two slots busy
+		if n%5 == 0 { // 20 a second, which use two slots
 			arrive(1)
 		}
-		if n%50 == 0 { // 2 a second each, which would keep five busy
+		if n%50 == 0 { // 2 a second each, which would use five slots
 			for dest := 2; dest < 2+few; dest++ {
 				arrive(dest)
 			}
 		}
-		rest := out[:0]
-		for _, o := range out {
-			if o.at <= r.now+step {
-				events = append(events, o.e)
-				served[dests[o.e.Message]]++
+		remaining := pending[:0]
+		for _, due := range pending {
+			if due.at <= r.now+step {
+				events = append(events, due.event)
+				served[destinationOf[due.event.Message]]++
 			} else {
-				rest = append(rest, o)
+				remaining = append(remaining, due)
 			}
 		}
-		out = rest
+		pending = remaining
 		for _, id := range sentMessages(r.step(step, events...)) {
-			lag := took[dests[id]]
-			if lag == 0 {
-				lag = 600 * Millisecond
+			latency := latencies[destinationOf[id]]
+			if latency == 0 {
+				latency = 600 * Millisecond
 			}
-			out = append(out, dueEvent{r.now + lag, outcomeOf(id, 0, OK)})
+			pending = append(pending, dueEvent{r.now + latency, outcomeOf(id, 0, OK)})
 		}
 	}
-	if part := float64(served[1]) / float64(came[1]); part < 0.9 {
-		t.Errorf("%.2f of the messages are served where most come, at half of the slots", part)
+	if servedShare := float64(served[1]) / float64(arrived[1]); servedShare < 0.9 {
+		t.Errorf("%.2f of the messages are served at the destination that gets most and needs half of the slots", servedShare)
 	}
 	for dest := 2; dest < 2+few; dest++ {
-		if served[dest] < came[dest]/5 {
-			t.Errorf("destination %d gets next to nothing: %d of %d", dest, served[dest], came[dest])
+		if served[dest] < arrived[dest]/5 {
+			t.Errorf("destination %d: only %d of %d messages are served", dest, served[dest], arrived[dest])
 		}
 	}
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -12,7 +12,7 @@
 
 const second = Second
 
-// classes of the scripted tests, by number.
+// Indexes of the classes in testSettings.
 const (
 	freeClass = iota
 	guardedClass
@@ -35,7 +35,7 @@
 	}
 }
 
-// harness drives a Dispatcher by script.
+// harness runs a Dispatcher by script.
 type harness struct {
 	t      *testing.T
 	d      *Dispatcher
@@ -60,14 +60,14 @@
 	return Entry{Endpoint: endpointID(dest, n), Destination: dest, Kind: kind, Health: Ready}
 }
 
-// endpoint moves the clock on and plays one round; timers are left out of what is returned.
+// step advances the clock, runs one round and returns its actions without timers and notes.
 func (r *harness) step(after Time, events ...Event) []Action {
 	r.now += after
 	acts := r.d.Step(r.now, events, nil)
 	return slices.DeleteFunc(acts, func(a Action) bool { return a.Kind == Timer || a.Kind == Note })
 }
 
-// arrival makes the arrival of the next message.
+// arrival returns the arrival of the next message.
 func (r *harness) arrival(class, dest int) Event {
 	r.lastID++
 	return Event{Kind: Arrival, Message: r.lastID, Class: class, Destination: dest, TimeLeft: 20 * second}
@@ -79,12 +79,12 @@
 	return e
 }
 
-func outcomeOf(m MessageID, attempt int, res Result) Event {
-	return Event{Kind: Outcome, Message: m, Attempt: attempt, Result: res, Closed: res == OK, Latency: 100 * Millisecond}
+func outcomeOf(id MessageID, attempt int, res Result) Event {
+	return Event{Kind: Outcome, Message: id, Attempt: attempt, Result: res, Closed: res == OK, Latency: 100 * Millisecond}
 }
 
-func refusal(m MessageID, attempt int, wait Time) Event {
-	e := outcomeOf(m, attempt, Refused)
+func refusal(id MessageID, attempt int, wait Time) Event {
+	e := outcomeOf(id, attempt, Refused)
 	e.RetryAfter = wait
 	return e
 }
@@ -112,7 +112,7 @@
 	}
 }
 
-// waitUntil plays empty rounds of 20 ms and gathers their actions.
+// advance runs rounds of 20 ms without events and returns their actions.
 func (r *harness) advance(span Time) (acts []Action) {
 	for end := r.now + span; r.now < end; {
 		acts = append(acts, r.step(min(20*Millisecond, end-r.now))...)
@@ -121,27 +121,27 @@
 }
 
 func TestPolicySize(t *testing.T) {
-	f, err := os.Open("control.go")
+	file, err := os.Open("control.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer file.Close()
 	lines := 0
-	for sc := bufio.NewScanner(f); sc.Scan(); {
-		if strings.TrimSpace(sc.Text()) != "" {
+	for scanner := bufio.NewScanner(file); scanner.Scan(); {
+		if strings.TrimSpace(scanner.Text()) != "" {
 			lines++
 		}
-		if len(sc.Text()) > 110 {
-			t.Errorf("line too long: %s", sc.Text())
+		if len(scanner.Text()) > 110 {
+			t.Errorf("line too long: %s", scanner.Text())
 		}
 	}
 	if lines > 1200 {
-		t.Errorf("control.go has %d lines that are not blank, 1200 at most", lines)
+		t.Errorf("control.go has %d lines that are not blank, at most 1200 are allowed", lines)
 	}
 }
 
 func TestNewNamesTheSetting(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+	for name, makeInvalid := range map[string]func(*Settings){
 		"Slots":     func(s *Settings) { s.Slots = 0 },
 		"MaxOpen":   func(s *Settings) { s.MaxOpen = 0 },
 		"MaxTries":  func(s *Settings) { s.MaxTries = 0 },
@@ -163,28 +163,29 @@
 		"SettleAfterDoubt":     func(s *Settings) { s.SettleAfterDoubt = -1 },
 	} {
 		set := testSettings()
-		spoil(&set)
+		makeInvalid(&set)
 		_, err := New(set, 1)
-		var out *SettingError
-		if !errors.As(err, &out) || out.Field != name {
+		var settingErr *SettingError
+		if !errors.As(err, &settingErr) || settingErr.Field != name {
 			t.Errorf("error %v does not name %s", err, name)
 		}
 	}
 }
 
-// One slot, two destinations. A's call holds it 2 s, so A stands at 2; B, reviving, took the least other
-// counter, 0. B goes first, for 1 s; at 1 it is still the smaller and goes again; at 3 A has its turn.
+// One slot, two destinations. A's call holds the slot for 2 s, so A's virtual time is 2. B, which was idle, takes the least
+// other virtual time, 0. B goes first, for 1 s. Its virtual time of 1 is still the smaller one, so it goes again. When B
+// is at 3, it is A's turn.
 func TestTurnsBySlotTime(t *testing.T) {
 	set := testSettings()
 	set.Slots = 1
 	r := newHarness(t, set, listEntry(1, 0, 0), listEntry(2, 0, 0))
-	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1) // unlimited slot and window: leaves at once
+	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1) // slot and window are free: sent at once
 	r.wantSent(r.step(second/10, r.arrival(freeClass, 1), r.arrival(freeClass, 2), r.arrival(freeClass, 2), r.arrival(freeClass, 2)))
 	r.wantSent(r.step(2*second-second/10, outcomeOf(1, 0, OK)), 3)
 	r.wantSent(r.step(second, outcomeOf(3, 0, OK)), 4)
 	r.wantSent(r.step(2*second, outcomeOf(4, 0, OK)), 2)
 	if a, b := r.d.destinationByNumber[1].virtualTime, r.d.destinationByNumber[2].virtualTime; a != 2 || b != 3 {
-		t.Errorf("counters %v and %v, want 2 and 3", a, b)
+		t.Errorf("virtual times %v and %v, want 2 and 3", a, b)
 	}
 }
 
@@ -192,9 +193,9 @@
 	for _, c := range []struct{ weight, want float64 }{{4, 0.5}, {0, 2}} {
 		set := testSettings()
 		set.Weights = WeightNominal
-		e := listEntry(1, 0, 0)
-		e.Weight = c.weight
-		r := newHarness(t, set, e)
+		entry := listEntry(1, 0, 0)
+		entry.Weight = c.weight
+		r := newHarness(t, set, entry)
 		r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
 		r.step(2*second, outcomeOf(1, 0, OK))
 		if got := r.d.destinationByNumber[1].virtualTime; got != c.want {
@@ -203,7 +204,7 @@
 	}
 }
 
-func TestRevivalTakesTheLeastOtherCounter(t *testing.T) {
+func TestReactivatedDestinationTakesTheLeastVirtualTime(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(2, 0, 0), listEntry(3, 0, 0))
 	r.step(0, r.arrival(freeClass, 1), r.arrival(freeClass, 2))
 	r.d.destinationByNumber[1].virtualTime, r.d.destinationByNumber[2].virtualTime, r.d.destinationByNumber[3].virtualTime = 7, 5, 90
@@ -211,51 +212,51 @@
 	r.d.updateHeaps(r.d.destinationByNumber[2])
 	r.step(second/10, r.arrival(freeClass, 3))
 	if got := r.d.destinationByNumber[3].virtualTime; got != 5 {
-		t.Errorf("revived at %v, want 5", got)
+		t.Errorf("restarted with virtual time %v, want 5", got)
 	}
 	r.step(second/10, outcomeOf(1, 0, OK), outcomeOf(2, 0, OK), outcomeOf(3, 0, OK))
 	r.step(second/10, r.arrival(freeClass, 1))
 	if got := r.d.destinationByNumber[1].virtualTime; got != 0 {
-		t.Errorf("revived alone at %v, want 0: idle counters are dropped", got)
+		t.Errorf("restarted alone with virtual time %v, want 0: idle virtual times are dropped", got)
 	}
 }
 
-// Eight slots, two destinations: Wmax starts at 4, gains one an ok, and stays under three quarters (5).
+// Eight slots, two destinations: the window starts at 4, grows by one with each OK, and stays below three quarters (5).
 func TestWindowStartGrowthAndCap(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(2, 0, 0))
-	d := r.d.destinationByNumber[1]
-	if r.d.initWindow(d); d.window != 4 {
-		t.Fatalf("Wmax starts at %d, want 4", d.window)
+	dest := r.d.destinationByNumber[1]
+	if r.d.initWindow(dest); dest.window != 4 {
+		t.Fatalf("the window starts at %d, want 4", dest.window)
 	}
 	for i := range 3 {
 		r.step(second/10, r.arrival(freeClass, 1))
 		r.step(second/10, outcomeOf(MessageID(i+1), 0, OK))
 	}
-	if d.window != 5 {
-		t.Errorf("Wmax is %d after three oks, want the cap of 5", d.window)
+	if dest.window != 5 {
+		t.Errorf("the window is %d after three OKs, want the cap of 5", dest.window)
 	}
 }
 
 func TestWindowIntervalTest(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		bad, w     int
-		wmax, want int
+		name             string
+		failed, callsOut int
+		window, want     int
 	}{
 		{"clean and full", 0, 2, 2, 3}, {"not clean", 3, 2, 2, 1}, {"window not full", 0, 1, 2, 2}, {"floor", 4, 1, 1, 1},
 	} {
 		r := newHarness(t, testSettings(), listEntry(1, 0, 0))
-		d := r.d.destinationByNumber[1]
-		d.windowSlowStart, d.window, d.callsOut = false, c.wmax, c.w
-		for i := range windowsPerRevision * c.wmax {
+		dest := r.d.destinationByNumber[1]
+		dest.windowSlowStart, dest.window, dest.callsOut = false, c.window, c.callsOut
+		for i := range windowsPerRevision * c.window {
 			res := OK
-			if i < c.bad {
+			if i < c.failed {
 				res = Errored
 			}
-			r.d.reviseWindow(d, res)
+			r.d.reviseWindow(dest, res)
 		}
-		if d.window != c.want {
-			t.Errorf("%s: Wmax %d, want %d", c.name, d.window, c.want)
+		if dest.window != c.want {
+			t.Errorf("%s: window %d, want %d", c.name, dest.window, c.want)
 		}
 	}
 }
@@ -283,10 +284,10 @@
 	}{
 		{"free is resent", freeClass, TimedOut, 3 * second, true, 0},
 		{"guarded inside its window", guardedClass, Errored, 9900 * Millisecond, true, 0},
-		{"guarded past its window is handed back", guardedClass, Errored, 10 * second, false, Refuse},
-		{"unsafe in doubt only fails", singleShotClass, Reset, second, false, Fail},
-		{"unsafe turned away is resent", singleShotClass, Refused, second, true, 0},
-		{"unsafe that met nobody is resent", singleShotClass, ConnectFailed, second, true, 0},
+		{"guarded past its window is refused", guardedClass, Errored, 10 * second, false, Refuse},
+		{"single-shot in doubt only fails", singleShotClass, Reset, second, false, Fail},
+		{"single-shot that was refused is resent", singleShotClass, Refused, second, true, 0},
+		{"single-shot that could not connect is resent", singleShotClass, ConnectFailed, second, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(1, 1, 0))
@@ -303,7 +304,7 @@
 	}
 }
 
-func TestGuardedByZoneStaysInItsZoneAndIsNotHandedBack(t *testing.T) {
+func TestGuardedByZoneStaysInItsZoneAndIsNotRefused(t *testing.T) {
 	set := testSettings()
 	set.Classes[guardedClass].ZoneGroup = true
 	far := listEntry(1, 1, 0)
@@ -311,7 +312,7 @@
 	r := newHarness(t, set, listEntry(1, 0, 0), far)
 	acts := r.step(0, r.arrival(guardedClass, 1))
 	if acts[0].Endpoint != endpointID(1, 0) {
-		t.Fatalf("the own zone comes first, sent to %d", acts[0].Endpoint)
+		t.Fatalf("sent to %d, want the endpoint in the own zone", acts[0].Endpoint)
 	}
 	gone := listEntry(1, 0, 0)
 	gone.Health = Draining
@@ -320,26 +321,26 @@
 	r.wantAction(r.advance(11*second), Fail, 1)
 }
 
-func TestAnswerBeforeTheTimeIsUp(t *testing.T) {
+func TestFinalAnswerBeforeTheDeadline(t *testing.T) {
 	for _, c := range []struct {
 		class int
 		end   ActionKind
 	}{{freeClass, Refuse}, {singleShotClass, Fail}} {
 		r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 		acts := r.d.Step(r.now, []Event{r.arrival(c.class, 1)}, nil)
-		var mark uint64
+		var timerID uint64
 		var due Time
 		for _, a := range acts {
 			if a.Kind == Timer && a.TimerID != 0 {
-				mark, due = a.TimerID, a.After
+				timerID, due = a.TimerID, a.After
 			}
 		}
 		if due >= 20*second {
 			t.Fatalf("timer at %v is too late", due)
 		}
-		r.wantAction(r.step(due, Event{Kind: Tick, TimerID: mark}), c.end, 1)
-		if more := r.step(second, Event{Kind: Tick, TimerID: mark}, outcomeOf(1, 0, TimedOut), outcomeOf(1, 0, OK)); len(more) > 0 {
-			t.Errorf("acts for an ended message: %+v", more)
+		r.wantAction(r.step(due, Event{Kind: Tick, TimerID: timerID}), c.end, 1)
+		if more := r.step(second, Event{Kind: Tick, TimerID: timerID}, outcomeOf(1, 0, TimedOut), outcomeOf(1, 0, OK)); len(more) > 0 {
+			t.Errorf("actions for an ended message: %+v", more)
 		}
 	}
 }
@@ -348,7 +349,7 @@
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(1, 1, 0))
 	r.step(0, r.arrival(freeClass, 1), r.arrival(singleShotClass, 1))
 	r.wantSent(r.step(second/10, refusal(1, 0, 2*second), r.arrival(guardedClass, 1)))
-	r.wantSent(r.step(2*second, r.arrival(freeClass, 1))) // the last permitted moment to be still
+	r.wantSent(r.step(2*second, r.arrival(freeClass, 1))) // the wait still applies at its last microsecond
 	if got := sentMessages(r.advance(second)); len(got) == 0 {
 		t.Error("nothing sent after the wait")
 	}
@@ -360,11 +361,11 @@
 	again := r.step(second/10, refusal(1, 0, 5*second))
 	r.wantSent(again, 1)
 	if again[0].Endpoint == acts[0].Endpoint {
-		t.Error("sent again to the route that told a wait")
+		t.Error("resent to the route that told a wait")
 	}
 }
 
-// A wait told with a later outcome of a batched call was once missed, as the call had been learned from.
+// Guards against ignoring the wait told with a later outcome of a batched call, after the call has been learned from.
 func TestEveryOutcomeOfABatchTellsItsWait(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 1))
 	r.step(0, r.arrival(freeClass, 1), r.arrival(freeClass, 1))
@@ -373,14 +374,14 @@
 }
 
 func TestDrainingAndGoneEndpointsGetNothing(t *testing.T) {
-	for _, h := range []Health{Draining, Gone} {
+	for _, health := range []Health{Draining, Gone} {
 		r := newHarness(t, testSettings(), listEntry(1, 0, 0))
-		e := listEntry(1, 0, 0)
-		e.Health = h
-		r.step(0, Event{Kind: List, Entries: []Entry{e}})
+		entry := listEntry(1, 0, 0)
+		entry.Health = health
+		r.step(0, Event{Kind: List, Entries: []Entry{entry}})
 		r.wantSent(r.step(second/10, r.arrival(freeClass, 1)))
 		r.step(second/10, Event{Kind: List, ListKind: ListFailed})
-		r.wantSent(r.advance(second)) // held, not answered
+		r.wantSent(r.advance(second)) // queued, not answered
 		fresh := listEntry(1, 1, 0)
 		r.wantSent(r.step(second/10, Event{Kind: List, ListKind: ListFull, Entries: []Entry{fresh}}), 1)
 	}
@@ -390,11 +391,11 @@
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(1, 1, 0))
 	r.wantSent(r.step(0, r.keyedArrival(9), r.keyedArrival(9), r.keyedArrival(5)), 1, 3)
 	r.wantSent(r.step(second/10, outcomeOf(1, 0, OK)), 2)
-	r.wantSent(r.step(second/10, outcomeOf(2, 0, Reset), r.keyedArrival(9)), 2) // another try is not delayed, the next one waits
+	r.wantSent(r.step(second/10, outcomeOf(2, 0, Reset), r.keyedArrival(9)), 2) // the retry is not delayed, the next message waits
 	r.wantSent(r.step(second/10, outcomeOf(2, 1, OK)))
-	r.wantSent(r.step(2700 * Millisecond)) // the key rests 3 s from the doubt, to its last moment
+	r.wantSent(r.step(2700 * Millisecond)) // the key rests for 3 s after the doubt, including the last microsecond
 	if got := sentMessages(r.advance(300 * Millisecond)); !slices.Equal(got, []MessageID{4}) {
-		t.Errorf("after the rest sent %v, want 4", got)
+		t.Errorf("sent %v after the rest, want 4", got)
 	}
 }
 
@@ -415,8 +416,9 @@
 	r.wantAction(r.step(second/10, outcomeOf(1, 1, Errored)), Refuse, 1)
 }
 
-// A hang shows as age, long before any time-out: the destination is not fed, and a trial is harmless.
-func TestHangIsJudgedByAge(t *testing.T) {
+// A hang is detected by the age of the call, long before any time-out. The destination then gets only trials, made with
+// messages that are safe to repeat.
+func TestHangIsDetectedByAge(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(2, 0, 0))
 	for i := range 4 {
 		r.step(second/10, r.arrival(freeClass, 1))
@@ -424,18 +426,19 @@
 	}
 	r.wantSent(r.step(0, r.arrival(singleShotClass, 1)), 5)
 	r.advance(2 * second)
-	if e := r.d.endpointByID[endpointID(1, 0)]; !e.suspect {
-		t.Fatal("a call out for 20 times the usual raises no suspicion")
+	if ep := r.d.endpointByID[endpointID(1, 0)]; !ep.suspect {
+		t.Fatal("not suspect though a call is out for 20 times the usual latency")
 	}
 	if got := sentMessages(append(r.step(0, r.arrival(singleShotClass, 1)), r.advance(300*Millisecond)...)); len(got) > 0 {
-		t.Errorf("an unsafe message was risked: %v", got)
+		t.Errorf("a single-shot message was used for a trial: %v", got)
 	}
 	if got := sentMessages(append(r.step(0, r.arrival(freeClass, 1)), r.advance(2*second)...)); !slices.Contains(got, 7) {
-		t.Errorf("no harmless trial: %v", got)
+		t.Errorf("no trial with a safe message: %v", got)
 	}
 }
 
-// A sender with little traffic sees one refused connection and no second: it must not come back at full rate.
+// With little traffic there is one refused connection and no second one. The endpoint must not get the full rate when it
+// returns.
 func TestOneRefusedConnectionSuspectsAndReturnIsRamped(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
@@ -448,16 +451,16 @@
 		trials = append(trials, sentMessages(r.step(second/10, r.arrival(freeClass, 1)))...)
 	}
 	if len(trials) != 1 {
-		t.Fatalf("trials %v, want a single one", trials)
+		t.Fatalf("trials %v, want one", trials)
 	}
 	r.step(second/10, outcomeOf(trials[0], r.d.messages[trials[0]].tries-1, OK))
 	if got := sentMessages(r.advance(second)); len(got) > 5 {
-		t.Errorf("%d messages in the first second of its return", len(got))
+		t.Errorf("%d messages in the first second after its return", len(got))
 	}
 }
 
-// Hundreds of senders' idle connections fill a destination's table: after a failed connect those of its kind are
-// closed after use, and left open again when nothing of the sort has been seen for a while.
+// Idle connections of hundreds of dispatchers fill a destination's connection table. After a failed connect, connections to
+// destinations of its kind are closed after use, until no connect has failed for a while.
 func TestConnectionsAreClosedWhereTheyAreScarce(t *testing.T) {
 	set := testSettings()
 	set.Instances = 20
@@ -467,44 +470,44 @@
 	}
 	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
 	if closed(r.step(second/10, outcomeOf(1, 0, OK)), endpointID(1, 0)) {
-		t.Fatal("closed without need")
+		t.Fatal("closed though connections are not scarce")
 	}
 	r.wantSent(r.step(second/10, r.arrival(freeClass, 1), r.arrival(freeClass, 2), r.arrival(freeClass, 3)), 2, 3, 4)
 	r.step(second/10, outcomeOf(2, 0, ConnectFailed))
 	if !closed(r.step(second/10, outcomeOf(3, 0, OK)), endpointID(2, 0)) {
-		t.Error("left open at the kind that had no room")
+		t.Error("left open though connections are scarce at this kind")
 	}
 	if closed(r.step(second/10, outcomeOf(4, 0, OK)), endpointID(3, 0)) {
-		t.Error("closed at another kind")
+		t.Error("closed at a destination of another kind")
 	}
 	r.advance(scarceDuration)
 	r.step(second/10, r.arrival(freeClass, 2))
 	if closed(r.step(second/10, outcomeOf(5, 0, OK)), endpointID(2, 0)) {
-		t.Error("the lesson is never forgotten")
+		t.Error("connections still count as scarce after a long time")
 	}
 }
 
-// Connections that were dropped unseen after a while without use: the next call goes out on a fresh one.
-func TestReapedConnectionsAreClosedBeforeUse(t *testing.T) {
+// When idle connections turn out to be dropped without notice after some time, the next call uses a new connection.
+func TestDroppedIdleConnectionsAreClosedBeforeUse(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
 	r.step(second/10, outcomeOf(1, 0, OK))
-	for range 2 { // two signs are needed
+	for range 2 { // two failures are needed
 		r.wantSent(r.step(3*second, r.arrival(freeClass, 1)), r.lastID)
-		acts := r.step(second/10, outcomeOf(r.lastID, 0, Reset)) // goes again at once, on a new connection
+		acts := r.step(second/10, outcomeOf(r.lastID, 0, Reset)) // sent again at once, on a new connection
 		r.wantSent(acts, r.lastID)
 		if acts[0].Kind != Close {
-			t.Fatalf("sent again without closing: %+v", acts)
+			t.Fatalf("resent without closing the connection: %+v", acts)
 		}
 		r.step(second/10, outcomeOf(r.lastID, 1, OK))
 	}
 	acts := r.step(2900*Millisecond, r.arrival(singleShotClass, 1))
 	if len(acts) != 2 || acts[0].Kind != Close || acts[1].Kind != Send {
-		t.Errorf("an unsafe message was risked on a connection idle for as long: %+v", acts)
+		t.Errorf("a single-shot message was sent on a connection that was idle for as long: %+v", acts)
 	}
 	r.step(second/10, outcomeOf(r.lastID, 0, OK))
 	if acts = r.step(second/2, r.arrival(freeClass, 1)); len(acts) != 1 {
-		t.Errorf("closed one that is young: %+v", acts)
+		t.Errorf("closed a connection that was idle only briefly: %+v", acts)
 	}
 }
 
@@ -519,11 +522,11 @@
 		r.step(second/10, outcomeOf(MessageID(i+1), 0, res))
 	}
 	if r.d.endpointByID[endpointID(1, 0)].suspect {
-		t.Error("an endpoint that answers every fourth call is shut off")
+		t.Error("an endpoint that answers every fourth call is suspect")
 	}
 }
 
-// A fresh endpoint listed while all others of its destination are down once got the whole held backlog.
+// Guards against sending the whole backlog to an endpoint that is listed while all others of its destination are down.
 func TestEndpointJoiningADownDestinationStartsCold(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	r.step(0, r.arrival(freeClass, 1))
@@ -533,20 +536,20 @@
 	}
 	acts := r.step(second/20, Event{Kind: List, Entries: []Entry{listEntry(1, 1, 0)}})
 	if got := sentMessages(acts); len(got) > 1 {
-		t.Errorf("dumped %d messages on it", len(got))
+		t.Errorf("%d messages were sent to it at once", len(got))
 	}
 }
 
-// After refusals the release rate comes back within seconds; it once took half a minute.
+// After refusals the allowed rate recovers within seconds. Guards against a recovery that takes half a minute.
 func TestReleaseRateRecovers(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
-	p := r.d.destinationByNumber[1].limit
-	n, served := 0, 0
+	limit := r.d.destinationByNumber[1].limit
+	rounds, served := 0, 0
 	var next []Event
 	for r.now < 1030*second {
 		events := next
 		next = nil
-		if n++; n%2 == 0 {
+		if rounds++; rounds%2 == 0 {
 			events = append(events, r.arrival(freeClass, 1))
 		}
 		for _, id := range sentMessages(r.step(second/20, events...)) {
@@ -559,13 +562,13 @@
 			next = append(next, e)
 		}
 	}
-	n /= 2
-	if p.allowedShareAt(r.now) < 1 || served < n*8/10 {
-		t.Errorf("allowed share %v after 24 s, %d of %d served", p.allowedShare, served, n)
+	rounds /= 2
+	if limit.allowedShareAt(r.now) < 1 || served < rounds*8/10 {
+		t.Errorf("allowed share %v after 24 s, %d of %d served", limit.allowedShare, served, rounds)
 	}
 }
 
-// Late worth that has reached its floor yields to messages still in time.
+// Late messages whose worth has reached its floor go after messages that are still in time.
 func TestOldLateMessagesYield(t *testing.T) {
 	set := testSettings()
 	set.LateHalving, set.Slots = true, 1
@@ -577,7 +580,7 @@
 	r.wantSent(r.step(second/10, outcomeOf(1, 0, OK)), 3)
 }
 
-func TestSheddingKeepsTheBetter(t *testing.T) {
+func TestSheddingKeepsMessagesOfMoreWorth(t *testing.T) {
 	set := testSettings()
 	set.MaxOpen, set.Slots = 8, 1
 	set.Classes[singleShotClass].Worth = 5
@@ -595,17 +598,17 @@
 		if a.Kind == Refuse {
 			refused++
 			if a.Message%2 == 0 {
-				t.Errorf("message %d of the better class was shed", a.Message)
+				t.Errorf("message %d of the class with more worth was shed", a.Message)
 			}
 		}
 	}
 	if refused == 0 || r.d.openMessages > 8 {
-		t.Errorf("%d refused, %d held", refused, r.d.openMessages)
+		t.Errorf("%d refused, %d open", refused, r.d.openMessages)
 	}
 }
 
-// A hang must not starve the others of slots.
-func TestReclaimTakesSlotsBackFromASuspect(t *testing.T) {
+// A hanging destination must not keep the slots from the others.
+func TestSlotsOfASuspectAreReclaimed(t *testing.T) {
 	set := testSettings()
 	set.Slots = 2
 	r := newHarness(t, set, listEntry(1, 0, 0), listEntry(2, 0, 0), listEntry(3, 0, 0))
@@ -613,20 +616,20 @@
 	r.step(second, r.arrival(freeClass, 3))
 	acts := r.advance(8 * second)
 	if !slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == Cancel }) {
-		t.Error("no slot was taken back")
+		t.Error("no call was cancelled")
 	}
 }
 
-func TestStrangeEventsDoNothing(t *testing.T) {
+func TestInvalidEventsDoNothing(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	acts := r.step(0, outcomeOf(99, 0, OK), Event{Kind: Withdrawn, Message: 99}, Event{Kind: Tick, TimerID: 12345},
 		Event{Kind: Probed, Endpoint: 4}, Event{Kind: Started, Message: 3})
 	if len(acts) > 0 {
-		t.Errorf("acts: %+v", acts)
+		t.Errorf("actions: %+v", acts)
 	}
 	bad := r.arrival(99, 1)
 	r.wantAction(r.step(0, bad), Refuse, bad.Message)
-	r.wantSent(r.step(second, r.arrival(freeClass, 77))) // no endpoint is listed: held
+	r.wantSent(r.step(second, r.arrival(freeClass, 77))) // no endpoint is listed: queued
 }
 
 func TestSameEventsSameActions(t *testing.T) {
@@ -642,44 +645,45 @@
 		return all
 	}
 	if !slices.Equal(play(), play()) {
-		t.Error("two plays differ")
+		t.Error("two runs differ")
 	}
 }
 
-// Slow is not dead: the late answer to a call sent before the silence lifts suspicion without a ramp.
-func TestLateAnswerLiftsSuspicionWithoutRamp(t *testing.T) {
+// The late response to a call sent before the failure shows a slow endpoint, not an outage: it ends the suspicion without
+// a ramp.
+func TestLateResponseEndsSuspicionWithoutRamp(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	r.wantSent(r.step(0, r.arrival(singleShotClass, 1)), 1)
 	r.advance(3 * second)
-	e := r.d.endpointByID[endpointID(1, 0)]
-	if !e.suspect {
+	ep := r.d.endpointByID[endpointID(1, 0)]
+	if !ep.suspect {
 		t.Fatal("not suspect after 3 s")
 	}
 	r.step(0, outcomeOf(1, 0, OK))
-	if e.suspect || r.d.cold(e, r.now) {
-		t.Errorf("suspect %v, cold since %v", e.suspect, e.rampStart)
+	if ep.suspect || r.d.cold(ep, r.now) {
+		t.Errorf("suspect %v, cold since %v", ep.suspect, ep.rampStart)
 	}
 }
 
-// Several sick destinations together must leave half of the slots to the others.
-func TestSickDestinationsShareHalfOfTheSlots(t *testing.T) {
+// Several unhealthy destinations together must leave half of the slots to the others.
+func TestUnhealthyDestinationsShareHalfOfTheSlots(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(2, 0, 0), listEntry(3, 0, 0))
 	for n := 1; n <= 3; n++ {
-		d := r.d.destinationByNumber[n]
-		d.window, d.longTermLatency, d.latencyStats.mean, d.callsOut, d.windowSlowStart = 5, 100, 100, 0, false
+		dest := r.d.destinationByNumber[n]
+		dest.window, dest.longTermLatency, dest.latencyStats.mean, dest.callsOut, dest.windowSlowStart = 5, 100, 100, 0, false
 	}
 	one, two := r.d.destinationByNumber[1], r.d.destinationByNumber[2]
 	one.latencyStats.mean, two.latencyStats.mean, two.callsOut = 900, 900, 3
 	r.d.countUnhealthyCalls(two)
 	if got := r.d.effectiveWindow(one); got != 1 {
-		t.Errorf("room %d beside a sick destination with three calls out, want 1", got)
+		t.Errorf("window %d beside an unhealthy destination with three calls out, want 1", got)
 	}
 	two.latencyStats.mean = 100
 	r.d.countUnhealthyCalls(two)
 	if got := r.d.effectiveWindow(one); got != 4 {
-		t.Errorf("room %d as the only sick one, want half of the slots", got)
+		t.Errorf("window %d as the only unhealthy one, want half of the slots", got)
 	}
-	// Eight slots all taken, and a message of another waits: a third of them is what the sick may have.
+	// All eight slots are in use and a message of another destination waits: unhealthy ones may have a third of the slots.
 	for range 8 {
 		r.step(second/100, r.arrival(freeClass, 3))
 	}
@@ -687,6 +691,6 @@
 	r.step(second/100, r.arrival(freeClass, 2))
 	r.step(second / 100)
 	if got := r.d.effectiveWindow(one); got != 2 {
-		t.Errorf("room %d while others wait for slots, want a third of them", got)
+		t.Errorf("window %d while others wait for slots, want a third of them", got)
 	}
 }
