--- a/control/state.go
+++ b/control/state.go
@@ -13,32 +13,36 @@
 
 // message is one message from arrival to its end and its last outcome.
 type message struct {
-	id                MessageID
-	class             *Class
-	dest              *dest
-	lane              int
-	key               *keyTurn
-	born, deadline    Time // when it was first handed in, when it is given up
-	arrived           uint64
-	over, held, ended bool
-	resent            bool // from the store of undelivered ones: where nothing else comes it is the trial
-	tries             int
-	out               *call
-	doubt             bool // an attempt may have run ...
-	doubtAt           Time // ... the first such was sent then ...
-	doubtZone         int  // ... to this zone
+	id        MessageID
+	class     *Class
+	dest      *dest
+	lane      int
+	key       *keyTurn
+	born      Time // when it was first handed in
+	deadline  Time // when it is given up
+	arrived   uint64
+	over      bool
+	held      bool
+	ended     bool
+	resent    bool // from the store of undelivered ones: where nothing else comes it is the trial
+	tries     int
+	out       *call
+	doubt     bool // an attempt may have run ...
+	doubtAt   Time // ... the first such was sent then ...
+	doubtZone int  // ... to this zone
 }
 
 // call is one call out, holding a slot: a message, or several of one round.
 type call struct {
-	ep           *endpoint
-	sent         Time
-	msgs         []*message
-	left         int
-	trial, asked bool // a trial of a suspect; called off by us
-	learned      bool // an outcome was learned from
-	low          bool // it went at well under what is answered there
-	idle         Time // how long the connection that it went out on had been idle, 0 if new or in use
+	ep      *endpoint
+	sent    Time
+	msgs    []*message
+	left    int
+	trial   bool // a trial of a suspect
+	asked   bool // called off by us
+	learned bool // an outcome was learned from
+	low     bool // it went at well under what is answered there
+	idle    Time // how long the connection that it went out on had been idle, 0 if new or in use
 }
 
 // keyTurn orders the messages that share a key.
@@ -58,24 +62,29 @@
 // endpoint is a place to send to, with its own health.
 type endpoint struct {
 	// What each look at its destination reads stands together.
-	health           Health
-	suspect, proven  bool // not fed; its last failure proved that calls do not run
-	leaving          bool // in the list of those that are listed gone
-	open             bool // a connection is thought open
-	limit            *limit
-	dest             *dest
-	bad, errs        int         // calls in a row that met nobody or silence; answers in a row that were errors
-	trialAt          Time        // next trial
-	failedAt         Time        // while suspect: when the last failure was known
-	coldAt           Time        // start of its ramp, 0 none; it may lie ahead
-	ramp             pace.Bucket // calls that it may be sent while it is cold or in an outage
-	calls            []*call     // out, oldest first
-	id               Endpoint
-	zone, batch      int  // batch: most messages in one call
-	used, heard      Time // last use; last answer
-	okSent           Time // send time of the newest call answered ok
-	dropped          Time // idle age of the connection on which the last failed call went out
-	downAt, trialGap Time // while suspect: since when; how long until the trial after the next
+	health   Health
+	suspect  bool // not fed
+	proven   bool // its last failure proved that calls do not run
+	leaving  bool // in the list of those that are listed gone
+	open     bool // a connection is thought open
+	limit    *limit
+	dest     *dest
+	bad      int         // calls in a row that met nobody or silence
+	errs     int         // answers in a row that were errors
+	trialAt  Time        // next trial
+	failedAt Time        // while suspect: when the last failure was known
+	coldAt   Time        // start of its ramp, 0 none; it may lie ahead
+	ramp     pace.Bucket // calls that it may be sent while it is cold or in an outage
+	calls    []*call     // out, oldest first
+	id       Endpoint
+	zone     int
+	batch    int  // most messages in one call
+	used     Time // last use
+	heard    Time // last answer
+	okSent   Time // send time of the newest call answered ok
+	dropped  Time // idle age of the connection on which the last failed call went out
+	downAt   Time // while suspect: since when
+	trialGap Time // while suspect: how long until the trial after the next
 }
 
 // kind is what the destinations of one kind have in common.
@@ -89,7 +98,11 @@
 }
 
 // latency is a running mean and deviation.
-type latency struct{ mean, dev, n float64 }
+type latency struct {
+	mean float64
+	dev  float64
+	n    float64
+}
 
 func (l *latency) add(v, gain float64) {
 	l.n++
@@ -99,23 +112,28 @@
 
 // limit is what bounds the rate to a destination, or to one route where routes are apart.
 type limit struct {
-	wait         Time        // told, or our own backoff
-	allow, bound float64     // share of the own demand let go, as of allowAt; listed or reported rate
-	grow         float64     // of allow, a second
-	allowAt      Time        // it may lie ahead, at the end of a wait
-	tokens       pace.Bucket // calls that it lets go; of no use while free
-	free         bool        // no limit is felt
-	cutAt, okAt  Time
-	fullSince    Time
-	told         Time    // end of the told wait alone
-	chance, devs float64 // share of the calls that it refuses whatever comes; in how far more are chance, too
-	cutFor       float64 // share refused that led to the last cut
-	lows         float64 // calls at well under what was answered since the last cut
-	lowTo        float64 // share of the own demand up to which calls are well under it
-	cuts         int     // in a row
-	streak, bad  int     // refusals in a row; calls in a row that met nobody or silence, at all its endpoints
-	ok           meter   // answers with 200
-	no, all      meter   // refusals, and all calls that ended, since the last cut
+	wait      Time        // told, or our own backoff
+	allow     float64     // share of the own demand let go, as of allowAt
+	bound     float64     // listed or reported rate
+	grow      float64     // of allow, a second
+	allowAt   Time        // it may lie ahead, at the end of a wait
+	tokens    pace.Bucket // calls that it lets go; of no use while free
+	free      bool        // no limit is felt
+	cutAt     Time
+	okAt      Time
+	fullSince Time
+	told      Time    // end of the told wait alone
+	chance    float64 // share of the calls that it refuses whatever comes
+	devs      float64 // in how far more are chance, too
+	cutFor    float64 // share refused that led to the last cut
+	lows      float64 // calls at well under what was answered since the last cut
+	lowTo     float64 // share of the own demand up to which calls are well under it
+	cuts      int     // in a row
+	streak    int     // refusals in a row
+	bad       int     // calls in a row that met nobody or silence, at all its endpoints
+	ok        meter   // answers with 200
+	no        meter   // refusals since the last cut
+	all       meter   // all calls that ended since the last cut
 }
 
 // allowed is the share of the own demand that is let go at a moment.
@@ -145,18 +163,20 @@
 	served   meter   // answers with 200, by message
 	steady   float64 // messages a second that were served before its outage
 
-	no            int
-	at            int // in the list of all
-	open          int // messages owed an answer
-	share         float64
-	lanes         []lane // by class and over-share, oldest first
-	w, wmax       int
-	ends, badEnds int
-	lat           latency
-	base          float64 // the long view of its latency
-	had           bool    // an endpoint of it was listed ready before this whole list
-	outage        bool    // its endpoints had failed or were cold when the last one of them left
-	listed        uint64  // the list that its first window goes by
+	no      int
+	at      int // in the list of all
+	open    int // messages owed an answer
+	share   float64
+	lanes   []lane // by class and over-share, oldest first
+	w       int
+	wmax    int
+	ends    int
+	badEnds int
+	lat     latency
+	base    float64 // the long view of its latency
+	had     bool    // an endpoint of it was listed ready before this whole list
+	outage  bool    // its endpoints had failed or were cold when the last one of them left
+	listed  uint64  // the list that its first window goes by
 
 	places  [orders]int // in each order, from 1
 	weighed int         // its part in rounds.sickOut
@@ -175,15 +195,20 @@
 
 // meter is a rate with exponential decay.
 type meter struct {
-	v           float64
-	at, tau, t0 Time
-	terms       terms
+	v     float64
+	at    Time
+	tau   Time
+	t0    Time
+	terms terms
 }
 
 // terms are what a meter's figures go by at one moment, for which they are asked for several times.
 type terms struct {
-	now, at, t0   Time    // what they are of
-	decay, filled float64 // what is left of v, and the part of the memory that is filled
+	now    Time
+	at     Time
+	t0     Time
+	decay  float64 // what is left of v
+	filled float64 // the part of the memory that is filled
 }
 
 func (m *meter) add(now Time, n float64) {
