--- a/control/api.go
+++ b/control/api.go
@@ -1,13 +1,12 @@
-// Package control decides, for one relay, which message goes where and when.
+// Package control decides for one dispatcher process which message is sent to which endpoint, and when.
 //
-// This file is the whole interface: the settings a Dispatcher starts with,
-// the events it is told of and the actions it answers with. It holds no
-// decision; those are in control.go.
+// A Dispatcher is given events and returns actions. It does no I/O and reads no clock. This file declares its settings,
+// events and actions; the decisions are in control.go.
 package control
 
 import "curlewmux/pace"
 
-// Time is an instant on the caller's clock, or a span, in microseconds.
+// Time is an instant on the caller's clock, or a duration, in microseconds.
 type Time = pace.Time
 
 // Units of Time.
@@ -16,129 +15,130 @@
 	Second      = pace.Second
 )
 
-// MessageID names a message; no id is used twice.
+// MessageID identifies a message. No id is used twice.
 type MessageID uint64
 
-// Endpoint names an endpoint. It is opaque and only compared.
+// Endpoint identifies an endpoint. The value is opaque: it is only compared.
 type Endpoint uint64
 
-// Effect says what repeating a message of a class does.
+// Effect tells whether a message of a class may be sent more than once.
 type Effect uint8
 
 // Effects of a class.
 const (
-	Free       Effect = iota // may be repeated at will
-	Guarded                  // repeats are dropped for a window of time
-	SingleShot               // must never take effect twice
+	Free       Effect = iota // idempotent: may be repeated at any time
+	Guarded                  // the destination drops repeats for a limited time, see Class.Window
+	SingleShot               // not idempotent: must never take effect twice
 )
 
-// Class describes a class of message.
+// Class holds the settings that messages of one class share.
 type Class struct {
 	Name      string
 	Effect    Effect
-	ZoneGroup bool    // Guarded: only endpoints of one zone drop repeats (else all of the destination)
-	Window    Time    // Guarded: how long repeats are dropped, from the first doubtful send
-	Aim       Time    // full worth when delivered within this
-	Deadline  Time    // given up after this
-	Worth     float64 // worth of one message
-	LateWorth float64 // share of the worth left at the deadline
-	InOrder   bool    // messages sharing a key go one at a time, in order
+	ZoneGroup bool    // Guarded: repeats are dropped only by endpoints of the same zone, else by all of the destination
+	Window    Time    // Guarded: how long repeats are dropped, counted from the first attempt that may have run
+	Aim       Time    // latency up to which a message has its full worth
+	Deadline  Time    // latency after which a message is no longer delivered
+	Worth     float64 // of one message
+	LateWorth float64 // share of the worth that is left at the deadline
+	InOrder   bool    // messages that share an order key are sent one at a time, in order
 }
 
-// Tenant describes a customer and its share of the service.
+// Tenant is a customer with its quota.
 type Tenant struct {
 	Name  string
-	Quota float64 // messages a second within its share, over all dispatchers
+	Quota float64 // messages a second, over all dispatchers
 }
 
-// Kind describes a kind of destination.
+// Kind holds the settings that destinations of one kind share.
 type Kind struct {
 	Name        string
 	Batch       int  // most messages in one call
-	RoutesApart bool // endpoints have limits, waits and outages of their own
+	RoutesApart bool // each endpoint has a rate limit, waits and outages of its own
 }
 
-// WeightKind says what Entry.Weight means.
+// WeightKind tells what Entry.Weight means.
 type WeightKind uint8
 
 // Meanings of a listed weight.
 const (
 	WeightNone    WeightKind = iota // nothing
-	WeightNominal                   // the rate a destination takes from all dispatchers
+	WeightNominal                   // the rate that a destination accepts from all dispatchers together
 	WeightRough                     // the same, but inexact
 )
 
-// Settings are told once, at the start.
+// Settings configure a Dispatcher. They do not change after New, but for Instances (event Fleet).
 type Settings struct {
 	Me, Instances int // this dispatcher's number and how many there are
-	Zone          int
+	Zone          int // of this dispatcher
 	Tick          Time
 	Classes       []Class
 	Tenants       []Tenant
 	Kinds         []Kind
 	Weights       WeightKind
-	LateHalving   bool // late worth halves with each further aim, else falls evenly
-	OverShare     float64
-	ReportLeft    int // position in a report of the share of the limit left, -1 if none
-	ReportLimit   int // position in a report of the limit in calls a second, -1 if none
-
-	Slots          int // calls out at once
-	MaxOpen        int // messages held, sent or not
-	MaxTries       int
-	MayCancel      bool
+	LateHalving   bool    // late worth halves with each further aim, else it falls linearly
+	OverShare     float64 // factor on the worth of a message of a tenant that is over its quota
+	ReportLeft    int     // position in a report of the share of the limit that is left, -1 if there is none
+	ReportLimit   int     // position in a report of the limit in calls a second, -1 if there is none
+
+	Slots          int  // most calls out at once
+	MaxOpen        int  // most messages without a result, whether queued or sent
+	MaxTries       int  // most attempts for one message
+	MayCancel      bool // a call may be aborted while it is out
 	Probes         bool
-	RetryAfter     bool // a refusal may carry a wait
+	RetryAfter     bool // a refusal may ask for a wait
 	MaxRetryAfter  Time
-	ConnIdle       Time
+	ConnIdle       Time // age at which the transport closes an idle connection
 	ConnectTimeout Time
 	StreamsPerConn int
 
 	StopSendingWithin Time
-	ColdFrom          float64
-	WarmUp            Time
+	ColdFrom          float64 // share of its full rate that an endpoint can take right after an outage
+	WarmUp            Time    // until it can take its full rate
 	TipMultiple       float64
 	OverloadFor       Time
-	SettleAfterDoubt  Time
+	SettleAfterDoubt  Time // how long an order key waits after an attempt that may still be running
 
-	// RiskAfter is for senders of little but SingleShot messages, which are no trials of a suspect endpoint: where none
-	// of another class is held they pass it by, and one may be its trial once that is overdue by so much. 0: neither.
+	// RiskAfter is for dispatchers that send little else than SingleShot messages. Those are not used as trial calls to a
+	// suspect endpoint. With RiskAfter set they go to another endpoint where all queued messages are SingleShot, and one
+	// may be the trial call after all when that has been overdue for this long. 0 turns both off.
 	RiskAfter Time
 }
 
-// EventKind tells what an Event is.
+// EventKind tells what an Event reports.
 type EventKind uint8
 
-// Kinds of event. The fields each one uses are in brackets.
+// Kinds of event, with the fields that each one uses in brackets.
 const (
-	Arrival   EventKind = iota + 1 // a new message [Message Class Tenant Dest Key Grace; Restored Tries Doubt DoubtZone Resent]
+	Arrival   EventKind = iota + 1 // a message was accepted [Message Class Tenant Dest Key Grace; Restored Tries Doubt DoubtZone Resent]
 	Outcome                        // an attempt ended [Message Attempt Endpoint Result Lag Closed Wait Report]
-	Started                        // a streamed answer began [Message Attempt Endpoint Lag]
-	Withdrawn                      // nobody wants the message any more [Message]
-	Tick                           // a timer came due [Mark]
+	Started                        // the first part of a streamed response came [Message Attempt Endpoint Lag]
+	Withdrawn                      // the client no longer wants the message delivered [Message]
+	Tick                           // a timer expired [Mark]
 	Probed                         // a probe ended [Endpoint Result Lag Report]
-	List                           // the endpoint list [ListKind Entries]
-	Pause                          // nothing can be sent until further notice, or again [On]
-	Restarted                      // an earlier process of this relay may have left calls out
-	Fleet                          // how many dispatchers there are from now on [Instances]
+	List                           // the endpoint list, or a change of it [ListKind Entries]
+	Pause                          // sending is suspended or resumed [On]
+	Restarted                      // calls of an earlier process of this dispatcher may still be running
+	Fleet                          // the number of dispatchers changed [Instances]
 )
 
-// Result is how an attempt or a probe ended.
+// Result tells how an attempt or a probe ended.
 type Result uint8
 
 // Results.
 const (
-	OK Result = iota
-	Errored
-	Full
-	TimedOut
-	ConnectFailed
-	Reset
-	Cancelled
-	Moot
-	Unsent // it never left here: it counts as no try, and nothing is learned from it
+	OK            Result = iota
+	Errored              // the endpoint answered with an error
+	Full                 // the endpoint refused the call
+	TimedOut             // no response in time
+	ConnectFailed        // no connection could be made
+	Reset                // the connection broke during the call
+	Cancelled            // aborted while it was out
+	Moot                 // ended before anything was written
+	Unsent               // never left this process: not counted as an attempt, and nothing is learned from it
 )
 
-// NeverRan tells that a result proves the attempt never ran.
+// NeverRan reports whether a result proves that the attempt had no effect.
 func NeverRan(r Result) bool { return r == Full || r == ConnectFailed || r == Moot || r == Unsent }
 
 // ListKind tells how a List event relates to the list before it.
@@ -146,23 +146,23 @@
 
 // Kinds of list.
 const (
-	ListDelta ListKind = iota
-	ListFull
-	ListCached
-	ListFailed
+	ListDelta  ListKind = iota // only entries that changed
+	ListFull                   // all entries; endpoints that are missing are gone
+	ListCached                 // like ListFull, but possibly out of date
+	ListFailed                 // the list could not be fetched
 )
 
-// Health is an endpoint's standing in the list; it says nothing of outages.
+// Health is the state of an endpoint as listed. It does not depend on outages.
 type Health uint8
 
-// Standings.
+// Health states.
 const (
-	Draining Health = iota
-	Ready
-	Gone
+	Draining Health = iota // finishes its calls and gets no new one
+	Ready                  // takes calls
+	Gone                   // no longer listed
 )
 
-// Entry is one line of the endpoint list.
+// Entry describes one endpoint of the list.
 type Entry struct {
 	Endpoint Endpoint
 	Dest     int
@@ -172,60 +172,60 @@
 	Weight   float64
 }
 
-// Event is something a Dispatcher is told.
+// Event is one input of a Dispatcher. Kind tells which of the other fields are set.
 type Event struct {
 	Kind    EventKind
 	Message MessageID
 	Class   int
 	Tenant  int
 	Dest    int
-	Key     uint64 // 0 is no key
-	Grace   Time   // time until the message is given up
+	Key     uint64 // order key, 0 if there is none
+	Grace   Time   // time left until the deadline
 
-	// What an arrival taken over from a journal has behind it; zero for a new message.
-	Restored  bool // an earlier process took it on: it is not demand of now
+	// History of a message that was restored from a journal; zero for a new message.
+	Restored  bool // accepted by an earlier process, so it does not count as new demand in full
 	Tries     int  // attempts so far
-	Doubt     Time // how long ago the first attempt went out that may have run, 0 if there is none
-	DoubtZone int  // the zone it went to
-	Resent    bool // it is sent again and can wait: worth as little as what is over its tenant's share, and no demand
+	Doubt     Time // age of the first attempt that may have run, 0 if there is none
+	DoubtZone int  // zone that this attempt went to
+	Resent    bool // an undelivered message sent again: worth as little as one over its tenant's quota, and not counted as demand
 
 	Attempt  int
 	Endpoint Endpoint
 	Result   Result
-	Closed   bool // the message has ended
-	Lag      Time
-	Wait     Time // told wait, 0 if none
-	Report   []float32
-	Mark     uint64
+	Closed   bool      // the message has ended
+	Lag      Time      // from the start of the call to its outcome
+	Wait     Time      // told wait, 0 if there is none
+	Report   []float32 // load report of the endpoint, see Settings.ReportLimit
+	Mark     uint64    // as in the Timer action, 0 for a timer that only asks for a Step
 	ListKind ListKind
 	Entries  []Entry
-	On       bool // Pause: from now on, else no longer
+	On       bool // Pause: suspended if set, else resumed
 
-	Instances int // of dispatchers, at least 1
+	Instances int // number of dispatchers, at least 1
 }
 
-// ActionKind tells what an Action is.
+// ActionKind tells what an Action asks for.
 type ActionKind uint8
 
-// Kinds of action. The fields each one uses are in brackets.
+// Kinds of action, with the fields that each one uses in brackets.
 const (
-	Send   ActionKind = iota + 1 // start an attempt [Message Endpoint With After: its time-out, 0 is the deadline]
-	Refuse                       // final: handed back, harmless to repeat [Message After: stay away so long]
-	Fail                         // final: nothing promised [Message]
-	Cancel                       // stop waiting for an attempt [Message Attempt]
-	Timer                        // ask for a Tick [After Mark; Message: of no use once that has ended, 0 if always]
+	Send   ActionKind = iota + 1 // start an attempt [Message Endpoint With; After: timeout, 0 for the message's deadline]
+	Refuse                       // final: submitting the message again is safe [Message; After: retry no sooner]
+	Fail                         // final: submitting the message again may not be safe [Message]
+	Cancel                       // abort an attempt [Message Attempt]
+	Timer                        // deliver a Tick event [After Mark; Message: not needed once it has ended, 0 if always needed]
 	Probe                        // check an endpoint [Endpoint]
 	Close                        // close the idle connections to an endpoint [Endpoint]
-	Note                         // a line for the operators [Text]
+	Note                         // a log line for operators [Text]
 )
 
-// Action is something a Dispatcher wants done.
+// Action is one request of a Dispatcher to its caller. Kind tells which of the other fields are set.
 type Action struct {
 	Kind     ActionKind
 	Message  MessageID
 	Attempt  int
 	Endpoint Endpoint
-	With     bool // in one call, and one slot, with the Send before it; if that can't be, it ends as Unsent
+	With     bool // in the same call and slot as the Send before it; ends as Unsent where that is impossible
 	After    Time
 	Mark     uint64
 	Text     string
