--- a/control/lookout.go
+++ b/control/lookout.go
@@ -6,20 +6,22 @@
 	"slices"
 )
 
-// When the calls that are out have to be judged next, and which destination has the least to lose. Nothing is decided
-// here: a destination that is left out is one that watch would leave as it is, or one that shed would pass over.
+// This file schedules the timeout scans of the calls that are out, and finds the destination with the message that is
+// worth least. It makes no decision: destinations that it leaves out are those that watch would not change, or that shed
+// would not choose.
 
-// lookout knows when watch can do something at all. What it is told are times before which it can't, reckoned with a
-// silence that is no longer than the true one; where that gets shorter than was reckoned with, all are looked at anew.
+// lookout schedules for each destination with calls out the next time at which watch may have something to do. The times
+// are computed with a response timeout that is never longer than the actual one. When the actual one becomes shorter than
+// planned, all destinations are scanned and scheduled again.
 type lookout struct {
-	calm   order[Time] // while messages don't wait for slots
-	rushed order[Time] // while they do: then patience is shorter
-	due    []*dest
-	top    float64 // share of lost answers reckoned with
-	devs   float64 // deviations of latency reckoned with
+	calm   order[Time] // scan times while no message waits for a slot
+	rushed order[Time] // scan times while messages wait for slots, when timeouts are shorter
+	due    []*dest     // destinations to scan in this round
+	top    float64     // share of lost responses that the plan assumes
+	devs   float64     // deviations of the latency that the plan assumes
 }
 
-// Margins of what is reckoned with, so that it seldom has to be reckoned anew. They change no decision.
+// Margins of the plan. They make it rarely necessary to compute it again, and change no decision.
 const (
 	topMargin = 2.5
 	topSlack  = 6
@@ -33,7 +35,7 @@
 	return l
 }
 
-// watches judges the calls out, in the order in which their destinations came into use.
+// watches scans the calls out for timeouts, in the order in which their destinations became active.
 func (d *Dispatcher) watches() {
 	d.due = d.due[:0]
 	if d.shorter() {
@@ -63,7 +65,8 @@
 	clear(d.due)
 }
 
-// allOut makes all destinations with calls out due that came into use after one; the others are in the next round.
+// allOut makes all destinations with calls out due that became active after a given one. The others, and those that are too
+// many for one Step, are due in the next round.
 func (d *Dispatcher) allOut(after uint64) {
 	d.due = d.due[:0]
 	for i := range d.turns.list {
@@ -84,7 +87,7 @@
 	}
 }
 
-// watchBy has a destination watched at a time, or sooner.
+// watchBy schedules a scan of a destination for a time, unless one is scheduled sooner.
 func (d *Dispatcher) watchBy(t *dest, at Time) {
 	if t.w == 0 {
 		d.calm.drop(t)
@@ -95,7 +98,7 @@
 	d.rushed.sooner(t, at, t.seq)
 }
 
-// expect has a destination watched when watch may do something there.
+// expect schedules the next scan of a destination for the time at which watch may have something to do.
 func (d *Dispatcher) expect(t *dest) {
 	calm, short := d.nextLook(t)
 	if d.calm.drop(t); calm < never {
@@ -106,7 +109,8 @@
 	}
 }
 
-// nextLook is a time before which watch can do nothing at a destination of which nothing is heard.
+// nextLook returns the times before which watch has nothing to do at a destination if no event comes: one for the case that
+// no message waits for a slot, and one for the case that messages do.
 func (d *Dispatcher) nextLook(t *dest) (calm, short Time) {
 	calm, short = never, never
 	low := t.kind.low
@@ -119,7 +123,7 @@
 		if len(ep.calls) == 0 {
 			continue
 		}
-		// Of a suspect one an older call can still tell that it was down sooner.
+		// For a suspect endpoint an older call may still show that it went down earlier.
 		if old := ep.calls[0]; !ep.suspect || old.sent >= ep.failedAt || max(old.sent, ep.heard) < ep.downAt {
 			at := max(old.sent, ep.heard) + low
 			calm, short = min(calm, at), min(short, at)
@@ -144,7 +148,7 @@
 	return calm, short
 }
 
-// shorter tells whether silences may be shorter than was reckoned with, and reckons anew.
+// shorter updates the plan, and reports whether response timeouts may have become shorter than it assumed.
 func (d *Dispatcher) shorter() (anew bool) {
 	if d.lost > d.top || d.lost < d.top/topSlack {
 		anew = d.lost > d.top
@@ -163,17 +167,17 @@
 
 // ---- the least worth ----
 
-// values are the destinations with messages held by the least that one of their messages is worth, or will be within a
-// while: the true least is among the first.
+// values orders the destinations with queued messages by a lower bound of what their least valuable message is worth. The
+// bound holds for a while, so only the first destinations have to be evaluated to find the least valuable message of all.
 type values struct {
-	worths   order[float64]
-	valued   order[Time] // until when that counts
-	seen     []ranked[float64]
-	shedding bool
-	shedAt   Time
+	worths   order[float64]    // by lower bound
+	valued   order[Time]       // by the time until which the bound holds
+	seen     []ranked[float64] // entries that a search has taken out of worths, to be put back
+	shedding bool              // the orders are kept up to date: messages were shed not long ago
+	shedAt   Time              // time of the last search
 }
 
-// valueFor is how long what is reckoned of a destination's least worth counts, at most.
+// valueFor is the longest time for which a lower bound is used.
 const valueFor = Second / 2
 
 func newValues() values {
@@ -182,7 +186,7 @@
 	return v
 }
 
-// revalue notes that what a destination's messages are worth may have changed.
+// revalue discards the lower bound of a destination, as its messages have changed.
 func (d *Dispatcher) revalue(t *dest) {
 	if !d.shedding {
 		return
@@ -196,7 +200,7 @@
 	}
 }
 
-// worst is the message that is worth least, the first of those that are worth the same; nil if none may be handed back.
+// worst returns the message that is worth least, the first one if several are worth the same, or nil if none may be shed.
 func (d *Dispatcher) worst() *message {
 	if d.shedAt = d.now; !d.shedding {
 		d.shedding = true
@@ -209,9 +213,9 @@
 		if t == nil {
 			break
 		}
-		until := d.now + valueFor/2 + Time(t.seq%64)*valueFor/128 // not all at the same time again
+		until := d.now + valueFor/2 + Time(t.seq%64)*valueFor/128 // spread, so that not all expire at the same time
 		_, now := d.cheapest(t, d.now)
-		_, then := d.cheapest(t, until) // between the two it is no less than at one of them
+		_, then := d.cheapest(t, until) // between the two times it is at least the lesser of the two
 		d.worths.put(t, min(now, then), t.seq)
 		d.valued.put(t, until, t.seq)
 	}
@@ -238,7 +242,7 @@
 	return worst
 }
 
-// noShed forgets what was reckoned, if nothing was shed for long.
+// noShed drops the orders if nothing was shed for some time.
 func (d *Dispatcher) noShed() {
 	if d.shedding && d.now-d.shedAt >= seldom {
 		d.shedding = false
--- a/control/rounds.go
+++ b/control/rounds.go
@@ -7,15 +7,17 @@
 	"curlewmux/pace"
 )
 
-// Which destinations a round has to look at. A destination that can't send sleeps until something can have changed: an
-// event of its own, a moment that can be reckoned (the end of a wait, a trial that comes due, the next call that its limit
-// or ramp lets go), room among the sick. Nothing is decided here: a look that is left out is one that would have sent
-// nothing, and a look changes nothing, so that no decision can tell how many there were.
+// This file selects the destinations that a round evaluates. A destination that cannot send sleeps until something that
+// matters to it may have changed: an event of its own, a time that can be computed in advance (the end of a wait, the next
+// trial call, the next call that its rate limit or ramp permits), or free calls in the share of unhealthy destinations.
+//
+// It makes no decision. An evaluation that is left out would have sent nothing, and an evaluation has no side effects, so
+// the actions do not depend on how many there are.
 
 // never is later than any time.
 const never = pace.Never
 
-// Orders that a destination has a place in.
+// Numbers of the orders, by which a destination stores its position in each of them.
 const (
 	inTurns = iota
 	inReady
@@ -28,29 +30,29 @@
 	orders
 )
 
-// standing is what a destination waits for.
+// standing tells what a destination waits for.
 type standing uint8
 
 const (
-	idle   standing = iota // nothing is held, or it is among those that were roused
-	ready                  // its turn
-	asleep                 // something that is known
+	idle   standing = iota // nothing: no message is queued, or it was just woken
+	ready                  // its turn to send
+	asleep                 // an event, a time or room for calls
 )
 
-// before tells that a destination's turn is before another's.
+// before reports whether the turn of a destination is before that of another.
 func (t *dest) before(o *dest) bool { return t.acc < o.acc || t.acc == o.acc && t.seq < o.seq }
 
-// rounds are the destinations with messages held or out, by what they wait for.
+// rounds holds the active destinations (those with messages queued or calls out), by what they wait for.
 type rounds struct {
-	turns   order[float64] // all of them, by counter
-	ready   order[float64] // those that may go
-	shut    order[float64] // those asleep that want room among the sick
-	wakes   order[Time]    // those asleep that a time wakes
-	roused  []*dest        // woken, not in ready yet
-	emptied []*dest
-	seq     uint64 // of the last destination that came into use
-	sickOut int    // calls out to those that fail or are slow
-	level   int    // of the share of lost answers, as far as it tells what is sure
+	turns   order[float64] // all active destinations, by turn
+	ready   order[float64] // those that may be able to send
+	shut    order[float64] // sleeping ones that wait for free calls in the share of unhealthy destinations
+	wakes   order[Time]    // sleeping ones that wake at a known time
+	roused  []*dest        // woken, but not in ready yet
+	emptied []*dest        // without messages queued or calls out since the last round
+	seq     uint64         // number of the destination that became active last
+	sickOut int            // calls out to unhealthy destinations, which fail or are slow
+	level   int            // additional failures that confirm an outage because responses get lost
 }
 
 func newRounds() rounds {
@@ -59,7 +61,7 @@
 	return r
 }
 
-// use keeps the orders true after a change of what a destination holds or has out, or of its counter.
+// use updates the orders after a change of a destination's messages, calls or turn.
 func (d *Dispatcher) use(t *dest) {
 	d.repace(t)
 	d.revalue(t)
@@ -81,7 +83,8 @@
 	}
 }
 
-// least is the smallest counter of the others with messages held or out, 0 if there are none.
+// least returns the turn of the first of the other active destinations, 0 if there are none. Only the first three
+// entries of the heap can hold it.
 func (d *Dispatcher) least(t *dest) float64 {
 	l := d.turns.list
 	if len(l) > 0 && l[0].t != t {
@@ -97,7 +100,7 @@
 	return acc
 }
 
-// rest takes destinations with nothing held or out out of use.
+// rest marks destinations without messages and calls as no longer active.
 func (d *Dispatcher) rest() {
 	for _, t := range d.emptied {
 		if t.held == 0 && t.w == 0 {
@@ -108,7 +111,7 @@
 	d.emptied = d.emptied[:0]
 }
 
-// weigh keeps the number of calls out to those that fail or are slow.
+// weigh updates the number of calls out to unhealthy destinations.
 func (d *Dispatcher) weigh(t *dest) {
 	d.sickOut -= t.weighed
 	if t.weighed = 0; t.w > 0 && d.sick(t) {
@@ -117,7 +120,7 @@
 	d.sickOut += t.weighed
 }
 
-// rouse lets the next round look at a destination, before anything of it changes.
+// rouse makes the next round evaluate a destination. It is called before the destination's state changes.
 func (d *Dispatcher) rouse(t *dest) {
 	if t.standing == asleep {
 		d.wakes.drop(t)
@@ -132,7 +135,7 @@
 	}
 }
 
-// rouseAll lets the next round look at all.
+// rouseAll makes the next round evaluate all active destinations.
 func (d *Dispatcher) rouseAll() {
 	for i := range d.turns.list {
 		if t := d.turns.list[i].t; t.standing == asleep {
@@ -141,7 +144,7 @@
 	}
 }
 
-// openRound begins a round: those whose time has come are woken.
+// openRound begins a round: it wakes the destinations whose time has come.
 func (d *Dispatcher) openRound() {
 	for range looksAtOnce {
 		t := d.wakes.due(d.now)
@@ -152,12 +155,12 @@
 	}
 	d.more = d.more || d.wakes.isDue(d.now)
 	if level := int(sureLost * d.lost); level != d.level {
-		d.rouseAll() // what counts as sure has changed
+		d.rouseAll() // the number of failures that confirm an outage has changed
 		d.level = level
 	}
 }
 
-// next is the destination with the smallest counter of those that are to be looked at, nil if there is none.
+// next returns the destination whose turn is first among those to evaluate, nil if there is none.
 func (d *Dispatcher) next() *dest {
 	kept := d.roused[:0]
 	for _, t := range d.roused {
@@ -177,24 +180,24 @@
 	best := d.ready.first()
 	if t := d.shut.first(); t != nil && d.sickOut < d.sickRoom() && (best == nil || t.before(best)) {
 		best = t
-		d.rouse(t) // and at once
+		d.rouse(t) // in this round already
 		t.standing = ready
 		d.ready.put(t, t.acc, t.seq)
 	}
 	return best
 }
 
-// stop is why a destination can't send.
+// stop tells why a destination cannot send.
 type stop uint8
 
 const (
-	goes stop = iota // it can
-	noEndpoint
-	noWindow
-	noMessage
+	goes       stop = iota // it can
+	noEndpoint             // no endpoint may be called now
+	noWindow               // its calls out fill the window
+	noMessage              // none of its messages may be sent now
 )
 
-// lay puts a destination that can't send to sleep until something can have changed.
+// lay puts a destination that cannot send to sleep until something that matters to it may have changed.
 func (d *Dispatcher) lay(t *dest, why stop, ep *endpoint, trial bool) {
 	t.blocked = d.round
 	if t.standing == ready {
@@ -206,7 +209,7 @@
 	}
 	t.standing = asleep
 	until := never
-	if why != noWindow { // that opens by events alone
+	if why != noWindow { // only events change the window
 		for _, e := range t.eps {
 			if at := d.opensAt(e); at > d.now {
 				until = min(until, at)
@@ -229,8 +232,9 @@
 	}
 }
 
-// unlocksAt is when a destination of which no message may go has to be looked at again: at the end of a key's rest or of
-// the time in which repeats are dropped, and when the oldest message that is still in time no longer is.
+// unlocksAt returns when to evaluate a destination again of which no message may be sent now: when the wait of an order
+// key ends, when the time in which repeats are dropped ends, or when the oldest message that can still meet its aim no
+// longer can, as another message is considered then.
 func (d *Dispatcher) unlocksAt(t *dest) Time {
 	at := never
 	mean, _ := d.latency(t)
@@ -249,7 +253,7 @@
 			}
 			if m.doubt && m.class.Effect == Guarded {
 				at = min(at, m.doubtAt+m.class.Window-d.set.Tick)
-				if m.class.ZoneGroup && len(t.eps) > 1 { // which of them is chosen changes with calls elsewhere, too
+				if m.class.ZoneGroup && len(t.eps) > 1 { // calls of other messages may change which endpoint is chosen
 					return d.now + 1
 				}
 			}
@@ -258,7 +262,7 @@
 	return max(at, d.now+1)
 }
 
-// allRisky tells that all held messages are too risky for this trial, whatever the time.
+// allRisky reports whether no queued message may be used for this trial call, however late it is.
 func (d *Dispatcher) allRisky(t *dest, ep *endpoint) bool {
 	for i := range t.lanes {
 		if t.lanes[i].len() > 0 && !d.risky(&d.set.Classes[i/2], ep) {
--- a/control/settings.go
+++ b/control/settings.go
@@ -5,11 +5,9 @@
 	"math"
 )
 
-// What a setting may be at all; nothing is decided here.
-
-// SettingError says that a setting is out of range.
+// SettingError reports a setting that is out of range.
 type SettingError struct {
-	Field string // as in Settings: Slots, Classes[1].Aim
+	Field string // path within Settings, such as Slots or Classes[1].Aim
 	Value float64
 }
 
--- a/control/state.go
+++ b/control/state.go
@@ -1,6 +1,7 @@
 package control
 
-// State that control.go decides with, and the plain upkeep of it. Nothing is decided here.
+// This file holds the state that the decisions in control.go are based on, and keeps it up to date. It makes no decision
+// itself.
 
 import (
 	"cmp"
@@ -11,97 +12,98 @@
 	"curlewmux/pace"
 )
 
-// message is one message from arrival to its end and its last outcome.
+// message is one message, kept until it has ended and its last attempt has an outcome.
 type message struct {
 	id        MessageID
 	class     *Class
 	dest      *dest
 	lane      int
-	key       *keyTurn
-	born      Time // when it was first handed in
-	deadline  Time // when it is given up
-	arrived   uint64
-	over      bool
-	held      bool
-	ended     bool
-	resent    bool // from the store of undelivered ones: where nothing else comes it is the trial
+	key       *keyTurn // nil if it has no order key
+	born      Time     // when it was first submitted
+	deadline  Time     // after which it is no longer delivered
+	arrived   uint64   // number of its arrival, by which queues are ordered
+	over      bool     // worth less: its tenant is over its quota, or it is resent
+	held      bool     // it is in the queue of its destination
+	ended     bool     // it has its final result; an attempt may still be out
+	resent    bool     // an undelivered message sent again; may serve as a trial call whatever its class, as nothing else may come
 	tries     int
-	out       *call
-	doubt     bool // an attempt may have run ...
-	doubtAt   Time // ... the first such was sent then ...
-	doubtZone int  // ... to this zone
+	out       *call // the call that carries its current attempt, nil if none is out
+	doubt     bool  // an attempt may have run
+	doubtAt   Time  // send time of the first attempt that may have run
+	doubtZone int   // zone that this attempt was sent to
 }
 
-// call is one call out, holding a slot: a message, or several of one round.
+// call is one call that is out and holds a slot. It carries one message, or a batch of messages sent in one round.
 type call struct {
 	ep      *endpoint
 	sent    Time
 	msgs    []*message
-	left    int
-	trial   bool // a trial of a suspect
-	asked   bool // called off by us
-	learned bool // an outcome was learned from
-	low     bool // it went at well under what is answered there
-	idle    Time // how long the connection that it went out on had been idle, 0 if new or in use
+	left    int  // messages that have no outcome yet
+	trial   bool // a trial call to a suspect endpoint
+	asked   bool // it was asked to be cancelled
+	learned bool // one of its outcomes was used to update the statistics
+	low     bool // sent at well below the rate that the destination accepted, see limit.lowTo
+	idle    Time // how long its connection had been idle, 0 if that is new or in use
 }
 
-// keyTurn orders the messages that share a key.
+// keyTurn sequences the messages that share an order key.
 type keyTurn struct {
 	key    uint64
-	queue  []*message
-	rest   Time
-	by     *message // whose doubt it rests for, nil if an earlier process's
-	parked bool     // in the list of those at rest
+	queue  []*message // messages with this key, the next one to send first
+	rest   Time       // the next message waits until then: an attempt may still be running
+	by     *message   // the message whose attempt may still be running, nil if it is one of an earlier process
+	parked bool       // in the list of keys without messages that tidy removes later
 }
 
-// rests tells whether a message waits for its key's rest: for the doubt of another, or, not sent yet, for any.
+// rests reports whether a message has to wait because an attempt with its key may still be running. A message that was
+// sent before does not wait for an attempt of its own.
 func (m *message) rests(now Time) bool {
 	return now < m.key.rest && (m.tries == 0 || m.key.by != nil && m.key.by != m)
 }
 
-// endpoint is a place to send to, with its own health.
+// endpoint is one address of a destination, with its own health.
 type endpoint struct {
-	// What each look at its destination reads stands together.
+	// The fields that each scan of the destination reads come first, next to each other in memory.
 	health   Health
-	suspect  bool // not fed
-	proven   bool // its last failure proved that calls do not run
-	leaving  bool // in the list of those that are listed gone
-	open     bool // a connection is thought open
+	suspect  bool // taken to be down: it gets only trial calls
+	proven   bool // its last failure proves that calls do not run there
+	leaving  bool // in Dispatcher.leaving
+	open     bool // a connection is assumed to be open
 	limit    *limit
 	dest     *dest
-	bad      int         // calls in a row that met nobody or silence
-	errs     int         // answers in a row that were errors
-	trialAt  Time        // next trial
-	failedAt Time        // while suspect: when the last failure was known
-	coldAt   Time        // start of its ramp, 0 none; it may lie ahead
-	ramp     pace.Bucket // calls that it may be sent while it is cold or in an outage
-	calls    []*call     // out, oldest first
+	bad      int         // failed connections and timeouts in a row
+	errs     int         // error responses in a row
+	trialAt  Time        // time of the next trial call
+	failedAt Time        // while suspect: when the last failure was noticed
+	coldAt   Time        // start of its ramp, possibly in the future; 0 if there is none
+	ramp     pace.Bucket // calls that are permitted while it is cold or suspect
+	calls    []*call     // calls out, the oldest first
 	id       Endpoint
 	zone     int
 	batch    int  // most messages in one call
-	used     Time // last use
-	heard    Time // last answer
-	okSent   Time // send time of the newest call answered ok
-	dropped  Time // idle age of the connection on which the last failed call went out
-	downAt   Time // while suspect: since when
-	trialGap Time // while suspect: how long until the trial after the next
+	used     Time // when a call last started or ended
+	heard    Time // time of the last response
+	okSent   Time // latest send time of a call that succeeded
+	dropped  Time // how long the connection of the last failed call had been idle
+	downAt   Time // while suspect: since when it is taken to be down
+	trialGap Time // while suspect: time between the next trial call and the one after it
 }
 
-// kind is what the destinations of one kind have in common.
+// kind holds what was learned about all destinations of one kind.
 type kind struct {
-	lat    latency
-	keep   Time    // idle age up to which connections are known to hold
-	again  float64 // how often the call after a refusal went well
-	drops  float64 // share of calls on idle connections that failed where the next one went well
-	scarce Time    // until then connections are taken to be scarce
-	low    Time    // silence of a destination without samples: lookout.go reckons with no less
+	lat    latency // of calls to any of them
+	keep   Time    // idle time up to which connections are known to stay usable
+	again  float64 // share of calls after a refusal that succeeded
+	drops  float64 // share of calls on idle connections that failed although the next call succeeded
+	scarce Time    // destinations are assumed to be short of connections until then
+	low    Time    // lower bound of the response timeout of a destination without samples, used by lookout.go
 }
 
-// latency is a running mean and deviation.
+// latency is a running mean and mean deviation of latencies, in microseconds.
 type latency struct {
 	mean float64
 	dev  float64
-	n    float64
+	n    float64 // number of samples
 }
 
 func (l *latency) add(v, gain float64) {
@@ -110,33 +112,34 @@
 	l.mean += gain * (v - l.mean)
 }
 
-// limit is what bounds the rate to a destination, or to one route where routes are apart.
+// limit bounds the rate of calls to a destination, or to one endpoint where endpoints have limits of their own
+// (Kind.RoutesApart).
 type limit struct {
-	wait      Time        // told, or our own backoff
-	allow     float64     // share of the own demand let go, as of allowAt
-	bound     float64     // listed or reported rate
-	grow      float64     // of allow, a second
-	allowAt   Time        // it may lie ahead, at the end of a wait
-	tokens    pace.Bucket // calls that it lets go; of no use while free
-	free      bool        // no limit is felt
-	cutAt     Time
-	okAt      Time
-	fullSince Time
-	told      Time    // end of the told wait alone
-	chance    float64 // share of the calls that it refuses whatever comes
-	devs      float64 // in how far more are chance, too
-	cutFor    float64 // share refused that led to the last cut
-	lows      float64 // calls at well under what was answered since the last cut
-	lowTo     float64 // share of the own demand up to which calls are well under it
-	cuts      int     // in a row
-	streak    int     // refusals in a row
-	bad       int     // calls in a row that met nobody or silence, at all its endpoints
-	ok        meter   // answers with 200
-	no        meter   // refusals since the last cut
-	all       meter   // all calls that ended since the last cut
-}
-
-// allowed is the share of the own demand that is let go at a moment.
+	wait      Time        // no call before then: a told wait or a backoff
+	allow     float64     // share of this dispatcher's demand that may be sent, as of allowAt
+	bound     float64     // listed or reported rate in calls a second, 0 if there is none
+	grow      float64     // growth of allow per second
+	allowAt   Time        // possibly in the future, at the end of a wait
+	tokens    pace.Bucket // calls that are permitted; not used while free
+	free      bool        // no rate limit is known or inferred
+	cutAt     Time        // when allow was last cut
+	okAt      Time        // time of the last success
+	fullSince Time        // time of the first refusal since the last success, 0 if there was none
+	told      Time        // end of the told wait, without backoffs
+	chance    float64     // share of calls that are refused at random, whatever the rate
+	devs      float64     // standard deviations above that share that still count as random
+	cutFor    float64     // share of refused calls that led to the last cut
+	lows      float64     // calls since the last cut that went out at well below the accepted rate
+	lowTo     float64     // largest share of the demand that is well below the accepted rate
+	cuts      int         // cuts since the last success that were made without a told wait
+	streak    int         // refusals in a row
+	bad       int         // failed connections and timeouts in a row, over all its endpoints
+	ok        meter       // successful calls
+	no        meter       // refusals since the last cut
+	all       meter       // all calls that ended since the last cut
+}
+
+// allowed returns the share of this dispatcher's demand that may be sent at a time.
 func (p *limit) allowed(now Time) float64 {
 	if p.allow >= unfelt {
 		return p.allow
@@ -144,71 +147,72 @@
 	return min(unfelt, p.allow+p.grow*now.Since(p.allowAt).Seconds())
 }
 
-// dest is a destination: its hold, turn counter, window and what was learned.
+// dest is a destination: its queues, its turn, its window and what was learned about it.
 type dest struct {
-	// What each look reads stands together.
+	// The fields that each scan reads come first, next to each other in memory.
 	standing standing
-	rousing  bool // in the list of those roused
-	live     bool // it had messages held or out when that was last looked for ...
-	starting bool
-	bare     bool   // in the list of those that had no endpoint
-	seq      uint64 // its number among those that came into use
-	acc      float64
-	held     int
-	blocked  uint64 // round in which nothing more can go
+	rousing  bool    // in rounds.roused
+	live     bool    // it had messages queued or out when that was last checked
+	starting bool    // its window still grows with each success, until a first call fails
+	bare     bool    // in Dispatcher.bare
+	seq      uint64  // number given each time it becomes active, breaks ties between equal turns
+	acc      float64 // slot time used so far, divided by its weight (see charge); the least has the next turn
+	held     int     // messages in its queues
+	blocked  uint64  // last round that found it unable to send
 	eps      []*endpoint
 	kind     *kind
 	limit    *limit
 	demand   meter
-	served   meter   // answers with 200, by message
-	steady   float64 // messages a second that were served before its outage
-
-	no      int
-	at      int // in the list of all
-	open    int // messages owed an answer
-	share   float64
-	lanes   []lane // by class and over-share, oldest first
-	w       int
-	wmax    int
-	ends    int
-	badEnds int
+	served   meter   // delivered messages
+	steady   float64 // delivered messages per second before its outage, 0 if not known
+
+	no      int     // number by which clients and lists name it
+	at      int     // position in Dispatcher.dests
+	open    int     // messages without a final result
+	share   float64 // listed weight, 1 if there is none
+	lanes   []lane  // two for each class, the second for messages worth less (message.over); the oldest message first
+	w       int     // calls out
+	wmax    int     // window: most calls out
+	ends    int     // calls that ended since the window was last revised
+	badEnds int     // those of them that failed
 	lat     latency
-	base    float64 // the long view of its latency
-	had     bool    // an endpoint of it was listed ready before this whole list
-	outage  bool    // its endpoints had failed or were cold when the last one of them left
-	listed  uint64  // the list that its first window goes by
-
-	places  [orders]int // in each order, from 1
-	weighed int         // its part in rounds.sickOut
-	worst   *message    // least worth, as of round worstIn
-	worstAt float64
+	base    float64 // long-term mean of its latency, against which slowness is measured
+	had     bool    // it had a ready endpoint before the complete list that is being applied
+	outage  bool    // an endpoint had failed or was cold when the last ready one left
+	listed  uint64  // number of the list by which its first window was set
+
+	places  [orders]int // position in each order, counted from 1; 0 if it is not in it
+	weighed int         // its calls that are counted in rounds.sickOut
+	worst   *message    // the message that is worth least, as of round worstIn
+	worstAt float64     // what it is worth
 	worstIn uint64
 }
 
-// comings are endpoints and destinations that may be of no more use soon, and what lists said of how many there are.
+// comings holds the endpoints and destinations that may soon be removed, and what depends on the number of destinations
+// listed.
 type comings struct {
-	leaving []*endpoint // listed gone, and still with their destinations
-	bare    []*dest     // without endpoints when that was last looked for
+	leaving []*endpoint // endpoints listed as gone that their destinations still have
+	bare    []*dest     // destinations that had no endpoints when last checked
 	lists   uint64      // number of the newest list
-	fair    int         // fair share of the slots since then
+	fair    int         // fair share of the slots as of that list
 }
 
 // meter is a rate with exponential decay.
 type meter struct {
-	v     float64
+	v     float64 // sum of what was counted, decayed to the time at
 	at    Time
-	tau   Time
-	t0    Time
+	tau   Time // time constant of the decay
+	t0    Time // when counting began
 	terms terms
 }
 
-// terms are what a meter's figures go by at one moment, for which they are asked for several times.
+// terms caches the factors of a meter's rate for one time, as the rate is read several times in a round.
 type terms struct {
 	now    Time
 	at     Time
 	t0     Time
-	decay  float64 // what is left of v
-	filled float64 // the part of the memory that is filled
+	decay  float64 // factor by which v has decayed since at
+	filled float64 // share of the memory that is filled, less than 1 while the history is short
 }
 
 func (m *meter) add(now Time, n float64) {
@@ -216,7 +220,7 @@
 	m.at = now
 }
 
-// came counts one that came so long ago, as far as it is still remembered.
+// came counts one arrival of a given age, with the weight that it has left after the decay.
 func (m *meter) came(now, age Time) {
 	if age > 0 {
 		m.t0 = min(m.t0, now-age)
@@ -224,10 +228,11 @@
 	m.add(now, math.Exp(-float64(age)/float64(m.tau)))
 }
 
-// fullAfter is after how many times its memory a meter's is filled to the last bit: exp(-38) is under half of it.
+// fullAfter is the number of time constants after which a meter's memory counts as filled: exp(-38) is less than half of
+// the last bit of a float64 near 1.
 const fullAfter = 38
 
-// of are the terms of a moment.
+// of returns the terms of a time.
 func (m *meter) of(now Time) *terms {
 	t := &m.terms
 	if t.now != now || t.at != m.at || t.t0 != m.t0 || t.filled == 0 {
@@ -239,20 +244,20 @@
 	return t
 }
 
-// rate is per second; the start is corrected for the short history.
+// rate returns the rate per second. It is corrected for a history shorter than the memory.
 func (m *meter) rate(now Time) float64 {
 	t := m.of(now)
 	return m.v * t.decay / m.tau.Seconds() / t.filled
 }
 
-// put adds a message to its lane, which is in order of arrival.
+// put adds a message to its queue, in order of arrival.
 func (t *dest) put(m *message) {
 	t.lanes[m.lane].put(m)
 	m.held = true
 	t.held++
 }
 
-// drop takes a message out of its lane, if it is in one.
+// drop removes a message from its queue, if it is queued.
 func (t *dest) drop(m *message) {
 	if !m.held {
 		return
@@ -262,12 +267,12 @@
 	m.held = false
 }
 
-// trying tells whether a trial is out.
+// trying reports whether a trial call is out.
 func (ep *endpoint) trying() bool {
 	return slices.ContainsFunc(ep.calls, func(c *call) bool { return c.trial })
 }
 
-// ready counts the endpoints listed ready.
+// ready counts the endpoints that are listed as ready.
 func (t *dest) ready() (n int) {
 	for _, ep := range t.eps {
 		if ep.health == Ready {
@@ -277,7 +282,7 @@
 	return n
 }
 
-// random returns a number from 0 to 1, from the seed alone.
+// random returns a pseudo-random number in [0, 1) that depends only on the seed (xorshift64).
 func (d *Dispatcher) random() float64 {
 	d.rng ^= d.rng << 13
 	d.rng ^= d.rng >> 7
@@ -285,8 +290,10 @@
 	return float64(d.rng>>11) / (1 << 53)
 }
 
+// answers returns a meter for calls and their results.
 func (d *Dispatcher) answers() meter { return meter{tau: rateTau, at: d.now, t0: d.now} }
 
+// newLimit returns a limit that restricts nothing yet.
 func (d *Dispatcher) newLimit() *limit {
 	return &limit{
 		tokens: pace.NewBucket(d.now, 1), allow: unfelt, free: true, chance: chanceFirst, devs: 1,
@@ -294,9 +301,10 @@
 	}
 }
 
+// byAim compares the time of a message's aim with another time, for a binary search.
 func byAim(m *message, at Time) int { return cmp.Compare(m.born+m.class.Aim, at) }
 
-// worth is what delivering the message at t would earn.
+// worth returns what the message is worth if it is delivered at t.
 func (d *Dispatcher) worth(m *message, t Time) float64 {
 	c, v := m.class, m.class.Worth
 	if m.over {
@@ -314,13 +322,14 @@
 	return v * (1 - (1-c.LateWorth)*float64(late)/float64(max(c.Deadline-c.Aim, 1)))
 }
 
-// tidiedAtOnce is how many of each are forgotten in one Step at most; the next goes on.
+// tidiedAtOnce is the most entries of each sort that tidy removes in one Step. The next Step goes on with the rest.
 const tidiedAtOnce = 1000
 
-// tidy forgets what is of no more use: gone endpoints without calls, unlisted destinations and keys at rest.
-// A told wait binds until it is over, a drain while calls are out, and a key's rest while it lasts.
+// tidy removes state that is no longer needed: endpoints that are gone, unlisted destinations and order keys without
+// messages. What still binds is kept: told waits, endpoints and destinations with calls out, and keys for which an attempt
+// may still be running.
 func (d *Dispatcher) tidy() {
-	var went [4]int // of each
+	var went [4]int // removed entries of each sort
 	more := func(i int) bool {
 		if went[i] == tidiedAtOnce {
 			d.tidied = d.now - seldom
@@ -332,7 +341,7 @@
 	d.leaving = slices.DeleteFunc(d.leaving, func(ep *endpoint) bool {
 		t := ep.dest
 		switch {
-		case ep.health != Gone: // it is back
+		case ep.health != Gone: // listed again
 			ep.leaving = false
 		case len(ep.calls) == 0 && ep.limit.wait <= d.now && more(0):
 			ep.leaving = false
@@ -344,9 +353,9 @@
 		}
 		return !ep.leaving
 	})
-	// One that failed or was cold when it went is that still if it returns.
+	// An endpoint that was suspect or cold when it left is still so if it returns soon.
 	d.away = slices.DeleteFunc(d.away, func(ep *endpoint) bool {
-		if ep.health != Gone { // it is back
+		if ep.health != Gone { // listed again
 			return true
 		}
 		old := (!d.ill(ep) || d.now-max(ep.failedAt, ep.coldAt) > doubtFade*d.set.WarmUp) && more(1)
@@ -380,7 +389,7 @@
 	})
 }
 
-// note tells the operators something, if nothing else was told lately.
+// note emits a log line for operators, unless there was one recently.
 func (d *Dispatcher) note(t *dest, what string) {
 	if d.now >= d.noteAt {
 		d.noteAt = d.now + seldom
@@ -388,7 +397,7 @@
 	}
 }
 
-// dest returns a destination, making it when it is first heard of.
+// dest returns the destination with a number, and creates it on first use.
 func (d *Dispatcher) dest(no int) *dest {
 	t := d.byNo[no]
 	if t == nil {
@@ -406,7 +415,7 @@
 	return t
 }
 
-// isBare has tidy look whether a destination without endpoints is of any more use.
+// isBare makes tidy check whether a destination can be removed, if it has no endpoints.
 func (d *Dispatcher) isBare(t *dest) {
 	if len(t.eps) == 0 && !t.bare {
 		t.bare = true
@@ -414,7 +423,7 @@
 	}
 }
 
-// goes has tidy look whether an endpoint that is listed gone is of any more use.
+// goes makes tidy check whether an endpoint can be removed, if it is listed as gone.
 func (d *Dispatcher) goes(ep *endpoint) {
 	if ep.health == Gone && !ep.leaving {
 		ep.leaving = true
@@ -422,7 +431,7 @@
 	}
 }
 
-// list takes a new endpoint list; what a whole list leaves out is gone.
+// list applies a new endpoint list. Endpoints that a complete list leaves out are gone.
 func (d *Dispatcher) list(e *Event) {
 	if e.ListKind == ListFailed {
 		return
@@ -450,11 +459,12 @@
 	d.lists++
 	if was := d.fair; len(d.dests) > 0 {
 		if d.fair = d.fairShare(); d.fair != was {
-			d.rouseAll() // those whose first window it is may have room now
+			d.rouseAll() // destinations whose first window this is may send more now
 		}
 	}
 }
 
+// entry applies one entry of an endpoint list.
 func (d *Dispatcher) entry(n *Entry) {
 	t := d.dest(n.Dest)
 	d.rouse(t)
@@ -475,7 +485,7 @@
 	if ep.dest.no != t.no {
 		return // an endpoint does not change its destination
 	}
-	if ep.dest != t { // all was forgotten of the destination, but not of the endpoint
+	if ep.dest != t { // the destination was removed and created again, while the endpoint was kept
 		ep.dest = t
 		if !apart {
 			ep.limit = t.limit
