--- a/control/rounds.go
+++ b/control/rounds.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// least returns the turn of the first of the other active destinations, 0 if there are none. Only the first three
-// entries of the heap can hold it.
+// least returns the turn of the first of the other active destinations, 0 if there are none. If t is
+// first itself, the next one is a child of it in the heap.
 func (d *Dispatcher) least(t *dest) float64 {
 	l := d.turns.list
 	if len(l) > 0 && l[0].t != t {
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -1,29 +1,28 @@
-// Package pace reckons how many calls may have gone by a moment, where what permits them is a function of time: a token
-// bucket, a share of a demand that grows back, a ramp after an outage. It has no clock, does no I/O and decides nothing:
-// its user says which rate holds from when on.
+// Package pace provides a token bucket whose rate may change linearly with time, as for a share of a demand that grows back
+// or a ramp after an outage. It has no clock and does no I/O: its user passes the time and sets the rate.
 //
-// All that is asked of a Bucket between two changes is a function of the moment alone: looking at one changes nothing, so
-// that what it permits does not depend on how often, or when, anybody looked. A change (Set, Take, Give) settles what has
-// gathered by then. A settlement rounds as float64 does: after n of them a level of up to m tokens is off by no more than
-// n x m x 2^-50 (TestAnyCutGivesTheSame holds it to that).
+// Between two changes everything that a Bucket returns depends on the time alone. Reading a Bucket does not modify it, so
+// what it permits does not depend on how often or when it is read. A change (Set, Take, Give, Limit) adds the tokens that
+// have come since the last change, which rounds as float64 does: after n changes a level of up to m tokens is off by at most
+// n x m x 2^-50 (checked by TestAnyCutGivesTheSame).
 package pace
 
 import "math"
 
-// Time is an instant on the caller's clock, or a span, in microseconds.
+// Time is an instant on the caller's clock, or a duration, in microseconds.
 type Time int64
 
-// Units of Time, and one that is later than any other.
+// Units of Time, and a time that is never reached.
 const (
 	Millisecond Time = 1000
 	Second      Time = 1000 * Millisecond
 	Never       Time = math.MaxInt64
 )
 
-// Seconds is a span in seconds.
+// Seconds returns a duration in seconds.
 func (t Time) Seconds() float64 { return float64(t) / float64(Second) }
 
-// Since is the span from one moment to another, 0 if the other is not later, and no more than a number holds.
+// Since returns the time that has passed since from: 0 if t is not later, and Never where the difference overflows.
 func (t Time) Since(from Time) Time {
 	if t <= from {
 		return 0
@@ -34,7 +33,7 @@
 	return Never
 }
 
-// After is the moment a span later, Never if no number holds it.
+// After returns the time a duration later, and Never where the sum overflows.
 func (t Time) After(span Time) Time {
 	if span > 0 && t > Never-span {
 		return Never
@@ -42,25 +41,25 @@
 	return t + span
 }
 
-// Rate is one that may change evenly with time: From at first, then Rise more with each second (less, if that is
-// negative) until it comes to End, where it stays. Where End lies on the other side of From it is End from the first on.
-// The zero Rate permits nothing. Rates are in tokens a second; neither From nor End is negative.
+// Rate is a rate in tokens a second that may change linearly with time. It starts at From, changes by Rise each second (a
+// negative Rise lowers it) until it reaches End, and stays there. If Rise leads away from End, the rate is End from the
+// start. The zero Rate permits nothing. Neither From nor End may be negative.
 type Rate struct{ From, Rise, End float64 }
 
-// Steady is a rate that does not change.
+// Steady returns a rate that does not change.
 func Steady(r float64) Rate { return Rate{From: r, End: r} }
 
-// changes is for how many seconds it does.
+// changes returns for how many seconds the rate changes.
 func (r Rate) changes() float64 {
 	if way := r.End - r.From; way*r.Rise > 0 {
 		return way / r.Rise
 	} else if r.Rise == 0 && way > 0 {
-		return math.Inf(1) // it never comes to its end
+		return math.Inf(1) // it never reaches End
 	}
 	return 0
 }
 
-// At is the rate so many seconds on.
+// At returns the rate after s seconds.
 func (r Rate) At(s float64) float64 {
 	if s >= r.changes() {
 		return r.End
@@ -68,7 +67,7 @@
 	return r.From + r.Rise*s
 }
 
-// Sum is how many tokens come in the first s seconds.
+// Sum returns the number of tokens that come in the first s seconds.
 func (r Rate) Sum(s float64) float64 {
 	turn := r.changes()
 	if s <= turn {
@@ -77,7 +76,7 @@
 	return turn*(r.From+r.End)/2 + (s-turn)*r.End
 }
 
-// When is after how many seconds n tokens have come; +Inf if they never do.
+// When returns the number of seconds after which n tokens have come, +Inf if they never do.
 func (r Rate) When(n float64) float64 {
 	if n <= 0 {
 		return 0
@@ -85,7 +84,7 @@
 	turn := r.changes()
 	before := turn * (r.From + r.End) / 2
 	if turn > 0 && n <= before {
-		// n = From x s + Rise x s x s / 2, in the form that loses no digits where the rate hardly changes
+		// Solves n = From x s + Rise x s x s / 2 in the form that loses no digits when Rise is close to 0.
 		return 2 * n / (r.From + math.Sqrt(max(r.From*r.From+2*r.Rise*n, 0)))
 	}
 	if r.End <= 0 {
@@ -94,22 +93,22 @@
 	return turn + (n-before)/r.End
 }
 
-// Bucket holds tokens that come at a rate, a certain number at most. One token permits one call. The level may be below
-// zero where more was taken than was there. The zero Bucket is empty and stays so.
+// Bucket is a token bucket: tokens come at a rate, up to a most number that it holds. One token permits one call. The level
+// is negative after more tokens were taken than there were. The zero Bucket is empty and stays so.
 type Bucket struct {
 	level, most float64
 	at          Time
 	rate        Rate // from at on
 }
 
-// NewBucket returns one with a level, and nothing coming in until Set says so.
+// NewBucket returns a Bucket with a level. No tokens come until Set gives it a rate.
 func NewBucket(now Time, level float64) Bucket {
 	return Bucket{level: level, most: max(level, 1), at: now}
 }
 
-// Set changes the rate and the most tokens that are held, from a moment on. What has gathered by now stays, as far as it
-// may. Where from is later than now, what the rate gives at first is credited for the time in between at once, as far as
-// that was not done before: a user who can't take anything before from (a wait binds it) has it when that comes.
+// Set changes the rate, beginning at from, and the most tokens that are held. Tokens that have come until now stay, up to
+// most. If from is later than now, the tokens that come at the initial rate until then are added at once, unless an earlier
+// Set did so for the same time: a user that has to wait until from finds them there when the wait ends.
 func (b *Bucket) Set(now, from Time, r Rate, most float64) {
 	b.settle(now)
 	if ahead := from.Since(b.at); ahead > 0 {
@@ -120,7 +119,7 @@
 	b.rate, b.most = r, most
 }
 
-// Level is how many tokens are there at a moment.
+// Level returns the number of tokens at a time.
 func (b *Bucket) Level(now Time) float64 {
 	if now <= b.at {
 		return b.level
@@ -128,31 +127,31 @@
 	return min(b.level+b.rate.Sum(now.Since(b.at).Seconds()), max(b.most, b.level))
 }
 
-// Full tells that no more tokens are held.
+// Full reports whether the bucket holds as many tokens as it can.
 func (b *Bucket) Full(now Time) bool { return b.Level(now) >= b.most }
 
-// Has tells whether a call may go.
+// Has reports whether there is a token for a call.
 func (b *Bucket) Has(now Time) bool { return b.Level(now) >= 1 }
 
-// Take takes n tokens, whether they are there or not.
+// Take removes n tokens, even if there are fewer.
 func (b *Bucket) Take(now Time, n float64) {
 	b.settle(now)
 	b.level -= n
 }
 
-// Give puts n tokens back, as far as they may be held.
+// Give puts n tokens back, up to the most that are held.
 func (b *Bucket) Give(now Time, n float64) {
 	b.settle(now)
 	b.level = max(b.level, min(b.level+n, b.most))
 }
 
-// Limit takes away what is above a level.
+// Limit lowers the level to at most the given one.
 func (b *Bucket) Limit(now Time, level float64) {
 	b.settle(now)
 	b.level = min(b.level, level)
 }
 
-// settle makes now the moment from which on all is reckoned.
+// settle adds the tokens that have come until now, and lets the rate start from now.
 func (b *Bucket) settle(now Time) {
 	if now <= b.at {
 		return
@@ -162,7 +161,8 @@
 	b.at = now
 }
 
-// NextAt is the first moment, now or later, at which Has tells true while nothing changes; Never if there is none.
+// NextAt returns the first time, now or later, at which there is a token if nothing changes until then. It is Never if there
+// is none.
 func (b *Bucket) NextAt(now Time) Time {
 	if b.Has(now) {
 		return now
@@ -175,7 +175,8 @@
 		return Never
 	}
 	at := max(now, b.at.After(Time(s*float64(Second))))
-	// The root and the sum may differ in their last bits: by so much at most, which a few steps of doubled length bridge.
+	// When and Sum may round differently in their last bits, so at may be slightly off. Steps of doubling length find the
+	// exact microsecond.
 	step := Time(1)
 	for !b.Has(at) {
 		if at == Never || step > Second {
