--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -7,8 +7,9 @@
 	. "curlewmux/control"
 )
 
-// blockedSite tells a module of so many destinations that each hold a message which can't go: a third have a call out
-// that nobody answers and a window of one, a third told a wait, a third meet nobody. It returns the time.
+// blockedSite gives a dispatcher n destinations that each have a queued message which cannot be sent. A third have a call
+// out that is never answered, and a window of one. A third asked for a wait, and a third cannot be connected to. It returns
+// the time after that.
 func blockedSite(m stepper, n int) Time {
 	now := 1000 * Second
 	list := Event{Kind: List, ListKind: ListFull}
@@ -55,7 +56,7 @@
 	}
 }
 
-// BenchmarkStep is a Step in which nothing happens, with so many destinations blocked.
+// BenchmarkStep measures a Step without events while n destinations are blocked.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{250, 1000, 4000, 10_000} {
 		b.Run(fmt.Sprintf("blocked=%d", n), func(b *testing.B) {
--- a/control/fleet_size_test.go
+++ b/control/fleet_size_test.go
@@ -6,8 +6,8 @@
 	. "curlewmux/control"
 )
 
-// One tenant sends half of what comes here, with a third of all quotas. Alone a dispatcher serves everybody's shares, of
-// ten it serves a tenth: then the tenant is over its share, and what it sends is given up first.
+// One tenant sends half of the messages that arrive here and has a third of all quotas. A single dispatcher serves the whole
+// of each quota, one of ten serves a tenth. With ten the tenant is over its quota, and its messages are shed first.
 func TestTheNumberOfDispatchersChangesShares(t *testing.T) {
 	t.Parallel()
 	given := func(instances int) (over, within int) {
@@ -42,14 +42,15 @@
 		return over, within
 	}
 	if over, within := given(1); over > within+10 || within > over+10 {
-		t.Errorf("alone: %d of the one and %d of the other are given up", over, within)
+		t.Errorf("single dispatcher: %d messages of the one tenant and %d of the other are shed", over, within)
 	}
-	if over, within := given(10); over < within+30 { // the hold has room for 60, nearly all of them the other's in the end
-		t.Errorf("one of ten: %d of the greedy tenant's and %d of the other's are given up", over, within)
+	if over, within := given(10); over < within+30 { // there is room for 60 messages, in the end nearly all of the other tenant
+		t.Errorf("one of ten: %d messages of the greedy tenant and %d of the other are shed", over, within)
 	}
 }
 
-// A dispatcher that comes or goes changes no pace towards partners: the same is sent, in the same Steps.
+// A change of the number of dispatchers must not change the rate of calls to partners: the same number of messages is sent in
+// each Step as without it.
 func TestTheNumberOfDispatchersSendsNoBurst(t *testing.T) {
 	t.Parallel()
 	sends := func(change func(i int) []Event) (list []int) {
@@ -83,13 +84,13 @@
 		case 1000:
 			return []Event{{Kind: Fleet, Instances: 40}}
 		case 1500:
-			return []Event{{Kind: Fleet}} // out of range: it counts as alone
+			return []Event{{Kind: Fleet}} // out of range: counts as one
 		}
 		return nil
 	})
 	for i := range same {
 		if same[i] != changed[i] {
-			t.Fatalf("Step %d sends %d, and %d where the number of dispatchers changes", i, same[i], changed[i])
+			t.Fatalf("Step %d sends %d messages, but %d when the number of dispatchers changes", i, same[i], changed[i])
 		}
 	}
 }
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// fleet makes dispatchers that differ only in their seeds, each told of the same endpoints.
+// fleet returns dispatchers that differ only in their seeds and have the same endpoint list.
 func fleet(t *testing.T, n int, set Settings, entries ...Entry) []*rig {
 	t.Helper()
 	set.Instances = n
@@ -12,14 +12,14 @@
 	for i := range rigs {
 		r := newRig(t, set, entries...)
 		r.d.rng += uint64(i) * 2862933555777941757
-		r.wait(20 * s) // the memory of the demand is filled
+		r.wait(20 * s) // fills the memory of the demand meter
 		rigs[i] = r
 	}
 	return rigs
 }
 
-// Each of many senders with one held message saw two failed connections: what they try alone must add up to
-// a part of their demand, not to a trial each.
+// Each of many dispatchers has one queued message and saw two failed connections. Together their trial calls must stay below
+// their demand, instead of one each at the same time.
 func TestTrialsOfManySendersAddUpToAPartOfTheDemand(t *testing.T) {
 	const n = 60
 	sends := 0
@@ -27,19 +27,20 @@
 		r.want(r.at(0, r.msg(free, 1)), 1)
 		again := sent(append(r.at(s/50, done(1, 0, ConnectFailed)), r.wait(4*s)...))
 		if len(again) != 1 {
-			t.Fatalf("%d tries to make sure, want one", len(again))
+			t.Fatalf("%d calls to confirm the outage, want one", len(again))
 		}
 		sends += len(sent(append(r.at(s/50, done(1, 1, ConnectFailed)), r.wait(2*s)...)))
 	}
 	if sends > n/4 {
-		t.Errorf("%d trials of %d senders in two seconds", sends, n)
+		t.Errorf("%d trial calls of %d dispatchers in two seconds", sends, n)
 	}
 	if sends == 0 {
-		t.Error("nobody tries")
+		t.Error("no trial call is made")
 	}
 }
 
-// An outage mostly takes all endpoints of a destination: the second to fail makes sure, and neither is tried on.
+// An outage usually affects all endpoints of a destination. The failure of a second endpoint confirms it, and neither is
+// called again at once.
 func TestFailingEndpointsBearEachOtherOut(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
 	r.wait(20 * s)
@@ -47,11 +48,12 @@
 	r.want(r.at(s/50, done(1, 0, ConnectFailed)), 1)
 	r.want(r.at(s/50, done(1, 1, ConnectFailed)))
 	if a, b := r.d.byID[ep(1, 0)], r.d.byID[ep(1, 1)]; !r.d.sure(a) || !r.d.sure(b) {
-		t.Error("two endpoints of one destination failed and the outage is not taken as sure")
+		t.Error("two endpoints of one destination failed, but the outage is not confirmed")
 	}
 }
 
-// Where refused calls use up the limit, many senders retrying on their own would keep it at nothing for good.
+// Refused calls may count against a destination's rate limit. Retries of many dispatchers must not use up that limit for
+// good, so each keeps them within its own demand.
 func TestRetriesAfterRefusalsStayWithinTheOwnDemand(t *testing.T) {
 	const n = 50
 	sends := 0
@@ -71,7 +73,7 @@
 	}
 }
 
-// Where calls after refusals mostly go well, a held message has its turn again within some aims.
+// Where calls after refusals mostly succeed, a queued message is sent again within a few times its aim.
 func TestHeldMessagesGoAgainWhereRetriesGoWell(t *testing.T) {
 	for _, c := range []struct {
 		again float64
@@ -87,12 +89,12 @@
 			}
 		}
 		if c.again == 1 && served < 15 || c.again < 1 && served > 14 {
-			t.Errorf("record %v: %d of 20 went again within 8 s", c.again, served)
+			t.Errorf("retry success %v: %d of 20 were sent again within 8 s", c.again, served)
 		}
 	}
 }
 
-// A lost answer is no outage: the next call at once, no ramp, and silence is borne for less time from then on.
+// A lost response is no outage: the next call is made at once and without a ramp, and the response timeout becomes shorter.
 func TestLostAnswersAreLearned(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0))
 	for range 20 {
@@ -112,11 +114,12 @@
 		}
 	}
 	if after := r.d.silence(r.d.byNo[1]); r.d.lost < 0.2 || after >= before {
-		t.Errorf("share of lost answers %v, silence borne %v and %v before", r.d.lost, after, before)
+		t.Errorf("share of lost responses %v, response timeout %v and %v before", r.d.lost, after, before)
 	}
 }
 
-// Clients of a sender with rare traffic would come again at others that know nothing of a limit.
+// A client whose message is refused retries at another dispatcher, which may not have noticed the rate limit yet if traffic
+// is rare. Shed messages are then failed instead.
 func TestShedMessagesAreFailedWhereALimitIsFeltAndTrafficIsRare(t *testing.T) {
 	for _, c := range []struct {
 		allow float64
@@ -136,7 +139,7 @@
 	}
 }
 
-// Two slots, two hung destinations: they must not hold both.
+// Two destinations that do not respond must not occupy both of two slots.
 func TestTwoHungDestinationsDoNotHoldTwoSlots(t *testing.T) {
 	set := testSettings()
 	set.Slots = 2
@@ -147,7 +150,7 @@
 	r.wait(4 * s)
 	one, two := r.d.byNo[1], r.d.byNo[2]
 	if !r.d.sick(one) || !r.d.sick(two) {
-		t.Fatal("not both are taken as hung")
+		t.Fatal("not both destinations are taken to be unhealthy")
 	}
 	acts := r.at(0, r.msg(free, 3))
 	want := r.id
@@ -163,10 +166,10 @@
 		}
 		acts = r.at(s/50, ends...)
 	}
-	t.Error("a message for a well destination waits for a slot held by hung ones")
+	t.Error("a message for a healthy destination waits for a slot that an unresponsive one holds")
 }
 
-// What is of no more use goes: endpoints replaced, destinations unlisted, keys that rested.
+// State that is no longer needed is removed: replaced endpoints, unlisted destinations, order keys whose wait has ended.
 func TestStateDoesNotGrow(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0))
 	for i := range 200 {
@@ -193,7 +196,8 @@
 	}
 }
 
-// A key whose messages have all ended still rests, and those to come wait; a told wait outlives its endpoints.
+// An order key keeps its wait after all its messages have ended, so that later messages with it wait too. A told wait stays
+// in force when its endpoint is replaced.
 func TestRestAndWaitOutliveTheirMessages(t *testing.T) {
 	set := testSettings()
 	set.SettleAfterDoubt = 30 * s
@@ -233,8 +237,8 @@
 	}
 }
 
-// A failed endpoint that leaves the list takes nothing of what is known with it: hundreds of senders once tried
-// its sibling at the same moment, when the gone one was forgotten.
+// An outage is remembered when the endpoint that showed it leaves the list. When it was forgotten, hundreds of dispatchers
+// called the next endpoint at the same moment.
 func TestOutageOutlivesTheEndpointsThatShowedIt(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
 	r.wait(20 * s)
@@ -247,7 +251,7 @@
 	r.wait(2 * seldom)
 	left := r.d.byNo[1].eps
 	if len(left) != 1 || !r.d.sure(left[0]) {
-		t.Fatalf("%d endpoints left, the outage is forgotten", len(left))
+		t.Fatalf("%d endpoints left, or the outage is forgotten", len(left))
 	}
 	r.at(0, Event{Kind: List, Entries: []Entry{entry(1, 2, 0)}})
 	if e := r.d.byID[ep(1, 2)]; e.coldAt == 0 {
@@ -255,7 +259,7 @@
 	}
 }
 
-// Aims of nothing are legal settings: shares and waits stay finite, and messages are sent and answered.
+// An aim of zero is a valid setting: shares and waits must stay finite, and messages are sent.
 func TestAimOfNothingIsHarmless(t *testing.T) {
 	set := testSettings()
 	for i := range set.Classes {
--- a/control/pause_test.go
+++ b/control/pause_test.go
@@ -4,7 +4,7 @@
 
 func pause(on bool) Event { return Event{Kind: Pause, On: on} }
 
-// While paused nothing is sent, but messages still expire and are shed; then sending goes on.
+// While sending is paused, messages still expire and are shed. Sending continues afterwards.
 func TestPaused(t *testing.T) {
 	set := testSettings()
 	set.MaxOpen = 32
@@ -31,15 +31,16 @@
 		t.Errorf("%d of 41 messages were shed with room for 32", shed)
 	}
 	if got := sent(r.at(s, pause(false))); len(got) == 0 {
-		t.Error("sending does not go on")
+		t.Error("sending does not continue after the pause")
 	}
 }
 
-// An attempt that never left uses up neither a try nor a slot and teaches nothing, however often that happens.
+// An attempt that ends as Unsent uses up neither an attempt nor a slot, and changes no statistics, however often that
+// happens.
 func TestUnsentIsNoAttempt(t *testing.T) {
 	for _, class := range []int{free, guarded, single} {
 		set, one, two := testSettings(), entry(1, 0, 0), entry(2, 0, 1)
-		set.Weights, one.Weight, two.Weight = WeightNominal, 1, 1 // a call a second: each needs its token back
+		set.Weights, one.Weight, two.Weight = WeightNominal, 1, 1 // a call a second: each Unsent has to return its token
 		r := newRig(t, set, one, two)
 		var batch []Event
 		for range 3 {
@@ -65,10 +66,10 @@
 		}
 		for _, ep := range r.d.byID {
 			if ep.suspect || ep.bad > 0 || ep.limit.streak > 0 || ep.limit.allow != unfelt || ep.dest.ends > 0 {
-				t.Errorf("class %d: something was learned: %+v %+v", class, ep, ep.limit)
+				t.Errorf("class %d: statistics were changed: %+v %+v", class, ep, ep.limit)
 			}
 		}
 		r.at(5*Millisecond, done(e.Message, 0, Full))
-		r.want(r.wait(2*s), e.Message) // the second try
+		r.want(r.wait(2*s), e.Message) // the second attempt
 	}
 }
--- a/control/resent_test.go
+++ b/control/resent_test.go
@@ -8,7 +8,7 @@
 	return ev
 }
 
-// silent has an endpoint answer some calls and then one no more, until that is given up.
+// silent lets an endpoint answer 20 calls and then leave one without a response, until the endpoint is suspect.
 func (r *rig) silent(dest int) {
 	for range 20 {
 		r.at(s/10, r.msg(free, dest))
@@ -18,7 +18,7 @@
 	r.at(5 * s)
 }
 
-// Of two that wait the fresh one goes first, also where the other came before it and is worth as much.
+// A new message is sent before a resent one of the same class, even if that arrived first.
 func TestWhatIsSentAgainGivesWay(t *testing.T) {
 	set := testSettings()
 	set.Slots = 1
@@ -29,7 +29,7 @@
 	r.want(r.at(s/10, done(3, 0, OK)), 2)
 }
 
-// Ramps are sized by the demand: what lay in a store is none.
+// Ramps are sized by the demand. Messages resent from a store must not count as demand.
 func TestWhatIsSentAgainIsNoDemand(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0))
 	for range 50 {
@@ -40,11 +40,12 @@
 	}
 	r.at(s/10, r.msg(free, 1))
 	if d := r.d.byNo[1].demand.rate(r.now); d <= 0 {
-		t.Error("a fresh one is no demand")
+		t.Error("a new message does not count as demand")
 	}
 }
 
-// Trials spare unsafe messages, but not one that is sent again: where nothing else comes nobody would ever try.
+// SingleShot messages are not used as trial calls, but a resent one is: with no other messages nothing would ever show that
+// the endpoint is back.
 func TestWhatIsSentAgainMayBeTheTrial(t *testing.T) {
 	for _, resent := range []bool{false, true} {
 		r := newRig(t, testSettings(), entry(1, 0, 0))
@@ -74,19 +75,19 @@
 	want(r, 2, Unserved)
 	r.want(r.at(0, r.msg(single, 1)), 1)
 	want(r, 1, Well)
-	r.at(s/10, full(1, 0, 2*s)) // told to wait
+	r.at(s/10, full(1, 0, 2*s)) // refused with a wait
 	want(r, 1, Pressed)
 	r.at(s)
 	want(r, 1, Pressed)
 	r = newRig(t, set, e)
 	r.silent(1)
-	want(r, 1, Pressed) // its call is out
+	want(r, 1, Pressed) // a call is out
 	r.at(0, done(r.id, 0, TimedOut))
 	want(r, 1, Ailing)
-	r.at(s, r.msg(single, 1)) // trials spare it, so it waits
+	r.at(s, r.msg(single, 1)) // SingleShot: not used as the trial call, so it stays queued
 	want(r, 1, Pressed)
 	r.wait(5 * s)
-	want(r, 1, Ailing) // and nobody tries
+	want(r, 1, Ailing) // no trial call is made
 	gone := e
 	gone.Health = Gone
 	r.at(s, Event{Kind: List, ListKind: ListFull, Entries: []Entry{gone}})
--- a/control/streams_test.go
+++ b/control/streams_test.go
@@ -12,35 +12,35 @@
 	. "curlewmux/control"
 )
 
-// A stream is a run of the module against a made-up platform: clients, lists and endpoints of every mood, drawn from a
-// seed. The platform answers what the module does, so the same actions give the same events and the first other action
-// shows in all that follows.
+// A stream is a run of a Dispatcher against a simulated platform: clients, endpoint lists and endpoints with all sorts of
+// faults, drawn from a seed. The platform responds to the actions, so the same actions lead to the same events, and a single
+// different action changes everything after it.
 
-// stepper is a decision module.
+// stepper is a decision module, such as a Dispatcher.
 type stepper interface {
 	Step(now Time, events []Event, actions []Action) []Action
 }
 
-// scene is the size and nature of one stream.
+// scene describes the size and the conditions of a set of streams.
 type scene struct {
 	name     string
-	seeds    uint64 // streams of it
+	seeds    uint64 // number of streams
 	rounds   int    // ticks of a stream
 	dests    int
-	routes   int     // endpoints of a destination, at most
-	slots    int     // 0: drawn
-	open     int     // MaxOpen, 0: drawn
-	rate     float64 // arrivals a tick
-	skew     float64 // part of them that goes to one destination
-	ills     float64 // destinations that change their mood in a tick
-	wide     float64 // chance of an outage of half of all in a tick
-	lists    float64 // chance of a change of the list in a tick
-	turnover bool    // what the list drops never returns: new ids and destinations take its place
-	grow     bool    // the list begins with a third of the destinations; whole ones come and go
+	routes   int     // most endpoints of a destination
+	slots    int     // Settings.Slots, 0 draws it
+	open     int     // Settings.MaxOpen, 0 draws it
+	rate     float64 // arrivals per tick
+	skew     float64 // share of arrivals that go to one destination
+	ills     float64 // destinations that change their behaviour per tick
+	wide     float64 // chance per tick that half of all destinations begin to fail
+	lists    float64 // chance per tick of a change of the endpoint list
+	turnover bool    // removed endpoints and destinations never return: new ones take their place
+	grow     bool    // the list begins with a third of the destinations; whole destinations are added and removed
 	start    Time
 	restored int  // messages of an earlier process
-	illegal  bool // events that no honest caller sends come in between
-	large    bool // too large for every run of a test that plays it twice
+	illegal  bool // invalid events come in between
+	large    bool // too large to be played twice in every run of the tests
 }
 
 func scenes() []scene {
@@ -61,7 +61,7 @@
 	}
 }
 
-// settings are drawn as well: what a site allows changes the way that decisions go.
+// settings draws the settings of a stream, as they change which decisions are made.
 func (c *scene) settings(rng *rand.Rand) Settings {
 	set := Settings{
 		Instances: 1 + rng.IntN(60), Zone: rng.IntN(2), Tick: Time(5+15*rng.IntN(2)) * Millisecond, Slots: c.slots, MaxOpen: c.open,
@@ -94,31 +94,31 @@
 	return set
 }
 
-// mood is how an endpoint answers.
+// mood tells how an endpoint responds.
 type mood uint8
 
 const (
 	isWell mood = iota
 	isSlowly
-	isDown    // nobody is met
-	isHung    // silence
-	isFull    // refused, no wait told
-	isWaiting // refused with a wait
-	isBroken  // answers are errors
-	isLossy   // some answers get lost
+	isDown    // connections fail
+	isHung    // no response
+	isFull    // refuses without a wait
+	isWaiting // refuses and asks for a wait
+	isBroken  // responds with errors
+	isLossy   // some responses get lost
 	isPartly  // some calls are refused
 	moods
 )
 
-// peer is an endpoint of the platform.
+// peer is a simulated endpoint.
 type peer struct {
 	entry Entry
 	mood  mood
-	until Time
-	lag   Time
+	until Time // end of its current behaviour
+	lag   Time // mean latency
 }
 
-// post is a message of the platform.
+// post is a message as the platform sees it.
 type post struct {
 	class, dest, tries int
 	out                bool
@@ -127,13 +127,15 @@
 	at                 *peer
 }
 
+// planned is an event that will come at a time.
 type planned struct {
 	at  Time
-	seq int
+	seq int // keeps events of the same time in the order in which they were planned
 	ev  Event
-	res bool // an outcome, of no use if the attempt is over
+	res bool // an outcome, to be ignored if the attempt has ended already
 }
 
+// plan is a priority queue of planned events.
 type plan []planned
 
 func (p plan) Len() int { return len(p) }
@@ -158,18 +160,18 @@
 	peers  []*peer
 	byID   map[Endpoint]*peer
 	posts  map[MessageID]*post
-	out    []MessageID // out, some of them not any more
+	out    []MessageID // messages with an attempt out; some may have ended
 	plan   plan
 	seq    int
 	lastEp Endpoint
 	last   MessageID
-	first  int // least destination that is listed
+	first  int // lowest number of a listed destination
 	hash   hash.Hash
 	count  map[ActionKind]int
 	steps  int
 }
 
-// stream returns the platform of one seed of a scene.
+// stream returns the platform that plays one seed of a scene.
 func (c scene) stream(seed uint64) *platform {
 	p := &platform{
 		scene: c, rng: rand.New(rand.NewPCG(seed, uint64(len(c.name)))), now: c.start + 1000*Second, byID: map[Endpoint]*peer{},
@@ -180,6 +182,7 @@
 	return p
 }
 
+// after plans an event.
 func (p *platform) after(t Time, ev Event, res bool) {
 	p.seq++
 	heap.Push(&p.plan, planned{p.now + max(t, 1), p.seq, ev, res})
@@ -187,7 +190,7 @@
 
 func (p *platform) chance(v float64) bool { return p.rng.Float64() < v }
 
-// times draws how often something comes up that does so v times in the mean.
+// times draws a whole number with the mean v.
 func (p *platform) times(v float64) int {
 	n := int(v)
 	if p.chance(v - float64(n)) {
@@ -196,9 +199,10 @@
 	return n
 }
 
+// join adds an endpoint to a destination.
 func (p *platform) join(dest int) Entry {
 	p.lastEp++
-	kind := dest % 4 // one of them is unknown
+	kind := dest % 4 // one of the four is not in the settings
 	e := Entry{Endpoint: p.lastEp, Dest: dest, Zone: p.rng.IntN(2), Kind: kind, Health: Ready}
 	if p.chance(0.4) {
 		e.Weight = 1 + 40*p.rng.Float64()
@@ -209,7 +213,7 @@
 	return e
 }
 
-// play runs the stream against m; with looks of the module in between by check, where there is one.
+// play runs the stream against m. If check is set, it is called after each Step.
 func (p *platform) play(m stepper, check func(now Time, events []Event, acts []Action) error) error {
 	var first []Event
 	if p.restored > 0 {
@@ -237,7 +241,7 @@
 	var acts []Action
 	for round := range p.rounds {
 		p.now += p.set.Tick
-		if p.chance(0.0007) { // the process stood still
+		if p.chance(0.0007) { // the process was suspended for a while
 			p.now += Time(p.rng.IntN(1000)) * Millisecond
 		}
 		p.now += Time(p.rng.IntN(3)) * Millisecond / 7
@@ -273,6 +277,7 @@
 	return nil
 }
 
+// arrival draws a new message.
 func (p *platform) arrival() Event {
 	p.last++
 	class := p.rng.IntN(len(p.set.Classes))
@@ -284,16 +289,17 @@
 	ev := Event{Kind: Arrival, Message: p.last, Class: class, Dest: dest, Tenant: p.rng.IntN(3) - 1}
 	ev.Grace = c.Deadline - Time(p.rng.Int64N(int64(c.Deadline)*2/3))
 	if c.InOrder && p.chance(0.8) {
-		ev.Key = uint64(1 + p.rng.IntN(5) + 10*(dest/2)) // some keys go to two destinations
+		ev.Key = uint64(1 + p.rng.IntN(5) + 10*(dest/2)) // some keys are shared by two destinations
 	}
 	p.posts[p.last] = &post{class: class, dest: dest, due: p.now + ev.Grace}
 	return ev
 }
 
+// clients draws what clients do in a round, and pauses.
 func (p *platform) clients(round int) (events []Event) {
 	if round < p.rounds*4/5 {
 		rate := p.rate
-		if round/500%3 == 2 { // a rush
+		if round/500%3 == 2 { // a period of high load
 			rate *= 4
 		}
 		for range p.times(rate) {
@@ -314,7 +320,7 @@
 	return events
 }
 
-// members changes the list: by parts, as a whole, or not at all because it can't be had.
+// members draws a change of the endpoint list: an update, a complete list, or a failure to fetch it.
 func (p *platform) members() (events []Event) {
 	if !p.chance(p.lists) {
 		return nil
@@ -322,7 +328,7 @@
 	switch p.rng.IntN(6) {
 	case 0:
 		return []Event{{Kind: List, ListKind: ListFailed}}
-	case 1: // a whole list; a few are missing this time
+	case 1: // a complete list in which some endpoints are missing
 		ev := Event{Kind: List, ListKind: ListFull}
 		if p.chance(0.3) {
 			ev.ListKind = ListCached
@@ -342,7 +348,7 @@
 	}
 	ev := Event{Kind: List, ListKind: ListDelta}
 	if p.turnover {
-		p.first++ // the least destination goes, another comes
+		p.first++ // the destination with the lowest number goes, a new one comes
 		p.peers = slices.DeleteFunc(p.peers, func(n *peer) bool {
 			if n.entry.Dest < p.first {
 				n.entry.Health = Gone
@@ -389,7 +395,7 @@
 	return []Event{ev}
 }
 
-// weather changes moods.
+// weather changes the behaviour of some endpoints.
 func (p *platform) weather() {
 	ill := func(dest int, m mood, last Time) {
 		for _, n := range p.peers {
@@ -411,6 +417,7 @@
 	}
 }
 
+// nonsense draws invalid events, which the Dispatcher has to ignore or refuse.
 func (p *platform) nonsense() []Event {
 	switch p.rng.IntN(12) {
 	case 0:
@@ -422,7 +429,7 @@
 		return []Event{{Kind: Tick, Mark: 1e12}, {Kind: Probed, Endpoint: 999}, {Kind: EventKind(77)}}
 	case 2:
 		events := []Event{{Kind: Arrival, Message: 1<<40 + p.last, Class: 77}}
-		if m := p.posts[p.last]; m != nil && !m.ended { // it is here
+		if m := p.posts[p.last]; m != nil && !m.ended { // a duplicate of a message that is still open
 			events = append(events, Event{Kind: Arrival, Message: p.last, Dest: 1, Grace: Second})
 		}
 		return events
@@ -430,7 +437,7 @@
 	return nil
 }
 
-// act answers one action. A call's messages share how it ends.
+// act responds to one action. All messages of a call get the same kind of result, with a few exceptions.
 func (p *platform) act(acts []Action, i int) {
 	a := &acts[i]
 	p.count[a.Kind]++
@@ -461,7 +468,7 @@
 			m.out, m.at = true, n
 			ev := p.outcome(s.Message, m.tries, res)
 			m.tries++
-			last := m.due - p.now // it is waited for no longer
+			last := m.due - p.now // the longest that the caller waits
 			if s.After > 0 {
 				last = min(last, s.After)
 			}
@@ -486,11 +493,12 @@
 	}
 }
 
+// outcome returns the outcome of an attempt.
 func (p *platform) outcome(id MessageID, attempt int, res Result) Event {
 	return Event{Kind: Outcome, Message: id, Attempt: attempt, Endpoint: p.posts[id].at.entry.Endpoint, Result: res}
 }
 
-// answer draws how a call to an endpoint ends.
+// answer draws the result of a call to an endpoint.
 func (p *platform) answer(n *peer) (res Result, lag, wait Time) {
 	if p.now > n.until {
 		n.mood = isWell
@@ -531,7 +539,7 @@
 	return OK, lag, 0
 }
 
-// ends takes up that an attempt ends; false if it is over already.
+// ends records that an attempt has ended. It returns false if that attempt had ended already.
 func (p *platform) ends(ev *Event) bool {
 	m := p.posts[ev.Message]
 	if m == nil || !m.out || m.tries-1 != ev.Attempt {
@@ -548,7 +556,7 @@
 	return true
 }
 
-// write adds a Step's actions to the stream's sum.
+// write adds the actions of a Step to the hash of the stream.
 func (p *platform) write(acts []Action) {
 	var b []byte
 	b = binary.AppendVarint(b, int64(p.now))
@@ -566,15 +574,15 @@
 	p.hash.Write(b)
 }
 
-// differ tells where two lists of actions part, nil if they don't.
+// differ returns an error that describes the first difference between two lists of actions, nil if there is none.
 func differ(got, want []Action) error {
 	for i := range min(len(got), len(want)) {
 		if got[i] != want[i] {
-			return fmt.Errorf("action %d of %d is %+v, of the one that looks at all, of %d, it is %+v", i, len(got), got[i], len(want), want[i])
+			return fmt.Errorf("action %d of %d is %+v; with all destinations evaluated it is, of %d, %+v", i, len(got), got[i], len(want), want[i])
 		}
 	}
 	if len(got) != len(want) {
-		return fmt.Errorf("%d actions, the one that looks at all has %d: %+v, %+v", len(got), len(want), got, want)
+		return fmt.Errorf("%d actions; with all destinations evaluated there are %d: %+v, %+v", len(got), len(want), got, want)
 	}
 	return nil
 }
--- a/pace/pace_test.go
+++ b/pace/pace_test.go
@@ -17,7 +17,7 @@
 	return r
 }
 
-// Looks between two moments, and settlements at any of them, leave as many tokens as none does.
+// Reading a bucket between two times changes nothing, and neither do changes that take no tokens, but for rounding.
 func TestAnyCutGivesTheSame(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -34,15 +34,15 @@
 		}
 		want := one.Level(now)
 		if got := looked.Level(now); got != want {
-			t.Fatalf("looks make %v of %v", got, want)
+			t.Fatalf("read in between: %v tokens, want %v", got, want)
 		}
 		if got, off := settled.Level(now), float64(len(cuts))*one.most*0x1p-50; math.Abs(got-want) > off {
-			t.Fatalf("settlements make %v of %v, more than %v off", got, want, off)
+			t.Fatalf("changed in between: %v tokens, want %v, which is more than %v off", got, want, off)
 		}
 	})
 }
 
-// NextAt is the first microsecond at which a call may go, not one sooner or later.
+// NextAt returns exactly the first microsecond at which there is a token.
 func TestNextAtIsTheFirstMoment(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -54,12 +54,12 @@
 		switch {
 		case at == Never:
 			if b.Has(now + 1e6*Second) {
-				t.Fatalf("%+v: never, but it has one later", b)
+				t.Fatalf("%+v: Never, but there is a token later", b)
 			}
 		case !b.Has(at):
-			t.Fatalf("%+v: none at %d", b, at)
+			t.Fatalf("%+v: no token at %d", b, at)
 		case at > now && b.Has(at-1):
-			t.Fatalf("%+v: one before %d", b, at)
+			t.Fatalf("%+v: there is a token before %d already", b, at)
 		}
 	})
 }
@@ -96,7 +96,7 @@
 	}
 }
 
-// What a bucket does as things happen to it, step by step.
+// The level of a bucket after each of a sequence of changes.
 func TestABucketsLife(t *testing.T) {
 	t.Parallel()
 	b := NewBucket(0, 1)
@@ -115,7 +115,7 @@
 	b.Give(50*Second, 1)
 	level("given back", 50*Second, -1)
 	b.Set(50*Second, 52*Second, Steady(10), 3)
-	level("what comes until a wait ends is there at its end", 52*Second, 3)
+	level("what comes until a wait ends is credited at its end", 52*Second, 3)
 	b.Limit(52*Second, 0.5)
 	level("limited", 52*Second, 0.5)
 	b.Give(52*Second, 100)
@@ -127,10 +127,10 @@
 		b.Take(52*Second, 0)
 	}
 	level("a clock that stands still", 52*Second, 0)
-	level("a look that is late by a second", 54*Second, 2)
+	level("read a second late", 54*Second, 2)
 	b.Set(54*Second, 54*Second, Steady(1), 0.5)
 	if at := b.NextAt(54 * Second); at != Never {
-		t.Errorf("one token at %d of a bucket that holds half of one", at)
+		t.Errorf("a token at %d in a bucket that holds at most half of one", at)
 	}
 }
 
@@ -140,14 +140,14 @@
 	b := NewBucket(late, 0)
 	b.Set(late, late, Steady(1), 5)
 	if at := b.NextAt(late); at != Never {
-		t.Errorf("a token at %d, of a time that is no more", at)
+		t.Errorf("a token at %d, past the largest time", at)
 	}
 	b = NewBucket(math.MinInt64, 0)
 	b.Set(math.MinInt64, math.MinInt64, Steady(1e-3), 5)
 	if got := b.Level(Never); got != 5 {
-		t.Errorf("%v tokens after all of time", got)
+		t.Errorf("%v tokens after the longest time", got)
 	}
 	if (Time(5)).After(Never) != Never || Never.Since(math.MinInt64) != Never || Time(3).Since(4) != 0 {
-		t.Error("spans run over")
+		t.Error("durations overflow")
 	}
 }
