--- a/control/api.go
+++ b/control/api.go
@@ -37,10 +37,10 @@
 	Effect    Effect
 	ZoneGroup bool    // Guarded: repeats are dropped only by endpoints of the same zone, else by all of the destination
 	Window    Time    // Guarded: how long repeats are dropped, counted from the first attempt that may have run
-	Aim       Time    // latency up to which a message has its full worth
+	Aim       Time    // latencyStats up to which a message has its full worth
 	Deadline  Time    // latency after which a message is no longer delivered
-	Worth     float64 // of one message
-	LateWorth float64 // share of the worth that is left at the deadline
+	Worth     float64 // termsAt one message
+	LateWorth float64 // weight of the worth that is left at the deadline
 	InOrder   bool    // messages that share an order key are sent one at a time, in order
 }
 
@@ -81,8 +81,8 @@
 	ReportLeft    int     // position in a report of the share of the limit that is left, -1 if there is none
 	ReportLimit   int     // position in a report of the limit in calls a second, -1 if there is none
 
-	Slots          int  // most calls out at once
-	MaxOpen        int  // most messages without a result, whether queued or sent
+	Slots          int  // maxInWindow calls out at once
+	MaxOpen        int  // maxInWindow messages without a result, whether queued or sent
 	MaxTries       int  // most attempts for one message
 	MayCancel      bool // a call may be aborted while it is out
 	Probes         bool
@@ -119,7 +119,7 @@
 	List                           // the endpoint list, or a change of it [ListKind Entries]
 	Pause                          // sending is suspended or resumed [On]
 	Restarted                      // calls of an earlier process of this dispatcher may still be running
-	Fleet                          // the number of dispatchers changed [Instances]
+	FleetSize                      // the number of dispatchers changed [Instances]
 )
 
 // Result tells how an attempt or a probe ended.
@@ -129,8 +129,8 @@
 const (
 	OK            Result = iota
 	Errored              // the endpoint answered with an error
-	Full                 // the endpoint refused the call
-	TimedOut             // no response in time
+	Refused              // the endpoint refused the call
+	TimedOut             // number response in time
 	ConnectFailed        // no connection could be made
 	Reset                // the connection broke during the call
 	Cancelled            // aborted while it was out
@@ -139,7 +139,7 @@
 )
 
 // NeverRan reports whether a result proves that the attempt had no effect.
-func NeverRan(r Result) bool { return r == Full || r == ConnectFailed || r == Moot || r == Unsent }
+func NeverRan(r Result) bool { return r == Refused || r == ConnectFailed || r == Moot || r == Unsent }
 
 // ListKind tells how a List event relates to the list before it.
 type ListKind uint8
@@ -164,42 +164,42 @@
 
 // Entry describes one endpoint of the list.
 type Entry struct {
-	Endpoint Endpoint
-	Dest     int
-	Zone     int
-	Kind     int
-	Health   Health
-	Weight   float64
+	Endpoint    Endpoint
+	Destination int
+	Zone        int
+	Kind        int
+	Health      Health
+	Weight      float64
 }
 
 // Event is one input of a Dispatcher. Kind tells which of the other fields are set.
 type Event struct {
-	Kind    EventKind
-	Message MessageID
-	Class   int
-	Tenant  int
-	Dest    int
-	Key     uint64 // order key, 0 if there is none
-	Grace   Time   // time left until the deadline
+	Kind        EventKind
+	Message     MessageID
+	Class       int
+	Tenant      int
+	Destination int
+	Key         uint64 // order key, 0 if there is none
+	TimeLeft    Time   // time left until the deadline
 
 	// History of a message that was restored from a journal; zero for a new message.
 	Restored  bool // accepted by an earlier process, so it does not count as new demand in full
 	Tries     int  // attempts so far
-	Doubt     Time // age of the first attempt that may have run, 0 if there is none
+	DoubtAge  Time // age of the first attempt that may have run, 0 if there is none
 	DoubtZone int  // zone that this attempt went to
 	Resent    bool // an undelivered message sent again: worth as little as one over its tenant's quota, and not counted as demand
 
-	Attempt  int
-	Endpoint Endpoint
-	Result   Result
-	Closed   bool      // the message has ended
-	Lag      Time      // from the start of the call to its outcome
-	Wait     Time      // told wait, 0 if there is none
-	Report   []float32 // load report of the endpoint, see Settings.ReportLimit
-	Mark     uint64    // as in the Timer action, 0 for a timer that only asks for a Step
-	ListKind ListKind
-	Entries  []Entry
-	On       bool // Pause: suspended if set, else resumed
+	Attempt    int
+	Endpoint   Endpoint
+	Result     Result
+	Closed     bool      // the message has ended
+	Latency    Time      // from the start of the call to its outcome
+	RetryAfter Time      // told wait, 0 if there is none
+	Report     []float32 // load report of the endpoint, see Settings.ReportLimit
+	TimerID    uint64    // as in the Timer action, 0 for a timer that only asks for a Step
+	ListKind   ListKind
+	Entries    []Entry
+	Paused     bool // Pause: suspended if set, else resumed
 
 	Instances int // number of dispatchers, at least 1
 }
@@ -225,8 +225,8 @@
 	Message  MessageID
 	Attempt  int
 	Endpoint Endpoint
-	With     bool // in the same call and slot as the Send before it; ends as Unsent where that is impossible
+	SameCall bool // in the same call and slot as the Send before it; ends as Unsent where that is impossible
 	After    Time
-	Mark     uint64
+	TimerID  uint64
 	Text     string
 }
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -7,19 +7,19 @@
 	. "curlewmux/control"
 )
 
-// blockedSite gives a dispatcher n destinations that each have a queued message which cannot be sent. A third have a call
+// blockDestinations gives a dispatcher n destinations that each have a queued message which cannot be sent. A third have a call
 // out that is never answered, and a window of one. A third asked for a wait, and a third cannot be connected to. It returns
 // the time after that.
-func blockedSite(m stepper, n int) Time {
+func blockDestinations(m stepper, n int) Time {
 	now := 1000 * Second
 	list := Event{Kind: List, ListKind: ListFull}
 	var events []Event
 	var last MessageID
 	for dest := range n {
-		list.Entries = append(list.Entries, Entry{Endpoint: Endpoint(dest + 1), Dest: dest, Health: Ready})
+		list.Entries = append(list.Entries, Entry{Endpoint: Endpoint(dest + 1), Destination: dest, Health: Ready})
 		for range 2 {
 			last++
-			events = append(events, Event{Kind: Arrival, Message: last, Dest: dest, Grace: 3600 * Second})
+			events = append(events, Event{Kind: Arrival, Message: last, Destination: dest, TimeLeft: 3600 * Second})
 		}
 	}
 	tries := map[MessageID]int{}
@@ -31,13 +31,13 @@
 			if a.Kind != Send {
 				continue
 			}
-			ev := Event{Kind: Outcome, Message: a.Message, Attempt: tries[a.Message], Result: Full, Wait: 3600 * Second}
+			ev := Event{Kind: Outcome, Message: a.Message, Attempt: tries[a.Message], Result: Refused, RetryAfter: 3600 * Second}
 			tries[a.Message]++
 			switch int(a.Endpoint) % 3 {
 			case 1:
 				continue
 			case 2:
-				ev.Result, ev.Wait = ConnectFailed, 0
+				ev.Result, ev.RetryAfter = ConnectFailed, 0
 			}
 			events = append(events, ev)
 		}
@@ -64,7 +64,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			now := blockedSite(m, n)
+			now := blockDestinations(m, n)
 			var acts []Action
 			b.ReportAllocs()
 			for b.Loop() {
--- a/control/rounds.go
+++ b/control/rounds.go
@@ -19,75 +19,77 @@
 
 // Numbers of the orders, by which a destination stores its position in each of them.
 const (
-	inTurns = iota
-	inReady
-	inShut
-	inWakes
-	inCalm
-	inRushed
-	inWorths
-	inValued
-	orders
+	activeHeap = iota
+	runnableHeap
+	roomHeap
+	wakeupHeap
+	normalScanHeap
+	shortageScanHeap
+	worthHeap
+	worthExpiryHeap
+	heapCount
 )
 
-// standing tells what a destination waits for.
-type standing uint8
+// roundState tells what a destination waits for.
+type roundState uint8
 
 const (
-	idle   standing = iota // nothing: no message is queued, or it was just woken
-	ready                  // its turn to send
-	asleep                 // an event, a time or room for calls
+	stateIdle     roundState = iota // nothing: no message is queued, or it was just woken
+	stateRunnable                   // its turn to send
+	stateAsleep                     // an event, a time or room for calls
 )
 
-// before reports whether the turn of a destination is before that of another.
-func (t *dest) before(o *dest) bool { return t.acc < o.acc || t.acc == o.acc && t.seq < o.seq }
+// turnBefore reports whether the turn of a destination is before that of another.
+func (t *destination) turnBefore(o *destination) bool {
+	return t.virtualTime < o.virtualTime || t.virtualTime == o.virtualTime && t.activation < o.activation
+}
 
 // rounds holds the active destinations (those with messages queued or calls out), by what they wait for.
 type rounds struct {
-	turns   order[float64] // all active destinations, by turn
-	ready   order[float64] // those that may be able to send
-	shut    order[float64] // sleeping ones that wait for free calls in the share of unhealthy destinations
-	wakes   order[Time]    // sleeping ones that wake at a known time
-	roused  []*dest        // woken, but not in ready yet
-	emptied []*dest        // without messages queued or calls out since the last round
-	seq     uint64         // number of the destination that became active last
-	sickOut int            // calls out to unhealthy destinations, which fail or are slow
-	level   int            // additional failures that confirm an outage because responses get lost
+	active         destinationHeap[float64] // all active destinations, by turn
+	runnable       destinationHeap[float64] // those that may be able to send
+	waitingForRoom destinationHeap[float64] // sleeping ones that wait for free calls in the share of unhealthy destinations
+	wakeups        destinationHeap[Time]    // sleeping ones that wake at a known time
+	woken          []*destination           // woken, but not in ready yet
+	emptied        []*destination           // without messages queued or calls out since the last round
+	lastActivation uint64                   // number of the destination that became active last
+	unhealthyCalls int                      // calls out to unhealthy destinations, which fail or are slow
+	lossLevel      int                      // additional failures that confirm an outage because responses get lost
 }
 
 func newRounds() rounds {
 	r := rounds{}
-	r.turns.no, r.ready.no, r.shut.no, r.wakes.no = inTurns, inReady, inShut, inWakes
+	r.active.index, r.runnable.index, r.waitingForRoom.index, r.wakeups.index = activeHeap, runnableHeap, roomHeap, wakeupHeap
 	return r
 }
 
-// use updates the orders after a change of a destination's messages, calls or turn.
-func (d *Dispatcher) use(t *dest) {
-	d.repace(t)
-	d.revalue(t)
-	if !t.live && t.held > 0 {
-		d.seq++
-		t.live, t.seq = true, d.seq
+// updateHeaps updates the orders after a change of a destination's messages, calls or turn.
+func (d *Dispatcher) updateHeaps(t *destination) {
+	d.updateRates(t)
+	d.invalidateWorth(t)
+	if !t.active && t.queued > 0 {
+		d.lastActivation++
+		t.active, t.activation = true, d.lastActivation
 	}
-	if t.held == 0 && t.w == 0 {
-		d.turns.drop(t)
+	if t.queued == 0 && t.callsOut == 0 {
+		d.active.remove(t)
 		d.emptied = append(d.emptied, t)
 	} else {
-		d.turns.put(t, t.acc, t.seq)
+		d.active.set(t, t.virtualTime, t.activation)
 	}
-	if t.held == 0 {
-		d.ready.drop(t)
-		t.standing = idle
-	} else if t.standing == ready {
-		d.ready.put(t, t.acc, t.seq)
+	if t.queued == 0 {
+		d.runnable.remove(t)
+		t.state = stateIdle
+	} else if t.state == stateRunnable {
+		d.runnable.set(t, t.virtualTime, t.activation)
 	}
 }
 
-// least returns the turn of the first of the other active destinations, 0 if there are none. If t is
+// leastVirtualTime returns the turn of the first of the other active destinations, 0 if there are none. If t is
 // first itself, the next one is a child of it in the heap.
-func (d *Dispatcher) least(t *dest) float64 {
-	l := d.turns.list
-	if len(l) > 0 && l[0].t != t {
+func (d *Dispatcher) leastVirtualTime(t *destination) float64 {
+	l := d.active.entries
+	if len(l) > 0 && l[0].destination != t {
 		return l[0].key
 	}
 	acc := math.Inf(1)
@@ -100,160 +102,160 @@
 	return acc
 }
 
-// rest marks destinations without messages and calls as no longer active.
-func (d *Dispatcher) rest() {
+// deactivateEmptied marks destinations without messages and calls as no longer active.
+func (d *Dispatcher) deactivateEmptied() {
 	for _, t := range d.emptied {
-		if t.held == 0 && t.w == 0 {
-			t.live = false
+		if t.queued == 0 && t.callsOut == 0 {
+			t.active = false
 		}
 	}
 	clear(d.emptied)
 	d.emptied = d.emptied[:0]
 }
 
-// weigh updates the number of calls out to unhealthy destinations.
-func (d *Dispatcher) weigh(t *dest) {
-	d.sickOut -= t.weighed
-	if t.weighed = 0; t.w > 0 && d.sick(t) {
-		t.weighed = t.w
+// countUnhealthyCalls updates the number of calls out to unhealthy destinations.
+func (d *Dispatcher) countUnhealthyCalls(t *destination) {
+	d.unhealthyCalls -= t.unhealthyCalls
+	if t.unhealthyCalls = 0; t.callsOut > 0 && d.destinationUnhealthy(t) {
+		t.unhealthyCalls = t.callsOut
 	}
-	d.sickOut += t.weighed
+	d.unhealthyCalls += t.unhealthyCalls
 }
 
-// rouse makes the next round evaluate a destination. It is called before the destination's state changes.
-func (d *Dispatcher) rouse(t *dest) {
-	if t.standing == asleep {
-		d.wakes.drop(t)
-		d.shut.drop(t)
+// wakeDestination makes the next round evaluate a destination. It is called before the destination's state changes.
+func (d *Dispatcher) wakeDestination(t *destination) {
+	if t.state == stateAsleep {
+		d.wakeups.remove(t)
+		d.waitingForRoom.remove(t)
 	}
-	if t.standing != ready {
-		t.standing = idle
-		if !t.rousing {
-			t.rousing = true
-			d.roused = append(d.roused, t)
+	if t.state != stateRunnable {
+		t.state = stateIdle
+		if !t.wakePending {
+			t.wakePending = true
+			d.woken = append(d.woken, t)
 		}
 	}
 }
 
-// rouseAll makes the next round evaluate all active destinations.
-func (d *Dispatcher) rouseAll() {
-	for i := range d.turns.list {
-		if t := d.turns.list[i].t; t.standing == asleep {
-			d.rouse(t)
+// wakeAll makes the next round evaluate all active destinations.
+func (d *Dispatcher) wakeAll() {
+	for i := range d.active.entries {
+		if t := d.active.entries[i].destination; t.state == stateAsleep {
+			d.wakeDestination(t)
 		}
 	}
 }
 
-// openRound begins a round: it wakes the destinations whose time has come.
-func (d *Dispatcher) openRound() {
-	for range looksAtOnce {
-		t := d.wakes.due(d.now)
+// beginRound begins a round: it wakes the destinations whose time has come.
+func (d *Dispatcher) beginRound() {
+	for range maxScansPerStep {
+		t := d.wakeups.popDue(d.now)
 		if t == nil {
 			break
 		}
-		d.rouse(t)
+		d.wakeDestination(t)
 	}
-	d.more = d.more || d.wakes.isDue(d.now)
-	if level := int(sureLost * d.lost); level != d.level {
-		d.rouseAll() // the number of failures that confirm an outage has changed
-		d.level = level
+	d.moreWork = d.moreWork || d.wakeups.isDue(d.now)
+	if level := int(failuresPerLostShare * d.lostShare); level != d.lossLevel {
+		d.wakeAll() // the number of failures that confirm an outage has changed
+		d.lossLevel = level
 	}
 }
 
-// next returns the destination whose turn is first among those to evaluate, nil if there is none.
-func (d *Dispatcher) next() *dest {
-	kept := d.roused[:0]
-	for _, t := range d.roused {
+// nextDestination returns the destination whose turn is first among those to evaluate, nil if there is none.
+func (d *Dispatcher) nextDestination() *destination {
+	kept := d.woken[:0]
+	for _, t := range d.woken {
 		switch {
-		case t.standing != idle || t.held == 0:
-			t.rousing = false
-		case t.blocked == d.round:
+		case t.state != stateIdle || t.queued == 0:
+			t.wakePending = false
+		case t.blockedRound == d.round:
 			kept = append(kept, t)
 		default:
-			t.rousing = false
-			t.standing = ready
-			d.ready.put(t, t.acc, t.seq)
+			t.wakePending = false
+			t.state = stateRunnable
+			d.runnable.set(t, t.virtualTime, t.activation)
 		}
 	}
-	clear(d.roused[len(kept):])
-	d.roused = kept
-	best := d.ready.first()
-	if t := d.shut.first(); t != nil && d.sickOut < d.sickRoom() && (best == nil || t.before(best)) {
+	clear(d.woken[len(kept):])
+	d.woken = kept
+	best := d.runnable.first()
+	if t := d.waitingForRoom.first(); t != nil && d.unhealthyCalls < d.maxUnhealthyCalls() && (best == nil || t.turnBefore(best)) {
 		best = t
-		d.rouse(t) // in this round already
-		t.standing = ready
-		d.ready.put(t, t.acc, t.seq)
+		d.wakeDestination(t) // in this round already
+		t.state = stateRunnable
+		d.runnable.set(t, t.virtualTime, t.activation)
 	}
 	return best
 }
 
-// stop tells why a destination cannot send.
-type stop uint8
+// blockReason tells why a destination cannot send.
+type blockReason uint8
 
 const (
-	goes       stop = iota // it can
-	noEndpoint             // no endpoint may be called now
-	noWindow               // its calls out fill the window
-	noMessage              // none of its messages may be sent now
+	notBlocked blockReason = iota // it can
+	noEndpoint                    // no endpoint may be called now
+	noWindow                      // its calls out fill the window
+	noMessage                     // none of its messages may be sent now
 )
 
-// lay puts a destination that cannot send to sleep until something that matters to it may have changed.
-func (d *Dispatcher) lay(t *dest, why stop, ep *endpoint, trial bool) {
-	t.blocked = d.round
-	if t.standing == ready {
-		d.ready.drop(t)
+// putToSleep puts a destination that cannot send to sleep until something that matters to it may have changed.
+func (d *Dispatcher) putToSleep(t *destination, why blockReason, ep *endpoint, trial bool) {
+	t.blockedRound = d.round
+	if t.state == stateRunnable {
+		d.runnable.remove(t)
 	}
-	if t.held == 0 {
-		t.standing = idle
+	if t.queued == 0 {
+		t.state = stateIdle
 		return
 	}
-	t.standing = asleep
+	t.state = stateAsleep
 	until := never
 	if why != noWindow { // only events change the window
-		for _, e := range t.eps {
-			if at := d.opensAt(e); at > d.now {
+		for _, e := range t.endpoints {
+			if at := d.nextSendAt(e); at > d.now {
 				until = min(until, at)
 			}
 		}
 	}
 	switch {
 	case why == noMessage && trial && d.allRisky(t, ep):
-		if d.set.RiskAfter > 0 {
-			until = min(until, ep.trialAt.After(d.set.RiskAfter))
+		if d.settings.RiskAfter > 0 {
+			until = min(until, ep.nextTrialAt.After(d.settings.RiskAfter))
 		}
 	case why == noMessage:
-		until = min(until, d.unlocksAt(t))
+		until = min(until, d.unblocksAt(t))
 	}
 	if until < never {
-		d.wakes.put(t, until, t.seq)
+		d.wakeups.set(t, until, t.activation)
 	}
-	if why == noWindow && t.w < min(t.wmax, d.ceiling()) {
-		d.shut.put(t, t.acc, t.seq)
+	if why == noWindow && t.callsOut < min(t.window, d.maxWindow()) {
+		d.waitingForRoom.set(t, t.virtualTime, t.activation)
 	}
 }
 
-// unlocksAt returns when to evaluate a destination again of which no message may be sent now: when the wait of an order
+// unblocksAt returns when to evaluate a destination again of which no message may be sent now: when the wait of an order
 // key ends, when the time in which repeats are dropped ends, or when the oldest message that can still meet its aim no
 // longer can, as another message is considered then.
-func (d *Dispatcher) unlocksAt(t *dest) Time {
+func (d *Dispatcher) unblocksAt(t *destination) Time {
 	at := never
 	mean, _ := d.latency(t)
-	for i := range t.lanes {
-		l := t.lanes[i].all()
+	for i := range t.queues {
+		l := t.queues[i].all()
 		if len(l) == 0 {
 			continue
 		}
-		fresh, _ := slices.BinarySearchFunc(l, d.now+Time(mean), byAim)
+		fresh, _ := slices.BinarySearchFunc(l, d.now+Time(mean), compareAim)
 		if fresh < len(l) {
-			at = min(at, l[fresh].born+l[fresh].class.Aim-Time(mean))
+			at = min(at, l[fresh].submittedAt+l[fresh].class.Aim-Time(mean))
 		}
 		for _, m := range [2]*message{l[0], l[min(fresh, len(l)-1)]} {
-			if m.key != nil && m.key.rest > d.now {
-				at = min(at, m.key.rest)
+			if m.key != nil && m.key.blockedUntil > d.now {
+				at = min(at, m.key.blockedUntil)
 			}
-			if m.doubt && m.class.Effect == Guarded {
-				at = min(at, m.doubtAt+m.class.Window-d.set.Tick)
-				if m.class.ZoneGroup && len(t.eps) > 1 { // calls of other messages may change which endpoint is chosen
+			if m.inDoubt && m.class.Effect == Guarded {
+				at = min(at, m.doubtSince+m.class.Window-d.settings.Tick)
+				if m.class.ZoneGroup && len(t.endpoints) > 1 { // calls of other messages may change which endpoint is chosen
 					return d.now + 1
 				}
 			}
@@ -263,9 +265,9 @@
 }
 
 // allRisky reports whether no queued message may be used for this trial call, however late it is.
-func (d *Dispatcher) allRisky(t *dest, ep *endpoint) bool {
-	for i := range t.lanes {
-		if t.lanes[i].len() > 0 && !d.risky(&d.set.Classes[i/2], ep) {
+func (d *Dispatcher) allRisky(t *destination, ep *endpoint) bool {
+	for i := range t.queues {
+		if t.queues[i].len() > 0 && !d.tooRiskyForTrial(&d.settings.Classes[i/2], ep) {
 			return false
 		}
 	}
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -46,8 +46,8 @@
 // start. The zero Rate permits nothing. Neither From nor End may be negative.
 type Rate struct{ From, Rise, End float64 }
 
-// Steady returns a rate that does not change.
-func Steady(r float64) Rate { return Rate{From: r, End: r} }
+// Constant returns a rate that does not change.
+func Constant(r float64) Rate { return Rate{From: r, End: r} }
 
 // changes returns for how many seconds the rate changes.
 func (r Rate) changes() float64 {
@@ -67,8 +67,8 @@
 	return r.From + r.Rise*s
 }
 
-// Sum returns the number of tokens that come in the first s seconds.
-func (r Rate) Sum(s float64) float64 {
+// Tokens returns the number of tokens that come in the first s seconds.
+func (r Rate) Tokens(s float64) float64 {
 	turn := r.changes()
 	if s <= turn {
 		return s * (r.From + r.Rise*s/2)
@@ -76,8 +76,8 @@
 	return turn*(r.From+r.End)/2 + (s-turn)*r.End
 }
 
-// When returns the number of seconds after which n tokens have come, +Inf if they never do.
-func (r Rate) When(n float64) float64 {
+// SecondsUntil returns the number of seconds after which n tokens have come, +Inf if they never do.
+func (r Rate) SecondsUntil(n float64) float64 {
 	if n <= 0 {
 		return 0
 	}
@@ -106,10 +106,10 @@
 	return Bucket{level: level, most: max(level, 1), at: now}
 }
 
-// Set changes the rate, beginning at from, and the most tokens that are held. Tokens that have come until now stay, up to
+// SetRate changes the rate, beginning at from, and the most tokens that are held. Tokens that have come until now stay, up to
 // most. If from is later than now, the tokens that come at the initial rate until then are added at once, unless an earlier
 // Set did so for the same time: a user that has to wait until from finds them there when the wait ends.
-func (b *Bucket) Set(now, from Time, r Rate, most float64) {
+func (b *Bucket) SetRate(now, from Time, r Rate, most float64) {
 	b.settle(now)
 	if ahead := from.Since(b.at); ahead > 0 {
 		b.level = max(b.level, min(b.level+r.At(0)*ahead.Seconds(), most))
@@ -124,14 +124,14 @@
 	if now <= b.at {
 		return b.level
 	}
-	return min(b.level+b.rate.Sum(now.Since(b.at).Seconds()), max(b.most, b.level))
+	return min(b.level+b.rate.Tokens(now.Since(b.at).Seconds()), max(b.most, b.level))
 }
 
 // Full reports whether the bucket holds as many tokens as it can.
 func (b *Bucket) Full(now Time) bool { return b.Level(now) >= b.most }
 
-// Has reports whether there is a token for a call.
-func (b *Bucket) Has(now Time) bool { return b.Level(now) >= 1 }
+// HasToken reports whether there is a token for a call.
+func (b *Bucket) HasToken(now Time) bool { return b.Level(now) >= 1 }
 
 // Take removes n tokens, even if there are fewer.
 func (b *Bucket) Take(now Time, n float64) {
@@ -139,14 +139,14 @@
 	b.level -= n
 }
 
-// Give puts n tokens back, up to the most that are held.
-func (b *Bucket) Give(now Time, n float64) {
+// PutBack puts n tokens back, up to the most that are held.
+func (b *Bucket) PutBack(now Time, n float64) {
 	b.settle(now)
 	b.level = max(b.level, min(b.level+n, b.most))
 }
 
-// Limit lowers the level to at most the given one.
-func (b *Bucket) Limit(now Time, level float64) {
+// Cap lowers the level to at most the given one.
+func (b *Bucket) Cap(now Time, level float64) {
 	b.settle(now)
 	b.level = min(b.level, level)
 }
@@ -164,13 +164,13 @@
 // NextAt returns the first time, now or later, at which there is a token if nothing changes until then. It is Never if there
 // is none.
 func (b *Bucket) NextAt(now Time) Time {
-	if b.Has(now) {
+	if b.HasToken(now) {
 		return now
 	}
 	if b.most < 1 {
 		return Never
 	}
-	s := b.rate.When(1 - b.level)
+	s := b.rate.SecondsUntil(1 - b.level)
 	if !(s < float64(Never/2)/float64(Second)) {
 		return Never
 	}
@@ -178,15 +178,15 @@
 	// When and Sum may round differently in their last bits, so at may be slightly off. Steps of doubling length find the
 	// exact microsecond.
 	step := Time(1)
-	for !b.Has(at) {
+	for !b.HasToken(at) {
 		if at == Never || step > Second {
 			return at
 		}
 		at, step = at.After(step), 2*step
 	}
-	for step = 1; at > now && b.Has(at-1); {
+	for step = 1; at > now && b.HasToken(at-1); {
 		back := max(now, at-step)
-		if step *= 2; !b.Has(back) {
+		if step *= 2; !b.HasToken(back) {
 			step = 1
 			back = at - 1
 		}
