--- a/control/api.go
+++ b/control/api.go
@@ -37,10 +37,10 @@
 	Effect    Effect
 	ZoneGroup bool    // Guarded: repeats are dropped only by endpoints of the same zone, else by all of the destination
 	Window    Time    // Guarded: how long repeats are dropped, counted from the first attempt that may have run
-	Aim       Time    // latencyStats up to which a message has its full worth
+	Aim       Time    // latency up to which a message has its full worth
 	Deadline  Time    // latency after which a message is no longer delivered
-	Worth     float64 // termsAt one message
-	LateWorth float64 // weight of the worth that is left at the deadline
+	Worth     float64 // of one message
+	LateWorth float64 // share of the worth that is left at the deadline
 	InOrder   bool    // messages that share an order key are sent one at a time, in order
 }
 
@@ -67,7 +67,7 @@
 	WeightRough                     // the same, but inexact
 )
 
-// Settings configure a Dispatcher. They do not change after New, but for Instances (event Fleet).
+// Settings configure a Dispatcher. They do not change after New, but for Instances (event FleetSize).
 type Settings struct {
 	Me, Instances int // this dispatcher's number and how many there are
 	Zone          int // of this dispatcher
@@ -81,8 +81,8 @@
 	ReportLeft    int     // position in a report of the share of the limit that is left, -1 if there is none
 	ReportLimit   int     // position in a report of the limit in calls a second, -1 if there is none
 
-	Slots          int  // maxInWindow calls out at once
-	MaxOpen        int  // maxInWindow messages without a result, whether queued or sent
+	Slots          int  // most calls out at once
+	MaxOpen        int  // most messages without a result, whether queued or sent
 	MaxTries       int  // most attempts for one message
 	MayCancel      bool // a call may be aborted while it is out
 	Probes         bool
@@ -110,14 +110,14 @@
 
 // Kinds of event, with the fields that each one uses in brackets.
 const (
-	Arrival   EventKind = iota + 1 // a message was accepted [Message Class Tenant Dest Key Grace; Restored Tries Doubt DoubtZone Resent]
-	Outcome                        // an attempt ended [Message Attempt Endpoint Result Lag Closed Wait Report]
-	Started                        // the first part of a streamed response came [Message Attempt Endpoint Lag]
+	Arrival   EventKind = iota + 1 // a message was accepted [Message Class Tenant Destination Key TimeLeft; Restored Tries DoubtAge DoubtZone Resent]
+	Outcome                        // an attempt ended [Message Attempt Endpoint Result Latency Closed RetryAfter Report]
+	Started                        // the first part of a streamed response came [Message Attempt Endpoint Latency]
 	Withdrawn                      // the client no longer wants the message delivered [Message]
-	Tick                           // a timer expired [Mark]
-	Probed                         // a probe ended [Endpoint Result Lag Report]
+	Tick                           // a timer expired [TimerID]
+	Probed                         // a probe ended [Endpoint Result Latency Report]
 	List                           // the endpoint list, or a change of it [ListKind Entries]
-	Pause                          // sending is suspended or resumed [On]
+	Pause                          // sending is suspended or resumed [Paused]
 	Restarted                      // calls of an earlier process of this dispatcher may still be running
 	FleetSize                      // the number of dispatchers changed [Instances]
 )
@@ -130,7 +130,7 @@
 	OK            Result = iota
 	Errored              // the endpoint answered with an error
 	Refused              // the endpoint refused the call
-	TimedOut             // number response in time
+	TimedOut             // no response in time
 	ConnectFailed        // no connection could be made
 	Reset                // the connection broke during the call
 	Cancelled            // aborted while it was out
@@ -209,11 +209,11 @@
 
 // Kinds of action, with the fields that each one uses in brackets.
 const (
-	Send   ActionKind = iota + 1 // start an attempt [Message Endpoint With; After: timeout, 0 for the message's deadline]
+	Send   ActionKind = iota + 1 // start an attempt [Message Endpoint SameCall; After: timeout, 0 for the message's deadline]
 	Refuse                       // final: submitting the message again is safe [Message; After: retry no sooner]
 	Fail                         // final: submitting the message again may not be safe [Message]
 	Cancel                       // abort an attempt [Message Attempt]
-	Timer                        // deliver a Tick event [After Mark; Message: not needed once it has ended, 0 if always needed]
+	Timer                        // deliver a Tick event [After TimerID; Message: not needed once it has ended, 0 if always needed]
 	Probe                        // check an endpoint [Endpoint]
 	Close                        // close the idle connections to an endpoint [Endpoint]
 	Note                         // a log line for operators [Text]
--- a/control/export_test.go
+++ b/control/export_test.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// CheckHeaps recomputes what the orders and counters cache for all destinations, and returns an error where they differ.
+// CheckHeaps recomputes what the heaps and counters cache for all destinations, and returns an error where they differ.
 func (d *Dispatcher) CheckHeaps() error {
 	sick := 0
 	for _, t := range d.destinations {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// checkHeap returns a check of one order: positions, heap property, and no reference left behind the end of its list.
+// checkHeap returns a check of one heap: positions, heap property, and no reference left behind the end of its list.
 func checkHeap[K float64 | Time](o *destinationHeap[K]) func() error {
 	return func() error {
 		for i := range o.entries {
--- a/control/lane.go
+++ b/control/lane.go
@@ -16,7 +16,7 @@
 // keptCapacity is the capacity up to which an empty queue keeps its memory, in messages.
 const keptCapacity = 16
 
-// endedMeter returns the messages, the oldest first.
+// all returns the messages, the oldest first.
 func (l *messageQueue) all() []*message { return l.messages[l.head:] }
 
 func (l *messageQueue) len() int { return len(l.messages) - l.head }
--- a/control/lookout.go
+++ b/control/lookout.go
@@ -7,10 +7,10 @@
 )
 
 // This file schedules the timeout scans of the calls that are out, and finds the destination with the message that is
-// worth least. It makes no decision: destinations that it leaves out are those that watch would not change, or that shed
+// worth least. It makes no decision: destinations that it leaves out are those that checkCalls would not change, or that shed
 // would not choose.
 
-// timeoutScan schedules for each destination with calls out the next time at which watch may have something to do. The times
+// timeoutScan schedules for each destination with calls out the next time at which checkCalls may have something to do. The times
 // are computed with a response timeout that is never longer than the actual one. When the actual one becomes shorter than
 // planned, all destinations are scanned and scheduled again.
 type timeoutScan struct {
@@ -98,7 +98,7 @@
 	d.shortageScans.lowerKey(t, at, t.activation)
 }
 
-// rescheduleScan schedules the next scan of a destination for the time at which watch may have something to do.
+// rescheduleScan schedules the next scan of a destination for the time at which checkCalls may have something to do.
 func (d *Dispatcher) rescheduleScan(t *destination) {
 	calm, short := d.nextScan(t)
 	if d.normalScans.remove(t); calm < never {
@@ -109,7 +109,7 @@
 	}
 }
 
-// nextScan returns the times before which watch has nothing to do at a destination if no event comes: one for the case that
+// nextScan returns the times before which checkCalls has nothing to do at a destination if no event comes: one for the case that
 // no message waits for a slot, and one for the case that messages do.
 func (d *Dispatcher) nextScan(t *destination) (calm, short Time) {
 	calm, short = never, never
@@ -170,10 +170,10 @@
 // worthIndex orders the destinations with queued messages by a lower bound of what their least valuable message is worth. The
 // bound holds for a while, so only the first destinations have to be evaluated to find the least valuable message of all.
 type worthIndex struct {
-	byWorth     destinationHeap[float64] // doubtful lower bound
+	byWorth     destinationHeap[float64] // by lower bound
 	worthExpiry destinationHeap[Time]    // by the time until which the bound holds
-	examined    []heapEntry[float64]     // entries that a search has taken out of worths, to be put back
-	shedding    bool                     // the orders are kept up to date: messages were shed not long ago
+	examined    []heapEntry[float64]     // entries that a search has taken out of byWorth, to be put back
+	shedding    bool                     // the heaps are kept up to date: messages were shed not long ago
 	lastShedAt  Time                     // time of the last search
 }
 
@@ -242,7 +242,7 @@
 	return worst
 }
 
-// stopShedding drops the orders if nothing was shed for some time.
+// stopShedding clears the heaps if nothing was shed for some time.
 func (d *Dispatcher) stopShedding() {
 	if d.shedding && d.now-d.lastShedAt >= cleanupInterval {
 		d.shedding = false
--- a/control/resent_test.go
+++ b/control/resent_test.go
@@ -8,7 +8,7 @@
 	return ev
 }
 
-// timeoutFor lets an endpoint answer 20 calls and then leave one without a response, until the endpoint is suspect.
+// silent lets an endpoint answer 20 calls and then leave one without a response, until the endpoint is suspect.
 func (r *harness) silent(dest int) {
 	for range 20 {
 		r.step(second/10, r.arrival(freeClass, dest))
--- a/control/rounds.go
+++ b/control/rounds.go
@@ -17,7 +17,7 @@
 // never is later than any time.
 const never = pace.Never
 
-// Numbers of the orders, by which a destination stores its position in each of them.
+// Indexes of the heaps in destination.heapPositions.
 const (
 	activeHeap = iota
 	runnableHeap
@@ -50,7 +50,7 @@
 	runnable       destinationHeap[float64] // those that may be able to send
 	waitingForRoom destinationHeap[float64] // sleeping ones that wait for free calls in the share of unhealthy destinations
 	wakeups        destinationHeap[Time]    // sleeping ones that wake at a known time
-	woken          []*destination           // woken, but not in ready yet
+	woken          []*destination           // woken, but not in runnable yet
 	emptied        []*destination           // without messages queued or calls out since the last round
 	lastActivation uint64                   // number of the destination that became active last
 	unhealthyCalls int                      // calls out to unhealthy destinations, which fail or are slow
@@ -63,7 +63,7 @@
 	return r
 }
 
-// updateHeaps updates the orders after a change of a destination's messages, calls or turn.
+// updateHeaps updates the heaps after a change of a destination's messages, calls or turn.
 func (d *Dispatcher) updateHeaps(t *destination) {
 	d.updateRates(t)
 	d.invalidateWorth(t)
--- a/control/state.go
+++ b/control/state.go
@@ -42,7 +42,7 @@
 	trial           bool // a trial call to a suspect endpoint
 	cancelRequested bool // it was asked to be cancelled
 	learned         bool // one of its outcomes was used to update the statistics
-	wellBelowLimit  bool // sent at well below the rate that the destination accepted, see limit.wellBelowShare
+	wellBelowLimit  bool // sent at well below the rate that the destination accepted, see rateLimit.wellBelowShare
 	connIdle        Time // how long its connection had been idle, 0 if that is new or in use
 }
 
@@ -52,7 +52,7 @@
 	queue          []*message // messages with this key, the next one to send first
 	blockedUntil   Time       // the next message waits until then: an attempt may still be running
 	doubtful       *message   // the message whose attempt may still be running, nil if it is one of an earlier process
-	cleanupPending bool       // in the list of keys without messages that tidy removes later
+	cleanupPending bool       // in the list of keys without messages that cleanUp removes later
 }
 
 // blockedByKey reports whether a message has to wait because an attempt with its key may still be running. A message that was
@@ -93,7 +93,7 @@
 type kindState struct {
 	latencyStats     latencyStats // of calls to any of them
 	safeIdle         Time         // idle time up to which connections are known to stay usable
-	retrySuccess     float64      // weight of calls after a refusal that succeeded
+	retrySuccess     float64      // share of calls after a refusal that succeeded
 	idleDropShare    float64      // share of calls on idle connections that failed although the next call succeeded
 	connsScarceUntil Time         // destinations are assumed to be short of connections until then
 	timeoutFloor     Time         // lower bound of the response timeout of a destination without samples, used by lookout.go
@@ -118,15 +118,15 @@
 	waitUntil           Time        // no call before then: a told wait or a backoff
 	allowedShare        float64     // share of this dispatcher's demand that may be sent, as of shareSince
 	knownRate           float64     // listed or reported rate in calls a second, 0 if there is none
-	shareGrowth         float64     // growth of allow per second
+	shareGrowth         float64     // growth of allowedShare per second
 	shareSince          Time        // possibly in the future, at the end of a wait
-	tokens              pace.Bucket // calls that are permitted; not used while free
+	tokens              pace.Bucket // calls that are permitted; not used while unlimited
 	unlimited           bool        // no rate limit is known or inferred
-	lastCutAt           Time        // when allow was last cut
+	lastCutAt           Time        // when allowedShare was last cut
 	lastOKAt            Time        // time of the last success
 	refusedSince        Time        // time of the first refusal since the last success, 0 if there was none
 	toldWaitUntil       Time        // end of the told wait, without backoffs
-	randomShare         float64     // weight of calls that are refused at random, whatever the rate
+	randomShare         float64     // share of calls that are refused at random, whatever the rate
 	toleratedDeviations float64     // standard deviations above that share that still count as random
 	cutRefusedShare     float64     // share of refused calls that led to the last cut
 	wellBelowCalls      float64     // calls since the last cut that went out at well below the accepted rate
@@ -151,12 +151,12 @@
 type destination struct {
 	// The fields that each scan reads come first, next to each other in memory.
 	state            roundState
-	wakePending      bool    // in rounds.roused
+	wakePending      bool    // in rounds.woken
 	active           bool    // it had messages queued or out when that was last checked
 	windowSlowStart  bool    // its window still grows with each success, until a first call fails
-	cleanupPending   bool    // in Dispatcher.bare
+	cleanupPending   bool    // in Dispatcher.withoutEndpoints
 	activation       uint64  // number given each time it becomes active, breaks ties between equal turns
-	virtualTime      float64 // slot time used so far, divided by its weight (see charge); the least has the next turn
+	virtualTime      float64 // slot time used so far, divided by its weight; the least has the next turn
 	queued           int     // messages in its queues
 	blockedRound     uint64  // last round that found it unable to send
 	endpoints        []*endpoint
@@ -167,10 +167,10 @@
 	rateBeforeOutage float64 // delivered messages per second before its outage, 0 if not known
 
 	number           int            // number by which clients and lists name it
-	index            int            // position in Dispatcher.dests
+	index            int            // position in the list of all destinations
 	openMessages     int            // messages without a final result
 	weight           float64        // listed weight, 1 if there is none
-	queues           []messageQueue // two for each class, the second for messages worth less (message.over); the oldest message first
+	queues           []messageQueue // two for each class, the second for messages worth less (message.overShare); the oldest message first
 	callsOut         int            // calls out
 	window           int            // window: most calls out
 	endedCalls       int            // calls that ended since the window was last revised
@@ -181,9 +181,9 @@
 	outageRemembered bool    // an endpoint had failed or was cold when the last ready one left
 	windowList       uint64  // number of the list by which its first window was set
 
-	heapPositions     [heapCount]int // position in each order, counted from 1; 0 if it is not in it
+	heapPositions     [heapCount]int // position in each heap, counted from 1; 0 if it is not in it
 	unhealthyCalls    int            // its calls that are counted in rounds.unhealthyCalls
-	leastWorthMessage *message       // the message that is worth least, as of round leastWorthRound
+	leastWorthMessage *message       // the message that is worth least, as of leastWorthRound
 	leastWorth        float64        // what it is worth
 	leastWorthRound   uint64
 }
@@ -211,7 +211,7 @@
 	now     Time
 	at      Time
 	started Time
-	decay   float64 // factor by which v has decayed since at
+	decay   float64 // factor by which sum has decayed since at
 	filled  float64 // share of the memory that is filled, less than 1 while the history is short
 }
 
@@ -250,14 +250,14 @@
 	return m.sum * t.decay / m.memory.Seconds() / t.filled
 }
 
-// insert adds a message to its queue, in order of arrival.
+// enqueue adds a message to its queue, in order of arrival.
 func (t *destination) enqueue(m *message) {
 	t.queues[m.queueIndex].insert(m)
 	m.queued = true
 	t.queued++
 }
 
-// remove removes a message from its queue, if it is queued.
+// dequeue removes a message from its queue, if it is queued.
 func (t *destination) dequeue(m *message) {
 	if !m.queued {
 		return
@@ -272,7 +272,7 @@
 	return slices.ContainsFunc(ep.calls, func(c *call) bool { return c.trial })
 }
 
-// runnable counts the endpoints that are listed as ready.
+// readyCount counts the endpoints that are listed as ready.
 func (t *destination) readyCount() (n int) {
 	for _, ep := range t.endpoints {
 		if ep.health == Ready {
@@ -322,7 +322,7 @@
 	return v * (1 - (1-c.LateWorth)*float64(late)/float64(max(c.Deadline-c.Aim, 1)))
 }
 
-// maxCleanupsPerStep is the most entries of each sort that tidy removes in one Step. The next Step goes on with the rest.
+// maxCleanupsPerStep is the most entries of each sort that cleanUp removes in one Step. The next Step goes on with the rest.
 const maxCleanupsPerStep = 1000
 
 // cleanUp removes state that is no longer needed: endpoints that are gone, unlisted destinations and order keys without
@@ -415,7 +415,7 @@
 	return t
 }
 
-// trackIfWithoutEndpoints makes tidy check whether a destination can be removed, if it has no endpoints.
+// trackIfWithoutEndpoints makes cleanUp check whether a destination can be removed, if it has no endpoints.
 func (d *Dispatcher) trackIfWithoutEndpoints(t *destination) {
 	if len(t.endpoints) == 0 && !t.cleanupPending {
 		t.cleanupPending = true
@@ -423,7 +423,7 @@
 	}
 }
 
-// notBlocked makes tidy check whether an endpoint can be removed, if it is listed as gone.
+// trackIfGone makes cleanUp check whether an endpoint can be removed, if it is listed as gone.
 func (d *Dispatcher) trackIfGone(ep *endpoint) {
 	if ep.health == Gone && !ep.leaving {
 		ep.leaving = true
@@ -431,7 +431,7 @@
 	}
 }
 
-// messages applies a new endpoint list. Endpoints that a complete list leaves out are gone.
+// applyList applies a new endpoint list. Endpoints that a complete list leaves out are gone.
 func (d *Dispatcher) applyList(e *Event) {
 	if e.ListKind == ListFailed {
 		return
--- a/control/streams_test.go
+++ b/control/streams_test.go
@@ -33,7 +33,7 @@
 	rate             float64 // arrivals per tick
 	skew             float64 // share of arrivals that go to one destination
 	faultRate        float64 // destinations that change their behaviour per tick
-	wideOutageChance float64 // randomShare per tick that half of all destinations begin to fail
+	wideOutageChance float64 // chance per tick that half of all destinations begin to fail
 	listChangeChance float64 // chance per tick of a change of the endpoint list
 	turnover         bool    // removed endpoints and destinations never return: new ones take their place
 	grow             bool    // the list begins with a third of the destinations; whole destinations are added and removed
@@ -135,7 +135,7 @@
 	outcome bool // an outcome, to be ignored if the attempt has ended already
 }
 
-// queue is a priority queue of planned events.
+// eventQueue is a priority queue of planned events.
 type eventQueue []plannedEvent
 
 func (p eventQueue) Len() int { return len(p) }
@@ -171,7 +171,7 @@
 	steps            int
 }
 
-// stream returns the platform that plays one seed of a scene.
+// stream returns the platform that plays one seed of a scenario.
 func (c scenario) stream(seed uint64) *platform {
 	p := &platform{
 		scenario: c, rng: rand.New(rand.NewPCG(seed, uint64(len(c.name)))), now: c.start + 1000*Second, byID: map[Endpoint]*simulatedEndpoint{},
@@ -213,7 +213,7 @@
 	return e
 }
 
-// playRandomEvents runs the stream against m. If check is set, it is called after each Step.
+// play runs the stream against m. If check is set, it is called after each Step.
 func (p *platform) play(m stepper, check func(now Time, events []Event, acts []Action) error) error {
 	var first []Event
 	if p.restored > 0 {
@@ -493,7 +493,7 @@
 	}
 }
 
-// handleOutcome returns the outcome of an attempt.
+// outcome returns the outcome of an attempt.
 func (p *platform) outcome(id MessageID, attempt int, res Result) Event {
 	return Event{Kind: Outcome, Message: id, Attempt: attempt, Endpoint: p.messages[id].endpoint.entry.Endpoint, Result: res}
 }
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -2,7 +2,7 @@
 // or a ramp after an outage. It has no clock and does no I/O: its user passes the time and sets the rate.
 //
 // Between two changes everything that a Bucket returns depends on the time alone. Reading a Bucket does not modify it, so
-// what it permits does not depend on how often or when it is read. A change (Set, Take, Give, Limit) adds the tokens that
+// what it permits does not depend on how often or when it is read. A change (SetRate, Take, PutBack, Cap) adds the tokens that
 // have come since the last change, which rounds as float64 does: after n changes a level of up to m tokens is off by at most
 // n x m x 2^-50 (checked by TestAnyCutGivesTheSame).
 package pace
@@ -101,14 +101,14 @@
 	rate        Rate // from at on
 }
 
-// NewBucket returns a Bucket with a level. No tokens come until Set gives it a rate.
+// NewBucket returns a Bucket with a level. No tokens come until SetRate gives it a rate.
 func NewBucket(now Time, level float64) Bucket {
 	return Bucket{level: level, most: max(level, 1), at: now}
 }
 
 // SetRate changes the rate, beginning at from, and the most tokens that are held. Tokens that have come until now stay, up to
 // most. If from is later than now, the tokens that come at the initial rate until then are added at once, unless an earlier
-// Set did so for the same time: a user that has to wait until from finds them there when the wait ends.
+// SetRate did so for the same time: a user that has to wait until from finds them there when the wait ends.
 func (b *Bucket) SetRate(now, from Time, r Rate, most float64) {
 	b.settle(now)
 	if ahead := from.Since(b.at); ahead > 0 {
@@ -175,7 +175,7 @@
 		return Never
 	}
 	at := max(now, b.at.After(Time(s*float64(Second))))
-	// When and Sum may round differently in their last bits, so at may be slightly off. Steps of doubling length find the
+	// SecondsUntil and Tokens may round differently in their last bits, so at may be slightly off. Steps of doubling length find the
 	// exact microsecond.
 	step := Time(1)
 	for !b.HasToken(at) {
