--- a/control/export_test.go
+++ b/control/export_test.go
@@ -7,10 +7,10 @@
 
 // CheckHeaps recomputes what the heaps and counters cache for all destinations, and returns an error where they differ.
 func (d *Dispatcher) CheckHeaps() error {
-	sick := 0
+	unhealthyCalls := 0
 	for _, t := range d.destinations {
 		if t.callsOut > 0 && d.destinationUnhealthy(t) {
-			sick += t.callsOut
+			unhealthyCalls += t.callsOut
 		}
 		if used := t.queued > 0 || t.callsOut > 0; used != (t.heapPositions[activeHeap] > 0) || used && d.active.entries[t.heapPositions[activeHeap]-1].key != t.virtualTime {
 			return fmt.Errorf("destination %d: active is %v, position by turn %d", t.number, used, t.heapPositions[activeHeap])
@@ -34,8 +34,8 @@
 			return fmt.Errorf("destination %d sleeps with the window of an earlier list", t.number)
 		}
 	}
-	if sick != d.unhealthyCalls {
-		return fmt.Errorf("%d calls are out to unhealthy destinations, counted %d", sick, d.unhealthyCalls)
+	if unhealthyCalls != d.unhealthyCalls {
+		return fmt.Errorf("%d calls are out to unhealthy destinations, counted %d", unhealthyCalls, d.unhealthyCalls)
 	}
 	for _, f := range []func() error{
 		checkHeap(&d.active), checkHeap(&d.runnable), checkHeap(&d.waitingForRoom), checkHeap(&d.wakeups),
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -41,7 +41,7 @@
 
 // An outage usually affects all endpoints of a destination. The failure of a second endpoint confirms it, and neither is
 // called again at once.
-func TestFailingEndpointsBearEachOtherOut(t *testing.T) {
+func TestSecondFailingEndpointConfirmsOutage(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(1, 1, 0))
 	r.advance(20 * second)
 	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
@@ -74,7 +74,7 @@
 }
 
 // Where calls after refusals mostly succeed, a queued message is sent again within a few times its aim.
-func TestHeldMessagesGoAgainWhereRetriesGoWell(t *testing.T) {
+func TestQueuedMessagesAreRetriedWhereRetriesSucceed(t *testing.T) {
 	for _, c := range []struct {
 		again float64
 		most  Time
@@ -95,7 +95,7 @@
 }
 
 // A lost response is no outage: the next call is made at once and without a ramp, and the response timeout becomes shorter.
-func TestLostAnswersAreLearned(t *testing.T) {
+func TestLostResponsesShortenTheTimeout(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	for range 20 {
 		r.wantSent(r.step(second/2, r.arrival(freeClass, 1)), r.lastID)
@@ -198,7 +198,7 @@
 
 // An order key keeps its wait after all its messages have ended, so that later messages with it wait too. A told wait stays
 // in force when its endpoint is replaced.
-func TestRestAndWaitOutliveTheirMessages(t *testing.T) {
+func TestKeyAndToldWaitOutliveTheirMessages(t *testing.T) {
 	set := testSettings()
 	set.SettleAfterDoubt = 30 * second
 	r := newHarness(t, set, listEntry(1, 0, 0))
@@ -260,7 +260,7 @@
 }
 
 // An aim of zero is a valid setting: shares and waits must stay finite, and messages are sent.
-func TestAimOfNothingIsHarmless(t *testing.T) {
+func TestAimOfZero(t *testing.T) {
 	set := testSettings()
 	for i := range set.Classes {
 		set.Classes[i].Aim = 0
--- a/control/lookout.go
+++ b/control/lookout.go
@@ -111,13 +111,13 @@
 
 // nextScan returns the times before which checkCalls has nothing to do at a destination if no event comes: one for the case that
 // no message waits for a slot, and one for the case that messages do.
-func (d *Dispatcher) nextScan(t *destination) (calm, short Time) {
-	calm, short = never, never
-	low := t.kind.timeoutFloor
+func (d *Dispatcher) nextScan(t *destination) (normal, shortage Time) {
+	normal, shortage = never, never
+	timeout := t.kind.timeoutFloor
 	if t.latencyStats.samples > 0 {
-		low = timeoutFor(t.latencyStats.mean, t.latencyStats.deviation, d.timeoutScan.plannedDeviations, t.latencyStats.samples)
+		timeout = timeoutFor(t.latencyStats.mean, t.latencyStats.deviation, d.timeoutScan.plannedDeviations, t.latencyStats.samples)
 	}
-	after := func(c *call, patience float64) Time { return c.sentAt + Time(float64(low)*patience) }
+	after := func(c *call, patience float64) Time { return c.sentAt + Time(float64(timeout)*patience) }
 	once := min(1, failuresPerLostShare*d.plannedLoss)
 	for _, ep := range t.endpoints {
 		if len(ep.calls) == 0 {
@@ -125,8 +125,8 @@
 		}
 		// For a suspect endpoint an older call may still show that it went down earlier.
 		if old := ep.calls[0]; !ep.suspect || old.sentAt >= ep.lastFailureAt || max(old.sentAt, ep.lastResponseAt) < ep.downSince {
-			at := max(old.sentAt, ep.lastResponseAt) + low
-			calm, short = min(calm, at), min(short, at)
+			at := max(old.sentAt, ep.lastResponseAt) + timeout
+			normal, shortage = min(normal, at), min(shortage, at)
 		}
 		for _, c := range ep.calls {
 			if c.cancelRequested || !d.settings.MayCancel || ep.lastOKSentAt <= c.sentAt && !ep.suspect {
@@ -139,13 +139,13 @@
 				rushed = patience
 			}
 			if c.unrepeatable(d.settings.MaxTries) {
-				short = min(short, after(c, rushed*(stuckTimeouts-once)))
+				shortage = min(shortage, after(c, rushed*(stuckTimeouts-once)))
 			} else {
-				calm, short = min(calm, after(c, patience)), min(short, after(c, rushed))
+				normal, shortage = min(normal, after(c, patience)), min(shortage, after(c, rushed))
 			}
 		}
 	}
-	return calm, short
+	return normal, shortage
 }
 
 // replanTimeouts updates the plan, and reports whether response timeouts may have become shorter than it assumed.
--- a/control/resent_test.go
+++ b/control/resent_test.go
@@ -19,7 +19,7 @@
 }
 
 // A new message is sent before a resent one of the same class, even if that arrived first.
-func TestWhatIsSentAgainGivesWay(t *testing.T) {
+func TestResentMessageWaitsForNewOne(t *testing.T) {
 	set := testSettings()
 	set.Slots = 1
 	r := newHarness(t, set, listEntry(1, 0, 0))
@@ -30,7 +30,7 @@
 }
 
 // Ramps are sized by the demand. Messages resent from a store must not count as demand.
-func TestWhatIsSentAgainIsNoDemand(t *testing.T) {
+func TestResentMessageIsNoDemand(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	for range 50 {
 		r.step(second/10, r.resent(freeClass, 1))
@@ -46,7 +46,7 @@
 
 // SingleShot messages are not used as trial calls, but a resent one is: with no other messages nothing would ever show that
 // the endpoint is back.
-func TestWhatIsSentAgainMayBeTheTrial(t *testing.T) {
+func TestResentMessageMayBeTheTrialCall(t *testing.T) {
 	for _, resent := range []bool{false, true} {
 		r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 		r.silent(1)
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestHowADestinationDoes(t *testing.T) {
+func TestConditionOfADestination(t *testing.T) {
 	set := testSettings()
 	set.Weights = WeightNominal
 	e := listEntry(1, 0, 0)
--- a/control/settings.go
+++ b/control/settings.go
@@ -17,12 +17,12 @@
 
 // Check returns a *SettingError for the first setting out of range.
 func (s *Settings) Check() error {
-	type figure struct {
-		name  string
-		v     float64
-		least float64
+	type lowerBound struct {
+		name    string
+		v       float64
+		minimum float64
 	}
-	figures := []figure{
+	lowerBounds := []lowerBound{
 		{"Slots", float64(s.Slots), 1}, {"MaxOpen", float64(s.MaxOpen), 1}, {"MaxTries", float64(s.MaxTries), 1},
 		{"Instances", float64(s.Instances), 1}, {"Tick", float64(s.Tick), 1}, {"Classes", float64(len(s.Classes)), 1},
 		{"Me", float64(s.Me), 0}, {"Zone", float64(s.Zone), 0}, {"OverShare", s.OverShare, 0},
@@ -35,18 +35,18 @@
 	}
 	for i, c := range s.Classes {
 		at := fmt.Sprintf("Classes[%d].", i)
-		figures = append(figures, figure{at + "Window", float64(c.Window), 0}, figure{at + "Aim", float64(c.Aim), 0},
-			figure{at + "Deadline", float64(c.Deadline), 0}, figure{at + "Worth", c.Worth, 0},
-			figure{at + "LateWorth", c.LateWorth, 0})
+		lowerBounds = append(lowerBounds, lowerBound{at + "Window", float64(c.Window), 0}, lowerBound{at + "Aim", float64(c.Aim), 0},
+			lowerBound{at + "Deadline", float64(c.Deadline), 0}, lowerBound{at + "Worth", c.Worth, 0},
+			lowerBound{at + "LateWorth", c.LateWorth, 0})
 	}
 	for i, t := range s.Tenants {
-		figures = append(figures, figure{fmt.Sprintf("Tenants[%d].Quota", i), t.Quota, 0})
+		lowerBounds = append(lowerBounds, lowerBound{fmt.Sprintf("Tenants[%d].Quota", i), t.Quota, 0})
 	}
 	for i, k := range s.Kinds {
-		figures = append(figures, figure{fmt.Sprintf("Kinds[%d].Batch", i), float64(k.Batch), 1})
+		lowerBounds = append(lowerBounds, lowerBound{fmt.Sprintf("Kinds[%d].Batch", i), float64(k.Batch), 1})
 	}
-	for _, f := range figures {
-		if !(f.v >= f.least) || math.IsInf(f.v, 0) {
+	for _, f := range lowerBounds {
+		if !(f.v >= f.minimum) || math.IsInf(f.v, 0) {
 			return &SettingError{f.name, f.v}
 		}
 	}
--- a/control/state.go
+++ b/control/state.go
@@ -329,13 +329,13 @@
 // messages. What still binds is kept: told waits, endpoints and destinations with calls out, and keys for which an attempt
 // may still be running.
 func (d *Dispatcher) cleanUp() {
-	var went [4]int // removed entries of each sort
-	more := func(i int) bool {
-		if went[i] == maxCleanupsPerStep {
+	var removed [4]int // removed entries of each sort
+	mayRemove := func(i int) bool {
+		if removed[i] == maxCleanupsPerStep {
 			d.cleanedAt = d.now - cleanupInterval
 			return false
 		}
-		went[i]++
+		removed[i]++
 		return true
 	}
 	d.leaving = slices.DeleteFunc(d.leaving, func(ep *endpoint) bool {
@@ -343,7 +343,7 @@
 		switch {
 		case ep.health != Gone: // listed again
 			ep.leaving = false
-		case len(ep.calls) == 0 && ep.limit.waitUntil <= d.now && more(0):
+		case len(ep.calls) == 0 && ep.limit.waitUntil <= d.now && mayRemove(0):
 			ep.leaving = false
 			d.wakeDestination(t)
 			t.endpoints = slices.DeleteFunc(t.endpoints, func(o *endpoint) bool { return o == ep })
@@ -358,7 +358,7 @@
 		if ep.health != Gone { // listed again
 			return true
 		}
-		old := (!d.unhealthy(ep) || d.now-max(ep.lastFailureAt, ep.rampStart) > unseenWarmUps*d.settings.WarmUp) && more(1)
+		old := (!d.unhealthy(ep) || d.now-max(ep.lastFailureAt, ep.rampStart) > unseenWarmUps*d.settings.WarmUp) && mayRemove(1)
 		if old {
 			delete(d.endpointByID, ep.id)
 		}
@@ -368,7 +368,7 @@
 		switch {
 		case len(t.endpoints) > 0:
 			t.cleanupPending = false
-		case t.openMessages == 0 && t.callsOut == 0 && t.limit.waitUntil <= d.now && more(2):
+		case t.openMessages == 0 && t.callsOut == 0 && t.limit.waitUntil <= d.now && mayRemove(2):
 			t.cleanupPending = false
 			delete(d.destinationByNumber, t.number)
 			last := len(d.destinations) - 1
@@ -381,7 +381,7 @@
 	})
 	d.stopShedding()
 	d.idleKeys = slices.DeleteFunc(d.idleKeys, func(k *orderKey) bool {
-		old := len(k.queue) == 0 && k.blockedUntil <= d.now && more(3)
+		old := len(k.queue) == 0 && k.blockedUntil <= d.now && mayRemove(3)
 		if old {
 			delete(d.keys, k.id)
 		}
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -49,8 +49,8 @@
 // Constant returns a rate that does not change.
 func Constant(r float64) Rate { return Rate{From: r, End: r} }
 
-// changes returns for how many seconds the rate changes.
-func (r Rate) changes() float64 {
+// changeDuration returns for how many seconds the rate changes.
+func (r Rate) changeDuration() float64 {
 	if way := r.End - r.From; way*r.Rise > 0 {
 		return way / r.Rise
 	} else if r.Rise == 0 && way > 0 {
@@ -61,7 +61,7 @@
 
 // At returns the rate after s seconds.
 func (r Rate) At(s float64) float64 {
-	if s >= r.changes() {
+	if s >= r.changeDuration() {
 		return r.End
 	}
 	return r.From + r.Rise*s
@@ -69,7 +69,7 @@
 
 // Tokens returns the number of tokens that come in the first s seconds.
 func (r Rate) Tokens(s float64) float64 {
-	turn := r.changes()
+	turn := r.changeDuration()
 	if s <= turn {
 		return s * (r.From + r.Rise*s/2)
 	}
@@ -81,7 +81,7 @@
 	if n <= 0 {
 		return 0
 	}
-	turn := r.changes()
+	turn := r.changeDuration()
 	before := turn * (r.From + r.End) / 2
 	if turn > 0 && n <= before {
 		// Solves n = From x s + Rise x s x s / 2 in the form that loses no digits when Rise is close to 0.
@@ -93,72 +93,72 @@
 	return turn + (n-before)/r.End
 }
 
-// Bucket is a token bucket: tokens come at a rate, up to a most number that it holds. One token permits one call. The level
+// Bucket is a token bucket: tokens come at a rate, up to its capacity. One token permits one call. The level
 // is negative after more tokens were taken than there were. The zero Bucket is empty and stays so.
 type Bucket struct {
-	level, most float64
-	at          Time
-	rate        Rate // from at on
+	level, capacity float64
+	updatedAt       Time
+	rate            Rate // from updatedAt on
 }
 
 // NewBucket returns a Bucket with a level. No tokens come until SetRate gives it a rate.
 func NewBucket(now Time, level float64) Bucket {
-	return Bucket{level: level, most: max(level, 1), at: now}
+	return Bucket{level: level, capacity: max(level, 1), updatedAt: now}
 }
 
 // SetRate changes the rate, beginning at from, and the most tokens that are held. Tokens that have come until now stay, up to
 // most. If from is later than now, the tokens that come at the initial rate until then are added at once, unless an earlier
 // SetRate did so for the same time: a user that has to wait until from finds them there when the wait ends.
 func (b *Bucket) SetRate(now, from Time, r Rate, most float64) {
-	b.settle(now)
-	if ahead := from.Since(b.at); ahead > 0 {
+	b.advance(now)
+	if ahead := from.Since(b.updatedAt); ahead > 0 {
 		b.level = max(b.level, min(b.level+r.At(0)*ahead.Seconds(), most))
-		b.at = from
+		b.updatedAt = from
 	}
 	b.level = min(b.level, most)
-	b.rate, b.most = r, most
+	b.rate, b.capacity = r, most
 }
 
 // Level returns the number of tokens at a time.
 func (b *Bucket) Level(now Time) float64 {
-	if now <= b.at {
+	if now <= b.updatedAt {
 		return b.level
 	}
-	return min(b.level+b.rate.Tokens(now.Since(b.at).Seconds()), max(b.most, b.level))
+	return min(b.level+b.rate.Tokens(now.Since(b.updatedAt).Seconds()), max(b.capacity, b.level))
 }
 
 // Full reports whether the bucket holds as many tokens as it can.
-func (b *Bucket) Full(now Time) bool { return b.Level(now) >= b.most }
+func (b *Bucket) Full(now Time) bool { return b.Level(now) >= b.capacity }
 
 // HasToken reports whether there is a token for a call.
 func (b *Bucket) HasToken(now Time) bool { return b.Level(now) >= 1 }
 
 // Take removes n tokens, even if there are fewer.
 func (b *Bucket) Take(now Time, n float64) {
-	b.settle(now)
+	b.advance(now)
 	b.level -= n
 }
 
 // PutBack puts n tokens back, up to the most that are held.
 func (b *Bucket) PutBack(now Time, n float64) {
-	b.settle(now)
-	b.level = max(b.level, min(b.level+n, b.most))
+	b.advance(now)
+	b.level = max(b.level, min(b.level+n, b.capacity))
 }
 
 // Cap lowers the level to at most the given one.
 func (b *Bucket) Cap(now Time, level float64) {
-	b.settle(now)
+	b.advance(now)
 	b.level = min(b.level, level)
 }
 
-// settle adds the tokens that have come until now, and lets the rate start from now.
-func (b *Bucket) settle(now Time) {
-	if now <= b.at {
+// advance adds the tokens that have come until now, and lets the rate start from now.
+func (b *Bucket) advance(now Time) {
+	if now <= b.updatedAt {
 		return
 	}
 	b.level = b.Level(now)
-	b.rate.From = b.rate.At(now.Since(b.at).Seconds())
-	b.at = now
+	b.rate.From = b.rate.At(now.Since(b.updatedAt).Seconds())
+	b.updatedAt = now
 }
 
 // NextAt returns the first time, now or later, at which there is a token if nothing changes until then. It is Never if there
@@ -167,14 +167,14 @@
 	if b.HasToken(now) {
 		return now
 	}
-	if b.most < 1 {
+	if b.capacity < 1 {
 		return Never
 	}
 	s := b.rate.SecondsUntil(1 - b.level)
 	if !(s < float64(Never/2)/float64(Second)) {
 		return Never
 	}
-	at := max(now, b.at.After(Time(s*float64(Second))))
+	at := max(now, b.updatedAt.After(Time(s*float64(Second))))
 	// SecondsUntil and Tokens may round differently in their last bits, so at may be slightly off. Steps of doubling length find the
 	// exact microsecond.
 	step := Time(1)
--- a/pace/pace_test.go
+++ b/pace/pace_test.go
@@ -36,7 +36,7 @@
 		if got := looked.Level(now); got != want {
 			t.Fatalf("read in between: %v tokens, want %v", got, want)
 		}
-		if got, off := settled.Level(now), float64(len(cuts))*one.most*0x1p-50; math.Abs(got-want) > off {
+		if got, off := settled.Level(now), float64(len(cuts))*one.capacity*0x1p-50; math.Abs(got-want) > off {
 			t.Fatalf("changed in between: %v tokens, want %v, which is more than %v off", got, want, off)
 		}
 	})
@@ -97,7 +97,7 @@
 }
 
 // The level of a bucket after each of a sequence of changes.
-func TestABucketsLife(t *testing.T) {
+func TestBucketLevels(t *testing.T) {
 	t.Parallel()
 	b := NewBucket(0, 1)
 	level := func(what string, now Time, want float64) {
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestTimesNearTheEndOfWhatANumberHolds(t *testing.T) {
+func TestTimesNearOverflow(t *testing.T) {
 	t.Parallel()
 	late := Never - 10
 	b := NewBucket(late, 0)
