--- a/control/lookout.go
+++ b/control/lookout.go
@@ -7,12 +7,12 @@
 )
 
 // This file schedules the timeout scans of the calls that are out, and finds the destination with the message that is
-// worth least. It makes no decision: destinations that it leaves out are those that checkCalls would not change, or that shed
-// would not choose.
+// worth least. It makes no decision: it only leaves out destinations that checkCalls would not change, or that shed would
+// not choose.
 
-// timeoutScan schedules for each destination with calls out the next time at which checkCalls may have something to do. The times
-// are computed with a response timeout that is never longer than the actual one. When the actual one becomes shorter than
-// planned, all destinations are scanned and scheduled again.
+// timeoutScan schedules for each destination with calls out the next time at which checkCalls may have something to do. The
+// times are computed with a response timeout that is never longer than the actual one. When the actual one becomes shorter
+// than planned, all destinations are scanned and scheduled again.
 type timeoutScan struct {
 	normalScans       destinationHeap[Time] // scan times while no message waits for a slot
 	shortageScans     destinationHeap[Time] // scan times while messages wait for slots, when timeouts are shorter
@@ -23,10 +23,10 @@
 
 // Margins of the plan. They make it rarely necessary to compute it again, and change no decision.
 const (
-	lossMargin    = 2.5
-	lossSlack     = 6
-	timeoutMargin = 0.9
-	timeoutSlack  = 1.25
+	lossMargin    = 2.5  // the plan assumes this many times the current share of lost responses
+	lossSlack     = 6    // it is renewed when the share falls below the assumed one by this factor
+	timeoutMargin = 0.9  // the plan assumes this part of the current response timeout
+	timeoutSlack  = 1.25 // it is renewed when the timeout exceeds the assumed one by this factor
 )
 
 func newTimeoutScan() timeoutScan {
@@ -165,10 +165,8 @@
 	return anew
 }
 
-// ---- the least worth ----
-
-// worthIndex orders the destinations with queued messages by a lower bound of what their least valuable message is worth. The
-// bound holds for a while, so only the first destinations have to be evaluated to find the least valuable message of all.
+// worthIndex orders the destinations with queued messages by a lower bound of what their least valuable message is worth.
+// The bound holds for a while, so only the first destinations have to be evaluated to find the least valuable message.
 type worthIndex struct {
 	byWorth     destinationHeap[float64] // by lower bound
 	worthExpiry destinationHeap[Time]    // by the time until which the bound holds
