--- a/control/api.go
+++ b/control/api.go
@@ -139,7 +139,9 @@
 )
 
 // NeverRan reports whether a result proves that the attempt had no effect.
-func NeverRan(r Result) bool { return r == Refused || r == ConnectFailed || r == Moot || r == Unsent }
+func NeverRan(result Result) bool {
+	return result == Refused || result == ConnectFailed || result == Moot || result == Unsent
+}
 
 // ListKind tells how a List event relates to the list before it.
 type ListKind uint8
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -10,30 +10,30 @@
 // blockDestinations gives a dispatcher n destinations that each have a queued message which cannot be sent. A third have a call
 // out that is never answered, and a window of one. A third asked for a wait, and a third cannot be connected to. It returns
 // the time after that.
-func blockDestinations(m stepper, n int) Time {
+func blockDestinations(module stepper, n int) Time {
 	now := 1000 * Second
 	list := Event{Kind: List, ListKind: ListFull}
 	var events []Event
-	var last MessageID
+	var lastMessage MessageID
 	for dest := range n {
 		list.Entries = append(list.Entries, Entry{Endpoint: Endpoint(dest + 1), Destination: dest, Health: Ready})
 		for range 2 {
-			last++
-			events = append(events, Event{Kind: Arrival, Message: last, Destination: dest, TimeLeft: 3600 * Second})
+			lastMessage++
+			events = append(events, Event{Kind: Arrival, Message: lastMessage, Destination: dest, TimeLeft: 3600 * Second})
 		}
 	}
 	tries := map[MessageID]int{}
-	acts := m.Step(now, append([]Event{list}, events...), nil)
+	acts := module.Step(now, append([]Event{list}, events...), nil)
 	for range 300 {
 		now += 5 * Millisecond
 		events = events[:0]
-		for _, a := range acts {
-			if a.Kind != Send {
+		for _, action := range acts {
+			if action.Kind != Send {
 				continue
 			}
-			ev := Event{Kind: Outcome, Message: a.Message, Attempt: tries[a.Message], Result: Refused, RetryAfter: 3600 * Second}
-			tries[a.Message]++
-			switch int(a.Endpoint) % 3 {
+			ev := Event{Kind: Outcome, Message: action.Message, Attempt: tries[action.Message], Result: Refused, RetryAfter: 3600 * Second}
+			tries[action.Message]++
+			switch int(action.Endpoint) % 3 {
 			case 1:
 				continue
 			case 2:
@@ -41,7 +41,7 @@
 			}
 			events = append(events, ev)
 		}
-		acts = m.Step(now, events, acts[:0])
+		acts = module.Step(now, events, acts[:0])
 	}
 	return now
 }
@@ -60,16 +60,16 @@
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{250, 1000, 4000, 10_000} {
 		b.Run(fmt.Sprintf("blocked=%d", n), func(b *testing.B) {
-			m, err := New(blockedSettings(n), 1)
+			dispatcher, err := New(blockedSettings(n), 1)
 			if err != nil {
 				b.Fatal(err)
 			}
-			now := blockDestinations(m, n)
+			now := blockDestinations(dispatcher, n)
 			var acts []Action
 			b.ReportAllocs()
 			for b.Loop() {
 				now += 5 * Millisecond
-				acts = m.Step(now, nil, acts[:0])
+				acts = dispatcher.Step(now, nil, acts[:0])
 			}
 		})
 	}
--- a/control/export_test.go
+++ b/control/export_test.go
@@ -8,40 +8,40 @@
 // CheckHeaps recomputes what the heaps and counters cache for all destinations, and returns an error where they differ.
 func (d *Dispatcher) CheckHeaps() error {
 	unhealthyCalls := 0
-	for _, t := range d.destinations {
-		if t.callsOut > 0 && d.destinationUnhealthy(t) {
-			unhealthyCalls += t.callsOut
+	for _, dest := range d.destinations {
+		if dest.callsOut > 0 && d.destinationUnhealthy(dest) {
+			unhealthyCalls += dest.callsOut
 		}
-		if used := t.queued > 0 || t.callsOut > 0; used != (t.heapPositions[activeHeap] > 0) || used && d.active.entries[t.heapPositions[activeHeap]-1].key != t.virtualTime {
-			return fmt.Errorf("destination %d: active is %v, position by turn %d", t.number, used, t.heapPositions[activeHeap])
+		if active := dest.queued > 0 || dest.callsOut > 0; active != (dest.heapPositions[activeHeap] > 0) || active && d.active.entries[dest.heapPositions[activeHeap]-1].key != dest.virtualTime {
+			return fmt.Errorf("destination %d: active is %v, position by turn %d", dest.number, active, dest.heapPositions[activeHeap])
 		}
-		waits := t.wakePending || t.state != stateIdle
-		if t.queued > 0 && !waits || t.queued == 0 && t.state != stateIdle {
-			return fmt.Errorf("destination %d: %d queued, state %d, woken %v", t.number, t.queued, t.state, t.wakePending)
+		pending := dest.wakePending || dest.state != stateIdle
+		if dest.queued > 0 && !pending || dest.queued == 0 && dest.state != stateIdle {
+			return fmt.Errorf("destination %d: %d queued, state %d, woken %v", dest.number, dest.queued, dest.state, dest.wakePending)
 		}
-		if t.callsOut > 0 {
-			calm, short := d.nextScan(t)
-			for _, o := range []struct {
+		if dest.callsOut > 0 {
+			normal, shortage := d.nextScan(dest)
+			for _, scan := range []struct {
 				at   Time
 				list *destinationHeap[Time]
-			}{{calm, &d.normalScans}, {short, &d.shortageScans}} {
-				if at := t.heapPositions[o.list.index]; o.at < never && (at == 0 || o.list.entries[at-1].key > max(o.at, d.now)) {
-					return fmt.Errorf("destination %d is scanned too late for %d", t.number, o.at)
+			}{{normal, &d.normalScans}, {shortage, &d.shortageScans}} {
+				if at := dest.heapPositions[scan.list.index]; scan.at < never && (at == 0 || scan.list.entries[at-1].key > max(scan.at, d.now)) {
+					return fmt.Errorf("destination %d is scanned too late for %d", dest.number, scan.at)
 				}
 			}
 		}
-		if t.state == stateAsleep && t.windowSlowStart && t.endedCalls == 0 && t.windowList != d.listNumber && t.window < d.fairWindow {
-			return fmt.Errorf("destination %d sleeps with the window of an earlier list", t.number)
+		if dest.state == stateAsleep && dest.windowSlowStart && dest.endedCalls == 0 && dest.windowList != d.listNumber && dest.window < d.fairWindow {
+			return fmt.Errorf("destination %d sleeps with the window of an earlier list", dest.number)
 		}
 	}
 	if unhealthyCalls != d.unhealthyCalls {
 		return fmt.Errorf("%d calls are out to unhealthy destinations, counted %d", unhealthyCalls, d.unhealthyCalls)
 	}
-	for _, f := range []func() error{
+	for _, check := range []func() error{
 		checkHeap(&d.active), checkHeap(&d.runnable), checkHeap(&d.waitingForRoom), checkHeap(&d.wakeups),
 		checkHeap(&d.normalScans), checkHeap(&d.shortageScans), checkHeap(&d.byWorth), checkHeap(&d.worthExpiry),
 	} {
-		if err := f(); err != nil {
+		if err := check(); err != nil {
 			return err
 		}
 	}
@@ -49,16 +49,16 @@
 }
 
 // checkHeap returns a check of one heap: positions, heap property, and no reference left behind the end of its list.
-func checkHeap[K float64 | Time](o *destinationHeap[K]) func() error {
+func checkHeap[K float64 | Time](heap *destinationHeap[K]) func() error {
 	return func() error {
-		for i := range o.entries {
-			x := &o.entries[i]
-			if x.destination.heapPositions[o.index] != i+1 || i > 0 && x.less(&o.entries[(i-1)/2]) {
-				return fmt.Errorf("heap %d is not in order at %d", o.index, i)
+		for i := range heap.entries {
+			entry := &heap.entries[i]
+			if entry.destination.heapPositions[heap.index] != i+1 || i > 0 && entry.less(&heap.entries[(i-1)/2]) {
+				return fmt.Errorf("heap %d is not in order at %d", heap.index, i)
 			}
 		}
-		if slices.ContainsFunc(o.entries[len(o.entries):cap(o.entries)], func(x heapEntry[K]) bool { return x.destination != nil }) {
-			return fmt.Errorf("heap %d keeps a destination that was removed", o.index)
+		if slices.ContainsFunc(heap.entries[len(heap.entries):cap(heap.entries)], func(entry heapEntry[K]) bool { return entry.destination != nil }) {
+			return fmt.Errorf("heap %d keeps a destination that was removed", heap.index)
 		}
 		return nil
 	}
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -4,35 +4,35 @@
 	"testing"
 )
 
-// fleet returns dispatchers that differ only in their seeds and have the same endpoint list.
-func fleet(t *testing.T, n int, set Settings, entries ...Entry) []*harness {
+// newFleet returns dispatchers that differ only in their seeds and have the same endpoint list.
+func newFleet(t *testing.T, size int, set Settings, entries ...Entry) []*harness {
 	t.Helper()
-	set.Instances = n
-	rigs := make([]*harness, n)
-	for i := range rigs {
+	set.Instances = size
+	harnesses := make([]*harness, size)
+	for i := range harnesses {
 		r := newHarness(t, set, entries...)
 		r.d.randomState += uint64(i) * 2862933555777941757
 		r.advance(20 * second) // fills the memory of the demand meter
-		rigs[i] = r
+		harnesses[i] = r
 	}
-	return rigs
+	return harnesses
 }
 
 // Each of many dispatchers has one queued message and saw two failed connections. Together their trial calls must stay below
 // their demand, instead of one each at the same time.
-func TestTrialsOfManySendersAddUpToAPartOfTheDemand(t *testing.T) {
-	const n = 60
+func TestTrialCallsOfAFleetStayBelowItsDemand(t *testing.T) {
+	const size = 60
 	sends := 0
-	for _, r := range fleet(t, n, testSettings(), listEntry(1, 0, 0)) {
+	for _, r := range newFleet(t, size, testSettings(), listEntry(1, 0, 0)) {
 		r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
-		again := sentMessages(append(r.step(second/50, outcomeOf(1, 0, ConnectFailed)), r.advance(4*second)...))
-		if len(again) != 1 {
-			t.Fatalf("%d calls to confirm the outage, want one", len(again))
+		retries := sentMessages(append(r.step(second/50, outcomeOf(1, 0, ConnectFailed)), r.advance(4*second)...))
+		if len(retries) != 1 {
+			t.Fatalf("%d calls to confirm the outage, want one", len(retries))
 		}
 		sends += len(sentMessages(append(r.step(second/50, outcomeOf(1, 1, ConnectFailed)), r.advance(2*second)...)))
 	}
-	if sends > n/4 {
-		t.Errorf("%d trial calls of %d dispatchers in two seconds", sends, n)
+	if sends > size/4 {
+		t.Errorf("%d trial calls of %d dispatchers in two seconds", sends, size)
 	}
 	if sends == 0 {
 		t.Error("no trial call is made")
@@ -47,17 +47,17 @@
 	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
 	r.wantSent(r.step(second/50, outcomeOf(1, 0, ConnectFailed)), 1)
 	r.wantSent(r.step(second/50, outcomeOf(1, 1, ConnectFailed)))
-	if a, b := r.d.endpointByID[endpointID(1, 0)], r.d.endpointByID[endpointID(1, 1)]; !r.d.outageConfirmed(a) || !r.d.outageConfirmed(b) {
+	if first, second := r.d.endpointByID[endpointID(1, 0)], r.d.endpointByID[endpointID(1, 1)]; !r.d.outageConfirmed(first) || !r.d.outageConfirmed(second) {
 		t.Error("two endpoints of one destination failed, but the outage is not confirmed")
 	}
 }
 
 // Refused calls may count against a destination's rate limit. Retries of many dispatchers must not use up that limit for
 // good, so each keeps them within its own demand.
-func TestRetriesAfterRefusalsStayWithinTheOwnDemand(t *testing.T) {
-	const n = 50
+func TestRetriesAfterRefusalsStayWithinTheDemand(t *testing.T) {
+	const size = 50
 	sends := 0
-	for _, r := range fleet(t, n, testSettings(), listEntry(1, 0, 0)) {
+	for _, r := range newFleet(t, size, testSettings(), listEntry(1, 0, 0)) {
 		next := []Event{r.arrival(freeClass, 1)}
 		for end := r.now + 15*second; r.now < end; {
 			events := next
@@ -68,8 +68,8 @@
 			}
 		}
 	}
-	if sends < n || sends > 2*n {
-		t.Errorf("%d attempts for %d messages in 15 s, all refused", sends, n)
+	if sends < size || sends > 2*size {
+		t.Errorf("%d attempts for %d messages in 15 s, all refused", sends, size)
 	}
 }
 
@@ -80,7 +80,7 @@
 		most  Time
 	}{{1, 8 * second}, {0.05, 0}} {
 		served := 0
-		for _, r := range fleet(t, 20, testSettings(), listEntry(1, 0, 0)) {
+		for _, r := range newFleet(t, 20, testSettings(), listEntry(1, 0, 0)) {
 			r.d.kinds[0].retrySuccess = c.again
 			r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
 			r.step(second/10, refusal(1, 0, 0))
@@ -109,8 +109,8 @@
 		r.wantSent(r.step(0, r.arrival(freeClass, 1)), r.lastID)
 		r.step(second/10, outcomeOf(r.lastID, 0, OK))
 		r.step(0, outcomeOf(lost, 0, Cancelled))
-		if e := r.d.endpointByID[endpointID(1, 0)]; e.suspect || r.d.cold(e, r.now) {
-			t.Fatalf("suspect %v, cold since %v after one lost answer", e.suspect, e.rampStart)
+		if ep := r.d.endpointByID[endpointID(1, 0)]; ep.suspect || r.d.cold(ep, r.now) {
+			t.Fatalf("suspect %v, cold since %v after one lost answer", ep.suspect, ep.rampStart)
 		}
 	}
 	if after := r.d.responseTimeout(r.d.destinationByNumber[1]); r.d.lostShare < 0.2 || after >= before {
@@ -120,7 +120,7 @@
 
 // A client whose message is refused retries at another dispatcher, which may not have noticed the rate limit yet if traffic
 // is rare. Shed messages are then failed instead.
-func TestShedMessagesAreFailedWhereALimitIsFeltAndTrafficIsRare(t *testing.T) {
+func TestShedMessagesFailUnderARateLimitWithRareTraffic(t *testing.T) {
 	for _, c := range []struct {
 		allow float64
 		want  ActionKind
@@ -140,7 +140,7 @@
 }
 
 // Two destinations that do not respond must not occupy both of two slots.
-func TestTwoHungDestinationsDoNotHoldTwoSlots(t *testing.T) {
+func TestTwoHungDestinationsDoNotOccupyBothSlots(t *testing.T) {
 	set := testSettings()
 	set.Slots = 2
 	r := newHarness(t, set, listEntry(1, 0, 0), listEntry(2, 0, 0), listEntry(3, 0, 0))
@@ -153,18 +153,18 @@
 		t.Fatal("not both destinations are taken to be unhealthy")
 	}
 	acts := r.step(0, r.arrival(freeClass, 3))
-	want := r.lastID
+	waiting := r.lastID
 	for range 150 {
-		var ends []Event
+		var outcomes []Event
 		for _, a := range acts {
 			if a.Kind == Cancel {
-				ends = append(ends, outcomeOf(a.Message, a.Attempt, Cancelled))
+				outcomes = append(outcomes, outcomeOf(a.Message, a.Attempt, Cancelled))
 			}
-			if a.Kind == Send && a.Message == want {
+			if a.Kind == Send && a.Message == waiting {
 				return
 			}
 		}
-		acts = r.step(second/50, ends...)
+		acts = r.step(second/50, outcomes...)
 	}
 	t.Error("a message for a healthy destination waits for a slot that an unresponsive one holds")
 }
@@ -173,19 +173,19 @@
 func TestStateDoesNotGrow(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	for i := range 200 {
-		e := listEntry(1, i+2, 0)
-		o := listEntry(100+i, 0, 0)
-		r.step(0, Event{Kind: List, ListKind: ListFull, Entries: []Entry{e, o}})
-		m, n, k := r.arrival(freeClass, 1), r.arrival(freeClass, 100+i), r.keyedArrival(uint64(1000+i))
-		acts := r.step(second/10, m, n, k)
+		replacement := listEntry(1, i+2, 0)
+		other := listEntry(100+i, 0, 0)
+		r.step(0, Event{Kind: List, ListKind: ListFull, Entries: []Entry{replacement, other}})
+		free, toOther, keyed := r.arrival(freeClass, 1), r.arrival(freeClass, 100+i), r.keyedArrival(uint64(1000+i))
+		acts := r.step(second/10, free, toOther, keyed)
 		for _, id := range sentMessages(acts) {
-			res := OK
-			if id == k.Message {
-				res = Reset
+			result := OK
+			if id == keyed.Message {
+				result = Reset
 			}
-			r.step(second/50, outcomeOf(id, 0, res))
+			r.step(second/50, outcomeOf(id, 0, result))
 		}
-		r.step(second/50, Event{Kind: Withdrawn, Message: k.Message}, outcomeOf(k.Message, 1, OK))
+		r.step(second/50, Event{Kind: Withdrawn, Message: keyed.Message}, outcomeOf(keyed.Message, 1, OK))
 		r.advance(second)
 	}
 	r.advance(2 * cleanupInterval)
@@ -198,16 +198,16 @@
 
 // An order key keeps its wait after all its messages have ended, so that later messages with it wait too. A told wait stays
 // in force when its endpoint is replaced.
-func TestKeyAndToldWaitOutliveTheirMessages(t *testing.T) {
+func TestKeyAndToldWaitOutliveMessagesAndEndpoints(t *testing.T) {
 	set := testSettings()
 	set.SettleAfterDoubt = 30 * second
 	r := newHarness(t, set, listEntry(1, 0, 0))
 	r.wantSent(r.step(0, r.keyedArrival(9)), 1)
 	r.step(second/10, Event{Kind: Withdrawn, Message: 1}, outcomeOf(1, 0, Reset))
 	r.advance(2 * cleanupInterval)
-	e := r.keyedArrival(9)
-	e.TimeLeft = 40 * second
-	r.wantSent(append(r.step(0, e), r.advance(9*second)...))
+	next := r.keyedArrival(9)
+	next.TimeLeft = 40 * second
+	r.wantSent(append(r.step(0, next), r.advance(9*second)...))
 	if got := sentMessages(r.advance(2 * second)); len(got) != 1 {
 		t.Errorf("after the rest sent %v", got)
 	}
@@ -220,7 +220,7 @@
 	r.wantSent(append(r.step(0, Event{Kind: List, Entries: []Entry{listEntry(1, 1, 0)}}, r.arrival(freeClass, 1)), r.advance(10*second)...))
 }
 
-func TestNotesAreRare(t *testing.T) {
+func TestNotesAreRateLimited(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	notes := 0
 	for range 40 {
@@ -239,7 +239,7 @@
 
 // An outage is remembered when the endpoint that showed it leaves the list. When it was forgotten, hundreds of dispatchers
 // called the next endpoint at the same moment.
-func TestOutageOutlivesTheEndpointsThatShowedIt(t *testing.T) {
+func TestOutageIsRememberedWhenItsEndpointLeaves(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(1, 1, 0))
 	r.advance(20 * second)
 	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
@@ -254,7 +254,7 @@
 		t.Fatalf("%d endpoints left, or the outage is forgotten", len(left))
 	}
 	r.step(0, Event{Kind: List, Entries: []Entry{listEntry(1, 2, 0)}})
-	if e := r.d.endpointByID[endpointID(1, 2)]; e.rampStart == 0 {
+	if joined := r.d.endpointByID[endpointID(1, 2)]; joined.rampStart == 0 {
 		t.Error("an endpoint that joins does not start cold")
 	}
 }
@@ -268,9 +268,9 @@
 	r := newHarness(t, set, listEntry(1, 0, 0))
 	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
 	r.step(second/10, refusal(1, 0, 0))
-	p := r.d.destinationByNumber[1].limit
-	if r.advance(5 * second); p.tokens.Level(r.now) != p.tokens.Level(r.now) || p.waitUntil > r.now+maxBackoff {
-		t.Errorf("tokens %v, wait until %v at %v", p.tokens.Level(r.now), p.waitUntil, r.now)
+	limit := r.d.destinationByNumber[1].limit
+	if r.advance(5 * second); limit.tokens.Level(r.now) != limit.tokens.Level(r.now) || limit.waitUntil > r.now+maxBackoff {
+		t.Errorf("tokens %v, wait until %v at %v", limit.tokens.Level(r.now), limit.waitUntil, r.now)
 	}
 	if d := r.d; !(d.minAim > 0) {
 		t.Errorf("aim %v", d.minAim)
--- a/control/lane.go
+++ b/control/lane.go
@@ -17,50 +17,50 @@
 const keptCapacity = 16
 
 // all returns the messages, the oldest first.
-func (l *messageQueue) all() []*message { return l.messages[l.head:] }
+func (q *messageQueue) all() []*message { return q.messages[q.head:] }
 
-func (l *messageQueue) len() int { return len(l.messages) - l.head }
+func (q *messageQueue) len() int { return len(q.messages) - q.head }
 
 // find returns the position of the first message that did not arrive before the given arrival number.
-func (l *messageQueue) find(arrived uint64) int {
-	i, _ := slices.BinarySearchFunc(l.all(), arrived, func(o *message, n uint64) int { return cmp.Compare(o.arrivalNumber, n) })
-	return i
+func (q *messageQueue) find(arrivalNumber uint64) int {
+	position, _ := slices.BinarySearchFunc(q.all(), arrivalNumber, func(msg *message, number uint64) int { return cmp.Compare(msg.arrivalNumber, number) })
+	return position
 }
 
 // insert inserts a message at the place that its arrival number gives it.
-func (l *messageQueue) insert(m *message) {
-	at := l.find(m.arrivalNumber)
-	if l.head > 0 && at < l.len()/2 {
-		l.head--
-		all := l.all()
-		copy(all, all[1:at+1])
-		all[at] = m
+func (q *messageQueue) insert(msg *message) {
+	position := q.find(msg.arrivalNumber)
+	if q.head > 0 && position < q.len()/2 {
+		q.head--
+		all := q.all()
+		copy(all, all[1:position+1])
+		all[position] = msg
 		return
 	}
-	if len(l.messages) == cap(l.messages) && l.head > len(l.messages)/2 { // use the space at the front before growing
-		n := copy(l.messages, l.all())
-		clear(l.messages[n:])
-		l.messages, l.head = l.messages[:n], 0
+	if len(q.messages) == cap(q.messages) && q.head > len(q.messages)/2 { // use the space at the front before growing
+		count := copy(q.messages, q.all())
+		clear(q.messages[count:])
+		q.messages, q.head = q.messages[:count], 0
 	}
-	l.messages = slices.Insert(l.messages, l.head+at, m)
+	q.messages = slices.Insert(q.messages, q.head+position, msg)
 }
 
 // remove removes a message.
-func (l *messageQueue) remove(m *message) {
-	all := l.all()
-	at := l.find(m.arrivalNumber)
-	if at < len(all)/2 {
-		copy(all[1:], all[:at])
+func (q *messageQueue) remove(msg *message) {
+	all := q.all()
+	position := q.find(msg.arrivalNumber)
+	if position < len(all)/2 {
+		copy(all[1:], all[:position])
 		all[0] = nil
-		l.head++
+		q.head++
 	} else {
-		l.messages = slices.Delete(l.messages, l.head+at, l.head+at+1)
+		q.messages = slices.Delete(q.messages, q.head+position, q.head+position+1)
 	}
 	switch {
-	case l.len() > 0:
-	case cap(l.messages) > keptCapacity:
-		*l = messageQueue{} // free the memory that a burst needed
+	case q.len() > 0:
+	case cap(q.messages) > keptCapacity:
+		*q = messageQueue{} // free the memory that a burst needed
 	default:
-		l.messages, l.head = l.messages[:0], 0
+		q.messages, q.head = q.messages[:0], 0
 	}
 }
--- a/control/lookout.go
+++ b/control/lookout.go
@@ -30,9 +30,9 @@
 )
 
 func newTimeoutScan() timeoutScan {
-	l := timeoutScan{}
-	l.normalScans.index, l.shortageScans.index = normalScanHeap, shortageScanHeap
-	return l
+	scan := timeoutScan{}
+	scan.normalScans.index, scan.shortageScans.index = normalScanHeap, shortageScanHeap
+	return scan
 }
 
 // scanTimeouts scans the calls out for timeouts, in the order in which their destinations became active.
@@ -41,24 +41,24 @@
 	if d.replanTimeouts() {
 		d.scanAll(0)
 	} else {
-		o := &d.normalScans
+		scans := &d.normalScans
 		if d.slotsShort {
-			o = &d.shortageScans
+			scans = &d.shortageScans
 		}
-		for len(d.dueScans) < maxScansPerStep && o.isDue(d.now) {
-			d.dueScans = append(d.dueScans, o.popDue(d.now))
+		for len(d.dueScans) < maxScansPerStep && scans.isDue(d.now) {
+			d.dueScans = append(d.dueScans, scans.popDue(d.now))
 		}
-		d.moreWork = d.moreWork || o.isDue(d.now)
+		d.moreWork = d.moreWork || scans.isDue(d.now)
 		slices.SortFunc(d.dueScans, func(a, b *destination) int { return cmp.Compare(a.activation, b.activation) })
 	}
 	for i := 0; i < len(d.dueScans); i++ {
-		t := d.dueScans[i]
-		d.wakeDestination(t)
-		d.checkCalls(t)
-		d.countUnhealthyCalls(t)
-		d.rescheduleScan(t)
+		dest := d.dueScans[i]
+		d.wakeDestination(dest)
+		d.checkCalls(dest)
+		d.countUnhealthyCalls(dest)
+		d.rescheduleScan(dest)
 		if d.replanTimeouts() {
-			d.scanAll(t.activation)
+			d.scanAll(dest.activation)
 			i = -1
 		}
 	}
@@ -70,16 +70,16 @@
 func (d *Dispatcher) scanAll(after uint64) {
 	d.dueScans = d.dueScans[:0]
 	for i := range d.active.entries {
-		if t := d.active.entries[i].destination; t.callsOut > 0 && t.activation > after {
-			d.dueScans = append(d.dueScans, t)
-		} else if t.callsOut > 0 {
-			d.scheduleScan(t, 0)
+		if dest := d.active.entries[i].destination; dest.callsOut > 0 && dest.activation > after {
+			d.dueScans = append(d.dueScans, dest)
+		} else if dest.callsOut > 0 {
+			d.scheduleScan(dest, 0)
 		}
 	}
 	slices.SortFunc(d.dueScans, func(a, b *destination) int { return cmp.Compare(a.activation, b.activation) })
 	if len(d.dueScans) > maxScansPerStep {
-		for _, t := range d.dueScans[maxScansPerStep:] {
-			d.scheduleScan(t, 0)
+		for _, dest := range d.dueScans[maxScansPerStep:] {
+			d.scheduleScan(dest, 0)
 		}
 		clear(d.dueScans[maxScansPerStep:])
 		d.dueScans = d.dueScans[:maxScansPerStep]
@@ -88,60 +88,60 @@
 }
 
 // scheduleScan schedules a scan of a destination for a time, unless one is scheduled sooner.
-func (d *Dispatcher) scheduleScan(t *destination, at Time) {
-	if t.callsOut == 0 {
-		d.normalScans.remove(t)
-		d.shortageScans.remove(t)
+func (d *Dispatcher) scheduleScan(dest *destination, at Time) {
+	if dest.callsOut == 0 {
+		d.normalScans.remove(dest)
+		d.shortageScans.remove(dest)
 		return
 	}
-	d.normalScans.lowerKey(t, at, t.activation)
-	d.shortageScans.lowerKey(t, at, t.activation)
+	d.normalScans.lowerKey(dest, at, dest.activation)
+	d.shortageScans.lowerKey(dest, at, dest.activation)
 }
 
 // rescheduleScan schedules the next scan of a destination for the time at which checkCalls may have something to do.
-func (d *Dispatcher) rescheduleScan(t *destination) {
-	calm, short := d.nextScan(t)
-	if d.normalScans.remove(t); calm < never {
-		d.normalScans.set(t, calm, t.activation)
+func (d *Dispatcher) rescheduleScan(dest *destination) {
+	normal, shortage := d.nextScan(dest)
+	if d.normalScans.remove(dest); normal < never {
+		d.normalScans.set(dest, normal, dest.activation)
 	}
-	if d.shortageScans.remove(t); short < never {
-		d.shortageScans.set(t, short, t.activation)
+	if d.shortageScans.remove(dest); shortage < never {
+		d.shortageScans.set(dest, shortage, dest.activation)
 	}
 }
 
 // nextScan returns the times before which checkCalls has nothing to do at a destination if no event comes: one for the case that
 // no message waits for a slot, and one for the case that messages do.
-func (d *Dispatcher) nextScan(t *destination) (normal, shortage Time) {
+func (d *Dispatcher) nextScan(dest *destination) (normal, shortage Time) {
 	normal, shortage = never, never
-	timeout := t.kind.timeoutFloor
-	if t.latencyStats.samples > 0 {
-		timeout = timeoutFor(t.latencyStats.mean, t.latencyStats.deviation, d.timeoutScan.plannedDeviations, t.latencyStats.samples)
+	timeout := dest.kind.timeoutFloor
+	if dest.latencyStats.samples > 0 {
+		timeout = timeoutFor(dest.latencyStats.mean, dest.latencyStats.deviation, d.timeoutScan.plannedDeviations, dest.latencyStats.samples)
 	}
-	after := func(c *call, patience float64) Time { return c.sentAt + Time(float64(timeout)*patience) }
-	once := min(1, failuresPerLostShare*d.plannedLoss)
-	for _, ep := range t.endpoints {
+	timeoutsAfter := func(c *call, timeouts float64) Time { return c.sentAt + Time(float64(timeout)*timeouts) }
+	lossReduction := min(1, failuresPerLostShare*d.plannedLoss)
+	for _, ep := range dest.endpoints {
 		if len(ep.calls) == 0 {
 			continue
 		}
 		// For a suspect endpoint an older call may still show that it went down earlier.
-		if old := ep.calls[0]; !ep.suspect || old.sentAt >= ep.lastFailureAt || max(old.sentAt, ep.lastResponseAt) < ep.downSince {
-			at := max(old.sentAt, ep.lastResponseAt) + timeout
+		if oldest := ep.calls[0]; !ep.suspect || oldest.sentAt >= ep.lastFailureAt || max(oldest.sentAt, ep.lastResponseAt) < ep.downSince {
+			at := max(oldest.sentAt, ep.lastResponseAt) + timeout
 			normal, shortage = min(normal, at), min(shortage, at)
 		}
-		for _, c := range ep.calls {
-			if c.cancelRequested || !d.settings.MayCancel || ep.lastOKSentAt <= c.sentAt && !ep.suspect {
+		for _, call := range ep.calls {
+			if call.cancelRequested || !d.settings.MayCancel || ep.lastOKSentAt <= call.sentAt && !ep.suspect {
 				continue
 			}
-			patience := stuckTimeouts - once
-			rushed := max(1, patience-2/float64(d.settings.Slots))
-			if c.trial {
-				patience = float64(1 + min(ep.failureStreak, errorStreakLimit))
-				rushed = patience
+			timeouts := stuckTimeouts - lossReduction
+			shortageTimeouts := max(1, timeouts-2/float64(d.settings.Slots))
+			if call.trial {
+				timeouts = float64(1 + min(ep.failureStreak, errorStreakLimit))
+				shortageTimeouts = timeouts
 			}
-			if c.unrepeatable(d.settings.MaxTries) {
-				shortage = min(shortage, after(c, rushed*(stuckTimeouts-once)))
+			if call.unrepeatable(d.settings.MaxTries) {
+				shortage = min(shortage, timeoutsAfter(call, shortageTimeouts*(stuckTimeouts-lossReduction)))
 			} else {
-				normal, shortage = min(normal, after(c, patience)), min(shortage, after(c, rushed))
+				normal, shortage = min(normal, timeoutsAfter(call, timeouts)), min(shortage, timeoutsAfter(call, shortageTimeouts))
 			}
 		}
 	}
@@ -149,20 +149,20 @@
 }
 
 // replanTimeouts updates the plan, and reports whether response timeouts may have become shorter than it assumed.
-func (d *Dispatcher) replanTimeouts() (anew bool) {
+func (d *Dispatcher) replanTimeouts() (shorter bool) {
 	if d.lostShare > d.plannedLoss || d.lostShare < d.plannedLoss/lossSlack {
-		anew = d.lostShare > d.plannedLoss
+		shorter = d.lostShare > d.plannedLoss
 		d.plannedLoss = min(1, d.lostShare*lossMargin)
 		d.timeoutScan.plannedDeviations = min(timeoutDeviations, lostDeviations-math.Log(d.plannedLoss))
 	}
-	for _, k := range d.kinds {
-		mean, dev := k.latency()
-		if now := timeoutFor(mean, dev, d.timeoutScan.plannedDeviations, 0); now < k.timeoutFloor || float64(now) > timeoutSlack*float64(k.timeoutFloor) {
-			anew = anew || now < k.timeoutFloor
-			k.timeoutFloor = max(minResponseTimeout, Time(float64(now)*timeoutMargin))
+	for _, kind := range d.kinds {
+		mean, deviation := kind.latency()
+		if timeout := timeoutFor(mean, deviation, d.timeoutScan.plannedDeviations, 0); timeout < kind.timeoutFloor || float64(timeout) > timeoutSlack*float64(kind.timeoutFloor) {
+			shorter = shorter || timeout < kind.timeoutFloor
+			kind.timeoutFloor = max(minResponseTimeout, Time(float64(timeout)*timeoutMargin))
 		}
 	}
-	return anew
+	return shorter
 }
 
 // worthIndex orders the destinations with queued messages by a lower bound of what their least valuable message is worth.
@@ -179,22 +179,22 @@
 const worthValidFor = Second / 2
 
 func newWorthIndex() worthIndex {
-	v := worthIndex{}
-	v.byWorth.index, v.worthExpiry.index = worthHeap, worthExpiryHeap
-	return v
+	index := worthIndex{}
+	index.byWorth.index, index.worthExpiry.index = worthHeap, worthExpiryHeap
+	return index
 }
 
 // invalidateWorth discards the lower bound of a destination, as its messages have changed.
-func (d *Dispatcher) invalidateWorth(t *destination) {
+func (d *Dispatcher) invalidateWorth(dest *destination) {
 	if !d.shedding {
 		return
 	}
-	t.leastWorthRound = 0
-	if t.queued > 0 {
-		d.worthExpiry.set(t, 0, t.activation)
+	dest.leastWorthRound = 0
+	if dest.queued > 0 {
+		d.worthExpiry.set(dest, 0, dest.activation)
 	} else {
-		d.worthExpiry.remove(t)
-		d.byWorth.remove(t)
+		d.worthExpiry.remove(dest)
+		d.byWorth.remove(dest)
 	}
 }
 
@@ -207,33 +207,33 @@
 		}
 	}
 	for {
-		t := d.worthExpiry.popDue(d.now)
-		if t == nil {
+		dest := d.worthExpiry.popDue(d.now)
+		if dest == nil {
 			break
 		}
-		until := d.now + worthValidFor/2 + Time(t.activation%64)*worthValidFor/128 // spread, so that not all expire at the same time
-		_, now := d.leastValuable(t, d.now)
-		_, then := d.leastValuable(t, until) // between the two times it is at least the lesser of the two
-		d.byWorth.set(t, min(now, then), t.activation)
-		d.worthExpiry.set(t, until, t.activation)
+		until := d.now + worthValidFor/2 + Time(dest.activation%64)*worthValidFor/128 // spread, so that not all expire at the same time
+		_, worthNow := d.leastValuable(dest, d.now)
+		_, worthThen := d.leastValuable(dest, until) // between the two times it is at least the lesser of the two
+		d.byWorth.set(dest, min(worthNow, worthThen), dest.activation)
+		d.worthExpiry.set(dest, until, dest.activation)
 	}
 	var worst *message
 	least := heapEntry[float64]{key: math.Inf(1)}
 	for len(d.byWorth.entries) > 0 && d.byWorth.entries[0].less(&least) {
-		x := d.byWorth.entries[0]
-		t := x.destination
-		if t.leastWorthRound != d.round {
-			t.leastWorthRound = d.round
-			t.leastWorthMessage, t.leastWorth = d.leastValuable(t, d.now)
+		entry := d.byWorth.entries[0]
+		dest := entry.destination
+		if dest.leastWorthRound != d.round {
+			dest.leastWorthRound = d.round
+			dest.leastWorthMessage, dest.leastWorth = d.leastValuable(dest, d.now)
 		}
-		if v := (heapEntry[float64]{t.leastWorth, t.activation, t}); t.leastWorthMessage != nil && v.less(&least) {
-			worst, least = t.leastWorthMessage, v
+		if candidate := (heapEntry[float64]{dest.leastWorth, dest.activation, dest}); dest.leastWorthMessage != nil && candidate.less(&least) {
+			worst, least = dest.leastWorthMessage, candidate
 		}
-		d.byWorth.remove(t)
-		d.examined = append(d.examined, x)
+		d.byWorth.remove(dest)
+		d.examined = append(d.examined, entry)
 	}
-	for _, x := range d.examined {
-		d.byWorth.set(x.destination, x.key, x.seq)
+	for _, entry := range d.examined {
+		d.byWorth.set(entry.destination, entry.key, entry.seq)
 	}
 	clear(d.examined)
 	d.examined = d.examined[:0]
--- a/control/restored_test.go
+++ b/control/restored_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// restored returns the arrival of a message that an earlier process had accepted.
-func (r *harness) restored(class, tries int, doubt, grace Time) Event {
-	e := r.arrival(class, 1)
-	e.Restored, e.Tries, e.DoubtAge, e.TimeLeft = true, tries, doubt, grace
-	return e
+// restoredArrival returns the arrival of a message that an earlier process had accepted.
+func (r *harness) restoredArrival(class, tries int, doubtAge, timeLeft Time) Event {
+	event := r.arrival(class, 1)
+	event.Restored, event.Tries, event.DoubtAge, event.TimeLeft = true, tries, doubtAge, timeLeft
+	return event
 }
 
 // A restored message must not be repeated where its class forbids that, as an attempt may have run before the restart.
-func TestRestoredMessagesKeepToTheirClass(t *testing.T) {
+func TestRestoredMessagesFollowTheRulesOfTheirClass(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		class int
@@ -28,30 +28,30 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newHarness(t, testSettings(), listEntry(1, 0, 0))
-			e := r.restored(c.class, c.tries, c.doubt, 10*second)
+			event := r.restoredArrival(c.class, c.tries, c.doubt, 10*second)
 			if c.class == orderedClass {
-				e.Key = 7
+				event.Key = 7
 			}
-			r.wantAction(r.step(0, e), c.end, e.Message)
+			r.wantAction(r.step(0, event), c.end, event.Message)
 		})
 	}
 }
 
 // Attempts made before a restart count: here the sixth is the last one, and its outcome is matched by its number.
-func TestRestoredTriesCountOn(t *testing.T) {
+func TestRestoredTriesCountTowardsTheLimit(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
-	e := r.restored(freeClass, 5, 0, 20*second)
-	r.wantSent(r.step(0, e), e.Message)
-	r.wantAction(r.step(second, outcomeOf(e.Message, 5, Errored)), Refuse, e.Message)
+	event := r.restoredArrival(freeClass, 5, 0, 20*second)
+	r.wantSent(r.step(0, event), event.Message)
+	r.wantAction(r.step(second, outcomeOf(event.Message, 5, Errored)), Refuse, event.Message)
 }
 
 // Restored messages all arrive at once. They must count as demand at the rate at which they were submitted, as ramps and
 // trial calls are sized by the demand.
-func TestRestoredArrivalsDoNotSwellTheDemand(t *testing.T) {
+func TestRestoredMessagesCountAsDemandAtTheirOriginalRate(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	var events []Event
 	for i := range 40 { // submitted at four a second until now
-		events = append(events, r.restored(freeClass, 0, 0, 20*second-Time(i)*second/4))
+		events = append(events, r.restoredArrival(freeClass, 0, 0, 20*second-Time(i)*second/4))
 	}
 	r.step(0, events...)
 	if got := r.d.destinationByNumber[1].demand.rate(r.now); got < 2 || got > 6 {
@@ -59,19 +59,19 @@
 	}
 }
 
-func TestRestoredPastItsTimeIsAnsweredPromptly(t *testing.T) {
+func TestRestoredMessagePastItsDeadlineEndsPromptly(t *testing.T) {
 	for class, want := range map[int]ActionKind{freeClass: Refuse, singleShotClass: Fail} {
 		r := newHarness(t, testSettings(), listEntry(1, 0, 0))
-		e := r.restored(class, 1, 20*second, -second)
-		acts := r.d.Step(r.now, []Event{e}, nil)
-		for _, a := range acts {
-			if a.Kind == Send {
+		event := r.restoredArrival(class, 1, 20*second, -second)
+		acts := r.d.Step(r.now, []Event{event}, nil)
+		for _, action := range acts {
+			if action.Kind == Send {
 				t.Errorf("class %d: sent after its deadline", class)
 			}
-			if a.Kind == Timer && a.TimerID != 0 && a.After == 0 {
-				acts = append(acts, r.step(5*Millisecond, Event{Kind: Tick, TimerID: a.TimerID})...)
+			if action.Kind == Timer && action.TimerID != 0 && action.After == 0 {
+				acts = append(acts, r.step(5*Millisecond, Event{Kind: Tick, TimerID: action.TimerID})...)
 			}
 		}
-		r.wantAction(acts, want, e.Message)
+		r.wantAction(acts, want, event.Message)
 	}
 }
--- a/control/rounds.go
+++ b/control/rounds.go
@@ -40,8 +40,8 @@
 )
 
 // turnBefore reports whether the turn of a destination is before that of another.
-func (t *destination) turnBefore(o *destination) bool {
-	return t.virtualTime < o.virtualTime || t.virtualTime == o.virtualTime && t.activation < o.activation
+func (dest *destination) turnBefore(other *destination) bool {
+	return dest.virtualTime < other.virtualTime || dest.virtualTime == other.virtualTime && dest.activation < other.activation
 }
 
 // rounds holds the active destinations (those with messages queued or calls out), by what they wait for.
@@ -64,49 +64,49 @@
 }
 
 // updateHeaps updates the heaps after a change of a destination's messages, calls or turn.
-func (d *Dispatcher) updateHeaps(t *destination) {
-	d.updateRates(t)
-	d.invalidateWorth(t)
-	if !t.active && t.queued > 0 {
+func (d *Dispatcher) updateHeaps(dest *destination) {
+	d.updateRates(dest)
+	d.invalidateWorth(dest)
+	if !dest.active && dest.queued > 0 {
 		d.lastActivation++
-		t.active, t.activation = true, d.lastActivation
+		dest.active, dest.activation = true, d.lastActivation
 	}
-	if t.queued == 0 && t.callsOut == 0 {
-		d.active.remove(t)
-		d.emptied = append(d.emptied, t)
+	if dest.queued == 0 && dest.callsOut == 0 {
+		d.active.remove(dest)
+		d.emptied = append(d.emptied, dest)
 	} else {
-		d.active.set(t, t.virtualTime, t.activation)
+		d.active.set(dest, dest.virtualTime, dest.activation)
 	}
-	if t.queued == 0 {
-		d.runnable.remove(t)
-		t.state = stateIdle
-	} else if t.state == stateRunnable {
-		d.runnable.set(t, t.virtualTime, t.activation)
+	if dest.queued == 0 {
+		d.runnable.remove(dest)
+		dest.state = stateIdle
+	} else if dest.state == stateRunnable {
+		d.runnable.set(dest, dest.virtualTime, dest.activation)
 	}
 }
 
 // leastVirtualTime returns the turn of the first of the other active destinations, 0 if there are none. If t is
 // first itself, the next one is a child of it in the heap.
-func (d *Dispatcher) leastVirtualTime(t *destination) float64 {
-	l := d.active.entries
-	if len(l) > 0 && l[0].destination != t {
-		return l[0].key
+func (d *Dispatcher) leastVirtualTime(dest *destination) float64 {
+	entries := d.active.entries
+	if len(entries) > 0 && entries[0].destination != dest {
+		return entries[0].key
 	}
-	acc := math.Inf(1)
-	for i := 1; i < min(len(l), 3); i++ {
-		acc = min(acc, l[i].key)
+	least := math.Inf(1)
+	for i := 1; i < min(len(entries), 3); i++ {
+		least = min(least, entries[i].key)
 	}
-	if math.IsInf(acc, 1) {
+	if math.IsInf(least, 1) {
 		return 0
 	}
-	return acc
+	return least
 }
 
 // deactivateEmptied marks destinations without messages and calls as no longer active.
 func (d *Dispatcher) deactivateEmptied() {
-	for _, t := range d.emptied {
-		if t.queued == 0 && t.callsOut == 0 {
-			t.active = false
+	for _, dest := range d.emptied {
+		if dest.queued == 0 && dest.callsOut == 0 {
+			dest.active = false
 		}
 	}
 	clear(d.emptied)
@@ -114,25 +114,25 @@
 }
 
 // countUnhealthyCalls updates the number of calls out to unhealthy destinations.
-func (d *Dispatcher) countUnhealthyCalls(t *destination) {
-	d.unhealthyCalls -= t.unhealthyCalls
-	if t.unhealthyCalls = 0; t.callsOut > 0 && d.destinationUnhealthy(t) {
-		t.unhealthyCalls = t.callsOut
+func (d *Dispatcher) countUnhealthyCalls(dest *destination) {
+	d.unhealthyCalls -= dest.unhealthyCalls
+	if dest.unhealthyCalls = 0; dest.callsOut > 0 && d.destinationUnhealthy(dest) {
+		dest.unhealthyCalls = dest.callsOut
 	}
-	d.unhealthyCalls += t.unhealthyCalls
+	d.unhealthyCalls += dest.unhealthyCalls
 }
 
 // wakeDestination makes the next round evaluate a destination. It is called before the destination's state changes.
-func (d *Dispatcher) wakeDestination(t *destination) {
-	if t.state == stateAsleep {
-		d.wakeups.remove(t)
-		d.waitingForRoom.remove(t)
+func (d *Dispatcher) wakeDestination(dest *destination) {
+	if dest.state == stateAsleep {
+		d.wakeups.remove(dest)
+		d.waitingForRoom.remove(dest)
 	}
-	if t.state != stateRunnable {
-		t.state = stateIdle
-		if !t.wakePending {
-			t.wakePending = true
-			d.woken = append(d.woken, t)
+	if dest.state != stateRunnable {
+		dest.state = stateIdle
+		if !dest.wakePending {
+			dest.wakePending = true
+			d.woken = append(d.woken, dest)
 		}
 	}
 }
@@ -140,8 +140,8 @@
 // wakeAll makes the next round evaluate all active destinations.
 func (d *Dispatcher) wakeAll() {
 	for i := range d.active.entries {
-		if t := d.active.entries[i].destination; t.state == stateAsleep {
-			d.wakeDestination(t)
+		if dest := d.active.entries[i].destination; dest.state == stateAsleep {
+			d.wakeDestination(dest)
 		}
 	}
 }
@@ -149,11 +149,11 @@
 // beginRound begins a round: it wakes the destinations whose time has come.
 func (d *Dispatcher) beginRound() {
 	for range maxScansPerStep {
-		t := d.wakeups.popDue(d.now)
-		if t == nil {
+		dest := d.wakeups.popDue(d.now)
+		if dest == nil {
 			break
 		}
-		d.wakeDestination(t)
+		d.wakeDestination(dest)
 	}
 	d.moreWork = d.moreWork || d.wakeups.isDue(d.now)
 	if level := int(failuresPerLostShare * d.lostShare); level != d.lossLevel {
@@ -165,26 +165,26 @@
 // nextDestination returns the destination whose turn is first among those to evaluate, nil if there is none.
 func (d *Dispatcher) nextDestination() *destination {
 	kept := d.woken[:0]
-	for _, t := range d.woken {
+	for _, dest := range d.woken {
 		switch {
-		case t.state != stateIdle || t.queued == 0:
-			t.wakePending = false
-		case t.blockedRound == d.round:
-			kept = append(kept, t)
+		case dest.state != stateIdle || dest.queued == 0:
+			dest.wakePending = false
+		case dest.blockedRound == d.round:
+			kept = append(kept, dest)
 		default:
-			t.wakePending = false
-			t.state = stateRunnable
-			d.runnable.set(t, t.virtualTime, t.activation)
+			dest.wakePending = false
+			dest.state = stateRunnable
+			d.runnable.set(dest, dest.virtualTime, dest.activation)
 		}
 	}
 	clear(d.woken[len(kept):])
 	d.woken = kept
 	best := d.runnable.first()
-	if t := d.waitingForRoom.first(); t != nil && d.unhealthyCalls < d.maxUnhealthyCalls() && (best == nil || t.turnBefore(best)) {
-		best = t
-		d.wakeDestination(t) // in this round already
-		t.state = stateRunnable
-		d.runnable.set(t, t.virtualTime, t.activation)
+	if dest := d.waitingForRoom.first(); dest != nil && d.unhealthyCalls < d.maxUnhealthyCalls() && (best == nil || dest.turnBefore(best)) {
+		best = dest
+		d.wakeDestination(dest) // in this round already
+		dest.state = stateRunnable
+		d.runnable.set(dest, dest.virtualTime, dest.activation)
 	}
 	return best
 }
@@ -200,62 +200,62 @@
 )
 
 // putToSleep puts a destination that cannot send to sleep until something that matters to it may have changed.
-func (d *Dispatcher) putToSleep(t *destination, why blockReason, ep *endpoint, trial bool) {
-	t.blockedRound = d.round
-	if t.state == stateRunnable {
-		d.runnable.remove(t)
+func (d *Dispatcher) putToSleep(dest *destination, reason blockReason, ep *endpoint, trial bool) {
+	dest.blockedRound = d.round
+	if dest.state == stateRunnable {
+		d.runnable.remove(dest)
 	}
-	if t.queued == 0 {
-		t.state = stateIdle
+	if dest.queued == 0 {
+		dest.state = stateIdle
 		return
 	}
-	t.state = stateAsleep
+	dest.state = stateAsleep
 	until := never
-	if why != noWindow { // only events change the window
-		for _, e := range t.endpoints {
-			if at := d.nextSendAt(e); at > d.now {
+	if reason != noWindow { // only events change the window
+		for _, sibling := range dest.endpoints {
+			if at := d.nextSendAt(sibling); at > d.now {
 				until = min(until, at)
 			}
 		}
 	}
 	switch {
-	case why == noMessage && trial && d.allRisky(t, ep):
+	case reason == noMessage && trial && d.allRisky(dest, ep):
 		if d.settings.RiskAfter > 0 {
 			until = min(until, ep.nextTrialAt.After(d.settings.RiskAfter))
 		}
-	case why == noMessage:
-		until = min(until, d.unblocksAt(t))
+	case reason == noMessage:
+		until = min(until, d.unblocksAt(dest))
 	}
 	if until < never {
-		d.wakeups.set(t, until, t.activation)
+		d.wakeups.set(dest, until, dest.activation)
 	}
-	if why == noWindow && t.callsOut < min(t.window, d.maxWindow()) {
-		d.waitingForRoom.set(t, t.virtualTime, t.activation)
+	if reason == noWindow && dest.callsOut < min(dest.window, d.maxWindow()) {
+		d.waitingForRoom.set(dest, dest.virtualTime, dest.activation)
 	}
 }
 
 // unblocksAt returns when to evaluate a destination again of which no message may be sent now: when the wait of an order
 // key ends, when the time in which repeats are dropped ends, or when the oldest message that can still meet its aim no
 // longer can, as another message is considered then.
-func (d *Dispatcher) unblocksAt(t *destination) Time {
+func (d *Dispatcher) unblocksAt(dest *destination) Time {
 	at := never
-	mean, _ := d.latency(t)
-	for i := range t.queues {
-		l := t.queues[i].all()
-		if len(l) == 0 {
+	mean, _ := d.latency(dest)
+	for i := range dest.queues {
+		messages := dest.queues[i].all()
+		if len(messages) == 0 {
 			continue
 		}
-		fresh, _ := slices.BinarySearchFunc(l, d.now+Time(mean), compareAim)
-		if fresh < len(l) {
-			at = min(at, l[fresh].submittedAt+l[fresh].class.Aim-Time(mean))
+		firstInTime, _ := slices.BinarySearchFunc(messages, d.now+Time(mean), compareAim)
+		if firstInTime < len(messages) {
+			at = min(at, messages[firstInTime].submittedAt+messages[firstInTime].class.Aim-Time(mean))
 		}
-		for _, m := range [2]*message{l[0], l[min(fresh, len(l)-1)]} {
-			if m.key != nil && m.key.blockedUntil > d.now {
-				at = min(at, m.key.blockedUntil)
+		for _, msg := range [2]*message{messages[0], messages[min(firstInTime, len(messages)-1)]} {
+			if msg.key != nil && msg.key.blockedUntil > d.now {
+				at = min(at, msg.key.blockedUntil)
 			}
-			if m.inDoubt && m.class.Effect == Guarded {
-				at = min(at, m.doubtSince+m.class.Window-d.settings.Tick)
-				if m.class.ZoneGroup && len(t.endpoints) > 1 { // calls of other messages may change which endpoint is chosen
+			if msg.inDoubt && msg.class.Effect == Guarded {
+				at = min(at, msg.doubtSince+msg.class.Window-d.settings.Tick)
+				if msg.class.ZoneGroup && len(dest.endpoints) > 1 { // calls of other messages may change which endpoint is chosen
 					return d.now + 1
 				}
 			}
@@ -265,9 +265,9 @@
 }
 
 // allRisky reports whether no queued message may be used for this trial call, however late it is.
-func (d *Dispatcher) allRisky(t *destination, ep *endpoint) bool {
-	for i := range t.queues {
-		if t.queues[i].len() > 0 && !d.tooRiskyForTrial(&d.settings.Classes[i/2], ep) {
+func (d *Dispatcher) allRisky(dest *destination, ep *endpoint) bool {
+	for i := range dest.queues {
+		if dest.queues[i].len() > 0 && !d.tooRiskyForTrial(&d.settings.Classes[i/2], ep) {
 			return false
 		}
 	}
--- a/control/settings.go
+++ b/control/settings.go
@@ -19,7 +19,7 @@
 func (s *Settings) Check() error {
 	type lowerBound struct {
 		name    string
-		v       float64
+		value   float64
 		minimum float64
 	}
 	lowerBounds := []lowerBound{
@@ -33,21 +33,21 @@
 		{"OverloadFor", float64(s.OverloadFor), 0}, {"SettleAfterDoubt", float64(s.SettleAfterDoubt), 0},
 		{"RiskAfter", float64(s.RiskAfter), 0},
 	}
-	for i, c := range s.Classes {
-		at := fmt.Sprintf("Classes[%d].", i)
-		lowerBounds = append(lowerBounds, lowerBound{at + "Window", float64(c.Window), 0}, lowerBound{at + "Aim", float64(c.Aim), 0},
-			lowerBound{at + "Deadline", float64(c.Deadline), 0}, lowerBound{at + "Worth", c.Worth, 0},
-			lowerBound{at + "LateWorth", c.LateWorth, 0})
+	for i, class := range s.Classes {
+		prefix := fmt.Sprintf("Classes[%d].", i)
+		lowerBounds = append(lowerBounds, lowerBound{prefix + "Window", float64(class.Window), 0}, lowerBound{prefix + "Aim", float64(class.Aim), 0},
+			lowerBound{prefix + "Deadline", float64(class.Deadline), 0}, lowerBound{prefix + "Worth", class.Worth, 0},
+			lowerBound{prefix + "LateWorth", class.LateWorth, 0})
 	}
-	for i, t := range s.Tenants {
-		lowerBounds = append(lowerBounds, lowerBound{fmt.Sprintf("Tenants[%d].Quota", i), t.Quota, 0})
+	for i, tenant := range s.Tenants {
+		lowerBounds = append(lowerBounds, lowerBound{fmt.Sprintf("Tenants[%d].Quota", i), tenant.Quota, 0})
 	}
-	for i, k := range s.Kinds {
-		lowerBounds = append(lowerBounds, lowerBound{fmt.Sprintf("Kinds[%d].Batch", i), float64(k.Batch), 1})
+	for i, kind := range s.Kinds {
+		lowerBounds = append(lowerBounds, lowerBound{fmt.Sprintf("Kinds[%d].Batch", i), float64(kind.Batch), 1})
 	}
-	for _, f := range lowerBounds {
-		if !(f.v >= f.minimum) || math.IsInf(f.v, 0) {
-			return &SettingError{f.name, f.v}
+	for _, bound := range lowerBounds {
+		if !(bound.value >= bound.minimum) || math.IsInf(bound.value, 0) {
+			return &SettingError{bound.name, bound.value}
 		}
 	}
 	if s.ColdFrom > 1 {
--- a/control/state.go
+++ b/control/state.go
@@ -106,10 +106,10 @@
 	samples   float64 // number of samples
 }
 
-func (l *latencyStats) add(v, gain float64) {
-	l.samples++
-	l.deviation += gain * (math.Abs(v-l.mean) - l.deviation)
-	l.mean += gain * (v - l.mean)
+func (s *latencyStats) add(latency, gain float64) {
+	s.samples++
+	s.deviation += gain * (math.Abs(latency-s.mean) - s.deviation)
+	s.mean += gain * (latency - s.mean)
 }
 
 // rateLimit bounds the rate of calls to a destination, or to one endpoint where endpoints have limits of their own
@@ -140,11 +140,11 @@
 }
 
 // allowedShareAt returns the share of this dispatcher's demand that may be sent at a time.
-func (p *rateLimit) allowedShareAt(now Time) float64 {
-	if p.allowedShare >= unlimitedShare {
-		return p.allowedShare
+func (limit *rateLimit) allowedShareAt(now Time) float64 {
+	if limit.allowedShare >= unlimitedShare {
+		return limit.allowedShare
 	}
-	return min(unlimitedShare, p.allowedShare+p.shareGrowth*now.Since(p.shareSince).Seconds())
+	return min(unlimitedShare, limit.allowedShare+limit.shareGrowth*now.Since(limit.shareSince).Seconds())
 }
 
 // destination is a destination: its queues, its turn, its window and what was learned about it.
@@ -215,8 +215,8 @@
 	filled  float64 // share of the memory that is filled, less than 1 while the history is short
 }
 
-func (m *meter) add(now Time, n float64) {
-	m.sum = m.sum*math.Exp(-float64(now-m.at)/float64(m.memory)) + n
+func (m *meter) add(now Time, count float64) {
+	m.sum = m.sum*math.Exp(-float64(now-m.at)/float64(m.memory)) + count
 	m.at = now
 }
 
@@ -234,37 +234,37 @@
 
 // termsAt returns the terms of a time.
 func (m *meter) termsAt(now Time) *terms {
-	t := &m.terms
-	if t.now != now || t.at != m.at || t.started != m.started || t.filled == 0 {
-		*t = terms{now: now, at: m.at, started: m.started, decay: math.Exp(-float64(now-m.at) / float64(m.memory)), filled: 1}
-		if old := now - m.started + initialMeterHistory; old < filledAfter*m.memory {
-			t.filled -= math.Exp(-float64(old) / float64(m.memory))
+	cached := &m.terms
+	if cached.now != now || cached.at != m.at || cached.started != m.started || cached.filled == 0 {
+		*cached = terms{now: now, at: m.at, started: m.started, decay: math.Exp(-float64(now-m.at) / float64(m.memory)), filled: 1}
+		if history := now - m.started + initialMeterHistory; history < filledAfter*m.memory {
+			cached.filled -= math.Exp(-float64(history) / float64(m.memory))
 		}
 	}
-	return t
+	return cached
 }
 
 // rate returns the rate per second. It is corrected for a history shorter than the memory.
 func (m *meter) rate(now Time) float64 {
-	t := m.termsAt(now)
-	return m.sum * t.decay / m.memory.Seconds() / t.filled
+	terms := m.termsAt(now)
+	return m.sum * terms.decay / m.memory.Seconds() / terms.filled
 }
 
 // enqueue adds a message to its queue, in order of arrival.
-func (t *destination) enqueue(m *message) {
-	t.queues[m.queueIndex].insert(m)
-	m.queued = true
-	t.queued++
+func (dest *destination) enqueue(msg *message) {
+	dest.queues[msg.queueIndex].insert(msg)
+	msg.queued = true
+	dest.queued++
 }
 
 // dequeue removes a message from its queue, if it is queued.
-func (t *destination) dequeue(m *message) {
-	if !m.queued {
+func (dest *destination) dequeue(msg *message) {
+	if !msg.queued {
 		return
 	}
-	t.queues[m.queueIndex].remove(m)
-	t.queued--
-	m.queued = false
+	dest.queues[msg.queueIndex].remove(msg)
+	dest.queued--
+	msg.queued = false
 }
 
 // hasTrialOut reports whether a trial call is out.
@@ -273,13 +273,13 @@
 }
 
 // readyCount counts the endpoints that are listed as ready.
-func (t *destination) readyCount() (n int) {
-	for _, ep := range t.endpoints {
+func (dest *destination) readyCount() (count int) {
+	for _, ep := range dest.endpoints {
 		if ep.health == Ready {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // random returns a pseudo-random number in [0, 1) that depends only on the seed (xorshift64).
@@ -305,21 +305,21 @@
 func compareAim(m *message, at Time) int { return cmp.Compare(m.submittedAt+m.class.Aim, at) }
 
 // worth returns what the message is worth if it is delivered at t.
-func (d *Dispatcher) worth(m *message, t Time) float64 {
-	c, v := m.class, m.class.Worth
-	if m.overShare {
-		v *= d.settings.OverShare
+func (d *Dispatcher) worth(msg *message, at Time) float64 {
+	class, worth := msg.class, msg.class.Worth
+	if msg.overShare {
+		worth *= d.settings.OverShare
 	}
-	late := t - m.submittedAt - c.Aim
+	late := at - msg.submittedAt - class.Aim
 	switch {
-	case t >= m.deadline:
+	case at >= msg.deadline:
 		return 0
 	case late <= 0:
-		return v
+		return worth
 	case d.settings.LateHalving:
-		return v * max(c.LateWorth, math.Exp2(-float64(late)/float64(max(c.Aim, 1))))
+		return worth * max(class.LateWorth, math.Exp2(-float64(late)/float64(max(class.Aim, 1))))
 	}
-	return v * (1 - (1-c.LateWorth)*float64(late)/float64(max(c.Deadline-c.Aim, 1)))
+	return worth * (1 - (1-class.LateWorth)*float64(late)/float64(max(class.Deadline-class.Aim, 1)))
 }
 
 // maxCleanupsPerStep is the most entries of each sort that cleanUp removes in one Step. The next Step goes on with the rest.
@@ -330,26 +330,26 @@
 // may still be running.
 func (d *Dispatcher) cleanUp() {
 	var removed [4]int // removed entries of each sort
-	mayRemove := func(i int) bool {
-		if removed[i] == maxCleanupsPerStep {
+	mayRemove := func(list int) bool {
+		if removed[list] == maxCleanupsPerStep {
 			d.cleanedAt = d.now - cleanupInterval
 			return false
 		}
-		removed[i]++
+		removed[list]++
 		return true
 	}
 	d.leaving = slices.DeleteFunc(d.leaving, func(ep *endpoint) bool {
-		t := ep.destination
+		dest := ep.destination
 		switch {
 		case ep.health != Gone: // listed again
 			ep.leaving = false
 		case len(ep.calls) == 0 && ep.limit.waitUntil <= d.now && mayRemove(0):
 			ep.leaving = false
-			d.wakeDestination(t)
-			t.endpoints = slices.DeleteFunc(t.endpoints, func(o *endpoint) bool { return o == ep })
+			d.wakeDestination(dest)
+			dest.endpoints = slices.DeleteFunc(dest.endpoints, func(other *endpoint) bool { return other == ep })
 			d.removed = append(d.removed, ep)
-			d.countUnhealthyCalls(t)
-			d.trackIfWithoutEndpoints(t)
+			d.countUnhealthyCalls(dest)
+			d.trackIfWithoutEndpoints(dest)
 		}
 		return !ep.leaving
 	})
@@ -358,68 +358,68 @@
 		if ep.health != Gone { // listed again
 			return true
 		}
-		old := (!d.unhealthy(ep) || d.now-max(ep.lastFailureAt, ep.rampStart) > unseenWarmUps*d.settings.WarmUp) && mayRemove(1)
-		if old {
+		obsolete := (!d.unhealthy(ep) || d.now-max(ep.lastFailureAt, ep.rampStart) > unseenWarmUps*d.settings.WarmUp) && mayRemove(1)
+		if obsolete {
 			delete(d.endpointByID, ep.id)
 		}
-		return old
+		return obsolete
 	})
-	d.withoutEndpoints = slices.DeleteFunc(d.withoutEndpoints, func(t *destination) bool {
+	d.withoutEndpoints = slices.DeleteFunc(d.withoutEndpoints, func(dest *destination) bool {
 		switch {
-		case len(t.endpoints) > 0:
-			t.cleanupPending = false
-		case t.openMessages == 0 && t.callsOut == 0 && t.limit.waitUntil <= d.now && mayRemove(2):
-			t.cleanupPending = false
-			delete(d.destinationByNumber, t.number)
+		case len(dest.endpoints) > 0:
+			dest.cleanupPending = false
+		case dest.openMessages == 0 && dest.callsOut == 0 && dest.limit.waitUntil <= d.now && mayRemove(2):
+			dest.cleanupPending = false
+			delete(d.destinationByNumber, dest.number)
 			last := len(d.destinations) - 1
-			d.destinations[t.index] = d.destinations[last]
-			d.destinations[t.index].index = t.index
+			d.destinations[dest.index] = d.destinations[last]
+			d.destinations[dest.index].index = dest.index
 			d.destinations[last] = nil
 			d.destinations = d.destinations[:last]
 		}
-		return !t.cleanupPending
+		return !dest.cleanupPending
 	})
 	d.stopShedding()
-	d.idleKeys = slices.DeleteFunc(d.idleKeys, func(k *orderKey) bool {
-		old := len(k.queue) == 0 && k.blockedUntil <= d.now && mayRemove(3)
-		if old {
-			delete(d.keys, k.id)
+	d.idleKeys = slices.DeleteFunc(d.idleKeys, func(key *orderKey) bool {
+		obsolete := len(key.queue) == 0 && key.blockedUntil <= d.now && mayRemove(3)
+		if obsolete {
+			delete(d.keys, key.id)
 		}
-		return old
+		return obsolete
 	})
 }
 
 // note emits a log line for operators, unless there was one recently.
-func (d *Dispatcher) note(t *destination, what string) {
+func (d *Dispatcher) note(dest *destination, text string) {
 	if d.now >= d.nextNoteAt {
 		d.nextNoteAt = d.now + cleanupInterval
-		d.actions = append(d.actions, Action{Kind: Note, Text: fmt.Sprintf("destination %d %s", t.number, what)})
+		d.actions = append(d.actions, Action{Kind: Note, Text: fmt.Sprintf("destination %d %s", dest.number, text)})
 	}
 }
 
 // destination returns the destination with a number, and creates it on first use.
-func (d *Dispatcher) destination(no int) *destination {
-	t := d.destinationByNumber[no]
-	if t == nil {
-		t = &destination{number: no, weight: 1, windowSlowStart: true, queues: make([]messageQueue, 2*len(d.settings.Classes))}
-		t.kind = d.kinds[0]
-		t.limit = d.newRateLimit()
-		t.demand = meter{memory: demandTau, at: d.now, started: d.now}
-		t.served = t.demand
-		d.destinationByNumber[no] = t
-		t.index = len(d.destinations)
-		d.destinations = append(d.destinations, t)
-		t.window, t.windowList = d.fairShare(), d.listNumber
-		d.trackIfWithoutEndpoints(t)
+func (d *Dispatcher) destination(number int) *destination {
+	dest := d.destinationByNumber[number]
+	if dest == nil {
+		dest = &destination{number: number, weight: 1, windowSlowStart: true, queues: make([]messageQueue, 2*len(d.settings.Classes))}
+		dest.kind = d.kinds[0]
+		dest.limit = d.newRateLimit()
+		dest.demand = meter{memory: demandTau, at: d.now, started: d.now}
+		dest.served = dest.demand
+		d.destinationByNumber[number] = dest
+		dest.index = len(d.destinations)
+		d.destinations = append(d.destinations, dest)
+		dest.window, dest.windowList = d.fairShare(), d.listNumber
+		d.trackIfWithoutEndpoints(dest)
 	}
-	return t
+	return dest
 }
 
 // trackIfWithoutEndpoints makes cleanUp check whether a destination can be removed, if it has no endpoints.
-func (d *Dispatcher) trackIfWithoutEndpoints(t *destination) {
-	if len(t.endpoints) == 0 && !t.cleanupPending {
-		t.cleanupPending = true
-		d.withoutEndpoints = append(d.withoutEndpoints, t)
+func (d *Dispatcher) trackIfWithoutEndpoints(dest *destination) {
+	if len(dest.endpoints) == 0 && !dest.cleanupPending {
+		dest.cleanupPending = true
+		d.withoutEndpoints = append(d.withoutEndpoints, dest)
 	}
 }
 
@@ -432,79 +432,79 @@
 }
 
 // applyList applies a new endpoint list. Endpoints that a complete list leaves out are gone.
-func (d *Dispatcher) applyList(e *Event) {
-	if e.ListKind == ListFailed {
+func (d *Dispatcher) applyList(event *Event) {
+	if event.ListKind == ListFailed {
 		return
 	}
-	if e.ListKind != ListDelta {
-		for _, t := range d.destinations {
-			d.wakeDestination(t)
-			t.hadReady = t.readyCount() > 0
-			for _, ep := range t.endpoints {
+	if event.ListKind != ListDelta {
+		for _, dest := range d.destinations {
+			d.wakeDestination(dest)
+			dest.hadReady = dest.readyCount() > 0
+			for _, ep := range dest.endpoints {
 				ep.health = Gone
 				d.trackIfGone(ep)
 			}
 		}
 	}
-	for i := range e.Entries {
-		d.applyEntry(&e.Entries[i])
+	for i := range event.Entries {
+		d.applyEntry(&event.Entries[i])
 	}
-	if e.ListKind != ListDelta {
-		for _, t := range d.destinations {
-			if t.hadReady && t.readyCount() == 0 {
-				d.handleLastLeft(t)
+	if event.ListKind != ListDelta {
+		for _, dest := range d.destinations {
+			if dest.hadReady && dest.readyCount() == 0 {
+				d.handleLastLeft(dest)
 			}
 		}
 	}
 	d.listNumber++
-	if was := d.fairWindow; len(d.destinations) > 0 {
-		if d.fairWindow = d.fairShare(); d.fairWindow != was {
+	if previousWindow := d.fairWindow; len(d.destinations) > 0 {
+		if d.fairWindow = d.fairShare(); d.fairWindow != previousWindow {
 			d.wakeAll() // destinations whose first window this is may send more now
 		}
 	}
 }
 
 // applyEntry applies one entry of an endpoint list.
-func (d *Dispatcher) applyEntry(n *Entry) {
-	t := d.destination(n.Destination)
-	d.wakeDestination(t)
-	d.scheduleScan(t, d.now)
-	batch, apart := 1, false
-	if n.Kind >= 0 && n.Kind < len(d.settings.Kinds) {
-		t.kind = d.kinds[n.Kind]
-		batch, apart = d.settings.Kinds[n.Kind].Batch, d.settings.Kinds[n.Kind].RoutesApart
+func (d *Dispatcher) applyEntry(entry *Entry) {
+	dest := d.destination(entry.Destination)
+	d.wakeDestination(dest)
+	d.scheduleScan(dest, d.now)
+	batch, routesApart := 1, false
+	if entry.Kind >= 0 && entry.Kind < len(d.settings.Kinds) {
+		dest.kind = d.kinds[entry.Kind]
+		batch, routesApart = d.settings.Kinds[entry.Kind].Batch, d.settings.Kinds[entry.Kind].RoutesApart
 	}
-	ep := d.endpointByID[n.Endpoint]
+	ep := d.endpointByID[entry.Endpoint]
 	if ep == nil {
-		ep = &endpoint{id: n.Endpoint, destination: t, limit: t.limit}
-		if apart {
+		ep = &endpoint{id: entry.Endpoint, destination: dest, limit: dest.limit}
+		if routesApart {
 			ep.limit = d.newRateLimit()
 		}
-		d.endpointByID[n.Endpoint] = ep
+		d.endpointByID[entry.Endpoint] = ep
 	}
-	if ep.destination.number != t.number {
+	if ep.destination.number != dest.number {
 		return // an endpoint does not change its destination
 	}
-	if ep.destination != t { // the destination was removed and created again, while the endpoint was kept
-		ep.destination = t
-		if !apart {
-			ep.limit = t.limit
+	if ep.destination != dest { // the destination was removed and created again, while the endpoint was kept
+		ep.destination = dest
+		if !routesApart {
+			ep.limit = dest.limit
 		}
 	}
-	if !slices.Contains(t.endpoints, ep) {
-		d.handleJoin(t, ep)
-		t.endpoints = append(t.endpoints, ep)
+	if !slices.Contains(dest.endpoints, ep) {
+		d.handleJoin(dest, ep)
+		dest.endpoints = append(dest.endpoints, ep)
 	}
-	was := ep.health
-	ep.zone, ep.health, ep.batch = n.Zone, n.Health, batch
-	if was == Ready && n.Health != Ready && t.readyCount() == 0 {
-		d.handleLastLeft(t)
+	previousHealth := ep.health
+	ep.zone, ep.health, ep.batch = entry.Zone, entry.Health, batch
+	if previousHealth == Ready && entry.Health != Ready && dest.readyCount() == 0 {
+		d.handleLastLeft(dest)
 	}
 	d.trackIfGone(ep)
-	d.countUnhealthyCalls(t)
-	if n.Weight > 0 && d.settings.Weights != WeightNone {
-		t.weight = n.Weight
-		ep.limit.knownRate = n.Weight * d.weightSlack
+	d.countUnhealthyCalls(dest)
+	if entry.Weight > 0 && d.settings.Weights != WeightNone {
+		dest.weight = entry.Weight
+		ep.limit.knownRate = entry.Weight * d.weightSlack
 	}
-	d.updateRates(t)
+	d.updateRates(dest)
 }
--- a/control/streams_test.go
+++ b/control/streams_test.go
@@ -62,9 +62,9 @@
 }
 
 // settings draws the settings of a stream, as they change which decisions are made.
-func (c *scenario) settings(rng *rand.Rand) Settings {
+func (s *scenario) settings(rng *rand.Rand) Settings {
 	set := Settings{
-		Instances: 1 + rng.IntN(60), Zone: rng.IntN(2), Tick: Time(5+15*rng.IntN(2)) * Millisecond, Slots: c.slots, MaxOpen: c.maxOpen,
+		Instances: 1 + rng.IntN(60), Zone: rng.IntN(2), Tick: Time(5+15*rng.IntN(2)) * Millisecond, Slots: s.slots, MaxOpen: s.maxOpen,
 		MaxTries: 2 + rng.IntN(6), MayCancel: rng.IntN(5) > 0, RetryAfter: true, MaxRetryAfter: 10 * Second,
 		ConnIdle: 5 * Second, ConnectTimeout: Second, StreamsPerConn: 1, StopSendingWithin: Second, ColdFrom: 0.2,
 		WarmUp: Time(1+rng.IntN(10)) * Second, TipMultiple: 2, OverloadFor: Time(500+rng.IntN(2000)) * Millisecond,
@@ -80,10 +80,10 @@
 		},
 	}
 	if set.Slots == 0 {
-		set.Slots = 2 + rng.IntN(2+c.destinations)
+		set.Slots = 2 + rng.IntN(2+s.destinations)
 	}
 	if set.MaxOpen == 0 {
-		set.MaxOpen = 16 + rng.IntN(20*c.destinations)
+		set.MaxOpen = 16 + rng.IntN(20*s.destinations)
 	}
 	if rng.IntN(3) == 0 {
 		set.ReportLimit = 1
@@ -115,40 +115,40 @@
 	entry     Entry
 	behaviour behaviour
 	until     Time // end of its current behaviour
-	lag       Time // mean latency
+	latency   Time // mean latency
 }
 
 // simulatedMessage is a message as the platform sees it.
 type simulatedMessage struct {
-	class, dest, tries int
-	attemptOut         bool
-	ended              bool
-	due                Time
-	endpoint           *simulatedEndpoint
+	class, destination, tries int
+	attemptOut                bool
+	ended                     bool
+	deadline                  Time
+	endpoint                  *simulatedEndpoint
 }
 
 // plannedEvent is an event that will come at a time.
 type plannedEvent struct {
 	at      Time
 	seq     int // keeps events of the same time in the order in which they were planned
-	ev      Event
+	event   Event
 	outcome bool // an outcome, to be ignored if the attempt has ended already
 }
 
 // eventQueue is a priority queue of planned events.
 type eventQueue []plannedEvent
 
-func (p eventQueue) Len() int { return len(p) }
-func (p eventQueue) Less(i, j int) bool {
-	return p[i].at < p[j].at || p[i].at == p[j].at && p[i].seq < p[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (p eventQueue) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
-func (p *eventQueue) Push(x any)   { *p = append(*p, x.(plannedEvent)) }
-func (p *eventQueue) Pop() any {
-	last := len(*p) - 1
-	x := (*p)[last]
-	*p = (*p)[:last]
-	return x
+func (q eventQueue) Swap(i, j int)   { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(event any) { *q = append(*q, event.(plannedEvent)) }
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	event := (*q)[last]
+	*q = (*q)[:last]
+	return event
 }
 
 // platform plays one stream.
@@ -172,52 +172,52 @@
 }
 
 // stream returns the platform that plays one seed of a scenario.
-func (c scenario) stream(seed uint64) *platform {
+func (s scenario) stream(seed uint64) *platform {
 	p := &platform{
-		scenario: c, rng: rand.New(rand.NewPCG(seed, uint64(len(c.name)))), now: c.start + 1000*Second, byID: map[Endpoint]*simulatedEndpoint{},
+		scenario: s, rng: rand.New(rand.NewPCG(seed, uint64(len(s.name)))), now: s.start + 1000*Second, byID: map[Endpoint]*simulatedEndpoint{},
 		messages: map[MessageID]*simulatedMessage{}, hash: sha256.New(), count: map[ActionKind]int{},
 	}
-	p.set = c.settings(p.rng)
+	p.set = s.settings(p.rng)
 	p.faultRate *= []float64{0.1, 0.4, 1}[p.rng.IntN(3)]
 	return p
 }
 
 // schedule plans an event.
-func (p *platform) schedule(t Time, ev Event, res bool) {
+func (p *platform) schedule(delay Time, event Event, isOutcome bool) {
 	p.seq++
-	heap.Push(&p.queue, plannedEvent{p.now + max(t, 1), p.seq, ev, res})
+	heap.Push(&p.queue, plannedEvent{p.now + max(delay, 1), p.seq, event, isOutcome})
 }
 
-func (p *platform) chance(v float64) bool { return p.rng.Float64() < v }
+func (p *platform) chance(probability float64) bool { return p.rng.Float64() < probability }
 
 // drawCount draws a whole number with the mean v.
-func (p *platform) drawCount(v float64) int {
-	n := int(v)
-	if p.chance(v - float64(n)) {
-		n++
+func (p *platform) drawCount(mean float64) int {
+	count := int(mean)
+	if p.chance(mean - float64(count)) {
+		count++
 	}
-	return n
+	return count
 }
 
 // addEndpoint adds an endpoint to a destination.
 func (p *platform) addEndpoint(dest int) Entry {
 	p.lastEndpoint++
 	kind := dest % 4 // one of the four is not in the settings
-	e := Entry{Endpoint: p.lastEndpoint, Destination: dest, Zone: p.rng.IntN(2), Kind: kind, Health: Ready}
+	entry := Entry{Endpoint: p.lastEndpoint, Destination: dest, Zone: p.rng.IntN(2), Kind: kind, Health: Ready}
 	if p.chance(0.4) {
-		e.Weight = 1 + 40*p.rng.Float64()
+		entry.Weight = 1 + 40*p.rng.Float64()
 	}
-	n := &simulatedEndpoint{entry: e, lag: Time(2+p.rng.IntN(120)) * Millisecond}
-	p.endpoints = append(p.endpoints, n)
-	p.byID[e.Endpoint] = n
-	return e
+	endpoint := &simulatedEndpoint{entry: entry, latency: Time(2+p.rng.IntN(120)) * Millisecond}
+	p.endpoints = append(p.endpoints, endpoint)
+	p.byID[entry.Endpoint] = endpoint
+	return entry
 }
 
 // play runs the stream against m. If check is set, it is called after each Step.
-func (p *platform) play(m stepper, check func(now Time, events []Event, acts []Action) error) error {
-	var first []Event
+func (p *platform) play(module stepper, check func(now Time, events []Event, acts []Action) error) error {
+	var initial []Event
 	if p.restored > 0 {
-		first = append(first, Event{Kind: Restarted})
+		initial = append(initial, Event{Kind: Restarted})
 	}
 	var entries []Entry
 	for dest := range p.destinations {
@@ -228,7 +228,7 @@
 			entries = append(entries, p.addEndpoint(dest))
 		}
 	}
-	first = append(first, Event{Kind: List, ListKind: ListFull, Entries: entries})
+	initial = append(initial, Event{Kind: List, ListKind: ListFull, Entries: entries})
 	for range p.restored {
 		ev := p.arrival()
 		ev.Restored, ev.Tries = true, p.rng.IntN(p.set.MaxTries+1)
@@ -236,7 +236,7 @@
 			ev.DoubtAge, ev.DoubtZone = Time(p.rng.IntN(5000))*Millisecond, p.rng.IntN(2)
 		}
 		p.messages[ev.Message].tries = ev.Tries
-		first = append(first, ev)
+		initial = append(initial, ev)
 	}
 	var acts []Action
 	for round := range p.rounds {
@@ -245,16 +245,16 @@
 			p.now += Time(p.rng.IntN(1000)) * Millisecond
 		}
 		p.now += Time(p.rng.IntN(3)) * Millisecond / 7
-		events := append(first, p.clients(round)...)
-		first = nil
+		events := append(initial, p.clients(round)...)
+		initial = nil
 		events = append(events, p.listChanges()...)
 		p.changeBehaviours()
 		for len(p.queue) > 0 && p.queue[0].at <= p.now {
-			x := heap.Pop(&p.queue).(plannedEvent)
-			if x.outcome && !p.endAttempt(&x.ev) {
+			planned := heap.Pop(&p.queue).(plannedEvent)
+			if planned.outcome && !p.endAttempt(&planned.event) {
 				continue
 			}
-			events = append(events, x.ev)
+			events = append(events, planned.event)
 		}
 		if p.invalidEvents {
 			events = append(events, p.randomInvalidEvents()...)
@@ -263,7 +263,7 @@
 			continue
 		}
 		p.steps++
-		acts = m.Step(p.now, events, acts[:0])
+		acts = module.Step(p.now, events, acts[:0])
 		if check != nil {
 			if err := check(p.now, events, acts); err != nil {
 				return fmt.Errorf("%s, round %d, at %d, %d events: %w", p.name, round, p.now, len(events), err)
@@ -291,7 +291,7 @@
 	if c.InOrder && p.chance(0.8) {
 		ev.Key = uint64(1 + p.rng.IntN(5) + 10*(dest/2)) // some keys are shared by two destinations
 	}
-	p.messages[p.lastMessage] = &simulatedMessage{class: class, dest: dest, due: p.now + ev.TimeLeft}
+	p.messages[p.lastMessage] = &simulatedMessage{class: class, destination: dest, deadline: p.now + ev.TimeLeft}
 	return ev
 }
 
@@ -308,8 +308,8 @@
 	}
 	if p.chance(0.02) && p.lastMessage > 0 {
 		id := p.lastMessage - MessageID(p.rng.IntN(50))
-		if m := p.messages[id]; m != nil {
-			m.ended = true
+		if msg := p.messages[id]; msg != nil {
+			msg.ended = true
 			events = append(events, Event{Kind: Withdrawn, Message: id})
 		}
 	}
@@ -333,26 +333,26 @@
 		if p.chance(0.3) {
 			ev.ListKind = ListCached
 		}
-		for _, n := range p.endpoints {
-			n.entry.Health = Ready
+		for _, endpoint := range p.endpoints {
+			endpoint.entry.Health = Ready
 			if p.chance(0.05) {
-				n.entry.Health = Gone
+				endpoint.entry.Health = Gone
 				continue
 			}
 			if p.chance(0.05) {
-				n.entry.Health = Draining
+				endpoint.entry.Health = Draining
 			}
-			ev.Entries = append(ev.Entries, n.entry)
+			ev.Entries = append(ev.Entries, endpoint.entry)
 		}
 		return []Event{ev}
 	}
 	ev := Event{Kind: List, ListKind: ListDelta}
 	if p.turnover {
 		p.firstDestination++ // the destination with the lowest number goes, a new one comes
-		p.endpoints = slices.DeleteFunc(p.endpoints, func(n *simulatedEndpoint) bool {
-			if n.entry.Destination < p.firstDestination {
-				n.entry.Health = Gone
-				ev.Entries = append(ev.Entries, n.entry)
+		p.endpoints = slices.DeleteFunc(p.endpoints, func(endpoint *simulatedEndpoint) bool {
+			if endpoint.entry.Destination < p.firstDestination {
+				endpoint.entry.Health = Gone
+				ev.Entries = append(ev.Entries, endpoint.entry)
 				return true
 			}
 			return false
@@ -364,10 +364,10 @@
 	}
 	if p.grow {
 		dest := p.rng.IntN(p.destinations)
-		for _, n := range p.endpoints {
-			if n.entry.Destination == dest {
-				n.entry.Health = Gone
-				ev.Entries = append(ev.Entries, n.entry)
+		for _, endpoint := range p.endpoints {
+			if endpoint.entry.Destination == dest {
+				endpoint.entry.Health = Gone
+				ev.Entries = append(ev.Entries, endpoint.entry)
 			}
 		}
 		if len(ev.Entries) == 0 || p.chance(0.3) {
@@ -376,18 +376,18 @@
 		return []Event{ev}
 	}
 	for range 1 + p.rng.IntN(3) {
-		n := p.endpoints[p.rng.IntN(len(p.endpoints))]
+		endpoint := p.endpoints[p.rng.IntN(len(p.endpoints))]
 		if p.chance(0.1) {
-			n.entry.Kind = p.rng.IntN(4)
+			endpoint.entry.Kind = p.rng.IntN(4)
 		}
-		n.entry.Health = Health(p.rng.IntN(3))
+		endpoint.entry.Health = Health(p.rng.IntN(3))
 		if p.chance(0.6) {
-			n.entry.Health = Ready
+			endpoint.entry.Health = Ready
 		}
-		if n.entry.Weight > 0 {
-			n.entry.Weight = 1 + 40*p.rng.Float64()
+		if endpoint.entry.Weight > 0 {
+			endpoint.entry.Weight = 1 + 40*p.rng.Float64()
 		}
-		ev.Entries = append(ev.Entries, n.entry)
+		ev.Entries = append(ev.Entries, endpoint.entry)
 	}
 	if p.chance(0.2) {
 		ev.Entries = append(ev.Entries, p.addEndpoint(p.firstDestination+p.rng.IntN(p.destinations)))
@@ -397,21 +397,21 @@
 
 // changeBehaviours changes the behaviour of some endpoints.
 func (p *platform) changeBehaviours() {
-	ill := func(dest int, m behaviour, last Time) {
-		for _, n := range p.endpoints {
-			if n.entry.Destination == dest && (n.entry.Kind != 2 || p.chance(0.5)) {
-				n.behaviour, n.until = m, p.now+last
+	setBehaviour := func(dest int, to behaviour, duration Time) {
+		for _, endpoint := range p.endpoints {
+			if endpoint.entry.Destination == dest && (endpoint.entry.Kind != 2 || p.chance(0.5)) {
+				endpoint.behaviour, endpoint.until = to, p.now+duration
 			}
 		}
 	}
 	for range p.drawCount(p.faultRate) {
-		ill(p.firstDestination+p.rng.IntN(p.destinations), behaviour(p.rng.IntN(int(behaviourCount))), Time(100+p.rng.IntN(6000))*Millisecond)
+		setBehaviour(p.firstDestination+p.rng.IntN(p.destinations), behaviour(p.rng.IntN(int(behaviourCount))), Time(100+p.rng.IntN(6000))*Millisecond)
 	}
 	if p.chance(p.wideOutageChance) {
-		m, last := behaviour(1+p.rng.IntN(int(behaviourCount)-1)), Time(1000+p.rng.IntN(4000))*Millisecond
+		to, duration := behaviour(1+p.rng.IntN(int(behaviourCount)-1)), Time(1000+p.rng.IntN(4000))*Millisecond
 		for dest := range p.destinations {
 			if p.chance(0.5) {
-				ill(p.firstDestination+dest, m, last)
+				setBehaviour(p.firstDestination+dest, to, duration)
 			}
 		}
 	}
@@ -429,7 +429,7 @@
 		return []Event{{Kind: Tick, TimerID: 1e12}, {Kind: Probed, Endpoint: 999}, {Kind: EventKind(77)}}
 	case 2:
 		events := []Event{{Kind: Arrival, Message: 1<<40 + p.lastMessage, Class: 77}}
-		if m := p.messages[p.lastMessage]; m != nil && !m.ended { // a duplicate of a message that is still open
+		if msg := p.messages[p.lastMessage]; msg != nil && !msg.ended { // a duplicate of a message that is still open
 			events = append(events, Event{Kind: Arrival, Message: p.lastMessage, Destination: 1, TimeLeft: Second})
 		}
 		return events
@@ -439,74 +439,74 @@
 
 // respond responds to one action. All messages of a call get the same kind of result, with a few exceptions.
 func (p *platform) respond(acts []Action, i int) {
-	a := &acts[i]
-	p.count[a.Kind]++
-	switch a.Kind {
+	action := &acts[i]
+	p.count[action.Kind]++
+	switch action.Kind {
 	case Timer:
-		p.schedule(a.After, Event{Kind: Tick, TimerID: a.TimerID}, false)
+		p.schedule(action.After, Event{Kind: Tick, TimerID: action.TimerID}, false)
 	case Refuse, Fail:
-		if m := p.messages[a.Message]; m != nil {
-			m.ended = true
+		if msg := p.messages[action.Message]; msg != nil {
+			msg.ended = true
 		}
 	case Cancel:
-		if m := p.messages[a.Message]; m != nil && m.attemptOut && p.chance(0.95) {
-			res := Cancelled
+		if msg := p.messages[action.Message]; msg != nil && msg.attemptOut && p.chance(0.95) {
+			result := Cancelled
 			if p.chance(0.1) {
-				res = Moot
+				result = Moot
 			}
-			p.schedule(Time(p.rng.IntN(8))*Millisecond, p.outcome(a.Message, a.Attempt, res), true)
+			p.schedule(Time(p.rng.IntN(8))*Millisecond, p.outcome(action.Message, action.Attempt, result), true)
 		}
 	case Send:
-		if a.SameCall {
+		if action.SameCall {
 			return
 		}
-		n := p.byID[a.Endpoint]
-		res, lag, wait := p.drawOutcome(n)
+		endpoint := p.byID[action.Endpoint]
+		result, latency, wait := p.drawOutcome(endpoint)
 		for j := i; j < len(acts) && (j == i || acts[j].Kind == Send && acts[j].SameCall); j++ {
-			s := &acts[j]
-			m := p.messages[s.Message]
-			m.attemptOut, m.endpoint = true, n
-			ev := p.outcome(s.Message, m.tries, res)
-			m.tries++
-			last := m.due - p.now // the longest that the caller waits
-			if s.After > 0 {
-				last = min(last, s.After)
+			send := &acts[j]
+			msg := p.messages[send.Message]
+			msg.attemptOut, msg.endpoint = true, endpoint
+			ev := p.outcome(send.Message, msg.tries, result)
+			msg.tries++
+			timeout := msg.deadline - p.now // the longest that the caller waits
+			if send.After > 0 {
+				timeout = min(timeout, send.After)
 			}
 			switch {
-			case res == TimedOut || lag >= last:
-				ev.Result, ev.Latency = TimedOut, last
-				p.schedule(last, ev, true)
+			case result == TimedOut || latency >= timeout:
+				ev.Result, ev.Latency = TimedOut, timeout
+				p.schedule(timeout, ev, true)
 			case j > i && p.chance(0.02):
 				ev.Result, ev.Latency = Unsent, 0
 				p.schedule(1, ev, true)
 			default:
-				if res == Refused && p.chance(0.3) {
+				if result == Refused && p.chance(0.3) {
 					wait += Time(p.rng.IntN(500)) * Millisecond
 				}
-				ev.Latency, ev.RetryAfter = lag, wait
+				ev.Latency, ev.RetryAfter = latency, wait
 				if p.set.ReportLimit >= 0 && p.chance(0.2) {
 					ev.Report = []float32{0, 5 + 20*p.rng.Float32()}
 				}
-				p.schedule(lag, ev, true)
+				p.schedule(latency, ev, true)
 			}
 		}
 	}
 }
 
 // outcome returns the outcome of an attempt.
-func (p *platform) outcome(id MessageID, attempt int, res Result) Event {
-	return Event{Kind: Outcome, Message: id, Attempt: attempt, Endpoint: p.messages[id].endpoint.entry.Endpoint, Result: res}
+func (p *platform) outcome(id MessageID, attempt int, result Result) Event {
+	return Event{Kind: Outcome, Message: id, Attempt: attempt, Endpoint: p.messages[id].endpoint.entry.Endpoint, Result: result}
 }
 
 // drawOutcome draws the result of a call to an endpoint.
-func (p *platform) drawOutcome(n *simulatedEndpoint) (res Result, lag, wait Time) {
-	if p.now > n.until {
-		n.behaviour = endpointHealthy
+func (p *platform) drawOutcome(endpoint *simulatedEndpoint) (result Result, latency, wait Time) {
+	if p.now > endpoint.until {
+		endpoint.behaviour = endpointHealthy
 	}
-	lag = n.lag/2 + Time(p.rng.Int64N(int64(n.lag)))
-	switch n.behaviour {
+	latency = endpoint.latency/2 + Time(p.rng.Int64N(int64(endpoint.latency)))
+	switch endpoint.behaviour {
 	case endpointSlow:
-		return OK, lag * 10, 0
+		return OK, latency * 10, 0
 	case endpointDown:
 		return ConnectFailed, Millisecond, 0
 	case endpointHung:
@@ -516,7 +516,7 @@
 	case endpointRefusingWithWait:
 		return Refused, Millisecond, Time(200+p.rng.IntN(3000)) * Millisecond
 	case endpointFailing:
-		return Errored, lag / 2, 0
+		return Errored, latency / 2, 0
 	case endpointLosingResponses:
 		if p.chance(0.3) {
 			return TimedOut, 0, 0
@@ -528,29 +528,29 @@
 	}
 	switch p.rng.IntN(400) {
 	case 0:
-		return Reset, lag / 2, 0
+		return Reset, latency / 2, 0
 	case 1:
 		return ConnectFailed, Millisecond, 0
 	case 2:
 		return Unsent, Millisecond, 0
 	case 3:
-		return Errored, lag, 0
+		return Errored, latency, 0
 	}
-	return OK, lag, 0
+	return OK, latency, 0
 }
 
 // endAttempt records that an attempt has ended. It returns false if that attempt had ended already.
 func (p *platform) endAttempt(ev *Event) bool {
-	m := p.messages[ev.Message]
-	if m == nil || !m.attemptOut || m.tries-1 != ev.Attempt {
+	msg := p.messages[ev.Message]
+	if msg == nil || !msg.attemptOut || msg.tries-1 != ev.Attempt {
 		return false
 	}
-	m.attemptOut = false
+	msg.attemptOut = false
 	if ev.Result == Unsent {
-		m.tries--
+		msg.tries--
 	}
-	ev.Closed = ev.Result == OK || m.ended
-	if m.ended = ev.Closed; m.ended {
+	ev.Closed = ev.Result == OK || msg.ended
+	if msg.ended = ev.Closed; msg.ended {
 		delete(p.messages, ev.Message)
 	}
 	return true
@@ -558,20 +558,20 @@
 
 // addToHash adds the actions of a Step to the hash of the stream.
 func (p *platform) addToHash(acts []Action) {
-	var b []byte
-	b = binary.AppendVarint(b, int64(p.now))
+	var buf []byte
+	buf = binary.AppendVarint(buf, int64(p.now))
 	for i := range acts {
-		a := &acts[i]
-		with := int64(0)
-		if a.SameCall {
-			with = 1
+		action := &acts[i]
+		sameCall := int64(0)
+		if action.SameCall {
+			sameCall = 1
 		}
-		for _, v := range []int64{int64(a.Kind), int64(a.Message), int64(a.Attempt), int64(a.Endpoint), with, int64(a.After), int64(a.TimerID), int64(len(a.Text))} {
-			b = binary.AppendVarint(b, v)
+		for _, v := range []int64{int64(action.Kind), int64(action.Message), int64(action.Attempt), int64(action.Endpoint), sameCall, int64(action.After), int64(action.TimerID), int64(len(action.Text))} {
+			buf = binary.AppendVarint(buf, v)
 		}
-		b = append(b, a.Text...)
+		buf = append(buf, action.Text...)
 	}
-	p.hash.Write(b)
+	p.hash.Write(buf)
 }
 
 // compareActions returns an error that describes the first difference between two lists of actions, nil if there is none.
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -27,18 +27,18 @@
 	if t <= from {
 		return 0
 	}
-	if span := t - from; span > 0 {
-		return span
+	if elapsed := t - from; elapsed > 0 {
+		return elapsed
 	}
 	return Never
 }
 
 // After returns the time a duration later, and Never where the sum overflows.
-func (t Time) After(span Time) Time {
-	if span > 0 && t > Never-span {
+func (t Time) After(duration Time) Time {
+	if duration > 0 && t > Never-duration {
 		return Never
 	}
-	return t + span
+	return t + duration
 }
 
 // Rate is a rate in tokens a second that may change linearly with time. It starts at From, changes by Rise each second (a
@@ -51,46 +51,46 @@
 
 // changeDuration returns for how many seconds the rate changes.
 func (r Rate) changeDuration() float64 {
-	if way := r.End - r.From; way*r.Rise > 0 {
-		return way / r.Rise
-	} else if r.Rise == 0 && way > 0 {
+	if change := r.End - r.From; change*r.Rise > 0 {
+		return change / r.Rise
+	} else if r.Rise == 0 && change > 0 {
 		return math.Inf(1) // it never reaches End
 	}
 	return 0
 }
 
 // At returns the rate after s seconds.
-func (r Rate) At(s float64) float64 {
-	if s >= r.changeDuration() {
+func (r Rate) At(seconds float64) float64 {
+	if seconds >= r.changeDuration() {
 		return r.End
 	}
-	return r.From + r.Rise*s
+	return r.From + r.Rise*seconds
 }
 
 // Tokens returns the number of tokens that come in the first s seconds.
-func (r Rate) Tokens(s float64) float64 {
-	turn := r.changeDuration()
-	if s <= turn {
-		return s * (r.From + r.Rise*s/2)
+func (r Rate) Tokens(seconds float64) float64 {
+	changeSeconds := r.changeDuration()
+	if seconds <= changeSeconds {
+		return seconds * (r.From + r.Rise*seconds/2)
 	}
-	return turn*(r.From+r.End)/2 + (s-turn)*r.End
+	return changeSeconds*(r.From+r.End)/2 + (seconds-changeSeconds)*r.End
 }
 
 // SecondsUntil returns the number of seconds after which n tokens have come, +Inf if they never do.
-func (r Rate) SecondsUntil(n float64) float64 {
-	if n <= 0 {
+func (r Rate) SecondsUntil(tokens float64) float64 {
+	if tokens <= 0 {
 		return 0
 	}
-	turn := r.changeDuration()
-	before := turn * (r.From + r.End) / 2
-	if turn > 0 && n <= before {
+	changeSeconds := r.changeDuration()
+	tokensDuringChange := changeSeconds * (r.From + r.End) / 2
+	if changeSeconds > 0 && tokens <= tokensDuringChange {
 		// Solves n = From x s + Rise x s x s / 2 in the form that loses no digits when Rise is close to 0.
-		return 2 * n / (r.From + math.Sqrt(max(r.From*r.From+2*r.Rise*n, 0)))
+		return 2 * tokens / (r.From + math.Sqrt(max(r.From*r.From+2*r.Rise*tokens, 0)))
 	}
 	if r.End <= 0 {
 		return math.Inf(1)
 	}
-	return turn + (n-before)/r.End
+	return changeSeconds + (tokens-tokensDuringChange)/r.End
 }
 
 // Bucket is a token bucket: tokens come at a rate, up to its capacity. One token permits one call. The level
@@ -109,14 +109,14 @@
 // SetRate changes the rate, beginning at from, and the most tokens that are held. Tokens that have come until now stay, up to
 // most. If from is later than now, the tokens that come at the initial rate until then are added at once, unless an earlier
 // SetRate did so for the same time: a user that has to wait until from finds them there when the wait ends.
-func (b *Bucket) SetRate(now, from Time, r Rate, most float64) {
+func (b *Bucket) SetRate(now, from Time, rate Rate, capacity float64) {
 	b.advance(now)
-	if ahead := from.Since(b.updatedAt); ahead > 0 {
-		b.level = max(b.level, min(b.level+r.At(0)*ahead.Seconds(), most))
+	if wait := from.Since(b.updatedAt); wait > 0 {
+		b.level = max(b.level, min(b.level+rate.At(0)*wait.Seconds(), capacity))
 		b.updatedAt = from
 	}
-	b.level = min(b.level, most)
-	b.rate, b.capacity = r, most
+	b.level = min(b.level, capacity)
+	b.rate, b.capacity = rate, capacity
 }
 
 // Level returns the number of tokens at a time.
@@ -170,11 +170,11 @@
 	if b.capacity < 1 {
 		return Never
 	}
-	s := b.rate.SecondsUntil(1 - b.level)
-	if !(s < float64(Never/2)/float64(Second)) {
+	seconds := b.rate.SecondsUntil(1 - b.level)
+	if !(seconds < float64(Never/2)/float64(Second)) {
 		return Never
 	}
-	at := max(now, b.updatedAt.After(Time(s*float64(Second))))
+	at := max(now, b.updatedAt.After(Time(seconds*float64(Second))))
 	// SecondsUntil and Tokens may round differently in their last bits, so at may be slightly off. Steps of doubling length find the
 	// exact microsecond.
 	step := Time(1)
@@ -185,12 +185,12 @@
 		at, step = at.After(step), 2*step
 	}
 	for step = 1; at > now && b.HasToken(at-1); {
-		back := max(now, at-step)
-		if step *= 2; !b.HasToken(back) {
+		earlier := max(now, at-step)
+		if step *= 2; !b.HasToken(earlier) {
 			step = 1
-			back = at - 1
+			earlier = at - 1
 		}
-		at = back
+		at = earlier
 	}
 	return at
 }
--- a/pace/pace_test.go
+++ b/pace/pace_test.go
@@ -8,13 +8,13 @@
 )
 
 func drawRate(t *rapid.T) Rate {
-	per := rapid.SampledFrom([]float64{1.0 / 600, 0.1, 1, 90, 1000}).Draw(t, "per")
-	r := Rate{From: per * rapid.Float64Range(0, 1).Draw(t, "from"), Rise: per * rapid.Float64Range(0, 1).Draw(t, "rise")}
-	r.End = r.From + per*rapid.Float64Range(0, 3).Draw(t, "end")
+	scale := rapid.SampledFrom([]float64{1.0 / 600, 0.1, 1, 90, 1000}).Draw(t, "per")
+	rate := Rate{From: scale * rapid.Float64Range(0, 1).Draw(t, "from"), Rise: scale * rapid.Float64Range(0, 1).Draw(t, "rise")}
+	rate.End = rate.From + scale*rapid.Float64Range(0, 3).Draw(t, "end")
 	if rapid.Bool().Draw(t, "falls") {
-		r.From, r.End, r.Rise = r.End, r.From, -r.Rise
+		rate.From, rate.End, rate.Rise = rate.End, rate.From, -rate.Rise
 	}
-	return r
+	return rate
 }
 
 // Reading a bucket between two times changes nothing, and neither do changes that take no tokens, but for rounding.
@@ -22,44 +22,44 @@
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		start := Time(rapid.Int64Range(0, 1<<50).Draw(t, "start"))
-		one := NewBucket(start, rapid.Float64Range(-3, 1).Draw(t, "level"))
-		one.SetRate(start, start, drawRate(t), rapid.Float64Range(1, 500).Draw(t, "most"))
-		looked, settled := one, one
-		now, cuts := start, rapid.SliceOfN(rapid.Int64Range(0, 5e6), 1, 200).Draw(t, "cuts")
-		for _, c := range cuts {
-			now += Time(c)
-			looked.Level(now)
-			looked.NextAt(now)
-			settled.Take(now, 0)
+		untouched := NewBucket(start, rapid.Float64Range(-3, 1).Draw(t, "level"))
+		untouched.SetRate(start, start, drawRate(t), rapid.Float64Range(1, 500).Draw(t, "most"))
+		read, changed := untouched, untouched
+		now, intervals := start, rapid.SliceOfN(rapid.Int64Range(0, 5e6), 1, 200).Draw(t, "cuts")
+		for _, interval := range intervals {
+			now += Time(interval)
+			read.Level(now)
+			read.NextAt(now)
+			changed.Take(now, 0)
 		}
-		want := one.Level(now)
-		if got := looked.Level(now); got != want {
+		want := untouched.Level(now)
+		if got := read.Level(now); got != want {
 			t.Fatalf("read in between: %v tokens, want %v", got, want)
 		}
-		if got, off := settled.Level(now), float64(len(cuts))*one.capacity*0x1p-50; math.Abs(got-want) > off {
-			t.Fatalf("changed in between: %v tokens, want %v, which is more than %v off", got, want, off)
+		if got, tolerance := changed.Level(now), float64(len(intervals))*untouched.capacity*0x1p-50; math.Abs(got-want) > tolerance {
+			t.Fatalf("changed in between: %v tokens, want %v, which is more than %v off", got, want, tolerance)
 		}
 	})
 }
 
 // NextAt returns exactly the first microsecond at which there is a token.
-func TestNextAtIsTheFirstMoment(t *testing.T) {
+func TestNextAtIsTheFirstTimeWithAToken(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		start := Time(rapid.Int64Range(0, 1<<50).Draw(t, "start"))
-		b := NewBucket(start, rapid.Float64Range(-3, 0.99).Draw(t, "level"))
-		b.SetRate(start, start, drawRate(t), rapid.Float64Range(1, 3).Draw(t, "most"))
+		bucket := NewBucket(start, rapid.Float64Range(-3, 0.99).Draw(t, "level"))
+		bucket.SetRate(start, start, drawRate(t), rapid.Float64Range(1, 3).Draw(t, "most"))
 		now := start + Time(rapid.Int64Range(0, 5e6).Draw(t, "look"))
-		at := b.NextAt(now)
+		at := bucket.NextAt(now)
 		switch {
 		case at == Never:
-			if b.HasToken(now + 1e6*Second) {
-				t.Fatalf("%+v: Never, but there is a token later", b)
+			if bucket.HasToken(now + 1e6*Second) {
+				t.Fatalf("%+v: Never, but there is a token later", bucket)
 			}
-		case !b.HasToken(at):
-			t.Fatalf("%+v: no token at %d", b, at)
-		case at > now && b.HasToken(at-1):
-			t.Fatalf("%+v: there is a token before %d already", b, at)
+		case !bucket.HasToken(at):
+			t.Fatalf("%+v: no token at %d", bucket, at)
+		case at > now && bucket.HasToken(at-1):
+			t.Fatalf("%+v: there is a token before %d already", bucket, at)
 		}
 	})
 }
@@ -67,8 +67,8 @@
 func TestRates(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		r      Rate
-		s, sum float64
+		rate            Rate
+		seconds, tokens float64
 	}{
 		"nothing":                  {Rate{}, 100, 0},
 		"steady":                   {Constant(3), 2, 6},
@@ -83,14 +83,14 @@
 		"falls from its end":       {Rate{From: 1, Rise: -1, End: 2}, 2, 4},
 		"does not rise to its top": {Rate{From: 1, End: 2}, 7, 7},
 	} {
-		if got := c.r.Tokens(c.s); math.Abs(got-c.sum) > 1e-9 {
-			t.Errorf("%s: %v tokens in %v s, want %v", name, got, c.s, c.sum)
+		if got := c.rate.Tokens(c.seconds); math.Abs(got-c.tokens) > 1e-9 {
+			t.Errorf("%s: %v tokens in %v s, want %v", name, got, c.seconds, c.tokens)
 		}
-		if c.sum > 0 {
-			if got := c.r.SecondsUntil(c.sum); math.Abs(got-c.s) > 1e-9 {
-				t.Errorf("%s: %v tokens after %v s, want %v", name, c.sum, got, c.s)
+		if c.tokens > 0 {
+			if got := c.rate.SecondsUntil(c.tokens); math.Abs(got-c.seconds) > 1e-9 {
+				t.Errorf("%s: %v tokens after %v s, want %v", name, c.tokens, got, c.seconds)
 			}
-		} else if got := c.r.SecondsUntil(1); !math.IsInf(got, 1) {
+		} else if got := c.rate.SecondsUntil(1); !math.IsInf(got, 1) {
 			t.Errorf("%s: one token after %v s", name, got)
 		}
 	}
@@ -99,37 +99,37 @@
 // The level of a bucket after each of a sequence of changes.
 func TestBucketLevels(t *testing.T) {
 	t.Parallel()
-	b := NewBucket(0, 1)
+	bucket := NewBucket(0, 1)
 	level := func(what string, now Time, want float64) {
 		t.Helper()
-		if got := b.Level(now); math.Abs(got-want) > 1e-9 {
+		if got := bucket.Level(now); math.Abs(got-want) > 1e-9 {
 			t.Errorf("%s: %v tokens, want %v", what, got, want)
 		}
 	}
 	level("nothing comes before Set", 100*Second, 1)
-	b.SetRate(0, 0, Constant(2), 3)
+	bucket.SetRate(0, 0, Constant(2), 3)
 	level("a second", Second, 3)
 	level("no more than the most", 50*Second, 3)
-	b.Take(50*Second, 5)
+	bucket.Take(50*Second, 5)
 	level("below zero", 50*Second, -2)
-	b.PutBack(50*Second, 1)
+	bucket.PutBack(50*Second, 1)
 	level("given back", 50*Second, -1)
-	b.SetRate(50*Second, 52*Second, Constant(10), 3)
+	bucket.SetRate(50*Second, 52*Second, Constant(10), 3)
 	level("what comes until a wait ends is credited at its end", 52*Second, 3)
-	b.Cap(52*Second, 0.5)
+	bucket.Cap(52*Second, 0.5)
 	level("limited", 52*Second, 0.5)
-	b.PutBack(52*Second, 100)
+	bucket.PutBack(52*Second, 100)
 	level("not more than the most is given back", 52*Second, 3)
-	b.SetRate(51*Second, 51*Second, Constant(1), 2)
+	bucket.SetRate(51*Second, 51*Second, Constant(1), 2)
 	level("a clock that went back", 52*Second, 2)
-	b.Take(52*Second, 2)
+	bucket.Take(52*Second, 2)
 	for range 100_000 {
-		b.Take(52*Second, 0)
+		bucket.Take(52*Second, 0)
 	}
 	level("a clock that stands still", 52*Second, 0)
 	level("read a second late", 54*Second, 2)
-	b.SetRate(54*Second, 54*Second, Constant(1), 0.5)
-	if at := b.NextAt(54 * Second); at != Never {
+	bucket.SetRate(54*Second, 54*Second, Constant(1), 0.5)
+	if at := bucket.NextAt(54 * Second); at != Never {
 		t.Errorf("a token at %d in a bucket that holds at most half of one", at)
 	}
 }
@@ -137,14 +137,14 @@
 func TestTimesNearOverflow(t *testing.T) {
 	t.Parallel()
 	late := Never - 10
-	b := NewBucket(late, 0)
-	b.SetRate(late, late, Constant(1), 5)
-	if at := b.NextAt(late); at != Never {
+	bucket := NewBucket(late, 0)
+	bucket.SetRate(late, late, Constant(1), 5)
+	if at := bucket.NextAt(late); at != Never {
 		t.Errorf("a token at %d, past the largest time", at)
 	}
-	b = NewBucket(math.MinInt64, 0)
-	b.SetRate(math.MinInt64, math.MinInt64, Constant(1e-3), 5)
-	if got := b.Level(Never); got != 5 {
+	bucket = NewBucket(math.MinInt64, 0)
+	bucket.SetRate(math.MinInt64, math.MinInt64, Constant(1e-3), 5)
+	if got := bucket.Level(Never); got != 5 {
 		t.Errorf("%v tokens after the longest time", got)
 	}
 	if (Time(5)).After(Never) != Never || Never.Since(math.MinInt64) != Never || Time(3).Since(4) != 0 {
