--- a/control/api.go
+++ b/control/api.go
@@ -99,18 +99,19 @@
 	OverloadFor       Time
 	SettleAfterDoubt  Time // how long an order key waits after an attempt that may still be running
 
-	// RiskAfter is for dispatchers that send little else than SingleShot messages. Those are not used as trial calls to a
-	// suspect endpoint. With RiskAfter set they go to another endpoint where all queued messages are SingleShot, and one
-	// may be the trial call after all when that has been overdue for this long. 0 turns both off.
+	// RiskAfter is for dispatchers that send little else than SingleShot messages. Those are not used as trial calls
+	// to a suspect endpoint. With RiskAfter set they go to another endpoint where all queued messages are SingleShot,
+	// and one may be the trial call after all when that has been overdue for this long. 0 turns both off.
 	RiskAfter Time
 }
 
 // EventKind tells what an Event reports.
 type EventKind uint8
 
-// Kinds of event, with the fields that each one uses in brackets.
+// Kinds of event, with the fields that each one uses in brackets. The Arrival of a restored or resent message also
+// uses the fields under "History" in Event.
 const (
-	Arrival   EventKind = iota + 1 // a message was accepted [Message Class Tenant Destination Key TimeLeft; Restored Tries DoubtAge DoubtZone Resent]
+	Arrival   EventKind = iota + 1 // a message was accepted [Message Class Tenant Destination Key TimeLeft]
 	Outcome                        // an attempt ended [Message Attempt Endpoint Result Latency Closed RetryAfter Report]
 	Started                        // the first part of a streamed response came [Message Attempt Endpoint Latency]
 	Withdrawn                      // the client no longer wants the message delivered [Message]
@@ -189,7 +190,7 @@
 	Tries     int  // attempts so far
 	DoubtAge  Time // age of the first attempt that may have run, 0 if there is none
 	DoubtZone int  // zone that this attempt went to
-	Resent    bool // an undelivered message sent again: worth as little as one over its tenant's quota, and not counted as demand
+	Resent    bool // an undelivered message sent again: worth as if over its tenant's quota, and not counted as demand
 
 	Attempt    int
 	Endpoint   Endpoint
@@ -211,11 +212,11 @@
 
 // Kinds of action, with the fields that each one uses in brackets.
 const (
-	Send   ActionKind = iota + 1 // start an attempt [Message Endpoint SameCall; After: timeout, 0 for the message's deadline]
+	Send   ActionKind = iota + 1 // start an attempt [Message Endpoint SameCall; After: timeout, 0 for the deadline]
 	Refuse                       // final: submitting the message again is safe [Message; After: retry no sooner]
 	Fail                         // final: submitting the message again may not be safe [Message]
 	Cancel                       // abort an attempt [Message Attempt]
-	Timer                        // deliver a Tick event [After TimerID; Message: not needed once it has ended, 0 if always needed]
+	Timer                        // deliver a Tick event [After TimerID; Message: needed until its end, 0: always]
 	Probe                        // check an endpoint [Endpoint]
 	Close                        // close the idle connections to an endpoint [Endpoint]
 	Note                         // a log line for operators [Text]
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -7,9 +7,9 @@
 	. "curlewmux/control"
 )
 
-// blockDestinations gives a dispatcher n destinations that each have a queued message which cannot be sent. A third have a call
-// out that is never answered, and a window of one. A third asked for a wait, and a third cannot be connected to. It returns
-// the time after that.
+// blockDestinations gives a dispatcher n destinations with a queued message that cannot be sent. A third of them have
+// a call out that is never answered, and a window of one. A third asked for a wait. A third cannot be connected to.
+// It returns the time at which it has finished.
 func blockDestinations(module stepper, n int) Time {
 	now := 1000 * Second
 	list := Event{Kind: List, ListKind: ListFull}
@@ -19,7 +19,8 @@
 		list.Entries = append(list.Entries, Entry{Endpoint: Endpoint(dest + 1), Destination: dest, Health: Ready})
 		for range 2 {
 			lastMessage++
-			events = append(events, Event{Kind: Arrival, Message: lastMessage, Destination: dest, TimeLeft: 3600 * Second})
+			events = append(events,
+				Event{Kind: Arrival, Message: lastMessage, Destination: dest, TimeLeft: 3600 * Second})
 		}
 	}
 	tries := map[MessageID]int{}
@@ -31,7 +32,8 @@
 			if action.Kind != Send {
 				continue
 			}
-			ev := Event{Kind: Outcome, Message: action.Message, Attempt: tries[action.Message], Result: Refused, RetryAfter: 3600 * Second}
+			ev := Event{Kind: Outcome, Message: action.Message, Attempt: tries[action.Message],
+				Result: Refused, RetryAfter: 3600 * Second}
 			tries[action.Message]++
 			switch int(action.Endpoint) % 3 {
 			case 1:
@@ -48,9 +50,10 @@
 
 func blockedSettings(n int) Settings {
 	return Settings{
-		Instances: 2, Tick: 5 * Millisecond, Slots: n, MaxOpen: 4 * n, MaxTries: 1000, MayCancel: true, RetryAfter: true,
-		MaxRetryAfter: 3600 * Second, ConnIdle: 5 * Second, ConnectTimeout: Second, StreamsPerConn: 1, ColdFrom: 0.2,
-		WarmUp: 10 * Second, TipMultiple: 2, OverloadFor: 2 * Second, SettleAfterDoubt: Second, OverShare: 0.05,
+		Instances: 2, Tick: 5 * Millisecond, Slots: n, MaxOpen: 4 * n, MaxTries: 1000, MayCancel: true,
+		RetryAfter: true, MaxRetryAfter: 3600 * Second, ConnIdle: 5 * Second, ConnectTimeout: Second,
+		StreamsPerConn: 1, ColdFrom: 0.2, WarmUp: 10 * Second, TipMultiple: 2, OverloadFor: 2 * Second,
+		SettleAfterDoubt: Second, OverShare: 0.05,
 		ReportLeft: -1, ReportLimit: -1,
 		Classes: []Class{{Name: "a", Aim: 3600 * Second, Deadline: 3600 * Second, Worth: 1, LateWorth: 0.5}},
 	}
--- a/control/export_test.go
+++ b/control/export_test.go
@@ -12,12 +12,15 @@
 		if dest.callsOut > 0 && d.destinationUnhealthy(dest) {
 			unhealthyCalls += dest.callsOut
 		}
-		if active := dest.queued > 0 || dest.callsOut > 0; active != (dest.heapPositions[activeHeap] > 0) || active && d.active.entries[dest.heapPositions[activeHeap]-1].key != dest.virtualTime {
-			return fmt.Errorf("destination %d: active is %v, position by turn %d", dest.number, active, dest.heapPositions[activeHeap])
+		if active := dest.queued > 0 || dest.callsOut > 0; active != (dest.heapPositions[activeHeap] > 0) ||
+			active && d.active.entries[dest.heapPositions[activeHeap]-1].key != dest.virtualTime {
+			return fmt.Errorf("destination %d: active is %v, position by turn %d",
+				dest.number, active, dest.heapPositions[activeHeap])
 		}
 		pending := dest.wakePending || dest.state != stateIdle
 		if dest.queued > 0 && !pending || dest.queued == 0 && dest.state != stateIdle {
-			return fmt.Errorf("destination %d: %d queued, state %d, woken %v", dest.number, dest.queued, dest.state, dest.wakePending)
+			return fmt.Errorf("destination %d: %d queued, state %d, woken %v",
+				dest.number, dest.queued, dest.state, dest.wakePending)
 		}
 		if dest.callsOut > 0 {
 			normal, shortage := d.nextScan(dest)
@@ -25,12 +28,14 @@
 				at   Time
 				list *destinationHeap[Time]
 			}{{normal, &d.normalScans}, {shortage, &d.shortageScans}} {
-				if at := dest.heapPositions[scan.list.index]; scan.at < never && (at == 0 || scan.list.entries[at-1].key > max(scan.at, d.now)) {
-					return fmt.Errorf("destination %d is scanned too late for %d", dest.number, scan.at)
+				if at := dest.heapPositions[scan.list.index]; scan.at < never &&
+					(at == 0 || scan.list.entries[at-1].key > max(scan.at, d.now)) {
+					return fmt.Errorf("destination %d has a timeout scan later than %d", dest.number, scan.at)
 				}
 			}
 		}
-		if dest.state == stateAsleep && dest.windowSlowStart && dest.endedCalls == 0 && dest.windowList != d.listNumber && dest.window < d.fairWindow {
+		if dest.state == stateAsleep && dest.windowSlowStart && dest.endedCalls == 0 &&
+			dest.windowList != d.listNumber && dest.window < d.fairWindow {
 			return fmt.Errorf("destination %d sleeps with the window of an earlier list", dest.number)
 		}
 	}
@@ -57,7 +62,8 @@
 				return fmt.Errorf("heap %d is not in order at %d", heap.index, i)
 			}
 		}
-		if slices.ContainsFunc(heap.entries[len(heap.entries):cap(heap.entries)], func(entry heapEntry[K]) bool { return entry.destination != nil }) {
+		if slices.ContainsFunc(heap.entries[len(heap.entries):cap(heap.entries)],
+			func(entry heapEntry[K]) bool { return entry.destination != nil }) {
 			return fmt.Errorf("heap %d keeps a destination that was removed", heap.index)
 		}
 		return nil
@@ -67,13 +73,16 @@
 // WakeAll makes the next Step evaluate all destinations that sleep.
 func (d *Dispatcher) WakeAll() { d.wakeAll() }
 
-// Sizes returns the lengths of the dispatcher's lists and maps by name.
+// Sizes returns the lengths of the dispatcher's lists, maps and heaps by the names of their fields.
 func (d *Dispatcher) Sizes() map[string]int {
 	return map[string]int{
-		"messages": len(d.messages), "keys": len(d.keys), "resting": len(d.idleKeys), "destinations": len(d.destinationByNumber),
-		"all": len(d.destinations), "endpoints": len(d.endpointByID), "leaving": len(d.leaving), "away": len(d.removed), "bare": len(d.withoutEndpoints),
-		"turns": len(d.active.entries), "ready": len(d.runnable.entries), "wakes": len(d.wakeups.entries),
-		"shut": len(d.waitingForRoom.entries), "calm": len(d.normalScans.entries), "rushed": len(d.shortageScans.entries), "worths": len(d.byWorth.entries),
-		"valued": len(d.worthExpiry.entries), "roused": len(d.woken),
+		"messages": len(d.messages), "keys": len(d.keys), "idleKeys": len(d.idleKeys),
+		"destinationByNumber": len(d.destinationByNumber), "destinations": len(d.destinations),
+		"endpointByID": len(d.endpointByID), "leaving": len(d.leaving), "removed": len(d.removed),
+		"withoutEndpoints": len(d.withoutEndpoints), "active": len(d.active.entries),
+		"runnable": len(d.runnable.entries), "wakeups": len(d.wakeups.entries),
+		"waitingForRoom": len(d.waitingForRoom.entries), "normalScans": len(d.normalScans.entries),
+		"shortageScans": len(d.shortageScans.entries), "byWorth": len(d.byWorth.entries),
+		"worthExpiry": len(d.worthExpiry.entries), "woken": len(d.woken),
 	}
 }
--- a/control/fleet_size_test.go
+++ b/control/fleet_size_test.go
@@ -6,8 +6,9 @@
 	. "curlewmux/control"
 )
 
-// One tenant sends half of the messages that arrive here and has a third of all quotas. A single dispatcher serves the whole
-// of each quota, one of ten serves a tenth. With ten the tenant is over its quota, and its messages are shed first.
+// One tenant sends half of the messages that arrive here and has a third of all quotas. A single dispatcher serves
+// the whole of each quota, one of ten serves a tenth. With ten the tenant is over its quota, and its messages are
+// shed first.
 func TestFleetSizeChangesQuotaShares(t *testing.T) {
 	t.Parallel()
 	shedMessages := func(instances int) (over, within int) {
@@ -29,7 +30,8 @@
 			now += 25 * Millisecond
 			id := MessageID(i + 1)
 			tenantOf[id] = i % 2
-			for _, action := range d.Step(now, []Event{{Kind: Arrival, Message: id, Tenant: i % 2, TimeLeft: 100 * Second}}, nil) {
+			for _, action := range d.Step(now,
+				[]Event{{Kind: Arrival, Message: id, Tenant: i % 2, TimeLeft: 100 * Second}}, nil) {
 				if action.Kind == Refuse || action.Kind == Fail {
 					if tenantOf[action.Message] == 0 {
 						over++
@@ -44,18 +46,20 @@
 	if over, within := shedMessages(1); over > within+10 || within > over+10 {
 		t.Errorf("single dispatcher: %d messages of the one tenant and %d of the other are shed", over, within)
 	}
-	if over, within := shedMessages(10); over < within+30 { // there is room for 60 messages, in the end nearly all of the other tenant
+	// There is room for 60 messages. At the end nearly all of these are the other tenant's.
+	if over, within := shedMessages(10); over < within+30 {
 		t.Errorf("one of ten: %d messages of the greedy tenant and %d of the other are shed", over, within)
 	}
 }
 
-// A change of the number of dispatchers must not change the rate of calls to partners: the same number of messages is sent in
-// each Step as without it.
+// A change of the number of dispatchers must not change the rate of calls to partners. Each Step sends as many
+// messages as without the change.
 func TestFleetSizeChangeSendsNoBurst(t *testing.T) {
 	t.Parallel()
 	messagesPerStep := func(change func(i int) []Event) (counts []int) {
 		set := Settings{
-			Instances: 4, Tick: 5 * Millisecond, OverShare: 0.05, ReportLeft: -1, ReportLimit: -1, Weights: WeightNominal,
+			Instances: 4, Tick: 5 * Millisecond, OverShare: 0.05, ReportLeft: -1, ReportLimit: -1,
+			Weights: WeightNominal,
 			Classes: []Class{{Name: "a", Aim: 60 * Second, Deadline: 120 * Second, Worth: 1}},
 			Slots:   16, MaxOpen: 1000, MaxTries: 3, ConnIdle: 5 * Second, RetryAfter: true, MaxRetryAfter: Second,
 		}
@@ -90,7 +94,8 @@
 	})
 	for i := range unchanged {
 		if unchanged[i] != changed[i] {
-			t.Fatalf("Step %d sends %d messages, but %d when the number of dispatchers changes", i, unchanged[i], changed[i])
+			t.Fatalf("Step %d sends %d messages, but %d when the number of dispatchers changes",
+				i, unchanged[i], changed[i])
 		}
 	}
 }
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -18,8 +18,8 @@
 	return harnesses
 }
 
-// Each of many dispatchers has one queued message and saw two failed connections. Together their trial calls must stay below
-// their demand, instead of one each at the same time.
+// Each of many dispatchers has one queued message and saw two failed connections. Together their trial calls must
+// stay below their demand, instead of one each at the same time.
 func TestTrialCallsOfAFleetStayBelowItsDemand(t *testing.T) {
 	const size = 60
 	sends := 0
@@ -39,21 +39,22 @@
 	}
 }
 
-// An outage usually affects all endpoints of a destination. The failure of a second endpoint confirms it, and neither is
-// called again at once.
+// An outage usually affects all endpoints of a destination. The failure of a second endpoint confirms it, and neither
+// is called again at once.
 func TestSecondFailingEndpointConfirmsOutage(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(1, 1, 0))
 	r.advance(20 * second)
 	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
 	r.wantSent(r.step(second/50, outcomeOf(1, 0, ConnectFailed)), 1)
 	r.wantSent(r.step(second/50, outcomeOf(1, 1, ConnectFailed)))
-	if first, second := r.d.endpointByID[endpointID(1, 0)], r.d.endpointByID[endpointID(1, 1)]; !r.d.outageConfirmed(first) || !r.d.outageConfirmed(second) {
+	if first, second := r.d.endpointByID[endpointID(1, 0)],
+		r.d.endpointByID[endpointID(1, 1)]; !r.d.outageConfirmed(first) || !r.d.outageConfirmed(second) {
 		t.Error("two endpoints of one destination failed, but the outage is not confirmed")
 	}
 }
 
-// Refused calls may count against a destination's rate limit. Retries of many dispatchers must not use up that limit for
-// good, so each keeps them within its own demand.
+// Refused calls may count against a destination's rate limit. Retries of many dispatchers must not use up that limit
+// for good, so each keeps them within its own demand.
 func TestRetriesAfterRefusalsStayWithinTheDemand(t *testing.T) {
 	const size = 50
 	sends := 0
@@ -94,7 +95,8 @@
 	}
 }
 
-// A lost response is no outage: the next call is made at once and without a ramp, and the response timeout becomes shorter.
+// A lost response is no outage: the next call is made at once and without a ramp, and the response timeout becomes
+// shorter.
 func TestLostResponsesShortenTheTimeout(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	for range 20 {
@@ -110,7 +112,7 @@
 		r.step(second/10, outcomeOf(r.lastID, 0, OK))
 		r.step(0, outcomeOf(lost, 0, Cancelled))
 		if ep := r.d.endpointByID[endpointID(1, 0)]; ep.suspect || r.d.cold(ep, r.now) {
-			t.Fatalf("suspect %v, cold since %v after one lost answer", ep.suspect, ep.rampStart)
+			t.Fatalf("suspect %v, cold since %v after one lost response", ep.suspect, ep.rampStart)
 		}
 	}
 	if after := r.d.responseTimeout(r.d.destinationByNumber[1]); r.d.lostShare < 0.2 || after >= before {
@@ -118,8 +120,8 @@
 	}
 }
 
-// A client whose message is refused retries at another dispatcher, which may not have noticed the rate limit yet if traffic
-// is rare. Shed messages are then failed instead.
+// A client whose message is refused retries at another dispatcher, which may not have noticed the rate limit yet if
+// traffic is rare. Shed messages are then failed instead.
 func TestShedMessagesFailUnderARateLimitWithRareTraffic(t *testing.T) {
 	for _, c := range []struct {
 		allow float64
@@ -169,7 +171,8 @@
 	t.Error("a message for a healthy destination waits for a slot that an unresponsive one holds")
 }
 
-// State that is no longer needed is removed: replaced endpoints, unlisted destinations, order keys whose wait has ended.
+// State that is no longer needed is removed: replaced endpoints, unlisted destinations, order keys whose wait has
+// ended.
 func TestStateDoesNotGrow(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	for i := range 200 {
@@ -190,14 +193,16 @@
 	}
 	r.advance(2 * cleanupInterval)
 	d := r.d
-	if len(d.endpointByID) > 2 || len(d.destinationByNumber) > 2 || len(d.destinations) > 2 || len(d.messages) > 0 || len(d.keys) > 0 || len(d.idleKeys) > 0 {
+	if len(d.endpointByID) > 2 || len(d.destinationByNumber) > 2 || len(d.destinations) > 2 ||
+		len(d.messages) > 0 || len(d.keys) > 0 || len(d.idleKeys) > 0 {
 		t.Errorf("left: %d endpoints, %d/%d destinations, %d messages, %d/%d keys",
-			len(d.endpointByID), len(d.destinationByNumber), len(d.destinations), len(d.messages), len(d.keys), len(d.idleKeys))
+			len(d.endpointByID), len(d.destinationByNumber), len(d.destinations), len(d.messages), len(d.keys),
+			len(d.idleKeys))
 	}
 }
 
-// An order key keeps its wait after all its messages have ended, so that later messages with it wait too. A told wait stays
-// in force when its endpoint is replaced.
+// An order key keeps its wait after all its messages have ended, so that later messages with it wait too. A told wait
+// stays in force when its endpoint is replaced.
 func TestKeyAndToldWaitOutliveMessagesAndEndpoints(t *testing.T) {
 	set := testSettings()
 	set.SettleAfterDoubt = 30 * second
@@ -209,7 +214,7 @@
 	next.TimeLeft = 40 * second
 	r.wantSent(append(r.step(0, next), r.advance(9*second)...))
 	if got := sentMessages(r.advance(2 * second)); len(got) != 1 {
-		t.Errorf("after the rest sent %v", got)
+		t.Errorf("after the wait of the order key sent %v", got)
 	}
 	r.step(0, outcomeOf(2, 0, OK))
 	r.wantSent(r.step(second, r.arrival(freeClass, 1)), 3)
@@ -217,7 +222,8 @@
 	gone.Health = Gone
 	r.step(second/10, refusal(3, 0, 60*second), Event{Kind: List, Entries: []Entry{gone}})
 	r.advance(30 * second)
-	r.wantSent(append(r.step(0, Event{Kind: List, Entries: []Entry{listEntry(1, 1, 0)}}, r.arrival(freeClass, 1)), r.advance(10*second)...))
+	r.wantSent(append(r.step(0, Event{Kind: List, Entries: []Entry{listEntry(1, 1, 0)}}, r.arrival(freeClass, 1)),
+		r.advance(10*second)...))
 }
 
 func TestNotesAreRateLimited(t *testing.T) {
@@ -237,8 +243,8 @@
 	}
 }
 
-// An outage is remembered when the endpoint that showed it leaves the list. When it was forgotten, hundreds of dispatchers
-// called the next endpoint at the same moment.
+// An outage is remembered when the endpoint that showed it leaves the list. When it was forgotten, hundreds of
+// dispatchers called the next endpoint at the same moment.
 func TestOutageIsRememberedWhenItsEndpointLeaves(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(1, 1, 0))
 	r.advance(20 * second)
@@ -269,7 +275,8 @@
 	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
 	r.step(second/10, refusal(1, 0, 0))
 	limit := r.d.destinationByNumber[1].limit
-	if r.advance(5 * second); limit.tokens.Level(r.now) != limit.tokens.Level(r.now) || limit.waitUntil > r.now+maxBackoff {
+	if r.advance(5 * second); limit.tokens.Level(r.now) != limit.tokens.Level(r.now) ||
+		limit.waitUntil > r.now+maxBackoff {
 		t.Errorf("tokens %v, wait until %v at %v", limit.tokens.Level(r.now), limit.waitUntil, r.now)
 	}
 	if d := r.d; !(d.minAim > 0) {
--- a/control/lane.go
+++ b/control/lane.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// messageQueue is a queue of messages in order of arrival. Most messages are added at the end, removed at the front, or put back
-// near the front. Insertions and removals move the shorter part of the queue, so that they cost no more in a queue of
-// 100 000 messages than in a short one.
+// messageQueue is a queue of messages in order of arrival. Most messages are added at the end, removed at the front, or
+// put back near the front. Insertions and removals move the shorter part of the queue, so that these cost no more in a
+// queue of 100 000 messages than in a short one.
 type messageQueue struct {
 	messages []*message
 	head     int // number of unused elements before the first message
 }
 
-// keptCapacity is the capacity up to which an empty queue keeps its memory, in messages.
+// keptCapacity is the largest capacity, in messages, that a queue keeps when it becomes empty.
 const keptCapacity = 16
 
 // all returns the messages, the oldest first.
@@ -23,7 +23,8 @@
 
 // find returns the position of the first message that did not arrive before the given arrival number.
 func (q *messageQueue) find(arrivalNumber uint64) int {
-	position, _ := slices.BinarySearchFunc(q.all(), arrivalNumber, func(msg *message, number uint64) int { return cmp.Compare(msg.arrivalNumber, number) })
+	position, _ := slices.BinarySearchFunc(q.all(), arrivalNumber,
+		func(msg *message, number uint64) int { return cmp.Compare(msg.arrivalNumber, number) })
 	return position
 }
 
--- a/control/lookout.go
+++ b/control/lookout.go
@@ -6,13 +6,12 @@
 	"slices"
 )
 
-// This file schedules the timeout scans of the calls that are out, and finds the destination with the message that is
-// worth least. It makes no decision: it only leaves out destinations that checkCalls would not change, or that shed would
-// not choose.
+// This file schedules the timeout scans of the calls that are out, and finds the queued message that is worth least. It
+// makes no decision. It only leaves out destinations that checkCalls would not change, or that shed would not choose.
 
-// timeoutScan schedules for each destination with calls out the next time at which checkCalls may have something to do. The
-// times are computed with a response timeout that is never longer than the actual one. When the actual one becomes shorter
-// than planned, all destinations are scanned and scheduled again.
+// timeoutScan schedules, for each destination with calls out, the next time at which checkCalls may have something to
+// do. The times are computed with a planned response timeout that is never longer than the actual one. When the
+// actual one falls below the planned one, all destinations are scanned and scheduled again.
 type timeoutScan struct {
 	normalScans       destinationHeap[Time] // scan times while no message waits for a slot
 	shortageScans     destinationHeap[Time] // scan times while messages wait for slots, when timeouts are shorter
@@ -24,9 +23,9 @@
 // Margins of the plan. They make it rarely necessary to compute it again, and change no decision.
 const (
 	lossMargin    = 2.5  // the plan assumes this many times the current share of lost responses
-	lossSlack     = 6    // it is renewed when the share falls below the assumed one by this factor
-	timeoutMargin = 0.9  // the plan assumes this part of the current response timeout
-	timeoutSlack  = 1.25 // it is renewed when the timeout exceeds the assumed one by this factor
+	lossSlack     = 6    // the plan is renewed when the share falls below the assumed one by this factor
+	timeoutMargin = 0.9  // the plan assumes this share of the current response timeout
+	timeoutSlack  = 1.25 // the plan is renewed when the timeout exceeds the assumed one by this factor
 )
 
 func newTimeoutScan() timeoutScan {
@@ -65,8 +64,8 @@
 	clear(d.dueScans)
 }
 
-// scanAll makes all destinations with calls out due that became active after a given one. The others, and those that are too
-// many for one Step, are due in the next round.
+// scanAll puts the destinations with calls out that became active after the given one into dueScans. The other ones
+// with calls out, and those beyond maxScansPerStep, are scheduled for the next round.
 func (d *Dispatcher) scanAll(after uint64) {
 	d.dueScans = d.dueScans[:0]
 	for i := range d.active.entries {
@@ -87,7 +86,7 @@
 	}
 }
 
-// scheduleScan schedules a scan of a destination for a time, unless one is scheduled sooner.
+// scheduleScan schedules a scan of a destination for the given time, unless an earlier one is scheduled.
 func (d *Dispatcher) scheduleScan(dest *destination, at Time) {
 	if dest.callsOut == 0 {
 		d.normalScans.remove(dest)
@@ -109,13 +108,14 @@
 	}
 }
 
-// nextScan returns the times before which checkCalls has nothing to do at a destination if no event comes: one for the case that
-// no message waits for a slot, and one for the case that messages do.
+// nextScan returns the times before which checkCalls has nothing to do at a destination if no event comes: normal holds
+// while no message waits for a slot, shortage while messages wait for slots.
 func (d *Dispatcher) nextScan(dest *destination) (normal, shortage Time) {
 	normal, shortage = never, never
 	timeout := dest.kind.timeoutFloor
 	if dest.latencyStats.samples > 0 {
-		timeout = timeoutFor(dest.latencyStats.mean, dest.latencyStats.deviation, d.timeoutScan.plannedDeviations, dest.latencyStats.samples)
+		timeout = timeoutFor(dest.latencyStats.mean, dest.latencyStats.deviation,
+			d.timeoutScan.plannedDeviations, dest.latencyStats.samples)
 	}
 	timeoutsAfter := func(c *call, timeouts float64) Time { return c.sentAt + Time(float64(timeout)*timeouts) }
 	lossReduction := min(1, failuresPerLostShare*d.plannedLoss)
@@ -124,7 +124,8 @@
 			continue
 		}
 		// For a suspect endpoint an older call may still show that it went down earlier.
-		if oldest := ep.calls[0]; !ep.suspect || oldest.sentAt >= ep.lastFailureAt || max(oldest.sentAt, ep.lastResponseAt) < ep.downSince {
+		if oldest := ep.calls[0]; !ep.suspect || oldest.sentAt >= ep.lastFailureAt ||
+			max(oldest.sentAt, ep.lastResponseAt) < ep.downSince {
 			at := max(oldest.sentAt, ep.lastResponseAt) + timeout
 			normal, shortage = min(normal, at), min(shortage, at)
 		}
@@ -141,14 +142,15 @@
 			if call.unrepeatable(d.settings.MaxTries) {
 				shortage = min(shortage, timeoutsAfter(call, shortageTimeouts*(stuckTimeouts-lossReduction)))
 			} else {
-				normal, shortage = min(normal, timeoutsAfter(call, timeouts)), min(shortage, timeoutsAfter(call, shortageTimeouts))
+				normal, shortage = min(normal, timeoutsAfter(call, timeouts)),
+					min(shortage, timeoutsAfter(call, shortageTimeouts))
 			}
 		}
 	}
 	return normal, shortage
 }
 
-// replanTimeouts updates the plan, and reports whether response timeouts may have become shorter than it assumed.
+// replanTimeouts updates the plan, and reports whether response timeouts may have become shorter than the plan assumed.
 func (d *Dispatcher) replanTimeouts() (shorter bool) {
 	if d.lostShare > d.plannedLoss || d.lostShare < d.plannedLoss/lossSlack {
 		shorter = d.lostShare > d.plannedLoss
@@ -157,7 +159,8 @@
 	}
 	for _, kind := range d.kinds {
 		mean, deviation := kind.latency()
-		if timeout := timeoutFor(mean, deviation, d.timeoutScan.plannedDeviations, 0); timeout < kind.timeoutFloor || float64(timeout) > timeoutSlack*float64(kind.timeoutFloor) {
+		if timeout := timeoutFor(mean, deviation, d.timeoutScan.plannedDeviations, 0); timeout < kind.timeoutFloor ||
+			float64(timeout) > timeoutSlack*float64(kind.timeoutFloor) {
 			shorter = shorter || timeout < kind.timeoutFloor
 			kind.timeoutFloor = max(minResponseTimeout, Time(float64(timeout)*timeoutMargin))
 		}
@@ -165,13 +168,13 @@
 	return shorter
 }
 
-// worthIndex orders the destinations with queued messages by a lower bound of what their least valuable message is worth.
-// The bound holds for a while, so only the first destinations have to be evaluated to find the least valuable message.
+// worthIndex orders the destinations with queued messages by a lower bound of what their least valuable message is
+// worth. The bound holds for a while, so only the first destinations have to be evaluated to find that message.
 type worthIndex struct {
 	byWorth     destinationHeap[float64] // by lower bound
 	worthExpiry destinationHeap[Time]    // by the time until which the bound holds
-	examined    []heapEntry[float64]     // entries that a search has taken out of byWorth, to be put back
-	shedding    bool                     // the heaps are kept up to date: messages were shed not long ago
+	examined    []heapEntry[float64]     // entries that a search has taken out of byWorth and puts back at its end
+	shedding    bool                     // the heaps are kept up to date, as messages were shed not long ago
 	lastShedAt  Time                     // time of the last search
 }
 
@@ -198,7 +201,8 @@
 	}
 }
 
-// leastWorthMessage returns the message that is worth least, the first one if several are worth the same, or nil if none may be shed.
+// leastWorthMessage returns the message that is worth least, the first one if several are worth the same, or nil if
+// none may be shed.
 func (d *Dispatcher) leastWorthMessage() *message {
 	if d.lastShedAt = d.now; !d.shedding {
 		d.shedding = true
@@ -211,9 +215,10 @@
 		if dest == nil {
 			break
 		}
-		until := d.now + worthValidFor/2 + Time(dest.activation%64)*worthValidFor/128 // spread, so that not all expire at the same time
+		// The bounds expire at different times, so that they are not all computed again in one round.
+		until := d.now + worthValidFor/2 + Time(dest.activation%64)*worthValidFor/128
 		_, worthNow := d.leastValuable(dest, d.now)
-		_, worthThen := d.leastValuable(dest, until) // between the two times it is at least the lesser of the two
+		_, worthThen := d.leastValuable(dest, until) // in between it is worth at least the lesser of the two
 		d.byWorth.set(dest, min(worthNow, worthThen), dest.activation)
 		d.worthExpiry.set(dest, until, dest.activation)
 	}
@@ -226,7 +231,8 @@
 			dest.leastWorthRound = d.round
 			dest.leastWorthMessage, dest.leastWorth = d.leastValuable(dest, d.now)
 		}
-		if candidate := (heapEntry[float64]{dest.leastWorth, dest.activation, dest}); dest.leastWorthMessage != nil && candidate.less(&least) {
+		if candidate := (heapEntry[float64]{dest.leastWorth, dest.activation, dest}); dest.leastWorthMessage != nil &&
+			candidate.less(&least) {
 			worst, least = dest.leastWorthMessage, candidate
 		}
 		d.byWorth.remove(dest)
--- a/control/pause_test.go
+++ b/control/pause_test.go
@@ -40,7 +40,8 @@
 func TestUnsentDoesNotCountAsAttempt(t *testing.T) {
 	for _, class := range []int{freeClass, guardedClass, singleShotClass} {
 		set, one, two := testSettings(), listEntry(1, 0, 0), listEntry(2, 0, 1)
-		set.Weights, one.Weight, two.Weight = WeightNominal, 1, 1 // a call a second: each Unsent has to return its token
+		// At one call a second, each Unsent has to return its token.
+		set.Weights, one.Weight, two.Weight = WeightNominal, 1, 1
 		r := newHarness(t, set, one, two)
 		var batch []Event
 		for range 3 {
@@ -65,7 +66,8 @@
 			acts = r.step(5*Millisecond, pauseEvent(false))
 		}
 		for _, ep := range r.d.endpointByID {
-			if ep.suspect || ep.failureStreak > 0 || ep.limit.refusalStreak > 0 || ep.limit.allowedShare != unlimitedShare || ep.destination.endedCalls > 0 {
+			if ep.suspect || ep.failureStreak > 0 || ep.limit.refusalStreak > 0 ||
+				ep.limit.allowedShare != unlimitedShare || ep.destination.endedCalls > 0 {
 				t.Errorf("class %d: statistics were changed: %+v %+v", class, ep, ep.limit)
 			}
 		}
--- a/control/resent_test.go
+++ b/control/resent_test.go
@@ -2,13 +2,15 @@
 
 import "testing"
 
+// resentArrival returns the arrival of an undelivered message that is sent again.
 func (r *harness) resentArrival(class, dest int) Event {
 	event := r.arrival(class, dest)
 	event.Resent = true
 	return event
 }
 
-// makeSuspectByTimeout lets an endpoint answer 20 calls and then leave one without a response, until the endpoint is suspect.
+// makeSuspectByTimeout lets an endpoint respond to 20 calls and leave the next one without a response, until the
+// endpoint is suspect.
 func (r *harness) makeSuspectByTimeout(dest int) {
 	for range 20 {
 		r.step(second/10, r.arrival(freeClass, dest))
@@ -44,8 +46,8 @@
 	}
 }
 
-// SingleShot messages are not used as trial calls, but a resent one is: with no other messages nothing would ever show that
-// the endpoint is back.
+// SingleShot messages are not used as trial calls, but a resent one is: with no other messages nothing would ever
+// show that the endpoint is back.
 func TestResentMessageMayBeATrialCall(t *testing.T) {
 	for _, resent := range []bool{false, true} {
 		r := newHarness(t, testSettings(), listEntry(1, 0, 0))
--- a/control/restored_test.go
+++ b/control/restored_test.go
@@ -45,8 +45,8 @@
 	r.wantAction(r.step(second, outcomeOf(event.Message, 5, Errored)), Refuse, event.Message)
 }
 
-// Restored messages all arrive at once. They must count as demand at the rate at which they were submitted, as ramps and
-// trial calls are sized by the demand.
+// Restored messages all arrive at once. They must count as demand at the rate at which they were submitted, as ramps
+// and trial calls are sized by the demand.
 func TestRestoredMessagesCountAsDemandAtTheirOriginalRate(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	var events []Event
--- a/control/rounds.go
+++ b/control/rounds.go
@@ -7,12 +7,15 @@
 	"curlewmux/pace"
 )
 
-// This file selects the destinations that a round evaluates. A destination that cannot send sleeps until something that
-// matters to it may have changed: an event of its own, a time that can be computed in advance (the end of a wait, the next
-// trial call, the next call that its rate limit or ramp permits), or free calls in the share of unhealthy destinations.
+// This file selects the destinations that a round evaluates. A destination that cannot send sleeps until one of these:
 //
-// It makes no decision. An evaluation that is left out would have sent nothing, and an evaluation has no side effects, so
-// the actions do not depend on how many there are.
+//   - an event that concerns it;
+//   - a time that can be computed in advance (the end of a wait, the next trial call, the next call that its rate limit
+//     or ramp permits);
+//   - unhealthy destinations have fewer calls out than they may have together, and it is one of them.
+//
+// This file makes no decision. An evaluation that is left out would have sent nothing, and evaluations have no side
+// effects, so the actions do not depend on how many there are.
 
 // never is later than any time.
 const never = pace.Never
@@ -41,29 +44,31 @@
 
 // turnBefore reports whether the turn of a destination is before that of another.
 func (dest *destination) turnBefore(other *destination) bool {
-	return dest.virtualTime < other.virtualTime || dest.virtualTime == other.virtualTime && dest.activation < other.activation
+	return dest.virtualTime < other.virtualTime ||
+		dest.virtualTime == other.virtualTime && dest.activation < other.activation
 }
 
 // rounds holds the active destinations (those with messages queued or calls out), by what they wait for.
 type rounds struct {
 	active         destinationHeap[float64] // all active destinations, by turn
 	runnable       destinationHeap[float64] // those that may be able to send
-	waitingForRoom destinationHeap[float64] // sleeping ones that wait for free calls in the share of unhealthy destinations
+	waitingForRoom destinationHeap[float64] // sleeping ones that wait until unhealthy destinations have fewer calls out
 	wakeups        destinationHeap[Time]    // sleeping ones that wake at a known time
-	woken          []*destination           // woken, but not in runnable yet
-	emptied        []*destination           // without messages queued or calls out since the last round
+	woken          []*destination           // those that were woken and are not in runnable yet
+	emptied        []*destination           // those left without messages and calls since the last round
 	lastActivation uint64                   // number of the destination that became active last
 	unhealthyCalls int                      // calls out to unhealthy destinations, which fail or are slow
-	lossLevel      int                      // additional failures that confirm an outage because responses get lost
+	lossLevel      int                      // failures needed on top to confirm an outage, as responses get lost
 }
 
 func newRounds() rounds {
 	r := rounds{}
-	r.active.index, r.runnable.index, r.waitingForRoom.index, r.wakeups.index = activeHeap, runnableHeap, roomHeap, wakeupHeap
+	r.active.index, r.runnable.index, r.waitingForRoom.index, r.wakeups.index =
+		activeHeap, runnableHeap, roomHeap, wakeupHeap
 	return r
 }
 
-// updateHeaps updates the heaps after a change of a destination's messages, calls or turn.
+// updateHeaps updates the heaps after a destination's messages, calls or turn have changed.
 func (d *Dispatcher) updateHeaps(dest *destination) {
 	d.updateRates(dest)
 	d.invalidateWorth(dest)
@@ -85,8 +90,8 @@
 	}
 }
 
-// leastVirtualTime returns the turn of the first of the other active destinations, 0 if there are none. If t is
-// first itself, the next one is a child of it in the heap.
+// leastVirtualTime returns the least virtual time of the other active destinations, 0 if there are none. If the given
+// destination is the root of the heap, the least of the others is one of the root's children.
 func (d *Dispatcher) leastVirtualTime(dest *destination) float64 {
 	entries := d.active.entries
 	if len(entries) > 0 && entries[0].destination != dest {
@@ -146,7 +151,7 @@
 	}
 }
 
-// beginRound begins a round: it wakes the destinations whose time has come.
+// beginRound wakes the destinations whose wake-up time has come.
 func (d *Dispatcher) beginRound() {
 	for range maxScansPerStep {
 		dest := d.wakeups.popDue(d.now)
@@ -180,9 +185,10 @@
 	clear(d.woken[len(kept):])
 	d.woken = kept
 	best := d.runnable.first()
-	if dest := d.waitingForRoom.first(); dest != nil && d.unhealthyCalls < d.maxUnhealthyCalls() && (best == nil || dest.turnBefore(best)) {
+	if dest := d.waitingForRoom.first(); dest != nil && d.unhealthyCalls < d.maxUnhealthyCalls() &&
+		(best == nil || dest.turnBefore(best)) {
 		best = dest
-		d.wakeDestination(dest) // in this round already
+		d.wakeDestination(dest) // it is evaluated in this round
 		dest.state = stateRunnable
 		d.runnable.set(dest, dest.virtualTime, dest.activation)
 	}
@@ -234,9 +240,9 @@
 	}
 }
 
-// unblocksAt returns when to evaluate a destination again of which no message may be sent now: when the wait of an order
-// key ends, when the time in which repeats are dropped ends, or when the oldest message that can still meet its aim no
-// longer can, as another message is considered then.
+// unblocksAt returns when to evaluate a destination again if none of its messages may be sent now. That is when the
+// wait of an order key ends, when the time in which repeats are dropped ends, or when the oldest message that can
+// still meet its aim no longer can, because another message is considered then.
 func (d *Dispatcher) unblocksAt(dest *destination) Time {
 	at := never
 	mean, _ := d.latency(dest)
@@ -255,8 +261,8 @@
 			}
 			if msg.inDoubt && msg.class.Effect == Guarded {
 				at = min(at, msg.doubtSince+msg.class.Window-d.settings.Tick)
-				if msg.class.ZoneGroup && len(dest.endpoints) > 1 { // calls of other messages may change which endpoint is chosen
-					return d.now + 1
+				if msg.class.ZoneGroup && len(dest.endpoints) > 1 {
+					return d.now + 1 // calls of other messages may change which endpoint is chosen
 				}
 			}
 		}
@@ -264,7 +270,7 @@
 	return max(at, d.now+1)
 }
 
-// allRisky reports whether no queued message may be used for this trial call, however late it is.
+// allRisky reports whether no queued message may be used for a trial call to an endpoint, however late the message is.
 func (d *Dispatcher) allRisky(dest *destination, ep *endpoint) bool {
 	for i := range dest.queues {
 		if dest.queues[i].len() > 0 && !d.tooRiskyForTrial(&d.settings.Classes[i/2], ep) {
--- a/control/settings.go
+++ b/control/settings.go
@@ -35,7 +35,8 @@
 	}
 	for i, class := range s.Classes {
 		prefix := fmt.Sprintf("Classes[%d].", i)
-		lowerBounds = append(lowerBounds, lowerBound{prefix + "Window", float64(class.Window), 0}, lowerBound{prefix + "Aim", float64(class.Aim), 0},
+		lowerBounds = append(lowerBounds,
+			lowerBound{prefix + "Window", float64(class.Window), 0}, lowerBound{prefix + "Aim", float64(class.Aim), 0},
 			lowerBound{prefix + "Deadline", float64(class.Deadline), 0}, lowerBound{prefix + "Worth", class.Worth, 0},
 			lowerBound{prefix + "LateWorth", class.LateWorth, 0})
 	}
--- a/control/state.go
+++ b/control/state.go
@@ -1,7 +1,7 @@
 package control
 
-// This file holds the state that the decisions in control.go are based on, and keeps it up to date. It makes no decision
-// itself.
+// This file holds the state that the decisions in control.go are based on, and keeps it up to date. It makes no
+// decision itself.
 
 import (
 	"cmp"
@@ -21,16 +21,17 @@
 	key           *orderKey // nil if it has no order key
 	submittedAt   Time      // when it was first submitted
 	deadline      Time      // after which it is no longer delivered
-	arrivalNumber uint64    // number of its arrival, by which queues are ordered
+	arrivalNumber uint64    // number of its arrival; queues are ordered by it
 	overShare     bool      // worth less: its tenant is over its quota, or it is resent
 	queued        bool      // it is in the queue of its destination
 	ended         bool      // it has its final result; an attempt may still be out
-	resent        bool      // an undelivered message sent again; may serve as a trial call whatever its class, as nothing else may come
-	tries         int
-	call          *call // the call that carries its current attempt, nil if none is out
-	inDoubt       bool  // an attempt may have run
-	doubtSince    Time  // send time of the first attempt that may have run
-	doubtZone     int   // zone that this attempt was sent to
+	// An undelivered message that is sent again. It may be a trial call whatever its class, as nothing else may come.
+	resent     bool
+	tries      int
+	call       *call // the call that carries its current attempt, nil if none is out
+	inDoubt    bool  // an attempt may have run
+	doubtSince Time  // send time of the first attempt that may have run
+	doubtZone  int   // zone that this attempt was sent to
 }
 
 // call is one call that is out and holds a slot. It carries one message, or a batch of messages sent in one round.
@@ -40,7 +41,7 @@
 	messages        []*message
 	unsettled       int  // messages that have no outcome yet
 	trial           bool // a trial call to a suspect endpoint
-	cancelRequested bool // it was asked to be cancelled
+	cancelRequested bool // a Cancel action was returned for it
 	learned         bool // one of its outcomes was used to update the statistics
 	wellBelowLimit  bool // sent at well below the rate that the destination accepted, see rateLimit.wellBelowShare
 	connIdle        Time // how long its connection had been idle, 0 if that is new or in use
@@ -55,8 +56,8 @@
 	cleanupPending bool       // in the list of keys without messages that cleanUp removes later
 }
 
-// blockedByKey reports whether a message has to wait because an attempt with its key may still be running. A message that was
-// sent before does not wait for an attempt of its own.
+// blockedByKey reports whether a message has to wait because an attempt with its key may still be running. A message
+// that was sent before does not wait for an attempt of its own.
 func (m *message) blockedByKey(now Time) bool {
 	return now < m.key.blockedUntil && (m.tries == 0 || m.key.doubtful != nil && m.key.doubtful != m)
 }
@@ -96,7 +97,7 @@
 	retrySuccess     float64      // share of calls after a refusal that succeeded
 	idleDropShare    float64      // share of calls on idle connections that failed although the next call succeeded
 	connsScarceUntil Time         // destinations are assumed to be short of connections until then
-	timeoutFloor     Time         // lower bound of the response timeout of a destination without samples, used by lookout.go
+	timeoutFloor     Time         // planned response timeout of destinations without samples, see timeoutScan
 }
 
 // latencyStats is a running mean and mean deviation of latencies, in microseconds.
@@ -147,7 +148,7 @@
 	return min(unlimitedShare, limit.allowedShare+limit.shareGrowth*now.Since(limit.shareSince).Seconds())
 }
 
-// destination is a destination: its queues, its turn, its window and what was learned about it.
+// destination holds the queues, turn, window and statistics of one destination.
 type destination struct {
 	// The fields that each scan reads come first, next to each other in memory.
 	state            roundState
@@ -155,7 +156,7 @@
 	active           bool    // it had messages queued or out when that was last checked
 	windowSlowStart  bool    // its window still grows with each success, until a first call fails
 	cleanupPending   bool    // in Dispatcher.withoutEndpoints
-	activation       uint64  // number given each time it becomes active, breaks ties between equal turns
+	activation       uint64  // number given each time it becomes active; breaks ties between equal turns
 	virtualTime      float64 // slot time used so far, divided by its weight; the least has the next turn
 	queued           int     // messages in its queues
 	blockedRound     uint64  // last round that found it unable to send
@@ -170,7 +171,7 @@
 	index            int            // position in the list of all destinations
 	openMessages     int            // messages without a final result
 	weight           float64        // listed weight, 1 if there is none
-	queues           []messageQueue // two for each class, the second for messages worth less (message.overShare); the oldest message first
+	queues           []messageQueue // two for each class; the second is for messages with overShare set
 	callsOut         int            // calls out
 	window           int            // window: most calls out
 	endedCalls       int            // calls that ended since the window was last revised
@@ -183,13 +184,13 @@
 
 	heapPositions     [heapCount]int // position in each heap, counted from 1; 0 if it is not in it
 	unhealthyCalls    int            // its calls that are counted in rounds.unhealthyCalls
-	leastWorthMessage *message       // the message that is worth least, as of leastWorthRound
-	leastWorth        float64        // what it is worth
+	leastWorthMessage *message       // its least valuable message, as of leastWorthRound
+	leastWorth        float64        // the worth of that message
 	leastWorthRound   uint64
 }
 
-// listState holds the endpoints and destinations that may soon be removed, and what depends on the number of destinations
-// listed.
+// listState holds the endpoints and destinations that may soon be removed, and values that depend on the number of
+// destinations listed.
 type listState struct {
 	leaving          []*endpoint    // endpoints listed as gone that their destinations still have
 	withoutEndpoints []*destination // destinations that had no endpoints when last checked
@@ -197,7 +198,7 @@
 	fairWindow       int            // fair share of the slots as of that list
 }
 
-// meter is a rate with exponential decay.
+// meter measures a rate, with exponential decay.
 type meter struct {
 	sum     float64 // sum of what was counted, decayed to the time at
 	at      Time
@@ -228,15 +229,16 @@
 	m.add(now, math.Exp(-float64(age)/float64(m.memory)))
 }
 
-// filledAfter is the number of time constants after which a meter's memory counts as filled: exp(-38) is less than half of
-// the last bit of a float64 near 1.
+// filledAfter is the number of time constants after which a meter's memory counts as filled: exp(-38) is less than half
+// of the last bit of a float64 near 1.
 const filledAfter = 38
 
 // termsAt returns the terms of a time.
 func (m *meter) termsAt(now Time) *terms {
 	cached := &m.terms
 	if cached.now != now || cached.at != m.at || cached.started != m.started || cached.filled == 0 {
-		*cached = terms{now: now, at: m.at, started: m.started, decay: math.Exp(-float64(now-m.at) / float64(m.memory)), filled: 1}
+		*cached = terms{now: now, at: m.at, started: m.started,
+			decay: math.Exp(-float64(now-m.at) / float64(m.memory)), filled: 1}
 		if history := now - m.started + initialMeterHistory; history < filledAfter*m.memory {
 			cached.filled -= math.Exp(-float64(history) / float64(m.memory))
 		}
@@ -296,7 +298,8 @@
 // newRateLimit returns a limit that restricts nothing yet.
 func (d *Dispatcher) newRateLimit() *rateLimit {
 	return &rateLimit{
-		tokens: pace.NewBucket(d.now, 1), allowedShare: unlimitedShare, unlimited: true, randomShare: initialRandomShare, toleratedDeviations: 1,
+		tokens: pace.NewBucket(d.now, 1), allowedShare: unlimitedShare, unlimited: true,
+		randomShare: initialRandomShare, toleratedDeviations: 1,
 		okMeter: d.newCallMeter(), refusedMeter: d.newCallMeter(), endedMeter: d.newCallMeter(),
 	}
 }
@@ -304,7 +307,7 @@
 // compareAim compares the time of a message's aim with another time, for a binary search.
 func compareAim(m *message, at Time) int { return cmp.Compare(m.submittedAt+m.class.Aim, at) }
 
-// worth returns what the message is worth if it is delivered at t.
+// worth returns how much the message is worth if it is delivered at the given time.
 func (d *Dispatcher) worth(msg *message, at Time) float64 {
 	class, worth := msg.class, msg.class.Worth
 	if msg.overShare {
@@ -322,12 +325,13 @@
 	return worth * (1 - (1-class.LateWorth)*float64(late)/float64(max(class.Deadline-class.Aim, 1)))
 }
 
-// maxCleanupsPerStep is the most entries of each sort that cleanUp removes in one Step. The next Step goes on with the rest.
+// maxCleanupsPerStep is the most entries of each sort that cleanUp removes in one Step. The next Step goes on with the
+// rest.
 const maxCleanupsPerStep = 1000
 
 // cleanUp removes state that is no longer needed: endpoints that are gone, unlisted destinations and order keys without
-// messages. What still binds is kept: told waits, endpoints and destinations with calls out, and keys for which an attempt
-// may still be running.
+// messages. It keeps endpoints and destinations with calls out or with a wait that has not ended, and keys for which an
+// attempt may still be running.
 func (d *Dispatcher) cleanUp() {
 	var removed [4]int // removed entries of each sort
 	mayRemove := func(list int) bool {
@@ -353,12 +357,13 @@
 		}
 		return !ep.leaving
 	})
-	// An endpoint that was suspect or cold when it left is still so if it returns soon.
+	// An endpoint that was suspect or cold when it left is still suspect or cold if it returns soon.
 	d.removed = slices.DeleteFunc(d.removed, func(ep *endpoint) bool {
 		if ep.health != Gone { // listed again
 			return true
 		}
-		obsolete := (!d.unhealthy(ep) || d.now-max(ep.lastFailureAt, ep.rampStart) > unseenWarmUps*d.settings.WarmUp) && mayRemove(1)
+		obsolete := (!d.unhealthy(ep) ||
+			d.now-max(ep.lastFailureAt, ep.rampStart) > unseenWarmUps*d.settings.WarmUp) && mayRemove(1)
 		if obsolete {
 			delete(d.endpointByID, ep.id)
 		}
@@ -389,7 +394,7 @@
 	})
 }
 
-// note emits a log line for operators, unless there was one recently.
+// note emits a log line for operators, unless it emitted one recently.
 func (d *Dispatcher) note(dest *destination, text string) {
 	if d.now >= d.nextNoteAt {
 		d.nextNoteAt = d.now + cleanupInterval
@@ -401,7 +406,8 @@
 func (d *Dispatcher) destination(number int) *destination {
 	dest := d.destinationByNumber[number]
 	if dest == nil {
-		dest = &destination{number: number, weight: 1, windowSlowStart: true, queues: make([]messageQueue, 2*len(d.settings.Classes))}
+		dest = &destination{number: number, weight: 1, windowSlowStart: true,
+			queues: make([]messageQueue, 2*len(d.settings.Classes))}
 		dest.kind = d.kinds[0]
 		dest.limit = d.newRateLimit()
 		dest.demand = meter{memory: demandTau, at: d.now, started: d.now}
--- a/control/streams_test.go
+++ b/control/streams_test.go
@@ -12,9 +12,9 @@
 	. "curlewmux/control"
 )
 
-// A stream is a run of a Dispatcher against a simulated platform: clients, endpoint lists and endpoints with all sorts of
-// faults, drawn from a seed. The platform responds to the actions, so the same actions lead to the same events, and a single
-// different action changes everything after it.
+// A stream is a run of a Dispatcher against a simulated platform: clients, endpoint lists and endpoints with all
+// sorts of faults, drawn from a seed. The platform responds to the actions, so the same actions lead to the same
+// events, and a single different action changes everything after it.
 
 // stepper is a decision module, such as a Dispatcher.
 type stepper interface {
@@ -36,7 +36,7 @@
 	wideOutageChance float64 // chance per tick that half of all destinations begin to fail
 	listChangeChance float64 // chance per tick of a change of the endpoint list
 	turnover         bool    // removed endpoints and destinations never return: new ones take their place
-	grow             bool    // the list begins with a third of the destinations; whole destinations are added and removed
+	grow             bool    // begins with a third of the destinations; whole destinations are added and removed
 	start            Time
 	restored         int  // messages of an earlier process
 	invalidEvents    bool // invalid events come in between
@@ -45,37 +45,54 @@
 
 func scenarios() []scenario {
 	return []scenario{
-		{name: "few", seeds: 12, rounds: 3000, destinations: 4, maxEndpoints: 3, rate: 0.12, faultRate: 0.004, listChangeChance: 0.01, invalidEvents: true},
-		{name: "pairs", seeds: 6, rounds: 3000, destinations: 2, maxEndpoints: 2, slots: 2, rate: 0.08, faultRate: 0.005, listChangeChance: 0.002},
-		{name: "site", seeds: 4, rounds: 3000, destinations: 40, maxEndpoints: 3, rate: 1.2, faultRate: 0.03, wideOutageChance: 0.001, listChangeChance: 0.02},
-		{name: "skew", seeds: 3, rounds: 2000, destinations: 30, maxEndpoints: 2, slots: 12, rate: 1.5, skew: 0.7, faultRate: 0.02, listChangeChance: 0.005},
-		{name: "shed", seeds: 4, rounds: 2500, destinations: 25, maxEndpoints: 2, slots: 6, maxOpen: 60, rate: 1.2, faultRate: 0.05, wideOutageChance: 0.002, listChangeChance: 0.01},
-		{name: "wide", seeds: 2, rounds: 1500, destinations: 200, maxEndpoints: 2, slots: 100, maxOpen: 3000, rate: 3, faultRate: 0.1, wideOutageChance: 0.004, listChangeChance: 0.01},
-		{name: "churn", seeds: 2, rounds: 4000, destinations: 20, maxEndpoints: 2, rate: 0.5, faultRate: 0.01, listChangeChance: 0.3, turnover: true},
-		{name: "grow", seeds: 4, rounds: 2500, destinations: 24, maxEndpoints: 2, slots: 30, rate: 1.2, skew: 0.4, faultRate: 0.02, listChangeChance: 0.04, grow: true},
-		{name: "hoard", seeds: 2, rounds: 1500, destinations: 150, maxEndpoints: 2, slots: 10, maxOpen: 400, rate: 0.4, faultRate: 0.3, wideOutageChance: 0.01, listChangeChance: 0.005},
-		{name: "full", seeds: 3, rounds: 2500, destinations: 16, maxEndpoints: 2, slots: 4, maxOpen: 300, rate: 0.8, faultRate: 0.01, listChangeChance: 0.01},
-		{name: "restart", seeds: 4, rounds: 1500, destinations: 10, maxEndpoints: 2, rate: 0.3, faultRate: 0.01, listChangeChance: 0.01, restored: 150},
-		{name: "days", seeds: 2, rounds: 2000, destinations: 10, maxEndpoints: 2, rate: 0.5, faultRate: 0.02, listChangeChance: 0.01, start: 400 * 86400 * Second},
-		{name: "large", seeds: 1, rounds: 600, destinations: 1500, maxEndpoints: 2, slots: 800, maxOpen: 9000, rate: 10, faultRate: 1, wideOutageChance: 0.01, listChangeChance: 0.02, large: true},
+		{name: "few", seeds: 12, rounds: 3000, destinations: 4, maxEndpoints: 3, rate: 0.12, faultRate: 0.004,
+			listChangeChance: 0.01, invalidEvents: true},
+		{name: "pairs", seeds: 6, rounds: 3000, destinations: 2, maxEndpoints: 2, slots: 2, rate: 0.08,
+			faultRate: 0.005, listChangeChance: 0.002},
+		{name: "site", seeds: 4, rounds: 3000, destinations: 40, maxEndpoints: 3, rate: 1.2, faultRate: 0.03,
+			wideOutageChance: 0.001, listChangeChance: 0.02},
+		{name: "skew", seeds: 3, rounds: 2000, destinations: 30, maxEndpoints: 2, slots: 12, rate: 1.5,
+			skew: 0.7, faultRate: 0.02, listChangeChance: 0.005},
+		{name: "shed", seeds: 4, rounds: 2500, destinations: 25, maxEndpoints: 2, slots: 6, maxOpen: 60,
+			rate: 1.2, faultRate: 0.05, wideOutageChance: 0.002, listChangeChance: 0.01},
+		{name: "wide", seeds: 2, rounds: 1500, destinations: 200, maxEndpoints: 2, slots: 100, maxOpen: 3000,
+			rate: 3, faultRate: 0.1, wideOutageChance: 0.004, listChangeChance: 0.01},
+		{name: "churn", seeds: 2, rounds: 4000, destinations: 20, maxEndpoints: 2, rate: 0.5, faultRate: 0.01,
+			listChangeChance: 0.3, turnover: true},
+		{name: "grow", seeds: 4, rounds: 2500, destinations: 24, maxEndpoints: 2, slots: 30, rate: 1.2,
+			skew: 0.4, faultRate: 0.02, listChangeChance: 0.04, grow: true},
+		{name: "hoard", seeds: 2, rounds: 1500, destinations: 150, maxEndpoints: 2, slots: 10, maxOpen: 400,
+			rate: 0.4, faultRate: 0.3, wideOutageChance: 0.01, listChangeChance: 0.005},
+		{name: "full", seeds: 3, rounds: 2500, destinations: 16, maxEndpoints: 2, slots: 4, maxOpen: 300,
+			rate: 0.8, faultRate: 0.01, listChangeChance: 0.01},
+		{name: "restart", seeds: 4, rounds: 1500, destinations: 10, maxEndpoints: 2, rate: 0.3, faultRate: 0.01,
+			listChangeChance: 0.01, restored: 150},
+		{name: "days", seeds: 2, rounds: 2000, destinations: 10, maxEndpoints: 2, rate: 0.5, faultRate: 0.02,
+			listChangeChance: 0.01, start: 400 * 86400 * Second},
+		{name: "large", seeds: 1, rounds: 600, destinations: 1500, maxEndpoints: 2, slots: 800, maxOpen: 9000,
+			rate: 10, faultRate: 1, wideOutageChance: 0.01, listChangeChance: 0.02, large: true},
 	}
 }
 
 // settings draws the settings of a stream, as they change which decisions are made.
 func (s *scenario) settings(rng *rand.Rand) Settings {
 	set := Settings{
-		Instances: 1 + rng.IntN(60), Zone: rng.IntN(2), Tick: Time(5+15*rng.IntN(2)) * Millisecond, Slots: s.slots, MaxOpen: s.maxOpen,
+		Instances: 1 + rng.IntN(60), Zone: rng.IntN(2), Tick: Time(5+15*rng.IntN(2)) * Millisecond,
+		Slots: s.slots, MaxOpen: s.maxOpen,
 		MaxTries: 2 + rng.IntN(6), MayCancel: rng.IntN(5) > 0, RetryAfter: true, MaxRetryAfter: 10 * Second,
 		ConnIdle: 5 * Second, ConnectTimeout: Second, StreamsPerConn: 1, StopSendingWithin: Second, ColdFrom: 0.2,
 		WarmUp: Time(1+rng.IntN(10)) * Second, TipMultiple: 2, OverloadFor: Time(500+rng.IntN(2000)) * Millisecond,
 		SettleAfterDoubt: Time(500+rng.IntN(2000)) * Millisecond, ReportLeft: -1, ReportLimit: -1, OverShare: 0.05,
 		LateHalving: rng.IntN(2) == 0, Weights: WeightKind(rng.IntN(3)),
-		Kinds: []Kind{{Name: "plain", Batch: 1}, {Name: "batch", Batch: 3}, {Name: "apart", Batch: 1, RoutesApart: true}},
+		Kinds: []Kind{
+			{Name: "plain", Batch: 1}, {Name: "batch", Batch: 3}, {Name: "apart", Batch: 1, RoutesApart: true}},
 		Classes: []Class{
 			{Name: "free", Effect: Free, Aim: Second, Deadline: 8 * Second, Worth: 1, LateWorth: 0.5},
-			{Name: "guarded", Effect: Guarded, Window: 4 * Second, Aim: 2 * Second, Deadline: 10 * Second, Worth: 2, LateWorth: 0.2},
+			{Name: "guarded", Effect: Guarded, Window: 4 * Second, Aim: 2 * Second, Deadline: 10 * Second,
+				Worth: 2, LateWorth: 0.2},
 			{Name: "single", Effect: SingleShot, Aim: 2 * Second, Deadline: 6 * Second, Worth: 1.5, LateWorth: 0},
-			{Name: "ordered", Effect: Guarded, Window: 5 * Second, ZoneGroup: true, Aim: Second, Deadline: 10 * Second, Worth: 1, InOrder: true},
+			{Name: "ordered", Effect: Guarded, Window: 5 * Second, ZoneGroup: true, Aim: Second,
+				Deadline: 10 * Second, Worth: 1, InOrder: true},
 			{Name: "rising", Effect: Free, Aim: Second / 2, Deadline: 5 * Second, Worth: 0.5, LateWorth: 1.5},
 		},
 	}
@@ -174,8 +191,9 @@
 // stream returns the platform that plays one seed of a scenario.
 func (s scenario) stream(seed uint64) *platform {
 	p := &platform{
-		scenario: s, rng: rand.New(rand.NewPCG(seed, uint64(len(s.name)))), now: s.start + 1000*Second, byID: map[Endpoint]*simulatedEndpoint{},
-		messages: map[MessageID]*simulatedMessage{}, hash: sha256.New(), count: map[ActionKind]int{},
+		scenario: s, rng: rand.New(rand.NewPCG(seed, uint64(len(s.name)))), now: s.start + 1000*Second,
+		byID: map[Endpoint]*simulatedEndpoint{}, messages: map[MessageID]*simulatedMessage{},
+		hash: sha256.New(), count: map[ActionKind]int{},
 	}
 	p.set = s.settings(p.rng)
 	p.faultRate *= []float64{0.1, 0.4, 1}[p.rng.IntN(3)]
@@ -405,7 +423,8 @@
 		}
 	}
 	for range p.drawCount(p.faultRate) {
-		setBehaviour(p.firstDestination+p.rng.IntN(p.destinations), behaviour(p.rng.IntN(int(behaviourCount))), Time(100+p.rng.IntN(6000))*Millisecond)
+		setBehaviour(p.firstDestination+p.rng.IntN(p.destinations), behaviour(p.rng.IntN(int(behaviourCount))),
+			Time(100+p.rng.IntN(6000))*Millisecond)
 	}
 	if p.chance(p.wideOutageChance) {
 		to, duration := behaviour(1+p.rng.IntN(int(behaviourCount)-1)), Time(1000+p.rng.IntN(4000))*Millisecond
@@ -495,7 +514,8 @@
 
 // outcome returns the outcome of an attempt.
 func (p *platform) outcome(id MessageID, attempt int, result Result) Event {
-	return Event{Kind: Outcome, Message: id, Attempt: attempt, Endpoint: p.messages[id].endpoint.entry.Endpoint, Result: result}
+	return Event{Kind: Outcome, Message: id, Attempt: attempt,
+		Endpoint: p.messages[id].endpoint.entry.Endpoint, Result: result}
 }
 
 // drawOutcome draws the result of a call to an endpoint.
@@ -566,7 +586,8 @@
 		if action.SameCall {
 			sameCall = 1
 		}
-		for _, v := range []int64{int64(action.Kind), int64(action.Message), int64(action.Attempt), int64(action.Endpoint), sameCall, int64(action.After), int64(action.TimerID), int64(len(action.Text))} {
+		for _, v := range []int64{int64(action.Kind), int64(action.Message), int64(action.Attempt),
+			int64(action.Endpoint), sameCall, int64(action.After), int64(action.TimerID), int64(len(action.Text))} {
 			buf = binary.AppendVarint(buf, v)
 		}
 		buf = append(buf, action.Text...)
@@ -574,15 +595,18 @@
 	p.hash.Write(buf)
 }
 
-// compareActions returns an error that describes the first difference between two lists of actions, nil if there is none.
+// compareActions returns an error that describes the first difference between two lists of actions, nil if there is
+// none.
 func compareActions(got, want []Action) error {
 	for i := range min(len(got), len(want)) {
 		if got[i] != want[i] {
-			return fmt.Errorf("action %d of %d is %+v; with all destinations evaluated it is, of %d, %+v", i, len(got), got[i], len(want), want[i])
+			return fmt.Errorf("action %d of %d is %+v; with all destinations evaluated it is, of %d, %+v",
+				i, len(got), got[i], len(want), want[i])
 		}
 	}
 	if len(got) != len(want) {
-		return fmt.Errorf("%d actions; with all destinations evaluated there are %d: %+v, %+v", len(got), len(want), got, want)
+		return fmt.Errorf("%d actions; with all destinations evaluated there are %d: %+v, %+v",
+			len(got), len(want), got, want)
 	}
 	return nil
 }
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -1,10 +1,11 @@
-// Package pace provides a token bucket whose rate may change linearly with time, as for a share of a demand that grows back
-// or a ramp after an outage. It has no clock and does no I/O: its user passes the time and sets the rate.
+// Package pace provides a token bucket whose rate may change linearly with time. Such a rate describes the share of a
+// demand that grows back after a cut, or the ramp after an outage. The package has no clock and does no I/O: its user
+// passes the time and sets the rate.
 //
-// Between two changes everything that a Bucket returns depends on the time alone. Reading a Bucket does not modify it, so
-// what it permits does not depend on how often or when it is read. A change (SetRate, Take, PutBack, Cap) adds the tokens that
-// have come since the last change, which rounds as float64 does: after n changes a level of up to m tokens is off by at most
-// n x m x 2^-50 (checked by TestAnyCutGivesTheSame).
+// Between two changes, everything that a Bucket returns depends on the time alone. Reading a Bucket does not modify
+// it, so what it permits does not depend on how often or when it is read. A change (SetRate, Take, PutBack, Cap) adds
+// the tokens that have come since the last change, which rounds as float64 does: after n changes, a level of up to m
+// tokens is off by at most n x m x 2^-50 (checked by TestAnyCutGivesTheSame).
 package pace
 
 import "math"
@@ -41,15 +42,15 @@
 	return t + duration
 }
 
-// Rate is a rate in tokens a second that may change linearly with time. It starts at From, changes by Rise each second (a
-// negative Rise lowers it) until it reaches End, and stays there. If Rise leads away from End, the rate is End from the
-// start. The zero Rate permits nothing. Neither From nor End may be negative.
+// Rate is a rate in tokens a second that may change linearly with time. It starts at From, changes by Rise each
+// second until it reaches End, and stays there. A negative Rise lowers it. If Rise leads away from End, the rate is
+// End from the start. The zero Rate permits nothing. Neither From nor End may be negative.
 type Rate struct{ From, Rise, End float64 }
 
 // Constant returns a rate that does not change.
 func Constant(r float64) Rate { return Rate{From: r, End: r} }
 
-// changeDuration returns for how many seconds the rate changes.
+// changeDuration returns the number of seconds until the rate stops changing.
 func (r Rate) changeDuration() float64 {
 	if change := r.End - r.From; change*r.Rise > 0 {
 		return change / r.Rise
@@ -93,8 +94,8 @@
 	return changeSeconds + (tokens-tokensDuringChange)/r.End
 }
 
-// Bucket is a token bucket: tokens come at a rate, up to its capacity. One token permits one call. The level
-// is negative after more tokens were taken than there were. The zero Bucket is empty and stays so.
+// Bucket is a token bucket: tokens come at a rate, up to its capacity. One token permits one call. The level is
+// negative after more tokens were taken than there were. The zero Bucket is empty and stays so.
 type Bucket struct {
 	level, capacity float64
 	updatedAt       Time
@@ -106,9 +107,10 @@
 	return Bucket{level: level, capacity: max(level, 1), updatedAt: now}
 }
 
-// SetRate changes the rate, beginning at from, and the most tokens that are held. Tokens that have come until now stay, up to
-// most. If from is later than now, the tokens that come at the initial rate until then are added at once, unless an earlier
-// SetRate did so for the same time: a user that has to wait until from finds them there when the wait ends.
+// SetRate sets the capacity, and the rate from the time from on. The bucket keeps the tokens that have come until
+// now, up to the new capacity. If from is later than now, the tokens that come at the initial rate until then are
+// added at once: a user that has to wait until from finds them there when the wait ends. They are not added again if
+// an earlier SetRate did so for the same time.
 func (b *Bucket) SetRate(now, from Time, rate Rate, capacity float64) {
 	b.advance(now)
 	if wait := from.Since(b.updatedAt); wait > 0 {
@@ -133,13 +135,13 @@
 // HasToken reports whether there is a token for a call.
 func (b *Bucket) HasToken(now Time) bool { return b.Level(now) >= 1 }
 
-// Take removes n tokens, even if there are fewer.
+// Take removes n tokens, even if there are fewer: the level is negative then.
 func (b *Bucket) Take(now Time, n float64) {
 	b.advance(now)
 	b.level -= n
 }
 
-// PutBack puts n tokens back, up to the most that are held.
+// PutBack puts n tokens back, up to the capacity.
 func (b *Bucket) PutBack(now Time, n float64) {
 	b.advance(now)
 	b.level = max(b.level, min(b.level+n, b.capacity))
@@ -151,7 +153,7 @@
 	b.level = min(b.level, level)
 }
 
-// advance adds the tokens that have come until now, and lets the rate start from now.
+// advance adds the tokens that have come until now, and makes the rate start from its present value.
 func (b *Bucket) advance(now Time) {
 	if now <= b.updatedAt {
 		return
@@ -161,8 +163,8 @@
 	b.updatedAt = now
 }
 
-// NextAt returns the first time, now or later, at which there is a token if nothing changes until then. It is Never if there
-// is none.
+// NextAt returns the first time, now or later, at which there is a token if nothing changes until then. It returns
+// Never if there will be none.
 func (b *Bucket) NextAt(now Time) Time {
 	if b.HasToken(now) {
 		return now
@@ -175,8 +177,8 @@
 		return Never
 	}
 	at := max(now, b.updatedAt.After(Time(seconds*float64(Second))))
-	// SecondsUntil and Tokens may round differently in their last bits, so at may be slightly off. Steps of doubling length find the
-	// exact microsecond.
+	// SecondsUntil and Tokens may round differently in their last bits, so at may be slightly off. Steps of doubling
+	// length find the exact microsecond.
 	step := Time(1)
 	for !b.HasToken(at) {
 		if at == Never || step > Second {
--- a/pace/pace_test.go
+++ b/pace/pace_test.go
@@ -8,8 +8,9 @@
 )
 
 func drawRate(t *rapid.T) Rate {
-	scale := rapid.SampledFrom([]float64{1.0 / 600, 0.1, 1, 90, 1000}).Draw(t, "per")
-	rate := Rate{From: scale * rapid.Float64Range(0, 1).Draw(t, "from"), Rise: scale * rapid.Float64Range(0, 1).Draw(t, "rise")}
+	scale := rapid.SampledFrom([]float64{1.0 / 600, 0.1, 1, 90, 1000}).Draw(t, "scale")
+	rate := Rate{
+		From: scale * rapid.Float64Range(0, 1).Draw(t, "from"), Rise: scale * rapid.Float64Range(0, 1).Draw(t, "rise")}
 	rate.End = rate.From + scale*rapid.Float64Range(0, 3).Draw(t, "end")
 	if rapid.Bool().Draw(t, "falls") {
 		rate.From, rate.End, rate.Rise = rate.End, rate.From, -rate.Rise
@@ -17,15 +18,15 @@
 	return rate
 }
 
-// Reading a bucket between two times changes nothing, and neither do changes that take no tokens, but for rounding.
+// Reading a bucket between two times changes nothing. Neither do changes that take no tokens, except for rounding.
 func TestAnyCutGivesTheSame(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		start := Time(rapid.Int64Range(0, 1<<50).Draw(t, "start"))
 		untouched := NewBucket(start, rapid.Float64Range(-3, 1).Draw(t, "level"))
-		untouched.SetRate(start, start, drawRate(t), rapid.Float64Range(1, 500).Draw(t, "most"))
+		untouched.SetRate(start, start, drawRate(t), rapid.Float64Range(1, 500).Draw(t, "capacity"))
 		read, changed := untouched, untouched
-		now, intervals := start, rapid.SliceOfN(rapid.Int64Range(0, 5e6), 1, 200).Draw(t, "cuts")
+		now, intervals := start, rapid.SliceOfN(rapid.Int64Range(0, 5e6), 1, 200).Draw(t, "intervals")
 		for _, interval := range intervals {
 			now += Time(interval)
 			read.Level(now)
@@ -36,7 +37,8 @@
 		if got := read.Level(now); got != want {
 			t.Fatalf("read in between: %v tokens, want %v", got, want)
 		}
-		if got, tolerance := changed.Level(now), float64(len(intervals))*untouched.capacity*0x1p-50; math.Abs(got-want) > tolerance {
+		if got, tolerance := changed.Level(now),
+			float64(len(intervals))*untouched.capacity*0x1p-50; math.Abs(got-want) > tolerance {
 			t.Fatalf("changed in between: %v tokens, want %v, which is more than %v off", got, want, tolerance)
 		}
 	})
@@ -48,8 +50,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		start := Time(rapid.Int64Range(0, 1<<50).Draw(t, "start"))
 		bucket := NewBucket(start, rapid.Float64Range(-3, 0.99).Draw(t, "level"))
-		bucket.SetRate(start, start, drawRate(t), rapid.Float64Range(1, 3).Draw(t, "most"))
-		now := start + Time(rapid.Int64Range(0, 5e6).Draw(t, "look"))
+		bucket.SetRate(start, start, drawRate(t), rapid.Float64Range(1, 3).Draw(t, "capacity"))
+		now := start + Time(rapid.Int64Range(0, 5e6).Draw(t, "elapsed"))
 		at := bucket.NextAt(now)
 		switch {
 		case at == Never:
@@ -106,20 +108,20 @@
 			t.Errorf("%s: %v tokens, want %v", what, got, want)
 		}
 	}
-	level("nothing comes before Set", 100*Second, 1)
+	level("nothing comes before SetRate", 100*Second, 1)
 	bucket.SetRate(0, 0, Constant(2), 3)
 	level("a second", Second, 3)
-	level("no more than the most", 50*Second, 3)
+	level("no more than the capacity", 50*Second, 3)
 	bucket.Take(50*Second, 5)
 	level("below zero", 50*Second, -2)
 	bucket.PutBack(50*Second, 1)
-	level("given back", 50*Second, -1)
+	level("put back", 50*Second, -1)
 	bucket.SetRate(50*Second, 52*Second, Constant(10), 3)
 	level("what comes until a wait ends is credited at its end", 52*Second, 3)
 	bucket.Cap(52*Second, 0.5)
-	level("limited", 52*Second, 0.5)
+	level("capped", 52*Second, 0.5)
 	bucket.PutBack(52*Second, 100)
-	level("not more than the most is given back", 52*Second, 3)
+	level("no more than the capacity is put back", 52*Second, 3)
 	bucket.SetRate(51*Second, 51*Second, Constant(1), 2)
 	level("a clock that went back", 52*Second, 2)
 	bucket.Take(52*Second, 2)
