--- a/control/export_test.go
+++ b/control/export_test.go
@@ -26,10 +26,10 @@
 			normal, shortage := d.nextScan(dest)
 			for _, scan := range []struct {
 				at   Time
-				list *destinationHeap[Time]
+				heap *destinationHeap[Time]
 			}{{normal, &d.normalScans}, {shortage, &d.shortageScans}} {
-				if at := dest.heapPositions[scan.list.index]; scan.at < never &&
-					(at == 0 || scan.list.entries[at-1].key > max(scan.at, d.now)) {
+				if at := dest.heapPositions[scan.heap.index]; scan.at < never &&
+					(at == 0 || scan.heap.entries[at-1].key > max(scan.at, d.now)) {
 					return fmt.Errorf("destination %d has a timeout scan later than %d", dest.number, scan.at)
 				}
 			}
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -77,20 +77,20 @@
 // Where calls after refusals mostly succeed, a queued message is sent again within a few times its aim.
 func TestQueuedMessagesAreRetriedWhereRetriesSucceed(t *testing.T) {
 	for _, c := range []struct {
-		again float64
-		most  Time
+		retrySuccess float64
+		most         Time
 	}{{1, 8 * second}, {0.05, 0}} {
-		served := 0
+		retried := 0
 		for _, r := range newFleet(t, 20, testSettings(), listEntry(1, 0, 0)) {
-			r.d.kinds[0].retrySuccess = c.again
+			r.d.kinds[0].retrySuccess = c.retrySuccess
 			r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
 			r.step(second/10, refusal(1, 0, 0))
 			if got := sentMessages(r.advance(8 * second)); len(got) > 0 {
-				served++
+				retried++
 			}
 		}
-		if c.again == 1 && served < 15 || c.again < 1 && served > 14 {
-			t.Errorf("retry success %v: %d of 20 were sent again within 8 s", c.again, served)
+		if c.retrySuccess == 1 && retried < 15 || c.retrySuccess < 1 && retried > 14 {
+			t.Errorf("retry success %v: %d of 20 were sent again within 8 s", c.retrySuccess, retried)
 		}
 	}
 }
@@ -124,8 +124,8 @@
 // traffic is rare. Shed messages are then failed instead.
 func TestShedMessagesFailUnderARateLimitWithRareTraffic(t *testing.T) {
 	for _, c := range []struct {
-		allow float64
-		want  ActionKind
+		allowedShare float64
+		want         ActionKind
 	}{{0.2, Fail}, {unlimitedShare, Refuse}} {
 		set := testSettings()
 		set.MaxOpen = 3
@@ -133,10 +133,10 @@
 		r.advance(20 * second)
 		r.step(0, r.arrival(freeClass, 1))
 		r.step(second/10, refusal(1, 0, 100*second))
-		r.d.destinationByNumber[1].limit.allowedShare = c.allow
+		r.d.destinationByNumber[1].limit.allowedShare = c.allowedShare
 		acts := append(r.step(second/10, r.arrival(freeClass, 1)), r.step(second/10, r.arrival(freeClass, 1))...)
 		if len(acts) != 1 || acts[0].Kind != c.want {
-			t.Errorf("allowed share %v: %+v, want a single action %d", c.allow, acts, c.want)
+			t.Errorf("allowed share %v: %+v, want a single action %d", c.allowedShare, acts, c.want)
 		}
 	}
 }
--- a/control/restored_test.go
+++ b/control/restored_test.go
@@ -12,11 +12,11 @@
 // A restored message must not be repeated where its class forbids that, as an attempt may have run before the restart.
 func TestRestoredMessagesFollowTheRulesOfTheirClass(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		class int
-		tries int
-		doubt Time
-		end   ActionKind // Send if it is sent
+		name       string
+		class      int
+		tries      int
+		doubtAge   Time
+		wantAction ActionKind // Send if it is sent
 	}{
 		{"single shot in doubt fails", singleShotClass, 1, second, Fail},
 		{"single shot that never ran is sent", singleShotClass, 1, 0, Send},
@@ -28,11 +28,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newHarness(t, testSettings(), listEntry(1, 0, 0))
-			event := r.restoredArrival(c.class, c.tries, c.doubt, 10*second)
+			event := r.restoredArrival(c.class, c.tries, c.doubtAge, 10*second)
 			if c.class == orderedClass {
 				event.Key = 7
 			}
-			r.wantAction(r.step(0, event), c.end, event.Message)
+			r.wantAction(r.step(0, event), c.wantAction, event.Message)
 		})
 	}
 }
--- a/control/state.go
+++ b/control/state.go
@@ -465,7 +465,7 @@
 	d.listNumber++
 	if previousWindow := d.fairWindow; len(d.destinations) > 0 {
 		if d.fairWindow = d.fairShare(); d.fairWindow != previousWindow {
-			d.wakeAll() // destinations whose first window this is may send more now
+			d.wakeAll() // destinations that still have their first window may get a larger one
 		}
 	}
 }
