--- a/control/control.go
+++ b/control/control.go
@@ -49,8 +49,8 @@
 	keysBlockedUntil    Time        // new keys are blocked until then: calls of an earlier process may run
 
 	rounds      // which destinations a round scans: rounds.go
-	timeoutScan // which calls have to be checked: lookout.go
-	worthIndex  // which destination has the message that is worth least: lookout.go
+	timeoutScan // which calls have to be checked: timeout_scan.go
+	worthIndex  // which destination has the message that is worth least: timeout_scan.go
 	listState   // endpoints and destinations that may be forgotten soon: state.go
 }
 
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -4,58 +4,61 @@
 	"testing"
 )
 
-// fleet makes dispatchers that differ only in their seeds, each told of the same endpoints.
-func fleet(t *testing.T, n int, set Settings, entries ...Entry) []*harness {
+// newFleet returns dispatchers that differ only in their seeds and have the same endpoint list.
+func newFleet(t *testing.T, size int, set Settings, entries ...Entry) []*harness {
 	t.Helper()
-	set.Instances = n
-	rigs := make([]*harness, n)
-	for i := range rigs {
+	set.Instances = size
+	harnesses := make([]*harness, size)
+	for i := range harnesses {
 		r := newHarness(t, set, entries...)
 		r.d.randomState += uint64(i) * 2862933555777941757
-		r.advance(20 * second) // the memory of the demand is filled
-		rigs[i] = r
+		r.advance(20 * second) // fills the memory of the demand meter
+		harnesses[i] = r
 	}
-	return rigs
+	return harnesses
 }
 
-// Each of many senders with one held message saw two failed connections: what they try alone must add up to
-// a part of their demand, not to a trial each.
-func TestTrialsOfManySendersAddUpToAPartOfTheDemand(t *testing.T) {
-	const n = 60
+// Each of many dispatchers has one queued message and saw two failed connections. Together their trial calls must
+// stay below their demand, instead of one each at the same time.
+func TestTrialCallsOfAFleetStayBelowItsDemand(t *testing.T) {
+	const size = 60
 	sends := 0
-	for _, r := range fleet(t, n, testSettings(), listEntry(1, 0, 0)) {
+	for _, r := range newFleet(t, size, testSettings(), listEntry(1, 0, 0)) {
 		r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
-		again := sentMessages(append(r.step(second/50, outcomeOf(1, 0, ConnectFailed)), r.advance(4*second)...))
-		if len(again) != 1 {
-			t.Fatalf("%d tries to make sure, want one", len(again))
+		retries := sentMessages(append(r.step(second/50, outcomeOf(1, 0, ConnectFailed)), r.advance(4*second)...))
+		if len(retries) != 1 {
+			t.Fatalf("%d calls to confirm the outage, want one", len(retries))
 		}
 		sends += len(sentMessages(append(r.step(second/50, outcomeOf(1, 1, ConnectFailed)), r.advance(2*second)...)))
 	}
-	if sends > n/4 {
-		t.Errorf("%d trials of %d senders in two seconds", sends, n)
+	if sends > size/4 {
+		t.Errorf("%d trial calls of %d dispatchers in two seconds", sends, size)
 	}
 	if sends == 0 {
-		t.Error("nobody tries")
+		t.Error("no trial call is made")
 	}
 }
 
-// An outage mostly takes all endpoints of a destination: the second to fail makes sure, and neither is tried on.
-func TestFailingEndpointsBearEachOtherOut(t *testing.T) {
+// An outage usually affects all endpoints of a destination. The failure of a second endpoint confirms it, and neither
+// is called again at once.
+func TestSecondFailingEndpointConfirmsOutage(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(1, 1, 0))
 	r.advance(20 * second)
 	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
 	r.wantSent(r.step(second/50, outcomeOf(1, 0, ConnectFailed)), 1)
 	r.wantSent(r.step(second/50, outcomeOf(1, 1, ConnectFailed)))
-	if a, b := r.d.endpointByID[endpointID(1, 0)], r.d.endpointByID[endpointID(1, 1)]; !r.d.outageConfirmed(a) || !r.d.outageConfirmed(b) {
-		t.Error("two endpoints of one destination failed and the outage is not taken as sure")
+	if first, second := r.d.endpointByID[endpointID(1, 0)],
+		r.d.endpointByID[endpointID(1, 1)]; !r.d.outageConfirmed(first) || !r.d.outageConfirmed(second) {
+		t.Error("two endpoints of one destination failed, but the outage is not confirmed")
 	}
 }
 
-// Where refused calls use up the limit, many senders retrying on their own would keep it at nothing for good.
-func TestRetriesAfterRefusalsStayWithinTheOwnDemand(t *testing.T) {
-	const n = 50
+// Refused calls may count against a destination's rate limit. Retries of many dispatchers must not use up that limit
+// for good, so each keeps them within its own demand.
+func TestRetriesAfterRefusalsStayWithinTheDemand(t *testing.T) {
+	const size = 50
 	sends := 0
-	for _, r := range fleet(t, n, testSettings(), listEntry(1, 0, 0)) {
+	for _, r := range newFleet(t, size, testSettings(), listEntry(1, 0, 0)) {
 		next := []Event{r.arrival(freeClass, 1)}
 		for end := r.now + 15*second; r.now < end; {
 			events := next
@@ -66,34 +69,35 @@
 			}
 		}
 	}
-	if sends < n || sends > 2*n {
-		t.Errorf("%d attempts for %d messages in 15 s, all refused", sends, n)
+	if sends < size || sends > 2*size {
+		t.Errorf("%d attempts for %d messages in 15 s, all refused", sends, size)
 	}
 }
 
-// Where calls after refusals mostly go well, a held message has its turn again within some aims.
-func TestHeldMessagesGoAgainWhereRetriesGoWell(t *testing.T) {
+// Where calls after refusals mostly succeed, a queued message is sent again within a few times its aim.
+func TestQueuedMessagesAreRetriedWhereRetriesSucceed(t *testing.T) {
 	for _, c := range []struct {
-		again float64
-		most  Time
+		retrySuccess float64
+		most         Time
 	}{{1, 8 * second}, {0.05, 0}} {
-		served := 0
-		for _, r := range fleet(t, 20, testSettings(), listEntry(1, 0, 0)) {
-			r.d.kinds[0].retrySuccess = c.again
+		retried := 0
+		for _, r := range newFleet(t, 20, testSettings(), listEntry(1, 0, 0)) {
+			r.d.kinds[0].retrySuccess = c.retrySuccess
 			r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
 			r.step(second/10, refusal(1, 0, 0))
 			if got := sentMessages(r.advance(8 * second)); len(got) > 0 {
-				served++
+				retried++
 			}
 		}
-		if c.again == 1 && served < 15 || c.again < 1 && served > 14 {
-			t.Errorf("record %v: %d of 20 went again within 8 s", c.again, served)
+		if c.retrySuccess == 1 && retried < 15 || c.retrySuccess < 1 && retried > 14 {
+			t.Errorf("retry success %v: %d of 20 were sent again within 8 s", c.retrySuccess, retried)
 		}
 	}
 }
 
-// A lost answer is no outage: the next call at once, no ramp, and silence is borne for less time from then on.
-func TestLostAnswersAreLearned(t *testing.T) {
+// A lost response is no outage: the next call is made at once and without a ramp, and the response timeout becomes
+// shorter.
+func TestLostResponsesShortenTheTimeout(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	for range 20 {
 		r.wantSent(r.step(second/2, r.arrival(freeClass, 1)), r.lastID)
@@ -107,20 +111,21 @@
 		r.wantSent(r.step(0, r.arrival(freeClass, 1)), r.lastID)
 		r.step(second/10, outcomeOf(r.lastID, 0, OK))
 		r.step(0, outcomeOf(lost, 0, Cancelled))
-		if e := r.d.endpointByID[endpointID(1, 0)]; e.suspect || r.d.cold(e, r.now) {
-			t.Fatalf("suspect %v, cold since %v after one lost answer", e.suspect, e.rampStart)
+		if ep := r.d.endpointByID[endpointID(1, 0)]; ep.suspect || r.d.cold(ep, r.now) {
+			t.Fatalf("suspect %v, cold since %v after one lost response", ep.suspect, ep.rampStart)
 		}
 	}
 	if after := r.d.responseTimeout(r.d.destinationByNumber[1]); r.d.lostShare < 0.2 || after >= before {
-		t.Errorf("share of lost answers %v, silence borne %v and %v before", r.d.lostShare, after, before)
+		t.Errorf("share of lost responses %v, response timeout %v and %v before", r.d.lostShare, after, before)
 	}
 }
 
-// Clients of a sender with rare traffic would come again at others that know nothing of a limit.
-func TestShedMessagesAreFailedWhereALimitIsFeltAndTrafficIsRare(t *testing.T) {
+// A client whose message is refused retries at another dispatcher, which may not have noticed the rate limit yet if
+// traffic is rare. Shed messages are then failed instead.
+func TestShedMessagesFailUnderARateLimitWithRareTraffic(t *testing.T) {
 	for _, c := range []struct {
-		allow float64
-		want  ActionKind
+		allowedShare float64
+		want         ActionKind
 	}{{0.2, Fail}, {unlimitedShare, Refuse}} {
 		set := testSettings()
 		set.MaxOpen = 3
@@ -128,16 +133,16 @@
 		r.advance(20 * second)
 		r.step(0, r.arrival(freeClass, 1))
 		r.step(second/10, refusal(1, 0, 100*second))
-		r.d.destinationByNumber[1].limit.allowedShare = c.allow
+		r.d.destinationByNumber[1].limit.allowedShare = c.allowedShare
 		acts := append(r.step(second/10, r.arrival(freeClass, 1)), r.step(second/10, r.arrival(freeClass, 1))...)
 		if len(acts) != 1 || acts[0].Kind != c.want {
-			t.Errorf("allowed share %v: %+v, want a single action %d", c.allow, acts, c.want)
+			t.Errorf("allowed share %v: %+v, want a single action %d", c.allowedShare, acts, c.want)
 		}
 	}
 }
 
-// Two slots, two hung destinations: they must not hold both.
-func TestTwoHungDestinationsDoNotHoldTwoSlots(t *testing.T) {
+// Two destinations that do not respond must not occupy both of two slots.
+func TestTwoHungDestinationsDoNotOccupyBothSlots(t *testing.T) {
 	set := testSettings()
 	set.Slots = 2
 	r := newHarness(t, set, listEntry(1, 0, 0), listEntry(2, 0, 0), listEntry(3, 0, 0))
@@ -147,65 +152,69 @@
 	r.advance(4 * second)
 	one, two := r.d.destinationByNumber[1], r.d.destinationByNumber[2]
 	if !r.d.destinationUnhealthy(one) || !r.d.destinationUnhealthy(two) {
-		t.Fatal("not both are taken as hung")
+		t.Fatal("not both destinations are taken to be unhealthy")
 	}
 	acts := r.step(0, r.arrival(freeClass, 3))
-	want := r.lastID
+	waiting := r.lastID
 	for range 150 {
-		var ends []Event
+		var outcomes []Event
 		for _, a := range acts {
 			if a.Kind == Cancel {
-				ends = append(ends, outcomeOf(a.Message, a.Attempt, Cancelled))
+				outcomes = append(outcomes, outcomeOf(a.Message, a.Attempt, Cancelled))
 			}
-			if a.Kind == Send && a.Message == want {
+			if a.Kind == Send && a.Message == waiting {
 				return
 			}
 		}
-		acts = r.step(second/50, ends...)
+		acts = r.step(second/50, outcomes...)
 	}
-	t.Error("a message for a well destination waits for a slot held by hung ones")
+	t.Error("a message for a healthy destination waits for a slot that an unresponsive one holds")
 }
 
-// What is of no more use goes: endpoints replaced, destinations unlisted, keys that rested.
+// State that is no longer needed is removed: replaced endpoints, unlisted destinations, order keys whose wait has
+// ended.
 func TestStateDoesNotGrow(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	for i := range 200 {
-		e := listEntry(1, i+2, 0)
-		o := listEntry(100+i, 0, 0)
-		r.step(0, Event{Kind: List, ListKind: ListFull, Entries: []Entry{e, o}})
-		m, n, k := r.arrival(freeClass, 1), r.arrival(freeClass, 100+i), r.keyedArrival(uint64(1000+i))
-		acts := r.step(second/10, m, n, k)
+		replacement := listEntry(1, i+2, 0)
+		other := listEntry(100+i, 0, 0)
+		r.step(0, Event{Kind: List, ListKind: ListFull, Entries: []Entry{replacement, other}})
+		free, toOther, keyed := r.arrival(freeClass, 1), r.arrival(freeClass, 100+i), r.keyedArrival(uint64(1000+i))
+		acts := r.step(second/10, free, toOther, keyed)
 		for _, id := range sentMessages(acts) {
-			res := OK
-			if id == k.Message {
-				res = Reset
+			result := OK
+			if id == keyed.Message {
+				result = Reset
 			}
-			r.step(second/50, outcomeOf(id, 0, res))
+			r.step(second/50, outcomeOf(id, 0, result))
 		}
-		r.step(second/50, Event{Kind: Withdrawn, Message: k.Message}, outcomeOf(k.Message, 1, OK))
+		r.step(second/50, Event{Kind: Withdrawn, Message: keyed.Message}, outcomeOf(keyed.Message, 1, OK))
 		r.advance(second)
 	}
 	r.advance(2 * cleanupInterval)
 	d := r.d
-	if len(d.endpointByID) > 2 || len(d.destinationByNumber) > 2 || len(d.destinations) > 2 || len(d.messages) > 0 || len(d.keys) > 0 || len(d.idleKeys) > 0 {
+	if len(d.endpointByID) > 2 || len(d.destinationByNumber) > 2 || len(d.destinations) > 2 ||
+		len(d.messages) > 0 || len(d.keys) > 0 || len(d.idleKeys) > 0 {
 		t.Errorf("left: %d endpoints, %d/%d destinations, %d messages, %d/%d keys",
-			len(d.endpointByID), len(d.destinationByNumber), len(d.destinations), len(d.messages), len(d.keys), len(d.idleKeys))
+			len(d.endpointByID), len(d.destinationByNumber), len(d.destinations), len(d.messages), len(d.keys),
+			len(d.idleKeys))
 	}
 }
 
-// A key whose messages have all ended still rests, and those to come wait; a told wait outlives its endpoints.
-func TestRestAndWaitOutliveTheirMessages(t *testing.T) {
+// An order key keeps its wait after all its messages have ended, so that later messages with it wait too. A told wait
+// stays in force when its endpoint is replaced.
+func TestKeyAndToldWaitOutliveMessagesAndEndpoints(t *testing.T) {
 	set := testSettings()
 	set.SettleAfterDoubt = 30 * second
 	r := newHarness(t, set, listEntry(1, 0, 0))
 	r.wantSent(r.step(0, r.keyedArrival(9)), 1)
 	r.step(second/10, Event{Kind: Withdrawn, Message: 1}, outcomeOf(1, 0, Reset))
 	r.advance(2 * cleanupInterval)
-	e := r.keyedArrival(9)
-	e.TimeLeft = 40 * second
-	r.wantSent(append(r.step(0, e), r.advance(9*second)...))
+	next := r.keyedArrival(9)
+	next.TimeLeft = 40 * second
+	r.wantSent(append(r.step(0, next), r.advance(9*second)...))
 	if got := sentMessages(r.advance(2 * second)); len(got) != 1 {
-		t.Errorf("after the rest sent %v", got)
+		t.Errorf("after the wait of the order key sent %v", got)
 	}
 	r.step(0, outcomeOf(2, 0, OK))
 	r.wantSent(r.step(second, r.arrival(freeClass, 1)), 3)
@@ -213,10 +222,11 @@
 	gone.Health = Gone
 	r.step(second/10, refusal(3, 0, 60*second), Event{Kind: List, Entries: []Entry{gone}})
 	r.advance(30 * second)
-	r.wantSent(append(r.step(0, Event{Kind: List, Entries: []Entry{listEntry(1, 1, 0)}}, r.arrival(freeClass, 1)), r.advance(10*second)...))
+	r.wantSent(append(r.step(0, Event{Kind: List, Entries: []Entry{listEntry(1, 1, 0)}}, r.arrival(freeClass, 1)),
+		r.advance(10*second)...))
 }
 
-func TestNotesAreRare(t *testing.T) {
+func TestNotesAreRateLimited(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0))
 	notes := 0
 	for range 40 {
@@ -233,9 +243,9 @@
 	}
 }
 
-// A failed endpoint that leaves the list takes nothing of what is known with it: hundreds of senders once tried
-// its sibling at the same moment, when the gone one was forgotten.
-func TestOutageOutlivesTheEndpointsThatShowedIt(t *testing.T) {
+// An outage is remembered when the endpoint that showed it leaves the list. When it was forgotten, hundreds of
+// dispatchers called the next endpoint at the same moment.
+func TestOutageIsRememberedWhenItsEndpointLeaves(t *testing.T) {
 	r := newHarness(t, testSettings(), listEntry(1, 0, 0), listEntry(1, 1, 0))
 	r.advance(20 * second)
 	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
@@ -247,16 +257,16 @@
 	r.advance(2 * cleanupInterval)
 	left := r.d.destinationByNumber[1].endpoints
 	if len(left) != 1 || !r.d.outageConfirmed(left[0]) {
-		t.Fatalf("%d endpoints left, the outage is forgotten", len(left))
+		t.Fatalf("%d endpoints left, or the outage is forgotten", len(left))
 	}
 	r.step(0, Event{Kind: List, Entries: []Entry{listEntry(1, 2, 0)}})
-	if e := r.d.endpointByID[endpointID(1, 2)]; e.rampStart == 0 {
+	if joined := r.d.endpointByID[endpointID(1, 2)]; joined.rampStart == 0 {
 		t.Error("an endpoint that joins does not start cold")
 	}
 }
 
-// Aims of nothing are legal settings: shares and waits stay finite, and messages are sent and answered.
-func TestAimOfNothingIsHarmless(t *testing.T) {
+// An aim of zero is a valid setting: shares and waits must stay finite, and messages are sent.
+func TestAimOfZero(t *testing.T) {
 	set := testSettings()
 	for i := range set.Classes {
 		set.Classes[i].Aim = 0
@@ -264,9 +274,10 @@
 	r := newHarness(t, set, listEntry(1, 0, 0))
 	r.wantSent(r.step(0, r.arrival(freeClass, 1)), 1)
 	r.step(second/10, refusal(1, 0, 0))
-	p := r.d.destinationByNumber[1].limit
-	if r.advance(5 * second); p.tokens.Level(r.now) != p.tokens.Level(r.now) || p.waitUntil > r.now+maxBackoff {
-		t.Errorf("tokens %v, wait until %v at %v", p.tokens.Level(r.now), p.waitUntil, r.now)
+	limit := r.d.destinationByNumber[1].limit
+	if r.advance(5 * second); limit.tokens.Level(r.now) != limit.tokens.Level(r.now) ||
+		limit.waitUntil > r.now+maxBackoff {
+		t.Errorf("tokens %v, wait until %v at %v", limit.tokens.Level(r.now), limit.waitUntil, r.now)
 	}
 	if d := r.d; !(d.minAim > 0) {
 		t.Errorf("aim %v", d.minAim)
--- a/control/lane.go
+++ b/control/lane.go
@@ -5,58 +5,63 @@
 	"slices"
 )
 
-// messageQueue holds messages in order of arrival. They mostly come at its end and go from its front, or come back near there:
-// the nearer end is moved, so that a lane of a hundred thousand costs no more than a short one. It decides nothing.
+// messageQueue is a queue of messages in order of arrival. Most messages are added at the end, removed at the front, or
+// put back near the front. Insertions and removals move the shorter part of the queue, so that these cost no more in a
+// queue of 100 000 messages than in a short one.
 type messageQueue struct {
 	messages []*message
-	head     int // free places before the first
+	head     int // number of unused elements before the first message
 }
 
-// keptCapacity is for how many messages an empty lane keeps room.
+// keptCapacity is the largest capacity, in messages, that a queue keeps when it becomes empty.
 const keptCapacity = 16
 
-// endedMeter are its messages, the oldest first.
-func (l *messageQueue) all() []*message { return l.messages[l.head:] }
+// all returns the messages, the oldest first.
+func (q *messageQueue) all() []*message { return q.messages[q.head:] }
 
-func (l *messageQueue) len() int { return len(l.messages) - l.head }
+func (q *messageQueue) len() int { return len(q.messages) - q.head }
 
-func (l *messageQueue) find(arrived uint64) int {
-	i, _ := slices.BinarySearchFunc(l.all(), arrived, func(o *message, n uint64) int { return cmp.Compare(o.arrivalNumber, n) })
-	return i
+// find returns the position of the first message that did not arrive before the given arrival number.
+func (q *messageQueue) find(arrivalNumber uint64) int {
+	position, _ := slices.BinarySearchFunc(q.all(), arrivalNumber,
+		func(msg *message, number uint64) int { return cmp.Compare(msg.arrivalNumber, number) })
+	return position
 }
 
-func (l *messageQueue) insert(m *message) {
-	at := l.find(m.arrivalNumber)
-	if l.head > 0 && at < l.len()/2 {
-		l.head--
-		all := l.all()
-		copy(all, all[1:at+1])
-		all[at] = m
+// insert inserts a message at the place that its arrival number gives it.
+func (q *messageQueue) insert(msg *message) {
+	position := q.find(msg.arrivalNumber)
+	if q.head > 0 && position < q.len()/2 {
+		q.head--
+		all := q.all()
+		copy(all, all[1:position+1])
+		all[position] = msg
 		return
 	}
-	if len(l.messages) == cap(l.messages) && l.head > len(l.messages)/2 { // before it grows
-		n := copy(l.messages, l.all())
-		clear(l.messages[n:])
-		l.messages, l.head = l.messages[:n], 0
+	if len(q.messages) == cap(q.messages) && q.head > len(q.messages)/2 { // use the space at the front before growing
+		count := copy(q.messages, q.all())
+		clear(q.messages[count:])
+		q.messages, q.head = q.messages[:count], 0
 	}
-	l.messages = slices.Insert(l.messages, l.head+at, m)
+	q.messages = slices.Insert(q.messages, q.head+position, msg)
 }
 
-func (l *messageQueue) remove(m *message) {
-	all := l.all()
-	at := l.find(m.arrivalNumber)
-	if at < len(all)/2 {
-		copy(all[1:], all[:at])
+// remove removes a message.
+func (q *messageQueue) remove(msg *message) {
+	all := q.all()
+	position := q.find(msg.arrivalNumber)
+	if position < len(all)/2 {
+		copy(all[1:], all[:position])
 		all[0] = nil
-		l.head++
+		q.head++
 	} else {
-		l.messages = slices.Delete(l.messages, l.head+at, l.head+at+1)
+		q.messages = slices.Delete(q.messages, q.head+position, q.head+position+1)
 	}
 	switch {
-	case l.len() > 0:
-	case cap(l.messages) > keptCapacity:
-		*l = messageQueue{} // a burst's memory goes with it
+	case q.len() > 0:
+	case cap(q.messages) > keptCapacity:
+		*q = messageQueue{} // free the memory that a burst needed
 	default:
-		l.messages, l.head = l.messages[:0], 0
+		q.messages, q.head = q.messages[:0], 0
 	}
 }
--- a/control/rounds.go
+++ b/control/rounds.go
@@ -7,15 +7,20 @@
 	"curlewmux/pace"
 )
 
-// Which destinations a round has to look at. A destination that can't send sleeps until something can have changed: an
-// event of its own, a moment that can be reckoned (the end of a wait, a trial that comes due, the next call that its limit
-// or ramp lets go), room among the sick. Nothing is decided here: a look that is left out is one that would have sent
-// nothing, and a look changes nothing, so that no decision can tell how many there were.
+// This file selects the destinations that a round evaluates. A destination that cannot send sleeps until one of these:
+//
+//   - an event that concerns it;
+//   - a time that can be computed in advance (the end of a wait, the next trial call, the next call that its rate limit
+//     or ramp permits);
+//   - unhealthy destinations have fewer calls out than they may have together, and it is one of them.
+//
+// This file makes no decision. An evaluation that is left out would have sent nothing, and evaluations have no side
+// effects, so the actions do not depend on how many there are.
 
 // never is later than any time.
 const never = pace.Never
 
-// Orders that a destination has a place in.
+// Indexes of the heaps in destination.heapPositions.
 const (
 	activeHeap = iota
 	runnableHeap
@@ -28,231 +33,236 @@
 	heapCount
 )
 
-// roundState is what a destination waits for.
+// roundState tells what a destination waits for.
 type roundState uint8
 
 const (
-	stateIdle     roundState = iota // nothing is held, or it is among those that were roused
-	stateRunnable                   // its turn
-	stateAsleep                     // something that is known
+	stateIdle     roundState = iota // nothing: no message is queued, or it was just woken
+	stateRunnable                   // its turn to send
+	stateAsleep                     // an event, a time or room for calls
 )
 
-// turnBefore tells that a destination's turn is before another's.
-func (t *destination) turnBefore(o *destination) bool {
-	return t.virtualTime < o.virtualTime || t.virtualTime == o.virtualTime && t.activation < o.activation
+// turnBefore reports whether the turn of a destination is before that of another.
+func (dest *destination) turnBefore(other *destination) bool {
+	return dest.virtualTime < other.virtualTime ||
+		dest.virtualTime == other.virtualTime && dest.activation < other.activation
 }
 
-// rounds are the destinations with messages held or out, by what they wait for.
+// rounds holds the active destinations (those with messages queued or calls out), by what they wait for.
 type rounds struct {
-	active         destinationHeap[float64] // all of them, by counter
-	runnable       destinationHeap[float64] // those that may go
-	waitingForRoom destinationHeap[float64] // those asleep that want room among the sick
-	wakeups        destinationHeap[Time]    // those asleep that a time wakes
-	woken          []*destination           // woken, not in ready yet
-	emptied        []*destination
-	lastActivation uint64 // of the last destination that came into use
-	unhealthyCalls int    // calls out to those that fail or are slow
-	lossLevel      int    // of the share of lost answers, as far as it tells what is sure
+	active         destinationHeap[float64] // all active destinations, by turn
+	runnable       destinationHeap[float64] // those that may be able to send
+	waitingForRoom destinationHeap[float64] // sleeping ones that wait until unhealthy destinations have fewer calls out
+	wakeups        destinationHeap[Time]    // sleeping ones that wake at a known time
+	woken          []*destination           // those that were woken and are not in runnable yet
+	emptied        []*destination           // those left without messages and calls since the last round
+	lastActivation uint64                   // number of the destination that became active last
+	unhealthyCalls int                      // calls out to unhealthy destinations, which fail or are slow
+	lossLevel      int                      // failures needed on top to confirm an outage, as responses get lost
 }
 
 func newRounds() rounds {
 	r := rounds{}
-	r.active.index, r.runnable.index, r.waitingForRoom.index, r.wakeups.index = activeHeap, runnableHeap, roomHeap, wakeupHeap
+	r.active.index, r.runnable.index, r.waitingForRoom.index, r.wakeups.index =
+		activeHeap, runnableHeap, roomHeap, wakeupHeap
 	return r
 }
 
-// updateHeaps keeps the orders true after a change of what a destination holds or has out, or of its counter.
-func (d *Dispatcher) updateHeaps(t *destination) {
-	d.updateRates(t)
-	d.invalidateWorth(t)
-	if !t.active && t.queued > 0 {
+// updateHeaps updates the heaps after a destination's messages, calls or turn have changed.
+func (d *Dispatcher) updateHeaps(dest *destination) {
+	d.updateRates(dest)
+	d.invalidateWorth(dest)
+	if !dest.active && dest.queued > 0 {
 		d.lastActivation++
-		t.active, t.activation = true, d.lastActivation
+		dest.active, dest.activation = true, d.lastActivation
 	}
-	if t.queued == 0 && t.callsOut == 0 {
-		d.active.remove(t)
-		d.emptied = append(d.emptied, t)
+	if dest.queued == 0 && dest.callsOut == 0 {
+		d.active.remove(dest)
+		d.emptied = append(d.emptied, dest)
 	} else {
-		d.active.set(t, t.virtualTime, t.activation)
+		d.active.set(dest, dest.virtualTime, dest.activation)
 	}
-	if t.queued == 0 {
-		d.runnable.remove(t)
-		t.state = stateIdle
-	} else if t.state == stateRunnable {
-		d.runnable.set(t, t.virtualTime, t.activation)
+	if dest.queued == 0 {
+		d.runnable.remove(dest)
+		dest.state = stateIdle
+	} else if dest.state == stateRunnable {
+		d.runnable.set(dest, dest.virtualTime, dest.activation)
 	}
 }
 
-// leastVirtualTime is the smallest counter of the others with messages held or out, 0 if there are none.
-func (d *Dispatcher) leastVirtualTime(t *destination) float64 {
-	l := d.active.entries
-	if len(l) > 0 && l[0].destination != t {
-		return l[0].key
+// leastVirtualTime returns the least virtual time of the other active destinations, 0 if there are none. If the given
+// destination is the root of the heap, the least of the others is one of the root's children.
+func (d *Dispatcher) leastVirtualTime(dest *destination) float64 {
+	entries := d.active.entries
+	if len(entries) > 0 && entries[0].destination != dest {
+		return entries[0].key
 	}
-	acc := math.Inf(1)
-	for i := 1; i < min(len(l), 3); i++ {
-		acc = min(acc, l[i].key)
+	least := math.Inf(1)
+	for i := 1; i < min(len(entries), 3); i++ {
+		least = min(least, entries[i].key)
 	}
-	if math.IsInf(acc, 1) {
+	if math.IsInf(least, 1) {
 		return 0
 	}
-	return acc
+	return least
 }
 
-// deactivateEmptied takes destinations with nothing held or out out of use.
+// deactivateEmptied marks destinations without messages and calls as no longer active.
 func (d *Dispatcher) deactivateEmptied() {
-	for _, t := range d.emptied {
-		if t.queued == 0 && t.callsOut == 0 {
-			t.active = false
+	for _, dest := range d.emptied {
+		if dest.queued == 0 && dest.callsOut == 0 {
+			dest.active = false
 		}
 	}
 	clear(d.emptied)
 	d.emptied = d.emptied[:0]
 }
 
-// countUnhealthyCalls keeps the number of calls out to those that fail or are slow.
-func (d *Dispatcher) countUnhealthyCalls(t *destination) {
-	d.unhealthyCalls -= t.unhealthyCalls
-	if t.unhealthyCalls = 0; t.callsOut > 0 && d.destinationUnhealthy(t) {
-		t.unhealthyCalls = t.callsOut
+// countUnhealthyCalls updates the number of calls out to unhealthy destinations.
+func (d *Dispatcher) countUnhealthyCalls(dest *destination) {
+	d.unhealthyCalls -= dest.unhealthyCalls
+	if dest.unhealthyCalls = 0; dest.callsOut > 0 && d.destinationUnhealthy(dest) {
+		dest.unhealthyCalls = dest.callsOut
 	}
-	d.unhealthyCalls += t.unhealthyCalls
+	d.unhealthyCalls += dest.unhealthyCalls
 }
 
-// wakeDestination lets the next round look at a destination, before anything of it changes.
-func (d *Dispatcher) wakeDestination(t *destination) {
-	if t.state == stateAsleep {
-		d.wakeups.remove(t)
-		d.waitingForRoom.remove(t)
+// wakeDestination makes the next round evaluate a destination. It is called before the destination's state changes.
+func (d *Dispatcher) wakeDestination(dest *destination) {
+	if dest.state == stateAsleep {
+		d.wakeups.remove(dest)
+		d.waitingForRoom.remove(dest)
 	}
-	if t.state != stateRunnable {
-		t.state = stateIdle
-		if !t.wakePending {
-			t.wakePending = true
-			d.woken = append(d.woken, t)
+	if dest.state != stateRunnable {
+		dest.state = stateIdle
+		if !dest.wakePending {
+			dest.wakePending = true
+			d.woken = append(d.woken, dest)
 		}
 	}
 }
 
-// wakeAll lets the next round look at all.
+// wakeAll makes the next round evaluate all active destinations.
 func (d *Dispatcher) wakeAll() {
 	for i := range d.active.entries {
-		if t := d.active.entries[i].destination; t.state == stateAsleep {
-			d.wakeDestination(t)
+		if dest := d.active.entries[i].destination; dest.state == stateAsleep {
+			d.wakeDestination(dest)
 		}
 	}
 }
 
-// beginRound begins a round: those whose time has come are woken.
+// beginRound wakes the destinations whose wake-up time has come.
 func (d *Dispatcher) beginRound() {
 	for range maxScansPerStep {
-		t := d.wakeups.popDue(d.now)
-		if t == nil {
+		dest := d.wakeups.popDue(d.now)
+		if dest == nil {
 			break
 		}
-		d.wakeDestination(t)
+		d.wakeDestination(dest)
 	}
 	d.moreWork = d.moreWork || d.wakeups.isDue(d.now)
 	if level := int(failuresPerLostShare * d.lostShare); level != d.lossLevel {
-		d.wakeAll() // what counts as sure has changed
+		d.wakeAll() // the number of failures that confirm an outage has changed
 		d.lossLevel = level
 	}
 }
 
-// nextDestination is the destination with the smallest counter of those that are to be looked at, nil if there is none.
+// nextDestination returns the destination whose turn is first among those to evaluate, nil if there is none.
 func (d *Dispatcher) nextDestination() *destination {
 	kept := d.woken[:0]
-	for _, t := range d.woken {
+	for _, dest := range d.woken {
 		switch {
-		case t.state != stateIdle || t.queued == 0:
-			t.wakePending = false
-		case t.blockedRound == d.round:
-			kept = append(kept, t)
+		case dest.state != stateIdle || dest.queued == 0:
+			dest.wakePending = false
+		case dest.blockedRound == d.round:
+			kept = append(kept, dest)
 		default:
-			t.wakePending = false
-			t.state = stateRunnable
-			d.runnable.set(t, t.virtualTime, t.activation)
+			dest.wakePending = false
+			dest.state = stateRunnable
+			d.runnable.set(dest, dest.virtualTime, dest.activation)
 		}
 	}
 	clear(d.woken[len(kept):])
 	d.woken = kept
 	best := d.runnable.first()
-	if t := d.waitingForRoom.first(); t != nil && d.unhealthyCalls < d.maxUnhealthyCalls() && (best == nil || t.turnBefore(best)) {
-		best = t
-		d.wakeDestination(t) // and at once
-		t.state = stateRunnable
-		d.runnable.set(t, t.virtualTime, t.activation)
+	if dest := d.waitingForRoom.first(); dest != nil && d.unhealthyCalls < d.maxUnhealthyCalls() &&
+		(best == nil || dest.turnBefore(best)) {
+		best = dest
+		d.wakeDestination(dest) // it is evaluated in this round
+		dest.state = stateRunnable
+		d.runnable.set(dest, dest.virtualTime, dest.activation)
 	}
 	return best
 }
 
-// blockReason is why a destination can't send.
+// blockReason tells why a destination cannot send.
 type blockReason uint8
 
 const (
 	notBlocked blockReason = iota // it can
-	noEndpoint
-	noWindow
-	noMessage
+	noEndpoint                    // no endpoint may be called now
+	noWindow                      // its calls out fill the window
+	noMessage                     // none of its messages may be sent now
 )
 
-// putToSleep puts a destination that can't send to sleep until something can have changed.
-func (d *Dispatcher) putToSleep(t *destination, why blockReason, ep *endpoint, trial bool) {
-	t.blockedRound = d.round
-	if t.state == stateRunnable {
-		d.runnable.remove(t)
+// putToSleep puts a destination that cannot send to sleep until something that matters to it may have changed.
+func (d *Dispatcher) putToSleep(dest *destination, reason blockReason, ep *endpoint, trial bool) {
+	dest.blockedRound = d.round
+	if dest.state == stateRunnable {
+		d.runnable.remove(dest)
 	}
-	if t.queued == 0 {
-		t.state = stateIdle
+	if dest.queued == 0 {
+		dest.state = stateIdle
 		return
 	}
-	t.state = stateAsleep
+	dest.state = stateAsleep
 	until := never
-	if why != noWindow { // that opens by events alone
-		for _, e := range t.endpoints {
-			if at := d.nextSendAt(e); at > d.now {
+	if reason != noWindow { // only events change the window
+		for _, sibling := range dest.endpoints {
+			if at := d.nextSendAt(sibling); at > d.now {
 				until = min(until, at)
 			}
 		}
 	}
 	switch {
-	case why == noMessage && trial && d.allRisky(t, ep):
+	case reason == noMessage && trial && d.allRisky(dest, ep):
 		if d.settings.RiskAfter > 0 {
 			until = min(until, ep.nextTrialAt.After(d.settings.RiskAfter))
 		}
-	case why == noMessage:
-		until = min(until, d.unblocksAt(t))
+	case reason == noMessage:
+		until = min(until, d.unblocksAt(dest))
 	}
 	if until < never {
-		d.wakeups.set(t, until, t.activation)
+		d.wakeups.set(dest, until, dest.activation)
 	}
-	if why == noWindow && t.callsOut < min(t.window, d.maxWindow()) {
-		d.waitingForRoom.set(t, t.virtualTime, t.activation)
+	if reason == noWindow && dest.callsOut < min(dest.window, d.maxWindow()) {
+		d.waitingForRoom.set(dest, dest.virtualTime, dest.activation)
 	}
 }
 
-// unblocksAt is when a destination of which no message may go has to be looked at again: at the end of a key's rest or of
-// the time in which repeats are dropped, and when the oldest message that is still in time no longer is.
-func (d *Dispatcher) unblocksAt(t *destination) Time {
+// unblocksAt returns when to evaluate a destination again if none of its messages may be sent now. That is when the
+// wait of an order key ends, when the time in which repeats are dropped ends, or when the oldest message that can
+// still meet its aim no longer can, because another message is considered then.
+func (d *Dispatcher) unblocksAt(dest *destination) Time {
 	at := never
-	mean, _ := d.latency(t)
-	for i := range t.queues {
-		l := t.queues[i].all()
-		if len(l) == 0 {
+	mean, _ := d.latency(dest)
+	for i := range dest.queues {
+		messages := dest.queues[i].all()
+		if len(messages) == 0 {
 			continue
 		}
-		fresh, _ := slices.BinarySearchFunc(l, d.now+Time(mean), compareAim)
-		if fresh < len(l) {
-			at = min(at, l[fresh].submittedAt+l[fresh].class.Aim-Time(mean))
+		firstInTime, _ := slices.BinarySearchFunc(messages, d.now+Time(mean), compareAim)
+		if firstInTime < len(messages) {
+			at = min(at, messages[firstInTime].submittedAt+messages[firstInTime].class.Aim-Time(mean))
 		}
-		for _, m := range [2]*message{l[0], l[min(fresh, len(l)-1)]} {
-			if m.key != nil && m.key.blockedUntil > d.now {
-				at = min(at, m.key.blockedUntil)
+		for _, msg := range [2]*message{messages[0], messages[min(firstInTime, len(messages)-1)]} {
+			if msg.key != nil && msg.key.blockedUntil > d.now {
+				at = min(at, msg.key.blockedUntil)
 			}
-			if m.inDoubt && m.class.Effect == Guarded {
-				at = min(at, m.doubtSince+m.class.Window-d.settings.Tick)
-				if m.class.ZoneGroup && len(t.endpoints) > 1 { // which of them is chosen changes with calls elsewhere, too
-					return d.now + 1
+			if msg.inDoubt && msg.class.Effect == Guarded {
+				at = min(at, msg.doubtSince+msg.class.Window-d.settings.Tick)
+				if msg.class.ZoneGroup && len(dest.endpoints) > 1 {
+					return d.now + 1 // calls of other messages may change which endpoint is chosen
 				}
 			}
 		}
@@ -260,10 +270,10 @@
 	return max(at, d.now+1)
 }
 
-// allRisky tells that all held messages are too risky for this trial, whatever the time.
-func (d *Dispatcher) allRisky(t *destination, ep *endpoint) bool {
-	for i := range t.queues {
-		if t.queues[i].len() > 0 && !d.tooRiskyForTrial(&d.settings.Classes[i/2], ep) {
+// allRisky reports whether no queued message may be used for a trial call to an endpoint, however late the message is.
+func (d *Dispatcher) allRisky(dest *destination, ep *endpoint) bool {
+	for i := range dest.queues {
+		if dest.queues[i].len() > 0 && !d.tooRiskyForTrial(&d.settings.Classes[i/2], ep) {
 			return false
 		}
 	}
--- a/control/settings.go
+++ b/control/settings.go
@@ -5,11 +5,9 @@
 	"math"
 )
 
-// What a setting may be at all; nothing is decided here.
-
-// SettingError says that a setting is out of range.
+// SettingError reports a setting that is out of range.
 type SettingError struct {
-	Field string // as in Settings: Slots, Classes[1].Aim
+	Field string // path within Settings, such as Slots or Classes[1].Aim
 	Value float64
 }
 
@@ -19,12 +17,12 @@
 
 // Check returns a *SettingError for the first setting out of range.
 func (s *Settings) Check() error {
-	type figure struct {
-		name  string
-		v     float64
-		least float64
+	type lowerBound struct {
+		name    string
+		value   float64
+		minimum float64
 	}
-	figures := []figure{
+	lowerBounds := []lowerBound{
 		{"Slots", float64(s.Slots), 1}, {"MaxOpen", float64(s.MaxOpen), 1}, {"MaxTries", float64(s.MaxTries), 1},
 		{"Instances", float64(s.Instances), 1}, {"Tick", float64(s.Tick), 1}, {"Classes", float64(len(s.Classes)), 1},
 		{"Me", float64(s.Me), 0}, {"Zone", float64(s.Zone), 0}, {"OverShare", s.OverShare, 0},
@@ -35,21 +33,22 @@
 		{"OverloadFor", float64(s.OverloadFor), 0}, {"SettleAfterDoubt", float64(s.SettleAfterDoubt), 0},
 		{"RiskAfter", float64(s.RiskAfter), 0},
 	}
-	for i, c := range s.Classes {
-		at := fmt.Sprintf("Classes[%d].", i)
-		figures = append(figures, figure{at + "Window", float64(c.Window), 0}, figure{at + "Aim", float64(c.Aim), 0},
-			figure{at + "Deadline", float64(c.Deadline), 0}, figure{at + "Worth", c.Worth, 0},
-			figure{at + "LateWorth", c.LateWorth, 0})
+	for i, class := range s.Classes {
+		prefix := fmt.Sprintf("Classes[%d].", i)
+		lowerBounds = append(lowerBounds,
+			lowerBound{prefix + "Window", float64(class.Window), 0}, lowerBound{prefix + "Aim", float64(class.Aim), 0},
+			lowerBound{prefix + "Deadline", float64(class.Deadline), 0}, lowerBound{prefix + "Worth", class.Worth, 0},
+			lowerBound{prefix + "LateWorth", class.LateWorth, 0})
 	}
-	for i, t := range s.Tenants {
-		figures = append(figures, figure{fmt.Sprintf("Tenants[%d].Quota", i), t.Quota, 0})
+	for i, tenant := range s.Tenants {
+		lowerBounds = append(lowerBounds, lowerBound{fmt.Sprintf("Tenants[%d].Quota", i), tenant.Quota, 0})
 	}
-	for i, k := range s.Kinds {
-		figures = append(figures, figure{fmt.Sprintf("Kinds[%d].Batch", i), float64(k.Batch), 1})
+	for i, kind := range s.Kinds {
+		lowerBounds = append(lowerBounds, lowerBound{fmt.Sprintf("Kinds[%d].Batch", i), float64(kind.Batch), 1})
 	}
-	for _, f := range figures {
-		if !(f.v >= f.least) || math.IsInf(f.v, 0) {
-			return &SettingError{f.name, f.v}
+	for _, bound := range lowerBounds {
+		if !(bound.value >= bound.minimum) || math.IsInf(bound.value, 0) {
+			return &SettingError{bound.name, bound.value}
 		}
 	}
 	if s.ColdFrom > 1 {
--- a/control/state.go
+++ b/control/state.go
@@ -1,6 +1,7 @@
 package control
 
-// State that control.go decides with, and the plain upkeep of it. Nothing is decided here.
+// This file holds the state that the decisions in control.go are based on, and keeps it up to date. It makes no
+// decision itself.
 
 import (
 	"cmp"
@@ -11,187 +12,216 @@
 	"curlewmux/pace"
 )
 
-// message is one message from arrival to its end and its last outcome.
+// message is one message, kept until it has ended and its last attempt has an outcome.
 type message struct {
-	id                       MessageID
-	class                    *Class
-	destination              *destination
-	queueIndex               int
-	key                      *orderKey
-	submittedAt, deadline    Time // when it was first handed in, when it is given up
-	arrivalNumber            uint64
-	overShare, queued, ended bool
-	resent                   bool // from the store of undelivered ones: where nothing else comes it is the trial
-	tries                    int
-	call                     *call
-	inDoubt                  bool // an attempt may have run ...
-	doubtSince               Time // ... the first such was sent then ...
-	doubtZone                int  // ... to this zone
-}
-
-// call is one call out, holding a slot: a message, or several of one round.
+	id            MessageID
+	class         *Class
+	destination   *destination
+	queueIndex    int
+	key           *orderKey // nil if it has no order key
+	submittedAt   Time      // when it was first submitted
+	deadline      Time      // after which it is no longer delivered
+	arrivalNumber uint64    // number of its arrival; queues are ordered by it
+	overShare     bool      // worth less: its tenant is over its quota, or it is resent
+	queued        bool      // it is in the queue of its destination
+	ended         bool      // it has its final result; an attempt may still be out
+	// An undelivered message that is sent again. It may be a trial call whatever its class, as nothing else may come.
+	resent     bool
+	tries      int
+	call       *call // the call that carries its current attempt, nil if none is out
+	inDoubt    bool  // an attempt may have run
+	doubtSince Time  // send time of the first attempt that may have run
+	doubtZone  int   // zone that this attempt was sent to
+}
+
+// call is one call that is out and holds a slot. It carries one message, or a batch of messages sent in one round.
 type call struct {
-	endpoint               *endpoint
-	sentAt                 Time
-	messages               []*message
-	unsettled              int
-	trial, cancelRequested bool // a trial of a suspect; called off by us
-	learned                bool // an outcome was learned from
-	wellBelowLimit         bool // it went at well under what is answered there
-	connIdle               Time // how long the connection that it went out on had been idle, 0 if new or in use
+	endpoint        *endpoint
+	sentAt          Time
+	messages        []*message
+	unsettled       int  // messages that have no outcome yet
+	trial           bool // a trial call to a suspect endpoint
+	cancelRequested bool // a Cancel action was returned for it
+	learned         bool // one of its outcomes was used to update the statistics
+	wellBelowLimit  bool // sent at well below the rate that the destination accepted, see rateLimit.wellBelowShare
+	connIdle        Time // how long its connection had been idle, 0 if that is new or in use
 }
 
-// orderKey orders the messages that share a key.
+// orderKey sequences the messages that share an order key.
 type orderKey struct {
 	id             uint64
-	queue          []*message
-	blockedUntil   Time
-	doubtful       *message // whose doubt it rests for, nil if an earlier process's
-	cleanupPending bool     // in the list of those at rest
+	queue          []*message // messages with this key, the next one to send first
+	blockedUntil   Time       // the next message waits until then: an attempt may still be running
+	doubtful       *message   // the message whose attempt may still be running, nil if it is one of an earlier process
+	cleanupPending bool       // in the list of keys without messages that cleanUp removes later
 }
 
-// blockedByKey tells whether a message waits for its key's rest: for the doubt of another, or, not sent yet, for any.
+// blockedByKey reports whether a message has to wait because an attempt with its key may still be running. A message
+// that was sent before does not wait for an attempt of its own.
 func (m *message) blockedByKey(now Time) bool {
 	return now < m.key.blockedUntil && (m.tries == 0 || m.key.doubtful != nil && m.key.doubtful != m)
 }
 
-// endpoint is a place to send to, with its own health.
+// endpoint is one address of a destination, with its own health.
 type endpoint struct {
-	// What each look at its destination reads stands together.
-	health                     Health
-	suspect, provenDown        bool // not fed; its last failure proved that calls do not run
-	leaving                    bool // in the list of those that are listed gone
-	connOpen                   bool // a connection is thought open
-	limit                      *rateLimit
-	destination                *destination
-	failureStreak, errorStreak int         // calls in a row that met nobody or silence; answers in a row that were errors
-	nextTrialAt                Time        // next trial
-	lastFailureAt              Time        // while suspect: when the last failure was known
-	rampStart                  Time        // start of its ramp, 0 none; it may lie ahead
-	ramp                       pace.Bucket // calls that it may be sent while it is cold or in an outage
-	calls                      []*call     // out, oldest first
-	id                         Endpoint
-	zone, batch                int  // batch: most messages in one call
-	lastUsedAt, lastResponseAt Time // last use; last answer
-	lastOKSentAt               Time // send time of the newest call answered ok
-	failedConnIdle             Time // idle age of the connection on which the last failed call went out
-	downSince, trialInterval   Time // while suspect: since when; how long until the trial after the next
-}
-
-// kindState is what the destinations of one kind have in common.
+	// The fields that each scan of the destination reads come first, next to each other in memory.
+	health         Health
+	suspect        bool // taken to be down: it gets only trial calls
+	provenDown     bool // its last failure proves that calls do not run there
+	leaving        bool // in Dispatcher.leaving
+	connOpen       bool // a connection is assumed to be open
+	limit          *rateLimit
+	destination    *destination
+	failureStreak  int         // failed connections and timeouts in a row
+	errorStreak    int         // error responses in a row
+	nextTrialAt    Time        // time of the next trial call
+	lastFailureAt  Time        // while suspect: when the last failure was noticed
+	rampStart      Time        // start of its ramp, possibly in the future; 0 if there is none
+	ramp           pace.Bucket // calls that are permitted while it is cold or suspect
+	calls          []*call     // calls out, the oldest first
+	id             Endpoint
+	zone           int
+	batch          int  // most messages in one call
+	lastUsedAt     Time // when a call last started or ended
+	lastResponseAt Time // time of the last response
+	lastOKSentAt   Time // latest send time of a call that succeeded
+	failedConnIdle Time // how long the connection of the last failed call had been idle
+	downSince      Time // while suspect: since when it is taken to be down
+	trialInterval  Time // while suspect: time between the next trial call and the one after it
+}
+
+// kindState holds what was learned about all destinations of one kind.
 type kindState struct {
-	latencyStats     latencyStats
-	safeIdle         Time    // idle age up to which connections are known to hold
-	retrySuccess     float64 // how often the call after a refusal went well
-	idleDropShare    float64 // share of calls on idle connections that failed where the next one went well
-	connsScarceUntil Time    // until then connections are taken to be scarce
-	timeoutFloor     Time    // silence of a destination without samples: lookout.go reckons with no less
+	latencyStats     latencyStats // of calls to any of them
+	safeIdle         Time         // idle time up to which connections are known to stay usable
+	retrySuccess     float64      // share of calls after a refusal that succeeded
+	idleDropShare    float64      // share of calls on idle connections that failed although the next call succeeded
+	connsScarceUntil Time         // destinations are assumed to be short of connections until then
+	timeoutFloor     Time         // planned response timeout of destinations without samples, see timeoutScan
 }
 
-// latencyStats is a running mean and deviation.
-type latencyStats struct{ mean, deviation, samples float64 }
+// latencyStats is a running mean and mean deviation of latencies, in microseconds.
+type latencyStats struct {
+	mean      float64
+	deviation float64
+	samples   float64 // number of samples
+}
 
-func (l *latencyStats) add(v, gain float64) {
-	l.samples++
-	l.deviation += gain * (math.Abs(v-l.mean) - l.deviation)
-	l.mean += gain * (v - l.mean)
+func (s *latencyStats) add(latency, gain float64) {
+	s.samples++
+	s.deviation += gain * (math.Abs(latency-s.mean) - s.deviation)
+	s.mean += gain * (latency - s.mean)
 }
 
-// rateLimit is what bounds the rate to a destination, or to one route where routes are apart.
+// rateLimit bounds the rate of calls to a destination, or to one endpoint where endpoints have limits of their own
+// (Kind.RoutesApart).
 type rateLimit struct {
-	waitUntil                        Time        // told, or our own backoff
-	allowedShare, knownRate          float64     // share of the own demand let go, as of shareSince; listed or reported rate
-	shareGrowth                      float64     // termsAt allow, a second
-	shareSince                       Time        // it may lie ahead, at the end of a wait
-	tokens                           pace.Bucket // calls that it lets go; of no use while free
-	unlimited                        bool        // no limit is felt
-	lastCutAt, lastOKAt              Time
-	refusedSince                     Time
-	toldWaitUntil                    Time    // end of the told wait alone
-	randomShare, toleratedDeviations float64 // weight of the calls that it refuses whatever comes; in how far more are chance, too
-	cutRefusedShare                  float64 // share refused that led to the last cut
-	wellBelowCalls                   float64 // calls at well under what was answered since the last cut
-	wellBelowShare                   float64 // share of the own demand up to which calls are well under it
-	cutStreak                        int     // in a row
-	refusalStreak, failureStreak     int     // refusals in a row; calls in a row that met nobody or silence, at all its endpoints
-	okMeter                          meter   // answers with 200
-	refusedMeter, endedMeter         meter   // refusals, and all calls that ended, since the last cut
-}
-
-// allowedShareAt is the share of the own demand that is let go at a moment.
-func (p *rateLimit) allowedShareAt(now Time) float64 {
-	if p.allowedShare >= unlimitedShare {
-		return p.allowedShare
+	waitUntil           Time        // no call before then: a told wait or a backoff
+	allowedShare        float64     // share of this dispatcher's demand that may be sent, as of shareSince
+	knownRate           float64     // listed or reported rate in calls a second, 0 if there is none
+	shareGrowth         float64     // growth of allowedShare per second
+	shareSince          Time        // possibly in the future, at the end of a wait
+	tokens              pace.Bucket // calls that are permitted; not used while unlimited
+	unlimited           bool        // no rate limit is known or inferred
+	lastCutAt           Time        // when allowedShare was last cut
+	lastOKAt            Time        // time of the last success
+	refusedSince        Time        // time of the first refusal since the last success, 0 if there was none
+	toldWaitUntil       Time        // end of the told wait, without backoffs
+	randomShare         float64     // share of calls that are refused at random, whatever the rate
+	toleratedDeviations float64     // standard deviations above that share that still count as random
+	cutRefusedShare     float64     // share of refused calls that led to the last cut
+	wellBelowCalls      float64     // calls since the last cut that went out at well below the accepted rate
+	wellBelowShare      float64     // largest share of the demand that is well below the accepted rate
+	cutStreak           int         // cuts since the last success that were made without a told wait
+	refusalStreak       int         // refusals in a row
+	failureStreak       int         // failed connections and timeouts in a row, over all its endpoints
+	okMeter             meter       // successful calls
+	refusedMeter        meter       // refusals since the last cut
+	endedMeter          meter       // all calls that ended since the last cut
+}
+
+// allowedShareAt returns the share of this dispatcher's demand that may be sent at a time.
+func (limit *rateLimit) allowedShareAt(now Time) float64 {
+	if limit.allowedShare >= unlimitedShare {
+		return limit.allowedShare
 	}
-	return min(unlimitedShare, p.allowedShare+p.shareGrowth*now.Since(p.shareSince).Seconds())
+	return min(unlimitedShare, limit.allowedShare+limit.shareGrowth*now.Since(limit.shareSince).Seconds())
 }
 
-// destination is a destination: its hold, turn counter, window and what was learned.
+// destination holds the queues, turn, window and statistics of one destination.
 type destination struct {
-	// What each look reads stands together.
+	// The fields that each scan reads come first, next to each other in memory.
 	state            roundState
-	wakePending      bool // in the list of those roused
-	active           bool // it had messages held or out when that was last looked for ...
-	windowSlowStart  bool
-	cleanupPending   bool   // in the list of those that had no endpoint
-	activation       uint64 // its number among those that came into use
-	virtualTime      float64
-	queued           int
-	blockedRound     uint64 // round in which nothing more can go
+	wakePending      bool    // in rounds.woken
+	active           bool    // it had messages queued or out when that was last checked
+	windowSlowStart  bool    // its window still grows with each success, until a first call fails
+	cleanupPending   bool    // in Dispatcher.withoutEndpoints
+	activation       uint64  // number given each time it becomes active; breaks ties between equal turns
+	virtualTime      float64 // slot time used so far, divided by its weight; the least has the next turn
+	queued           int     // messages in its queues
+	blockedRound     uint64  // last round that found it unable to send
 	endpoints        []*endpoint
 	kind             *kindState
 	limit            *rateLimit
 	demand           meter
-	served           meter   // answers with 200, by message
-	rateBeforeOutage float64 // messages a second that were served before its outage
-
-	number                  int
-	index                   int // in the list of all
-	openMessages            int // messages owed an answer
-	weight                  float64
-	queues                  []messageQueue // by class and over-share, oldest first
-	callsOut, window        int
-	endedCalls, failedCalls int
-	latencyStats            latencyStats
-	longTermLatency         float64 // the long view of its latency
-	hadReady                bool    // an endpoint of it was listed ready before this whole list
-	outageRemembered        bool    // its endpoints had failed or were cold when the last one of them left
-	windowList              uint64  // the list that its first window goes by
-
-	heapPositions     [heapCount]int // in each order, from 1
-	unhealthyCalls    int            // its part in rounds.unhealthyCalls
-	leastWorthMessage *message       // least worth, as of round leastWorthRound
-	leastWorth        float64
+	served           meter   // delivered messages
+	rateBeforeOutage float64 // delivered messages per second before its outage, 0 if not known
+
+	number           int            // number by which clients and lists name it
+	index            int            // position in the list of all destinations
+	openMessages     int            // messages without a final result
+	weight           float64        // listed weight, 1 if there is none
+	queues           []messageQueue // two for each class; the second is for messages with overShare set
+	callsOut         int            // calls out
+	window           int            // window: most calls out
+	endedCalls       int            // calls that ended since the window was last revised
+	failedCalls      int            // those of them that failed
+	latencyStats     latencyStats
+	longTermLatency  float64 // long-term mean of its latency, against which slowness is measured
+	hadReady         bool    // it had a ready endpoint before the complete list that is being applied
+	outageRemembered bool    // an endpoint had failed or was cold when the last ready one left
+	windowList       uint64  // number of the list by which its first window was set
+
+	heapPositions     [heapCount]int // position in each heap, counted from 1; 0 if it is not in it
+	unhealthyCalls    int            // its calls that are counted in rounds.unhealthyCalls
+	leastWorthMessage *message       // its least valuable message, as of leastWorthRound
+	leastWorth        float64        // the worth of that message
 	leastWorthRound   uint64
 }
 
-// listState are endpoints and destinations that may be of no more use soon, and what lists said of how many there are.
+// listState holds the endpoints and destinations that may soon be removed, and values that depend on the number of
+// destinations listed.
 type listState struct {
-	leaving          []*endpoint    // listed gone, and still with their destinations
-	withoutEndpoints []*destination // without endpoints when that was last looked for
+	leaving          []*endpoint    // endpoints listed as gone that their destinations still have
+	withoutEndpoints []*destination // destinations that had no endpoints when last checked
 	listNumber       uint64         // number of the newest list
-	fairWindow       int            // fair share of the slots since then
+	fairWindow       int            // fair share of the slots as of that list
 }
 
-// meter is a rate with exponential decay.
+// meter measures a rate, with exponential decay.
 type meter struct {
-	sum                 float64
-	at, memory, started Time
-	terms               terms
+	sum     float64 // sum of what was counted, decayed to the time at
+	at      Time
+	memory  Time // time constant of the decay
+	started Time // when counting began
+	terms   terms
 }
 
-// terms are what a meter's figures go by at one moment, for which they are asked for several times.
+// terms caches the factors of a meter's rate for one time, as the rate is read several times in a round.
 type terms struct {
-	now, at, started Time    // what they are of
-	decay, filled    float64 // what is left of v, and the part of the memory that is filled
+	now     Time
+	at      Time
+	started Time
+	decay   float64 // factor by which sum has decayed since at
+	filled  float64 // share of the memory that is filled, less than 1 while the history is short
 }
 
-func (m *meter) add(now Time, n float64) {
-	m.sum = m.sum*math.Exp(-float64(now-m.at)/float64(m.memory)) + n
+func (m *meter) add(now Time, count float64) {
+	m.sum = m.sum*math.Exp(-float64(now-m.at)/float64(m.memory)) + count
 	m.at = now
 }
 
-// addAged counts one that came so long ago, as far as it is still remembered.
+// addAged counts one arrival of a given age, with the weight that it has left after the decay.
 func (m *meter) addAged(now, age Time) {
 	if age > 0 {
 		m.started = min(m.started, now-age)
@@ -199,60 +229,62 @@
 	m.add(now, math.Exp(-float64(age)/float64(m.memory)))
 }
 
-// filledAfter is after how many times its memory a meter's is filled to the last bit: exp(-38) is under half of it.
+// filledAfter is the number of time constants after which a meter's memory counts as filled: exp(-38) is less than half
+// of the last bit of a float64 near 1.
 const filledAfter = 38
 
-// termsAt are the terms of a moment.
+// termsAt returns the terms of a time.
 func (m *meter) termsAt(now Time) *terms {
-	t := &m.terms
-	if t.now != now || t.at != m.at || t.started != m.started || t.filled == 0 {
-		*t = terms{now: now, at: m.at, started: m.started, decay: math.Exp(-float64(now-m.at) / float64(m.memory)), filled: 1}
-		if old := now - m.started + initialMeterHistory; old < filledAfter*m.memory {
-			t.filled -= math.Exp(-float64(old) / float64(m.memory))
+	cached := &m.terms
+	if cached.now != now || cached.at != m.at || cached.started != m.started || cached.filled == 0 {
+		*cached = terms{now: now, at: m.at, started: m.started,
+			decay: math.Exp(-float64(now-m.at) / float64(m.memory)), filled: 1}
+		if history := now - m.started + initialMeterHistory; history < filledAfter*m.memory {
+			cached.filled -= math.Exp(-float64(history) / float64(m.memory))
 		}
 	}
-	return t
+	return cached
 }
 
-// rate is per second; the start is corrected for the short history.
+// rate returns the rate per second. It is corrected for a history shorter than the memory.
 func (m *meter) rate(now Time) float64 {
-	t := m.termsAt(now)
-	return m.sum * t.decay / m.memory.Seconds() / t.filled
+	terms := m.termsAt(now)
+	return m.sum * terms.decay / m.memory.Seconds() / terms.filled
 }
 
-// insert adds a message to its lane, which is in order of arrival.
-func (t *destination) enqueue(m *message) {
-	t.queues[m.queueIndex].insert(m)
-	m.queued = true
-	t.queued++
+// enqueue adds a message to its queue, in order of arrival.
+func (dest *destination) enqueue(msg *message) {
+	dest.queues[msg.queueIndex].insert(msg)
+	msg.queued = true
+	dest.queued++
 }
 
-// remove takes a message out of its lane, if it is in one.
-func (t *destination) dequeue(m *message) {
-	if !m.queued {
+// dequeue removes a message from its queue, if it is queued.
+func (dest *destination) dequeue(msg *message) {
+	if !msg.queued {
 		return
 	}
-	t.queues[m.queueIndex].remove(m)
-	t.queued--
-	m.queued = false
+	dest.queues[msg.queueIndex].remove(msg)
+	dest.queued--
+	msg.queued = false
 }
 
-// hasTrialOut tells whether a trial is out.
+// hasTrialOut reports whether a trial call is out.
 func (ep *endpoint) hasTrialOut() bool {
 	return slices.ContainsFunc(ep.calls, func(c *call) bool { return c.trial })
 }
 
-// runnable counts the endpoints listed ready.
-func (t *destination) readyCount() (n int) {
-	for _, ep := range t.endpoints {
+// readyCount counts the endpoints that are listed as ready.
+func (dest *destination) readyCount() (count int) {
+	for _, ep := range dest.endpoints {
 		if ep.health == Ready {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// random returns a number from 0 to 1, from the seed alone.
+// random returns a pseudo-random number in [0, 1) that depends only on the seed (xorshift64).
 func (d *Dispatcher) random() float64 {
 	d.randomState ^= d.randomState << 13
 	d.randomState ^= d.randomState >> 7
@@ -260,136 +292,144 @@
 	return float64(d.randomState>>11) / (1 << 53)
 }
 
+// newCallMeter returns a meter for calls and their results.
 func (d *Dispatcher) newCallMeter() meter { return meter{memory: rateTau, at: d.now, started: d.now} }
 
+// newRateLimit returns a limit that restricts nothing yet.
 func (d *Dispatcher) newRateLimit() *rateLimit {
 	return &rateLimit{
-		tokens: pace.NewBucket(d.now, 1), allowedShare: unlimitedShare, unlimited: true, randomShare: initialRandomShare, toleratedDeviations: 1,
+		tokens: pace.NewBucket(d.now, 1), allowedShare: unlimitedShare, unlimited: true,
+		randomShare: initialRandomShare, toleratedDeviations: 1,
 		okMeter: d.newCallMeter(), refusedMeter: d.newCallMeter(), endedMeter: d.newCallMeter(),
 	}
 }
 
+// compareAim compares the time of a message's aim with another time, for a binary search.
 func compareAim(m *message, at Time) int { return cmp.Compare(m.submittedAt+m.class.Aim, at) }
 
-// worth is what delivering the message at t would earn.
-func (d *Dispatcher) worth(m *message, t Time) float64 {
-	c, v := m.class, m.class.Worth
-	if m.overShare {
-		v *= d.settings.OverShare
+// worth returns how much the message is worth if it is delivered at the given time.
+func (d *Dispatcher) worth(msg *message, at Time) float64 {
+	class, worth := msg.class, msg.class.Worth
+	if msg.overShare {
+		worth *= d.settings.OverShare
 	}
-	late := t - m.submittedAt - c.Aim
+	late := at - msg.submittedAt - class.Aim
 	switch {
-	case t >= m.deadline:
+	case at >= msg.deadline:
 		return 0
 	case late <= 0:
-		return v
+		return worth
 	case d.settings.LateHalving:
-		return v * max(c.LateWorth, math.Exp2(-float64(late)/float64(max(c.Aim, 1))))
+		return worth * max(class.LateWorth, math.Exp2(-float64(late)/float64(max(class.Aim, 1))))
 	}
-	return v * (1 - (1-c.LateWorth)*float64(late)/float64(max(c.Deadline-c.Aim, 1)))
+	return worth * (1 - (1-class.LateWorth)*float64(late)/float64(max(class.Deadline-class.Aim, 1)))
 }
 
-// maxCleanupsPerStep is how many of each are forgotten in one Step at most; the next goes on.
+// maxCleanupsPerStep is the most entries of each sort that cleanUp removes in one Step. The next Step goes on with the
+// rest.
 const maxCleanupsPerStep = 1000
 
-// cleanUp forgets what is of no more use: gone endpoints without calls, unlisted destinations and keys at rest.
-// A told wait binds until it is over, a drain while calls are out, and a key's rest while it lasts.
+// cleanUp removes state that is no longer needed: endpoints that are gone, unlisted destinations and order keys without
+// messages. It keeps endpoints and destinations with calls out or with a wait that has not ended, and keys for which an
+// attempt may still be running.
 func (d *Dispatcher) cleanUp() {
-	var went [4]int // of each
-	more := func(i int) bool {
-		if went[i] == maxCleanupsPerStep {
+	var removed [4]int // removed entries of each sort
+	mayRemove := func(list int) bool {
+		if removed[list] == maxCleanupsPerStep {
 			d.cleanedAt = d.now - cleanupInterval
 			return false
 		}
-		went[i]++
+		removed[list]++
 		return true
 	}
 	d.leaving = slices.DeleteFunc(d.leaving, func(ep *endpoint) bool {
-		t := ep.destination
+		dest := ep.destination
 		switch {
-		case ep.health != Gone: // it is back
+		case ep.health != Gone: // listed again
 			ep.leaving = false
-		case len(ep.calls) == 0 && ep.limit.waitUntil <= d.now && more(0):
+		case len(ep.calls) == 0 && ep.limit.waitUntil <= d.now && mayRemove(0):
 			ep.leaving = false
-			d.wakeDestination(t)
-			t.endpoints = slices.DeleteFunc(t.endpoints, func(o *endpoint) bool { return o == ep })
+			d.wakeDestination(dest)
+			dest.endpoints = slices.DeleteFunc(dest.endpoints, func(other *endpoint) bool { return other == ep })
 			d.removed = append(d.removed, ep)
-			d.countUnhealthyCalls(t)
-			d.trackIfWithoutEndpoints(t)
+			d.countUnhealthyCalls(dest)
+			d.trackIfWithoutEndpoints(dest)
 		}
 		return !ep.leaving
 	})
-	// One that failed or was cold when it went is that still if it returns.
+	// An endpoint that was suspect or cold when it left is still suspect or cold if it returns soon.
 	d.removed = slices.DeleteFunc(d.removed, func(ep *endpoint) bool {
-		if ep.health != Gone { // it is back
+		if ep.health != Gone { // listed again
 			return true
 		}
-		old := (!d.unhealthy(ep) || d.now-max(ep.lastFailureAt, ep.rampStart) > unseenWarmUps*d.settings.WarmUp) && more(1)
-		if old {
+		obsolete := (!d.unhealthy(ep) ||
+			d.now-max(ep.lastFailureAt, ep.rampStart) > unseenWarmUps*d.settings.WarmUp) && mayRemove(1)
+		if obsolete {
 			delete(d.endpointByID, ep.id)
 		}
-		return old
+		return obsolete
 	})
-	d.withoutEndpoints = slices.DeleteFunc(d.withoutEndpoints, func(t *destination) bool {
+	d.withoutEndpoints = slices.DeleteFunc(d.withoutEndpoints, func(dest *destination) bool {
 		switch {
-		case len(t.endpoints) > 0:
-			t.cleanupPending = false
-		case t.openMessages == 0 && t.callsOut == 0 && t.limit.waitUntil <= d.now && more(2):
-			t.cleanupPending = false
-			delete(d.destinationByNumber, t.number)
+		case len(dest.endpoints) > 0:
+			dest.cleanupPending = false
+		case dest.openMessages == 0 && dest.callsOut == 0 && dest.limit.waitUntil <= d.now && mayRemove(2):
+			dest.cleanupPending = false
+			delete(d.destinationByNumber, dest.number)
 			last := len(d.destinations) - 1
-			d.destinations[t.index] = d.destinations[last]
-			d.destinations[t.index].index = t.index
+			d.destinations[dest.index] = d.destinations[last]
+			d.destinations[dest.index].index = dest.index
 			d.destinations[last] = nil
 			d.destinations = d.destinations[:last]
 		}
-		return !t.cleanupPending
+		return !dest.cleanupPending
 	})
 	d.stopShedding()
-	d.idleKeys = slices.DeleteFunc(d.idleKeys, func(k *orderKey) bool {
-		old := len(k.queue) == 0 && k.blockedUntil <= d.now && more(3)
-		if old {
-			delete(d.keys, k.id)
+	d.idleKeys = slices.DeleteFunc(d.idleKeys, func(key *orderKey) bool {
+		obsolete := len(key.queue) == 0 && key.blockedUntil <= d.now && mayRemove(3)
+		if obsolete {
+			delete(d.keys, key.id)
 		}
-		return old
+		return obsolete
 	})
 }
 
-// note tells the operators something, if nothing else was told lately.
-func (d *Dispatcher) note(t *destination, what string) {
+// note emits a log line for operators, unless it emitted one recently.
+func (d *Dispatcher) note(dest *destination, text string) {
 	if d.now >= d.nextNoteAt {
 		d.nextNoteAt = d.now + cleanupInterval
-		d.actions = append(d.actions, Action{Kind: Note, Text: fmt.Sprintf("destination %d %s", t.number, what)})
+		d.actions = append(d.actions, Action{Kind: Note, Text: fmt.Sprintf("destination %d %s", dest.number, text)})
 	}
 }
 
-// destination returns a destination, making it when it is first heard of.
-func (d *Dispatcher) destination(no int) *destination {
-	t := d.destinationByNumber[no]
-	if t == nil {
-		t = &destination{number: no, weight: 1, windowSlowStart: true, queues: make([]messageQueue, 2*len(d.settings.Classes))}
-		t.kind = d.kinds[0]
-		t.limit = d.newRateLimit()
-		t.demand = meter{memory: demandTau, at: d.now, started: d.now}
-		t.served = t.demand
-		d.destinationByNumber[no] = t
-		t.index = len(d.destinations)
-		d.destinations = append(d.destinations, t)
-		t.window, t.windowList = d.fairShare(), d.listNumber
-		d.trackIfWithoutEndpoints(t)
+// destination returns the destination with a number, and creates it on first use.
+func (d *Dispatcher) destination(number int) *destination {
+	dest := d.destinationByNumber[number]
+	if dest == nil {
+		dest = &destination{number: number, weight: 1, windowSlowStart: true,
+			queues: make([]messageQueue, 2*len(d.settings.Classes))}
+		dest.kind = d.kinds[0]
+		dest.limit = d.newRateLimit()
+		dest.demand = meter{memory: demandTau, at: d.now, started: d.now}
+		dest.served = dest.demand
+		d.destinationByNumber[number] = dest
+		dest.index = len(d.destinations)
+		d.destinations = append(d.destinations, dest)
+		dest.window, dest.windowList = d.fairShare(), d.listNumber
+		d.trackIfWithoutEndpoints(dest)
 	}
-	return t
+	return dest
 }
 
-// trackIfWithoutEndpoints has tidy look whether a destination without endpoints is of any more use.
-func (d *Dispatcher) trackIfWithoutEndpoints(t *destination) {
-	if len(t.endpoints) == 0 && !t.cleanupPending {
-		t.cleanupPending = true
-		d.withoutEndpoints = append(d.withoutEndpoints, t)
+// trackIfWithoutEndpoints makes cleanUp check whether a destination can be removed, if it has no endpoints.
+func (d *Dispatcher) trackIfWithoutEndpoints(dest *destination) {
+	if len(dest.endpoints) == 0 && !dest.cleanupPending {
+		dest.cleanupPending = true
+		d.withoutEndpoints = append(d.withoutEndpoints, dest)
 	}
 }
 
-// notBlocked has tidy look whether an endpoint that is listed gone is of any more use.
+// trackIfGone makes cleanUp check whether an endpoint can be removed, if it is listed as gone.
 func (d *Dispatcher) trackIfGone(ep *endpoint) {
 	if ep.health == Gone && !ep.leaving {
 		ep.leaving = true
@@ -397,79 +437,80 @@
 	}
 }
 
-// messages takes a new endpoint list; what a whole list leaves out is gone.
-func (d *Dispatcher) applyList(e *Event) {
-	if e.ListKind == ListFailed {
+// applyList applies a new endpoint list. Endpoints that a complete list leaves out are gone.
+func (d *Dispatcher) applyList(event *Event) {
+	if event.ListKind == ListFailed {
 		return
 	}
-	if e.ListKind != ListDelta {
-		for _, t := range d.destinations {
-			d.wakeDestination(t)
-			t.hadReady = t.readyCount() > 0
-			for _, ep := range t.endpoints {
+	if event.ListKind != ListDelta {
+		for _, dest := range d.destinations {
+			d.wakeDestination(dest)
+			dest.hadReady = dest.readyCount() > 0
+			for _, ep := range dest.endpoints {
 				ep.health = Gone
 				d.trackIfGone(ep)
 			}
 		}
 	}
-	for i := range e.Entries {
-		d.applyEntry(&e.Entries[i])
+	for i := range event.Entries {
+		d.applyEntry(&event.Entries[i])
 	}
-	if e.ListKind != ListDelta {
-		for _, t := range d.destinations {
-			if t.hadReady && t.readyCount() == 0 {
-				d.handleLastLeft(t)
+	if event.ListKind != ListDelta {
+		for _, dest := range d.destinations {
+			if dest.hadReady && dest.readyCount() == 0 {
+				d.handleLastLeft(dest)
 			}
 		}
 	}
 	d.listNumber++
-	if was := d.fairWindow; len(d.destinations) > 0 {
-		if d.fairWindow = d.fairShare(); d.fairWindow != was {
-			d.wakeAll() // those whose first window it is may have room now
+	if previousWindow := d.fairWindow; len(d.destinations) > 0 {
+		if d.fairWindow = d.fairShare(); d.fairWindow != previousWindow {
+			d.wakeAll() // destinations that still have their first window may get a larger one
 		}
 	}
 }
 
-func (d *Dispatcher) applyEntry(n *Entry) {
-	t := d.destination(n.Destination)
-	d.wakeDestination(t)
-	d.scheduleScan(t, d.now)
-	batch, apart := 1, false
-	if n.Kind >= 0 && n.Kind < len(d.settings.Kinds) {
-		t.kind = d.kinds[n.Kind]
-		batch, apart = d.settings.Kinds[n.Kind].Batch, d.settings.Kinds[n.Kind].RoutesApart
+// applyEntry applies one entry of an endpoint list.
+func (d *Dispatcher) applyEntry(entry *Entry) {
+	dest := d.destination(entry.Destination)
+	d.wakeDestination(dest)
+	d.scheduleScan(dest, d.now)
+	batch, routesApart := 1, false
+	if entry.Kind >= 0 && entry.Kind < len(d.settings.Kinds) {
+		dest.kind = d.kinds[entry.Kind]
+		batch, routesApart = d.settings.Kinds[entry.Kind].Batch, d.settings.Kinds[entry.Kind].RoutesApart
 	}
-	ep := d.endpointByID[n.Endpoint]
+	ep := d.endpointByID[entry.Endpoint]
 	if ep == nil {
-		ep = &endpoint{id: n.Endpoint, destination: t, limit: t.limit}
-		if apart {
+		ep = &endpoint{id: entry.Endpoint, destination: dest, limit: dest.limit}
+		if routesApart {
 			ep.limit = d.newRateLimit()
 		}
-		d.endpointByID[n.Endpoint] = ep
+		d.endpointByID[entry.Endpoint] = ep
 	}
-	if ep.destination.number != t.number {
+	if ep.destination.number != dest.number {
 		return // an endpoint does not change its destination
 	}
-	if ep.destination != t { // all was forgotten of the destination, but not of the endpoint
-		ep.destination = t
-		if !apart {
-			ep.limit = t.limit
+	if ep.destination != dest { // the destination was removed and created again, while the endpoint was kept
+		ep.destination = dest
+		if !routesApart {
+			ep.limit = dest.limit
 		}
 	}
-	if !slices.Contains(t.endpoints, ep) {
-		d.handleJoin(t, ep)
-		t.endpoints = append(t.endpoints, ep)
+	if !slices.Contains(dest.endpoints, ep) {
+		d.handleJoin(dest, ep)
+		dest.endpoints = append(dest.endpoints, ep)
 	}
-	was := ep.health
-	ep.zone, ep.health, ep.batch = n.Zone, n.Health, batch
-	if was == Ready && n.Health != Ready && t.readyCount() == 0 {
-		d.handleLastLeft(t)
+	previousHealth := ep.health
+	ep.zone, ep.health, ep.batch = entry.Zone, entry.Health, batch
+	if previousHealth == Ready && entry.Health != Ready && dest.readyCount() == 0 {
+		d.handleLastLeft(dest)
 	}
 	d.trackIfGone(ep)
-	d.countUnhealthyCalls(t)
-	if n.Weight > 0 && d.settings.Weights != WeightNone {
-		t.weight = n.Weight
-		ep.limit.knownRate = n.Weight * d.weightSlack
+	d.countUnhealthyCalls(dest)
+	if entry.Weight > 0 && d.settings.Weights != WeightNone {
+		dest.weight = entry.Weight
+		ep.limit.knownRate = entry.Weight * d.weightSlack
 	}
-	d.updateRates(t)
+	d.updateRates(dest)
 }
--- a/control/streams_test.go
+++ b/control/streams_test.go
@@ -12,78 +12,95 @@
 	. "curlewmux/control"
 )
 
-// A stream is a run of the module against a made-up platform: clients, lists and endpoints of every mood, drawn from a
-// seed. The platform answers what the module does, so the same actions give the same events and the first other action
-// shows in all that follows.
+// A stream is a run of a Dispatcher against a simulated platform: clients, endpoint lists and endpoints with all
+// sorts of faults, drawn from a seed. The platform responds to the actions, so the same actions lead to the same
+// events, and a single different action changes everything after it.
 
-// stepper is a decision module.
+// stepper is a decision module, such as a Dispatcher.
 type stepper interface {
 	Step(now Time, events []Event, actions []Action) []Action
 }
 
-// scenario is the size and nature of one stream.
+// scenario describes the size and the conditions of a set of streams.
 type scenario struct {
 	name             string
-	seeds            uint64 // streams of it
+	seeds            uint64 // number of streams
 	rounds           int    // ticks of a stream
 	destinations     int
-	maxEndpoints     int     // endpoints of a destination, at most
-	slots            int     // 0: drawn
-	maxOpen          int     // MaxOpen, 0: drawn
-	rate             float64 // arrivals a tick
-	skew             float64 // part of them that goes to one destination
-	faultRate        float64 // destinations that change their mood in a tick
-	wideOutageChance float64 // randomShare of an outage of half of all in a tick
-	listChangeChance float64 // chance of a change of the list in a tick
-	turnover         bool    // what the list drops never returns: new ids and destinations take its place
-	grow             bool    // the list begins with a third of the destinations; whole ones come and go
+	maxEndpoints     int     // most endpoints of a destination
+	slots            int     // Settings.Slots, 0 draws it
+	maxOpen          int     // Settings.MaxOpen, 0 draws it
+	rate             float64 // arrivals per tick
+	skew             float64 // share of arrivals that go to one destination
+	faultRate        float64 // destinations that change their behaviour per tick
+	wideOutageChance float64 // chance per tick that half of all destinations begin to fail
+	listChangeChance float64 // chance per tick of a change of the endpoint list
+	turnover         bool    // removed endpoints and destinations never return: new ones take their place
+	grow             bool    // begins with a third of the destinations; whole destinations are added and removed
 	start            Time
 	restored         int  // messages of an earlier process
-	invalidEvents    bool // events that no honest caller sends come in between
-	large            bool // too large for every run of a test that plays it twice
+	invalidEvents    bool // invalid events come in between
+	large            bool // too large to be played twice in every run of the tests
 }
 
 func scenarios() []scenario {
 	return []scenario{
-		{name: "few", seeds: 12, rounds: 3000, destinations: 4, maxEndpoints: 3, rate: 0.12, faultRate: 0.004, listChangeChance: 0.01, invalidEvents: true},
-		{name: "pairs", seeds: 6, rounds: 3000, destinations: 2, maxEndpoints: 2, slots: 2, rate: 0.08, faultRate: 0.005, listChangeChance: 0.002},
-		{name: "site", seeds: 4, rounds: 3000, destinations: 40, maxEndpoints: 3, rate: 1.2, faultRate: 0.03, wideOutageChance: 0.001, listChangeChance: 0.02},
-		{name: "skew", seeds: 3, rounds: 2000, destinations: 30, maxEndpoints: 2, slots: 12, rate: 1.5, skew: 0.7, faultRate: 0.02, listChangeChance: 0.005},
-		{name: "shed", seeds: 4, rounds: 2500, destinations: 25, maxEndpoints: 2, slots: 6, maxOpen: 60, rate: 1.2, faultRate: 0.05, wideOutageChance: 0.002, listChangeChance: 0.01},
-		{name: "wide", seeds: 2, rounds: 1500, destinations: 200, maxEndpoints: 2, slots: 100, maxOpen: 3000, rate: 3, faultRate: 0.1, wideOutageChance: 0.004, listChangeChance: 0.01},
-		{name: "churn", seeds: 2, rounds: 4000, destinations: 20, maxEndpoints: 2, rate: 0.5, faultRate: 0.01, listChangeChance: 0.3, turnover: true},
-		{name: "grow", seeds: 4, rounds: 2500, destinations: 24, maxEndpoints: 2, slots: 30, rate: 1.2, skew: 0.4, faultRate: 0.02, listChangeChance: 0.04, grow: true},
-		{name: "hoard", seeds: 2, rounds: 1500, destinations: 150, maxEndpoints: 2, slots: 10, maxOpen: 400, rate: 0.4, faultRate: 0.3, wideOutageChance: 0.01, listChangeChance: 0.005},
-		{name: "full", seeds: 3, rounds: 2500, destinations: 16, maxEndpoints: 2, slots: 4, maxOpen: 300, rate: 0.8, faultRate: 0.01, listChangeChance: 0.01},
-		{name: "restart", seeds: 4, rounds: 1500, destinations: 10, maxEndpoints: 2, rate: 0.3, faultRate: 0.01, listChangeChance: 0.01, restored: 150},
-		{name: "days", seeds: 2, rounds: 2000, destinations: 10, maxEndpoints: 2, rate: 0.5, faultRate: 0.02, listChangeChance: 0.01, start: 400 * 86400 * Second},
-		{name: "large", seeds: 1, rounds: 600, destinations: 1500, maxEndpoints: 2, slots: 800, maxOpen: 9000, rate: 10, faultRate: 1, wideOutageChance: 0.01, listChangeChance: 0.02, large: true},
+		{name: "few", seeds: 12, rounds: 3000, destinations: 4, maxEndpoints: 3, rate: 0.12, faultRate: 0.004,
+			listChangeChance: 0.01, invalidEvents: true},
+		{name: "pairs", seeds: 6, rounds: 3000, destinations: 2, maxEndpoints: 2, slots: 2, rate: 0.08,
+			faultRate: 0.005, listChangeChance: 0.002},
+		{name: "site", seeds: 4, rounds: 3000, destinations: 40, maxEndpoints: 3, rate: 1.2, faultRate: 0.03,
+			wideOutageChance: 0.001, listChangeChance: 0.02},
+		{name: "skew", seeds: 3, rounds: 2000, destinations: 30, maxEndpoints: 2, slots: 12, rate: 1.5,
+			skew: 0.7, faultRate: 0.02, listChangeChance: 0.005},
+		{name: "shed", seeds: 4, rounds: 2500, destinations: 25, maxEndpoints: 2, slots: 6, maxOpen: 60,
+			rate: 1.2, faultRate: 0.05, wideOutageChance: 0.002, listChangeChance: 0.01},
+		{name: "wide", seeds: 2, rounds: 1500, destinations: 200, maxEndpoints: 2, slots: 100, maxOpen: 3000,
+			rate: 3, faultRate: 0.1, wideOutageChance: 0.004, listChangeChance: 0.01},
+		{name: "churn", seeds: 2, rounds: 4000, destinations: 20, maxEndpoints: 2, rate: 0.5, faultRate: 0.01,
+			listChangeChance: 0.3, turnover: true},
+		{name: "grow", seeds: 4, rounds: 2500, destinations: 24, maxEndpoints: 2, slots: 30, rate: 1.2,
+			skew: 0.4, faultRate: 0.02, listChangeChance: 0.04, grow: true},
+		{name: "hoard", seeds: 2, rounds: 1500, destinations: 150, maxEndpoints: 2, slots: 10, maxOpen: 400,
+			rate: 0.4, faultRate: 0.3, wideOutageChance: 0.01, listChangeChance: 0.005},
+		{name: "full", seeds: 3, rounds: 2500, destinations: 16, maxEndpoints: 2, slots: 4, maxOpen: 300,
+			rate: 0.8, faultRate: 0.01, listChangeChance: 0.01},
+		{name: "restart", seeds: 4, rounds: 1500, destinations: 10, maxEndpoints: 2, rate: 0.3, faultRate: 0.01,
+			listChangeChance: 0.01, restored: 150},
+		{name: "days", seeds: 2, rounds: 2000, destinations: 10, maxEndpoints: 2, rate: 0.5, faultRate: 0.02,
+			listChangeChance: 0.01, start: 400 * 86400 * Second},
+		{name: "large", seeds: 1, rounds: 600, destinations: 1500, maxEndpoints: 2, slots: 800, maxOpen: 9000,
+			rate: 10, faultRate: 1, wideOutageChance: 0.01, listChangeChance: 0.02, large: true},
 	}
 }
 
-// settings are drawn as well: what a site allows changes the way that decisions go.
-func (c *scenario) settings(rng *rand.Rand) Settings {
+// settings draws the settings of a stream, as they change which decisions are made.
+func (s *scenario) settings(rng *rand.Rand) Settings {
 	set := Settings{
-		Instances: 1 + rng.IntN(60), Zone: rng.IntN(2), Tick: Time(5+15*rng.IntN(2)) * Millisecond, Slots: c.slots, MaxOpen: c.maxOpen,
+		Instances: 1 + rng.IntN(60), Zone: rng.IntN(2), Tick: Time(5+15*rng.IntN(2)) * Millisecond,
+		Slots: s.slots, MaxOpen: s.maxOpen,
 		MaxTries: 2 + rng.IntN(6), MayCancel: rng.IntN(5) > 0, RetryAfter: true, MaxRetryAfter: 10 * Second,
 		ConnIdle: 5 * Second, ConnectTimeout: Second, StreamsPerConn: 1, StopSendingWithin: Second, ColdFrom: 0.2,
 		WarmUp: Time(1+rng.IntN(10)) * Second, TipMultiple: 2, OverloadFor: Time(500+rng.IntN(2000)) * Millisecond,
 		SettleAfterDoubt: Time(500+rng.IntN(2000)) * Millisecond, ReportLeft: -1, ReportLimit: -1, OverShare: 0.05,
 		LateHalving: rng.IntN(2) == 0, Weights: WeightKind(rng.IntN(3)),
-		Kinds: []Kind{{Name: "plain", Batch: 1}, {Name: "batch", Batch: 3}, {Name: "apart", Batch: 1, RoutesApart: true}},
+		Kinds: []Kind{
+			{Name: "plain", Batch: 1}, {Name: "batch", Batch: 3}, {Name: "apart", Batch: 1, RoutesApart: true}},
 		Classes: []Class{
 			{Name: "free", Effect: Free, Aim: Second, Deadline: 8 * Second, Worth: 1, LateWorth: 0.5},
-			{Name: "guarded", Effect: Guarded, Window: 4 * Second, Aim: 2 * Second, Deadline: 10 * Second, Worth: 2, LateWorth: 0.2},
+			{Name: "guarded", Effect: Guarded, Window: 4 * Second, Aim: 2 * Second, Deadline: 10 * Second,
+				Worth: 2, LateWorth: 0.2},
 			{Name: "single", Effect: SingleShot, Aim: 2 * Second, Deadline: 6 * Second, Worth: 1.5, LateWorth: 0},
-			{Name: "ordered", Effect: Guarded, Window: 5 * Second, ZoneGroup: true, Aim: Second, Deadline: 10 * Second, Worth: 1, InOrder: true},
+			{Name: "ordered", Effect: Guarded, Window: 5 * Second, ZoneGroup: true, Aim: Second,
+				Deadline: 10 * Second, Worth: 1, InOrder: true},
 			{Name: "rising", Effect: Free, Aim: Second / 2, Deadline: 5 * Second, Worth: 0.5, LateWorth: 1.5},
 		},
 	}
 	if set.Slots == 0 {
-		set.Slots = 2 + rng.IntN(2+c.destinations)
+		set.Slots = 2 + rng.IntN(2+s.destinations)
 	}
 	if set.MaxOpen == 0 {
-		set.MaxOpen = 16 + rng.IntN(20*c.destinations)
+		set.MaxOpen = 16 + rng.IntN(20*s.destinations)
 	}
 	if rng.IntN(3) == 0 {
 		set.ReportLimit = 1
@@ -94,59 +111,61 @@
 	return set
 }
 
-// behaviour is how an endpoint answers.
+// behaviour tells how an endpoint responds.
 type behaviour uint8
 
 const (
 	endpointHealthy behaviour = iota
 	endpointSlow
-	endpointDown             // nobody is met
-	endpointHung             // silence
-	endpointRefusing         // recordRefusal, no wait told
-	endpointRefusingWithWait // refused with a wait
-	endpointFailing          // newCallMeter are errors
-	endpointLosingResponses  // some answers get lost
+	endpointDown             // connections fail
+	endpointHung             // no response
+	endpointRefusing         // refuses without a wait
+	endpointRefusingWithWait // refuses and asks for a wait
+	endpointFailing          // responds with errors
+	endpointLosingResponses  // some responses get lost
 	endpointRefusingSome     // some calls are refused
 	behaviourCount
 )
 
-// simulatedEndpoint is an endpoint of the platform.
+// simulatedEndpoint is a simulated endpoint.
 type simulatedEndpoint struct {
 	entry     Entry
 	behaviour behaviour
-	until     Time
-	lag       Time
+	until     Time // end of its current behaviour
+	latency   Time // mean latency
 }
 
-// simulatedMessage is a message of the platform.
+// simulatedMessage is a message as the platform sees it.
 type simulatedMessage struct {
-	class, dest, tries int
-	attemptOut         bool
-	ended              bool
-	due                Time
-	endpoint           *simulatedEndpoint
+	class, destination, tries int
+	attemptOut                bool
+	ended                     bool
+	deadline                  Time
+	endpoint                  *simulatedEndpoint
 }
 
+// plannedEvent is an event that will come at a time.
 type plannedEvent struct {
 	at      Time
-	seq     int
-	ev      Event
-	outcome bool // an outcome, of no use if the attempt is over
+	seq     int // keeps events of the same time in the order in which they were planned
+	event   Event
+	outcome bool // an outcome, to be ignored if the attempt has ended already
 }
 
+// eventQueue is a priority queue of planned events.
 type eventQueue []plannedEvent
 
-func (p eventQueue) Len() int { return len(p) }
-func (p eventQueue) Less(i, j int) bool {
-	return p[i].at < p[j].at || p[i].at == p[j].at && p[i].seq < p[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (p eventQueue) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
-func (p *eventQueue) Push(x any)   { *p = append(*p, x.(plannedEvent)) }
-func (p *eventQueue) Pop() any {
-	last := len(*p) - 1
-	x := (*p)[last]
-	*p = (*p)[:last]
-	return x
+func (q eventQueue) Swap(i, j int)   { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(event any) { *q = append(*q, event.(plannedEvent)) }
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	event := (*q)[last]
+	*q = (*q)[:last]
+	return event
 }
 
 // platform plays one stream.
@@ -158,62 +177,65 @@
 	endpoints        []*simulatedEndpoint
 	byID             map[Endpoint]*simulatedEndpoint
 	messages         map[MessageID]*simulatedMessage
-	out              []MessageID // out, some of them not any more
+	out              []MessageID // messages with an attempt out; some may have ended
 	queue            eventQueue
 	seq              int
 	lastEndpoint     Endpoint
 	lastMessage      MessageID
-	firstDestination int // least destination that is listed
+	firstDestination int // lowest number of a listed destination
 	hash             hash.Hash
 	count            map[ActionKind]int
 	steps            int
 }
 
-// stream returns the platform of one seed of a scene.
-func (c scenario) stream(seed uint64) *platform {
+// stream returns the platform that plays one seed of a scenario.
+func (s scenario) stream(seed uint64) *platform {
 	p := &platform{
-		scenario: c, rng: rand.New(rand.NewPCG(seed, uint64(len(c.name)))), now: c.start + 1000*Second, byID: map[Endpoint]*simulatedEndpoint{},
-		messages: map[MessageID]*simulatedMessage{}, hash: sha256.New(), count: map[ActionKind]int{},
+		scenario: s, rng: rand.New(rand.NewPCG(seed, uint64(len(s.name)))), now: s.start + 1000*Second,
+		byID: map[Endpoint]*simulatedEndpoint{}, messages: map[MessageID]*simulatedMessage{},
+		hash: sha256.New(), count: map[ActionKind]int{},
 	}
-	p.set = c.settings(p.rng)
+	p.set = s.settings(p.rng)
 	p.faultRate *= []float64{0.1, 0.4, 1}[p.rng.IntN(3)]
 	return p
 }
 
-func (p *platform) schedule(t Time, ev Event, res bool) {
+// schedule plans an event.
+func (p *platform) schedule(delay Time, event Event, isOutcome bool) {
 	p.seq++
-	heap.Push(&p.queue, plannedEvent{p.now + max(t, 1), p.seq, ev, res})
+	heap.Push(&p.queue, plannedEvent{p.now + max(delay, 1), p.seq, event, isOutcome})
 }
 
-func (p *platform) chance(v float64) bool { return p.rng.Float64() < v }
+func (p *platform) chance(probability float64) bool { return p.rng.Float64() < probability }
 
-// drawCount draws how often something comes up that does so v times in the mean.
-func (p *platform) drawCount(v float64) int {
-	n := int(v)
-	if p.chance(v - float64(n)) {
-		n++
+// drawCount draws a whole number with the mean v.
+func (p *platform) drawCount(mean float64) int {
+	count := int(mean)
+	if p.chance(mean - float64(count)) {
+		count++
 	}
-	return n
+	return count
 }
 
+// addEndpoint adds an endpoint to a destination.
 func (p *platform) addEndpoint(dest int) Entry {
 	p.lastEndpoint++
-	kind := dest % 4 // one of them is unknown
-	e := Entry{Endpoint: p.lastEndpoint, Destination: dest, Zone: p.rng.IntN(2), Kind: kind, Health: Ready}
+	kind := dest % 4 // one of the four is not in the settings
+	entry := Entry{Endpoint: p.lastEndpoint, Destination: dest, Zone: p.rng.IntN(2), Kind: kind, Health: Ready}
 	if p.chance(0.4) {
-		e.Weight = 1 + 40*p.rng.Float64()
+		entry.Weight = 1 + 40*p.rng.Float64()
 	}
-	n := &simulatedEndpoint{entry: e, lag: Time(2+p.rng.IntN(120)) * Millisecond}
-	p.endpoints = append(p.endpoints, n)
-	p.byID[e.Endpoint] = n
-	return e
+	endpoint := &simulatedEndpoint{entry: entry, latency: Time(2+p.rng.IntN(120)) * Millisecond}
+	p.endpoints = append(p.endpoints, endpoint)
+	p.byID[entry.Endpoint] = endpoint
+	return entry
 }
 
-// playRandomEvents runs the stream against m; with looks of the module in between by check, where there is one.
-func (p *platform) play(m stepper, check func(now Time, events []Event, acts []Action) error) error {
-	var first []Event
+// play runs the stream against m. If check is set, it is called after each Step.
+func (p *platform) play(module stepper, check func(now Time, events []Event, acts []Action) error) error {
+	var initial []Event
 	if p.restored > 0 {
-		first = append(first, Event{Kind: Restarted})
+		initial = append(initial, Event{Kind: Restarted})
 	}
 	var entries []Entry
 	for dest := range p.destinations {
@@ -224,7 +246,7 @@
 			entries = append(entries, p.addEndpoint(dest))
 		}
 	}
-	first = append(first, Event{Kind: List, ListKind: ListFull, Entries: entries})
+	initial = append(initial, Event{Kind: List, ListKind: ListFull, Entries: entries})
 	for range p.restored {
 		ev := p.arrival()
 		ev.Restored, ev.Tries = true, p.rng.IntN(p.set.MaxTries+1)
@@ -232,25 +254,25 @@
 			ev.DoubtAge, ev.DoubtZone = Time(p.rng.IntN(5000))*Millisecond, p.rng.IntN(2)
 		}
 		p.messages[ev.Message].tries = ev.Tries
-		first = append(first, ev)
+		initial = append(initial, ev)
 	}
 	var acts []Action
 	for round := range p.rounds {
 		p.now += p.set.Tick
-		if p.chance(0.0007) { // the process stood still
+		if p.chance(0.0007) { // the process was suspended for a while
 			p.now += Time(p.rng.IntN(1000)) * Millisecond
 		}
 		p.now += Time(p.rng.IntN(3)) * Millisecond / 7
-		events := append(first, p.clients(round)...)
-		first = nil
+		events := append(initial, p.clients(round)...)
+		initial = nil
 		events = append(events, p.listChanges()...)
 		p.changeBehaviours()
 		for len(p.queue) > 0 && p.queue[0].at <= p.now {
-			x := heap.Pop(&p.queue).(plannedEvent)
-			if x.outcome && !p.endAttempt(&x.ev) {
+			planned := heap.Pop(&p.queue).(plannedEvent)
+			if planned.outcome && !p.endAttempt(&planned.event) {
 				continue
 			}
-			events = append(events, x.ev)
+			events = append(events, planned.event)
 		}
 		if p.invalidEvents {
 			events = append(events, p.randomInvalidEvents()...)
@@ -259,7 +281,7 @@
 			continue
 		}
 		p.steps++
-		acts = m.Step(p.now, events, acts[:0])
+		acts = module.Step(p.now, events, acts[:0])
 		if check != nil {
 			if err := check(p.now, events, acts); err != nil {
 				return fmt.Errorf("%s, round %d, at %d, %d events: %w", p.name, round, p.now, len(events), err)
@@ -273,6 +295,7 @@
 	return nil
 }
 
+// arrival draws a new message.
 func (p *platform) arrival() Event {
 	p.lastMessage++
 	class := p.rng.IntN(len(p.set.Classes))
@@ -284,16 +307,17 @@
 	ev := Event{Kind: Arrival, Message: p.lastMessage, Class: class, Destination: dest, Tenant: p.rng.IntN(3) - 1}
 	ev.TimeLeft = c.Deadline - Time(p.rng.Int64N(int64(c.Deadline)*2/3))
 	if c.InOrder && p.chance(0.8) {
-		ev.Key = uint64(1 + p.rng.IntN(5) + 10*(dest/2)) // some keys go to two destinations
+		ev.Key = uint64(1 + p.rng.IntN(5) + 10*(dest/2)) // some keys are shared by two destinations
 	}
-	p.messages[p.lastMessage] = &simulatedMessage{class: class, dest: dest, due: p.now + ev.TimeLeft}
+	p.messages[p.lastMessage] = &simulatedMessage{class: class, destination: dest, deadline: p.now + ev.TimeLeft}
 	return ev
 }
 
+// clients draws what clients do in a round, and pauses.
 func (p *platform) clients(round int) (events []Event) {
 	if round < p.rounds*4/5 {
 		rate := p.rate
-		if round/500%3 == 2 { // a rush
+		if round/500%3 == 2 { // a period of high load
 			rate *= 4
 		}
 		for range p.drawCount(rate) {
@@ -302,8 +326,8 @@
 	}
 	if p.chance(0.02) && p.lastMessage > 0 {
 		id := p.lastMessage - MessageID(p.rng.IntN(50))
-		if m := p.messages[id]; m != nil {
-			m.ended = true
+		if msg := p.messages[id]; msg != nil {
+			msg.ended = true
 			events = append(events, Event{Kind: Withdrawn, Message: id})
 		}
 	}
@@ -314,7 +338,7 @@
 	return events
 }
 
-// listChanges changes the list: by parts, as a whole, or not at all because it can't be had.
+// listChanges draws a change of the endpoint list: an update, a complete list, or a failure to fetch it.
 func (p *platform) listChanges() (events []Event) {
 	if !p.chance(p.listChangeChance) {
 		return nil
@@ -322,31 +346,31 @@
 	switch p.rng.IntN(6) {
 	case 0:
 		return []Event{{Kind: List, ListKind: ListFailed}}
-	case 1: // a whole list; a few are missing this time
+	case 1: // a complete list in which some endpoints are missing
 		ev := Event{Kind: List, ListKind: ListFull}
 		if p.chance(0.3) {
 			ev.ListKind = ListCached
 		}
-		for _, n := range p.endpoints {
-			n.entry.Health = Ready
+		for _, endpoint := range p.endpoints {
+			endpoint.entry.Health = Ready
 			if p.chance(0.05) {
-				n.entry.Health = Gone
+				endpoint.entry.Health = Gone
 				continue
 			}
 			if p.chance(0.05) {
-				n.entry.Health = Draining
+				endpoint.entry.Health = Draining
 			}
-			ev.Entries = append(ev.Entries, n.entry)
+			ev.Entries = append(ev.Entries, endpoint.entry)
 		}
 		return []Event{ev}
 	}
 	ev := Event{Kind: List, ListKind: ListDelta}
 	if p.turnover {
-		p.firstDestination++ // the least destination goes, another comes
-		p.endpoints = slices.DeleteFunc(p.endpoints, func(n *simulatedEndpoint) bool {
-			if n.entry.Destination < p.firstDestination {
-				n.entry.Health = Gone
-				ev.Entries = append(ev.Entries, n.entry)
+		p.firstDestination++ // the destination with the lowest number goes, a new one comes
+		p.endpoints = slices.DeleteFunc(p.endpoints, func(endpoint *simulatedEndpoint) bool {
+			if endpoint.entry.Destination < p.firstDestination {
+				endpoint.entry.Health = Gone
+				ev.Entries = append(ev.Entries, endpoint.entry)
 				return true
 			}
 			return false
@@ -358,10 +382,10 @@
 	}
 	if p.grow {
 		dest := p.rng.IntN(p.destinations)
-		for _, n := range p.endpoints {
-			if n.entry.Destination == dest {
-				n.entry.Health = Gone
-				ev.Entries = append(ev.Entries, n.entry)
+		for _, endpoint := range p.endpoints {
+			if endpoint.entry.Destination == dest {
+				endpoint.entry.Health = Gone
+				ev.Entries = append(ev.Entries, endpoint.entry)
 			}
 		}
 		if len(ev.Entries) == 0 || p.chance(0.3) {
@@ -370,18 +394,18 @@
 		return []Event{ev}
 	}
 	for range 1 + p.rng.IntN(3) {
-		n := p.endpoints[p.rng.IntN(len(p.endpoints))]
+		endpoint := p.endpoints[p.rng.IntN(len(p.endpoints))]
 		if p.chance(0.1) {
-			n.entry.Kind = p.rng.IntN(4)
+			endpoint.entry.Kind = p.rng.IntN(4)
 		}
-		n.entry.Health = Health(p.rng.IntN(3))
+		endpoint.entry.Health = Health(p.rng.IntN(3))
 		if p.chance(0.6) {
-			n.entry.Health = Ready
+			endpoint.entry.Health = Ready
 		}
-		if n.entry.Weight > 0 {
-			n.entry.Weight = 1 + 40*p.rng.Float64()
+		if endpoint.entry.Weight > 0 {
+			endpoint.entry.Weight = 1 + 40*p.rng.Float64()
 		}
-		ev.Entries = append(ev.Entries, n.entry)
+		ev.Entries = append(ev.Entries, endpoint.entry)
 	}
 	if p.chance(0.2) {
 		ev.Entries = append(ev.Entries, p.addEndpoint(p.firstDestination+p.rng.IntN(p.destinations)))
@@ -389,28 +413,30 @@
 	return []Event{ev}
 }
 
-// changeBehaviours changes moods.
+// changeBehaviours changes the behaviour of some endpoints.
 func (p *platform) changeBehaviours() {
-	ill := func(dest int, m behaviour, last Time) {
-		for _, n := range p.endpoints {
-			if n.entry.Destination == dest && (n.entry.Kind != 2 || p.chance(0.5)) {
-				n.behaviour, n.until = m, p.now+last
+	setBehaviour := func(dest int, to behaviour, duration Time) {
+		for _, endpoint := range p.endpoints {
+			if endpoint.entry.Destination == dest && (endpoint.entry.Kind != 2 || p.chance(0.5)) {
+				endpoint.behaviour, endpoint.until = to, p.now+duration
 			}
 		}
 	}
 	for range p.drawCount(p.faultRate) {
-		ill(p.firstDestination+p.rng.IntN(p.destinations), behaviour(p.rng.IntN(int(behaviourCount))), Time(100+p.rng.IntN(6000))*Millisecond)
+		setBehaviour(p.firstDestination+p.rng.IntN(p.destinations), behaviour(p.rng.IntN(int(behaviourCount))),
+			Time(100+p.rng.IntN(6000))*Millisecond)
 	}
 	if p.chance(p.wideOutageChance) {
-		m, last := behaviour(1+p.rng.IntN(int(behaviourCount)-1)), Time(1000+p.rng.IntN(4000))*Millisecond
+		to, duration := behaviour(1+p.rng.IntN(int(behaviourCount)-1)), Time(1000+p.rng.IntN(4000))*Millisecond
 		for dest := range p.destinations {
 			if p.chance(0.5) {
-				ill(p.firstDestination+dest, m, last)
+				setBehaviour(p.firstDestination+dest, to, duration)
 			}
 		}
 	}
 }
 
+// randomInvalidEvents draws invalid events, which the Dispatcher has to ignore or refuse.
 func (p *platform) randomInvalidEvents() []Event {
 	switch p.rng.IntN(12) {
 	case 0:
@@ -422,7 +448,7 @@
 		return []Event{{Kind: Tick, TimerID: 1e12}, {Kind: Probed, Endpoint: 999}, {Kind: EventKind(77)}}
 	case 2:
 		events := []Event{{Kind: Arrival, Message: 1<<40 + p.lastMessage, Class: 77}}
-		if m := p.messages[p.lastMessage]; m != nil && !m.ended { // it is here
+		if msg := p.messages[p.lastMessage]; msg != nil && !msg.ended { // a duplicate of a message that is still open
 			events = append(events, Event{Kind: Arrival, Message: p.lastMessage, Destination: 1, TimeLeft: Second})
 		}
 		return events
@@ -430,75 +456,77 @@
 	return nil
 }
 
-// respond answers one action. A call's messages share how it ends.
+// respond responds to one action. All messages of a call get the same kind of result, with a few exceptions.
 func (p *platform) respond(acts []Action, i int) {
-	a := &acts[i]
-	p.count[a.Kind]++
-	switch a.Kind {
+	action := &acts[i]
+	p.count[action.Kind]++
+	switch action.Kind {
 	case Timer:
-		p.schedule(a.After, Event{Kind: Tick, TimerID: a.TimerID}, false)
+		p.schedule(action.After, Event{Kind: Tick, TimerID: action.TimerID}, false)
 	case Refuse, Fail:
-		if m := p.messages[a.Message]; m != nil {
-			m.ended = true
+		if msg := p.messages[action.Message]; msg != nil {
+			msg.ended = true
 		}
 	case Cancel:
-		if m := p.messages[a.Message]; m != nil && m.attemptOut && p.chance(0.95) {
-			res := Cancelled
+		if msg := p.messages[action.Message]; msg != nil && msg.attemptOut && p.chance(0.95) {
+			result := Cancelled
 			if p.chance(0.1) {
-				res = Moot
+				result = Moot
 			}
-			p.schedule(Time(p.rng.IntN(8))*Millisecond, p.outcome(a.Message, a.Attempt, res), true)
+			p.schedule(Time(p.rng.IntN(8))*Millisecond, p.outcome(action.Message, action.Attempt, result), true)
 		}
 	case Send:
-		if a.SameCall {
+		if action.SameCall {
 			return
 		}
-		n := p.byID[a.Endpoint]
-		res, lag, wait := p.drawOutcome(n)
+		endpoint := p.byID[action.Endpoint]
+		result, latency, wait := p.drawOutcome(endpoint)
 		for j := i; j < len(acts) && (j == i || acts[j].Kind == Send && acts[j].SameCall); j++ {
-			s := &acts[j]
-			m := p.messages[s.Message]
-			m.attemptOut, m.endpoint = true, n
-			ev := p.outcome(s.Message, m.tries, res)
-			m.tries++
-			last := m.due - p.now // it is waited for no longer
-			if s.After > 0 {
-				last = min(last, s.After)
+			send := &acts[j]
+			msg := p.messages[send.Message]
+			msg.attemptOut, msg.endpoint = true, endpoint
+			ev := p.outcome(send.Message, msg.tries, result)
+			msg.tries++
+			timeout := msg.deadline - p.now // the longest that the caller waits
+			if send.After > 0 {
+				timeout = min(timeout, send.After)
 			}
 			switch {
-			case res == TimedOut || lag >= last:
-				ev.Result, ev.Latency = TimedOut, last
-				p.schedule(last, ev, true)
+			case result == TimedOut || latency >= timeout:
+				ev.Result, ev.Latency = TimedOut, timeout
+				p.schedule(timeout, ev, true)
 			case j > i && p.chance(0.02):
 				ev.Result, ev.Latency = Unsent, 0
 				p.schedule(1, ev, true)
 			default:
-				if res == Refused && p.chance(0.3) {
+				if result == Refused && p.chance(0.3) {
 					wait += Time(p.rng.IntN(500)) * Millisecond
 				}
-				ev.Latency, ev.RetryAfter = lag, wait
+				ev.Latency, ev.RetryAfter = latency, wait
 				if p.set.ReportLimit >= 0 && p.chance(0.2) {
 					ev.Report = []float32{0, 5 + 20*p.rng.Float32()}
 				}
-				p.schedule(lag, ev, true)
+				p.schedule(latency, ev, true)
 			}
 		}
 	}
 }
 
-func (p *platform) outcome(id MessageID, attempt int, res Result) Event {
-	return Event{Kind: Outcome, Message: id, Attempt: attempt, Endpoint: p.messages[id].endpoint.entry.Endpoint, Result: res}
+// outcome returns the outcome of an attempt.
+func (p *platform) outcome(id MessageID, attempt int, result Result) Event {
+	return Event{Kind: Outcome, Message: id, Attempt: attempt,
+		Endpoint: p.messages[id].endpoint.entry.Endpoint, Result: result}
 }
 
-// drawOutcome draws how a call to an endpoint ends.
-func (p *platform) drawOutcome(n *simulatedEndpoint) (res Result, lag, wait Time) {
-	if p.now > n.until {
-		n.behaviour = endpointHealthy
+// drawOutcome draws the result of a call to an endpoint.
+func (p *platform) drawOutcome(endpoint *simulatedEndpoint) (result Result, latency, wait Time) {
+	if p.now > endpoint.until {
+		endpoint.behaviour = endpointHealthy
 	}
-	lag = n.lag/2 + Time(p.rng.Int64N(int64(n.lag)))
-	switch n.behaviour {
+	latency = endpoint.latency/2 + Time(p.rng.Int64N(int64(endpoint.latency)))
+	switch endpoint.behaviour {
 	case endpointSlow:
-		return OK, lag * 10, 0
+		return OK, latency * 10, 0
 	case endpointDown:
 		return ConnectFailed, Millisecond, 0
 	case endpointHung:
@@ -508,7 +536,7 @@
 	case endpointRefusingWithWait:
 		return Refused, Millisecond, Time(200+p.rng.IntN(3000)) * Millisecond
 	case endpointFailing:
-		return Errored, lag / 2, 0
+		return Errored, latency / 2, 0
 	case endpointLosingResponses:
 		if p.chance(0.3) {
 			return TimedOut, 0, 0
@@ -520,61 +548,65 @@
 	}
 	switch p.rng.IntN(400) {
 	case 0:
-		return Reset, lag / 2, 0
+		return Reset, latency / 2, 0
 	case 1:
 		return ConnectFailed, Millisecond, 0
 	case 2:
 		return Unsent, Millisecond, 0
 	case 3:
-		return Errored, lag, 0
+		return Errored, latency, 0
 	}
-	return OK, lag, 0
+	return OK, latency, 0
 }
 
-// endAttempt takes up that an attempt ends; false if it is over already.
+// endAttempt records that an attempt has ended. It returns false if that attempt had ended already.
 func (p *platform) endAttempt(ev *Event) bool {
-	m := p.messages[ev.Message]
-	if m == nil || !m.attemptOut || m.tries-1 != ev.Attempt {
+	msg := p.messages[ev.Message]
+	if msg == nil || !msg.attemptOut || msg.tries-1 != ev.Attempt {
 		return false
 	}
-	m.attemptOut = false
+	msg.attemptOut = false
 	if ev.Result == Unsent {
-		m.tries--
+		msg.tries--
 	}
-	ev.Closed = ev.Result == OK || m.ended
-	if m.ended = ev.Closed; m.ended {
+	ev.Closed = ev.Result == OK || msg.ended
+	if msg.ended = ev.Closed; msg.ended {
 		delete(p.messages, ev.Message)
 	}
 	return true
 }
 
-// addToHash adds a Step's actions to the stream's sum.
+// addToHash adds the actions of a Step to the hash of the stream.
 func (p *platform) addToHash(acts []Action) {
-	var b []byte
-	b = binary.AppendVarint(b, int64(p.now))
+	var buf []byte
+	buf = binary.AppendVarint(buf, int64(p.now))
 	for i := range acts {
-		a := &acts[i]
-		with := int64(0)
-		if a.SameCall {
-			with = 1
+		action := &acts[i]
+		sameCall := int64(0)
+		if action.SameCall {
+			sameCall = 1
 		}
-		for _, v := range []int64{int64(a.Kind), int64(a.Message), int64(a.Attempt), int64(a.Endpoint), with, int64(a.After), int64(a.TimerID), int64(len(a.Text))} {
-			b = binary.AppendVarint(b, v)
+		for _, v := range []int64{int64(action.Kind), int64(action.Message), int64(action.Attempt),
+			int64(action.Endpoint), sameCall, int64(action.After), int64(action.TimerID), int64(len(action.Text))} {
+			buf = binary.AppendVarint(buf, v)
 		}
-		b = append(b, a.Text...)
+		buf = append(buf, action.Text...)
 	}
-	p.hash.Write(b)
+	p.hash.Write(buf)
 }
 
-// compareActions tells where two lists of actions part, nil if they don't.
+// compareActions returns an error that describes the first difference between two lists of actions, nil if there is
+// none.
 func compareActions(got, want []Action) error {
 	for i := range min(len(got), len(want)) {
 		if got[i] != want[i] {
-			return fmt.Errorf("action %d of %d is %+v, of the one that looks at all, of %d, it is %+v", i, len(got), got[i], len(want), want[i])
+			return fmt.Errorf("action %d of %d is %+v; with all destinations evaluated it is, of %d, %+v",
+				i, len(got), got[i], len(want), want[i])
 		}
 	}
 	if len(got) != len(want) {
-		return fmt.Errorf("%d actions, the one that looks at all has %d: %+v, %+v", len(got), len(want), got, want)
+		return fmt.Errorf("%d actions; with all destinations evaluated there are %d: %+v, %+v",
+			len(got), len(want), got, want)
 	}
 	return nil
 }
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -1,181 +1,184 @@
-// Package pace reckons how many calls may have gone by a moment, where what permits them is a function of time: a token
-// bucket, a share of a demand that grows back, a ramp after an outage. It has no clock, does no I/O and decides nothing:
-// its user says which rate holds from when on.
+// Package pace provides a token bucket whose rate may change linearly with time. Such a rate describes the share of a
+// demand that grows back after a cut, or the ramp after an outage. The package has no clock and does no I/O: its user
+// passes the time and sets the rate.
 //
-// All that is asked of a Bucket between two changes is a function of the moment alone: looking at one changes nothing, so
-// that what it permits does not depend on how often, or when, anybody looked. A change (Set, Take, Give) settles what has
-// gathered by then. A settlement rounds as float64 does: after n of them a level of up to m tokens is off by no more than
-// n x m x 2^-50 (TestAnyCutGivesTheSame holds it to that).
+// Between two changes, everything that a Bucket returns depends on the time alone. Reading a Bucket does not modify
+// it, so what it permits does not depend on how often or when it is read. A change (SetRate, Take, PutBack, Cap) adds
+// the tokens that have come since the last change, which rounds as float64 does: after n changes, a level of up to m
+// tokens is off by at most n x m x 2^-50 (checked by TestAnyCutGivesTheSame).
 package pace
 
 import "math"
 
-// Time is an instant on the caller's clock, or a span, in microseconds.
+// Time is an instant on the caller's clock, or a duration, in microseconds.
 type Time int64
 
-// Units of Time, and one that is later than any other.
+// Units of Time, and a time that is never reached.
 const (
 	Millisecond Time = 1000
 	Second      Time = 1000 * Millisecond
 	Never       Time = math.MaxInt64
 )
 
-// Seconds is a span in seconds.
+// Seconds returns a duration in seconds.
 func (t Time) Seconds() float64 { return float64(t) / float64(Second) }
 
-// Since is the span from one moment to another, 0 if the other is not later, and no more than a number holds.
+// Since returns the time that has passed since from: 0 if t is not later, and Never where the difference overflows.
 func (t Time) Since(from Time) Time {
 	if t <= from {
 		return 0
 	}
-	if span := t - from; span > 0 {
-		return span
+	if elapsed := t - from; elapsed > 0 {
+		return elapsed
 	}
 	return Never
 }
 
-// After is the moment a span later, Never if no number holds it.
-func (t Time) After(span Time) Time {
-	if span > 0 && t > Never-span {
+// After returns the time a duration later, and Never where the sum overflows.
+func (t Time) After(duration Time) Time {
+	if duration > 0 && t > Never-duration {
 		return Never
 	}
-	return t + span
+	return t + duration
 }
 
-// Rate is one that may change evenly with time: From at first, then Rise more with each second (less, if that is
-// negative) until it comes to End, where it stays. Where End lies on the other side of From it is End from the first on.
-// The zero Rate permits nothing. Rates are in tokens a second; neither From nor End is negative.
+// Rate is a rate in tokens a second that may change linearly with time. It starts at From, changes by Rise each
+// second until it reaches End, and stays there. A negative Rise lowers it. If Rise leads away from End, the rate is
+// End from the start. The zero Rate permits nothing. Neither From nor End may be negative.
 type Rate struct{ From, Rise, End float64 }
 
-// Constant is a rate that does not change.
+// Constant returns a rate that does not change.
 func Constant(r float64) Rate { return Rate{From: r, End: r} }
 
-// changes is for how many seconds it does.
-func (r Rate) changes() float64 {
-	if way := r.End - r.From; way*r.Rise > 0 {
-		return way / r.Rise
-	} else if r.Rise == 0 && way > 0 {
-		return math.Inf(1) // it never comes to its end
+// changeDuration returns the number of seconds until the rate stops changing.
+func (r Rate) changeDuration() float64 {
+	if change := r.End - r.From; change*r.Rise > 0 {
+		return change / r.Rise
+	} else if r.Rise == 0 && change > 0 {
+		return math.Inf(1) // it never reaches End
 	}
 	return 0
 }
 
-// At is the rate so many seconds on.
-func (r Rate) At(s float64) float64 {
-	if s >= r.changes() {
+// At returns the rate after s seconds.
+func (r Rate) At(seconds float64) float64 {
+	if seconds >= r.changeDuration() {
 		return r.End
 	}
-	return r.From + r.Rise*s
+	return r.From + r.Rise*seconds
 }
 
-// Tokens is how many tokens come in the first s seconds.
-func (r Rate) Tokens(s float64) float64 {
-	turn := r.changes()
-	if s <= turn {
-		return s * (r.From + r.Rise*s/2)
+// Tokens returns the number of tokens that come in the first s seconds.
+func (r Rate) Tokens(seconds float64) float64 {
+	changeSeconds := r.changeDuration()
+	if seconds <= changeSeconds {
+		return seconds * (r.From + r.Rise*seconds/2)
 	}
-	return turn*(r.From+r.End)/2 + (s-turn)*r.End
+	return changeSeconds*(r.From+r.End)/2 + (seconds-changeSeconds)*r.End
 }
 
-// SecondsUntil is after how many seconds n tokens have come; +Inf if they never do.
-func (r Rate) SecondsUntil(n float64) float64 {
-	if n <= 0 {
+// SecondsUntil returns the number of seconds after which n tokens have come, +Inf if they never do.
+func (r Rate) SecondsUntil(tokens float64) float64 {
+	if tokens <= 0 {
 		return 0
 	}
-	turn := r.changes()
-	before := turn * (r.From + r.End) / 2
-	if turn > 0 && n <= before {
-		// n = From x s + Rise x s x s / 2, in the form that loses no digits where the rate hardly changes
-		return 2 * n / (r.From + math.Sqrt(max(r.From*r.From+2*r.Rise*n, 0)))
+	changeSeconds := r.changeDuration()
+	tokensDuringChange := changeSeconds * (r.From + r.End) / 2
+	if changeSeconds > 0 && tokens <= tokensDuringChange {
+		// Solves n = From x s + Rise x s x s / 2 in the form that loses no digits when Rise is close to 0.
+		return 2 * tokens / (r.From + math.Sqrt(max(r.From*r.From+2*r.Rise*tokens, 0)))
 	}
 	if r.End <= 0 {
 		return math.Inf(1)
 	}
-	return turn + (n-before)/r.End
+	return changeSeconds + (tokens-tokensDuringChange)/r.End
 }
 
-// Bucket holds tokens that come at a rate, a certain number at most. One token permits one call. The level may be below
-// zero where more was taken than was there. The zero Bucket is empty and stays so.
+// Bucket is a token bucket: tokens come at a rate, up to its capacity. One token permits one call. The level is
+// negative after more tokens were taken than there were. The zero Bucket is empty and stays so.
 type Bucket struct {
-	level, most float64
-	at          Time
-	rate        Rate // from at on
+	level, capacity float64
+	updatedAt       Time
+	rate            Rate // from updatedAt on
 }
 
-// NewBucket returns one with a level, and nothing coming in until Set says so.
+// NewBucket returns a Bucket with a level. No tokens come until SetRate gives it a rate.
 func NewBucket(now Time, level float64) Bucket {
-	return Bucket{level: level, most: max(level, 1), at: now}
+	return Bucket{level: level, capacity: max(level, 1), updatedAt: now}
 }
 
-// SetRate changes the rate and the most tokens that are held, from a moment on. What has gathered by now stays, as far as it
-// may. Where from is later than now, what the rate gives at first is credited for the time in between at once, as far as
-// that was not done before: a user who can't take anything before from (a wait binds it) has it when that comes.
-func (b *Bucket) SetRate(now, from Time, r Rate, most float64) {
-	b.settle(now)
-	if ahead := from.Since(b.at); ahead > 0 {
-		b.level = max(b.level, min(b.level+r.At(0)*ahead.Seconds(), most))
-		b.at = from
-	}
-	b.level = min(b.level, most)
-	b.rate, b.most = r, most
+// SetRate sets the capacity, and the rate from the time from on. The bucket keeps the tokens that have come until
+// now, up to the new capacity. If from is later than now, the tokens that come at the initial rate until then are
+// added at once: a user that has to wait until from finds them there when the wait ends. They are not added again if
+// an earlier SetRate did so for the same time.
+func (b *Bucket) SetRate(now, from Time, rate Rate, capacity float64) {
+	b.advance(now)
+	if wait := from.Since(b.updatedAt); wait > 0 {
+		b.level = max(b.level, min(b.level+rate.At(0)*wait.Seconds(), capacity))
+		b.updatedAt = from
+	}
+	b.level = min(b.level, capacity)
+	b.rate, b.capacity = rate, capacity
 }
 
-// Level is how many tokens are there at a moment.
+// Level returns the number of tokens at a time.
 func (b *Bucket) Level(now Time) float64 {
-	if now <= b.at {
+	if now <= b.updatedAt {
 		return b.level
 	}
-	return min(b.level+b.rate.Tokens(now.Since(b.at).Seconds()), max(b.most, b.level))
+	return min(b.level+b.rate.Tokens(now.Since(b.updatedAt).Seconds()), max(b.capacity, b.level))
 }
 
-// Full tells that no more tokens are held.
-func (b *Bucket) Full(now Time) bool { return b.Level(now) >= b.most }
+// Full reports whether the bucket holds as many tokens as it can.
+func (b *Bucket) Full(now Time) bool { return b.Level(now) >= b.capacity }
 
-// HasToken tells whether a call may go.
+// HasToken reports whether there is a token for a call.
 func (b *Bucket) HasToken(now Time) bool { return b.Level(now) >= 1 }
 
-// Take takes n tokens, whether they are there or not.
+// Take removes n tokens, even if there are fewer: the level is negative then.
 func (b *Bucket) Take(now Time, n float64) {
-	b.settle(now)
+	b.advance(now)
 	b.level -= n
 }
 
-// PutBack puts n tokens back, as far as they may be held.
+// PutBack puts n tokens back, up to the capacity.
 func (b *Bucket) PutBack(now Time, n float64) {
-	b.settle(now)
-	b.level = max(b.level, min(b.level+n, b.most))
+	b.advance(now)
+	b.level = max(b.level, min(b.level+n, b.capacity))
 }
 
-// Cap takes away what is above a level.
+// Cap lowers the level to at most the given one.
 func (b *Bucket) Cap(now Time, level float64) {
-	b.settle(now)
+	b.advance(now)
 	b.level = min(b.level, level)
 }
 
-// settle makes now the moment from which on all is reckoned.
-func (b *Bucket) settle(now Time) {
-	if now <= b.at {
+// advance adds the tokens that have come until now, and makes the rate start from its present value.
+func (b *Bucket) advance(now Time) {
+	if now <= b.updatedAt {
 		return
 	}
 	b.level = b.Level(now)
-	b.rate.From = b.rate.At(now.Since(b.at).Seconds())
-	b.at = now
+	b.rate.From = b.rate.At(now.Since(b.updatedAt).Seconds())
+	b.updatedAt = now
 }
 
-// NextAt is the first moment, now or later, at which Has tells true while nothing changes; Never if there is none.
+// NextAt returns the first time, now or later, at which there is a token if nothing changes until then. It returns
+// Never if there will be none.
 func (b *Bucket) NextAt(now Time) Time {
 	if b.HasToken(now) {
 		return now
 	}
-	if b.most < 1 {
+	if b.capacity < 1 {
 		return Never
 	}
-	s := b.rate.SecondsUntil(1 - b.level)
-	if !(s < float64(Never/2)/float64(Second)) {
+	seconds := b.rate.SecondsUntil(1 - b.level)
+	if !(seconds < float64(Never/2)/float64(Second)) {
 		return Never
 	}
-	at := max(now, b.at.After(Time(s*float64(Second))))
-	// The root and the sum may differ in their last bits: by so much at most, which a few steps of doubled length bridge.
+	at := max(now, b.updatedAt.After(Time(seconds*float64(Second))))
+	// SecondsUntil and Tokens may round differently in their last bits, so at may be slightly off. Steps of doubling
+	// length find the exact microsecond.
 	step := Time(1)
 	for !b.HasToken(at) {
 		if at == Never || step > Second {
@@ -184,12 +187,12 @@
 		at, step = at.After(step), 2*step
 	}
 	for step = 1; at > now && b.HasToken(at-1); {
-		back := max(now, at-step)
-		if step *= 2; !b.HasToken(back) {
+		earlier := max(now, at-step)
+		if step *= 2; !b.HasToken(earlier) {
 			step = 1
-			back = at - 1
+			earlier = at - 1
 		}
-		at = back
+		at = earlier
 	}
 	return at
 }
