--- a/internal/suite/daemon.go
+++ b/internal/suite/daemon.go
@@ -116,12 +116,12 @@
 	if d.opt.Tick > 0 {
 		cfg.Settings.Tick = control.Time(d.opt.Tick.Microseconds())
 	}
-	cfg.Parts = node.Parts{
+	cfg.Interceptors = node.Interceptors{
 		Intake: func(in engine.Intake) engine.Intake {
 			d.withdraw = in.(interface{ Withdraw(string) }).Withdraw
 			return in
 		},
-		Seams: func(s driver.Components) driver.Components {
+		Components: func(s driver.Components) driver.Components {
 			s.Transport, s.Sink = &wrongly{s.Transport, d.opt.Wrong}, &ending{s.Sink, d}
 			return s
 		},
