--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -17,31 +17,31 @@
 )
 
 const (
-	usualSocket = "curlewmux.sock" // in the state folder, unless set otherwise
-	heldMost    = 1000             // messages that are looked at for the oldest of each destination
-	heldWait    = 2 * time.Second
+	defaultSocketName = "curlewmux.sock" // in the state folder, unless set otherwise
+	queueScanLimit    = 1000             // messages that are looked at for the oldest of each destination
+	queueReplyTimeout = 2 * time.Second
 )
 
-// shownParts are what a node has beside the rest where figures are shown.
-type shownParts struct {
-	board *figures.Cache
+// figuresParts are what a node has beside the rest where figures are shown.
+type figuresParts struct {
+	cache *figures.Cache
 }
 
-// assembleShown makes what shows the books, where they are kept.
-func (n *Node) assembleShown(set *httpfront.Settings) {
+// assembleFigures makes what shows the books, where they are kept.
+func (n *Node) assembleFigures(set *httpfront.Settings) {
 	if n.cfg.Ledger == nil {
 		return
 	}
-	n.shown = &shownParts{board: figures.New(n, n.host.Now)}
+	n.figures = &figuresParts{cache: figures.New(n, n.host.Now)}
 	if n.cfg.Ledger.HTTP {
 		set.Pages = map[string]func() httpfront.Page{
-			"/-/ledger":  func() httpfront.Page { return page(n.shown.board.JSON, figures.ContentTypeJSON) },
-			"/-/metrics": func() httpfront.Page { return page(n.shown.board.Metrics, figures.ContentTypeMetrics) },
+			"/-/ledger":  func() httpfront.Page { return figuresPage(n.figures.cache.JSON, figures.ContentTypeJSON) },
+			"/-/metrics": func() httpfront.Page { return figuresPage(n.figures.cache.Metrics, figures.ContentTypeMetrics) },
 		}
 	}
 }
 
-func page(text func() ([]byte, error), kind string) httpfront.Page {
+func figuresPage(text func() ([]byte, error), kind string) httpfront.Page {
 	t, err := text()
 	if err != nil {
 		return httpfront.Page{Again: figures.MaxAge}
@@ -52,12 +52,12 @@
 // openAdmin makes the operators' socket, if there is anything to be asked there.
 func (n *Node) openAdmin() (err error) {
 	name := ""
-	if n.kept != nil {
-		name = n.kept.set.socket
+	if n.undelivered != nil {
+		name = n.undelivered.settings.socket
 	}
 	asked := name != ""
-	if !asked && n.shown != nil {
-		name = usualSocket
+	if !asked && n.figures != nil {
+		name = defaultSocketName
 	}
 	if name == "" || n.cfg.Dir != nil {
 		return nil
@@ -76,7 +76,7 @@
 // startAdmin answers operators from now on.
 func (n *Node) startAdmin() {
 	if n.admin != nil {
-		n.host.Go(func() { n.admin.Serve(n.command) })
+		n.host.Go(func() { n.admin.Serve(n.handleCommand) })
 	}
 }
 
@@ -89,57 +89,57 @@
 	}
 }
 
-// command answers a command from the socket.
-func (n *Node) command(ctx context.Context, by admin.Peer, text json.RawMessage, reply func(any) error) error {
+// handleCommand answers a command from the socket.
+func (n *Node) handleCommand(ctx context.Context, by admin.Peer, text json.RawMessage, reply func(any) error) error {
 	var r figures.Request
 	if err := json.Unmarshal(text, &r); err != nil {
 		return fmt.Errorf("%w: %w", redeliver.ErrRequest, err)
 	}
 	switch r.Command {
 	case figures.CommandLedger, figures.CommandMetrics:
-		if n.shown == nil {
+		if n.figures == nil {
 			return errNoLedger
 		}
 		if r.Command == figures.CommandLedger {
-			page, err := n.shown.board.JSON()
+			page, err := n.figures.cache.JSON()
 			if err != nil {
 				return err
 			}
 			return reply(admin.Raw(page))
 		}
-		page, err := n.shown.board.Metrics()
+		page, err := n.figures.cache.Metrics()
 		if err != nil {
 			return err
 		}
 		return reply(string(page))
 	case figures.CommandQueues:
-		h, err := n.held()
+		h, err := n.destinationQueues()
 		if err != nil {
 			return err
 		}
 		return reply(h)
 	}
-	if n.kept == nil {
+	if n.undelivered == nil {
 		return errors.New("no undelivered messages are kept: the operator's file has no [undelivered]")
 	}
-	return n.commandKept(ctx, by, text, reply)
+	return n.handleUndeliveredCommand(ctx, by, text, reply)
 }
 
 var errNoLedger = errors.New("no books are kept: the operator's file has no [ledger]")
 
-func (n *Node) held() (*figures.QueuesReply, error) {
+func (n *Node) destinationQueues() (*figures.QueuesReply, error) {
 	type seen struct {
 		list []engine.DestinationBacklog
 		more bool
 	}
 	reply := n.host.NewInbox()
 	if !n.driver.Do(func() {
-		list, more := n.driver.Engine().Backlog(heldMost)
+		list, more := n.driver.Engine().Backlog(queueScanLimit)
 		reply.Put(seen{list, more})
 	}) {
 		return nil, errors.New("the dispatcher is stopping")
 	}
-	list := reply.Take(nil, n.host.Now().Add(heldWait))
+	list := reply.Take(nil, n.host.Now().Add(queueReplyTimeout))
 	reply.Close()
 	if len(list) == 0 {
 		return nil, errors.New("the dispatcher does not answer")
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -27,9 +27,9 @@
 )
 
 // startWith is start with an operator's file.
-func (w *world) startWith(text string) (stop func() error) {
+func (w *testEnv) startWith(text string) (stop func() error) {
 	w.t.Helper()
-	w.name(1, 2, 3, 4)
+	w.listDestinations(1, 2, 3, 4)
 	cfg, err := ParseConfig(w.config(), w.env)
 	must(w.t, err)
 	file, err := operator.Parse(text)
@@ -38,7 +38,7 @@
 	return w.runWith(cfg)
 }
 
-func (w *world) get(path string) (int, http.Header, []byte) {
+func (w *testEnv) get(path string) (int, http.Header, []byte) {
 	w.t.Helper()
 	res, err := http.Get("http://" + w.addr + path)
 	must(w.t, err)
@@ -48,16 +48,16 @@
 	return res.StatusCode, res.Header, text
 }
 
-func (w *world) ask(command string) (lines []json.RawMessage, err error) {
-	err = admin.Call(filepath.Join(w.dir, usualSocket), figures.Request{Command: command}, func(text json.RawMessage) error {
+func (w *testEnv) ask(command string) (lines []json.RawMessage, err error) {
+	err = admin.Call(filepath.Join(w.dir, defaultSocketName), figures.Request{Command: command}, func(text json.RawMessage) error {
 		lines = append(lines, text)
 		return nil
 	})
 	return lines, err
 }
 
-// cut reads a snapshot that must add up.
-func cut(t *testing.T, text []byte) *ledger.Snapshot {
+// readSnapshot reads a snapshot that must add up.
+func readSnapshot(t *testing.T, text []byte) *ledger.Snapshot {
 	t.Helper()
 	s, err := ledger.ReadSnapshot(bytes.NewReader(text))
 	must(t, err)
@@ -78,7 +78,7 @@
 	} {
 		t.Run(c.file, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t)
+			w := newTestEnv(t)
 			w.diskMB = 3
 			stop := w.startWith(c.file)
 			w.endpoint("e", 7, "hooks", respond(200))
@@ -86,7 +86,7 @@
 			if code, _, why := w.do(w.request("keyed", "waits", 1)); code != 202 {
 				t.Fatalf("%d %s", code, why)
 			}
-			if _, err := os.Stat(filepath.Join(w.dir, usualSocket)); (err == nil) != c.socket {
+			if _, err := os.Stat(filepath.Join(w.dir, defaultSocketName)); (err == nil) != c.socket {
 				t.Errorf("%q: the socket: %v", c.file, err)
 			}
 			for _, path := range []string{"/-/ledger", "/-/metrics"} {
@@ -98,7 +98,7 @@
 				waitFor(t, func() bool {
 					lines, err := w.ask(figures.CommandLedger)
 					must(t, err)
-					s := cut(t, lines[0])
+					s := readSnapshot(t, lines[0])
 					return len(lines) == 1 && s.Total.Accepted == 2 && s.Total.Delivered == 1 && s.Total.Open == 1 && s.Instance == "n0"
 				})
 				lines, err := w.ask(figures.CommandQueues)
@@ -124,14 +124,14 @@
 				if header.Get("Content-Type") != figures.ContentTypeMetrics || !bytes.HasSuffix(text, []byte("# EOF\n")) {
 					t.Errorf("%v %s", header, text)
 				}
-				if _, header, text = w.get("/-/ledger"); header.Get("Content-Type") != figures.ContentTypeJSON || cut(t, text).Total.Accepted != 2 {
+				if _, header, text = w.get("/-/ledger"); header.Get("Content-Type") != figures.ContentTypeJSON || readSnapshot(t, text).Total.Accepted != 2 {
 					t.Errorf("%v %s", header, text)
 				}
 			}
 			if err := stop(); err != nil {
 				t.Error(err)
 			}
-			if _, err := os.Lstat(filepath.Join(w.dir, usualSocket)); !errors.Is(err, fs.ErrNotExist) {
+			if _, err := os.Lstat(filepath.Join(w.dir, defaultSocketName)); !errors.Is(err, fs.ErrNotExist) {
 				t.Errorf("the socket stays: %v", err)
 			}
 			if strings.HasPrefix(c.file, "[ledger]") && c.socket {
@@ -145,15 +145,15 @@
 }
 
 var (
-	scrapeRate = flag.Int("scrapes", 1000, "scrapes a second beside messages, 0 for none")
-	apart      = flag.Bool("apart", false, "the dispatcher is a process of its own, with one core")
-	accounts   = flag.Int("accounts", 10, "accounts that there are beside the one of the messages")
+	scrapeRate      = flag.Int("scrapes", 1000, "scrapes a second beside messages, 0 for none")
+	separateProcess = flag.Bool("apart", false, "the dispatcher is a process of its own, with one core")
+	accounts        = flag.Int("accounts", 10, "accounts that there are beside the one of the messages")
 )
 
 // A folder whose name is too long for a socket does not keep a dispatcher from its work.
 func TestBooksAreKeptWhereNoSocketFits(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	w.diskMB, w.dir = 3, filepath.Join(w.dir, strings.Repeat("long", 30))
 	must(t, os.Mkdir(w.dir, 0o700))
 	stop := w.startWith("[ledger]\nhttp = true")
@@ -169,12 +169,12 @@
 // come: a thousand scrapes a second, and readers that stop reading.
 func TestMessagesGoOnUnderAThousandScrapesASecond(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	w.maxOpen, w.diskMB = 1000, 3
 	const books = "[ledger]\nhttp = true"
 	var stop func() error
-	if *apart {
-		w.operator = books
+	if *separateProcess {
+		w.operatorText = books
 		cmd := w.spawn()
 		stop = func() error {
 			status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", cmd.Process.Pid))
@@ -191,7 +191,7 @@
 	w.endpoint("e", 7, "hooks", respond(200))
 	waitFor(t, func() bool { code, _, _ := w.do(w.request("free", "first", 7)); return code == 202 })
 	for i := range *accounts {
-		w.name(100 + i)
+		w.listDestinations(100 + i)
 		waitFor(t, func() bool { code, _, _ := w.do(w.request("free", fmt.Sprint("a", i), 100+i)); return code == 202 })
 	}
 	for range 3 { // they ask and read nothing
@@ -232,7 +232,7 @@
 					continue
 				}
 				shown.Add(1)
-				if reader%2 == 1 || *apart && n%100 != 0 {
+				if reader%2 == 1 || *separateProcess && n%100 != 0 {
 					continue
 				}
 				s, err := ledger.ReadSnapshot(bytes.NewReader(text))
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -56,9 +56,9 @@
 	if err := c.ApplyOperatorFile(file); err != nil {
 		return nil, err
 	}
-	share := c.share()
+	share := c.shareDescriptors()
 	c.Settings.Slots = min(c.Settings.Slots, share.calls)
-	if _, err := engine.New(c.engine()); err != nil {
+	if _, err := engine.New(c.engineSettings()); err != nil {
 		return nil, err
 	}
 	r := &Report{}
@@ -78,8 +78,8 @@
 	r.add("limits.memory_mb", c.Memory>>20, FromFile)
 	r.add("limits.sockets", c.Sockets, FromFile)
 	r.add("limits.disk_mb", c.limits.DiskMB, FromFile)
-	r.site(c)
-	r.operator(c, file, text)
+	r.addSettings(c)
+	r.addOperatorFile(c, file, text)
 	// What follows from these, where it is less than what is asked for, or is asked for nowhere.
 	r.add("memory.aim_bytes", c.Memory*6/10, FromComputed)
 	r.add("slots", c.Settings.Slots, FromComputed)
@@ -97,17 +97,17 @@
 	r.Settings = append(r.Settings, Setting{Name: name, Value: value, From: from})
 }
 
-// site adds the site's settings, as the wire's parser reads them.
-func (r *Report) site(c *Config) {
+// addSettings adds the site's settings, as the wire's parser reads them.
+func (r *Report) addSettings(c *Config) {
 	first := len(r.Settings)
-	for line := range strings.Lines(c.flat) {
+	for line := range strings.Lines(c.flatSettings) {
 		name, value, _ := strings.Cut(strings.TrimSpace(line), "=")
 		if c.OperatorSetsInstances && name == "instances" {
 			continue // the operator's file wins
 		}
 		r.add("settings."+name, value, FromFile)
 	}
-	_, presets, _ := wire.ParsePresets(c.flat) // it was without fault before
+	_, presets, _ := wire.ParsePresets(c.flatSettings) // it was without fault before
 	for name, value := range presets {
 		r.add("settings."+name, value, FromDefault)
 	}
@@ -117,10 +117,10 @@
 	slices.SortStableFunc(r.Settings[first:], func(a, b Setting) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// agentOnly are the sections that a dispatcher does not read.
-var agentOnly = [...]string{"membership", "kubernetes", "fixed"}
+// agentSections are the sections that a dispatcher does not read.
+var agentSections = [...]string{"membership", "kubernetes", "fixed"}
 
-func (r *Report) operator(c *Config, file *operator.File, text string) {
+func (r *Report) addOperatorFile(c *Config, file *operator.File, text string) {
 	list, err := operator.Explain(file, text)
 	if err != nil { // Parse took the text
 		return
@@ -132,7 +132,7 @@
 		}
 		section, _, _ := strings.Cut(s.Name, ".")
 		section, _, _ = strings.Cut(section, "[")
-		if slices.Contains(agentOnly[:], section) {
+		if slices.Contains(agentSections[:], section) {
 			if from = FromAgent; s.Value == nil {
 				continue
 			}
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -10,19 +10,19 @@
 // What no list names yet is turned away for a while; what is empty for the moment waits.
 func TestOnlyDestinationsThatWereNamed(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	w.start()
 	if code, h, why := w.do(w.request("free", "m", 9)); code != 503 || h.Get("Retry-After") == "" {
 		t.Errorf("%d %v %s", code, h, why)
 	}
 	m := partnerlist.Entry{ID: "e9", HostPort: "127.0.0.1:1", Locality: "west", Flavor: "hooks", Cell: 9, Phase: "leaving"}
-	w.tell(m)
+	w.setEntry(m)
 	waitFor(t, func() bool { code, _, _ := w.do(w.request("free", "m", 9)); return code == 202 })
 	m.Phase = "left"
-	w.tell(m)
-	w.name(8)
+	w.setEntry(m)
+	w.listDestinations(8)
 	waitFor(t, func() bool { code, _, _ := w.do(w.request("free", "n", 8)); return code == 202 })
-	w.hand("free", "later", 9)
+	w.submit("free", "later", 9)
 	if len(w.journalled()) != 3 {
 		t.Errorf("journalled %v", w.journalled())
 	}
@@ -31,7 +31,7 @@
 // Bodies have a common bound; what ends, or is refused, gives its part back.
 func TestBodiesShareABudget(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	w.memoryMB, w.maxOpen, w.diskMB = 2, 1000, 50
 	w.start()
 	big := func(id string) int {
@@ -45,7 +45,7 @@
 	for i := 0; i < 20 && big(fmt.Sprint("m", i)) == 202; i++ {
 		taken++
 	}
-	if most := (2 << 20) / heldShare / 60000; taken != most {
+	if most := (2 << 20) / bodyMemoryDivisor / 60000; taken != most {
 		t.Errorf("%d large messages taken on, want %d", taken, most)
 	}
 	w.endpoint("e", 1, "hooks", respond(200))
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -38,9 +38,9 @@
 	Ledger                         *Ledger       // nil: no books are kept
 	Settings                       control.Settings
 	Zones, Reports                 []string // names of the zones, and of the values in a load report
-	stop                           stopTimes
+	stopSchedule                   stopSchedule
 	limits                         limits
-	flat                           string // the settings as the wire's parser reads them
+	flatSettings                   string // the settings as the wire's parser reads them
 }
 
 // limits are what the platform allows.
@@ -94,13 +94,13 @@
 		c.Undelivered, err = ReadUndelivered(f.Undelivered, c)
 	}
 	if err == nil && f.Fleet != nil {
-		err = c.setFleet(f.Fleet.Instances)
+		err = c.setInstances(f.Fleet.Instances)
 	}
 	return err
 }
 
-// setFleet takes how many dispatchers there are from the operator's file, in place of the settings.
-func (c *Config) setFleet(instances int) error {
+// setInstances takes how many dispatchers there are from the operator's file, in place of the settings.
+func (c *Config) setInstances(instances int) error {
 	if instances <= c.Settings.Me {
 		return fmt.Errorf("fleet.instances: %d dispatchers, and this one has number %d, counted from 0", instances, c.Settings.Me)
 	}
@@ -114,51 +114,51 @@
 	if f.Fleet == nil {
 		return nil
 	}
-	return c.setFleet(f.Fleet.Instances)
+	return c.setInstances(f.Fleet.Instances)
 }
 
-// shares are how many descriptors clients, calls out and idle connections to endpoints may take.
-type shares struct{ clients, calls, idle int }
+// descriptorShares are how many descriptors clients, calls out and idle connections to endpoints may take.
+type descriptorShares struct{ clients, calls, idle int }
 
 const (
-	otherFiles   = 32       // descriptors that are neither a client's nor a call's, at most
-	idleCalls    = 4        // idle connections to endpoints for each call, at most
-	clientMemory = 64 << 10 // what a client's connection may take
+	maxOtherFiles  = 32       // descriptors that are neither a client's nor a call's, at most
+	maxIdlePerCall = 4        // idle connections to endpoints for each call, at most
+	bytesPerClient = 64 << 10 // what a client's connection may take
 
 	// A dial takes some 60 us of a core: at this pace they take an eighth of one, however many endpoints are cold.
-	dialBurst = 64
-	dialGap   = 500 * time.Microsecond
+	dialBurst    = 64
+	dialInterval = 500 * time.Microsecond
 
-	heldShare    = 8       // bodies held may take one part in so many of the memory
-	transitShare = 24      // and those being read one in so many
-	idMemory     = 2 << 10 // one id that ended is remembered for each so many bytes of memory
+	bodyMemoryDivisor    = 8       // bodies held may take one part in so many of the memory
+	transitMemoryDivisor = 24      // and those being read one in so many
+	memoryPerID          = 2 << 10 // one id that ended is remembered for each so many bytes of memory
 )
 
-// share divides the descriptors: what the slots need, but no more than a third, goes to calls.
-func (c *Config) share() (s shares) {
-	rest := c.Sockets - min(otherFiles, c.Sockets/2)
+// shareDescriptors divides the descriptors: what the slots need, but no more than a third, goes to calls.
+func (c *Config) shareDescriptors() (s descriptorShares) {
+	rest := c.Sockets - min(maxOtherFiles, c.Sockets/2)
 	if c.Mail != nil {
 		rest -= c.Mail.sockets()
 	}
 	s.calls = max(1, min(c.Settings.Slots, rest/3))
-	s.idle = min((rest-s.calls)/4, idleCalls*s.calls)
-	s.clients = max(1, min(rest-s.calls-s.idle, int(c.Memory/clientMemory)))
+	s.idle = min((rest-s.calls)/4, maxIdlePerCall*s.calls)
+	s.clients = max(1, min(rest-s.calls-s.idle, int(c.Memory/bytesPerClient)))
 	return s
 }
 
-// engine are the engine's settings.
-func (c *Config) engine() engine.Settings {
+// engineSettings are the engine's settings.
+func (c *Config) engineSettings() engine.Settings {
 	set := engine.Settings{
-		Control: c.Settings, Seed: c.Seed, HasStore: true, MaxBytes: int(c.Memory / heldShare), MaxIDs: int(c.Memory / idMemory),
+		Control: c.Settings, Seed: c.Seed, HasStore: true, MaxBytes: int(c.Memory / bodyMemoryDivisor), MaxIDs: int(c.Memory / memoryPerID),
 	}
 	if c.Mail != nil {
-		set.KindBytes, set.ClassRemember = c.Mail.callBytes, c.Mail.remember
+		set.KindBytes, set.ClassRemember = c.Mail.maxCallBytes, c.Mail.rememberTimes
 	}
 	return set
 }
 
-// names give the numbers of zones and kinds.
-func (c *Config) names() partnerlist.NameIndex {
+// plainNames give the numbers of zones and kinds.
+func (c *Config) nameIndex() partnerlist.NameIndex {
 	return partnerlist.NameIndex{
 		Zone: func(name string) int { return slices.Index(c.Zones, name) },
 		Kind: func(name string) int {
@@ -195,7 +195,7 @@
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	c := &Config{
-		stop: plannedStop(), limits: file.Limits, flat: wire.Flatten(file.Settings),
+		stopSchedule: defaultStopSchedule(), limits: file.Limits, flatSettings: wire.Flatten(file.Settings),
 		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, State: env("EDGE_STATE"), CachedList: file.Known,
 		Cores: file.Limits.Cores, Sockets: file.Limits.Sockets, Memory: file.Limits.MemoryMB << 20, Disk: int64(file.Limits.DiskMB * 1e6),
 	}
@@ -232,19 +232,19 @@
 	if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
 	}
-	if c.Settings, err = wire.ParseSettings(c.flat); err != nil {
+	if c.Settings, err = wire.ParseSettings(c.flatSettings); err != nil {
 		return nil, err
 	}
 	c.Settings.RiskAfter = wire.RiskAfter
-	c.Zones = names(file.Settings["dcs"])
+	c.Zones = plainNames(file.Settings["dcs"])
 	if report, ok := file.Settings["report"].(map[string]any); ok {
-		c.Reports = names(report["names"])
+		c.Reports = plainNames(report["names"])
 	}
 	return c, nil
 }
 
-// names are the strings of a JSON list as the flat form has them.
-func names(v any) (out []string) {
+// plainNames are the strings of a JSON list as the flat form has them.
+func plainNames(v any) (out []string) {
 	list, _ := v.([]any)
 	for _, s := range list {
 		out = append(out, wire.Plain(fmt.Sprint(s)))
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -11,19 +11,19 @@
 	"curlewmux/internal/operator"
 )
 
-// lines is a log that a test reads while it is written.
-type lines struct {
+// logBuffer is a log that a test reads while it is written.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *lines) count(part string) int {
+func (l *logBuffer) count(part string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), part)
@@ -32,7 +32,7 @@
 // The operator's file, read anew, changes the number of dispatchers; without it the settings' stays until the next start.
 func TestTheNumberOfDispatchersFollowsTheOperatorsFile(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	w.endpoint("e", 3, "hooks", respond(200))
 	read := func(instances int) *Config {
 		cfg, err := ParseConfig(w.config(), w.env)
@@ -44,7 +44,7 @@
 		must(t, cfg.ReapplyOperatorFile(f))
 		return cfg
 	}
-	log, reloads := &lines{}, make(chan *Config)
+	log, reloads := &logBuffer{}, make(chan *Config)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	cfg := read(0)
@@ -61,7 +61,7 @@
 	if log.count("was=7 is=2") != 1 {
 		t.Errorf("the log does not say what has changed: %s", log.text.String())
 	}
-	w.hand("unsafe", "u", 3) // it goes on
+	w.submit("unsafe", "u", 3) // it goes on
 	w.awaitCalls("u", 1)
 	cancel()
 	if err := <-done; err != nil {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -15,9 +15,9 @@
 	"curlewmux/internal/journal"
 )
 
-const generous = 20 * time.Second // what a test waits for at most
+const testTimeout = 20 * time.Second // what a test waits for at most
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 func must(t *testing.T, err error) {
 	t.Helper()
@@ -28,7 +28,7 @@
 
 func waitFor(t *testing.T, ok func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(generous); !ok(); time.Sleep(5 * time.Millisecond) {
+	for limit := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(limit) {
 			t.Fatal("it never comes to that")
 		}
@@ -42,10 +42,10 @@
 
 func inAMinute() engine.Timestamp { return engine.TimestampOf(time.Now().Add(time.Minute)) }
 
-// record writes records as an earlier process would have.
-func (w *world) record(records ...engine.Record) {
+// writeRecords writes records as an earlier process would have.
+func (w *testEnv) writeRecords(records ...engine.Record) {
 	w.t.Helper()
-	j, _, err := journal.Open(journal.OSDir(w.dir), journal.Settings{Disk: 1e6, Owner: "n0", Random: rand.Uint64, Log: quiet()})
+	j, _, err := journal.Open(journal.OSDir(w.dir), journal.Settings{Disk: 1e6, Owner: "n0", Random: rand.Uint64, Log: discardLog()})
 	must(w.t, err)
 	must(w.t, j.Append(1, records))
 	_, err = j.Flush()
@@ -66,8 +66,8 @@
 	return n
 }
 
-// vanished is an address where a connection never comes up, as at a machine that is cut off.
-func vanished(t *testing.T) string {
+// unreachableAddr is an address where a connection never comes up, as at a machine that is cut off.
+func unreachableAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	must(t, err)
@@ -88,42 +88,42 @@
 	return ""
 }
 
-// moodyDir is the state folder of a dispatcher in this process, which can be made to fail or to wait.
-type moodyDir struct {
+// faultyDir is the state folder of a dispatcher in this process, which can be made to fail or to wait.
+type faultyDir struct {
 	journal.Dir
-	broken atomic.Bool
-	hold   chan struct{} // where not nil: reading what is there waits until it is closed
+	broken   atomic.Bool
+	listGate chan struct{} // where not nil: reading what is there waits until it is closed
 }
 
-func (d *moodyDir) List() ([]string, error) {
-	if d.hold != nil {
-		<-d.hold
+func (d *faultyDir) List() ([]string, error) {
+	if d.listGate != nil {
+		<-d.listGate
 	}
 	return d.Dir.List()
 }
 
-func (d *moodyDir) Create(name string) (journal.File, error) {
+func (d *faultyDir) Create(name string) (journal.File, error) {
 	if d.broken.Load() {
 		return nil, syscall.EIO
 	}
 	f, err := d.Dir.Create(name)
-	return &moodyFile{f, d}, err
+	return &faultyFile{f, d}, err
 }
 
-type moodyFile struct {
+type faultyFile struct {
 	journal.File
-	dir *moodyDir
+	dir *faultyDir
 }
 
-func (f *moodyFile) WriteAt(p []byte, off int64) (int, error) {
+func (f *faultyFile) WriteAt(p []byte, off int64) (int, error) {
 	if f.dir.broken.Load() {
 		return 0, syscall.EIO
 	}
 	return f.File.WriteAt(p, off)
 }
 
-// owedFor is the end of a message that was refused and whose notice is still to go out.
-func owedFor(id string) engine.PendingResult {
+// pendingRefusal is the end of a message that was refused and whose notice is still to go out.
+func pendingRefusal(id string) engine.PendingResult {
 	m := testMessage(id)
 	return engine.PendingResult{Disposition: engine.Refused, Fingerprint: m.Fingerprint()}
 }
--- a/internal/node/ids_test.go
+++ b/internal/node/ids_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// other makes a request of the same id that is not the same message, by what differs.
-func other(t *testing.T, w *world, id string) map[string]*http.Request {
+// conflictingRequests makes a request of the same id that is not the same message, by what differs.
+func conflictingRequests(t *testing.T, w *testEnv, id string) map[string]*http.Request {
 	class, tenant, dest, key := w.request("keyed", id, 3), w.request("unsafe", id, 3), w.request("unsafe", id, 4), w.request("unsafe", id, 3)
 	tenant.Header.Set("X-Customer", "docs")
 	key.Header.Set("Idempotency-Key", "another")
@@ -20,17 +20,17 @@
 // Of two messages with one id the second must not be told that it is taken on: held, ended, and after a restart.
 func TestAnIdOfAnotherMessageIsAConflict(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	cmd := w.spawn()
-	w.hand("unsafe", "m", 3)
+	w.submit("unsafe", "m", 3)
 	check := func(when string) {
 		t.Helper()
-		for what, r := range other(t, w, "m") {
+		for what, r := range conflictingRequests(t, w, "m") {
 			if code, _, why := w.do(r); code != 409 || !strings.Contains(why, "X-Trace-Id") {
 				t.Errorf("%s, another %s: %d %s", when, what, code, why)
 			}
 		}
-		w.hand("unsafe", "m", 3)
+		w.submit("unsafe", "m", 3)
 	}
 	check("held")
 	w.endpoint("e", 3, "hooks", respond(200))
@@ -48,7 +48,7 @@
 // What comes again after its deadline is told what became of it: 202 never stands for a message that nobody delivers.
 func TestAnIdThatComesAgainIsToldHowItEnded(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	w.start()
 	hand := func(id string, dest, ms int) int {
 		t.Helper()
@@ -90,25 +90,25 @@
 // Ids of messages that must not be repeated outlive every restart.
 func TestAnUnsafeIdThatEndedIsKnownAfterRestarts(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	w.endpoint("good", 3, "hooks", respond(200))
 	w.endpoint("bad", 4, "hooks", respond(500))
 	cmd := w.spawn()
-	w.hand("unsafe", "delivered", 3)
-	w.hand("keyed", "keyed", 3)
-	w.hand("unsafe", "failed", 4)
+	w.submit("unsafe", "delivered", 3)
+	w.submit("keyed", "keyed", 3)
+	w.submit("unsafe", "failed", 4)
 	w.awaitNotice("failed", "undeliverable")
 	w.awaitEmpty()
 	for range 3 {
 		w.kill(cmd)
 		cmd = w.spawn()
 	}
-	w.hand("unsafe", "delivered", 3)
-	w.hand("keyed", "keyed", 3)
+	w.submit("unsafe", "delivered", 3)
+	w.submit("keyed", "keyed", 3)
 	if code, _, why := w.do(w.request("unsafe", "failed", 4)); code != 410 {
 		t.Errorf("what failed came again: %d %s", code, why)
 	}
-	w.hand("free", "later", 3) // once this is through, what was taken on before it would be, too
+	w.submit("free", "later", 3) // once this is through, what was taken on before it would be, too
 	w.awaitCalls("later", 1)
 	w.awaitEmpty()
 	for _, id := range []string{"delivered", "keyed", "failed"} {
--- a/internal/node/known_test.go
+++ b/internal/node/known_test.go
@@ -9,19 +9,19 @@
 // message, which was given up and must not be called.
 func TestAnIdWhoseNoticeIsOwedIsKnownAfterARestart(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.set(func() { w.deaf = true })
-	w.record(&engine.RecAccepted{Message: testMessage("u"), Deadline: inAMinute()}, &engine.RecPendingResult{ID: "u", PendingResult: owedFor("u")})
+	w := newTestEnv(t)
+	w.update(func() { w.rejectNotices = true })
+	w.writeRecords(&engine.RecAccepted{Message: testMessage("u"), Deadline: inAMinute()}, &engine.RecPendingResult{ID: "u", PendingResult: pendingRefusal("u")})
 	w.endpoint("e", 3, "hooks", respond(200))
 	w.endpoint("f", 4, "hooks", respond(200))
 	w.spawn()
-	w.hand("unsafe", "u", 3)
-	w.hand("free", "later", 4) // once this is through, what was taken on before it would be, too
+	w.submit("unsafe", "u", 3)
+	w.submit("free", "later", 4) // once this is through, what was taken on before it would be, too
 	w.awaitCalls("later", 1)
-	w.set(func() { w.deaf = false })
+	w.update(func() { w.rejectNotices = false })
 	w.awaitNotice("u", "deferred")
 	w.awaitEmpty()
-	w.hand("free", "last", 4) // the program still runs
+	w.submit("free", "last", 4) // the program still runs
 	w.awaitCalls("last", 1)
 	if n := w.called("u"); n != 0 {
 		t.Errorf("%d calls of what was given up", n)
@@ -32,18 +32,18 @@
 // and each such send must end, else it holds a slot and its message for ever.
 func TestASendToAnEndpointThatHasGoneEnds(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	m := w.endpoint("e", 1, "hooks", respond(200))
 	w.start()
-	w.hand("free", "before", 1)
+	w.submit("free", "before", 1)
 	w.awaitCalls("before", 1)
 	m.Cell, m.Phase = 2, "left"
-	w.tell(m)
+	w.setEntry(m)
 	w.endpoint("other", 2, "hooks", respond(200)) // once this is known, so is the change
-	w.hand("free", "known", 2)
+	w.submit("free", "known", 2)
 	w.awaitCalls("known", 1)
 	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"} {
-		w.hand("unsafe", id, 1)
+		w.submit("unsafe", id, 1)
 	}
 	w.endpoint("new", 1, "hooks", respond(200))
 	w.awaitEmpty()
--- a/internal/node/ledger.go
+++ b/internal/node/ledger.go
@@ -26,9 +26,9 @@
 }
 
 const (
-	bootFile    = "/proc/sys/kernel/random/boot_id"
-	leafShare   = 8   // of the journal's disk accounts may take one part in so many
-	accountDisk = 300 // bytes of an account there, about
+	bootIDFile         = "/proc/sys/kernel/random/boot_id"
+	accountDiskDivisor = 8   // of the journal's disk accounts may take one part in so many
+	bytesPerAccount    = 300 // bytes of an account there, about
 )
 
 // ReadLedger reads what the operator's file says; nil where it says that there is none.
@@ -37,7 +37,7 @@
 		return nil
 	}
 	l := &Ledger{MaxAccounts: f.MostAccounts, AuditPart: f.SweepPart, AuditInterval: time.Duration(f.SweepEveryMS) * time.Millisecond, HTTP: f.HTTP}
-	if text, err := os.ReadFile(bootFile); err == nil { // else no power failure is told from another restart
+	if text, err := os.ReadFile(bootIDFile); err == nil { // else no power failure is told from another restart
 		l.BootID = strings.TrimSpace(string(text))
 	}
 	return l
@@ -57,7 +57,7 @@
 	}
 	set.Ledger = &engine.LedgerSettings{
 		Settings: ledger.Settings{
-			Instance: n.cfg.Name, MaxAccounts: max(1, min(most, int(n.cfg.Disk/leafShare/accountDisk))), BootID: l.BootID,
+			Instance: n.cfg.Name, MaxAccounts: max(1, min(most, int(n.cfg.Disk/accountDiskDivisor/bytesPerAccount))), BootID: l.BootID,
 			Durable: n.cfg.Sync == journal.SyncAlways, InterceptPost: l.InterceptPost,
 		},
 		Epoch:     ledger.NewEpoch(random.Uint64(), wall, ledger.ReasonNoLedger, ""),
@@ -91,6 +91,6 @@
 }
 
 // LedgerAsync is Ledger for those who can't wait: see driver.Driver.LedgerAsync.
-func (n *Node) LedgerAsync(told func(*ledger.Snapshot)) bool {
-	return n.driver != nil && n.driver.LedgerAsync(told)
+func (n *Node) LedgerAsync(deliver func(*ledger.Snapshot)) bool {
+	return n.driver != nil && n.driver.LedgerAsync(deliver)
 }
--- a/internal/node/ledger_test.go
+++ b/internal/node/ledger_test.go
@@ -12,56 +12,56 @@
 	"curlewmux/ledger"
 )
 
-// bookWatch looks at the ledger of a simulated dispatcher over all its processes: at each scrape the equations hold, no
+// ledgerMonitor looks at the ledger of a simulated dispatcher over all its processes: at each scrape the equations hold, no
 // figure steps back, and no breach is ever found.
-type bookWatch struct {
-	t       *testing.T
-	name    string
-	w       *vnet.World
-	mux     *vnet.Machine
-	node    func() *Node
-	newest  *ledger.Snapshot
-	scrapes int
-	losses  int // of power
+type ledgerMonitor struct {
+	t             *testing.T
+	name          string
+	sim           *vnet.World
+	machine       *vnet.Machine
+	node          func() *Node
+	latest        *ledger.Snapshot
+	scrapes       int
+	powerFailures int // of power
 }
 
-// boots has a process that is about to begin keep books, and looks at them.
-func (b *bookWatch) boots(cfg *Config) {
-	cfg.Ledger = &Ledger{BootID: fmt.Sprint("boot ", b.losses), MaxAccounts: 1 + len(b.name)%4, OnBreach: func(f ledger.Breach) {
-		b.t.Errorf("%s: at %v: %+v", b.name, b.w.Now(), f)
+// attach has a process that is about to begin keep books, and looks at them.
+func (b *ledgerMonitor) attach(cfg *Config) {
+	cfg.Ledger = &Ledger{BootID: fmt.Sprint("boot ", b.powerFailures), MaxAccounts: 1 + len(b.name)%4, OnBreach: func(f ledger.Breach) {
+		b.t.Errorf("%s: at %v: %+v", b.name, b.sim.Now(), f)
 	}}
-	b.w.After(time.Millisecond, func() { b.look(b.mux.Process()) })
+	b.sim.After(time.Millisecond, func() { b.poll(b.machine.Process()) })
 }
 
-func (b *bookWatch) look(p *vnet.Process) {
-	if p == nil || b.mux.Process() != p || p.Dead() {
+func (b *ledgerMonitor) poll(p *vnet.Process) {
+	if p == nil || b.machine.Process() != p || p.Dead() {
 		return
 	}
 	if n := b.node(); n != nil {
-		n.LedgerAsync(b.shown)
+		n.LedgerAsync(b.check)
 	}
-	b.w.After(170*time.Millisecond, func() { b.look(p) })
+	b.sim.After(170*time.Millisecond, func() { b.poll(p) })
 }
 
-func (b *bookWatch) shown(s *ledger.Snapshot) {
+func (b *ledgerMonitor) check(s *ledger.Snapshot) {
 	b.scrapes++
 	if bad := s.Check(); len(bad) > 0 {
-		b.t.Errorf("%s: at %v: %+v", b.name, b.w.Now(), bad)
+		b.t.Errorf("%s: at %v: %+v", b.name, b.sim.Now(), bad)
 	}
-	if old := b.newest; old != nil && !old.Provisional {
+	if old := b.latest; old != nil && !old.Provisional {
 		if d, err := ledger.Diff(old, s); err != nil || d.EpochChanged || len(d.Decreases) > 0 {
-			b.t.Errorf("%s: at %v: %v %+v", b.name, b.w.Now(), err, d)
+			b.t.Errorf("%s: at %v: %v %+v", b.name, b.sim.Now(), err, d)
 		}
 	}
-	b.newest = s
+	b.latest = s
 }
 
-// kept compares the books of a dispatcher that keeps what it can't deliver with what its clients counted, and adds up what
+// checkLedger compares the books of a dispatcher that keeps what it can't deliver with what its clients counted, and adds up what
 // was sent again.
-func (s *keptSim) kept(again *int) {
-	asked := s.books.scrapes
-	s.until(time.Hour, "a last look at the books", func() bool { return s.books.scrapes > asked+1 && s.books.newest.Total.Open == 0 })
-	f := s.books.newest.Total
+func (s *undeliveredSim) checkLedger(again *int) {
+	asked := s.monitor.scrapes
+	s.runUntil(time.Hour, "a last look at the books", func() bool { return s.monitor.scrapes > asked+1 && s.monitor.latest.Total.Open == 0 })
+	f := s.monitor.latest.Total
 	taken, most := 0, 0
 	for _, code := range s.codes {
 		if code == 202 {
@@ -72,10 +72,10 @@
 		}
 	}
 	if int(f.Accepted) < taken || int(f.Accepted) > most {
-		s.t.Errorf("%s: %d taken, its clients counted %d to %d", s.books.name, f.Accepted, taken, most)
+		s.t.Errorf("%s: %d taken, its clients counted %d to %d", s.monitor.name, f.Accepted, taken, most)
 	}
 	if f.MovedIn != f.Reopened || f.Accepted != f.Delivered+f.Refused+f.Failed-f.Reopened+f.Open {
-		s.t.Errorf("%s: %+v", s.books.name, f)
+		s.t.Errorf("%s: %+v", s.monitor.name, f)
 	}
 	*again += int(f.Reopened)
 }
@@ -83,8 +83,8 @@
 // The real program, killed again and again: figures are as exact as before, and a folder that is lost begins anew.
 func TestFiguresOutlastTheProgramAndALostFolderIsSeen(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.operator = "[ledger]\n"
+	w := newTestEnv(t)
+	w.operatorText = "[ledger]\n"
 	w.endpoint("e", 3, "hooks", respond(200))
 	w.endpoint("f", 2, "hooks", func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusGone) })
 	figures := func() *ledger.Snapshot {
@@ -95,9 +95,9 @@
 	var old *ledger.Snapshot
 	for n := range 3 {
 		cmd := w.spawn()
-		w.hand("unsafe", fmt.Sprint("a", n), 3)
-		w.hand("free", fmt.Sprint("b", n), 3)
-		w.hand("keyed", fmt.Sprint("c", n), 2)
+		w.submit("unsafe", fmt.Sprint("a", n), 3)
+		w.submit("free", fmt.Sprint("b", n), 3)
+		w.submit("keyed", fmt.Sprint("c", n), 2)
 		w.awaitEmpty()
 		want := ledger.Count(3 * (n + 1))
 		var s *ledger.Snapshot
@@ -116,7 +116,7 @@
 	must(t, os.RemoveAll(w.dir))
 	must(t, os.Mkdir(w.dir, 0o700))
 	w.spawn()
-	w.hand("free", "d", 3)
+	w.submit("free", "d", 3)
 	w.awaitEmpty()
 	waitFor(t, func() bool { return figures().Total.Delivered == 1 })
 	if d, err := ledger.Diff(old, figures()); err != nil || !d.EpochChanged {
--- a/internal/node/lock_test.go
+++ b/internal/node/lock_test.go
@@ -14,12 +14,12 @@
 	"time"
 )
 
-// rival runs the program to its end with a folder and an address of its own choice.
-func (w *world) rival(dir, addr string) (code int, out string) {
+// runSecond runs the program to its end with a folder and an address of its own choice.
+func (w *testEnv) runSecond(dir, addr string) (code int, out string) {
 	w.t.Helper()
 	path := filepath.Join(w.t.TempDir(), "config.json")
 	must(w.t, os.WriteFile(path, w.config(), 0o600))
-	ctx, cancel := context.WithTimeout(w.t.Context(), generous)
+	ctx, cancel := context.WithTimeout(w.t.Context(), testTimeout)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, program)
 	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+path, "EDGE_STATE="+dir, "EDGE_LISTEN="+addr)
@@ -44,12 +44,12 @@
 // Two processes must not write one journal: the second ends, whatever its address, and the first goes on.
 func TestASecondProcessLeavesTheFolderAlone(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	cmd := w.spawn()
-	w.hand("unsafe", "first", 3) // nobody serves the destination
+	w.submit("unsafe", "first", 3) // nobody serves the destination
 	for _, addr := range []string{w.addr, "127.0.0.1:0"} {
 		before := contents(t, w.dir)
-		code, out := w.rival(w.dir, addr)
+		code, out := w.runSecond(w.dir, addr)
 		clear := strings.Contains(out, "EDGE_STATE") && strings.Contains(out, w.dir) || // or the address, which comes first
 			addr == w.addr && strings.Contains(out, "EDGE_LISTEN") && strings.Contains(out, w.addr)
 		if code != 1 || !clear {
@@ -62,7 +62,7 @@
 			}
 		}
 	}
-	w.hand("unsafe", "second", 3)
+	w.submit("unsafe", "second", 3)
 	if now := w.journalled(); now["first"] == nil || now["second"] == nil {
 		t.Errorf("journalled %v", now)
 	}
@@ -77,13 +77,13 @@
 // A process whose address is taken has not yet begun with its folder.
 func TestWithoutItsAddressTheJournalIsNotTouched(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	l, err := net.Listen("tcp", w.addr)
 	must(t, err)
 	defer l.Close()
-	w.record(&engine.RecAccepted{Message: testMessage("a"), Deadline: inAMinute()})
+	w.writeRecords(&engine.RecAccepted{Message: testMessage("a"), Deadline: inAMinute()})
 	before := contents(t, w.dir)
-	code, out := w.rival(w.dir, w.addr)
+	code, out := w.runSecond(w.dir, w.addr)
 	if code != 1 || !strings.Contains(out, "EDGE_LISTEN") {
 		t.Errorf("it ended with %d: %s", code, out)
 	}
@@ -98,16 +98,16 @@
 // While the journal is read clients are answered, and nothing is taken on.
 func TestBeforeItIsReadyClientsAreTurnedAway(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.record(&engine.RecAccepted{Message: testMessage("old"), Deadline: inAMinute()})
-	slow := &moodyDir{Dir: journal.OSDir(w.dir), hold: make(chan struct{})}
+	w := newTestEnv(t)
+	w.writeRecords(&engine.RecAccepted{Message: testMessage("old"), Deadline: inAMinute()})
+	slow := &faultyDir{Dir: journal.OSDir(w.dir), listGate: make(chan struct{})}
 	cfg, err := ParseConfig(w.config(), w.env)
 	must(t, err)
-	cfg.stop, cfg.Dir = stopTimes{waiting: time.Second}, slow
-	w.name(1, 2, 3, 4)
+	cfg.stopSchedule, cfg.Dir = stopSchedule{giveUp: time.Second}, slow
+	w.listDestinations(1, 2, 3, 4)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
-	go func() { done <- Run(ctx, cfg, nil, quiet()) }()
+	go func() { done <- Run(ctx, cfg, nil, discardLog()) }()
 	waitFor(t, func() bool {
 		res, err := http.Get("http://" + w.addr + "/-/ready")
 		if err != nil {
@@ -122,7 +122,7 @@
 	if code, h, _ := w.do(w.request("unsafe", "u", 3)); code != 503 || h.Get("Retry-After") == "" {
 		t.Errorf("a message is answered %d %v", code, h)
 	}
-	close(slow.hold)
+	close(slow.listGate)
 	w.awaitReady()
 	w.endpoint("e", 3, "hooks", respond(200))
 	w.awaitCalls("old", 1)
@@ -139,15 +139,15 @@
 // A lock file is no trace of a process that runs, and the folder is free again when a dispatcher has stopped.
 func TestALockFileThatIsLeftBehindLocksNothing(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	must(t, os.WriteFile(filepath.Join(w.dir, "journal.lock"), nil, 0o600))
 	cfg, err := ParseConfig(w.config(), w.env)
 	must(t, err)
-	cfg.stop = stopTimes{waiting: time.Second}
+	cfg.stopSchedule = stopSchedule{giveUp: time.Second}
 	for range 2 {
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
-		go func() { done <- Run(ctx, cfg, nil, quiet()) }()
+		go func() { done <- Run(ctx, cfg, nil, discardLog()) }()
 		w.awaitReady()
 		cancel()
 		if err := <-done; err != nil {
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -20,12 +20,12 @@
 
 func TestDeliversEachClass(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	w.endpoint("a", 1, "archives", respond(200))
 	w.endpoint("b", 2, "hooks", respond(200))
 	stop := w.start()
 	for i, class := range []string{"keyed", "free", "unsafe"} {
-		w.hand(class, class, 1+i%2)
+		w.submit(class, class, 1+i%2)
 		w.awaitCalls(class, 1)
 	}
 	w.awaitEmpty()
@@ -47,15 +47,15 @@
 // A client that lost the answer sends the same request again: it is the same message, held or over.
 func TestAnIdIsTakenOnce(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	w.start()
-	w.hand("unsafe", "m", 1)
-	w.hand("unsafe", "m", 1)
+	w.submit("unsafe", "m", 1)
+	w.submit("unsafe", "m", 1)
 	w.endpoint("e", 1, "hooks", respond(200))
 	w.awaitCalls("m", 1)
 	w.awaitEmpty()
-	w.hand("unsafe", "m", 1)
-	w.hand("free", "n", 1)
+	w.submit("unsafe", "m", 1)
+	w.submit("free", "n", 1)
 	w.awaitCalls("n", 1)
 	w.awaitEmpty()
 	if n := w.called("m"); n != 1 {
@@ -65,11 +65,11 @@
 
 func TestWithNoRoomClientsAreTurnedAwayWithATime(t *testing.T) {
 	t.Parallel()
-	for name, set := range map[string]func(*world){
-		"held": func(w *world) { w.maxOpen = 2 },
-		"disk": func(w *world) { w.diskMB, w.maxOpen = 0.05, 1000 },
+	for name, set := range map[string]func(*testEnv){
+		"held": func(w *testEnv) { w.maxOpen = 2 },
+		"disk": func(w *testEnv) { w.diskMB, w.maxOpen = 0.05, 1000 },
 	} {
-		w := newWorld(t)
+		w := newTestEnv(t)
 		set(w)
 		w.start()
 		code, refused := 202, http.Header{}
@@ -90,10 +90,10 @@
 // Several messages of one Step to one endpoint of a kind that allows it are one call, up to its limit.
 func TestMessagesShareACall(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	w.start()
 	for i := range 15 {
-		w.hand("unsafe", fmt.Sprint("m", i), 1)
+		w.submit("unsafe", fmt.Sprint("m", i), 1)
 	}
 	var mu sync.Mutex
 	most := 0
@@ -126,7 +126,7 @@
 // keys don't wait.
 func TestOrderIsKeptWhereAClassAsks(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	release := make(chan bool)
 	var mu sync.Mutex
 	var order []string
@@ -146,7 +146,7 @@
 		mu.Unlock()
 	})
 	w.start()
-	hand := func(id, key string) {
+	submit := func(id, key string) {
 		r := w.request("ordered", id, 1)
 		r.Header.Set("Idempotency-Key", key)
 		if code, _, why := w.do(r); code != 202 {
@@ -154,10 +154,10 @@
 		}
 	}
 	for i := range 5 {
-		hand(fmt.Sprint("a", i), "a")
+		submit(fmt.Sprint("a", i), "a")
 	}
 	w.awaitCalls("a0", 1)
-	hand("b0", "b")
+	submit("b0", "b")
 	w.awaitCalls("b0", 1) // its key does not wait
 	if n := w.called("a1"); n > 0 {
 		t.Error("the second of a key went out beside the first")
@@ -172,10 +172,10 @@
 
 func TestUnsafeIsNotSentAgainAndPromisesNothing(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	w.endpoint("e", 1, "hooks", respond(500))
 	w.start()
-	w.hand("unsafe", "u", 1)
+	w.submit("unsafe", "u", 1)
 	w.awaitNotice("u", "undeliverable")
 	w.awaitEmpty()
 	if n := w.called("u"); n != 1 {
@@ -186,28 +186,28 @@
 // No call comes within a told wait, whatever the message.
 func TestAToldWaitIsKept(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	const wait = 700 * time.Millisecond
 	var mu sync.Mutex
-	var told time.Time
+	var toldAt time.Time
 	early := 0
 	w.endpoint("e", 1, "hooks", func(rw http.ResponseWriter, _ *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
-		if told.IsZero() {
-			told = time.Now()
+		if toldAt.IsZero() {
+			toldAt = time.Now()
 			rw.Header().Set("Retry-After", "0.7")
 			rw.WriteHeader(429)
-		} else if time.Since(told) < wait {
+		} else if time.Since(toldAt) < wait {
 			early++
 		}
 	})
 	w.start()
-	w.hand("unsafe", "a", 1)
+	w.submit("unsafe", "a", 1)
 	w.awaitCalls("a", 1)
 	waitFor(t, func() bool { e := w.journalled()["a"]; return e != nil && e.DoubtAt == 0 }) // the answer is known
 	for i := range 10 {
-		w.hand("free", fmt.Sprint("f", i), 1)
+		w.submit("free", fmt.Sprint("f", i), 1)
 	}
 	w.awaitEmpty()
 	if early > 0 || w.called("a") != 2 {
@@ -218,20 +218,20 @@
 func TestADrainIsKept(t *testing.T) {
 	t.Parallel()
 	for _, phase := range []string{"leaving", "left"} {
-		w := newWorld(t)
+		w := newTestEnv(t)
 		var calls atomic.Int32
 		old := w.endpoint("old", 1, "hooks", func(http.ResponseWriter, *http.Request) { calls.Add(1) })
 		w.start()
-		w.hand("free", "before", 1)
+		w.submit("free", "before", 1)
 		w.awaitCalls("before", 1)
 		w.awaitEmpty()
 		old.Phase = phase
-		w.tell(old)
+		w.setEntry(old)
 		w.endpoint("other", 2, "hooks", respond(200)) // once this is known, so is the drain
-		w.hand("free", "known", 2)
+		w.submit("free", "known", 2)
 		w.awaitCalls("known", 1)
 		for i := range 8 {
-			w.hand("free", fmt.Sprint("m", i), 1)
+			w.submit("free", fmt.Sprint("m", i), 1)
 		}
 		w.endpoint("new", 1, "hooks", respond(200))
 		w.awaitEmpty()
@@ -249,12 +249,12 @@
 // A machine that vanished says nothing; what was meant for it goes to another.
 func TestAVanishedMachineDoesNotHoldMessagesUp(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.tell(partnerlist.Entry{ID: "v", HostPort: vanished(t), Locality: "west", Flavor: "hooks", Cell: 1, Phase: "active", Size: 1000})
+	w := newTestEnv(t)
+	w.setEntry(partnerlist.Entry{ID: "v", HostPort: unreachableAddr(t), Locality: "west", Flavor: "hooks", Cell: 1, Phase: "active", Size: 1000})
 	w.endpoint("e", 1, "hooks", respond(200))
 	w.start()
 	for i := range 6 {
-		w.hand("unsafe", fmt.Sprint("m", i), 1)
+		w.submit("unsafe", fmt.Sprint("m", i), 1)
 	}
 	w.awaitEmpty()
 	for i := range 6 {
@@ -266,24 +266,24 @@
 
 func TestStartsWithTheCachedListWhileDiscoveryIsSilent(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	m := w.endpoint("e", 1, "hooks", respond(200))
-	w.set(func() { w.mute = true })
+	w.update(func() { w.blockWatch = true })
 	cfg, err := ParseConfig(w.config(), w.env)
 	must(t, err)
 	cfg.CachedList = &partnerlist.List{Revision: 1, Complete: true, Entries: partnerlist.Entries{m}}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go Run(ctx, cfg, nil, quiet())
+	go Run(ctx, cfg, nil, discardLog())
 	w.awaitReady()
-	w.hand("unsafe", "u", 1)
+	w.submit("unsafe", "u", 1)
 	w.awaitCalls("u", 1)
 	w.awaitEmpty()
 }
 
 func TestConfig(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	cfg, err := ParseConfig(w.config(), w.env)
 	must(t, err)
 	s := cfg.Settings
@@ -310,17 +310,17 @@
 	for _, c := range []struct{ sockets, slots int }{{256, 30}, {256, 250}, {24, 8}, {16, 1000}} {
 		cfg := &Config{Sockets: c.sockets, Memory: 32 << 20}
 		cfg.Settings.Slots = c.slots
-		s := cfg.share()
-		if s.clients < 1 || s.calls < 1 || s.clients+s.calls+s.idle > c.sockets-min(otherFiles, c.sockets/2) ||
+		s := cfg.shareDescriptors()
+		if s.clients < 1 || s.calls < 1 || s.clients+s.calls+s.idle > c.sockets-min(maxOtherFiles, c.sockets/2) ||
 			c.sockets == 256 && (s.clients < 256/3 || s.calls < 30) {
 			t.Errorf("%d descriptors, %d slots: %+v", c.sockets, c.slots, s)
 		}
 	}
-	w := newWorld(t)
+	w := newTestEnv(t)
 	cfg, err := ParseConfig(w.config(), w.env)
 	must(t, err)
 	cfg.Sockets = 20
-	n := New(host.System{}, cfg, quiet())
+	n := New(host.System{}, cfg, discardLog())
 	must(t, n.assemble())
 	_, err = n.open()
 	must(t, err)
@@ -334,7 +334,7 @@
 func TestAStopWaitsForCallsOut(t *testing.T) {
 	t.Parallel()
 	for _, ends := range []bool{true, false} {
-		w := newWorld(t)
+		w := newTestEnv(t)
 		release := make(chan bool)
 		w.endpoint("e", 1, "hooks", func(_ http.ResponseWriter, r *http.Request) {
 			select {
@@ -344,14 +344,14 @@
 		})
 		cfg, err := ParseConfig(w.config(), w.env)
 		must(t, err)
-		if cfg.stop = (stopTimes{waiting: time.Second}); ends {
-			cfg.stop.waiting = generous
+		if cfg.stopSchedule = (stopSchedule{giveUp: time.Second}); ends {
+			cfg.stopSchedule.giveUp = testTimeout
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
-		go func() { done <- Run(ctx, cfg, nil, quiet()) }()
+		go func() { done <- Run(ctx, cfg, nil, discardLog()) }()
 		w.awaitReady()
-		w.hand("unsafe", "u", 1)
+		w.submit("unsafe", "u", 1)
 		w.awaitCalls("u", 1)
 		http.DefaultClient.CloseIdleConnections()
 		cancel()
--- a/internal/node/mail.go
+++ b/internal/node/mail.go
@@ -26,72 +26,72 @@
 
 // Mail is what makes a dispatcher speak SMTP and LMTP. ReadMail makes it.
 type Mail struct {
-	partners   map[int]mailtransport.Partner // by the number of the kind
-	callBytes  []int                         // of a kind, 0: as usual
-	name       string
-	front      *mailfront.Settings // nil: no mails are taken
-	smtp, lmtp string
-	remember   []engine.Time // of a class, beyond a message's time
+	partners      map[int]mailtransport.Partner // by the number of the kind
+	maxCallBytes  []int                         // of a kind, 0: as usual
+	name          string
+	front         *mailfront.Settings // nil: no mails are taken
+	smtp, lmtp    string
+	rememberTimes []engine.Time // of a class, beyond a message's time
 }
 
 const (
-	mailIdle  = 32  // idle connections to mail servers, at most
-	mailConns = 100 // of clients, unless set otherwise; no more than a quarter of the sockets
+	maxIdleMailConns   = 32  // idle connections to mail servers, at most
+	defaultMailClients = 100 // of clients, unless set otherwise; no more than a quarter of the sockets
 )
 
 // ReadMail reads what the operator's file says of mail against the configuration: names must be known there, and files
 // be readable. Its errors name the setting.
-func ReadMail(m *operator.Mail, c *Config) (*Mail, error) {
-	out := &Mail{partners: map[int]mailtransport.Partner{}, name: m.Name, callBytes: make([]int, len(c.Settings.Kinds))}
-	for i := range m.Partners {
-		p := &m.Partners[i]
-		at := fmt.Sprintf("mail.partner[%d] (%s)", i, p.Kind)
-		kind := c.names().Kind(wire.Plain(p.Kind))
+func ReadMail(file *operator.Mail, config *Config) (*Mail, error) {
+	out := &Mail{partners: map[int]mailtransport.Partner{}, name: file.Name, maxCallBytes: make([]int, len(config.Settings.Kinds))}
+	for i := range file.Partners {
+		p := &file.Partners[i]
+		path := fmt.Sprintf("mail.partner[%d] (%s)", i, p.Kind)
+		kind := config.nameIndex().Kind(wire.Plain(p.Kind))
 		if kind < 0 {
-			return nil, fmt.Errorf("%s.kind: there is no such kind", at)
+			return nil, fmt.Errorf("%s.kind: there is no such kind", path)
 		}
 		var err error
-		if out.partners[kind], err = readPartner(at, p); err != nil {
+		if out.partners[kind], err = readPartner(path, p); err != nil {
 			return nil, err
 		}
-		out.callBytes[kind] = p.CallBytes
+		out.maxCallBytes[kind] = p.CallBytes
 	}
-	if m.Front == nil {
+	if file.Front == nil {
 		return out, nil
 	}
-	f := m.Front
-	out.smtp, out.lmtp = f.SMTP, f.LMTP
-	out.remember = make([]engine.Time, len(c.Settings.Classes))
-	remember := engine.Time(float64(f.Remember) * float64(control.Second))
+	front := file.Front
+	out.smtp, out.lmtp = front.SMTP, front.LMTP
+	out.rememberTimes = make([]engine.Time, len(config.Settings.Classes))
+	remember := engine.Time(float64(front.Remember) * float64(control.Second))
 	out.front = &mailfront.Settings{
-		Name: m.Name, Classes: map[string]mailfront.Class{}, Size: f.Most, Conns: cmp.Or(f.Connections, min(mailConns, c.Sockets/4)),
-		Transit: c.Memory / transitShare,
+		Name: file.Name, Classes: map[string]mailfront.Class{}, Size: front.Most, Conns: cmp.Or(front.Connections, min(defaultMailClients, config.Sockets/4)),
+		Transit: config.Memory / transitMemoryDivisor,
 	}
-	for _, k := range c.Settings.Classes {
+	for _, k := range config.Settings.Classes {
 		out.front.Classes[k.Name] = mailfront.Class{NeedsID: k.Effect != control.Free}
 	}
-	if f.Certificate != "" {
-		pair, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
+	if front.Certificate != "" {
+		pair, err := tls.LoadX509KeyPair(front.Certificate, front.Key)
 		if err != nil {
 			return nil, fmt.Errorf("mail.front.certificate, key: %w", err)
 		}
 		out.front.TLS = &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS12}
 	}
-	if out.sockets() >= c.Sockets/2 {
-		return nil, fmt.Errorf("mail.front.connections: %d leave too few of %d sockets", out.front.Conns, c.Sockets)
+	if out.sockets() >= config.Sockets/2 {
+		return nil, fmt.Errorf("mail.front.connections: %d leave too few of %d sockets", out.front.Conns, config.Sockets)
 	}
-	for i, r := range m.Routes {
-		at := fmt.Sprintf("mail.route[%d] (%s)", i, r.Recipient)
+	for i, r := range file.Routes {
+		path := fmt.Sprintf("mail.route[%d] (%s)", i, r.Recipient)
 		class, tenant := wire.Plain(r.Class), wire.Plain(r.Tenant)
 		if _, ok := out.front.Classes[class]; !ok {
-			return nil, fmt.Errorf("%s.class: %q is unknown", at, r.Class)
+			return nil, fmt.Errorf("%s.class: %q is unknown", path, r.Class)
 		}
-		if len(c.Settings.Tenants) > 0 && !slices.ContainsFunc(c.Settings.Tenants, func(t control.Tenant) bool { return t.Name == tenant }) {
-			return nil, fmt.Errorf("%s.tenant: %q is unknown", at, r.Tenant)
+		if len(config.Settings.Tenants) > 0 && !slices.ContainsFunc(config.Settings.Tenants, func(t control.Tenant) bool { return t.Name == tenant }) {
+			return nil, fmt.Errorf("%s.tenant: %q is unknown", path, r.Tenant)
 		}
-		for i := range c.Settings.Classes { // those that mails may come with
-			if c.Settings.Classes[i].Name == class || r.ClassField != "" {
-				out.remember[i] = remember
+		for i := range config.Settings.Classes { // those that mails may come with
+			if config.Settings.Classes[i].Name == class || r.ClassField != "" {
+				out.rememberTimes[i] = remember
 			}
 		}
 		out.front.Routes = append(out.front.Routes, mailfront.Route{
@@ -105,9 +105,9 @@
 // sockets is how many descriptors mail takes beside the calls.
 func (m *Mail) sockets() int {
 	if m.front == nil {
-		return mailIdle
+		return maxIdleMailConns
 	}
-	return mailIdle + m.front.Conns + 2
+	return maxIdleMailConns + m.front.Conns + 2
 }
 
 // lockedRandom lets several sessions draw from one source.
@@ -120,33 +120,33 @@
 	}
 }
 
-func readPartner(at string, p *operator.MailPartner) (out mailtransport.Partner, err error) {
+func readPartner(path string, partner *operator.MailPartner) (out mailtransport.Partner, err error) {
 	out = mailtransport.Partner{
-		Protocol: map[string]mail.Protocol{"smtp": mail.SMTP, "lmtp": mail.LMTP}[p.Protocol],
+		Protocol: map[string]mail.Protocol{"smtp": mail.SMTP, "lmtp": mail.LMTP}[partner.Protocol],
 		TLS: map[string]mailtransport.TLS{
 			"off": mailtransport.TLSOff, "opportunistic": mailtransport.TLSOpportunistic,
 			"required": mailtransport.TLSRequired, "implicit": mailtransport.TLSImplicit,
-		}[p.TLS],
-		Config: &tls.Config{MinVersion: tls.VersionTLS12, ServerName: p.ServerName}, User: p.User, PerConnection: p.PerConnection,
-		BusyWait: p.BusyWait.Duration(), GreyWait: p.GreyWait.Duration(),
+		}[partner.TLS],
+		Config: &tls.Config{MinVersion: tls.VersionTLS12, ServerName: partner.ServerName}, User: partner.User, PerConnection: partner.PerConnection,
+		BusyWait: partner.BusyWait.Duration(), GreyWait: partner.GreyWait.Duration(),
 	}
-	if p.CA != "" {
-		text, err := os.ReadFile(p.CA)
+	if partner.CA != "" {
+		text, err := os.ReadFile(partner.CA)
 		if err != nil {
-			return out, fmt.Errorf("%s.ca: %w", at, err)
+			return out, fmt.Errorf("%s.ca: %w", path, err)
 		}
 		out.Config.RootCAs = x509.NewCertPool()
 		if !out.Config.RootCAs.AppendCertsFromPEM(text) {
-			return out, fmt.Errorf("%s.ca: %s holds no certificate", at, p.CA)
+			return out, fmt.Errorf("%s.ca: %s holds no certificate", path, partner.CA)
 		}
 	}
-	if p.PasswordFile != "" {
-		text, err := os.ReadFile(p.PasswordFile)
+	if partner.PasswordFile != "" {
+		text, err := os.ReadFile(partner.PasswordFile)
 		if err != nil {
-			return out, fmt.Errorf("%s.password_file: %w", at, err)
+			return out, fmt.Errorf("%s.password_file: %w", path, err)
 		}
 		if out.Password = strings.TrimRight(string(text), "\r\n"); out.Password == "" {
-			return out, fmt.Errorf("%s.password_file: %s is empty", at, p.PasswordFile)
+			return out, fmt.Errorf("%s.password_file: %s is empty", path, partner.PasswordFile)
 		}
 	}
 	return out, nil
@@ -154,7 +154,7 @@
 
 // mailParts are what a node has beside the rest where mail is on.
 type mailParts struct {
-	set       *Mail
+	settings  *Mail
 	transport *mailtransport.Transport
 	front     *mailfront.Front // nil: no mails are taken
 	served    host.Inbox       // gets a value for each listener that is served no more
@@ -172,7 +172,7 @@
 	if n.cfg.Mail == nil {
 		return nil
 	}
-	n.mail = &mailParts{set: n.cfg.Mail, served: n.host.NewInbox()}
+	n.mail = &mailParts{settings: n.cfg.Mail, served: n.host.NewInbox()}
 	for _, l := range []struct {
 		name, addr string
 		protocol   mail.Protocol
@@ -182,7 +182,7 @@
 		}
 		listener, err := n.host.Listen(l.addr)
 		if err != nil {
-			n.mail.unlisten()
+			n.mail.closeListeners()
 			return fmt.Errorf("mail.front.%s: %w", l.name, err)
 		}
 		n.mail.listeners = append(n.mail.listeners, mailListener{listener, l.protocol})
@@ -190,7 +190,7 @@
 	return nil
 }
 
-func (p *mailParts) unlisten() {
+func (p *mailParts) closeListeners() {
 	if p != nil {
 		for _, l := range p.listeners {
 			l.Close()
@@ -204,11 +204,11 @@
 		return
 	}
 	n.mail.transport = mailtransport.New(n.host, n.clock, mailtransport.Settings{
-		Name: n.mail.set.name, Partners: n.mail.set.partners, MostIdle: mailIdle, Log: n.log,
+		Name: n.mail.settings.name, Partners: n.mail.settings.partners, MostIdle: maxIdleMailConns, Log: n.log,
 		ConnectTimeout: engine.Duration(n.cfg.Settings.ConnectTimeout), ConnIdle: engine.Duration(n.cfg.Settings.ConnIdle),
 	})
-	if n.mail.set.front != nil {
-		set := *n.mail.set.front
+	if n.mail.settings.front != nil {
+		set := *n.mail.settings.front
 		set.Random = lockedRandom(rand.New(rand.NewPCG(n.cfg.Seed, uint64(n.host.Wall().UnixMicro()))))
 		set.Admit = n.driver.Admit
 		n.mail.front = mailfront.New(set, n.host, n.driver, n.log)
@@ -223,7 +223,7 @@
 	for _, l := range n.mail.listeners {
 		n.host.Go(func() {
 			if err := n.mail.front.Serve(l.Listener, l.protocol); err != nil {
-				n.orders.Put(failed{err})
+				n.requests.Put(serveEnded{err})
 			}
 			n.mail.served.Put(nil)
 		})
@@ -237,14 +237,14 @@
 	}
 }
 
-func (n *Node) readyMail() {
+func (n *Node) setMailReady() {
 	if n.mail != nil && n.mail.front != nil {
 		n.mail.front.Ready.Store(true)
 	}
 }
 
-// letMailGo takes no new mails from now on and lets those finish that are under way; awaitMail waits for them.
-func (n *Node) letMailGo(limit time.Time) {
+// shutdownMail takes no new mails from now on and lets those finish that are under way; awaitMailShutdown waits for them.
+func (n *Node) shutdownMail(limit time.Time) {
 	if n.mail == nil || n.mail.front == nil {
 		return
 	}
@@ -252,7 +252,7 @@
 	n.host.Go(func() { n.mail.stopped.Put(n.mail.front.Shutdown(limit)) })
 }
 
-func (n *Node) awaitMail() {
+func (n *Node) awaitMailShutdown() {
 	if n.mail == nil || n.mail.stopped == nil {
 		return
 	}
@@ -274,47 +274,47 @@
 			left -= len(n.mail.served.Take(nil, time.Time{}))
 		}
 	}
-	if err := n.mail.transport.Close(callsEnd); err != nil {
+	if err := n.mail.transport.Close(abortTimeout); err != nil {
 		n.log.Warn("mail calls did not end", "error", err)
 	}
 }
 
-// twoTransports makes calls over HTTP, but for the kinds of endpoints that speak mail.
-type twoTransports struct {
+// mailTransportMux makes calls over HTTP, but for the kinds of endpoints that speak mail.
+type mailTransportMux struct {
 	engine.Transport // HTTP
 	mail             *mailtransport.Transport
 }
 
-func (t *twoTransports) Start(c *engine.Call, on engine.CallEvents) {
+func (t *mailTransportMux) Start(c *engine.Call, events engine.CallEvents) {
 	if t.mail.Speaks(c.Kind) {
-		t.mail.Start(c, on)
+		t.mail.Start(c, events)
 	} else {
-		t.Transport.Start(c, on)
+		t.Transport.Start(c, events)
 	}
 }
 
-func (t *twoTransports) Abort(id engine.CallID) {
+func (t *mailTransportMux) Abort(id engine.CallID) {
 	t.mail.Abort(id)
 	t.Transport.Abort(id)
 }
 
-func (t *twoTransports) CloseIdle(c *engine.CloseIdle) {
-	t.mail.CloseIdle(c)
-	t.Transport.CloseIdle(c)
+func (t *mailTransportMux) CloseIdle(request *engine.CloseIdle) {
+	t.mail.CloseIdle(request)
+	t.Transport.CloseIdle(request)
 }
 
-func (t *twoTransports) RemoveEndpoint(l *engine.RemoveEndpoint) {
-	t.mail.RemoveEndpoint(l)
-	t.Transport.RemoveEndpoint(l)
+func (t *mailTransportMux) RemoveEndpoint(removal *engine.RemoveEndpoint) {
+	t.mail.RemoveEndpoint(removal)
+	t.Transport.RemoveEndpoint(removal)
 }
 
-// twoSinks tell ends to the platform, but for those of messages that came by mail.
-type twoSinks struct {
+// mailSinkMux tell ends to the platform, but for those of messages that came by mail.
+type mailSinkMux struct {
 	notices *partnerlist.Notices
 	front   *mailfront.Front
 }
 
-func (s *twoSinks) Completed(d *engine.Done) {
+func (s *mailSinkMux) Completed(d *engine.Done) {
 	if mailfront.Owns(d.ID) {
 		s.front.Completed(d)
 	} else {
@@ -322,17 +322,17 @@
 	}
 }
 
-// transports and sink are the driver's seams.
-func (n *Node) transports() engine.Transport {
+// newTransport and sink are the driver's seams.
+func (n *Node) newTransport() engine.Transport {
 	if n.mail == nil {
 		return n.transport
 	}
-	return &twoTransports{n.transport, n.mail.transport}
+	return &mailTransportMux{n.transport, n.mail.transport}
 }
 
-func (n *Node) sink() engine.Sink {
+func (n *Node) newSink() engine.Sink {
 	if n.mail == nil || n.mail.front == nil {
 		return n.notices
 	}
-	return &twoSinks{n.notices, n.mail.front}
+	return &mailSinkMux{n.notices, n.mail.front}
 }
--- a/internal/node/mail_sim_test.go
+++ b/internal/node/mail_sim_test.go
@@ -22,26 +22,26 @@
 type mailSim struct {
 	*vnet.World
 	t               *testing.T
-	dice            *rand.Rand
+	random          *rand.Rand
 	mux             *vnet.Machine
 	archive         *standin.Server
 	senders         *standin.Server
 	clients         host.Host
 	node            *Node
-	sending         int
-	mails           []string // id and recipient
+	activeClients   int
+	recipients      []string // id and recipient
 	seed            uint64
-	heard           string // the last reply that was no success
+	lastErrorReply  string // the last reply that was no success
 	kills, restarts int
-	books           *bookWatch
+	monitor         *ledgerMonitor
 }
 
 func newMailSim(t *testing.T, seed uint64) *mailSim {
-	w := vnet.New(seed, vnet.Options{Watchdog: generous})
-	s := &mailSim{World: w, t: t, seed: seed, dice: rand.New(rand.NewPCG(seed, 5)), mux: w.Machine("mux")}
+	w := vnet.New(seed, vnet.Options{Watchdog: testTimeout})
+	s := &mailSim{World: w, t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 5)), mux: w.Machine("mux")}
 	s.clients = w.Machine("clients").Boot(nil)
 	serve := func(name string, server *standin.Server) *standin.Server {
-		server.LMTP, server.Extensions = true, []string{"PIPELINING", "8BITMIME"}[:s.dice.IntN(3)]
+		server.LMTP, server.Extensions = true, []string{"PIPELINING", "8BITMIME"}[:s.random.IntN(3)]
 		w.Machine(name).Boot(func(h host.Host) {
 			server.Host = h
 			l, err := h.Listen(":24")
@@ -53,16 +53,16 @@
 		})
 		return server
 	}
-	sick := s.dice.IntN(5) // out of 8 sessions of the archive
+	faultySessions := s.random.IntN(5) // out of 8 sessions of the archive
 	faults := map[int]*standin.Step{}
-	s.books = &bookWatch{t: t, name: fmt.Sprint("seed ", seed), w: w, mux: s.mux, node: func() *Node { return s.node }}
+	s.monitor = &ledgerMonitor{t: t, name: fmt.Sprint("seed ", seed), sim: w, machine: s.mux, node: func() *Node { return s.node }}
 	s.archive = serve("archive", &standin.Server{
 		Script: func(st standin.Step) (a standin.Act) {
 			f, known := faults[st.Session]
 			if !known {
-				if s.dice.IntN(8) < sick {
+				if s.random.IntN(8) < faultySessions {
 					stages := []standin.Stage{standin.Greeting, standin.Hello, standin.Mail, standin.Rcpt, standin.Data, standin.Final}
-					f = &standin.Step{Stage: stages[s.dice.IntN(len(stages))], Mail: s.dice.IntN(4), Rcpt: fmt.Sprint("r", s.dice.IntN(3))}
+					f = &standin.Step{Stage: stages[s.random.IntN(len(stages))], Mail: s.random.IntN(4), Rcpt: fmt.Sprint("r", s.random.IntN(3))}
 				}
 				faults[st.Session] = f
 			}
@@ -72,8 +72,8 @@
 			return []standin.Act{{Say: "451 4.3.0 later"}, {Say: "550 5.1.1 no"}, {Say: "what?"}, {Drop: true}, {Silent: true}}[f.Mail]
 		},
 		Cuts: func(int) (c standin.Cut) {
-			if s.dice.IntN(8) < sick {
-				*[]*int{&c.Read, &c.Written}[s.dice.IntN(2)] = 1 + s.dice.IntN(1500)
+			if s.random.IntN(8) < faultySessions {
+				*[]*int{&c.Read, &c.Written}[s.random.IntN(2)] = 1 + s.random.IntN(1500)
 			}
 			return c
 		},
@@ -92,66 +92,66 @@
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":256,"disk_mb":4},"settings":%s}`, known, fmt.Sprintf(settingsJSON, 60_000_000, 50))
 	cfg, err := ParseConfig(text, func(name string) string { return map[string]string{"EDGE_STATE": "folder"}[name] })
 	must(s.t, err)
-	w := mailWorld{smtp: "mux:9025", lmtp: "mux:9024"}
-	f, err := operator.Parse(w.operator())
+	w := mailEnv{smtp: "mux:9025", lmtp: "mux:9024"}
+	f, err := operator.Parse(w.operatorFile())
 	must(s.t, err)
 	must(s.t, cfg.ApplyOperatorFile(f))
-	s.books.boots(cfg)
+	s.monitor.attach(cfg)
 	s.mux.Boot(func(h host.Host) {
 		cfg.Dir = s.mux.Process().Folder()
-		s.node = New(h, cfg, quiet())
+		s.node = New(h, cfg, discardLog())
 		if err := s.node.Run(); err != nil {
 			s.t.Error(err)
 		}
 	})
 }
 
-// live keeps the dispatcher running, through kills and planned stops, until the clients have been answered.
-func (s *mailSim) live() {
+// runForAWhile keeps the dispatcher running, through kills and planned stops, until the clients have been answered.
+func (s *mailSim) runForAWhile() {
 	s.boot()
-	s.After(time.Duration(500+s.dice.IntN(4000))*time.Millisecond, s.end)
+	s.After(time.Duration(500+s.random.IntN(4000))*time.Millisecond, s.interrupt)
 }
 
-func (s *mailSim) end() {
-	if s.sending == 0 {
+func (s *mailSim) interrupt() {
+	if s.activeClients == 0 {
 		return
 	}
-	if s.dice.IntN(3) == 0 {
+	if s.random.IntN(3) == 0 {
 		s.node.Stop()
 	} else {
 		s.kills++
 		s.mux.Kill()
 	}
-	s.revive()
+	s.restart()
 }
 
-func (s *mailSim) revive() {
-	s.After(time.Duration(10+s.dice.IntN(300))*time.Millisecond, func() {
+func (s *mailSim) restart() {
+	s.After(time.Duration(10+s.random.IntN(300))*time.Millisecond, func() {
 		if s.mux.Process() != nil {
-			s.revive() // it is stopping yet
+			s.restart() // it is stopping yet
 			return
 		}
-		s.live()
+		s.runForAWhile()
 	})
 }
 
 // client sends mails, each until it is answered for good.
 func (s *mailSim) client(n int) {
-	lmtp := s.dice.IntN(2) == 0
-	for m := range 4 + s.dice.IntN(6) {
+	lmtp := s.random.IntN(2) == 0
+	for m := range 4 + s.random.IntN(6) {
 		id := fmt.Sprintf("m%d-%d", n, m)
 		var left []string
-		for r := range 1 + s.dice.IntN(3) {
+		for r := range 1 + s.random.IntN(3) {
 			left = append(left, fmt.Sprintf("r%d@archive.example.org", r))
-			s.mails = append(s.mails, id+" "+left[r])
+			s.recipients = append(s.recipients, id+" "+left[r])
 		}
 		for try := 0; len(left) > 0; try++ {
 			if try > 2000 {
-				s.t.Errorf("seed %d: %s is never answered; last heard %q", s.seed, id, s.heard)
+				s.t.Errorf("seed %d: %s is never answered; last heard %q", s.seed, id, s.lastErrorReply)
 				return
 			}
 			left = s.send(lmtp, id, left)
-			s.clients.NewInbox().Take(nil, s.clients.Now().Add(time.Duration(20+s.dice.IntN(400))*time.Millisecond))
+			s.clients.NewInbox().Take(nil, s.clients.Now().Add(time.Duration(20+s.random.IntN(400))*time.Millisecond))
 		}
 	}
 }
@@ -182,7 +182,7 @@
 			}
 			if line[3] == ' ' {
 				if line[0] > '3' {
-					s.heard = line
+					s.lastErrorReply = line
 				}
 				return line, true
 			}
@@ -198,8 +198,8 @@
 		return rcpts
 	}
 	body := "Message-ID: <" + id + "@build.example.org>\r\n\r\nbody of " + id + "\r\n.\r\n"
-	if s.dice.IntN(6) == 0 { // it breaks off, before the dot or behind it
-		io.WriteString(c, body[:len(body)-s.dice.IntN(4)])
+	if s.random.IntN(6) == 0 { // it breaks off, before the dot or behind it
+		io.WriteString(c, body[:len(body)-s.random.IntN(4)])
 		return rcpts
 	}
 	io.WriteString(c, body)
@@ -227,30 +227,30 @@
 func TestEveryMailIsAnsweredOnceOnASimulatedMachine(t *testing.T) {
 	t.Parallel()
 	mails, sessions, kills, restarts, doubts := 0, 0, 0, 0, 0
-	for seed := range worldsOf(*mailSeeds) {
+	for seed := range simulationCount(*mailSeeds) {
 		s := newMailSim(t, seed)
-		for n := range 1 + s.dice.IntN(4) {
-			s.sending++
+		for n := range 1 + s.random.IntN(4) {
+			s.activeClients++
 			s.After(1500*time.Millisecond, func() {
 				s.clients.Go(func() {
 					s.client(n)
-					s.sending--
+					s.activeClients--
 				})
 			})
 		}
-		s.live()
-		var effects, told map[string]int
+		s.runForAWhile()
+		var effects, notified map[string]int
 		answered := func() bool {
-			if s.sending > 0 {
+			if s.activeClients > 0 {
 				return false
 			}
-			effects, told = fates(s.archive, s.senders)
-			for _, m := range s.mails {
-				if effects[m]+told[m] == 0 {
+			effects, notified = mailOutcomes(s.archive, s.senders)
+			for _, m := range s.recipients {
+				if effects[m]+notified[m] == 0 {
 					return false
 				}
 			}
-			return s.books.newest != nil && int(s.books.newest.Total.Accepted) >= len(s.mails)
+			return s.monitor.latest != nil && int(s.monitor.latest.Total.Accepted) >= len(s.recipients)
 		}
 		looked := time.Duration(0)
 		err := s.Run(2*time.Hour, func() bool {
@@ -263,20 +263,20 @@
 		if err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
-		for _, m := range s.mails {
-			if effects[m] > 1 || told[m] > 1 || effects[m]+told[m] == 0 {
-				t.Errorf("seed %d: %s took effect %d times, and its sender was told %d times", seed, m, effects[m], told[m])
+		for _, m := range s.recipients {
+			if effects[m] > 1 || notified[m] > 1 || effects[m]+notified[m] == 0 {
+				t.Errorf("seed %d: %s took effect %d times, and its sender was told %d times", seed, m, effects[m], notified[m])
 			}
-			doubts += told[m]
+			doubts += notified[m]
 		}
-		mails, sessions, kills, restarts = mails+len(s.mails), sessions+s.archive.Sessions(), kills+s.kills, restarts+s.restarts
+		mails, sessions, kills, restarts = mails+len(s.recipients), sessions+s.archive.Sessions(), kills+s.kills, restarts+s.restarts
 		s.World.Close()
 		if t.Failed() {
 			return
 		}
 	}
 	t.Logf("%d mails, %d told as failed, %d sessions with the archive, %d starts, %d kills", mails, doubts, sessions, restarts, kills)
-	if worldsOf(*mailSeeds) >= 120 && (kills == 0 || restarts == kills || doubts == 0 || doubts == mails) {
+	if simulationCount(*mailSeeds) >= 120 && (kills == 0 || restarts == kills || doubts == 0 || doubts == mails) {
 		t.Error("not all came up")
 	}
 }
--- a/internal/node/mail_test.go
+++ b/internal/node/mail_test.go
@@ -22,19 +22,19 @@
 	"curlewmux/membership/partnerlist"
 )
 
-// mailWorld is a world with mail servers, and a dispatcher that takes mails.
-type mailWorld struct {
-	*world
+// mailEnv is a world with mail servers, and a dispatcher that takes mails.
+type mailEnv struct {
+	*testEnv
 	smtp, lmtp string
 }
 
-func newMailWorld(t *testing.T) *mailWorld {
-	w := newWorld(t)
+func newMailEnv(t *testing.T) *mailEnv {
+	w := newTestEnv(t)
 	host := strings.TrimSuffix(w.addr, ":9000")
-	return &mailWorld{world: w, smtp: host + ":9025", lmtp: host + ":9024"}
+	return &mailEnv{testEnv: w, smtp: host + ":9025", lmtp: host + ":9024"}
 }
 
-func (w *mailWorld) operator() string {
+func (w *mailEnv) operatorFile() string {
 	return fmt.Sprintf(`
 [mail]
 name = "mux.example.org"
@@ -63,8 +63,8 @@
 `, w.smtp, w.lmtp)
 }
 
-// archive starts a mail server for a destination and lists it.
-func (w *mailWorld) archive(id string, dest int, script func(standin.Step) standin.Act) *standin.Server {
+// startMailServer starts a mail server for a destination and lists it.
+func (w *mailEnv) startMailServer(id string, dest int, script func(standin.Step) standin.Act) *standin.Server {
 	w.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(w.t, err)
@@ -74,17 +74,17 @@
 		l.Close()
 		s.Close()
 	})
-	w.tell(partnerlist.Entry{ID: id, HostPort: l.Addr().String(), Locality: "west", Flavor: "archives", Cell: dest, Phase: "active", Size: 1000})
+	w.setEntry(partnerlist.Entry{ID: id, HostPort: l.Addr().String(), Locality: "west", Flavor: "archives", Cell: dest, Phase: "active", Size: 1000})
 	return s
 }
 
-// run runs a dispatcher in this process; stop ends it as SIGTERM does and waits.
-func (w *mailWorld) run() (stop func() error) {
+// runWithFaultyDir runs a dispatcher in this process; stop ends it as SIGTERM does and waits.
+func (w *mailEnv) run() (stop func() error) {
 	w.t.Helper()
-	w.name(1, 2, 3, 4)
+	w.listDestinations(1, 2, 3, 4)
 	cfg, err := ParseConfig(w.config(), w.env)
 	must(w.t, err)
-	f, err := operator.Parse(w.operator())
+	f, err := operator.Parse(w.operatorFile())
 	must(w.t, err)
 	cfg.Mail, err = ReadMail(f.Mail, cfg)
 	must(w.t, err)
@@ -92,13 +92,13 @@
 }
 
 // spawnMail runs the real program.
-func (w *mailWorld) spawnMail() *exec.Cmd {
+func (w *mailEnv) spawnMail() *exec.Cmd {
 	w.t.Helper()
-	w.name(1, 2, 3, 4)
+	w.listDestinations(1, 2, 3, 4)
 	dir := w.t.TempDir()
 	config, settings := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.toml")
 	must(w.t, os.WriteFile(config, w.config(), 0o600))
-	must(w.t, os.WriteFile(settings, []byte(w.operator()), 0o600))
+	must(w.t, os.WriteFile(settings, []byte(w.operatorFile()), 0o600))
 	cmd := exec.Command(program, "--operator", settings)
 	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+config, "EDGE_STATE="+w.dir)
 	if testing.Verbose() {
@@ -117,7 +117,7 @@
 }
 
 // send sends a mail over SMTP, from a sender to recipients.
-func (w *mailWorld) send(id string, rcpts ...string) error {
+func (w *mailEnv) send(id string, rcpts ...string) error {
 	c, err := smtp.Dial(w.smtp)
 	if err != nil {
 		return err
@@ -139,9 +139,9 @@
 	return d.Close()
 }
 
-// sendOn sends a mail until it is taken.
-func (w *mailWorld) sendOn(id string, rcpts ...string) {
-	for limit := time.Now().Add(generous); time.Now().Before(limit); time.Sleep(20 * time.Millisecond) {
+// sendUntilAccepted sends a mail until it is taken.
+func (w *mailEnv) sendUntilAccepted(id string, rcpts ...string) {
+	for limit := time.Now().Add(testTimeout); time.Now().Before(limit); time.Sleep(20 * time.Millisecond) {
 		err := w.send(id, rcpts...)
 		var no *textproto.Error
 		switch {
@@ -155,10 +155,10 @@
 	w.t.Errorf("mail %s is never taken", id)
 }
 
-// fates is what became of each mail and recipient: how often it took effect, and how often its sender was told that it
+// mailOutcomes is what became of each mail and recipient: how often it took effect, and how often its sender was told that it
 // did not, or may not have.
-func fates(archive, senders *standin.Server) (effects, told map[string]int) {
-	effects, told = map[string]int{}, map[string]int{}
+func mailOutcomes(archive, senders *standin.Server) (effects, notified map[string]int) {
+	effects, notified = map[string]int{}, map[string]int{}
 	id := func(text, rcpt string) string {
 		_, rest, _ := strings.Cut(text, "Message-ID: <")
 		id, _, _ := strings.Cut(rest, "@")
@@ -177,21 +177,21 @@
 		_, rest, _ := strings.Cut(a.Content, "Final-Recipient: rfc822; ")
 		rcpt, _, _ := strings.Cut(rest, "\r\n")
 		_, original, _ := strings.Cut(a.Content, "text/rfc822-headers\r\n")
-		told[id(original, rcpt)]++
+		notified[id(original, rcpt)]++
 	}
-	return effects, told
+	return effects, notified
 }
 
 func TestMailsGoFromSMTPToAnLMTPArchiveAndSendersHearOfFailures(t *testing.T) {
 	t.Parallel()
-	w := newMailWorld(t)
-	archive := w.archive("archive", 1, func(s standin.Step) (a standin.Act) {
+	w := newMailEnv(t)
+	archive := w.startMailServer("archive", 1, func(s standin.Step) (a standin.Act) {
 		if s.Stage == standin.Rcpt && strings.HasPrefix(s.Rcpt, "nobody@") {
 			a.Say = "550 5.1.1 no such user"
 		}
 		return a
 	})
-	senders := w.archive("senders", 2, nil)
+	senders := w.startMailServer("senders", 2, nil)
 	hook := w.endpoint("hook", 3, "hooks", respond(200))
 	stop := w.run()
 	if err := w.send("m1", "a@archive.example.org", "nobody@archive.example.org", "b@archive.example.org"); err != nil {
@@ -203,15 +203,15 @@
 	if err := w.send("m2", "a@elsewhere.example.org"); err == nil || !strings.Contains(err.Error(), "no destination") {
 		t.Errorf("relayed: %v", err)
 	}
-	w.hand("unsafe", "over-http", 3)
+	w.submit("unsafe", "over-http", 3)
 	w.awaitCalls("over-http", 1)
 	waitFor(t, func() bool { return archive.Count() >= 2 && senders.Count() >= 1 })
 	w.awaitEmpty()
 	must(t, stop())
-	effects, told := fates(archive, senders)
+	effects, notified := mailOutcomes(archive, senders)
 	if len(effects) != 2 || effects["m1 a@archive.example.org"] != 1 || effects["m1 b@archive.example.org"] != 1 ||
-		len(told) != 1 || told["m1 nobody@archive.example.org"] != 1 {
-		t.Errorf("effects %v, told %v, %s", effects, told, hook.ID)
+		len(notified) != 1 || notified["m1 nobody@archive.example.org"] != 1 {
+		t.Errorf("effects %v, told %v, %s", effects, notified, hook.ID)
 	}
 	if n := senders.Accepted()[0]; n.From != "" || n.Rcpt != "log@build.example.org" || !strings.Contains(n.Content, "Status: 5.1.1") {
 		t.Errorf("the notification: %+v", n)
@@ -233,11 +233,11 @@
 		for _, stage := range []standin.Stage{standin.Greeting, standin.Mail, standin.Rcpt, standin.Data, standin.Final} {
 			t.Run(fmt.Sprint(sig, " ", stage), func(t *testing.T) {
 				t.Parallel()
-				w := newMailWorld(t)
+				w := newMailEnv(t)
 				asked := make(chan bool, 100)
 				var mu sync.Mutex
 				stuck := true
-				archive := w.archive("archive", 1, func(s standin.Step) (a standin.Act) {
+				archive := w.startMailServer("archive", 1, func(s standin.Step) (a standin.Act) {
 					mu.Lock()
 					defer mu.Unlock()
 					if stuck && s.Stage == stage && (stage != standin.Final || strings.HasPrefix(s.Rcpt, "b@")) {
@@ -249,12 +249,12 @@
 					}
 					return a
 				})
-				senders := w.archive("senders", 2, nil)
+				senders := w.startMailServer("senders", 2, nil)
 				first := w.spawnMail()
-				w.sendOn("m1", "a@archive.example.org", "b@archive.example.org", "c@archive.example.org")
+				w.sendUntilAccepted("m1", "a@archive.example.org", "b@archive.example.org", "c@archive.example.org")
 				select {
 				case <-asked:
-				case <-time.After(generous):
+				case <-time.After(testTimeout):
 					t.Fatal("the archive is never asked")
 				}
 				must(t, first.Process.Signal(sig))
@@ -264,10 +264,10 @@
 				mu.Unlock()
 				w.spawnMail()
 				w.awaitEmpty()
-				effects, told := fates(archive, senders)
+				effects, notified := mailOutcomes(archive, senders)
 				for _, r := range []string{"m1 a@archive.example.org", "m1 b@archive.example.org", "m1 c@archive.example.org"} {
-					if effects[r] > 1 || told[r] > 1 || effects[r]+told[r] == 0 {
-						t.Errorf("%s took effect %d times, and its sender was told %d times", r, effects[r], told[r])
+					if effects[r] > 1 || notified[r] > 1 || effects[r]+notified[r] == 0 {
+						t.Errorf("%s took effect %d times, and its sender was told %d times", r, effects[r], notified[r])
 					}
 				}
 			})
@@ -287,8 +287,8 @@
 		} {
 			t.Run(fmt.Sprint(sig, " ", name), func(t *testing.T) {
 				t.Parallel()
-				w := newMailWorld(t)
-				archive, senders := w.archive("archive", 1, nil), w.archive("senders", 2, nil)
+				w := newMailEnv(t)
+				archive, senders := w.startMailServer("archive", 1, nil), w.startMailServer("senders", 2, nil)
 				first := w.spawnMail()
 				c, err := net.Dial("tcp", w.smtp)
 				must(t, err)
@@ -296,7 +296,7 @@
 				_, err = io.WriteString(c, text)
 				must(t, err)
 				if text != "" && name != "dot" { // it has read that much
-					c.SetReadDeadline(time.Now().Add(generous))
+					c.SetReadDeadline(time.Now().Add(testTimeout))
 					want := map[bool]string{true: "354 ", false: "250 "}[strings.Contains(text, "DATA")]
 					var heard strings.Builder
 					for b := make([]byte, 1<<10); !strings.Contains(heard.String(), want); {
@@ -308,12 +308,12 @@
 				must(t, first.Process.Signal(sig))
 				first.Wait()
 				w.spawnMail()
-				w.sendOn("m1", "a@archive.example.org", "b@archive.example.org")
+				w.sendUntilAccepted("m1", "a@archive.example.org", "b@archive.example.org")
 				w.awaitEmpty()
-				effects, told := fates(archive, senders)
+				effects, notified := mailOutcomes(archive, senders)
 				for _, r := range []string{"m1 a@archive.example.org", "m1 b@archive.example.org"} {
-					if effects[r] > 1 || told[r] > 1 || effects[r]+told[r] == 0 || name != "dot" && effects[r] != 1 {
-						t.Errorf("%s took effect %d times, and its sender was told %d times", r, effects[r], told[r])
+					if effects[r] > 1 || notified[r] > 1 || effects[r]+notified[r] == 0 || name != "dot" && effects[r] != 1 {
+						t.Errorf("%s took effect %d times, and its sender was told %d times", r, effects[r], notified[r])
 					}
 				}
 			})
@@ -324,8 +324,8 @@
 // A message that came over HTTP goes to a mail server where its body is a mail, and fails where it is none.
 func TestAMailThatCameOverHTTPIsDelivered(t *testing.T) {
 	t.Parallel()
-	w := newMailWorld(t)
-	archive := w.archive("archive", 1, nil)
+	w := newMailEnv(t)
+	archive := w.startMailServer("archive", 1, nil)
 	stop := w.run()
 	r := w.request("unsafe", "h1", 1)
 	text := "MAIL FROM:<log@build.example.org>\r\nRCPT TO:<a@archive.example.org>\r\n\r\nMessage-ID: <h1@x>\r\n\r\nhello\r\n"
@@ -333,7 +333,7 @@
 	if code, _, why := w.do(r); code != 202 {
 		t.Fatalf("%d %s", code, why)
 	}
-	w.hand("unsafe", "h2", 1)
+	w.submit("unsafe", "h2", 1)
 	w.awaitNotice("h2", "undeliverable")
 	w.awaitEmpty()
 	must(t, stop())
@@ -345,15 +345,15 @@
 // Clients send mails until they are taken, and the process is killed again and again.
 func TestKilledAgainAndAgainEveryMailIsAnsweredOnce(t *testing.T) {
 	t.Parallel()
-	w := newMailWorld(t)
-	archive, senders := w.archive("archive", 1, nil), w.archive("senders", 2, nil)
+	w := newMailEnv(t)
+	archive, senders := w.startMailServer("archive", 1, nil), w.startMailServer("senders", 2, nil)
 	cmd := w.spawnMail()
 	const clients, each = 4, 12
 	var all sync.WaitGroup
 	for c := range clients {
 		all.Go(func() {
 			for m := range each {
-				w.sendOn(fmt.Sprintf("m%d-%d", c, m), "a@archive.example.org", "b@archive.example.org")
+				w.sendUntilAccepted(fmt.Sprintf("m%d-%d", c, m), "a@archive.example.org", "b@archive.example.org")
 			}
 		})
 	}
@@ -364,16 +364,16 @@
 	}
 	all.Wait()
 	w.awaitEmpty()
-	effects, told := fates(archive, senders)
+	effects, notified := mailOutcomes(archive, senders)
 	doubts := 0
 	for c := range clients {
 		for m := range each {
 			for _, r := range []string{"a", "b"} {
 				id := fmt.Sprintf("m%d-%d %s@archive.example.org", c, m, r)
-				if effects[id] > 1 || told[id] > 1 || effects[id]+told[id] == 0 {
-					t.Errorf("%s took effect %d times, and its sender was told %d times", id, effects[id], told[id])
+				if effects[id] > 1 || notified[id] > 1 || effects[id]+notified[id] == 0 {
+					t.Errorf("%s took effect %d times, and its sender was told %d times", id, effects[id], notified[id])
 				}
-				doubts += told[id]
+				doubts += notified[id]
 			}
 		}
 	}
@@ -382,7 +382,7 @@
 
 func TestMailSettingsThatDoNotFitNameTheSetting(t *testing.T) {
 	t.Parallel()
-	w := newMailWorld(t)
+	w := newMailEnv(t)
 	cfg, err := ParseConfig(w.config(), w.env)
 	must(t, err)
 	for _, c := range []struct{ old, new, want string }{
@@ -394,7 +394,7 @@
 		{`class = "unsafe"`, `class = "gold"`, "mail.route[0] (@archive.example.org).class"},
 		{`tenant = "core"`, `tenant = "nobody"`, "mail.route[0] (@archive.example.org).tenant"},
 	} {
-		f, err := operator.Parse(strings.Replace(w.operator(), c.old, c.new, 1))
+		f, err := operator.Parse(strings.Replace(w.operatorFile(), c.old, c.new, 1))
 		must(t, err)
 		if _, err := ReadMail(f.Mail, cfg); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %s", c.new, err, c.want)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -21,24 +21,24 @@
 	"curlewmux/membership/partnerlist"
 )
 
-// stopTimes are how long after SIGTERM each part of a planned stop begins. The platform kills after 3.7 s at the
+// stopSchedule are how long after SIGTERM each part of a planned stop begins. The platform kills after 3.7 s at the
 // soonest.
-type stopTimes struct {
-	sending time.Duration // calls go on that are out, and none starts
-	keeping time.Duration // each answer ends its connection, so that few are cut off idle
-	taking  time.Duration // the rest of the clients are let go
-	waiting time.Duration // nobody is waited for any more: clients still sending, calls still out
+type stopSchedule struct {
+	stopNewCalls       time.Duration // calls go on that are out, and none starts
+	closeAfterResponse time.Duration // each answer ends its connection, so that few are cut off idle
+	shutdownFront      time.Duration // the rest of the clients are let go
+	giveUp             time.Duration // nobody is waited for any more: clients still sending, calls still out
 }
 
-func plannedStop() stopTimes {
+func defaultStopSchedule() stopSchedule {
 	const ms = time.Millisecond
-	return stopTimes{sending: 1700 * ms, keeping: 2500 * ms, taking: 2900 * ms, waiting: 3400 * ms}
+	return stopSchedule{stopNewCalls: 1700 * ms, closeAfterResponse: 2500 * ms, shutdownFront: 2900 * ms, giveUp: 3400 * ms}
 }
 
 const (
-	firstList    = time.Second            // how long the first list from discovery is waited for before the cached one must do
-	usualMessage = 256                    // bytes of a message in the journal, for a first look at the room there
-	callsEnd     = 200 * time.Millisecond // how long calls that are cut off at the very end may take to say so
+	firstListTimeout    = time.Second            // how long the first list from discovery is waited for before the cached one must do
+	typicalMessageBytes = 256                    // bytes of a message in the journal, for a first look at the room there
+	abortTimeout        = 200 * time.Millisecond // how long calls that are cut off at the very end may take to say so
 )
 
 // Node is one dispatcher. New makes it; Run runs it, once.
@@ -47,19 +47,19 @@
 	cfg  *Config
 	log  *slog.Logger
 
-	orders host.Inbox // *Config: read anew; stop{}; failed{}; listed{}
+	requests host.Inbox // *Config: read anew; stop{}; failed{}; listed{}
 
-	clock     engine.Clock
-	driver    *driver.Driver
-	journal   *journal.Journal
-	transport *httptransport.Transport
-	watch     *partnerlist.Watch
-	notices   *partnerlist.Notices
-	front     *httpfront.Front
-	mail      *mailParts    // nil: off
-	kept      *keptParts    // nil: off
-	shown     *shownParts   // nil: no books are kept
-	admin     *admin.Server // nil: operators have nothing to ask
+	clock       engine.Clock
+	driver      *driver.Driver
+	journal     *journal.Journal
+	transport   *httptransport.Transport
+	watch       *partnerlist.Watch
+	notices     *partnerlist.Notices
+	front       *httpfront.Front
+	mail        *mailParts        // nil: off
+	undelivered *undeliveredParts // nil: off
+	figures     *figuresParts     // nil: no books are kept
+	admin       *admin.Server     // nil: operators have nothing to ask
 }
 
 // Interceptors lets a rig, such as a simulation, stand between the parts of a node. What is nil stays as it is.
@@ -70,26 +70,26 @@
 }
 
 type (
-	stop   struct{}
-	listed struct{}
-	failed struct{ err error }
+	stopRequest  struct{}
+	listReceived struct{}
+	serveEnded   struct{ err error }
 )
 
 // New makes a dispatcher that runs on h. Stop and Reload may be called from then on, from any goroutine.
 func New(h host.Host, cfg *Config, log *slog.Logger) *Node {
-	return &Node{host: h, cfg: cfg, log: log, orders: h.NewInbox()}
+	return &Node{host: h, cfg: cfg, log: log, requests: h.NewInbox()}
 }
 
 // Stop begins a planned stop.
-func (n *Node) Stop() { n.orders.Put(stop{}) }
+func (n *Node) Stop() { n.requests.Put(stopRequest{}) }
 
 // Reload puts a configuration that was read anew into force, as far as that can be done while running: discovery, and how
 // many dispatchers there are where the operator's file says that.
-func (n *Node) Reload(next *Config) { n.orders.Put(next) }
+func (n *Node) Reload(next *Config) { n.requests.Put(next) }
 
 // Run is a dispatcher from its start until it has stopped in good order, or failed: then the error says why.
 func (n *Node) Run() error {
-	defer n.orders.Close()
+	defer n.requests.Close()
 	// The address comes first: a process that can't have it must leave the folder alone.
 	listener, err := n.host.Listen(n.cfg.Listen)
 	if err != nil {
@@ -101,12 +101,12 @@
 	}
 	if err := n.assemble(); err != nil {
 		listener.Close()
-		n.mail.unlisten()
+		n.mail.closeListeners()
 		return err
 	}
 	served, done := n.host.NewInbox(), n.host.NewInbox()
 	n.host.Go(func() { // until it is ready it turns clients away
-		n.orders.Put(failed{n.front.Serve(listener)})
+		n.requests.Put(serveEnded{n.front.Serve(listener)})
 		served.Put(nil)
 	})
 	n.serveMail()
@@ -118,7 +118,7 @@
 		return err
 	}
 	defer n.journal.Close()
-	defer n.closeKept()
+	defer n.closeUndelivered()
 	defer n.closeAdmin()
 	n.notices.Start(n.driver.Notified)
 	n.startMail()
@@ -131,17 +131,17 @@
 	if wrap := n.cfg.Interceptors.Membership; wrap != nil {
 		listing = wrap(n)
 	}
-	n.watch.Start(partnerlist.ListingCallback(listing, n.cfg.names(), n.host, n.log))
-	if err = n.awaitList(); err == nil {
+	n.watch.Start(partnerlist.ListingCallback(listing, n.cfg.nameIndex(), n.host, n.log))
+	if err = n.awaitFirstList(); err == nil {
 		n.restore(state)
-		n.startKept()
+		n.startRedelivery()
 		n.startAdmin()
 		n.front.Ready.Store(true)
-		n.readyMail()
+		n.setMailReady()
 		err = n.serve()
 	}
 	n.watch.Close()
-	n.end()
+	n.closeRemaining()
 	served.Take(nil, time.Time{})
 	n.driver.Quit()
 	done.Take(nil, time.Time{})
@@ -152,18 +152,18 @@
 
 // assemble makes all parts but the journal.
 func (n *Node) assemble() error {
-	cfg, share := n.cfg, n.cfg.share()
+	cfg, share := n.cfg, n.cfg.shareDescriptors()
 	if share.calls < cfg.Settings.Slots {
 		n.log.Warn("limits.sockets leaves room for fewer calls than there are slots", "calls", share.calls, "slots", cfg.Settings.Slots)
 		cfg.Settings.Slots = share.calls
 	}
 	// Bodies may be larger: then fewer fit, and clients are turned away as the disk has it.
-	if room := journal.Capacity(cfg.Disk, usualMessage); room < cfg.Settings.MaxOpen {
+	if room := journal.Capacity(cfg.Disk, typicalMessageBytes); room < cfg.Settings.MaxOpen {
 		n.log.Warn("limits.disk_mb leaves room for fewer messages than limits.max-open", "messages", room, "of", cfg.Settings.MaxOpen)
 	}
 	n.clock = engine.Clock{Start: n.host.Now()}
-	set := cfg.engine()
-	n.assembleKept(&set)
+	set := cfg.engineSettings()
+	n.assembleUndelivered(&set)
 	n.assembleLedger(&set)
 	e, err := engine.New(set)
 	if err != nil {
@@ -175,7 +175,7 @@
 	}
 	n.transport = httptransport.New(n.host, n.clock, httptransport.Settings{
 		ConnectTimeout: engine.Duration(cfg.Settings.ConnectTimeout), ConnIdle: engine.Duration(cfg.Settings.ConnIdle),
-		MostIdle: share.idle, Reports: cfg.Reports, DialBurst: dialBurst, DialGap: dialGap,
+		MostIdle: share.idle, Reports: cfg.Reports, DialBurst: dialBurst, DialGap: dialInterval,
 	})
 	n.watch = partnerlist.NewWatch(n.host, cfg.Discovery, n.log)
 	n.watch.Random = rand.New(rand.NewPCG(cfg.Seed, 1)).Float64
@@ -185,10 +185,10 @@
 		intake = wrap(intake)
 	}
 	front := httpfront.Settings{
-		Classes: cfg.classes(), Tenants: cfg.tenants(), Conns: share.clients, Transit: cfg.Memory / transitShare,
+		Classes: cfg.classes(), Tenants: cfg.tenants(), Conns: share.clients, Transit: cfg.Memory / transitMemoryDivisor,
 		Admit: n.driver.Admit,
 	}
-	n.assembleShown(&front)
+	n.assembleFigures(&front)
 	n.front = httpfront.New(front, n.host, intake, n.log)
 	n.assembleMail()
 	return nil
@@ -196,26 +196,26 @@
 
 // open takes the state folder over.
 func (n *Node) open() (state *journal.State, err error) {
-	seeded := rand.New(rand.NewPCG(n.cfg.Seed, uint64(n.host.Wall().UnixMicro())))
-	n.journal, state, err = journal.Open(n.dir(), journal.Settings{
-		Disk: n.cfg.Disk, Owner: n.cfg.Name, Random: seeded.Uint64, Log: n.log,
+	random := rand.New(rand.NewPCG(n.cfg.Seed, uint64(n.host.Wall().UnixMicro())))
+	n.journal, state, err = journal.Open(n.stateDir(), journal.Settings{
+		Disk: n.cfg.Disk, Owner: n.cfg.Name, Random: random.Uint64, Log: n.log,
 		Leaves: n.cfg.Ledger != nil, Sync: n.cfg.Sync, Every: n.cfg.SyncInterval, Go: n.host.Go,
 		After: func(d time.Duration, f func()) { n.host.AfterFunc(d, f) },
 		Stored: func(b engine.Batch) {
-			n.storedKept(b)
+			n.batchStored(b)
 			n.driver.Stored(b, nil)
 		},
 	})
 	if err != nil {
 		return nil, fmt.Errorf("EDGE_STATE: %s: %w", n.cfg.State, err)
 	}
-	n.driver.Components = driver.Components{Store: n.journal, Transport: n.transports(), Sink: n.sink()}
-	if err := n.openKept(state, seeded.Uint64); err != nil {
+	n.driver.Components = driver.Components{Store: n.journal, Transport: n.newTransport(), Sink: n.newSink()}
+	if err := n.openUndelivered(state, random.Uint64); err != nil {
 		return nil, errors.Join(fmt.Errorf("EDGE_STATE: %s: %w", n.cfg.State, err), n.journal.Close())
 	}
 	if err := n.openAdmin(); err != nil {
-		if n.kept != nil {
-			err = errors.Join(err, n.kept.store.Close())
+		if n.undelivered != nil {
+			err = errors.Join(err, n.undelivered.store.Close())
 		}
 		return nil, errors.Join(fmt.Errorf("EDGE_STATE: %s: %w", n.cfg.State, err), n.journal.Close())
 	}
@@ -223,12 +223,12 @@
 		n.driver.Components = wrap(n.driver.Components)
 	}
 	if n.cfg.CachedList != nil {
-		n.driver.Handle(n.cfg.CachedList.CachedMembers(n.cfg.names()))
+		n.driver.Handle(n.cfg.CachedList.CachedMembers(n.cfg.nameIndex()))
 	}
 	return state, nil
 }
 
-func (n *Node) dir() journal.Dir {
+func (n *Node) stateDir() journal.Dir {
 	if n.cfg.Dir != nil {
 		return n.cfg.Dir
 	}
@@ -239,29 +239,29 @@
 func (n *Node) Members(m *engine.Members) bool {
 	ok := n.driver.Members(m)
 	if !m.Failed {
-		n.orders.Put(listed{})
+		n.requests.Put(listReceived{})
 	}
 	return ok
 }
 
-// awaitList waits for the first list, or for a moment. The cached list may be old: what was told to drain since must get
+// awaitFirstList waits for the first list, or for a moment. The cached list may be old: what was told to drain since must get
 // nothing new.
-func (n *Node) awaitList() error {
-	until := n.host.Now().Add(firstList)
+func (n *Node) awaitFirstList() error {
+	until := n.host.Now().Add(firstListTimeout)
 	for {
-		list := n.orders.Take(nil, until)
+		list := n.requests.Take(nil, until)
 		if len(list) == 0 {
 			return nil
 		}
 		for i, v := range list {
 			switch v := v.(type) {
-			case listed:
-				n.putBack(list[i+1:])
+			case listReceived:
+				n.requeue(list[i+1:])
 				return nil
-			case failed:
+			case serveEnded:
 				return v.err
-			case stop:
-				n.putBack(list[i:])
+			case stopRequest:
+				n.requeue(list[i:])
 				return nil
 			case *Config:
 				n.reload(v)
@@ -270,9 +270,9 @@
 	}
 }
 
-func (n *Node) putBack(list []any) {
+func (n *Node) requeue(list []any) {
 	for _, v := range list {
-		n.orders.Put(v)
+		n.requests.Put(v)
 	}
 }
 
@@ -290,38 +290,38 @@
 	n.log.Info("ready", "name", n.cfg.Name, "held", len(s.Live))
 }
 
-// serve goes on until the program is to stop, and then goes through the parts of a planned stop.
+// startServers goes on until the program is to stop, and then goes through the parts of a planned stop.
 func (n *Node) serve() error {
-	if err, stopping := n.wait(time.Time{}); !stopping {
+	if err, stopping := n.handleRequests(time.Time{}); !stopping {
 		return err
 	}
 	n.log.Info("stopping")
-	began, times := n.host.Now(), n.cfg.stop
-	if err, _ := n.wait(began.Add(times.sending)); err != nil {
+	began, times := n.host.Now(), n.cfg.stopSchedule
+	if err, _ := n.handleRequests(began.Add(times.stopNewCalls)); err != nil {
 		return err
 	}
 	n.driver.Stop()
-	if err, _ := n.wait(began.Add(times.keeping)); err != nil {
+	if err, _ := n.handleRequests(began.Add(times.closeAfterResponse)); err != nil {
 		return err
 	}
 	n.front.Closing.Store(true)
-	limit := began.Add(times.waiting)
-	n.letMailGo(limit)
-	if err, _ := n.wait(began.Add(times.taking)); err != nil {
+	limit := began.Add(times.giveUp)
+	n.shutdownMail(limit)
+	if err, _ := n.handleRequests(began.Add(times.shutdownFront)); err != nil {
 		return err
 	}
 	if err := n.front.Shutdown(limit); err != nil {
 		n.log.Warn("the front did not close in time", "error", err)
 	}
-	n.awaitMail()
+	n.awaitMailShutdown()
 	n.driver.WaitIdle(limit) // a call that ends now leaves no doubt behind
 	return nil
 }
 
-// wait takes orders until the moment given or, where that is zero, until the order to stop.
-func (n *Node) wait(until time.Time) (err error, stopping bool) {
+// handleRequests takes orders until the moment given or, where that is zero, until the order to stop.
+func (n *Node) handleRequests(until time.Time) (err error, stopping bool) {
 	for {
-		list := n.orders.Take(nil, until)
+		list := n.requests.Take(nil, until)
 		if len(list) == 0 {
 			return nil, false
 		}
@@ -329,13 +329,13 @@
 			switch v := v.(type) {
 			case *Config:
 				n.reload(v)
-			case failed:
+			case serveEnded:
 				if v.err != nil {
 					return v.err, false
 				}
-			case stop:
+			case stopRequest:
 				if until.IsZero() {
-					n.putBack(list[i+1:])
+					n.requeue(list[i+1:])
 					return nil, true
 				}
 			}
@@ -343,11 +343,11 @@
 	}
 }
 
-// end closes what is still open, so that nothing outlives Run.
-func (n *Node) end() {
+// interrupt closes what is still open, so that nothing outlives Run.
+func (n *Node) closeRemaining() {
 	n.front.Close()
 	n.closeMail()
-	if err := n.transport.Close(callsEnd); err != nil {
+	if err := n.transport.Close(abortTimeout); err != nil {
 		n.log.Warn("calls did not end", "error", err)
 	}
 }
@@ -359,7 +359,7 @@
 		changed bool
 	}{
 		{"name", next.Name != n.cfg.Name}, {"listen", next.Listen != n.cfg.Listen},
-		{"limits", next.limits != n.cfg.limits}, {"settings", next.flat != n.cfg.flat},
+		{"limits", next.limits != n.cfg.limits}, {"settings", next.flatSettings != n.cfg.flatSettings},
 	} {
 		if s.changed {
 			n.log.Warn("a changed setting counts from the next start on", "setting", s.name)
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -15,15 +15,15 @@
 )
 
 // reconfigure replaces the file of a running program and tells it so.
-func (w *world) reconfigure(cmd *exec.Cmd, text string) {
+func (w *testEnv) reconfigure(cmd *exec.Cmd, text string) {
 	w.t.Helper()
-	path := configOf(cmd)
+	path := configPath(cmd)
 	must(w.t, os.WriteFile(path+".new", []byte(text), 0o600))
 	must(w.t, os.Rename(path+".new", path))
 	must(w.t, cmd.Process.Signal(syscall.SIGHUP))
 }
 
-func configOf(cmd *exec.Cmd) string {
+func configPath(cmd *exec.Cmd) string {
 	for _, v := range cmd.Env {
 		if path, ok := strings.CutPrefix(v, "EDGE_CONFIG="); ok {
 			return path
@@ -36,20 +36,20 @@
 // and a notice that the old address never took goes to the new one. A hanging watch is no obstacle.
 func TestReloadMovesDiscovery(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	old := w.agent.Listener.Addr().String()
-	w.extra = []string{"EDGE_DISCOVERY=" + old}
-	w.set(func() { w.deaf = true })
+	w.extraEnv = []string{"EDGE_DISCOVERY=" + old}
+	w.update(func() { w.rejectNotices = true })
 	w.endpoint("e", 3, "hooks", respond(500))
 	cmd := w.spawn()
-	w.hand("unsafe", "u", 3)
+	w.submit("unsafe", "u", 3)
 	waitFor(t, func() bool { e := w.journalled()["u"]; return e != nil && e.Pending != nil })
 
-	v := newWorld(t) // another discovery, with a list of its own
-	v.tell(partnerlist.Entry{ID: "f", Cell: 5, Phase: "leaving"})
+	v := newTestEnv(t) // another discovery, with a list of its own
+	v.setEntry(partnerlist.Entry{ID: "f", Cell: 5, Phase: "leaving"})
 	f := w.endpoint("f", 5, "hooks", respond(200))
-	v.tell(f)
-	w.set(func() { w.mute = true })
+	v.setEntry(f)
+	w.update(func() { w.blockWatch = true })
 	w.reconfigure(cmd, strings.Replace(string(w.config()), old, v.agent.Listener.Addr().String(), 1))
 	v.awaitNotice("u", "undeliverable")
 	waitFor(t, func() bool { code, _, _ := w.do(w.request("unsafe", "n", 5)); return code == 202 })
@@ -64,7 +64,7 @@
 // A faulty file keeps what is in force and says which setting is at fault.
 func TestReloadOfAFaultyFile(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	w.endpoint("e", 3, "hooks", respond(200))
 	logs := filepath.Join(t.TempDir(), "log")
 	out, err := os.Create(logs)
@@ -88,7 +88,7 @@
 			return strings.Contains(string(log), want)
 		})
 	}
-	w.hand("unsafe", "u", 3)
+	w.submit("unsafe", "u", 3)
 	w.awaitCalls("u", 1)
 	w.awaitEmpty()
 }
@@ -96,7 +96,7 @@
 // Signals in a row, and during a stop, end nothing early and lose nothing.
 func TestReloadsInARowAndDuringAStop(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	var calls atomic.Int32
 	w.endpoint("e", 3, "hooks", func(http.ResponseWriter, *http.Request) { calls.Add(1) })
 	cmd := w.spawn()
@@ -107,11 +107,11 @@
 	for i := range 20 {
 		w.reconfigure(cmd, []string{text, moved}[i%2])
 	}
-	w.hand("unsafe", "a", 3)
+	w.submit("unsafe", "a", 3)
 	w.awaitCalls("a", 1)
 	w.awaitEmpty()
 	must(t, cmd.Process.Signal(syscall.SIGTERM))
-	w.hand("unsafe", "b", 4)
+	w.submit("unsafe", "b", 4)
 	for i := range 6 {
 		w.reconfigure(cmd, []string{text, moved}[i%2])
 	}
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -19,10 +19,10 @@
 
 func TestKilledAfterTakingOn(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	cmd := w.spawn()
 	for _, class := range []string{"unsafe", "keyed", "free"} {
-		w.hand(class, class+"1", 3) // nobody serves the destination yet
+		w.submit(class, class+"1", 3) // nobody serves the destination yet
 	}
 	w.kill(cmd)
 	w.endpoint("e", 3, "hooks", respond(200))
@@ -41,16 +41,16 @@
 // A call that was out may have run: an unsafe message must not be sent again and promises nothing, the others go on.
 func TestKilledWithACallOut(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	old := w.endpoint("e", 3, "hooks", stuck)
+	w := newTestEnv(t)
+	old := w.endpoint("e", 3, "hooks", hang)
 	cmd := w.spawn()
 	for _, class := range []string{"unsafe", "keyed", "free"} {
-		w.hand(class, class+"1", 3)
+		w.submit(class, class+"1", 3)
 		w.awaitCalls(class+"1", 1)
 	}
 	w.kill(cmd)
 	old.Phase = "left"
-	w.tell(old)
+	w.setEntry(old)
 	w.endpoint("f", 3, "hooks", respond(200))
 	w.spawn()
 	w.awaitNotice("unsafe1", "undeliverable")
@@ -65,11 +65,11 @@
 // A keyed message is sent again only while its destination remembers the key.
 func TestKilledWithAKeyedCallOutForLongerThanItsWindow(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	w.window = 300_000
-	w.endpoint("e", 3, "hooks", stuck)
+	w.endpoint("e", 3, "hooks", hang)
 	cmd := w.spawn()
-	w.hand("keyed", "k", 3)
+	w.submit("keyed", "k", 3)
 	w.awaitCalls("k", 1)
 	w.kill(cmd)
 	sent := time.Now()
@@ -84,17 +84,17 @@
 // An attempt that provably never ran leaves no doubt, also over a restart.
 func TestKilledAfterARefusal(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	old := w.endpoint("e", 3, "hooks", func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set("Retry-After", "50")
 		rw.WriteHeader(429)
 	})
 	cmd := w.spawn()
-	w.hand("unsafe", "u", 3)
+	w.submit("unsafe", "u", 3)
 	waitFor(t, func() bool { e := w.journalled()["u"]; return e != nil && e.Tries == 1 && e.DoubtAt == 0 })
 	w.kill(cmd)
 	old.Phase = "left"
-	w.tell(old)
+	w.setEntry(old)
 	w.endpoint("f", 3, "hooks", respond(200))
 	w.spawn() // a restart ends the wait
 	w.awaitCalls("u", 2)
@@ -103,14 +103,14 @@
 
 func TestKilledAfterDelivery(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	w.endpoint("e", 3, "hooks", respond(200))
 	cmd := w.spawn()
-	w.hand("unsafe", "a", 3)
+	w.submit("unsafe", "a", 3)
 	w.awaitEmpty()
 	w.kill(cmd)
 	cmd = w.spawn()
-	w.hand("free", "b", 3) // once this is through, what was taken up again would be, too
+	w.submit("free", "b", 3) // once this is through, what was taken up again would be, too
 	w.awaitCalls("b", 1)
 	w.awaitEmpty()
 	if n := w.called("a"); n != 1 {
@@ -125,15 +125,15 @@
 
 func TestKilledWithANoticeOwed(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.set(func() { w.deaf = true })
+	w := newTestEnv(t)
+	w.update(func() { w.rejectNotices = true })
 	w.endpoint("e", 3, "hooks", respond(500))
 	cmd := w.spawn()
-	w.hand("unsafe", "u", 3)
+	w.submit("unsafe", "u", 3)
 	waitFor(t, func() bool { e := w.journalled()["u"]; return e != nil && e.Pending != nil })
 	w.kill(cmd)
 	cmd = w.spawn()
-	w.set(func() { w.deaf = false })
+	w.update(func() { w.rejectNotices = false })
 	w.awaitNotice("u", "undeliverable")
 	w.awaitEmpty()
 	if n := w.called("u"); n != 1 {
@@ -144,8 +144,8 @@
 // What was given up stays given up: its client may hand it in again once it hears.
 func TestWhatWasGivenUpIsNotSentAfterARestart(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.record(&engine.RecAccepted{Message: testMessage("g"), Deadline: inAMinute()}, &engine.RecPendingResult{ID: "g", PendingResult: owedFor("g")})
+	w := newTestEnv(t)
+	w.writeRecords(&engine.RecAccepted{Message: testMessage("g"), Deadline: inAMinute()}, &engine.RecPendingResult{ID: "g", PendingResult: pendingRefusal("g")})
 	w.endpoint("e", 3, "hooks", respond(200))
 	w.spawn()
 	w.awaitNotice("g", "deferred")
@@ -158,10 +158,10 @@
 // Attempts count on over restarts, and the last one allowed is the last.
 func TestKilledAgainAndAgain(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.endpoint("e", 3, "hooks", stuck)
+	w := newTestEnv(t)
+	w.endpoint("e", 3, "hooks", hang)
 	cmd := w.spawn()
-	w.hand("free", "f", 3)
+	w.submit("free", "f", 3)
 	for n := 1; n <= 6; n++ {
 		waitFor(t, func() bool { e := w.journalled()["f"]; return e != nil && e.Tries >= n })
 		w.kill(cmd)
@@ -175,7 +175,7 @@
 
 func TestOutOfTimeWhileDownIsReportedPromptly(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	cmd := w.spawn()
 	r := w.request("free", "f", 3)
 	r.Header.Set("X-Expires-In-Ms", "300")
@@ -193,7 +193,7 @@
 // A planned stop goes on answering, lets calls finish so that no doubt is left, starts none late, and loses nothing.
 func TestTerminated(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	release := make(chan bool)
 	w.endpoint("e", 3, "hooks", func(rw http.ResponseWriter, r *http.Request) {
 		select {
@@ -202,10 +202,10 @@
 		}
 	})
 	cmd := w.spawn()
-	w.hand("unsafe", "out", 3)
+	w.submit("unsafe", "out", 3)
 	w.awaitCalls("out", 1)
 	must(t, cmd.Process.Signal(syscall.SIGTERM))
-	w.hand("unsafe", "late", 4) // nobody serves it in this life
+	w.submit("unsafe", "late", 4) // nobody serves it in this life
 	close(release)
 	waitFor(t, func() bool { return w.journalled()["out"] == nil })
 	if err := cmd.Wait(); err != nil {
@@ -226,7 +226,7 @@
 // While stopping, each request that was read gets its answer; a connection ends only between two.
 func TestClientsKeepGettingAnswersWhileStopping(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	w.maxOpen = 100000
 	w.diskMB = 50
 	w.endpoint("e", 3, "hooks", respond(200))
@@ -258,7 +258,7 @@
 
 func TestFaultyConfigurationIsNamed(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	path := t.TempDir() + "/config.json"
 	text := strings.Replace(string(w.config()), `"slots":8`, `"slots":"many"`, 1)
 	must(t, os.WriteFile(path, []byte(text), 0o600))
@@ -274,7 +274,7 @@
 // was answered 202 is lost, no unsafe one runs twice, and each that is not delivered ends by a notice.
 func TestKilledAtDozensOfMomentsUnderLoad(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	w.maxOpen, w.diskMB = 2000, 3
 	var n atomic.Int32
 	var calm atomic.Bool
@@ -285,7 +285,7 @@
 			rw.WriteHeader(503)
 			return
 		}
-		w.set(func() { ran[r.Header.Get("X-Trace-Id")]++ })
+		w.update(func() { ran[r.Header.Get("X-Trace-Id")]++ })
 		if trouble == 1 && !calm.Load() { // it has run, and nobody hears of it
 			rw.WriteHeader(500)
 		}
--- a/internal/node/rig_test.go
+++ b/internal/node/rig_test.go
@@ -40,9 +40,9 @@
  "tip-multiple":2.0,"warm-up":10000000},
  "tenants":[{"fraction":0.6,"name":"core","quota-per-s":1000},{"fraction":0.4,"name":"docs","quota-per-s":1000}]}`
 
-// world is all that a dispatcher meets: discovery's agent, endpoints and clients, on loopback sockets.
-type world struct {
-	operator        string // text of the operator's file, "" for none
+// testEnv is all that a dispatcher meets: discovery's agent, endpoints and clients, on loopback sockets.
+type testEnv struct {
+	operatorText    string // text of the operator's file, "" for none
 	t               *testing.T
 	agent           *httptest.Server
 	addr, dir       string // where the dispatcher listens and what it keeps
@@ -50,29 +50,29 @@
 	diskMB          float64
 	memoryMB        int
 
-	mu       sync.Mutex
-	revision int64
-	list     map[string]partnerlist.Entry
-	log      []partnerlist.Entry // changes; the revision is their number
-	changed  chan struct{}
-	mute     bool // discovery is silent
-	deaf     bool // notices are not taken
-	notices  map[string][]string
-	calls    map[string]int // by id
-	extra    []string       // of the program's environment
-	moods    *moodyDir      // in place of dir, for a dispatcher in this process
-	stderr   *os.File       // of the program
+	mu            sync.Mutex
+	revision      int64
+	entries       map[string]partnerlist.Entry
+	changes       []partnerlist.Entry // changes; the revision is their number
+	changed       chan struct{}
+	blockWatch    bool // discovery is silent
+	rejectNotices bool // notices are not taken
+	notices       map[string][]string
+	calls         map[string]int // by id
+	extraEnv      []string       // of the program's environment
+	faultyDir     *faultyDir     // in place of dir, for a dispatcher in this process
+	stderr        *os.File       // of the program
 }
 
-var worlds atomic.Int32
+var testEnvs atomic.Int32
 
-func newWorld(t *testing.T) *world {
+func newTestEnv(t *testing.T) *testEnv {
 	// An address of its own, where nobody else's port can be: it stays free while the dispatcher is down.
-	n := worlds.Add(1)
+	n := testEnvs.Add(1)
 	addr := fmt.Sprintf("127.%d.%d.%d:9000", 1+os.Getpid()%200, n/250, 1+n%250)
-	w := &world{
+	w := &testEnv{
 		t: t, addr: addr, dir: t.TempDir(), window: 60_000_000, maxOpen: 50, diskMB: 1, memoryMB: 192,
-		list: map[string]partnerlist.Entry{}, changed: make(chan struct{}), notices: map[string][]string{}, calls: map[string]int{},
+		entries: map[string]partnerlist.Entry{}, changed: make(chan struct{}), notices: map[string][]string{}, calls: map[string]int{},
 	}
 	w.agent = httptest.NewServer(http.HandlerFunc(w.discovery))
 	t.Cleanup(func() {
@@ -82,12 +82,12 @@
 	return w
 }
 
-func (w *world) discovery(rw http.ResponseWriter, r *http.Request) {
+func (w *testEnv) discovery(rw http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/reports" {
 		text, err := io.ReadAll(r.Body)
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.deaf || err != nil {
+		if w.rejectNotices || err != nil {
 			rw.WriteHeader(500)
 			return
 		}
@@ -108,14 +108,14 @@
 	limit := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		w.mu.Lock()
-		now, changed, mute := w.revision, w.changed, w.mute
+		now, changed, mute := w.revision, w.changed, w.blockWatch
 		out := partnerlist.List{Revision: now, Complete: after < 0}
 		if after < 0 {
-			for _, m := range w.list {
+			for _, m := range w.entries {
 				out.Entries = append(out.Entries, m)
 			}
 		} else if after < now {
-			out.Entries = append(out.Entries, w.log[after:]...)
+			out.Entries = append(out.Entries, w.changes[after:]...)
 		}
 		w.mu.Unlock()
 		if !mute && (after < now || wait == 0) {
@@ -136,41 +136,41 @@
 	}
 }
 
-// tell changes the list.
-func (w *world) tell(m partnerlist.Entry) {
+// setEntry changes the list.
+func (w *testEnv) setEntry(m partnerlist.Entry) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.revision++
-	w.log = append(w.log, m)
-	w.list[m.ID] = m
+	w.changes = append(w.changes, m)
+	w.entries[m.ID] = m
 	if m.Phase == "left" {
-		delete(w.list, m.ID)
+		delete(w.entries, m.ID)
 	}
 	w.wake()
 }
 
-func (w *world) wake() {
+func (w *testEnv) wake() {
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// set changes the world's own behaviour.
-func (w *world) set(do func()) {
+// update changes the world's own behaviour.
+func (w *testEnv) update(do func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	do()
 	w.wake()
 }
 
-// name lists destinations by an endpoint that takes nothing new: messages for them are taken on and wait.
-func (w *world) name(dests ...int) {
+// listDestinations lists destinations by an endpoint that takes nothing new: messages for them are taken on and wait.
+func (w *testEnv) listDestinations(dests ...int) {
 	for _, dest := range dests {
-		w.tell(partnerlist.Entry{ID: fmt.Sprint("old", dest), HostPort: "127.0.0.1:1", Locality: "west", Flavor: "hooks", Cell: dest, Phase: "leaving"})
+		w.setEntry(partnerlist.Entry{ID: fmt.Sprint("old", dest), HostPort: "127.0.0.1:1", Locality: "west", Flavor: "hooks", Cell: dest, Phase: "leaving"})
 	}
 }
 
 // endpoint starts one for a destination and lists it. It counts what it reads and then does as told.
-func (w *world) endpoint(id string, dest int, flavor string, do http.HandlerFunc) partnerlist.Entry {
+func (w *testEnv) endpoint(id string, dest int, flavor string, do http.HandlerFunc) partnerlist.Entry {
 	s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.mu.Lock()
@@ -186,7 +186,7 @@
 		s.Close()
 	})
 	m := partnerlist.Entry{ID: id, HostPort: s.Listener.Addr().String(), Locality: "west", Flavor: flavor, Cell: dest, Phase: "active", Size: 1000}
-	w.tell(m)
+	w.setEntry(m)
 	return m
 }
 
@@ -207,16 +207,16 @@
 	return func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(code) }
 }
 
-// stuck keeps a call until its connection ends.
-func stuck(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+// hang keeps a call until its connection ends.
+func hang(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-func (w *world) config() []byte {
+func (w *testEnv) config() []byte {
 	return fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":%d,"sockets":256,"disk_mb":%g},"settings":%s}`,
 		w.addr, w.agent.Listener.Addr(), w.memoryMB, w.diskMB, fmt.Sprintf(settingsJSON, w.window, w.maxOpen))
 }
 
-func (w *world) env(name string) string {
+func (w *testEnv) env(name string) string {
 	if name == "EDGE_STATE" {
 		return w.dir
 	}
@@ -224,20 +224,20 @@
 }
 
 // start runs a dispatcher in this process; stop ends it as SIGTERM does and waits.
-func (w *world) start() (stop func() error) {
+func (w *testEnv) start() (stop func() error) {
 	w.t.Helper()
-	w.name(1, 2, 3, 4)
+	w.listDestinations(1, 2, 3, 4)
 	cfg, err := ParseConfig(w.config(), w.env)
 	must(w.t, err)
 	return w.runWith(cfg)
 }
 
 // runWith is start with a configuration that was read already.
-func (w *world) runWith(cfg *Config) (stop func() error) {
+func (w *testEnv) runWith(cfg *Config) (stop func() error) {
 	w.t.Helper()
 	ctx, cancel := context.WithCancel(w.t.Context())
 	done := make(chan error, 1)
-	go func() { done <- Run(ctx, cfg, nil, quiet()) }()
+	go func() { done <- Run(ctx, cfg, nil, discardLog()) }()
 	w.t.Cleanup(cancel)
 	w.awaitReady()
 	return func() error {
@@ -247,19 +247,19 @@
 }
 
 // spawn runs the real program.
-func (w *world) spawn() *exec.Cmd {
+func (w *testEnv) spawn() *exec.Cmd {
 	w.t.Helper()
-	w.name(1, 2, 3, 4)
+	w.listDestinations(1, 2, 3, 4)
 	path := filepath.Join(w.t.TempDir(), "config.json")
 	must(w.t, os.WriteFile(path, w.config(), 0o600))
 	cmd := exec.Command(program)
-	if w.operator != "" {
+	if w.operatorText != "" {
 		file := filepath.Join(w.t.TempDir(), "operator.toml")
-		must(w.t, os.WriteFile(file, []byte(w.operator), 0o600))
+		must(w.t, os.WriteFile(file, []byte(w.operatorText), 0o600))
 		cmd.Args = append(cmd.Args, "--operator", file)
 	}
 	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+path, "EDGE_STATE="+w.dir)
-	cmd.Env = append(cmd.Env, w.extra...)
+	cmd.Env = append(cmd.Env, w.extraEnv...)
 	switch {
 	case w.stderr != nil:
 		cmd.Stderr = w.stderr
@@ -278,13 +278,13 @@
 	return cmd
 }
 
-func (w *world) kill(cmd *exec.Cmd) {
+func (w *testEnv) kill(cmd *exec.Cmd) {
 	w.t.Helper()
 	must(w.t, cmd.Process.Kill())
 	cmd.Wait() // its error is the signal
 }
 
-func (w *world) awaitReady() {
+func (w *testEnv) awaitReady() {
 	w.t.Helper()
 	waitFor(w.t, func() bool {
 		res, err := http.Get("http://" + w.addr + "/-/ready")
@@ -297,7 +297,7 @@
 }
 
 // request is a message as a client hands it in.
-func (w *world) request(class, id string, dest int) *http.Request {
+func (w *testEnv) request(class, id string, dest int) *http.Request {
 	r, err := http.NewRequest("POST", "http://"+w.addr+"/"+class, strings.NewReader("body of "+id))
 	must(w.t, err)
 	for k, v := range map[string]string{
@@ -309,7 +309,7 @@
 	return r
 }
 
-func (w *world) do(r *http.Request) (int, http.Header, string) {
+func (w *testEnv) do(r *http.Request) (int, http.Header, string) {
 	w.t.Helper()
 	res, err := http.DefaultClient.Do(r)
 	must(w.t, err)
@@ -319,26 +319,26 @@
 	return res.StatusCode, res.Header, string(body)
 }
 
-// hand hands in a message that must be taken on.
-func (w *world) hand(class, id string, dest int) {
+// submitUntilDone hands in a message that must be taken on.
+func (w *testEnv) submit(class, id string, dest int) {
 	w.t.Helper()
 	if code, _, why := w.do(w.request(class, id, dest)); code != 202 {
 		w.t.Fatalf("message %s: %d %s", id, code, why)
 	}
 }
 
-func (w *world) called(id string) int {
+func (w *testEnv) called(id string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.calls[id]
 }
 
-func (w *world) awaitCalls(id string, n int) {
+func (w *testEnv) awaitCalls(id string, n int) {
 	w.t.Helper()
 	waitFor(w.t, func() bool { return w.called(id) >= n })
 }
 
-func (w *world) awaitNotice(id, want string) {
+func (w *testEnv) awaitNotice(id, want string) {
 	w.t.Helper()
 	var got []string
 	waitFor(w.t, func() bool {
@@ -353,25 +353,25 @@
 }
 
 // awaitEmpty waits until nothing is owed any more, as the journal has it.
-func (w *world) awaitEmpty() {
+func (w *testEnv) awaitEmpty() {
 	w.t.Helper()
 	waitFor(w.t, func() bool { return len(w.journalled()) == 0 })
 }
 
 // journalled reads what the dispatcher has on disk, from a copy: the folder itself is the dispatcher's.
 // leaves are those of the books in the folder, which a process may be writing to.
-func (w *world) leaves() []ledger.Leaf {
+func (w *testEnv) leaves() []ledger.Leaf {
 	r, err := journal.Check(journal.OSDir(w.dir))
 	must(w.t, err)
 	return r.Leaves
 }
 
-func (w *world) journalled() map[string]*engine.RestoredMessage {
+func (w *testEnv) journalled() map[string]*engine.RestoredMessage {
 	w.t.Helper()
 	dir, err := os.MkdirTemp("", "copy")
 	must(w.t, err)
 	defer os.RemoveAll(dir)
-	waitFor(w.t, func() bool { return copied(w.dir, dir) })
+	waitFor(w.t, func() bool { return copyFolder(w.dir, dir) })
 	j, state, err := journal.Open(journal.OSDir(dir), journal.Settings{Disk: 100e6, Owner: "n0", Random: rand.Uint64})
 	must(w.t, err)
 	must(w.t, j.Close())
@@ -382,8 +382,8 @@
 	return out
 }
 
-// copied copies a journal's files, and tells whether none came or went meanwhile: what one held may be in the next.
-func copied(from, to string) bool {
+// copyFolder copies a journal's files, and tells whether none came or went meanwhile: what one held may be in the next.
+func copyFolder(from, to string) bool {
 	names := func() (out []string) {
 		files, err := os.ReadDir(from)
 		if err != nil {
--- a/internal/node/store_test.go
+++ b/internal/node/store_test.go
@@ -15,23 +15,23 @@
 
 // failStore makes every write to the journal of a dispatcher in this process fail, until the returned function is
 // called.
-func (w *world) failStore() (mend func()) {
-	w.moods.broken.Store(true)
-	return func() { w.moods.broken.Store(false) }
+func (w *testEnv) failStore() (mend func()) {
+	w.faultyDir.broken.Store(true)
+	return func() { w.faultyDir.broken.Store(false) }
 }
 
-// run starts a dispatcher in this process that stops at once when the test ends.
-func (w *world) run() {
+// runWithFaultyDir starts a dispatcher in this process that stops at once when the test ends.
+func (w *testEnv) runWithFaultyDir() {
 	w.t.Helper()
-	w.name(1, 2, 3, 4)
+	w.listDestinations(1, 2, 3, 4)
 	cfg, err := ParseConfig(w.config(), w.env)
 	must(w.t, err)
-	cfg.stop = stopTimes{}
-	w.moods = &moodyDir{Dir: journal.OSDir(w.dir)}
-	cfg.Dir = w.moods
+	cfg.stopSchedule = stopSchedule{}
+	w.faultyDir = &faultyDir{Dir: journal.OSDir(w.dir)}
+	cfg.Dir = w.faultyDir
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- Run(ctx, cfg, nil, quiet()) }()
+	go func() { done <- Run(ctx, cfg, nil, discardLog()) }()
 	w.t.Cleanup(func() {
 		cancel()
 		if err := <-done; err != nil {
@@ -41,8 +41,8 @@
 	w.awaitReady()
 }
 
-// handShort hands in a message that nobody serves and whose time is soon up.
-func (w *world) handShort(id string) {
+// submitExpiring hands in a message that nobody serves and whose time is soon up.
+func (w *testEnv) submitExpiring(id string) {
 	w.t.Helper()
 	r := w.request("free", id, 4)
 	r.Header.Set("X-Expires-In-Ms", "600")
@@ -55,13 +55,13 @@
 // itself, with every try still to be had.
 func TestWithoutAStoreNothingIsSentAndNothingIsUsedUp(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.run()
+	w := newTestEnv(t)
+	w.runWithFaultyDir()
 	const held = 20
 	for i := range held {
-		w.hand("unsafe", fmt.Sprint("m", i), 3) // nobody serves the destination yet
+		w.submit("unsafe", fmt.Sprint("m", i), 3) // nobody serves the destination yet
 	}
-	w.handShort("short")
+	w.submitExpiring("short")
 	mend := w.failStore()
 	w.endpoint("e", 3, "hooks", respond(200))
 	w.awaitNotice("short", "deferred") // there were a hundred rounds by now
@@ -91,31 +91,31 @@
 // its client handed in anew. Past its time there is nothing left to send, and the notice goes out.
 func TestANoticeWaitsForItsRecordUntilItsTimeIsUp(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	release := make(chan bool)
 	w.endpoint("e", 3, "hooks", func(rw http.ResponseWriter, r *http.Request) {
 		<-release
 		rw.WriteHeader(500)
 	})
-	w.run()
-	w.hand("unsafe", "u", 3)
+	w.runWithFaultyDir()
+	w.submit("unsafe", "u", 3)
 	w.awaitCalls("u", 1)
-	w.handShort("short")
+	w.submitExpiring("short")
 	mend := w.failStore()
 	close(release)                     // it may have run: u is given up at once
 	w.awaitNotice("short", "deferred") // this one without a record
-	w.set(func() {
+	w.update(func() {
 		if got := w.notices["u"]; len(got) > 0 {
 			t.Errorf("notice %v before its record", got)
 		}
-		w.deaf = true
+		w.rejectNotices = true
 	})
 	mend()
 	waitFor(t, func() bool { e := w.journalled()["u"]; return e != nil && e.Pending != nil })
-	w.set(func() { w.deaf = false })
+	w.update(func() { w.rejectNotices = false })
 	w.awaitNotice("u", "undeliverable")
 	w.awaitEmpty()
-	w.set(func() {
+	w.update(func() {
 		if len(w.notices["u"]) != 1 || len(w.notices["short"]) != 1 || w.calls["u"] != 1 {
 			t.Errorf("notices %v, calls %v", w.notices, w.calls)
 		}
@@ -126,24 +126,24 @@
 // the window of the key the message must not be sent.
 func TestAnAttemptWithoutARecordLeavesTheDoubtOfTheOneBefore(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	release := make(chan bool)
 	old := w.endpoint("e", 3, "hooks", func(rw http.ResponseWriter, r *http.Request) {
 		<-release
 		rw.WriteHeader(500)
 	})
-	w.run()
-	w.hand("keyed", "k", 3)
+	w.runWithFaultyDir()
+	w.submit("keyed", "k", 3)
 	w.awaitCalls("k", 1)
-	w.handShort("short")
+	w.submitExpiring("short")
 	mend := w.failStore()
 	failed := time.Now()
 	close(release) // the second attempt can't be journalled
 	w.awaitNotice("short", "deferred")
 	old.Phase = "left"
-	w.tell(old)
+	w.setEntry(old)
 	mend()
-	w.endpoint("f", 3, "hooks", stuck)
+	w.endpoint("f", 3, "hooks", hang)
 	w.awaitCalls("k", 2)
 	e := w.journalled()["k"]
 	if e == nil || e.DoubtAt == 0 || e.DoubtAt > engine.TimestampOf(failed) {
@@ -155,24 +155,24 @@
 // what a power failure leaves of the folder at any moment holds it.
 func TestWithSyncAlwaysWhatIsAnsweredOutlastsAPowerFailure(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	disk := memdir.New()
-	w.name(1, 2, 3, 4)
+	w.listDestinations(1, 2, 3, 4)
 	cfg, err := ParseConfig(w.config(), w.env)
 	must(t, err)
-	cfg.stop, cfg.Dir = stopTimes{}, disk.Dir()
+	cfg.stopSchedule, cfg.Dir = stopSchedule{}, disk.Dir()
 	cfg.ApplyOperatorFile(&operator.File{Journal: &operator.Journal{Sync: "always"}})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- Run(ctx, cfg, nil, quiet()) }()
+	go func() { done <- Run(ctx, cfg, nil, discardLog()) }()
 	w.awaitReady()
 	for i := range 10 {
-		w.hand("unsafe", fmt.Sprint("m", i), 3) // nobody serves the destination yet
+		w.submit("unsafe", fmt.Sprint("m", i), 3) // nobody serves the destination yet
 	}
 	held := func() map[string]*engine.RestoredMessage {
 		after := disk.Clone()
 		after.PowerFail(func(int) int { return 0 })
-		j, state, err := journal.Open(after.Dir(), journal.Settings{Disk: 1e6, Owner: "n0", Random: rand.Uint64, Log: quiet()})
+		j, state, err := journal.Open(after.Dir(), journal.Settings{Disk: 1e6, Owner: "n0", Random: rand.Uint64, Log: discardLog()})
 		must(t, err)
 		must(t, j.Close())
 		out := map[string]*engine.RestoredMessage{}
--- a/internal/node/undelivered_hard_test.go
+++ b/internal/node/undelivered_hard_test.go
@@ -16,9 +16,9 @@
 	"curlewmux/undelivered"
 )
 
-// one is a world with one upload in it whose first call hangs, with effect or without, and is then over.
-func one(t *testing.T, seed uint64, first archive.Act) (*keptSim, *upload) {
-	s := newKeptSim(t, seed)
+// newSingleUploadSim is a world with one upload in it whose first call hangs, with effect or without, and is then over.
+func newSingleUploadSim(t *testing.T, seed uint64, first archive.Act) (*undeliveredSim, *upload) {
+	s := newUndeliveredSim(t, seed)
 	n := 0
 	s.archive.Script = func([]archive.Item, bool) archive.Act {
 		if n++; n == 1 {
@@ -30,41 +30,41 @@
 	return s, u
 }
 
-// entry is the only one, once there is one.
-func (s *keptSim) entry() *undelivered.Entry {
+// onlyEntry is the only one, once there is one.
+func (s *undeliveredSim) onlyEntry() *undelivered.Entry {
 	if list := s.entries(); len(list) == 1 {
 		return list[0]
 	}
 	return &undelivered.Entry{}
 }
 
-func (s *keptSim) awaitEntry(state undelivered.State) {
+func (s *undeliveredSim) awaitEntry(state undelivered.State) {
 	s.t.Helper()
-	s.until(10*time.Minute, "its entry is "+string(state), func() bool { return s.entry().State == state })
+	s.runUntil(10*time.Minute, "its entry is "+string(state), func() bool { return s.onlyEntry().State == state })
 }
 
-// pass lets time go by.
-func (s *keptSim) pass(d time.Duration) { s.Run(s.Now()+d, nil) }
+// advance lets time go by.
+func (s *undeliveredSim) advance(d time.Duration) { s.Run(s.Now()+d, nil) }
 
-// order has something done on the driver's goroutine, and waits for it.
-func (s *keptSim) order(f func(d *redeliver.Desk)) {
+// runOnDesk has something done on the driver's goroutine, and waits for it.
+func (s *undeliveredSim) runOnDesk(f func(d *redeliver.Desk)) {
 	s.t.Helper()
 	done := false
 	n := s.node
 	s.mux.Process().Go(func() {
 		n.driver.Do(func() {
-			f(n.kept.desk)
-			n.kept.desk.Settle()
+			f(n.undelivered.redelivery)
+			n.undelivered.redelivery.Settle()
 			done = true
 		})
 	})
-	s.until(time.Minute, "an order is carried out", func() bool { return done })
+	s.runUntil(time.Minute, "an order is carried out", func() bool { return done })
 }
 
 // A call that was given up runs after all: asked before it can't any more, the archive would say that it did not.
 func TestNoInquiryWhileTheEarlierCallMayRun(t *testing.T) {
 	t.Parallel()
-	s, u := one(t, 1, archive.Act{Hang: true, After: 4500 * time.Millisecond})
+	s, u := newSingleUploadSim(t, 1, archive.Act{Hang: true, After: 4500 * time.Millisecond})
 	defer s.Close()
 	var asked []time.Duration
 	s.archive.Answers = func([]string, string) archive.Lie {
@@ -72,10 +72,10 @@
 		return archive.Lie{}
 	}
 	s.boot()
-	s.hand(u, "u")
+	s.submitUntilDone(u, "u")
 	s.awaitEntry(undelivered.Ended)
-	if n := s.archive.Effect(u.body); n != 1 || s.entry().End != undelivered.EndTook {
-		t.Errorf("%d effects, end %q", n, s.entry().End)
+	if n := s.archive.Effect(u.body); n != 1 || s.onlyEntry().End != undelivered.EndTook {
+		t.Errorf("%d effects, end %q", n, s.onlyEntry().End)
 	}
 	if len(asked) != 1 || asked[0] < 5500*time.Millisecond {
 		t.Errorf("asked at %v", asked)
@@ -86,18 +86,18 @@
 // clock says.
 func TestNoInquiryWhileACallOfAnEarlierProcessMayRun(t *testing.T) {
 	t.Parallel()
-	s, u := one(t, 1, archive.Act{Hang: true, After: 4800 * time.Millisecond})
+	s, u := newSingleUploadSim(t, 1, archive.Act{Hang: true, After: 4800 * time.Millisecond})
 	defer s.Close()
 	s.boot()
-	s.hand(u, "u")
+	s.submitUntilDone(u, "u")
 	s.awaitEntry(undelivered.Waiting)
 	s.mux.Kill()
 	s.mux.StepWall(time.Hour)
-	s.pass(100 * time.Millisecond)
+	s.advance(100 * time.Millisecond)
 	s.boot()
 	s.awaitEntry(undelivered.Ended)
-	if n := s.archive.Effect(u.body); n != 1 || s.entry().End != undelivered.EndTook {
-		t.Errorf("%d effects, end %q", n, s.entry().End)
+	if n := s.archive.Effect(u.body); n != 1 || s.onlyEntry().End != undelivered.EndTook {
+		t.Errorf("%d effects, end %q", n, s.onlyEntry().End)
 	}
 }
 
@@ -110,7 +110,7 @@
 		"late": {Late: 3 * time.Second},
 	} {
 		for _, took := range []bool{false, true} {
-			s, u := one(t, 1, archive.Act{Hang: true, NoEffect: !took})
+			s, u := newSingleUploadSim(t, 1, archive.Act{Hang: true, NoEffect: !took})
 			n := 0
 			s.archive.Answers = func([]string, string) archive.Lie {
 				if n++; n <= 3 {
@@ -119,13 +119,13 @@
 				return archive.Lie{}
 			}
 			s.boot()
-			s.hand(u, "u")
+			s.submitUntilDone(u, "u")
 			s.awaitEntry(undelivered.Ended)
 			calls, _ := s.archive.Counts()
 			if s.archive.Effect(u.body) != 1 || n != 4 || took && calls != 1 {
 				t.Errorf("%s: %d effects, %d inquiries, %d calls", name, s.archive.Effect(u.body), n, calls)
 			}
-			if e := s.entry(); name == "told to wait" && s.Now() < 30*time.Second {
+			if e := s.onlyEntry(); name == "told to wait" && s.Now() < 30*time.Second {
 				t.Errorf("%s: asked again after %v: %+v", name, s.Now(), e.History)
 			}
 			s.Close()
@@ -136,10 +136,10 @@
 // The key of a class in order is that of others, too: the partner is not asked about it.
 func TestTheKeyOfAnOrderIsNoProof(t *testing.T) {
 	t.Parallel()
-	s := newKeptSim(t, 1)
+	s := newUndeliveredSim(t, 1)
 	defer s.Close()
-	s.unsafeOrder = true
-	s.fill(1, func(_ int, m *engine.Message, l *undelivered.Life) {
+	s.orderedIsUnsafe = true
+	s.fillStore(1, func(_ int, m *engine.Message, l *undelivered.Life) {
 		m.Class, m.Key = "ordered", "k"
 		l.DoubtAt, l.Quiet = 1000*control.Second, 1000*control.Second
 	})
@@ -149,8 +149,8 @@
 		return archive.Lie{}
 	}
 	s.boot()
-	s.pass(20 * time.Second)
-	s.order(func(d *redeliver.Desk) { d.SendByHand(1, redeliver.Order{By: "ana", Why: "x"}) })
+	s.advance(20 * time.Second)
+	s.runOnDesk(func(d *redeliver.Desk) { d.SendByHand(1, redeliver.Order{By: "ana", Why: "x"}) })
 	s.awaitEntry(undelivered.Ended)
 	if !slices.Equal(keys, []string{""}) {
 		t.Errorf("asked about keys %q", keys)
@@ -160,9 +160,9 @@
 // A keyed message goes again with the doubt of its earlier life: inside its key's window, and not a moment longer.
 func TestAKeyedMessageGoesInItsWindowOnly(t *testing.T) {
 	t.Parallel()
-	s, u := one(t, 1, archive.Act{Hang: true})
+	s, u := newSingleUploadSim(t, 1, archive.Act{Hang: true})
 	defer s.Close()
-	u.class, u.key, s.zone, s.window = "keyed", "k", true, 20_000_000
+	u.class, u.key, s.keysByZone, s.window = "keyed", "k", true, 20_000_000
 	s.archive.KeyMemory = 20 * time.Second // as long as the window of its class
 	script := s.archive.Script
 	s.archive.Script = func(items []archive.Item, b bool) archive.Act {
@@ -172,10 +172,10 @@
 		return script(items, b)
 	}
 	s.boot()
-	s.hand(u, "u")
+	s.submitUntilDone(u, "u")
 	s.awaitEntry(undelivered.Away)
 	s.awaitEntry(undelivered.Ended)
-	e := s.entry()
+	e := s.onlyEntry()
 	if n := s.archive.Effect(u.body); n != 1 || e.End != undelivered.EndTook || e.Tries != 1 {
 		t.Errorf("%d effects, end %q after %d tries", n, e.End, e.Tries)
 	}
@@ -186,9 +186,9 @@
 func TestAPartnerThatHasForgottenIsNotBelieved(t *testing.T) {
 	t.Parallel()
 	for _, slow := range []bool{false, true} {
-		s, u := one(t, 1, archive.Act{Hang: true})
+		s, u := newSingleUploadSim(t, 1, archive.Act{Hang: true})
 		s.archive.Forgets = 20 * time.Second
-		s.remembers = 20
+		s.rememberSeconds = 20
 		s.archive.Answers = func([]string, string) archive.Lie {
 			if s.Now() < 16*time.Second {
 				return archive.Lie{Status: 500}
@@ -200,23 +200,23 @@
 			return archive.Lie{Status: 500}
 		}
 		s.boot()
-		s.hand(u, "u")
+		s.submitUntilDone(u, "u")
 		s.awaitEntry(undelivered.Waiting)
-		s.pass(time.Hour)
+		s.advance(time.Hour)
 		calls, _ := s.archive.Counts()
-		if e := s.entry(); calls != 1 || s.archive.Effect(u.body) != 1 || e.State == undelivered.Ended {
+		if e := s.onlyEntry(); calls != 1 || s.archive.Effect(u.body) != 1 || e.State == undelivered.Ended {
 			t.Errorf("%d calls, %d effects, entry %s", calls, s.archive.Effect(u.body), e.State)
 		}
 		var out redeliver.Outcome
-		s.order(func(d *redeliver.Desk) { out = d.SendByHand(s.entry().No, redeliver.Order{By: "ana", Why: "x"}) })
+		s.runOnDesk(func(d *redeliver.Desk) { out = d.SendByHand(s.onlyEntry().No, redeliver.Order{By: "ana", Why: "x"}) })
 		if out.Did != redeliver.DidRefuse || !strings.Contains(out.Why, "forgotten") {
 			t.Errorf("by hand, nobody vouching: %+v", out)
 		}
-		s.order(func(d *redeliver.Desk) {
-			out = d.SendByHand(s.entry().No, redeliver.Order{By: "ana", Why: "looked into the archive", Vouch: true})
+		s.runOnDesk(func(d *redeliver.Desk) {
+			out = d.SendByHand(s.onlyEntry().No, redeliver.Order{By: "ana", Why: "looked into the archive", Vouch: true})
 		})
 		s.awaitEntry(undelivered.Ended)
-		e := s.entry()
+		e := s.onlyEntry()
 		at := slices.IndexFunc(e.History, func(ev undelivered.Event) bool { return ev.Kind == undelivered.WasCleared })
 		if at < 0 || e.History[at].By != "ana" || e.History[at].Why != "looked into the archive" {
 			t.Errorf("who vouched is not kept: %+v", e.History)
@@ -229,18 +229,18 @@
 // drop, and a command that is given again.
 func TestOrdersAtTheSameMoment(t *testing.T) {
 	t.Parallel()
-	s, u := one(t, 1, archive.Act{Hang: true, NoEffect: true})
+	s, u := newSingleUploadSim(t, 1, archive.Act{Hang: true, NoEffect: true})
 	defer s.Close()
-	s.first = 3000 // the rule is due long after
+	s.firstDelaySeconds = 3000 // the rule is due long after
 	s.boot()
-	s.hand(u, "u")
+	s.submitUntilDone(u, "u")
 	s.awaitEntry(undelivered.Waiting)
-	s.pass(20 * time.Second)
-	no := s.entry().No
+	s.advance(20 * time.Second)
+	no := s.onlyEntry().No
 	ana := redeliver.Order{By: "ana", Why: "it is urgent", Token: "t1"}
 	ben := redeliver.Order{By: "ben", Why: "it is old", Token: "t2"}
 	var outs []redeliver.Outcome
-	s.order(func(d *redeliver.Desk) {
+	s.runOnDesk(func(d *redeliver.Desk) {
 		outs = append(outs, d.SendByHand(no, ana), d.SendByHand(no, ben), d.Drop(no, ben), d.SendByHand(no, ana))
 	})
 	if outs[0].Did != redeliver.DidClaim || outs[3].Did != redeliver.DidAgain || outs[3].Claim != outs[0].Claim {
@@ -252,7 +252,7 @@
 		}
 	}
 	s.awaitEntry(undelivered.Ended)
-	s.order(func(d *redeliver.Desk) {
+	s.runOnDesk(func(d *redeliver.Desk) {
 		outs = []redeliver.Outcome{d.SendByHand(no, ana), d.SendByHand(no, ben), d.Drop(no, ben), d.Drop(999, ben)}
 	})
 	if outs[0].Did != redeliver.DidAgain || outs[1].Did != redeliver.DidNothing || outs[2].Did != redeliver.DidNothing || outs[3].Did != redeliver.DidMiss {
@@ -265,7 +265,7 @@
 
 func TestAnOperatorLosesAgainstARuleThatIsSending(t *testing.T) {
 	t.Parallel()
-	s, u := one(t, 1, archive.Act{Hang: true, NoEffect: true})
+	s, u := newSingleUploadSim(t, 1, archive.Act{Hang: true, NoEffect: true})
 	defer s.Close()
 	script := s.archive.Script
 	s.archive.Script = func(items []archive.Item, b bool) archive.Act {
@@ -274,12 +274,12 @@
 		return a
 	}
 	s.boot()
-	s.hand(u, "u")
+	s.submitUntilDone(u, "u")
 	s.awaitEntry(undelivered.Away)
-	e := s.entry()
+	e := s.onlyEntry()
 	var outs []redeliver.Outcome
 	o := redeliver.Order{By: "ana", Why: "x", Vouch: true}
-	s.order(func(d *redeliver.Desk) { outs = append(outs, d.SendByHand(e.No, o), d.Drop(e.No, o)) })
+	s.runOnDesk(func(d *redeliver.Desk) { outs = append(outs, d.SendByHand(e.No, o), d.Drop(e.No, o)) })
 	for _, out := range outs {
 		if out.Did != redeliver.DidLose || out.Won == nil || out.Won.By != "rule all" || out.Won.ID != e.Claim.ID || !strings.Contains(out.Why, e.Claim.ID) {
 			t.Errorf("%+v", out)
@@ -302,7 +302,7 @@
 		"same id": {"u.0", "", false, 410}, "same id, away": {"u.0", "", true, 410},
 		"same key": {"v.0", "k", false, 410}, "same key, away": {"v.0", "k", true, 503},
 	} {
-		s, u := one(t, 1, archive.Act{Hang: true, NoEffect: true})
+		s, u := newSingleUploadSim(t, 1, archive.Act{Hang: true, NoEffect: true})
 		u.key = c.key
 		script := s.archive.Script
 		s.archive.Script = func(items []archive.Item, b bool) archive.Act {
@@ -311,19 +311,19 @@
 			return a
 		}
 		s.boot()
-		s.hand(u, "u")
-		s.until(time.Minute, "its client is told", func() bool { return u.done }) // until then the same request again is answered 202
+		s.submitUntilDone(u, "u")
+		s.runUntil(time.Minute, "its client is told", func() bool { return u.done }) // until then the same request again is answered 202
 		s.awaitEntry(map[bool]undelivered.State{false: undelivered.Waiting, true: undelivered.Away}[c.away])
 		code := -1
 		s.clients.Go(func() { code = s.post(u.class, c.id, c.key, u.body, time.Second) })
-		s.until(time.Minute, "an answer", func() bool { return code >= 0 })
+		s.runUntil(time.Minute, "an answer", func() bool { return code >= 0 })
 		if code != c.code {
 			t.Errorf("%s: %d, want %d", name, code, c.code)
 		}
 		s.awaitEntry(undelivered.Ended)
 		s.clients.Go(func() { code = s.post(u.class, "w", c.key, u.body, time.Second) })
 		if c.key != "" { // what took effect from here is known for a while
-			s.until(time.Minute, "an answer", func() bool { return code == 410 })
+			s.runUntil(time.Minute, "an answer", func() bool { return code == 410 })
 		}
 		if n := s.archive.Effect(u.body); n != 1 {
 			t.Errorf("%s: %d effects", name, n)
@@ -336,10 +336,10 @@
 func TestKilledInEachOperationOfTheDisk(t *testing.T) {
 	t.Parallel()
 	play := func(took bool, crash int, land int) (ops int) {
-		s, u := one(t, 1, archive.Act{Hang: true, NoEffect: !took})
+		s, u := newSingleUploadSim(t, 1, archive.Act{Hang: true, NoEffect: !took})
 		defer s.Close()
 		s.boot()
-		s.hand(u, "u")
+		s.submitUntilDone(u, "u")
 		crashed := false
 		s.mux.Disk().Fault = func(o memdir.Op) memdir.Fault {
 			ops = o.N + 1
@@ -357,7 +357,7 @@
 			s.After(300*time.Millisecond, watch)
 		}
 		s.After(300*time.Millisecond, watch)
-		s.until(time.Hour, fmt.Sprintf("killed in operation %d: delivered", crash), func() bool {
+		s.runUntil(time.Hour, fmt.Sprintf("killed in operation %d: delivered", crash), func() bool {
 			if !u.done || s.archive.Effect(u.body) == 0 {
 				return false
 			}
@@ -390,12 +390,12 @@
 func TestADiskThatFillsInTheMiddle(t *testing.T) {
 	t.Parallel()
 	lost, evicted := 0, 0
-	for seed := range worldsOf(16) {
-		s := newKeptSim(t, seed)
-		s.every = time.Second
-		dice := rand.New(rand.NewPCG(seed, 3))
-		calm, over := false, map[string]bool{}
-		mixed(s, dice, &calm, over)
+	for seed := range simulationCount(16) {
+		s := newUndeliveredSim(t, seed)
+		s.checkInterval = time.Second
+		random := rand.New(rand.NewPCG(seed, 3))
+		calm, closed := false, map[string]bool{}
+		injectMixedFaults(s, random, &calm, closed)
 		small := seed%2 == 1 // both shares are used up, in place of the disk
 		if small {
 			s.disk = 0.14
@@ -405,24 +405,24 @@
 		for n := range 40 {
 			u := &upload{class: "unsafe", body: fmt.Sprintf("upload %d ", n) + strings.Repeat("x", map[bool]int{false: 2000, true: 6000}[small]), expires: time.Second}
 			list = append(list, u)
-			s.After(time.Duration(dice.IntN(5000))*time.Millisecond, func() { s.hand(u, fmt.Sprintf("u%d", n)) })
+			s.After(time.Duration(random.IntN(5000))*time.Millisecond, func() { s.submitUntilDone(u, fmt.Sprintf("u%d", n)) })
 		}
-		s.After(time.Duration(500+dice.IntN(3000))*time.Millisecond, func() {
+		s.After(time.Duration(500+random.IntN(3000))*time.Millisecond, func() {
 			if !small {
-				s.mux.Disk().SetRoom(s.mux.Disk().Used() + int64(dice.IntN(8000)))
+				s.mux.Disk().SetRoom(s.mux.Disk().Used() + int64(random.IntN(8000)))
 			}
 		})
 		s.After(9*time.Second, func() { s.mux.Disk().SetRoom(0) })
 		s.After(10*time.Second, func() {
 			calm = true
-			s.fresh(2, 30*time.Second) // a destination that failed is tried with harmless ones first
+			s.submitFresh(2, 30*time.Second) // a destination that failed is tried with harmless ones first
 		})
-		s.until(time.Hour, "all is settled", func() bool {
+		s.runUntil(time.Hour, "all is settled", func() bool {
 			if !calm {
 				return false
 			}
 			for _, u := range list {
-				if !u.done && !over[u.body] {
+				if !u.done && !closed[u.body] {
 					return false
 				}
 			}
@@ -441,15 +441,15 @@
 		if small && s.mux.Disk().Used() > 140_000 {
 			t.Errorf("seed %d: %d bytes of 140,000 are used", seed, s.mux.Disk().Used())
 		}
-		counts := s.node.kept.store.Counts
+		counts := s.node.undelivered.store.Counts
 		lost, evicted = lost+counts.NotKept, evicted+counts.Evicted
 		u := &upload{class: "unsafe", body: "fresh", expires: time.Second}
-		s.hand(u, "fresh")
-		s.until(time.Minute, "fresh work goes on", func() bool { return s.archive.Effect("fresh") == 1 })
+		s.submitUntilDone(u, "fresh")
+		s.runUntil(time.Minute, "fresh work goes on", func() bool { return s.archive.Effect("fresh") == 1 })
 		s.Close()
 	}
 	t.Logf("%d were not kept, %d had to go", lost, evicted)
-	if worldsOf(16) == 16 && (lost == 0 || evicted == 0) {
+	if simulationCount(16) == 16 && (lost == 0 || evicted == 0) {
 		t.Error("not all came up")
 	}
 }
@@ -457,26 +457,26 @@
 // A message that fails again and again ends in the store for good, with its history, and costs nothing any more.
 func TestPoisonCostsNothingAnyMore(t *testing.T) {
 	t.Parallel()
-	s := newKeptSim(t, 1)
+	s := newUndeliveredSim(t, 1)
 	defer s.Close()
-	s.tries = 3
+	s.maxResends = 3
 	s.archive.Script = func([]archive.Item, bool) archive.Act { return archive.Act{Status: 500, NoEffect: true} }
 	s.boot()
-	s.hand(&upload{class: "unsafe", body: "poison", expires: time.Second}, "p")
-	s.until(time.Hour, "it had its tries", func() bool { return s.entry().Tries == 3 && s.entry().State == undelivered.Waiting })
+	s.submitUntilDone(&upload{class: "unsafe", body: "poison", expires: time.Second}, "p")
+	s.runUntil(time.Hour, "it had its tries", func() bool { return s.onlyEntry().Tries == 3 && s.onlyEntry().State == undelivered.Waiting })
 	calls, asked := s.archive.Counts()
 	size := s.mux.Disk().Used()
-	s.pass(6 * time.Hour)
+	s.advance(6 * time.Hour)
 	if c, a := s.archive.Counts(); c != calls || a != asked || s.mux.Disk().Used() != size {
 		t.Errorf("six hours later: %d calls and %d inquiries more, %d bytes more", c-calls, a-asked, s.mux.Disk().Used()-size)
 	}
-	e := s.entry()
+	e := s.onlyEntry()
 	if len(e.Lives) != 4 || len(e.Lives[3].Attempts) == 0 || e.Lives[3].Attempts[0].How != "error" || e.State != undelivered.Waiting {
 		t.Errorf("%+v", e)
 	}
 	var look string
-	s.order(func(d *redeliver.Desk) {
-		sum, _ := s.node.kept.store.Get(e.No)
+	s.runOnDesk(func(d *redeliver.Desk) {
+		sum, _ := s.node.undelivered.store.Get(e.No)
 		look = d.Outlook(&sum)
 	})
 	if !strings.Contains(look, "all 3 tries") {
@@ -488,9 +488,9 @@
 // they stay, and nothing is sent.
 func TestWhatDoesNotFitTodaysSettingsStays(t *testing.T) {
 	t.Parallel()
-	s := newKeptSim(t, 1)
+	s := newUndeliveredSim(t, 1)
 	defer s.Close()
-	s.fill(5, func(n int, m *engine.Message, l *undelivered.Life) {
+	s.fillStore(5, func(n int, m *engine.Message, l *undelivered.Life) {
 		switch n {
 		case 0:
 			m.Class = "gone"
@@ -506,7 +506,7 @@
 	})
 	s.mux.StepWall(-time.Hour)
 	s.boot()
-	s.pass(time.Hour)
+	s.advance(time.Hour)
 	calls, asked := s.archive.Counts()
 	if calls+asked > 0 {
 		t.Errorf("%d calls, %d inquiries", calls, asked)
@@ -516,8 +516,8 @@
 	}
 	for n, want := range []string{`class "gone"`, `tenant "nobody"`, "as soon as", "over today's limit", "forgotten"} {
 		var look string
-		s.order(func(d *redeliver.Desk) {
-			sum, _ := s.node.kept.store.Get(uint64(n) + 1)
+		s.runOnDesk(func(d *redeliver.Desk) {
+			sum, _ := s.node.undelivered.store.Get(uint64(n) + 1)
 			look = d.Outlook(&sum)
 		})
 		if !strings.Contains(look, want) {
@@ -526,8 +526,8 @@
 	}
 }
 
-// fill puts messages into the store that never ran, as an earlier process would have.
-func (s *keptSim) fill(n int, change func(n int, m *engine.Message, l *undelivered.Life)) {
+// fillStore puts messages into the store that never ran, as an earlier process would have.
+func (s *undeliveredSim) fillStore(n int, change func(n int, m *engine.Message, l *undelivered.Life)) {
 	cfg := s.config()
 	set := cfg.Undelivered.store
 	h := s.clients
@@ -552,9 +552,9 @@
 // Where nothing fresh comes for a destination that failed, single kept messages find out that it is back.
 func TestKeptMessagesAloneFindOutThatADestinationIsBack(t *testing.T) {
 	t.Parallel()
-	s := newKeptSim(t, 1)
+	s := newUndeliveredSim(t, 1)
 	defer s.Close()
-	s.fill(20, nil)
+	s.fillStore(20, nil)
 	hangs, calls := true, 0
 	s.archive.Script = func([]archive.Item, bool) archive.Act {
 		if hangs {
@@ -563,12 +563,12 @@
 		return archive.Act{Hang: hangs, NoEffect: hangs}
 	}
 	s.boot()
-	s.pass(10 * time.Minute)
+	s.advance(10 * time.Minute)
 	if calls < 3 || calls > 30 {
 		t.Errorf("%d calls in ten minutes while it hung", calls)
 	}
 	hangs = false
-	s.until(time.Hour, "all arrive", func() bool { return s.archive.Total() == 20 })
+	s.runUntil(time.Hour, "all arrive", func() bool { return s.archive.Total() == 20 })
 	for body, n := range s.archive.Effects() {
 		if n != 1 {
 			t.Errorf("%s took effect %d times", body, n)
@@ -581,10 +581,10 @@
 func TestADestinationThatComesBackAfterANight(t *testing.T) {
 	t.Parallel()
 	const kept = 10_000
-	s := newKeptSim(t, 1)
+	s := newUndeliveredSim(t, 1)
 	defer s.Close()
-	s.disk, s.size = 40, 200
-	s.fill(kept, nil)
+	s.disk, s.listedRate = 40, 200
+	s.fillStore(kept, nil)
 	// It takes 200 calls a second when it is warm, a fifth of that when it is back, and falls over at twice what it can take.
 	const full = 200.0
 	var back time.Duration
@@ -613,22 +613,22 @@
 		return archive.Act{Delay: 20 * time.Millisecond}
 	}
 	s.boot()
-	s.pass(20 * time.Second)
-	s.fresh(4, 30*time.Second) // it is down: these fail, and tell the module so
-	s.pass(40 * time.Second)
+	s.advance(20 * time.Second)
+	s.submitFresh(4, 30*time.Second) // it is down: these fail, and tell the module so
+	s.advance(40 * time.Second)
 	back = s.Now()
-	s.pass(15 * time.Second)
+	s.advance(15 * time.Second)
 	if fell {
 		t.Fatal("it was pushed over")
 	}
 	s.latency = nil
-	s.fresh(8, 60*time.Second)
-	s.pass(70 * time.Second)
+	s.submitFresh(8, 60*time.Second)
+	s.advance(70 * time.Second)
 	slices.Sort(s.latency)
 	if n := len(s.latency); n < 400 || s.latency[n*99/100] > 300*time.Millisecond {
 		t.Errorf("%d fresh messages, p99 %v", n, s.latency[max(n*99/100, 0)])
 	}
-	s.until(2*time.Hour, "all arrive", func() bool { return s.archive.Total() >= kept })
+	s.runUntil(2*time.Hour, "all arrive", func() bool { return s.archive.Total() >= kept })
 	for body, n := range s.archive.Effects() {
 		if n != 1 && strings.HasPrefix(body, "body of night") {
 			t.Errorf("%s took effect %d times", body, n)
@@ -637,15 +637,15 @@
 	t.Logf("all arrived %v after it was back; %d calls refused", s.Now()-back, refused)
 }
 
-// fresh hands in so many harmless messages a second for a while, and notes how long each takes to arrive.
-func (s *keptSim) fresh(rate int, d time.Duration) {
+// submitFresh hands in so many harmless messages a second for a while, and notes how long each takes to arrive.
+func (s *undeliveredSim) submitFresh(rate int, d time.Duration) {
 	for at := time.Duration(0); at < d; at += time.Second / time.Duration(rate) {
 		s.After(at, func() {
 			begun := s.Now()
-			s.handed++
-			body := fmt.Sprint("fresh ", s.handed)
+			s.freshCount++
+			body := fmt.Sprint("fresh ", s.freshCount)
 			s.clients.Go(func() {
-				if s.post("free", fmt.Sprint("f", s.handed), "", body, 5*time.Second) != 202 {
+				if s.post("free", fmt.Sprint("f", s.freshCount), "", body, 5*time.Second) != 202 {
 					return
 				}
 				for s.Now() < begun+6*time.Second {
@@ -666,20 +666,20 @@
 func TestFreshMessagesLoseLittleWhileOthersAreSentAgain(t *testing.T) {
 	t.Parallel()
 	p99 := func(seed uint64, kept int) (ms float64, resent int) {
-		s := newKeptSim(t, seed)
+		s := newUndeliveredSim(t, seed)
 		defer s.Close()
-		s.disk, s.size, s.instances = 40, 100, 1
+		s.disk, s.listedRate, s.instances = 40, 100, 1
 		if kept > 0 {
-			s.fill(kept, nil)
+			s.fillStore(kept, nil)
 		}
-		dice := rand.New(rand.NewPCG(seed, 9))
+		random := rand.New(rand.NewPCG(seed, 9))
 		s.archive.Script = func([]archive.Item, bool) archive.Act {
-			return archive.Act{Delay: time.Duration(10+dice.IntN(40)) * time.Millisecond}
+			return archive.Act{Delay: time.Duration(10+random.IntN(40)) * time.Millisecond}
 		}
 		s.boot()
-		s.pass(3 * time.Second)
-		s.fresh(50, 20*time.Second)
-		s.pass(22 * time.Second)
+		s.advance(3 * time.Second)
+		s.submitFresh(50, 20*time.Second)
+		s.advance(22 * time.Second)
 		slices.Sort(s.latency)
 		if n := len(s.latency); n < 990 {
 			t.Fatalf("%d fresh messages", n)
--- a/internal/node/undelivered_test.go
+++ b/internal/node/undelivered_test.go
@@ -18,39 +18,39 @@
 	"curlewmux/undelivered"
 )
 
-// keptSim is a dispatcher that keeps what it can't deliver, on a simulated machine, with an archive (destination 1) that
+// undeliveredSim is a dispatcher that keeps what it can't deliver, on a simulated machine, with an archive (destination 1) that
 // can be asked.
-type keptSim struct {
+type undeliveredSim struct {
 	*vnet.World
-	t       *testing.T
-	mux     *vnet.Machine
-	place   *vnet.Machine // of the archive, and of discovery
-	archive *archive.Server
-	clients host.Host
-	node    *Node
+	t              *testing.T
+	mux            *vnet.Machine
+	archiveMachine *vnet.Machine // of the archive, and of discovery
+	archive        *archive.Server
+	clients        host.Host
+	node           *Node
 
-	codes   map[string]int // the last status that each id was answered
-	notices map[string]string
-	latency []time.Duration // of fresh messages
-	handed  int             // of them
-	report  func() string   // of what is not as it should be
-	every   time.Duration   // between two looks at what is waited for: a look at the disk takes long
+	codes         map[string]int // the last status that each id was answered
+	notices       map[string]string
+	latency       []time.Duration // of fresh messages
+	freshCount    int             // of them
+	diagnose      func() string   // of what is not as it should be
+	checkInterval time.Duration   // between two looks at what is waited for: a look at the disk takes long
 
 	// Of the settings:
-	window      int
-	disk        float64
-	size        int  // calls a second that the list tells
-	zone        bool // keys are remembered by zone: then what may have run is not handed back
-	instances   int  // dispatchers that there are
-	unsafeOrder bool // the class in order is unsafe
+	window          int
+	disk            float64
+	listedRate      int  // calls a second that the list tells
+	keysByZone      bool // keys are remembered by zone: then what may have run is not handed back
+	instances       int  // dispatchers that there are
+	orderedIsUnsafe bool // the class in order is unsafe
 
-	remembers, first, tries int // of the operator's file
-	sync                    string
+	rememberSeconds, firstDelaySeconds, maxResends int // of the operator's file
+	sync                                           string
 
-	books *bookWatch // nil: none are kept
+	monitor *ledgerMonitor // nil: none are kept
 }
 
-const keptOperator = `
+const undeliveredOperatorFile = `
 [journal]
 sync = "%s"
 [undelivered]
@@ -73,18 +73,18 @@
 tries = %d
 `
 
-func newKeptSim(t *testing.T, seed uint64) *keptSim {
-	w := vnet.New(seed, vnet.Options{Watchdog: generous})
-	s := &keptSim{World: w, t: t, every: 50 * time.Millisecond, window: 60_000_000, disk: 4, size: 1000, instances: 2, remembers: 100_000, sync: "none", first: 2, tries: 20, codes: map[string]int{}, notices: map[string]string{}, report: func() string { return "" }}
-	s.mux, s.place = w.Machine("mux"), w.Machine("archive")
+func newUndeliveredSim(t *testing.T, seed uint64) *undeliveredSim {
+	w := vnet.New(seed, vnet.Options{Watchdog: testTimeout})
+	s := &undeliveredSim{World: w, t: t, checkInterval: 50 * time.Millisecond, window: 60_000_000, disk: 4, listedRate: 1000, instances: 2, rememberSeconds: 100_000, sync: "none", firstDelaySeconds: 2, maxResends: 20, codes: map[string]int{}, notices: map[string]string{}, diagnose: func() string { return "" }}
+	s.mux, s.archiveMachine = w.Machine("mux"), w.Machine("archive")
 	s.clients = w.Machine("clients").Boot(nil)
 	s.archive = &archive.Server{}
-	s.serve()
+	s.startServers()
 	return s
 }
 
-func (s *keptSim) serve() {
-	s.place.Boot(func(h host.Host) {
+func (s *undeliveredSim) startServers() {
+	s.archiveMachine.Boot(func(h host.Host) {
 		s.archive.Host = h
 		l, err := h.Listen(":24")
 		if err != nil {
@@ -96,18 +96,18 @@
 			s.t.Error(err)
 			return
 		}
-		h.Go(func() { s.discover(h, d) })
+		h.Go(func() { s.serveDiscovery(h, d) })
 		s.archive.Serve(l)
 	})
 }
 
-const keptList = `{"revision":1,"complete":true,"members":[
+const endpointListFormat = `{"revision":1,"complete":true,"members":[
 	{"id":"a1","host_port":"archive:24","locality":"west","flavor":"hooks","cell":1,"phase":"active","size":%d}]}`
 
-func (s *keptSim) list() string { return fmt.Sprintf(keptList, s.size) }
+func (s *undeliveredSim) endpointList() string { return fmt.Sprintf(endpointListFormat, s.listedRate) }
 
-// discover takes notices, and tells one list that never changes.
-func (s *keptSim) discover(h host.Host, l net.Listener) {
+// serveDiscovery takes notices, and tells one list that never changes.
+func (s *undeliveredSim) serveDiscovery(h host.Host, l net.Listener) {
 	for {
 		nc, err := l.Accept()
 		if err != nil {
@@ -136,41 +136,41 @@
 				case r.URL.Query().Get("after") != "":
 					io.Copy(io.Discard, nc) // nothing is new
 				default:
-					fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(s.list()), s.list())
+					fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(s.endpointList()), s.endpointList())
 				}
 			}
 		})
 	}
 }
 
-func (s *keptSim) config() *Config {
+func (s *undeliveredSim) config() *Config {
 	settings := fmt.Sprintf(settingsJSON, s.window, 50)
 	settings = strings.Replace(settings, `"instances":2`, fmt.Sprintf(`"instances":%d`, s.instances), 1)
-	if s.unsafeOrder {
+	if s.orderedIsUnsafe {
 		settings = strings.Replace(settings, `"by-arrival":true,"effect":"free"`, `"by-arrival":true,"effect":"single_shot"`, 1)
 	}
-	if s.zone {
+	if s.keysByZone {
 		settings = strings.Replace(settings, `"group":"all"`, `"group":"zone"`, 1)
 	}
 	text := fmt.Appendf(nil, `{"name":"n0","listen":":9000","discovery":"archive:9","seed":"8c1f30d27a5be964","known":%s,
-		"limits":{"cores":1.0,"memory_mb":192,"sockets":256,"disk_mb":%g},"settings":%s}`, s.list(), s.disk, settings)
+		"limits":{"cores":1.0,"memory_mb":192,"sockets":256,"disk_mb":%g},"settings":%s}`, s.endpointList(), s.disk, settings)
 	cfg, err := ParseConfig(text, func(name string) string { return map[string]string{"EDGE_STATE": "folder"}[name] })
 	must(s.t, err)
-	f, err := operator.Parse(fmt.Sprintf(keptOperator, s.sync, s.remembers, s.first, s.tries))
+	f, err := operator.Parse(fmt.Sprintf(undeliveredOperatorFile, s.sync, s.rememberSeconds, s.firstDelaySeconds, s.maxResends))
 	must(s.t, err)
 	must(s.t, cfg.ApplyOperatorFile(f))
 	return cfg
 }
 
 // boot starts the dispatcher.
-func (s *keptSim) boot() {
+func (s *undeliveredSim) boot() {
 	cfg := s.config()
-	if s.books != nil {
-		s.books.boots(cfg)
+	if s.monitor != nil {
+		s.monitor.attach(cfg)
 	}
 	s.mux.Boot(func(h host.Host) {
 		cfg.Dir = s.mux.Process().Folder()
-		s.node = New(h, cfg, quiet())
+		s.node = New(h, cfg, discardLog())
 		if err := s.node.Run(); err != nil {
 			s.t.Error(err)
 		}
@@ -183,11 +183,11 @@
 	expires          time.Duration
 	ids              []string
 	done             bool // its client does nothing more
-	unsure           bool // it was told that nothing is promised of its hand-in
+	inDoubt          bool // it was told that nothing is promised of its hand-in
 }
 
-// hand hands an upload in, on a goroutine of its own, again and again until it is taken on; if it is handed back, anew.
-func (s *keptSim) hand(u *upload, name string) {
+// submitUntilDone hands an upload in, on a goroutine of its own, again and again until it is taken on; if it is handed back, anew.
+func (s *undeliveredSim) submitUntilDone(u *upload, name string) {
 	s.clients.Go(func() {
 		pause := func(d time.Duration) { s.clients.NewInbox().Take(nil, s.clients.Now().Add(d)) }
 		for try := 0; try < 500 && !u.done; try++ {
@@ -199,7 +199,7 @@
 				switch code {
 				case 0, 202, 410, 503:
 				case 500:
-					u.unsure, u.done = true, true
+					u.inDoubt, u.done = true, true
 					return
 				default:
 					s.t.Errorf("%s: answered %d", id, code)
@@ -217,7 +217,7 @@
 }
 
 // post hands a message in once; 0 is no answer.
-func (s *keptSim) post(class, id, key, body string, expires time.Duration) (code int) {
+func (s *undeliveredSim) post(class, id, key, body string, expires time.Duration) (code int) {
 	c, err := s.clients.Dial("mux:9000", time.Second, &host.Abort{})
 	if err != nil {
 		return 0
@@ -239,30 +239,30 @@
 	return "Idempotency-Key: " + key + "\r\n"
 }
 
-// until runs the world until something is so.
-func (s *keptSim) until(limit time.Duration, what string, ok func() bool) {
+// runUntil runs the world until something is so.
+func (s *undeliveredSim) runUntil(limit time.Duration, what string, ok func() bool) {
 	s.t.Helper()
 	look := s.Now()
 	err := s.Run(s.Now()+limit, func() bool {
 		if s.Now() < look {
 			return false
 		}
-		look = s.Now() + s.every
+		look = s.Now() + s.checkInterval
 		return ok()
 	})
 	if err != nil {
-		s.t.Fatalf("%s: %v; kept %v%s", what, err, s.states(), s.report())
+		s.t.Fatalf("%s: %v; kept %v%s", what, err, s.states(), s.diagnose())
 	}
 }
 
 // entries reads what the store has on the disk.
-func (s *keptSim) entries() (out []*undelivered.Entry) {
+func (s *undeliveredSim) entries() (out []*undelivered.Entry) {
 	list, err := undelivered.ReadAll(s.mux.Disk().Clone().Dir())
 	must(s.t, err)
 	return list
 }
 
-func (s *keptSim) states() string {
+func (s *undeliveredSim) states() string {
 	var b strings.Builder
 	for _, e := range s.entries() {
 		fmt.Fprintf(&b, " %d:%s:%s tries %d doubt %v held %q end %q;", e.No, e.ID, e.State, e.Tries, e.Doubt.At != 0, e.Held, e.End)
@@ -274,15 +274,15 @@
 func TestAnUploadInDoubtIsAskedAboutAndSentAgain(t *testing.T) {
 	t.Parallel()
 	for _, took := range []bool{false, true} {
-		s := newKeptSim(t, 1)
+		s := newUndeliveredSim(t, 1)
 		n := 0
 		s.archive.Script = func([]archive.Item, bool) archive.Act {
 			n++
 			return archive.Act{Hang: n == 1, NoEffect: n == 1 && !took}
 		}
 		s.boot()
-		s.hand(&upload{class: "unsafe", body: "upload 1", expires: 3 * time.Second}, "u1")
-		s.until(time.Minute, "it ends in the store", func() bool {
+		s.submitUntilDone(&upload{class: "unsafe", body: "upload 1", expires: 3 * time.Second}, "u1")
+		s.runUntil(time.Minute, "it ends in the store", func() bool {
 			list := s.entries()
 			return len(list) == 1 && list[0].State == undelivered.Ended
 		})
--- a/internal/node/unsafe_test.go
+++ b/internal/node/unsafe_test.go
@@ -11,7 +11,7 @@
 // it and say nothing, and others do not come. It is tried all the same once that is overdue, else nobody ever would.
 func TestADestinationWithUnsafeMessagesAloneIsTriedAgain(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	var hangs atomic.Bool
 	release := make(chan bool)
 	w.endpoint("e", 1, "hooks", func(rw http.ResponseWriter, r *http.Request) {
@@ -24,17 +24,17 @@
 	w.start()
 	for i := range 30 { // it is known to be quick: its trials begin close together
 		id := fmt.Sprint("quick", i)
-		w.hand("unsafe", id, 1)
+		w.submit("unsafe", id, 1)
 		w.awaitCalls(id, 1)
 	}
 	w.awaitEmpty()
 	hangs.Store(true)
-	w.hand("unsafe", "first", 1)
+	w.submit("unsafe", "first", 1)
 	w.awaitCalls("first", 1)
 	hangs.Store(false)
 	close(release)
 	w.awaitNotice("first", "undeliverable")
-	w.hand("unsafe", "second", 1)
+	w.submit("unsafe", "second", 1)
 	w.awaitCalls("second", 1)
 	w.awaitEmpty()
 }
