--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -22,25 +22,33 @@
 
 // Config is what a dispatcher is told at its start.
 type Config struct {
-	Name, Listen, Discovery, State string
-	Seed                           uint64
-	Memory, Disk                   int64 // bytes
-	Sockets                        int
-	Cores                          float64
-	CachedList                     *partnerlist.List // the endpoint list as last had, nil if none
-	Dir                            journal.Dir       // in place of the folder State, where that is no folder of this machine
-	Interceptors                   Interceptors
-	Sync                           journal.Sync  // when what the journal has is made to outlast a power failure
-	SyncInterval                   time.Duration // of journal.SyncInterval
-	Mail                           *Mail         // nil: neither spoken nor taken
-	OperatorSetsInstances          bool          // the operator's file says how many dispatchers there are
-	Undelivered                    *Undelivered  // nil: what can't be delivered is not kept
-	Ledger                         *Ledger       // nil: no books are kept
-	Settings                       control.Settings
-	Zones, Reports                 []string // names of the zones, and of the values in a load report
-	stopSchedule                   stopSchedule
-	limits                         limits
-	flatSettings                   string // the settings as the wire's parser reads them
+	Name      string
+	Listen    string // address of the HTTP front
+	Discovery string // address of the discovery agent
+	State     string // path of the state folder
+	Seed      uint64
+	Memory    int64 // bytes
+	Disk      int64 // bytes that the journal may take; less than the limit where undelivered messages have a share
+	Sockets   int
+	Cores     float64
+	// CachedList is the endpoint list from an earlier connection to discovery, nil if there is none.
+	CachedList *partnerlist.List
+	// Dir replaces the folder State where it is not a folder of this machine.
+	Dir          journal.Dir
+	Interceptors Interceptors
+	Sync         journal.Sync  // when the journal is forced to disk
+	SyncInterval time.Duration // used with journal.SyncInterval
+	Mail         *Mail         // nil: the dispatcher neither sends nor accepts mail
+	// OperatorSetsInstances says that the number of dispatchers comes from the operator's file.
+	OperatorSetsInstances bool
+	Undelivered           *Undelivered // nil: undelivered messages are not kept
+	Ledger                *Ledger      // nil: no ledger is kept
+	Settings              control.Settings
+	Zones                 []string // names of the zones
+	Reports               []string // names of the values in a load report
+	stopSchedule          stopSchedule
+	limits                limits
+	flatSettings          string // the settings in the flat form that package wire parses
 }
 
 // limits are what the platform allows.
@@ -118,7 +126,11 @@
 }
 
 // descriptorShares are how many descriptors clients, calls out and idle connections to endpoints may take.
-type descriptorShares struct{ clients, calls, idle int }
+type descriptorShares struct {
+	clients int
+	calls   int
+	idle    int // idle connections to endpoints
+}
 
 const (
 	maxOtherFiles  = 32       // descriptors that are neither a client's nor a call's, at most
--- a/internal/node/mail.go
+++ b/internal/node/mail.go
@@ -30,8 +30,9 @@
 	maxCallBytes  []int                         // of a kind, 0: as usual
 	name          string
 	front         *mailfront.Settings // nil: no mails are taken
-	smtp, lmtp    string
-	rememberTimes []engine.Time // of a class, beyond a message's time
+	smtp          string              // address to listen on, empty for none
+	lmtp          string              // address to listen on, empty for none
+	rememberTimes []engine.Time       // of a class, beyond a message's time
 }
 
 const (
--- a/internal/node/mail_sim_test.go
+++ b/internal/node/mail_sim_test.go
@@ -21,19 +21,20 @@
 // mailSim is a dispatcher with its journal on a simulated machine, between clients that send mails and servers.
 type mailSim struct {
 	*vnet.World
-	t               *testing.T
-	random          *rand.Rand
-	mux             *vnet.Machine
-	archive         *standin.Server
-	senders         *standin.Server
-	clients         host.Host
-	node            *Node
-	activeClients   int
-	recipients      []string // id and recipient
-	seed            uint64
-	lastErrorReply  string // the last reply that was no success
-	kills, restarts int
-	monitor         *ledgerMonitor
+	t              *testing.T
+	random         *rand.Rand
+	mux            *vnet.Machine
+	archive        *standin.Server
+	senders        *standin.Server
+	clients        host.Host
+	node           *Node
+	activeClients  int
+	recipients     []string // id and recipient
+	seed           uint64
+	lastErrorReply string // the last reply that was no success
+	kills          int
+	restarts       int
+	monitor        *ledgerMonitor
 }
 
 func newMailSim(t *testing.T, seed uint64) *mailSim {
--- a/internal/node/mail_test.go
+++ b/internal/node/mail_test.go
@@ -25,7 +25,8 @@
 // mailEnv is a world with mail servers, and a dispatcher that takes mails.
 type mailEnv struct {
 	*testEnv
-	smtp, lmtp string
+	smtp string // address of the SMTP listener
+	lmtp string // address of the LMTP listener
 }
 
 func newMailEnv(t *testing.T) *mailEnv {
--- a/internal/node/rig_test.go
+++ b/internal/node/rig_test.go
@@ -42,13 +42,15 @@
 
 // testEnv is all that a dispatcher meets: discovery's agent, endpoints and clients, on loopback sockets.
 type testEnv struct {
-	operatorText    string // text of the operator's file, "" for none
-	t               *testing.T
-	agent           *httptest.Server
-	addr, dir       string // where the dispatcher listens and what it keeps
-	window, maxOpen int
-	diskMB          float64
-	memoryMB        int
+	operatorText string // text of the operator's file, "" for none
+	t            *testing.T
+	agent        *httptest.Server
+	addr         string // address that the dispatcher listens on
+	dir          string // state folder of the dispatcher
+	window       int    // of the keyed class, in microseconds
+	maxOpen      int
+	diskMB       float64
+	memoryMB     int
 
 	mu            sync.Mutex
 	revision      int64
--- a/internal/node/undelivered_test.go
+++ b/internal/node/undelivered_test.go
@@ -44,8 +44,11 @@
 	instances       int  // dispatchers that there are
 	orderedIsUnsafe bool // the class in order is unsafe
 
-	rememberSeconds, firstDelaySeconds, maxResends int // of the operator's file
-	sync                                           string
+	// Settings of the operator's file:
+	rememberSeconds   int
+	firstDelaySeconds int
+	maxResends        int
+	sync              string
 
 	monitor *ledgerMonitor // nil: none are kept
 }
@@ -179,11 +182,13 @@
 
 // upload is what a client wants done once.
 type upload struct {
-	class, body, key string
-	expires          time.Duration
-	ids              []string
-	done             bool // its client does nothing more
-	inDoubt          bool // it was told that nothing is promised of its hand-in
+	class   string
+	body    string
+	key     string
+	expires time.Duration
+	ids     []string
+	done    bool // its client does nothing more
+	inDoubt bool // it was told that nothing is promised of its hand-in
 }
 
 // submitUntilDone hands an upload in, on a goroutine of its own, again and again until it is taken on; if it is handed back, anew.
