--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -17,30 +17,31 @@
 )
 
 const (
-	defaultSocketName = "curlewmux.sock" // in the state folder, unless set otherwise
-	queueScanLimit    = 1000             // messages that are looked at for the oldest of each destination
+	defaultSocketName = "curlewmux.sock" // default name of the operators' socket in the state folder
+	queueScanLimit    = 1000             // oldest open messages that are scanned for their destinations
 	queueReplyTimeout = 2 * time.Second
 )
 
-// figuresParts are what a node has beside the rest where figures are shown.
+// figuresParts are the components of a node that publishes the figures of its ledger.
 type figuresParts struct {
 	cache *figures.Cache
 }
 
-// assembleFigures makes what shows the books, where they are kept.
-func (n *Node) assembleFigures(set *httpfront.Settings) {
+// assembleFigures creates the cache of figures if a ledger is kept, and adds its pages to the HTTP front if configured.
+func (n *Node) assembleFigures(settings *httpfront.Settings) {
 	if n.cfg.Ledger == nil {
 		return
 	}
 	n.figures = &figuresParts{cache: figures.New(n, n.host.Now)}
 	if n.cfg.Ledger.HTTP {
-		set.Pages = map[string]func() httpfront.Page{
+		settings.Pages = map[string]func() httpfront.Page{
 			"/-/ledger":  func() httpfront.Page { return figuresPage(n.figures.cache.JSON, figures.ContentTypeJSON) },
 			"/-/metrics": func() httpfront.Page { return figuresPage(n.figures.cache.Metrics, figures.ContentTypeMetrics) },
 		}
 	}
 }
 
+// figuresPage returns a page, or one without text if the snapshot could not be taken.
 func figuresPage(text func() ([]byte, error), kind string) httpfront.Page {
 	t, err := text()
 	if err != nil {
@@ -49,7 +50,7 @@
 	return httpfront.Page{Text: t, Type: kind}
 }
 
-// openAdmin makes the operators' socket, if there is anything to be asked there.
+// openAdmin opens the operators' socket if there is anything to query.
 func (n *Node) openAdmin() (err error) {
 	name := ""
 	if n.undelivered != nil {
@@ -68,28 +69,29 @@
 	case asked:
 		return fmt.Errorf("undelivered.socket: %w", err)
 	}
-	// Nobody asked for a socket, and books are kept without one as well: a start must not fail for it.
-	n.log.Warn("the books can't be asked for: there is no operators' socket", "error", err)
+	// The socket is not configured and the ledger works without it, so the start must not fail.
+	n.log.Warn("the ledger can't be queried: the operators' socket can't be opened", "error", err)
 	return nil
 }
 
-// startAdmin answers operators from now on.
+// startAdmin begins to serve the operators' socket.
 func (n *Node) startAdmin() {
 	if n.admin != nil {
 		n.host.Go(func() { n.admin.Serve(n.handleCommand) })
 	}
 }
 
+// closeAdmin closes the operators' socket.
 func (n *Node) closeAdmin() {
 	if n.admin == nil {
 		return
 	}
 	if err := n.admin.Close(); err != nil {
-		n.log.Warn("the operators' socket did not close well", "error", err)
+		n.log.Warn("closing the operators' socket failed", "error", err)
 	}
 }
 
-// handleCommand answers a command from the socket.
+// handleCommand handles a command from the operators' socket.
 func (n *Node) handleCommand(ctx context.Context, by admin.Peer, text json.RawMessage, reply func(any) error) error {
 	var r figures.Request
 	if err := json.Unmarshal(text, &r); err != nil {
@@ -127,15 +129,16 @@
 
 var errNoLedger = errors.New("no books are kept: the operator's file has no [ledger]")
 
+// destinationQueues lists the destinations of open messages. It reads them on the driver's goroutine.
 func (n *Node) destinationQueues() (*figures.QueuesReply, error) {
-	type seen struct {
+	type backlog struct {
 		list []engine.DestinationBacklog
 		more bool
 	}
 	reply := n.host.NewInbox()
 	if !n.driver.Do(func() {
 		list, more := n.driver.Engine().Backlog(queueScanLimit)
-		reply.Put(seen{list, more})
+		reply.Put(backlog{list, more})
 	}) {
 		return nil, errors.New("the dispatcher is stopping")
 	}
@@ -144,7 +147,7 @@
 	if len(list) == 0 {
 		return nil, errors.New("the dispatcher does not answer")
 	}
-	s := list[0].(seen)
+	s := list[0].(backlog)
 	out := &figures.QueuesReply{Queues: []figures.DestinationQueue{}, Incomplete: s.more}
 	for _, h := range s.list {
 		out.Queues = append(out.Queues, figures.DestinationQueue{
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -48,7 +48,7 @@
 	return res.StatusCode, res.Header, text
 }
 
-func (w *testEnv) ask(command string) (lines []json.RawMessage, err error) {
+func (w *testEnv) query(command string) (lines []json.RawMessage, err error) {
 	err = admin.Call(filepath.Join(w.dir, defaultSocketName), figures.Request{Command: command}, func(text json.RawMessage) error {
 		lines = append(lines, text)
 		return nil
@@ -96,26 +96,26 @@
 			}
 			if books := strings.Contains(c.file, "[ledger]") && c.socket; books {
 				waitFor(t, func() bool {
-					lines, err := w.ask(figures.CommandLedger)
+					lines, err := w.query(figures.CommandLedger)
 					must(t, err)
 					s := readSnapshot(t, lines[0])
 					return len(lines) == 1 && s.Total.Accepted == 2 && s.Total.Delivered == 1 && s.Total.Open == 1 && s.Instance == "n0"
 				})
-				lines, err := w.ask(figures.CommandQueues)
-				var held figures.QueuesReply
-				if must(t, err); json.Unmarshal(lines[0], &held) != nil || len(held.Queues) != 1 || held.Queues[0].Destination != 1 || held.Queues[0].Condition != "unserved" {
+				lines, err := w.query(figures.CommandQueues)
+				var queues figures.QueuesReply
+				if must(t, err); json.Unmarshal(lines[0], &queues) != nil || len(queues.Queues) != 1 || queues.Queues[0].Destination != 1 || queues.Queues[0].Condition != "unserved" {
 					t.Errorf("%s", lines[0])
 				}
-				lines, err = w.ask(figures.CommandMetrics)
+				lines, err = w.query(figures.CommandMetrics)
 				var text string
 				if must(t, err); json.Unmarshal(lines[0], &text) != nil || !strings.Contains(text, "curlewmux_messages_open{class=\"keyed\",dest=\"1\",tenant=\"core\"} 1\n") {
 					t.Errorf("%s", lines[0])
 				}
-				if _, err := w.ask("list"); (err == nil) != strings.Contains(c.file, "[undelivered]") {
+				if _, err := w.query("list"); (err == nil) != strings.Contains(c.file, "[undelivered]") {
 					t.Errorf("%q: list: %v", c.file, err)
 				}
 			} else if c.socket {
-				if _, err := w.ask(figures.CommandLedger); err == nil || !strings.Contains(err.Error(), "[ledger]") {
+				if _, err := w.query(figures.CommandLedger); err == nil || !strings.Contains(err.Error(), "[ledger]") {
 					t.Errorf("%q: without books: %v", c.file, err)
 				}
 			}
@@ -151,7 +151,7 @@
 )
 
 // A folder whose name is too long for a socket does not keep a dispatcher from its work.
-func TestBooksAreKeptWhereNoSocketFits(t *testing.T) {
+func TestLedgerIsKeptWithoutSocket(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.diskMB, w.dir = 3, filepath.Join(w.dir, strings.Repeat("long", 30))
@@ -167,7 +167,7 @@
 
 // Scrapes in the middle of rounds show each message in one account, and messages are taken and served meanwhile as they
 // come: a thousand scrapes a second, and readers that stop reading.
-func TestMessagesGoOnUnderAThousandScrapesASecond(t *testing.T) {
+func TestMessagesUnderAThousandScrapesPerSecond(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.maxOpen, w.diskMB = 1000, 3
@@ -250,14 +250,14 @@
 			}
 		})
 	}
-	var took []time.Duration
+	var latencies []time.Duration
 	for i := range messages {
 		time.Sleep(time.Until(began.Add(time.Duration(i) * span / messages))) // their pace
 		at := time.Now()
 		if code, _, why := w.do(w.request("free", fmt.Sprint("m", i), 7)); code != 202 {
 			t.Fatalf("%d %s", code, why)
 		}
-		took = append(took, time.Since(at))
+		latencies = append(latencies, time.Since(at))
 	}
 	readers.Wait()
 	waitFor(t, func() bool {
@@ -265,11 +265,11 @@
 		s, err := ledger.ReadSnapshot(bytes.NewReader(text))
 		return err == nil && s.Total.Accepted == ledger.Count(messages+1+*accounts) && s.Total.Delivered == messages+1
 	})
-	slices.Sort(took)
-	if late := took[len(took)*9/10]; late > 200*time.Millisecond {
+	slices.Sort(latencies)
+	if late := latencies[len(latencies)*9/10]; late > 200*time.Millisecond {
 		t.Errorf("one in ten hand-ins took %v or more", late)
 	}
-	t.Logf("%d scrapes, %d shown; hand-ins: half %v, one in a hundred %v", scrapes.Load(), shown.Load(), took[len(took)/2], took[len(took)*99/100])
+	t.Logf("%d scrapes, %d shown; hand-ins: half %v, one in a hundred %v", scrapes.Load(), shown.Load(), latencies[len(latencies)/2], latencies[len(latencies)*99/100])
 	if shown.Load() < scrapes.Load()/4 {
 		t.Errorf("%d of %d scrapes were answered", shown.Load(), scrapes.Load())
 	}
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -15,31 +15,31 @@
 	"curlewmux/internal/wire"
 )
 
-// Report is what would be in force. Write prints it for people; as JSON it is for programs.
+// Report lists the settings that would be in force. Write prints it as a table; its JSON form is for programs.
 type Report struct {
 	Settings []Setting `json:"settings"`
 }
 
-// Setting is one setting, and where its value is from.
+// Setting is one setting with its value and the origin of the value.
 type Setting struct {
 	Name  string `json:"name"`
-	Value any    `json:"value"` // null: there is none, or the section is off
+	Value any    `json:"value"` // null: not set, or the section is off
 	From  string `json:"from"`
 }
 
-// Where values are from. Environment stands before the name of a variable.
+// Origins of values. FromEnvironment is followed by the name of a variable.
 const (
 	FromDefault     = "default"
-	FromFile        = "configuration"   // the file that EDGE_CONFIG names
+	FromFile        = "configuration"   // file that EDGE_CONFIG names
 	FromOperator    = "operator's file" // --operator
 	FromEnvironment = "environment "
-	FromAgent       = "operator's file, for curlewmux-agent" // a dispatcher does not read it
-	FromComputed    = "computed"                             // from other settings
+	FromAgent       = "operator's file, for curlewmux-agent" // not read by a dispatcher
+	FromComputed    = "computed"                             // from other settings and limits
 )
 
-// Check reads the configuration and, unless its name is "", the operator's file, as a start does, and tells what would be
-// in force. It opens no socket and touches neither the state folder nor any file but those that settings name. An error
-// names the setting at fault.
+// Check reads the configuration and, unless settings is "", the operator's file of that name, as a start does. It
+// returns what would be in force. It opens no socket and reads no file except those that the settings name; it does not
+// touch the state folder. An error names the setting at fault.
 func Check(env func(string) string, settings string) (*Report, error) {
 	file, text := &operator.File{}, ""
 	if settings != "" {
@@ -80,7 +80,7 @@
 	r.add("limits.disk_mb", c.limits.DiskMB, FromFile)
 	r.addSettings(c)
 	r.addOperatorFile(c, file, text)
-	// What follows from these, where it is less than what is asked for, or is asked for nowhere.
+	// Values computed from the settings above: lower than requested, or not set anywhere.
 	r.add("memory.aim_bytes", c.Memory*6/10, FromComputed)
 	r.add("slots", c.Settings.Slots, FromComputed)
 	r.add("connections.clients", share.clients, FromComputed)
@@ -93,21 +93,22 @@
 	return r, nil
 }
 
+// add appends one setting.
 func (r *Report) add(name string, value any, from string) {
 	r.Settings = append(r.Settings, Setting{Name: name, Value: value, From: from})
 }
 
-// addSettings adds the site's settings, as the wire's parser reads them.
+// addSettings adds the settings of the configuration in their flat form, with the defaults of those that are missing.
 func (r *Report) addSettings(c *Config) {
 	first := len(r.Settings)
 	for line := range strings.Lines(c.flatSettings) {
 		name, value, _ := strings.Cut(strings.TrimSpace(line), "=")
 		if c.OperatorSetsInstances && name == "instances" {
-			continue // the operator's file wins
+			continue // overridden by the operator's file
 		}
 		r.add("settings."+name, value, FromFile)
 	}
-	_, presets, _ := wire.ParsePresets(c.flatSettings) // it was without fault before
+	_, presets, _ := wire.ParsePresets(c.flatSettings) // ReadConfig has parsed the same text without an error
 	for name, value := range presets {
 		r.add("settings."+name, value, FromDefault)
 	}
@@ -117,12 +118,13 @@
 	slices.SortStableFunc(r.Settings[first:], func(a, b Setting) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// agentSections are the sections that a dispatcher does not read.
+// agentSections are the sections of the operator's file that only the agent reads.
 var agentSections = [...]string{"membership", "kubernetes", "fixed"}
 
+// addOperatorFile adds the settings of the operator's file, with their defaults.
 func (r *Report) addOperatorFile(c *Config, file *operator.File, text string) {
 	list, err := operator.Explain(file, text)
-	if err != nil { // Parse took the text
+	if err != nil { // cannot happen: ReadText has parsed the same text
 		return
 	}
 	for _, s := range list {
@@ -144,7 +146,7 @@
 	}
 }
 
-// Write prints a line for each setting.
+// Write prints a table with one line per setting.
 func (r *Report) Write(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "SETTING\tVALUE\tFROM")
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -41,12 +41,12 @@
 		}
 		return code
 	}
-	taken := 0
+	accepted := 0
 	for i := 0; i < 20 && big(fmt.Sprint("m", i)) == 202; i++ {
-		taken++
+		accepted++
 	}
-	if most := (2 << 20) / bodyMemoryDivisor / 60000; taken != most {
-		t.Errorf("%d large messages taken on, want %d", taken, most)
+	if most := (2 << 20) / bodyMemoryDivisor / 60000; accepted != most {
+		t.Errorf("%d large messages taken on, want %d", accepted, most)
 	}
 	w.endpoint("e", 1, "hooks", respond(200))
 	w.awaitEmpty()
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -20,7 +20,8 @@
 	"curlewmux/membership/partnerlist"
 )
 
-// Config is what a dispatcher is told at its start.
+// Config is the configuration of a dispatcher: the file that EDGE_CONFIG names, the EDGE variables and the operator's
+// file.
 type Config struct {
 	Name      string
 	Listen    string // address of the HTTP front
@@ -31,7 +32,7 @@
 	Disk      int64 // bytes that the journal may take; less than the limit where undelivered messages have a share
 	Sockets   int
 	Cores     float64
-	// CachedList is the endpoint list from an earlier connection to discovery, nil if there is none.
+	// CachedList is the last known endpoint list, which the configuration file holds; nil if it has none.
 	CachedList *partnerlist.List
 	// Dir replaces the folder State where it is not a folder of this machine.
 	Dir          journal.Dir
@@ -51,7 +52,7 @@
 	flatSettings          string // the settings in the flat form that package wire parses
 }
 
-// limits are what the platform allows.
+// limits are the resources that the platform grants the dispatcher.
 type limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
@@ -59,7 +60,7 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// ReadConfig reads the file that EDGE_CONFIG names; the other EDGE variables take precedence over it.
+// ReadConfig reads the file that EDGE_CONFIG names. The other EDGE variables take precedence over the file.
 func ReadConfig(env func(string) string) (*Config, error) {
 	path := env("EDGE_CONFIG")
 	if path == "" {
@@ -72,8 +73,8 @@
 	return ParseConfig(text, env)
 }
 
-// RereadConfig reads the file again for a reload. There the file's discovery counts: the variable holds what was true
-// when the process began.
+// RereadConfig reads the configuration for a reload. It ignores EDGE_DISCOVERY, because the variable still holds the
+// address from the start of the process.
 func RereadConfig(env func(string) string) (*Config, error) {
 	return ReadConfig(func(name string) string {
 		if name == "EDGE_DISCOVERY" {
@@ -83,8 +84,7 @@
 	})
 }
 
-// ApplyOperatorFile takes what the operator's file sets for the daemon. Its error names the setting that does not fit the
-// configuration.
+// ApplyOperatorFile applies the operator's file. Its error names the setting that does not fit the configuration.
 func (c *Config) ApplyOperatorFile(f *operator.File) (err error) {
 	if f.Journal != nil {
 		c.Sync = map[string]journal.Sync{
@@ -107,7 +107,7 @@
 	return err
 }
 
-// setInstances takes how many dispatchers there are from the operator's file, in place of the settings.
+// setInstances sets the number of dispatchers from the operator's file, which overrides the settings.
 func (c *Config) setInstances(instances int) error {
 	if instances <= c.Settings.Me {
 		return fmt.Errorf("fleet.instances: %d dispatchers, and this one has number %d, counted from 0", instances, c.Settings.Me)
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// ReapplyOperatorFile takes from the operator's file, read anew, what may change while running: how many dispatchers there are.
-// Its error names the setting.
+// ReapplyOperatorFile applies the settings of the operator's file that can change while the dispatcher runs: the number
+// of dispatchers. Its error names the setting.
 func (c *Config) ReapplyOperatorFile(f *operator.File) error {
 	if f.Fleet == nil {
 		return nil
@@ -125,7 +125,7 @@
 	return c.setInstances(f.Fleet.Instances)
 }
 
-// descriptorShares are how many descriptors clients, calls out and idle connections to endpoints may take.
+// descriptorShares is how the file descriptors are divided.
 type descriptorShares struct {
 	clients int
 	calls   int
@@ -133,22 +133,22 @@
 }
 
 const (
-	maxOtherFiles  = 32       // descriptors that are neither a client's nor a call's, at most
-	maxIdlePerCall = 4        // idle connections to endpoints for each call, at most
-	bytesPerClient = 64 << 10 // what a client's connection may take
+	reservedFiles  = 32       // descriptors reserved for other uses than clients and calls
+	maxIdlePerCall = 4        // idle connections to endpoints per call
+	bytesPerClient = 64 << 10 // memory planned for one client connection
 
-	// A dial takes some 60 us of a core: at this pace they take an eighth of one, however many endpoints are cold.
+	// A dial takes about 60 us of CPU time. This rate limits dials to an eighth of a core, however many endpoints are cold.
 	dialBurst    = 64
 	dialInterval = 500 * time.Microsecond
 
-	bodyMemoryDivisor    = 8       // bodies held may take one part in so many of the memory
-	transitMemoryDivisor = 24      // and those being read one in so many
-	memoryPerID          = 2 << 10 // one id that ended is remembered for each so many bytes of memory
+	bodyMemoryDivisor    = 8       // queued bodies may use this fraction (1/n) of the memory
+	transitMemoryDivisor = 24      // bodies being read may use this fraction (1/n) of the memory
+	memoryPerID          = 2 << 10 // bytes of memory per remembered id of a finished message
 )
 
-// shareDescriptors divides the descriptors: what the slots need, but no more than a third, goes to calls.
+// shareDescriptors divides the file descriptors. Calls get as many as there are slots, but no more than a third.
 func (c *Config) shareDescriptors() (s descriptorShares) {
-	rest := c.Sockets - min(maxOtherFiles, c.Sockets/2)
+	rest := c.Sockets - min(reservedFiles, c.Sockets/2)
 	if c.Mail != nil {
 		rest -= c.Mail.sockets()
 	}
@@ -158,18 +158,18 @@
 	return s
 }
 
-// engineSettings are the engine's settings.
+// engineSettings returns the settings of the engine.
 func (c *Config) engineSettings() engine.Settings {
-	set := engine.Settings{
+	settings := engine.Settings{
 		Control: c.Settings, Seed: c.Seed, HasStore: true, MaxBytes: int(c.Memory / bodyMemoryDivisor), MaxIDs: int(c.Memory / memoryPerID),
 	}
 	if c.Mail != nil {
-		set.KindBytes, set.ClassRemember = c.Mail.maxCallBytes, c.Mail.rememberTimes
+		settings.KindBytes, settings.ClassRemember = c.Mail.maxCallBytes, c.Mail.rememberTimes
 	}
-	return set
+	return settings
 }
 
-// plainNames give the numbers of zones and kinds.
+// nameIndex maps the names of zones and endpoint kinds to their numbers.
 func (c *Config) nameIndex() partnerlist.NameIndex {
 	return partnerlist.NameIndex{
 		Zone: func(name string) int { return slices.Index(c.Zones, name) },
@@ -179,6 +179,7 @@
 	}
 }
 
+// classes returns the message classes as the HTTP front needs them.
 func (c *Config) classes() (out []httpfront.Class) {
 	for _, k := range c.Settings.Classes {
 		out = append(out, httpfront.Class{Name: k.Name, NeedsKey: k.Effect == control.Guarded})
@@ -186,6 +187,7 @@
 	return out
 }
 
+// tenants returns the names of the tenants.
 func (c *Config) tenants() (out []string) {
 	for _, t := range c.Settings.Tenants {
 		out = append(out, t.Name)
@@ -193,7 +195,7 @@
 	return out
 }
 
-// ParseConfig reads a configuration; what env says of the EDGE variables takes precedence over it.
+// ParseConfig parses a configuration. The EDGE variables that env returns take precedence over it.
 func ParseConfig(text []byte, env func(string) string) (*Config, error) {
 	var file struct {
 		Name, Listen, Discovery, Seed string
@@ -202,7 +204,7 @@
 		Settings                      map[string]any
 	}
 	dec := json.NewDecoder(bytes.NewReader(text))
-	dec.UseNumber() // figures reach the parser as they are written
+	dec.UseNumber() // numbers reach the settings parser as they are written
 	if err := dec.Decode(&file); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
@@ -255,7 +257,7 @@
 	return c, nil
 }
 
-// plainNames are the strings of a JSON list as the flat form has them.
+// plainNames returns the strings of a JSON list, spelled as in the flat form of the settings.
 func plainNames(v any) (out []string) {
 	list, _ := v.([]any)
 	for _, s := range list {
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -30,7 +30,7 @@
 }
 
 // The operator's file, read anew, changes the number of dispatchers; without it the settings' stays until the next start.
-func TestTheNumberOfDispatchersFollowsTheOperatorsFile(t *testing.T) {
+func TestReloadChangesNumberOfDispatchers(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.endpoint("e", 3, "hooks", respond(200))
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestADispatcherIsOneOfThoseThatThereAre(t *testing.T) {
+func TestNumberOfDispatchersIncludesThisOne(t *testing.T) {
 	t.Parallel()
 	cfg := &Config{}
 	cfg.Settings.Me = 3
--- a/internal/node/ids_test.go
+++ b/internal/node/ids_test.go
@@ -18,7 +18,7 @@
 }
 
 // Of two messages with one id the second must not be told that it is taken on: held, ended, and after a restart.
-func TestAnIdOfAnotherMessageIsAConflict(t *testing.T) {
+func TestIDOfAnotherMessageIsAConflict(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	cmd := w.spawn()
@@ -46,7 +46,7 @@
 }
 
 // What comes again after its deadline is told what became of it: 202 never stands for a message that nobody delivers.
-func TestAnIdThatComesAgainIsToldHowItEnded(t *testing.T) {
+func TestResubmittedIDGetsItsDisposition(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.start()
@@ -88,7 +88,7 @@
 }
 
 // Ids of messages that must not be repeated outlive every restart.
-func TestAnUnsafeIdThatEndedIsKnownAfterRestarts(t *testing.T) {
+func TestFinishedUnsafeIDIsKnownAfterRestarts(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.endpoint("good", 3, "hooks", respond(200))
--- a/internal/node/known_test.go
+++ b/internal/node/known_test.go
@@ -7,7 +7,7 @@
 
 // An id whose notice the platform does not have yet is known after a restart, too: handed in again it is the same
 // message, which was given up and must not be called.
-func TestAnIdWhoseNoticeIsOwedIsKnownAfterARestart(t *testing.T) {
+func TestIDWithPendingNoticeIsKnownAfterRestart(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.update(func() { w.rejectNotices = true })
@@ -30,7 +30,7 @@
 
 // Discovery moves an endpoint to another destination and says that it has left: the module may go on sending to it,
 // and each such send must end, else it holds a slot and its message for ever.
-func TestASendToAnEndpointThatHasGoneEnds(t *testing.T) {
+func TestCallToRemovedEndpointEnds(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	m := w.endpoint("e", 1, "hooks", respond(200))
--- a/internal/node/ledger.go
+++ b/internal/node/ledger.go
@@ -13,38 +13,38 @@
 	"curlewmux/ledger"
 )
 
-// Ledger has a dispatcher keep figures that add up. ReadLedger makes it.
+// Ledger is the configuration of the ledger. ReadLedger creates it.
 type Ledger struct {
-	MaxAccounts   int           // accounts, 0 for as many as usual; the journal's disk bounds them, too
-	AuditPart     int           // messages that a part of a sweep counts, 0 for as many as usual
-	AuditInterval time.Duration // between two sweeps, 0 for the usual time
-	HTTP          bool          // shown at the front's port as well
-	BootID        string        // names the time that the machine runs, "" if that is not known
+	MaxAccounts   int           // 0 for the default; the journal's disk space limits them, too
+	AuditPart     int           // messages that one part of an audit counts, 0 for the default
+	AuditInterval time.Duration // time between two audits, 0 for the default
+	HTTP          bool          // also publish the figures at the front's port
+	BootID        string        // id of the machine's current boot, "" if it is not known
 
-	InterceptPost func(ledger.Posting) []ledger.Posting // for rigs: see ledger.Settings
-	OnBreach      func(ledger.Breach)                   // the same: see driver.Driver.OnBreach
+	InterceptPost func(ledger.Posting) []ledger.Posting // for simulations and tests, see ledger.Settings
+	OnBreach      func(ledger.Breach)                   // for simulations and tests, see driver.Driver.OnBreach
 }
 
 const (
 	bootIDFile         = "/proc/sys/kernel/random/boot_id"
-	accountDiskDivisor = 8   // of the journal's disk accounts may take one part in so many
-	bytesPerAccount    = 300 // bytes of an account there, about
+	accountDiskDivisor = 8   // accounts may use this fraction (1/n) of the journal's disk space
+	bytesPerAccount    = 300 // approximate size of an account in the journal
 )
 
-// ReadLedger reads what the operator's file says; nil where it says that there is none.
+// ReadLedger reads the section [ledger] of the operator's file. It returns nil if no ledger is to be kept.
 func ReadLedger(f *operator.Ledger) *Ledger {
 	if f == nil || !*f.Enabled {
 		return nil
 	}
 	l := &Ledger{MaxAccounts: f.MostAccounts, AuditPart: f.SweepPart, AuditInterval: time.Duration(f.SweepEveryMS) * time.Millisecond, HTTP: f.HTTP}
-	if text, err := os.ReadFile(bootIDFile); err == nil { // else no power failure is told from another restart
+	if text, err := os.ReadFile(bootIDFile); err == nil { // without it a power failure can't be distinguished from another restart
 		l.BootID = strings.TrimSpace(string(text))
 	}
 	return l
 }
 
-// assembleLedger has the engine keep books.
-func (n *Node) assembleLedger(set *engine.Settings) {
+// assembleLedger adds the settings of the ledger to the engine's.
+func (n *Node) assembleLedger(settings *engine.Settings) {
 	l := n.cfg.Ledger
 	if l == nil {
 		return
@@ -55,7 +55,7 @@
 	if most == 0 {
 		most = ledger.DefaultMaxAccounts
 	}
-	set.Ledger = &engine.LedgerSettings{
+	settings.Ledger = &engine.LedgerSettings{
 		Settings: ledger.Settings{
 			Instance: n.cfg.Name, MaxAccounts: max(1, min(most, int(n.cfg.Disk/accountDiskDivisor/bytesPerAccount))), BootID: l.BootID,
 			Durable: n.cfg.Sync == journal.SyncAlways, InterceptPost: l.InterceptPost,
@@ -66,7 +66,7 @@
 	}
 }
 
-// restoreLedger tells the engine what the journal had of the books.
+// restoreLedger passes the accounts that the journal held to the engine.
 func (n *Node) restoreLedger(s *journal.State) {
 	if n.cfg.Ledger == nil {
 		return
@@ -78,11 +78,11 @@
 	n.driver.Post(r)
 }
 
-// ErrNoLedger is what Ledger returns where there is no cut.
+// ErrNoLedger is returned by Node.Ledger if there is no snapshot.
 var ErrNoLedger = errors.New("no ledger is kept, or the store does not answer")
 
-// Ledger is a consistent cut through the books, which nobody may change. It waits for so long at most, for the store. It
-// may be called from any goroutine once the node is ready.
+// Ledger returns a snapshot of the ledger, which callers must not modify. It waits for the store, but no longer than
+// the given time. It may be called from any goroutine once the node is ready.
 func (n *Node) Ledger(wait time.Duration) (*ledger.Snapshot, error) {
 	if s := n.driver.Ledger(n.host.Now().Add(wait)); s != nil {
 		return s, nil
@@ -90,7 +90,7 @@
 	return nil, ErrNoLedger
 }
 
-// LedgerAsync is Ledger for those who can't wait: see driver.Driver.LedgerAsync.
+// LedgerAsync is like Ledger, for callers that can't wait. See driver.Driver.LedgerAsync.
 func (n *Node) LedgerAsync(deliver func(*ledger.Snapshot)) bool {
 	return n.driver != nil && n.driver.LedgerAsync(deliver)
 }
--- a/internal/node/ledger_test.go
+++ b/internal/node/ledger_test.go
@@ -59,20 +59,20 @@
 // checkLedger compares the books of a dispatcher that keeps what it can't deliver with what its clients counted, and adds up what
 // was sent again.
 func (s *undeliveredSim) checkLedger(again *int) {
-	asked := s.monitor.scrapes
-	s.runUntil(time.Hour, "a last look at the books", func() bool { return s.monitor.scrapes > asked+1 && s.monitor.latest.Total.Open == 0 })
+	before := s.monitor.scrapes
+	s.runUntil(time.Hour, "a last look at the books", func() bool { return s.monitor.scrapes > before+1 && s.monitor.latest.Total.Open == 0 })
 	f := s.monitor.latest.Total
-	taken, most := 0, 0
+	minAccepted, maxAccepted := 0, 0
 	for _, code := range s.codes {
 		if code == 202 {
-			taken++
+			minAccepted++
 		}
 		if code != 410 {
-			most++
+			maxAccepted++
 		}
 	}
-	if int(f.Accepted) < taken || int(f.Accepted) > most {
-		s.t.Errorf("%s: %d taken, its clients counted %d to %d", s.monitor.name, f.Accepted, taken, most)
+	if int(f.Accepted) < minAccepted || int(f.Accepted) > maxAccepted {
+		s.t.Errorf("%s: %d taken, its clients counted %d to %d", s.monitor.name, f.Accepted, minAccepted, maxAccepted)
 	}
 	if f.MovedIn != f.Reopened || f.Accepted != f.Delivered+f.Refused+f.Failed-f.Reopened+f.Open {
 		s.t.Errorf("%s: %+v", s.monitor.name, f)
@@ -81,7 +81,7 @@
 }
 
 // The real program, killed again and again: figures are as exact as before, and a folder that is lost begins anew.
-func TestFiguresOutlastTheProgramAndALostFolderIsSeen(t *testing.T) {
+func TestLedgerSurvivesKillsAndLostFolderStartsNewEpoch(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.operatorText = "[ledger]\n"
--- a/internal/node/lock_test.go
+++ b/internal/node/lock_test.go
@@ -42,7 +42,7 @@
 }
 
 // Two processes must not write one journal: the second ends, whatever its address, and the first goes on.
-func TestASecondProcessLeavesTheFolderAlone(t *testing.T) {
+func TestSecondProcessDoesNotTouchStateFolder(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	cmd := w.spawn()
@@ -75,7 +75,7 @@
 }
 
 // A process whose address is taken has not yet begun with its folder.
-func TestWithoutItsAddressTheJournalIsNotTouched(t *testing.T) {
+func TestAddressInUseLeavesJournalUntouched(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	l, err := net.Listen("tcp", w.addr)
@@ -96,7 +96,7 @@
 }
 
 // While the journal is read clients are answered, and nothing is taken on.
-func TestBeforeItIsReadyClientsAreTurnedAway(t *testing.T) {
+func TestClientsAreRejectedBeforeReady(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.writeRecords(&engine.RecAccepted{Message: testMessage("old"), Deadline: inAMinute()})
@@ -137,7 +137,7 @@
 }
 
 // A lock file is no trace of a process that runs, and the folder is free again when a dispatcher has stopped.
-func TestALockFileThatIsLeftBehindLocksNothing(t *testing.T) {
+func TestStaleLockFileDoesNotLock(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	must(t, os.WriteFile(filepath.Join(w.dir, "journal.lock"), nil, 0o600))
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -7,11 +7,11 @@
 	"curlewmux/internal/operator"
 )
 
-// NewLog makes the dispatcher's log as the operator's file has it; nil is text, from info on. What fields mean stands in
-// docs/operators/log.md.
-func NewLog(w io.Writer, set *operator.Log) *slog.Logger {
-	options := &slog.HandlerOptions{Level: set.Least()}
-	if set != nil && set.Format == "json" {
+// NewLog creates the dispatcher's log as the operator's file sets it. If set is nil, the log is text with level info.
+// docs/operators/log.md explains the fields.
+func NewLog(w io.Writer, settings *operator.Log) *slog.Logger {
+	options := &slog.HandlerOptions{Level: settings.Least()}
+	if settings != nil && settings.Format == "json" {
 		return slog.New(slog.NewJSONHandler(w, options))
 	}
 	return slog.New(slog.NewTextHandler(w, options))
--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -8,7 +8,7 @@
 	"curlewmux/internal/operator"
 )
 
-func TestTheLogIsWrittenAsTheFileHasIt(t *testing.T) {
+func TestLogFormatAndLevel(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		set  *operator.Log
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -45,7 +45,7 @@
 }
 
 // A client that lost the answer sends the same request again: it is the same message, held or over.
-func TestAnIdIsTakenOnce(t *testing.T) {
+func TestSameIDIsAcceptedOnce(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.start()
@@ -88,7 +88,7 @@
 }
 
 // Several messages of one Step to one endpoint of a kind that allows it are one call, up to its limit.
-func TestMessagesShareACall(t *testing.T) {
+func TestMessagesAreBatchedIntoOneCall(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.start()
@@ -124,7 +124,7 @@
 
 // Messages of a class that asks for order go one at a time for each key, in the order in which they were taken; other
 // keys don't wait.
-func TestOrderIsKeptWhereAClassAsks(t *testing.T) {
+func TestOrderedClassKeepsOrderPerKey(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	release := make(chan bool)
@@ -170,7 +170,7 @@
 	}
 }
 
-func TestUnsafeIsNotSentAgainAndPromisesNothing(t *testing.T) {
+func TestFailedUnsafeMessageIsNotRetried(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.endpoint("e", 1, "hooks", respond(500))
@@ -184,7 +184,7 @@
 }
 
 // No call comes within a told wait, whatever the message.
-func TestAToldWaitIsKept(t *testing.T) {
+func TestRetryAfterIsHonoured(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	const wait = 700 * time.Millisecond
@@ -215,7 +215,7 @@
 	}
 }
 
-func TestADrainIsKept(t *testing.T) {
+func TestDrainingEndpointGetsNoNewCalls(t *testing.T) {
 	t.Parallel()
 	for _, phase := range []string{"leaving", "left"} {
 		w := newTestEnv(t)
@@ -247,7 +247,7 @@
 }
 
 // A machine that vanished says nothing; what was meant for it goes to another.
-func TestAVanishedMachineDoesNotHoldMessagesUp(t *testing.T) {
+func TestUnreachableEndpointDoesNotDelayMessages(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.setEntry(partnerlist.Entry{ID: "v", HostPort: unreachableAddr(t), Locality: "west", Flavor: "hooks", Cell: 1, Phase: "active", Size: 1000})
@@ -264,7 +264,7 @@
 	}
 }
 
-func TestStartsWithTheCachedListWhileDiscoveryIsSilent(t *testing.T) {
+func TestStartsWithCachedListWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	m := w.endpoint("e", 1, "hooks", respond(200))
@@ -305,13 +305,13 @@
 }
 
 // Few descriptors are shared out, so that each part has some; the module plans with the calls that are left.
-func TestDescriptorsAreShared(t *testing.T) {
+func TestDescriptorsAreDivided(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ sockets, slots int }{{256, 30}, {256, 250}, {24, 8}, {16, 1000}} {
 		cfg := &Config{Sockets: c.sockets, Memory: 32 << 20}
 		cfg.Settings.Slots = c.slots
 		s := cfg.shareDescriptors()
-		if s.clients < 1 || s.calls < 1 || s.clients+s.calls+s.idle > c.sockets-min(maxOtherFiles, c.sockets/2) ||
+		if s.clients < 1 || s.calls < 1 || s.clients+s.calls+s.idle > c.sockets-min(reservedFiles, c.sockets/2) ||
 			c.sockets == 256 && (s.clients < 256/3 || s.calls < 30) {
 			t.Errorf("%d descriptors, %d slots: %+v", c.sockets, c.slots, s)
 		}
@@ -331,7 +331,7 @@
 }
 
 // A call that ends when the clients have been let go still leaves no doubt: it is waited for, but not for ever.
-func TestAStopWaitsForCallsOut(t *testing.T) {
+func TestStopWaitsForCallsInProgress(t *testing.T) {
 	t.Parallel()
 	for _, ends := range []bool{true, false} {
 		w := newTestEnv(t)
--- a/internal/node/mail.go
+++ b/internal/node/mail.go
@@ -24,24 +24,24 @@
 	"curlewmux/membership/partnerlist"
 )
 
-// Mail is what makes a dispatcher speak SMTP and LMTP. ReadMail makes it.
+// Mail is the configuration of SMTP and LMTP. ReadMail creates it.
 type Mail struct {
-	partners      map[int]mailtransport.Partner // by the number of the kind
-	maxCallBytes  []int                         // of a kind, 0: as usual
+	partners      map[int]mailtransport.Partner // by endpoint kind
+	maxCallBytes  []int                         // limit of a call's size by endpoint kind, 0 for the default
 	name          string
-	front         *mailfront.Settings // nil: no mails are taken
+	front         *mailfront.Settings // nil: no mail is accepted
 	smtp          string              // address to listen on, empty for none
 	lmtp          string              // address to listen on, empty for none
-	rememberTimes []engine.Time       // of a class, beyond a message's time
+	rememberTimes []engine.Time       // by class: how long an id is remembered beyond its message's time
 }
 
 const (
-	maxIdleMailConns   = 32  // idle connections to mail servers, at most
-	defaultMailClients = 100 // of clients, unless set otherwise; no more than a quarter of the sockets
+	maxIdleMailConns   = 32  // idle connections to mail servers
+	defaultMailClients = 100 // default limit of client connections; the front gets at most a quarter of the sockets
 )
 
-// ReadMail reads what the operator's file says of mail against the configuration: names must be known there, and files
-// be readable. Its errors name the setting.
+// ReadMail reads the section [mail] of the operator's file. Names in it must be known in the configuration, and files
+// must be readable. Its errors name the setting.
 func ReadMail(file *operator.Mail, config *Config) (*Mail, error) {
 	out := &Mail{partners: map[int]mailtransport.Partner{}, name: file.Name, maxCallBytes: make([]int, len(config.Settings.Kinds))}
 	for i := range file.Partners {
@@ -90,7 +90,7 @@
 		if len(config.Settings.Tenants) > 0 && !slices.ContainsFunc(config.Settings.Tenants, func(t control.Tenant) bool { return t.Name == tenant }) {
 			return nil, fmt.Errorf("%s.tenant: %q is unknown", path, r.Tenant)
 		}
-		for i := range config.Settings.Classes { // those that mails may come with
+		for i := range config.Settings.Classes { // classes that a mail on this route can have
 			if config.Settings.Classes[i].Name == class || r.ClassField != "" {
 				out.rememberTimes[i] = remember
 			}
@@ -103,7 +103,7 @@
 	return out, nil
 }
 
-// sockets is how many descriptors mail takes beside the calls.
+// sockets returns the number of file descriptors that mail needs in addition to those of calls.
 func (m *Mail) sockets() int {
 	if m.front == nil {
 		return maxIdleMailConns
@@ -111,7 +111,7 @@
 	return maxIdleMailConns + m.front.Conns + 2
 }
 
-// lockedRandom lets several sessions draw from one source.
+// lockedRandom makes a random source safe for concurrent sessions.
 func lockedRandom(r *rand.Rand) func() uint64 {
 	var mu sync.Mutex
 	return func() uint64 {
@@ -121,6 +121,7 @@
 	}
 }
 
+// readPartner reads a mail partner, its CA file and its password file.
 func readPartner(path string, partner *operator.MailPartner) (out mailtransport.Partner, err error) {
 	out = mailtransport.Partner{
 		Protocol: map[string]mail.Protocol{"smtp": mail.SMTP, "lmtp": mail.LMTP}[partner.Protocol],
@@ -153,22 +154,23 @@
 	return out, nil
 }
 
-// mailParts are what a node has beside the rest where mail is on.
+// mailParts are the components of a node that handles mail.
 type mailParts struct {
 	settings  *Mail
 	transport *mailtransport.Transport
-	front     *mailfront.Front // nil: no mails are taken
-	served    host.Inbox       // gets a value for each listener that is served no more
+	front     *mailfront.Front // nil: no mail is accepted
+	served    host.Inbox       // receives a value when serving a listener has ended
 	listeners []mailListener
-	stopped   host.Inbox // gets a value once the front let its clients go
+	stopped   host.Inbox // receives the result of the front's shutdown; nil before it begins
 }
 
+// mailListener is a listener and the protocol that is spoken there.
 type mailListener struct {
 	net.Listener
 	protocol mail.Protocol
 }
 
-// listenMail opens the mail front's listeners, ahead of the state folder.
+// listenMail opens the mail front's listeners, before the state folder is opened.
 func (n *Node) listenMail() error {
 	if n.cfg.Mail == nil {
 		return nil
@@ -191,6 +193,7 @@
 	return nil
 }
 
+// closeListeners closes the listeners of a front that is not served yet.
 func (p *mailParts) closeListeners() {
 	if p != nil {
 		for _, l := range p.listeners {
@@ -199,7 +202,7 @@
 	}
 }
 
-// assembleMail makes the parts, once the driver is there.
+// assembleMail creates the transport and the front. It needs the driver.
 func (n *Node) assembleMail() {
 	if n.mail == nil {
 		return
@@ -209,14 +212,14 @@
 		ConnectTimeout: engine.Duration(n.cfg.Settings.ConnectTimeout), ConnIdle: engine.Duration(n.cfg.Settings.ConnIdle),
 	})
 	if n.mail.settings.front != nil {
-		set := *n.mail.settings.front
-		set.Random = lockedRandom(rand.New(rand.NewPCG(n.cfg.Seed, uint64(n.host.Wall().UnixMicro()))))
-		set.Admit = n.driver.Admit
-		n.mail.front = mailfront.New(set, n.host, n.driver, n.log)
+		settings := *n.mail.settings.front
+		settings.Random = lockedRandom(rand.New(rand.NewPCG(n.cfg.Seed, uint64(n.host.Wall().UnixMicro()))))
+		settings.Admit = n.driver.Admit
+		n.mail.front = mailfront.New(settings, n.host, n.driver, n.log)
 	}
 }
 
-// serveMail begins to answer clients; until the node is ready they are turned away.
+// serveMail begins to serve clients. They are rejected until the node is ready.
 func (n *Node) serveMail() {
 	if n.mail == nil || n.mail.front == nil {
 		return
@@ -231,20 +234,22 @@
 	}
 }
 
-// startMail begins to tell senders of ends.
+// startMail begins to notify senders of results.
 func (n *Node) startMail() {
 	if n.mail != nil && n.mail.front != nil {
 		n.mail.front.Start(n.driver.Notified)
 	}
 }
 
+// setMailReady has the mail front accept mails.
 func (n *Node) setMailReady() {
 	if n.mail != nil && n.mail.front != nil {
 		n.mail.front.Ready.Store(true)
 	}
 }
 
-// shutdownMail takes no new mails from now on and lets those finish that are under way; awaitMailShutdown waits for them.
+// shutdownMail has the mail front accept no new mail and finish those in progress, until the limit.
+// awaitMailShutdown waits for that.
 func (n *Node) shutdownMail(limit time.Time) {
 	if n.mail == nil || n.mail.front == nil {
 		return
@@ -253,6 +258,7 @@
 	n.host.Go(func() { n.mail.stopped.Put(n.mail.front.Shutdown(limit)) })
 }
 
+// awaitMailShutdown waits for the shutdown that shutdownMail began.
 func (n *Node) awaitMailShutdown() {
 	if n.mail == nil || n.mail.stopped == nil {
 		return
@@ -264,7 +270,7 @@
 	}
 }
 
-// closeMail closes what is still open.
+// closeMail closes the mail front and transport.
 func (n *Node) closeMail() {
 	if n.mail == nil {
 		return
@@ -280,7 +286,7 @@
 	}
 }
 
-// mailTransportMux makes calls over HTTP, but for the kinds of endpoints that speak mail.
+// mailTransportMux makes calls by mail to endpoints of the kinds that speak it, and over HTTP to all others.
 type mailTransportMux struct {
 	engine.Transport // HTTP
 	mail             *mailtransport.Transport
@@ -309,7 +315,7 @@
 	t.Transport.RemoveEndpoint(removal)
 }
 
-// mailSinkMux tell ends to the platform, but for those of messages that came by mail.
+// mailSinkMux passes results of messages that came by mail to the mail front, and all others to the platform.
 type mailSinkMux struct {
 	notices *partnerlist.Notices
 	front   *mailfront.Front
@@ -323,7 +329,7 @@
 	}
 }
 
-// newTransport and sink are the driver's seams.
+// newTransport returns the driver's transport.
 func (n *Node) newTransport() engine.Transport {
 	if n.mail == nil {
 		return n.transport
@@ -331,6 +337,7 @@
 	return &mailTransportMux{n.transport, n.mail.transport}
 }
 
+// newSink returns the driver's sink.
 func (n *Node) newSink() engine.Sink {
 	if n.mail == nil || n.mail.front == nil {
 		return n.notices
--- a/internal/node/mail_test.go
+++ b/internal/node/mail_test.go
@@ -183,7 +183,7 @@
 	return effects, notified
 }
 
-func TestMailsGoFromSMTPToAnLMTPArchiveAndSendersHearOfFailures(t *testing.T) {
+func TestMailFromSMTPToLMTPWithFailureNotices(t *testing.T) {
 	t.Parallel()
 	w := newMailEnv(t)
 	archive := w.startMailServer("archive", 1, func(s standin.Step) (a standin.Act) {
@@ -277,7 +277,7 @@
 }
 
 // The process is killed, or told to stop, while a client is at each stage; the client then sends the same mail again.
-func TestEveryMailIsTakenOnceWhereverTheDispatcherEndsUnderTheClient(t *testing.T) {
+func TestMailIsAcceptedOnceWhenStoppedAtAnyClientStage(t *testing.T) {
 	t.Parallel()
 	head := "EHLO c.example.org\r\nMAIL FROM:<log@build.example.org>\r\nRCPT TO:<a@archive.example.org>\r\nRCPT TO:<b@archive.example.org>\r\nDATA\r\n"
 	body := "Message-ID: <m1@build.example.org>\r\nSubject: a release\r\n\r\nbody of m1\r\n"
@@ -323,7 +323,7 @@
 }
 
 // A message that came over HTTP goes to a mail server where its body is a mail, and fails where it is none.
-func TestAMailThatCameOverHTTPIsDelivered(t *testing.T) {
+func TestMailSubmittedOverHTTPIsDelivered(t *testing.T) {
 	t.Parallel()
 	w := newMailEnv(t)
 	archive := w.startMailServer("archive", 1, nil)
@@ -381,7 +381,7 @@
 	t.Logf("%d mails, %d in doubt", len(effects), doubts)
 }
 
-func TestMailSettingsThatDoNotFitNameTheSetting(t *testing.T) {
+func TestInvalidMailSettingsAreNamed(t *testing.T) {
 	t.Parallel()
 	w := newMailEnv(t)
 	cfg, err := ParseConfig(w.config(), w.env)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node is the daemon: it puts one engine, the journal, the HTTP front, the HTTP transport, discovery's list and
-// discovery's notices together and runs them. What is decided is decided in packages control and engine.
+// Package node implements the dispatcher daemon. It assembles the engine, the journal, the fronts, the transports and
+// the clients of the discovery agent, and runs them. Packages control and engine make the decisions.
 package node
 
 import (
@@ -21,33 +21,34 @@
 	"curlewmux/membership/partnerlist"
 )
 
-// stopSchedule are how long after SIGTERM each part of a planned stop begins. The platform kills after 3.7 s at the
-// soonest.
+// stopSchedule holds the times after SIGTERM at which the steps of a planned stop begin. The platform sends SIGKILL
+// 3.7 s after SIGTERM at the earliest.
 type stopSchedule struct {
-	stopNewCalls       time.Duration // calls go on that are out, and none starts
-	closeAfterResponse time.Duration // each answer ends its connection, so that few are cut off idle
-	shutdownFront      time.Duration // the rest of the clients are let go
-	giveUp             time.Duration // nobody is waited for any more: clients still sending, calls still out
+	stopNewCalls       time.Duration // no new call starts; calls in progress go on
+	closeAfterResponse time.Duration // each response closes its connection, so that few idle connections are cut off
+	shutdownFront      time.Duration // the remaining client connections are shut down
+	giveUp             time.Duration // the dispatcher no longer waits for clients that are sending or for calls
 }
 
+// defaultStopSchedule is the schedule that ParseConfig sets.
 func defaultStopSchedule() stopSchedule {
 	const ms = time.Millisecond
 	return stopSchedule{stopNewCalls: 1700 * ms, closeAfterResponse: 2500 * ms, shutdownFront: 2900 * ms, giveUp: 3400 * ms}
 }
 
 const (
-	firstListTimeout    = time.Second            // how long the first list from discovery is waited for before the cached one must do
-	typicalMessageBytes = 256                    // bytes of a message in the journal, for a first look at the room there
-	abortTimeout        = 200 * time.Millisecond // how long calls that are cut off at the very end may take to say so
+	firstListTimeout    = time.Second            // wait for discovery's first list before the cached one is used
+	typicalMessageBytes = 256                    // size in the journal that the warning about limits.disk_mb assumes
+	abortTimeout        = 200 * time.Millisecond // wait for aborted calls to end
 )
 
-// Node is one dispatcher. New makes it; Run runs it, once.
+// Node is one dispatcher. New creates it, and Run runs it once.
 type Node struct {
 	host host.Host
 	cfg  *Config
 	log  *slog.Logger
 
-	requests host.Inbox // *Config: read anew; stop{}; failed{}; listed{}
+	requests host.Inbox // *Config (reload), stopRequest, serveEnded, listReceived
 
 	clock       engine.Clock
 	driver      *driver.Driver
@@ -56,17 +57,17 @@
 	watch       *partnerlist.Watch
 	notices     *partnerlist.Notices
 	front       *httpfront.Front
-	mail        *mailParts        // nil: off
-	undelivered *undeliveredParts // nil: off
-	figures     *figuresParts     // nil: no books are kept
-	admin       *admin.Server     // nil: operators have nothing to ask
+	mail        *mailParts        // nil: mail is off
+	undelivered *undeliveredParts // nil: undelivered messages are not kept
+	figures     *figuresParts     // nil: no ledger is kept
+	admin       *admin.Server     // nil: there is no operators' socket
 }
 
-// Interceptors lets a rig, such as a simulation, stand between the parts of a node. What is nil stays as it is.
+// Interceptors wrap connections between the components of a node, for simulations and tests. A nil function wraps nothing.
 type Interceptors struct {
-	Intake     func(engine.Intake) engine.Intake                         // what the front hands messages to
-	Membership func(engine.MembershipReceiver) engine.MembershipReceiver // what the watch tells
-	Components func(driver.Components) driver.Components                 // what the driver goes by
+	Intake     func(engine.Intake) engine.Intake                         // receives the messages of the HTTP front
+	Membership func(engine.MembershipReceiver) engine.MembershipReceiver // receives the lists of discovery
+	Components func(driver.Components) driver.Components                 // store, transport and sink of the driver
 }
 
 type (
@@ -75,7 +76,7 @@
 	serveEnded   struct{ err error }
 )
 
-// New makes a dispatcher that runs on h. Stop and Reload may be called from then on, from any goroutine.
+// New creates a dispatcher that runs on h. From then on Stop and Reload may be called from any goroutine.
 func New(h host.Host, cfg *Config, log *slog.Logger) *Node {
 	return &Node{host: h, cfg: cfg, log: log, requests: h.NewInbox()}
 }
@@ -83,14 +84,15 @@
 // Stop begins a planned stop.
 func (n *Node) Stop() { n.requests.Put(stopRequest{}) }
 
-// Reload puts a configuration that was read anew into force, as far as that can be done while running: discovery, and how
-// many dispatchers there are where the operator's file says that.
+// Reload applies the settings of a configuration that can change while the dispatcher runs: the address of discovery
+// and, if the operator's file sets it, the number of dispatchers.
 func (n *Node) Reload(next *Config) { n.requests.Put(next) }
 
-// Run is a dispatcher from its start until it has stopped in good order, or failed: then the error says why.
+// Run runs the dispatcher until a planned stop has finished or a component has failed. It returns the error of the
+// failed component.
 func (n *Node) Run() error {
 	defer n.requests.Close()
-	// The address comes first: a process that can't have it must leave the folder alone.
+	// The address comes first: a process that can't bind it must not touch the state folder.
 	listener, err := n.host.Listen(n.cfg.Listen)
 	if err != nil {
 		return fmt.Errorf("EDGE_LISTEN: %w", err)
@@ -105,7 +107,7 @@
 		return err
 	}
 	served, done := n.host.NewInbox(), n.host.NewInbox()
-	n.host.Go(func() { // until it is ready it turns clients away
+	n.host.Go(func() { // rejects clients until the node is ready
 		n.requests.Put(serveEnded{n.front.Serve(listener)})
 		served.Put(nil)
 	})
@@ -150,22 +152,22 @@
 	return err
 }
 
-// assemble makes all parts but the journal.
+// assemble creates all components except the journal.
 func (n *Node) assemble() error {
 	cfg, share := n.cfg, n.cfg.shareDescriptors()
 	if share.calls < cfg.Settings.Slots {
 		n.log.Warn("limits.sockets leaves room for fewer calls than there are slots", "calls", share.calls, "slots", cfg.Settings.Slots)
 		cfg.Settings.Slots = share.calls
 	}
-	// Bodies may be larger: then fewer fit, and clients are turned away as the disk has it.
+	// Larger bodies leave room for fewer messages; the front rejects clients when the disk is full.
 	if room := journal.Capacity(cfg.Disk, typicalMessageBytes); room < cfg.Settings.MaxOpen {
 		n.log.Warn("limits.disk_mb leaves room for fewer messages than limits.max-open", "messages", room, "of", cfg.Settings.MaxOpen)
 	}
 	n.clock = engine.Clock{Start: n.host.Now()}
-	set := cfg.engineSettings()
-	n.assembleUndelivered(&set)
-	n.assembleLedger(&set)
-	e, err := engine.New(set)
+	settings := cfg.engineSettings()
+	n.assembleUndelivered(&settings)
+	n.assembleLedger(&settings)
+	e, err := engine.New(settings)
 	if err != nil {
 		return err
 	}
@@ -194,7 +196,7 @@
 	return nil
 }
 
-// open takes the state folder over.
+// open opens the state folder and reads the journal.
 func (n *Node) open() (state *journal.State, err error) {
 	random := rand.New(rand.NewPCG(n.cfg.Seed, uint64(n.host.Wall().UnixMicro())))
 	n.journal, state, err = journal.Open(n.stateDir(), journal.Settings{
@@ -228,6 +230,7 @@
 	return state, nil
 }
 
+// stateDir returns the state folder.
 func (n *Node) stateDir() journal.Dir {
 	if n.cfg.Dir != nil {
 		return n.cfg.Dir
@@ -235,7 +238,8 @@
 	return journal.OSDir(n.cfg.State)
 }
 
-// Members passes on what discovery tells (engine.Listing), and that a list has come.
+// Members implements engine.MembershipReceiver. It passes a list on to the driver and reports to awaitFirstList that a
+// list has arrived.
 func (n *Node) Members(m *engine.Members) bool {
 	ok := n.driver.Members(m)
 	if !m.Failed {
@@ -244,8 +248,8 @@
 	return ok
 }
 
-// awaitFirstList waits for the first list, or for a moment. The cached list may be old: what was told to drain since must get
-// nothing new.
+// awaitFirstList waits for the first list from discovery, for firstListTimeout at most. Without that list the dispatcher
+// starts from the cached one, which may be old: endpoints that have begun to drain since would get new calls.
 func (n *Node) awaitFirstList() error {
 	until := n.host.Now().Add(firstListTimeout)
 	for {
@@ -270,17 +274,18 @@
 	}
 }
 
+// requeue puts back requests that were taken from the inbox but not handled.
 func (n *Node) requeue(list []any) {
 	for _, v := range list {
 		n.requests.Put(v)
 	}
 }
 
-// restore takes up what the journal holds from an earlier process.
+// restore passes the journaled messages and pending results of earlier processes to the driver.
 func (n *Node) restore(s *journal.State) {
 	n.restoreLedger(s)
 	for _, m := range s.Live {
-		m.Message.Class, m.Message.Tenant = wire.Plain(m.Message.Class), wire.Plain(m.Message.Tenant) // as the settings have them
+		m.Message.Class, m.Message.Tenant = wire.Plain(m.Message.Class), wire.Plain(m.Message.Tenant) // names as the settings spell them
 		n.driver.Post(m)
 	}
 	for _, p := range s.Ended {
@@ -290,7 +295,7 @@
 	n.log.Info("ready", "name", n.cfg.Name, "held", len(s.Live))
 }
 
-// startServers goes on until the program is to stop, and then goes through the parts of a planned stop.
+// serve runs until a stop is requested, and then carries out the planned stop.
 func (n *Node) serve() error {
 	if err, stopping := n.handleRequests(time.Time{}); !stopping {
 		return err
@@ -314,11 +319,12 @@
 		n.log.Warn("the front did not close in time", "error", err)
 	}
 	n.awaitMailShutdown()
-	n.driver.WaitIdle(limit) // a call that ends now leaves no doubt behind
+	n.driver.WaitIdle(limit) // a call that still ends leaves no message in doubt
 	return nil
 }
 
-// handleRequests takes orders until the moment given or, where that is zero, until the order to stop.
+// handleRequests handles requests until the given time. If that is zero, it returns when a stop is requested and
+// reports stopping as true.
 func (n *Node) handleRequests(until time.Time) (err error, stopping bool) {
 	for {
 		list := n.requests.Take(nil, until)
@@ -343,7 +349,7 @@
 	}
 }
 
-// interrupt closes what is still open, so that nothing outlives Run.
+// closeRemaining closes the fronts and transports, so that nothing outlives Run.
 func (n *Node) closeRemaining() {
 	n.front.Close()
 	n.closeMail()
@@ -352,7 +358,7 @@
 	}
 }
 
-// reload takes what can be changed while running, and says what can't.
+// reload applies the settings that can change while the dispatcher runs, and logs those that need a restart.
 func (n *Node) reload(next *Config) {
 	for _, s := range []struct {
 		name    string
@@ -375,8 +381,8 @@
 	n.log.Info("configuration reloaded", "discovery", next.Discovery, "moved", moved)
 }
 
-// Run is a dispatcher on this machine from its start until ctx ends and it has stopped in good order. What comes on
-// reloads while it runs, or stops, is a configuration read anew.
+// Run runs a dispatcher on this machine until ctx is done and the planned stop has finished. It applies each
+// configuration that it receives from reloads.
 func Run(ctx context.Context, cfg *Config, reloads <-chan *Config, log *slog.Logger) error {
 	n := New(host.System{}, cfg, log)
 	ended := make(chan struct{})
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -62,7 +62,7 @@
 }
 
 // A faulty file keeps what is in force and says which setting is at fault.
-func TestReloadOfAFaultyFile(t *testing.T) {
+func TestReloadOfFaultyFile(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.endpoint("e", 3, "hooks", respond(200))
@@ -94,7 +94,7 @@
 }
 
 // Signals in a row, and during a stop, end nothing early and lose nothing.
-func TestReloadsInARowAndDuringAStop(t *testing.T) {
+func TestRepeatedReloadsAndReloadsDuringStop(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	var calls atomic.Int32
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -17,7 +17,7 @@
 
 // Each test kills the real program at one step of the journal and starts it again with nothing but its folder.
 
-func TestKilledAfterTakingOn(t *testing.T) {
+func TestKilledAfterAccept(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	cmd := w.spawn()
@@ -39,7 +39,7 @@
 }
 
 // A call that was out may have run: an unsafe message must not be sent again and promises nothing, the others go on.
-func TestKilledWithACallOut(t *testing.T) {
+func TestKilledDuringCall(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	old := w.endpoint("e", 3, "hooks", hang)
@@ -63,7 +63,7 @@
 }
 
 // A keyed message is sent again only while its destination remembers the key.
-func TestKilledWithAKeyedCallOutForLongerThanItsWindow(t *testing.T) {
+func TestKilledDuringKeyedCallPastItsWindow(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.window = 300_000
@@ -82,7 +82,7 @@
 }
 
 // An attempt that provably never ran leaves no doubt, also over a restart.
-func TestKilledAfterARefusal(t *testing.T) {
+func TestKilledAfterRefusal(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	old := w.endpoint("e", 3, "hooks", func(rw http.ResponseWriter, _ *http.Request) {
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestKilledWithANoticeOwed(t *testing.T) {
+func TestKilledWithPendingNotice(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.update(func() { w.rejectNotices = true })
@@ -142,7 +142,7 @@
 }
 
 // What was given up stays given up: its client may hand it in again once it hears.
-func TestWhatWasGivenUpIsNotSentAfterARestart(t *testing.T) {
+func TestFailedMessageIsNotSentAfterRestart(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.writeRecords(&engine.RecAccepted{Message: testMessage("g"), Deadline: inAMinute()}, &engine.RecPendingResult{ID: "g", PendingResult: pendingRefusal("g")})
@@ -156,7 +156,7 @@
 }
 
 // Attempts count on over restarts, and the last one allowed is the last.
-func TestKilledAgainAndAgain(t *testing.T) {
+func TestAttemptsAreCountedAcrossKills(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.endpoint("e", 3, "hooks", hang)
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestOutOfTimeWhileDownIsReportedPromptly(t *testing.T) {
+func TestMessageExpiredWhileDownIsReported(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	cmd := w.spawn()
@@ -191,7 +191,7 @@
 }
 
 // A planned stop goes on answering, lets calls finish so that no doubt is left, starts none late, and loses nothing.
-func TestTerminated(t *testing.T) {
+func TestPlannedStop(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	release := make(chan bool)
@@ -272,7 +272,7 @@
 
 // The real program is killed at dozens of moments while clients hand in and partners answer, refuse and fail: none that
 // was answered 202 is lost, no unsafe one runs twice, and each that is not delivered ends by a notice.
-func TestKilledAtDozensOfMomentsUnderLoad(t *testing.T) {
+func TestKilledAtRandomMomentsUnderLoad(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.maxOpen, w.diskMB = 2000, 3
@@ -291,7 +291,7 @@
 		}
 	})
 	rnd := rand.New(rand.NewPCG(1, 2))
-	var taken []string
+	var accepted []string
 	cmd := w.spawn()
 	for kill := range 24 {
 		stop := time.After(time.Duration(5+rnd.IntN(30)) * time.Millisecond)
@@ -304,7 +304,7 @@
 				if res, err := http.DefaultClient.Do(w.request([]string{"unsafe", "keyed", "free"}[i%3], id, 3)); err == nil {
 					res.Body.Close()
 					if res.StatusCode == 202 {
-						taken = append(taken, id)
+						accepted = append(accepted, id)
 					}
 				}
 			}
@@ -319,7 +319,7 @@
 		defer w.mu.Unlock()
 		return ran[id] > 0 || len(w.notices[id]) > 0
 	}
-	for _, id := range taken {
+	for _, id := range accepted {
 		waitFor(t, func() bool { return ended(id) })
 	}
 	w.mu.Lock()
@@ -331,8 +331,8 @@
 			t.Errorf("%s, unsafe, ran %d times", id, times)
 		}
 	}
-	t.Logf("%d messages were taken in 25 lives", len(taken))
-	if len(taken) < 24 {
-		t.Errorf("%d messages in 25 lives prove nothing", len(taken))
+	t.Logf("%d messages were taken in 25 lives", len(accepted))
+	if len(accepted) < 24 {
+		t.Errorf("%d messages in 25 lives prove nothing", len(accepted))
 	}
 }
--- a/internal/node/store_test.go
+++ b/internal/node/store_test.go
@@ -53,7 +53,7 @@
 
 // While the journal can't be written nothing is sent and no try is used up; expiry goes on. Then sending goes on by
 // itself, with every try still to be had.
-func TestWithoutAStoreNothingIsSentAndNothingIsUsedUp(t *testing.T) {
+func TestStoreFailureSendsNothingAndUsesNoAttempt(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.runWithFaultyDir()
@@ -89,7 +89,7 @@
 
 // A notice waits for its record: sent without one its message would live again after a restart, beside the one that
 // its client handed in anew. Past its time there is nothing left to send, and the notice goes out.
-func TestANoticeWaitsForItsRecordUntilItsTimeIsUp(t *testing.T) {
+func TestNoticeWaitsForItsRecordUntilDeadline(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	release := make(chan bool)
@@ -124,7 +124,7 @@
 
 // An attempt that could not be journalled proves nothing of the one before it, which may have run: after a restart past
 // the window of the key the message must not be sent.
-func TestAnAttemptWithoutARecordLeavesTheDoubtOfTheOneBefore(t *testing.T) {
+func TestUnrecordedAttemptKeepsEarlierDoubt(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	release := make(chan bool)
@@ -153,7 +153,7 @@
 
 // With sync always a message is answered only once it would outlast a power failure, and each attempt is made only then:
 // what a power failure leaves of the folder at any moment holds it.
-func TestWithSyncAlwaysWhatIsAnsweredOutlastsAPowerFailure(t *testing.T) {
+func TestSyncAlwaysSurvivesPowerFailure(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	disk := memdir.New()
--- a/internal/node/undelivered.go
+++ b/internal/node/undelivered.go
@@ -19,7 +19,7 @@
 	"curlewmux/undelivered"
 )
 
-// Undelivered is what has a dispatcher keep what it could not deliver, and send it again. ReadUndelivered makes it.
+// Undelivered is the configuration for keeping and resending undelivered messages. ReadUndelivered creates it.
 type Undelivered struct {
 	store      undelivered.Settings
 	redelivery redeliver.Settings
@@ -27,14 +27,14 @@
 	socket     string // name of the socket in the state folder, "" for none
 }
 
-const maxHTTPBodyBytes = 64 << 10 // of a message over HTTP
+const maxHTTPBodyBytes = 64 << 10 // largest body that the HTTP front accepts
 
-// ReadUndelivered reads what the operator's file says against the configuration: names must be known there. It takes its
-// share off the configuration's disk. Its errors name the setting.
+// ReadUndelivered reads the section [undelivered] of the operator's file. Names in it must be known in the
+// configuration. It subtracts the store's share from the configuration's disk space. Its errors name the setting.
 func ReadUndelivered(file *operator.Undelivered, config *Config) (*Undelivered, error) {
 	share := int64(file.Share * float64(config.Disk))
 	if share < undelivered.LeastDisk || config.Disk-share < journal.LeastDisk {
-		return nil, fmt.Errorf("undelivered.disk_share: %g of %d bytes leave too little: %d for the store and %d for the journal are the least",
+		return nil, fmt.Errorf("undelivered.disk_share: %g of %d bytes leaves too little: the store needs at least %d and the journal at least %d",
 			file.Share, config.Disk, int64(undelivered.LeastDisk), int64(journal.LeastDisk))
 	}
 	if refusedBytes := int64(*file.Refused) * 256; refusedBytes > share/4 {
@@ -65,7 +65,7 @@
 	class := func(name string) bool {
 		return slices.ContainsFunc(rules.Classes, func(k resend.Class) bool { return k.Name == wire.Plain(name) })
 	}
-	for name, v := range file.RetainClass { // of a class that is gone it goes on to hold
+	for name, v := range file.RetainClass { // kept also for classes that no longer exist
 		out.store.ClassKeep[wire.Plain(name)] = spanToTime(v)
 	}
 	for _, p := range file.Partners {
@@ -102,39 +102,41 @@
 	return out, nil
 }
 
+// spanToTime converts a span of the operator's file, in seconds.
 func spanToTime(s operator.Span) resend.Time {
 	return resend.Time(float64(s) * float64(control.Second))
 }
 
-// undeliveredParts are what a node has beside the rest where undelivered messages are kept.
+// undeliveredParts are the components of a node that keeps undelivered messages.
 type undeliveredParts struct {
 	settings   *Undelivered
 	store      *undelivered.Store
 	keeper     *undelivered.Keeper
 	redelivery *redeliver.Desk
 	inquirer   *redeliver.Inquirer
-	timer      host.Timer // of the driver's goroutine
+	timer      host.Timer // next step of the redelivery; used on the driver's goroutine only
 }
 
-// assembleUndelivered has the engine tell what is given up.
-func (n *Node) assembleUndelivered(set *engine.Settings) {
+// assembleUndelivered has the engine check submitted messages against the store of undelivered messages.
+func (n *Node) assembleUndelivered(settings *engine.Settings) {
 	if n.cfg.Undelivered == nil {
 		return
 	}
 	n.undelivered = &undeliveredParts{settings: n.cfg.Undelivered}
-	set.CheckUndelivered = func(m *engine.Message) (engine.VerdictKind, string) { return n.undelivered.store.Again(m) }
+	settings.CheckUndelivered = func(m *engine.Message) (engine.VerdictKind, string) { return n.undelivered.store.Again(m) }
 }
 
-// openUndelivered opens the store, once the journal has been read, and puts it in the journal's place.
+// openUndelivered opens the store of undelivered messages after the journal has been read. The keeper then replaces the
+// journal as the driver's store.
 func (n *Node) openUndelivered(state *journal.State, random func() uint64) error {
 	k := n.undelivered
 	if k == nil {
 		return nil
 	}
-	set := k.settings.store
-	set.Now, set.Wall, set.Random, set.Log, set.Sync = n.host.Now, n.host.Wall, random, n.log, n.cfg.Sync == journal.SyncAlways
+	settings := k.settings.store
+	settings.Now, settings.Wall, settings.Random, settings.Log, settings.Sync = n.host.Now, n.host.Wall, random, n.log, n.cfg.Sync == journal.SyncAlways
 	var err error
-	if k.store, err = undelivered.Open(n.stateDir(), set); err != nil {
+	if k.store, err = undelivered.Open(n.stateDir(), settings); err != nil {
 		return err
 	}
 	k.store.Reconcile(state.Live, state.Ended)
@@ -143,8 +145,8 @@
 		n.driver.Do(func() { k.redelivery.Answered(q, a, why) })
 	})
 	k.redelivery.Ports = redeliver.Ports{
-		Resend: func(in *engine.Submit, life redeliver.Time, told func(engine.Verdict)) {
-			n.driver.Resend(in, n.host.Now().Add(engine.Duration(life)), told)
+		Resend: func(in *engine.Submit, life redeliver.Time, reply func(engine.Verdict)) {
+			n.driver.Resend(in, n.host.Now().Add(engine.Duration(life)), reply)
 		},
 		Condition: n.driver.Engine().Condition,
 		Ask:       k.inquirer.Ask,
@@ -156,7 +158,7 @@
 	return nil
 }
 
-// scheduleRedelivery has the desk work at a time of the store's.
+// scheduleRedelivery schedules the next step of the redelivery at a time of the store's clock.
 func (n *Node) scheduleRedelivery(at redeliver.Time) {
 	k := n.undelivered
 	if k.timer != nil {
@@ -166,7 +168,7 @@
 	k.timer = n.host.AfterFunc(wait, func() { n.driver.Do(k.redelivery.Step) })
 }
 
-// startRedelivery begins to send again, once the engine knows what the journal held.
+// startRedelivery begins to resend, once the journaled messages have been posted to the engine.
 func (n *Node) startRedelivery() {
 	if n.undelivered == nil {
 		return
@@ -174,7 +176,7 @@
 	n.driver.Do(n.undelivered.redelivery.Start)
 }
 
-// handleUndeliveredCommand answers a command about undelivered messages.
+// handleUndeliveredCommand handles a command about undelivered messages.
 func (n *Node) handleUndeliveredCommand(ctx context.Context, by admin.Peer, text json.RawMessage, reply func(any) error) error {
 	var r redeliver.Request
 	if err := json.Unmarshal(text, &r); err != nil {
@@ -191,20 +193,21 @@
 	return n.service().Handle(ctx, &r, func(l *redeliver.Reply) error { return reply(l) })
 }
 
+// service returns the handler of commands about undelivered messages.
 func (n *Node) service() *redeliver.Service {
 	return &redeliver.Service{Desk: n.undelivered.redelivery, Dir: n.stateDir(), Do: n.driver.Do, Wait: func(d time.Duration) {
 		n.host.NewInbox().Take(nil, n.host.Now().Add(d))
 	}}
 }
 
-// batchStored passes on what the journal tells later.
+// batchStored passes a batch that the journal has stored on to the keeper.
 func (n *Node) batchStored(b engine.Batch) {
 	if n.undelivered != nil {
 		n.driver.Do(func() { n.undelivered.keeper.Stored(b) })
 	}
 }
 
-// closeUndelivered closes the store, once the driver has stopped.
+// closeUndelivered closes the store of undelivered messages after the driver has stopped.
 func (n *Node) closeUndelivered() {
 	if n.undelivered == nil {
 		return
@@ -214,11 +217,12 @@
 		n.undelivered.timer.Stop()
 	}
 	if err := n.undelivered.store.Close(); err != nil {
-		n.log.Warn("the store of undelivered messages did not close well", "error", err)
+		n.log.Warn("closing the store of undelivered messages failed", "error", err)
 	}
 }
 
-// redeliverySink tells nobody of the ends of what is sent again: its client had its answer.
+// redeliverySink acknowledges the results of resent messages itself: their clients were notified when the original
+// messages ended.
 type redeliverySink struct {
 	engine.Sink
 	node *Node
--- a/internal/node/undelivered_hard_test.go
+++ b/internal/node/undelivered_hard_test.go
@@ -66,9 +66,9 @@
 	t.Parallel()
 	s, u := newSingleUploadSim(t, 1, archive.Act{Hang: true, After: 4500 * time.Millisecond})
 	defer s.Close()
-	var asked []time.Duration
+	var inquiries []time.Duration
 	s.archive.Answers = func([]string, string) archive.Lie {
-		asked = append(asked, s.Now())
+		inquiries = append(inquiries, s.Now())
 		return archive.Lie{}
 	}
 	s.boot()
@@ -77,8 +77,8 @@
 	if n := s.archive.Effect(u.body); n != 1 || s.onlyEntry().End != undelivered.EndTook {
 		t.Errorf("%d effects, end %q", n, s.onlyEntry().End)
 	}
-	if len(asked) != 1 || asked[0] < 5500*time.Millisecond {
-		t.Errorf("asked at %v", asked)
+	if len(inquiries) != 1 || inquiries[0] < 5500*time.Millisecond {
+		t.Errorf("asked at %v", inquiries)
 	}
 }
 
@@ -109,8 +109,8 @@
 		"no words": {Raw: "{}"}, "too long": {Raw: strings.Repeat(" ", 1<<20)}, "told to wait": {Status: 503, Wait: 30 * time.Second},
 		"late": {Late: 3 * time.Second},
 	} {
-		for _, took := range []bool{false, true} {
-			s, u := newSingleUploadSim(t, 1, archive.Act{Hang: true, NoEffect: !took})
+		for _, ran := range []bool{false, true} {
+			s, u := newSingleUploadSim(t, 1, archive.Act{Hang: true, NoEffect: !ran})
 			n := 0
 			s.archive.Answers = func([]string, string) archive.Lie {
 				if n++; n <= 3 {
@@ -122,7 +122,7 @@
 			s.submitUntilDone(u, "u")
 			s.awaitEntry(undelivered.Ended)
 			calls, _ := s.archive.Counts()
-			if s.archive.Effect(u.body) != 1 || n != 4 || took && calls != 1 {
+			if s.archive.Effect(u.body) != 1 || n != 4 || ran && calls != 1 {
 				t.Errorf("%s: %d effects, %d inquiries, %d calls", name, s.archive.Effect(u.body), n, calls)
 			}
 			if e := s.onlyEntry(); name == "told to wait" && s.Now() < 30*time.Second {
@@ -134,7 +134,7 @@
 }
 
 // The key of a class in order is that of others, too: the partner is not asked about it.
-func TestTheKeyOfAnOrderIsNoProof(t *testing.T) {
+func TestOrderKeyIsNoProof(t *testing.T) {
 	t.Parallel()
 	s := newUndeliveredSim(t, 1)
 	defer s.Close()
@@ -335,8 +335,8 @@
 // SIGKILL in each operation of the disk, from the upload's failure to the end of its new life: it takes effect once.
 func TestKilledInEachOperationOfTheDisk(t *testing.T) {
 	t.Parallel()
-	play := func(took bool, crash int, land int) (ops int) {
-		s, u := newSingleUploadSim(t, 1, archive.Act{Hang: true, NoEffect: !took})
+	play := func(ran bool, crash int, written int) (ops int) {
+		s, u := newSingleUploadSim(t, 1, archive.Act{Hang: true, NoEffect: !ran})
 		defer s.Close()
 		s.boot()
 		s.submitUntilDone(u, "u")
@@ -345,7 +345,7 @@
 			ops = o.N + 1
 			if o.N == crash {
 				crashed = true
-				return memdir.Fault{Crash: true, Land: land}
+				return memdir.Fault{Crash: true, Land: written}
 			}
 			return memdir.Fault{}
 		}
@@ -373,13 +373,13 @@
 		}
 		return ops
 	}
-	for _, took := range []bool{false, true} {
-		ops := play(took, -1, 0)
+	for _, ran := range []bool{false, true} {
+		ops := play(ran, -1, 0)
 		if ops < 8 {
 			t.Fatalf("%d operations", ops)
 		}
 		for n := range ops {
-			play(took, n, []int{0, 30, 1 << 20}[n%3])
+			play(ran, n, []int{0, 30, 1 << 20}[n%3])
 		}
 		t.Logf("killed in each of %d operations", ops)
 	}
@@ -387,7 +387,7 @@
 
 // The disk fills up in the middle, for the store and the journal: what can't be kept is told, nothing takes effect twice,
 // and fresh work goes on when there is room again.
-func TestADiskThatFillsInTheMiddle(t *testing.T) {
+func TestDiskFullWhileRedelivering(t *testing.T) {
 	t.Parallel()
 	lost, evicted := 0, 0
 	for seed := range simulationCount(16) {
@@ -464,23 +464,23 @@
 	s.boot()
 	s.submitUntilDone(&upload{class: "unsafe", body: "poison", expires: time.Second}, "p")
 	s.runUntil(time.Hour, "it had its tries", func() bool { return s.onlyEntry().Tries == 3 && s.onlyEntry().State == undelivered.Waiting })
-	calls, asked := s.archive.Counts()
+	calls, inquiries := s.archive.Counts()
 	size := s.mux.Disk().Used()
 	s.advance(6 * time.Hour)
-	if c, a := s.archive.Counts(); c != calls || a != asked || s.mux.Disk().Used() != size {
-		t.Errorf("six hours later: %d calls and %d inquiries more, %d bytes more", c-calls, a-asked, s.mux.Disk().Used()-size)
+	if c, a := s.archive.Counts(); c != calls || a != inquiries || s.mux.Disk().Used() != size {
+		t.Errorf("six hours later: %d calls and %d inquiries more, %d bytes more", c-calls, a-inquiries, s.mux.Disk().Used()-size)
 	}
 	e := s.onlyEntry()
 	if len(e.Lives) != 4 || len(e.Lives[3].Attempts) == 0 || e.Lives[3].Attempts[0].How != "error" || e.State != undelivered.Waiting {
 		t.Errorf("%+v", e)
 	}
-	var look string
+	var outlook string
 	s.runOnDesk(func(d *redeliver.Desk) {
 		sum, _ := s.node.undelivered.store.Get(e.No)
-		look = d.Outlook(&sum)
+		outlook = d.Outlook(&sum)
 	})
-	if !strings.Contains(look, "all 3 tries") {
-		t.Errorf("outlook %q", look)
+	if !strings.Contains(outlook, "all 3 tries") {
+		t.Errorf("outlook %q", outlook)
 	}
 }
 
@@ -507,21 +507,21 @@
 	s.mux.StepWall(-time.Hour)
 	s.boot()
 	s.advance(time.Hour)
-	calls, asked := s.archive.Counts()
-	if calls+asked > 0 {
-		t.Errorf("%d calls, %d inquiries", calls, asked)
+	calls, inquiries := s.archive.Counts()
+	if calls+inquiries > 0 {
+		t.Errorf("%d calls, %d inquiries", calls, inquiries)
 	}
 	if list := s.entries(); len(list) != 5 {
 		t.Errorf("%d left", len(list))
 	}
 	for n, want := range []string{`class "gone"`, `tenant "nobody"`, "as soon as", "over today's limit", "forgotten"} {
-		var look string
+		var outlook string
 		s.runOnDesk(func(d *redeliver.Desk) {
 			sum, _ := s.node.undelivered.store.Get(uint64(n) + 1)
-			look = d.Outlook(&sum)
+			outlook = d.Outlook(&sum)
 		})
-		if !strings.Contains(look, want) {
-			t.Errorf("entry %d: %q, want %q", n+1, look, want)
+		if !strings.Contains(outlook, want) {
+			t.Errorf("entry %d: %q, want %q", n+1, outlook, want)
 		}
 	}
 }
@@ -663,7 +663,7 @@
 
 // Fresh messages at half load lose little of their p99 while others are sent again: exactly so on the virtual clock,
 // whatever the machine does meanwhile (curlewbench undelivered measures it on the real program).
-func TestFreshMessagesLoseLittleWhileOthersAreSentAgain(t *testing.T) {
+func TestFreshMessageLatencyWhileResending(t *testing.T) {
 	t.Parallel()
 	p99 := func(seed uint64, kept int) (ms float64, resent int) {
 		s := newUndeliveredSim(t, seed)
--- a/internal/node/undelivered_test.go
+++ b/internal/node/undelivered_test.go
@@ -247,12 +247,12 @@
 // runUntil runs the world until something is so.
 func (s *undeliveredSim) runUntil(limit time.Duration, what string, ok func() bool) {
 	s.t.Helper()
-	look := s.Now()
+	nextCheck := s.Now()
 	err := s.Run(s.Now()+limit, func() bool {
-		if s.Now() < look {
+		if s.Now() < nextCheck {
 			return false
 		}
-		look = s.Now() + s.checkInterval
+		nextCheck = s.Now() + s.checkInterval
 		return ok()
 	})
 	if err != nil {
@@ -276,14 +276,14 @@
 }
 
 // An upload whose only call hangs is kept in doubt; the archive says that it took no effect, and it is sent again.
-func TestAnUploadInDoubtIsAskedAboutAndSentAgain(t *testing.T) {
+func TestUploadInDoubtIsInquiredAndResent(t *testing.T) {
 	t.Parallel()
-	for _, took := range []bool{false, true} {
+	for _, ran := range []bool{false, true} {
 		s := newUndeliveredSim(t, 1)
 		n := 0
 		s.archive.Script = func([]archive.Item, bool) archive.Act {
 			n++
-			return archive.Act{Hang: n == 1, NoEffect: n == 1 && !took}
+			return archive.Act{Hang: n == 1, NoEffect: n == 1 && !ran}
 		}
 		s.boot()
 		s.submitUntilDone(&upload{class: "unsafe", body: "upload 1", expires: 3 * time.Second}, "u1")
@@ -291,14 +291,14 @@
 			list := s.entries()
 			return len(list) == 1 && list[0].State == undelivered.Ended
 		})
-		calls, asked := s.archive.Counts()
+		calls, inquiries := s.archive.Counts()
 		want := undelivered.EndDelivered
-		if took {
+		if ran {
 			want = undelivered.EndTook
 		}
 		e := s.entries()[0]
-		if s.archive.Effect("upload 1") != 1 || e.End != want || asked == 0 || took && calls != 1 {
-			t.Errorf("took %v: %d effects, end %q, %d calls, %d inquiries", took, s.archive.Effect("upload 1"), e.End, calls, asked)
+		if s.archive.Effect("upload 1") != 1 || e.End != want || inquiries == 0 || ran && calls != 1 {
+			t.Errorf("took %v: %d effects, end %q, %d calls, %d inquiries", ran, s.archive.Effect("upload 1"), e.End, calls, inquiries)
 		}
 		s.Close()
 	}
--- a/internal/node/unsafe_test.go
+++ b/internal/node/unsafe_test.go
@@ -9,7 +9,7 @@
 
 // A destination that gets unsafe messages alone hangs once: no unsafe message may be the trial of an endpoint that may run
 // it and say nothing, and others do not come. It is tried all the same once that is overdue, else nobody ever would.
-func TestADestinationWithUnsafeMessagesAloneIsTriedAgain(t *testing.T) {
+func TestDestinationWithOnlyUnsafeMessagesIsTriedAgain(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	var hangs atomic.Bool
