--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -26,7 +26,7 @@
 	"curlewmux/ledger"
 )
 
-// startWith is start with an operator's file.
+// startWith is like start, with an operator's file.
 func (w *testEnv) startWith(text string) (stop func() error) {
 	w.t.Helper()
 	w.listDestinations(1, 2, 3, 4)
@@ -56,7 +56,7 @@
 	return lines, err
 }
 
-// readSnapshot reads a snapshot that must add up.
+// readSnapshot parses a ledger snapshot and checks its equations.
 func readSnapshot(t *testing.T, text []byte) *ledger.Snapshot {
 	t.Helper()
 	s, err := ledger.ReadSnapshot(bytes.NewReader(text))
@@ -116,7 +116,7 @@
 				}
 			} else if c.socket {
 				if _, err := w.query(figures.CommandLedger); err == nil || !strings.Contains(err.Error(), "[ledger]") {
-					t.Errorf("%q: without books: %v", c.file, err)
+					t.Errorf("%q: without a ledger: %v", c.file, err)
 				}
 			}
 			if c.port {
@@ -137,7 +137,7 @@
 			if strings.HasPrefix(c.file, "[ledger]") && c.socket {
 				s, err := figures.ReadFolder(journal.OSDir(w.dir))
 				if must(t, err); s.Total.Accepted != 2 || s.Total.Open != 1 || len(s.Check()) > 0 {
-					t.Errorf("at rest: %+v", s)
+					t.Errorf("after the stop: %+v", s)
 				}
 			}
 		})
@@ -145,12 +145,12 @@
 }
 
 var (
-	scrapeRate      = flag.Int("scrapes", 1000, "scrapes a second beside messages, 0 for none")
-	separateProcess = flag.Bool("apart", false, "the dispatcher is a process of its own, with one core")
-	accounts        = flag.Int("accounts", 10, "accounts that there are beside the one of the messages")
+	scrapeRate      = flag.Int("scrapes", 1000, "scrapes per second while messages are processed, 0 for none")
+	separateProcess = flag.Bool("apart", false, "run the dispatcher as a separate process, with one core")
+	accounts        = flag.Int("accounts", 10, "number of ledger accounts in addition to the one of the messages")
 )
 
-// A folder whose name is too long for a socket does not keep a dispatcher from its work.
+// A path that is too long for a Unix socket must not keep the dispatcher from starting.
 func TestLedgerIsKeptWithoutSocket(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -165,8 +165,8 @@
 	}
 }
 
-// Scrapes in the middle of rounds show each message in one account, and messages are taken and served meanwhile as they
-// come: a thousand scrapes a second, and readers that stop reading.
+// A thousand scrapes per second, and clients that request pages without reading them, must not delay messages. Each
+// snapshot must add up, also when it is taken while messages are being processed.
 func TestMessagesUnderAThousandScrapesPerSecond(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -194,7 +194,7 @@
 		w.listDestinations(100 + i)
 		waitFor(t, func() bool { code, _, _ := w.do(w.request("free", fmt.Sprint("a", i), 100+i)); return code == 202 })
 	}
-	for range 3 { // they ask and read nothing
+	for range 3 { // clients that send requests and read no response
 		c, err := net.Dial("tcp", w.addr)
 		must(t, err)
 		defer c.Close()
@@ -216,7 +216,7 @@
 				if due.Sub(began) > span {
 					return
 				}
-				time.Sleep(time.Until(due)) // their pace, not what is waited for
+				time.Sleep(time.Until(due)) // paces the scrapes; waits for no condition
 				res, err := client.Get("http://" + w.addr + [...]string{"/-/ledger", "/-/metrics"}[reader%2])
 				if err != nil {
 					t.Error(err)
@@ -252,7 +252,7 @@
 	}
 	var latencies []time.Duration
 	for i := range messages {
-		time.Sleep(time.Until(began.Add(time.Duration(i) * span / messages))) // their pace
+		time.Sleep(time.Until(began.Add(time.Duration(i) * span / messages))) // paces the messages
 		at := time.Now()
 		if code, _, why := w.do(w.request("free", fmt.Sprint("m", i), 7)); code != 202 {
 			t.Fatalf("%d %s", code, why)
@@ -267,9 +267,9 @@
 	})
 	slices.Sort(latencies)
 	if late := latencies[len(latencies)*9/10]; late > 200*time.Millisecond {
-		t.Errorf("one in ten hand-ins took %v or more", late)
+		t.Errorf("one in ten submissions took %v or more", late)
 	}
-	t.Logf("%d scrapes, %d shown; hand-ins: half %v, one in a hundred %v", scrapes.Load(), shown.Load(), latencies[len(latencies)/2], latencies[len(latencies)*99/100])
+	t.Logf("%d scrapes, %d shown; submissions: median %v, p99 %v", scrapes.Load(), shown.Load(), latencies[len(latencies)/2], latencies[len(latencies)*99/100])
 	if shown.Load() < scrapes.Load()/4 {
 		t.Errorf("%d of %d scrapes were answered", shown.Load(), scrapes.Load())
 	}
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// What no list names yet is turned away for a while; what is empty for the moment waits.
+// A message for a destination that no list has named is rejected with Retry-After. One for a destination without
+// endpoints at the moment is accepted and waits.
 func TestOnlyDestinationsThatWereNamed(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -28,7 +29,7 @@
 	}
 }
 
-// Bodies have a common bound; what ends, or is refused, gives its part back.
+// The bodies of all open messages share one memory limit. Messages that end or are rejected release their part.
 func TestBodiesShareABudget(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -37,7 +38,7 @@
 	big := func(id string) int {
 		code, h, _ := w.do(mustRequest(t, w.request("free", id, 1), strings.Repeat("x", 60000)))
 		if code == 503 && h.Get("Retry-After") == "" {
-			t.Error("no time to come back is told")
+			t.Error("503 without Retry-After")
 		}
 		return code
 	}
@@ -46,11 +47,11 @@
 		accepted++
 	}
 	if most := (2 << 20) / bodyMemoryDivisor / 60000; accepted != most {
-		t.Errorf("%d large messages taken on, want %d", accepted, most)
+		t.Errorf("%d large messages accepted, want %d", accepted, most)
 	}
 	w.endpoint("e", 1, "hooks", respond(200))
 	w.awaitEmpty()
-	for i := range 20 { // refused by its destination: nothing stays charged
+	for i := range 20 { // rejected, since no list names the destination; releases its memory
 		w.do(mustRequest(t, w.request("free", fmt.Sprint("x", i), 9), strings.Repeat("x", 60000)))
 	}
 	if code := big("again"); code != 202 {
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -11,7 +11,7 @@
 	"curlewmux/internal/operator"
 )
 
-// logBuffer is a log that a test reads while it is written.
+// logBuffer is a log output that a test can read while it is written.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -29,7 +29,8 @@
 	return strings.Count(l.text.String(), part)
 }
 
-// The operator's file, read anew, changes the number of dispatchers; without it the settings' stays until the next start.
+// A reload of the operator's file changes the number of dispatchers. If the file does not set it, the number stays
+// until the next start.
 func TestReloadChangesNumberOfDispatchers(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -61,7 +62,7 @@
 	if log.count("was=7 is=2") != 1 {
 		t.Errorf("the log does not say what has changed: %s", log.text.String())
 	}
-	w.submit("unsafe", "u", 3) // it goes on
+	w.submit("unsafe", "u", 3) // the dispatcher still delivers
 	w.awaitCalls("u", 1)
 	cancel()
 	if err := <-done; err != nil {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -15,7 +15,7 @@
 	"curlewmux/internal/journal"
 )
 
-const testTimeout = 20 * time.Second // what a test waits for at most
+const testTimeout = 20 * time.Second // longest wait for any condition
 
 func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
@@ -30,19 +30,19 @@
 	t.Helper()
 	for limit := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatal("it never comes to that")
+			t.Fatal("the condition was not met in time")
 		}
 	}
 }
 
-// testMessage is one as world.request hands it in, unsafe and for destination 3.
+// testMessage returns the message that testEnv.request submits for class unsafe and destination 3.
 func testMessage(id string) engine.Message {
 	return engine.Message{ID: id, Class: "unsafe", Tenant: "core", Destination: 3, Key: "key-" + id, Body: []byte("body of " + id)}
 }
 
 func inAMinute() engine.Timestamp { return engine.TimestampOf(time.Now().Add(time.Minute)) }
 
-// writeRecords writes records as an earlier process would have.
+// writeRecords writes journal records, as an earlier process would have.
 func (w *testEnv) writeRecords(records ...engine.Record) {
 	w.t.Helper()
 	j, _, err := journal.Open(journal.OSDir(w.dir), journal.Settings{Disk: 1e6, Owner: "n0", Random: rand.Uint64, Log: discardLog()})
@@ -53,7 +53,7 @@
 	must(w.t, j.Close())
 }
 
-// diskUse counts what a folder holds as the platform does.
+// diskUse returns the disk space of a folder as the platform measures it, in blocks of 512 bytes.
 func diskUse(t *testing.T, dir string) (n int64) {
 	t.Helper()
 	files, err := os.ReadDir(dir)
@@ -66,7 +66,7 @@
 	return n
 }
 
-// unreachableAddr is an address where a connection never comes up, as at a machine that is cut off.
+// unreachableAddr returns an address where connections are never established, like that of a machine without network.
 func unreachableAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -77,22 +77,22 @@
 	sa, err := syscall.Getsockname(fd)
 	must(t, err)
 	addr := (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: sa.(*syscall.SockaddrInet4).Port}).String()
-	for range 8 { // fill its backlog
+	for range 8 { // fill the backlog of the socket
 		c, err := net.DialTimeout("tcp", addr, 300*time.Millisecond)
 		if err != nil {
 			return addr
 		}
 		t.Cleanup(func() { c.Close() })
 	}
-	t.Skip("the backlog of a socket can't be filled here")
+	t.Skip("the backlog of a socket can't be filled on this machine")
 	return ""
 }
 
-// faultyDir is the state folder of a dispatcher in this process, which can be made to fail or to wait.
+// faultyDir is the state folder of a dispatcher in this process. Tests can make it fail or block.
 type faultyDir struct {
 	journal.Dir
 	broken   atomic.Bool
-	listGate chan struct{} // where not nil: reading what is there waits until it is closed
+	listGate chan struct{} // if not nil, List blocks until it is closed
 }
 
 func (d *faultyDir) List() ([]string, error) {
@@ -122,7 +122,7 @@
 	return f.File.WriteAt(p, off)
 }
 
-// pendingRefusal is the end of a message that was refused and whose notice is still to go out.
+// pendingRefusal is the result of a refused message whose notice is pending.
 func pendingRefusal(id string) engine.PendingResult {
 	m := testMessage(id)
 	return engine.PendingResult{Disposition: engine.Refused, Fingerprint: m.Fingerprint()}
--- a/internal/node/ids_test.go
+++ b/internal/node/ids_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// conflictingRequests makes a request of the same id that is not the same message, by what differs.
+// conflictingRequests returns requests with the same id as an unsafe message that each differ from it in one respect,
+// by the name of that respect.
 func conflictingRequests(t *testing.T, w *testEnv, id string) map[string]*http.Request {
 	class, tenant, dest, key := w.request("keyed", id, 3), w.request("unsafe", id, 3), w.request("unsafe", id, 4), w.request("unsafe", id, 3)
 	tenant.Header.Set("X-Customer", "docs")
@@ -17,7 +18,8 @@
 	return map[string]*http.Request{"class": class, "tenant": tenant, "dest": dest, "key": key, "body": body}
 }
 
-// Of two messages with one id the second must not be told that it is taken on: held, ended, and after a restart.
+// A different message with a known id must be rejected with 409 while the first one is open, after it has ended, and
+// after a restart. A 202 would promise a delivery that never happens.
 func TestIDOfAnotherMessageIsAConflict(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -45,7 +47,8 @@
 	}
 }
 
-// What comes again after its deadline is told what became of it: 202 never stands for a message that nobody delivers.
+// An id that is submitted again after the deadline is answered by the disposition of its message. The answer 202 must
+// never stand for a message that nobody delivers.
 func TestResubmittedIDGetsItsDisposition(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -63,18 +66,18 @@
 	began := time.Now()
 	for dest, id := range []string{1: "delivered", 2: "failed", 3: "refused"} {
 		if id != "" && hand(id, dest, soon) != 202 {
-			t.Fatalf("%s is not taken on", id)
+			t.Fatalf("%s was not accepted", id)
 		}
 	}
 	w.awaitNotice("failed", "undeliverable")
-	w.awaitNotice("refused", "deferred") // nobody serves it
+	w.awaitNotice("refused", "deferred") // no endpoint serves its destination
 	w.awaitEmpty()
 	waitFor(t, func() bool { return time.Since(began) > 2*soon*time.Millisecond })
 	w.endpoint("new", 3, "hooks", respond(200))
 	for dest, want := range []int{1: 202, 2: 410, 3: 202} {
 		if id := []string{1: "delivered", 2: "failed", 3: "refused"}[dest]; id != "" {
 			if code := hand(id, dest, 60000); code != want {
-				t.Errorf("%s came again: %d, want %d", id, code, want)
+				t.Errorf("%s submitted again: %d, want %d", id, code, want)
 			}
 		}
 	}
@@ -87,7 +90,7 @@
 	}
 }
 
-// Ids of messages that must not be repeated outlive every restart.
+// Ids of messages that must not be repeated are still known after several restarts.
 func TestFinishedUnsafeIDIsKnownAfterRestarts(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -106,9 +109,9 @@
 	w.submit("unsafe", "delivered", 3)
 	w.submit("keyed", "keyed", 3)
 	if code, _, why := w.do(w.request("unsafe", "failed", 4)); code != 410 {
-		t.Errorf("what failed came again: %d %s", code, why)
+		t.Errorf("the failed message, submitted again: %d %s", code, why)
 	}
-	w.submit("free", "later", 3) // once this is through, what was taken on before it would be, too
+	w.submit("free", "later", 3) // when this is delivered, messages accepted before it would have been called, too
 	w.awaitCalls("later", 1)
 	w.awaitEmpty()
 	for _, id := range []string{"delivered", "keyed", "failed"} {
--- a/internal/node/known_test.go
+++ b/internal/node/known_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// An id whose notice the platform does not have yet is known after a restart, too: handed in again it is the same
-// message, which was given up and must not be called.
+// An id whose notice is still pending is known after a restart. Submitted again it is the same message, which has been
+// refused and must not be called.
 func TestIDWithPendingNoticeIsKnownAfterRestart(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -16,20 +16,20 @@
 	w.endpoint("f", 4, "hooks", respond(200))
 	w.spawn()
 	w.submit("unsafe", "u", 3)
-	w.submit("free", "later", 4) // once this is through, what was taken on before it would be, too
+	w.submit("free", "later", 4) // when this is delivered, messages accepted before it would have been called, too
 	w.awaitCalls("later", 1)
 	w.update(func() { w.rejectNotices = false })
 	w.awaitNotice("u", "deferred")
 	w.awaitEmpty()
-	w.submit("free", "last", 4) // the program still runs
+	w.submit("free", "last", 4) // the program is still running
 	w.awaitCalls("last", 1)
 	if n := w.called("u"); n != 0 {
-		t.Errorf("%d calls of what was given up", n)
+		t.Errorf("%d calls of the refused message", n)
 	}
 }
 
-// Discovery moves an endpoint to another destination and says that it has left: the module may go on sending to it,
-// and each such send must end, else it holds a slot and its message for ever.
+// Discovery moves an endpoint to another destination and reports it as left. The decision module may still send to it.
+// Each such call must end; otherwise it keeps its slot and its message for ever.
 func TestCallToRemovedEndpointEnds(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -39,7 +39,7 @@
 	w.awaitCalls("before", 1)
 	m.Cell, m.Phase = 2, "left"
 	w.setEntry(m)
-	w.endpoint("other", 2, "hooks", respond(200)) // once this is known, so is the change
+	w.endpoint("other", 2, "hooks", respond(200)) // when this endpoint is known, the change is known, too
 	w.submit("free", "known", 2)
 	w.awaitCalls("known", 1)
 	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"} {
--- a/internal/node/ledger_test.go
+++ b/internal/node/ledger_test.go
@@ -12,8 +12,8 @@
 	"curlewmux/ledger"
 )
 
-// ledgerMonitor looks at the ledger of a simulated dispatcher over all its processes: at each scrape the equations hold, no
-// figure steps back, and no breach is ever found.
+// ledgerMonitor checks the ledger of a simulated dispatcher across all its processes. At each scrape the equations hold,
+// no count has decreased, and the audit has found no breach.
 type ledgerMonitor struct {
 	t             *testing.T
 	name          string
@@ -22,10 +22,10 @@
 	node          func() *Node
 	latest        *ledger.Snapshot
 	scrapes       int
-	powerFailures int // of power
+	powerFailures int
 }
 
-// attach has a process that is about to begin keep books, and looks at them.
+// attach enables the ledger in the configuration of a process that is about to start, and begins to scrape it.
 func (b *ledgerMonitor) attach(cfg *Config) {
 	cfg.Ledger = &Ledger{BootID: fmt.Sprint("boot ", b.powerFailures), MaxAccounts: 1 + len(b.name)%4, OnBreach: func(f ledger.Breach) {
 		b.t.Errorf("%s: at %v: %+v", b.name, b.sim.Now(), f)
@@ -33,6 +33,7 @@
 	b.sim.After(time.Millisecond, func() { b.poll(b.machine.Process()) })
 }
 
+// poll scrapes the ledger at a fixed interval until the process ends.
 func (b *ledgerMonitor) poll(p *vnet.Process) {
 	if p == nil || b.machine.Process() != p || p.Dead() {
 		return
@@ -43,6 +44,7 @@
 	b.sim.After(170*time.Millisecond, func() { b.poll(p) })
 }
 
+// check checks a snapshot by itself and against the one before.
 func (b *ledgerMonitor) check(s *ledger.Snapshot) {
 	b.scrapes++
 	if bad := s.Check(); len(bad) > 0 {
@@ -56,11 +58,10 @@
 	b.latest = s
 }
 
-// checkLedger compares the books of a dispatcher that keeps what it can't deliver with what its clients counted, and adds up what
-// was sent again.
+// checkLedger compares the final ledger with what the clients counted, and adds the number of resent messages to again.
 func (s *undeliveredSim) checkLedger(again *int) {
 	before := s.monitor.scrapes
-	s.runUntil(time.Hour, "a last look at the books", func() bool { return s.monitor.scrapes > before+1 && s.monitor.latest.Total.Open == 0 })
+	s.runUntil(time.Hour, "a final snapshot without open messages", func() bool { return s.monitor.scrapes > before+1 && s.monitor.latest.Total.Open == 0 })
 	f := s.monitor.latest.Total
 	minAccepted, maxAccepted := 0, 0
 	for _, code := range s.codes {
@@ -72,7 +73,7 @@
 		}
 	}
 	if int(f.Accepted) < minAccepted || int(f.Accepted) > maxAccepted {
-		s.t.Errorf("%s: %d taken, its clients counted %d to %d", s.monitor.name, f.Accepted, minAccepted, maxAccepted)
+		s.t.Errorf("%s: %d accepted, its clients counted %d to %d", s.monitor.name, f.Accepted, minAccepted, maxAccepted)
 	}
 	if f.MovedIn != f.Reopened || f.Accepted != f.Delivered+f.Refused+f.Failed-f.Reopened+f.Open {
 		s.t.Errorf("%s: %+v", s.monitor.name, f)
@@ -80,7 +81,7 @@
 	*again += int(f.Reopened)
 }
 
-// The real program, killed again and again: figures are as exact as before, and a folder that is lost begins anew.
+// The real program is killed several times. Its counts stay exact, and a lost state folder starts a new epoch.
 func TestLedgerSurvivesKillsAndLostFolderStartsNewEpoch(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
--- a/internal/node/lock_test.go
+++ b/internal/node/lock_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// runSecond runs the program to its end with a folder and an address of its own choice.
+// runSecond runs a second process with the given folder and address until it exits.
 func (w *testEnv) runSecond(dir, addr string) (code int, out string) {
 	w.t.Helper()
 	path := filepath.Join(w.t.TempDir(), "config.json")
@@ -23,11 +23,11 @@
 	defer cancel()
 	cmd := exec.CommandContext(ctx, program)
 	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+path, "EDGE_STATE="+dir, "EDGE_LISTEN="+addr)
-	text, _ := cmd.CombinedOutput() // the code tells how it ended
+	text, _ := cmd.CombinedOutput() // the exit code is checked instead
 	return cmd.ProcessState.ExitCode(), string(text)
 }
 
-// contents reads what a folder holds.
+// contents returns the contents of a folder's files by name.
 func contents(t *testing.T, dir string) map[string]string {
 	t.Helper()
 	files, err := os.ReadDir(dir)
@@ -41,16 +41,16 @@
 	return out
 }
 
-// Two processes must not write one journal: the second ends, whatever its address, and the first goes on.
+// Two processes must not write one journal. The second exits whatever its address is, and the first goes on.
 func TestSecondProcessDoesNotTouchStateFolder(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	cmd := w.spawn()
-	w.submit("unsafe", "first", 3) // nobody serves the destination
+	w.submit("unsafe", "first", 3) // no endpoint serves the destination
 	for _, addr := range []string{w.addr, "127.0.0.1:0"} {
 		before := contents(t, w.dir)
 		code, out := w.runSecond(w.dir, addr)
-		clear := strings.Contains(out, "EDGE_STATE") && strings.Contains(out, w.dir) || // or the address, which comes first
+		clear := strings.Contains(out, "EDGE_STATE") && strings.Contains(out, w.dir) || // the address is bound first
 			addr == w.addr && strings.Contains(out, "EDGE_LISTEN") && strings.Contains(out, w.addr)
 		if code != 1 || !clear {
 			t.Errorf("at %s it ended with %d: %s", addr, code, out)
@@ -66,7 +66,7 @@
 	if now := w.journalled(); now["first"] == nil || now["second"] == nil {
 		t.Errorf("journalled %v", now)
 	}
-	w.kill(cmd) // its lock goes with it
+	w.kill(cmd) // releases its lock
 	w.endpoint("e", 3, "hooks", respond(200))
 	w.spawn()
 	w.awaitCalls("first", 1)
@@ -74,7 +74,7 @@
 	w.awaitEmpty()
 }
 
-// A process whose address is taken has not yet begun with its folder.
+// A process whose address is in use must exit before it opens the state folder.
 func TestAddressInUseLeavesJournalUntouched(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -95,7 +95,7 @@
 	}
 }
 
-// While the journal is read clients are answered, and nothing is taken on.
+// While the journal is read, clients get responses but no message is accepted.
 func TestClientsAreRejectedBeforeReady(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -128,7 +128,7 @@
 	w.awaitCalls("old", 1)
 	w.awaitEmpty()
 	if n := w.called("u"); n != 0 {
-		t.Errorf("%d calls of what was not taken on", n)
+		t.Errorf("%d calls of the rejected message", n)
 	}
 	cancel()
 	if err := <-done; err != nil {
@@ -136,7 +136,7 @@
 	}
 }
 
-// A lock file is no trace of a process that runs, and the folder is free again when a dispatcher has stopped.
+// A lock file left behind does not lock the folder, and a stopped dispatcher releases the folder.
 func TestStaleLockFileDoesNotLock(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -22,7 +22,7 @@
 		var b bytes.Buffer
 		log := NewLog(&b, c.set)
 		log.Debug("low")
-		log.Info("a b", "message", "x\n\"y") // hostile ids stay within their field
+		log.Info("a b", "message", "x\n\"y") // untrusted ids can't break out of their field
 		var got strings.Builder
 		for line := range strings.Lines(b.String()) {
 			_, rest, _ := strings.Cut(line, "level")
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -44,7 +44,7 @@
 	return r
 }
 
-// A client that lost the answer sends the same request again: it is the same message, held or over.
+// A client that has lost the response sends the same request again. It is the same message, whether open or finished.
 func TestSameIDIsAcceptedOnce(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -82,12 +82,12 @@
 		if n := diskUse(t, w.dir); n > int64(w.diskMB*1e6) {
 			t.Errorf("%s: %d bytes on disk", name, n)
 		}
-		w.endpoint("e", 1, "hooks", respond(200)) // what was taken on still has room to end
+		w.endpoint("e", 1, "hooks", respond(200)) // messages already accepted still have room to finish
 		w.awaitEmpty()
 	}
 }
 
-// Several messages of one Step to one endpoint of a kind that allows it are one call, up to its limit.
+// Messages for one endpoint that are sent in one step share a call, if its kind allows that, up to the limit of the kind.
 func TestMessagesAreBatchedIntoOneCall(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -122,8 +122,7 @@
 	}
 }
 
-// Messages of a class that asks for order go one at a time for each key, in the order in which they were taken; other
-// keys don't wait.
+// Messages of an ordered class are sent one at a time per key, in the order of acceptance. Other keys don't wait.
 func TestOrderedClassKeepsOrderPerKey(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -158,7 +157,7 @@
 	}
 	w.awaitCalls("a0", 1)
 	submit("b0", "b")
-	w.awaitCalls("b0", 1) // its key does not wait
+	w.awaitCalls("b0", 1) // another key does not wait
 	if n := w.called("a1"); n > 0 {
 		t.Error("the second of a key went out beside the first")
 	}
@@ -183,7 +182,7 @@
 	}
 }
 
-// No call comes within a told wait, whatever the message.
+// No call is made before a Retry-After has passed, whatever the class of the message.
 func TestRetryAfterIsHonoured(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -205,7 +204,7 @@
 	w.start()
 	w.submit("unsafe", "a", 1)
 	w.awaitCalls("a", 1)
-	waitFor(t, func() bool { e := w.journalled()["a"]; return e != nil && e.DoubtAt == 0 }) // the answer is known
+	waitFor(t, func() bool { e := w.journalled()["a"]; return e != nil && e.DoubtAt == 0 }) // the response has been recorded
 	for i := range 10 {
 		w.submit("free", fmt.Sprint("f", i), 1)
 	}
@@ -227,7 +226,7 @@
 		w.awaitEmpty()
 		old.Phase = phase
 		w.setEntry(old)
-		w.endpoint("other", 2, "hooks", respond(200)) // once this is known, so is the drain
+		w.endpoint("other", 2, "hooks", respond(200)) // when this endpoint is known, the drain is known, too
 		w.submit("free", "known", 2)
 		w.awaitCalls("known", 1)
 		for i := range 8 {
@@ -246,7 +245,7 @@
 	}
 }
 
-// A machine that vanished says nothing; what was meant for it goes to another.
+// An endpoint on an unreachable machine never responds. Its messages are sent to another endpoint.
 func TestUnreachableEndpointDoesNotDelayMessages(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -304,7 +303,7 @@
 	}
 }
 
-// Few descriptors are shared out, so that each part has some; the module plans with the calls that are left.
+// With few descriptors each use still gets some, and the slots are reduced to the calls that remain possible.
 func TestDescriptorsAreDivided(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ sockets, slots int }{{256, 30}, {256, 250}, {24, 8}, {16, 1000}} {
@@ -330,7 +329,8 @@
 	}
 }
 
-// A call that ends when the clients have been let go still leaves no doubt: it is waited for, but not for ever.
+// The stop waits for calls that end after the clients have been shut down, so that they leave no message in doubt.
+// It does not wait for ever.
 func TestStopWaitsForCallsInProgress(t *testing.T) {
 	t.Parallel()
 	for _, ends := range []bool{true, false} {
--- a/internal/node/mail_sim_test.go
+++ b/internal/node/mail_sim_test.go
@@ -16,9 +16,9 @@
 	"curlewmux/internal/vnet"
 )
 
-var mailSeeds = flag.Int("mail-seeds", 120, "simulated worlds of a dispatcher that takes and delivers mails")
+var mailSeeds = flag.Int("mail-seeds", 120, "number of simulations of a dispatcher that accepts and delivers mail")
 
-// mailSim is a dispatcher with its journal on a simulated machine, between clients that send mails and servers.
+// mailSim is a dispatcher with its journal on a simulated machine, between simulated mail clients and mail servers.
 type mailSim struct {
 	*vnet.World
 	t              *testing.T
@@ -29,9 +29,9 @@
 	clients        host.Host
 	node           *Node
 	activeClients  int
-	recipients     []string // id and recipient
+	recipients     []string // each a mail's id and a recipient
 	seed           uint64
-	lastErrorReply string // the last reply that was no success
+	lastErrorReply string // last reply of the dispatcher with a 4xx or 5xx code
 	kills          int
 	restarts       int
 	monitor        *ledgerMonitor
@@ -54,7 +54,7 @@
 		})
 		return server
 	}
-	faultySessions := s.random.IntN(5) // out of 8 sessions of the archive
+	faultySessions := s.random.IntN(5) // of every 8 sessions with the archive
 	faults := map[int]*standin.Step{}
 	s.monitor = &ledgerMonitor{t: t, name: fmt.Sprint("seed ", seed), sim: w, machine: s.mux, node: func() *Node { return s.node }}
 	s.archive = serve("archive", &standin.Server{
@@ -107,12 +107,14 @@
 	})
 }
 
-// runForAWhile keeps the dispatcher running, through kills and planned stops, until the clients have been answered.
+// runForAWhile starts the dispatcher and interrupts it after a random time, again and again until the clients have
+// finished.
 func (s *mailSim) runForAWhile() {
 	s.boot()
 	s.After(time.Duration(500+s.random.IntN(4000))*time.Millisecond, s.interrupt)
 }
 
+// interrupt kills or stops the dispatcher, unless the clients have finished, and restarts it.
 func (s *mailSim) interrupt() {
 	if s.activeClients == 0 {
 		return
@@ -126,17 +128,18 @@
 	s.restart()
 }
 
+// restart starts the dispatcher again after a short time, once the old process has ended.
 func (s *mailSim) restart() {
 	s.After(time.Duration(10+s.random.IntN(300))*time.Millisecond, func() {
 		if s.mux.Process() != nil {
-			s.restart() // it is stopping yet
+			s.restart() // the old process is still stopping
 			return
 		}
 		s.runForAWhile()
 	})
 }
 
-// client sends mails, each until it is answered for good.
+// client sends mails and repeats each until all its recipients have a final reply.
 func (s *mailSim) client(n int) {
 	lmtp := s.random.IntN(2) == 0
 	for m := range 4 + s.random.IntN(6) {
@@ -148,7 +151,7 @@
 		}
 		for try := 0; len(left) > 0; try++ {
 			if try > 2000 {
-				s.t.Errorf("seed %d: %s is never answered; last heard %q", s.seed, id, s.lastErrorReply)
+				s.t.Errorf("seed %d: %s never gets a final reply; last error %q", s.seed, id, s.lastErrorReply)
 				return
 			}
 			left = s.send(lmtp, id, left)
@@ -157,7 +160,7 @@
 	}
 }
 
-// send makes one attempt and returns the recipients that have no answer for good.
+// send makes one attempt and returns the recipients without a final reply.
 func (s *mailSim) send(lmtp bool, id string, rcpts []string) (left []string) {
 	addr, hello := "mux:9025", "EHLO"
 	if lmtp {
@@ -199,7 +202,7 @@
 		return rcpts
 	}
 	body := "Message-ID: <" + id + "@build.example.org>\r\n\r\nbody of " + id + "\r\n.\r\n"
-	if s.random.IntN(6) == 0 { // it breaks off, before the dot or behind it
+	if s.random.IntN(6) == 0 { // the client breaks off before or after the final dot
 		io.WriteString(c, body[:len(body)-s.random.IntN(4)])
 		return rcpts
 	}
@@ -223,8 +226,8 @@
 	return left
 }
 
-// A dispatcher that is killed and stopped at any moment, between clients that break off and an archive that fails at
-// every stage: each mail took effect once, or its sender was told, and none took effect twice.
+// A dispatcher is killed and stopped at random moments, clients break connections off, and the archive fails at every
+// stage. Each mail must take effect once or its sender must be notified, and none may take effect twice.
 func TestEveryMailIsAnsweredOnceOnASimulatedMachine(t *testing.T) {
 	t.Parallel()
 	mails, sessions, kills, restarts, doubts := 0, 0, 0, 0, 0
@@ -266,7 +269,7 @@
 		}
 		for _, m := range s.recipients {
 			if effects[m] > 1 || notified[m] > 1 || effects[m]+notified[m] == 0 {
-				t.Errorf("seed %d: %s took effect %d times, and its sender was told %d times", seed, m, effects[m], notified[m])
+				t.Errorf("seed %d: %s took effect %d times, and its sender was notified %d times", seed, m, effects[m], notified[m])
 			}
 			doubts += notified[m]
 		}
@@ -276,8 +279,8 @@
 			return
 		}
 	}
-	t.Logf("%d mails, %d told as failed, %d sessions with the archive, %d starts, %d kills", mails, doubts, sessions, restarts, kills)
+	t.Logf("%d mails, %d reported as failed, %d sessions with the archive, %d starts, %d kills", mails, doubts, sessions, restarts, kills)
 	if simulationCount(*mailSeeds) >= 120 && (kills == 0 || restarts == kills || doubts == 0 || doubts == mails) {
-		t.Error("not all came up")
+		t.Error("not every kind of event occurred")
 	}
 }
--- a/internal/node/mail_test.go
+++ b/internal/node/mail_test.go
@@ -22,7 +22,7 @@
 	"curlewmux/membership/partnerlist"
 )
 
-// mailEnv is a world with mail servers, and a dispatcher that takes mails.
+// mailEnv is a testEnv with mail servers and a dispatcher that accepts mail.
 type mailEnv struct {
 	*testEnv
 	smtp string // address of the SMTP listener
@@ -79,7 +79,7 @@
 	return s
 }
 
-// runWithFaultyDir runs a dispatcher in this process; stop ends it as SIGTERM does and waits.
+// run runs a dispatcher in this process. stop ends it as SIGTERM does and waits.
 func (w *mailEnv) run() (stop func() error) {
 	w.t.Helper()
 	w.listDestinations(1, 2, 3, 4)
@@ -92,7 +92,7 @@
 	return w.runWith(cfg)
 }
 
-// spawnMail runs the real program.
+// spawnMail starts the real program with the mail settings.
 func (w *mailEnv) spawnMail() *exec.Cmd {
 	w.t.Helper()
 	w.listDestinations(1, 2, 3, 4)
@@ -117,7 +117,7 @@
 	return cmd
 }
 
-// send sends a mail over SMTP, from a sender to recipients.
+// send sends a mail to the recipients over SMTP.
 func (w *mailEnv) send(id string, rcpts ...string) error {
 	c, err := smtp.Dial(w.smtp)
 	if err != nil {
@@ -140,24 +140,24 @@
 	return d.Close()
 }
 
-// sendUntilAccepted sends a mail until it is taken.
+// sendUntilAccepted repeats a mail until it is accepted.
 func (w *mailEnv) sendUntilAccepted(id string, rcpts ...string) {
 	for limit := time.Now().Add(testTimeout); time.Now().Before(limit); time.Sleep(20 * time.Millisecond) {
 		err := w.send(id, rcpts...)
 		var no *textproto.Error
 		switch {
-		case err == nil, errors.As(err, &no) && strings.Contains(no.Msg, "came before"): // it was taken, and has ended
+		case err == nil, errors.As(err, &no) && strings.Contains(no.Msg, "came before"): // accepted before, and finished
 			return
 		case errors.As(err, &no) && no.Code >= 500:
 			w.t.Errorf("mail %s: %v", id, err)
 			return
 		}
 	}
-	w.t.Errorf("mail %s is never taken", id)
+	w.t.Errorf("mail %s was not accepted in time", id)
 }
 
-// mailOutcomes is what became of each mail and recipient: how often it took effect, and how often its sender was told that it
-// did not, or may not have.
+// mailOutcomes returns by mail and recipient how often the mail took effect, and how often its sender was notified that
+// it failed or is in doubt.
 func mailOutcomes(archive, senders *standin.Server) (effects, notified map[string]int) {
 	effects, notified = map[string]int{}, map[string]int{}
 	id := func(text, rcpt string) string {
@@ -168,7 +168,7 @@
 	for _, a := range archive.Accepted() {
 		effects[id(a.Content, a.Rcpt)]++
 	}
-	seen := map[string]bool{} // a server of a keyed class drops what comes again under its Message-ID
+	seen := map[string]bool{} // a server of a keyed class drops duplicates by Message-ID
 	for _, a := range senders.Accepted() {
 		_, key, _ := strings.Cut(a.Content, "Message-ID: <")
 		if key, _, _ = strings.Cut(key, ">"); seen[key] {
@@ -198,7 +198,7 @@
 	if err := w.send("m1", "a@archive.example.org", "nobody@archive.example.org", "b@archive.example.org"); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.send("m1", "a@archive.example.org", "b@archive.example.org"); err != nil { // the reply was lost
+	if err := w.send("m1", "a@archive.example.org", "b@archive.example.org"); err != nil { // resent, as if the reply had been lost
 		t.Fatal(err)
 	}
 	if err := w.send("m2", "a@elsewhere.example.org"); err == nil || !strings.Contains(err.Error(), "no destination") {
@@ -212,7 +212,7 @@
 	effects, notified := mailOutcomes(archive, senders)
 	if len(effects) != 2 || effects["m1 a@archive.example.org"] != 1 || effects["m1 b@archive.example.org"] != 1 ||
 		len(notified) != 1 || notified["m1 nobody@archive.example.org"] != 1 {
-		t.Errorf("effects %v, told %v, %s", effects, notified, hook.ID)
+		t.Errorf("effects %v, notified %v, %s", effects, notified, hook.ID)
 	}
 	if n := senders.Accepted()[0]; n.From != "" || n.Rcpt != "log@build.example.org" || !strings.Contains(n.Content, "Status: 5.1.1") {
 		t.Errorf("the notification: %+v", n)
@@ -221,13 +221,13 @@
 	defer w.mu.Unlock()
 	for id := range w.notices {
 		if strings.HasPrefix(id, "mail:") {
-			t.Errorf("the platform was told of %s", id)
+			t.Errorf("the platform was notified of %s", id)
 		}
 	}
 }
 
-// The process is killed, or told to stop, while the archive is silent at each stage: behind a restart every mail took
-// effect or its sender was told, and none took effect twice.
+// The process is killed or stopped while the archive is silent at each stage of a session. After a restart each mail
+// must have taken effect or its sender must have been notified, and none may take effect twice.
 func TestEveryMailIsAnsweredWhereverTheDispatcherEnds(t *testing.T) {
 	t.Parallel()
 	for _, sig := range []syscall.Signal{syscall.SIGKILL, syscall.SIGTERM} {
@@ -245,7 +245,7 @@
 						asked <- true
 						a.Silent = true
 						if stage == standin.Final {
-							a = standin.Act{Say: "250 2.0.0 kept", Cut: 7} // it takes effect, and the reply breaks off
+							a = standin.Act{Say: "250 2.0.0 kept", Cut: 7} // takes effect, but the reply is cut off
 						}
 					}
 					return a
@@ -256,7 +256,7 @@
 				select {
 				case <-asked:
 				case <-time.After(testTimeout):
-					t.Fatal("the archive is never asked")
+					t.Fatal("the archive was not reached in time")
 				}
 				must(t, first.Process.Signal(sig))
 				first.Wait()
@@ -268,7 +268,7 @@
 				effects, notified := mailOutcomes(archive, senders)
 				for _, r := range []string{"m1 a@archive.example.org", "m1 b@archive.example.org", "m1 c@archive.example.org"} {
 					if effects[r] > 1 || notified[r] > 1 || effects[r]+notified[r] == 0 {
-						t.Errorf("%s took effect %d times, and its sender was told %d times", r, effects[r], notified[r])
+						t.Errorf("%s took effect %d times, and its sender was notified %d times", r, effects[r], notified[r])
 					}
 				}
 			})
@@ -276,7 +276,8 @@
 	}
 }
 
-// The process is killed, or told to stop, while a client is at each stage; the client then sends the same mail again.
+// The process is killed or stopped while a client is at each stage of a session. The client then sends the same mail
+// again.
 func TestMailIsAcceptedOnceWhenStoppedAtAnyClientStage(t *testing.T) {
 	t.Parallel()
 	head := "EHLO c.example.org\r\nMAIL FROM:<log@build.example.org>\r\nRCPT TO:<a@archive.example.org>\r\nRCPT TO:<b@archive.example.org>\r\nDATA\r\n"
@@ -296,7 +297,7 @@
 				defer c.Close()
 				_, err = io.WriteString(c, text)
 				must(t, err)
-				if text != "" && name != "dot" { // it has read that much
+				if text != "" && name != "dot" { // wait until the dispatcher has read the text
 					c.SetReadDeadline(time.Now().Add(testTimeout))
 					want := map[bool]string{true: "354 ", false: "250 "}[strings.Contains(text, "DATA")]
 					var heard strings.Builder
@@ -314,7 +315,7 @@
 				effects, notified := mailOutcomes(archive, senders)
 				for _, r := range []string{"m1 a@archive.example.org", "m1 b@archive.example.org"} {
 					if effects[r] > 1 || notified[r] > 1 || effects[r]+notified[r] == 0 || name != "dot" && effects[r] != 1 {
-						t.Errorf("%s took effect %d times, and its sender was told %d times", r, effects[r], notified[r])
+						t.Errorf("%s took effect %d times, and its sender was notified %d times", r, effects[r], notified[r])
 					}
 				}
 			})
@@ -322,7 +323,7 @@
 	}
 }
 
-// A message that came over HTTP goes to a mail server where its body is a mail, and fails where it is none.
+// A message submitted over HTTP is delivered to a mail server if its body is a mail, and fails otherwise.
 func TestMailSubmittedOverHTTPIsDelivered(t *testing.T) {
 	t.Parallel()
 	w := newMailEnv(t)
@@ -343,7 +344,7 @@
 	}
 }
 
-// Clients send mails until they are taken, and the process is killed again and again.
+// Clients repeat mails until they are accepted, while the process is killed several times.
 func TestKilledAgainAndAgainEveryMailIsAnsweredOnce(t *testing.T) {
 	t.Parallel()
 	w := newMailEnv(t)
@@ -372,7 +373,7 @@
 			for _, r := range []string{"a", "b"} {
 				id := fmt.Sprintf("m%d-%d %s@archive.example.org", c, m, r)
 				if effects[id] > 1 || notified[id] > 1 || effects[id]+notified[id] == 0 {
-					t.Errorf("%s took effect %d times, and its sender was told %d times", id, effects[id], notified[id])
+					t.Errorf("%s took effect %d times, and its sender was notified %d times", id, effects[id], notified[id])
 				}
 				doubts += notified[id]
 			}
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -14,7 +14,7 @@
 	"testing"
 )
 
-// reconfigure replaces the file of a running program and tells it so.
+// reconfigure replaces the configuration file of a running program and sends SIGHUP.
 func (w *testEnv) reconfigure(cmd *exec.Cmd, text string) {
 	w.t.Helper()
 	path := configPath(cmd)
@@ -23,6 +23,7 @@
 	must(w.t, cmd.Process.Signal(syscall.SIGHUP))
 }
 
+// configPath returns the path of a program's configuration file.
 func configPath(cmd *exec.Cmd) string {
 	for _, v := range cmd.Env {
 		if path, ok := strings.CutPrefix(v, "EDGE_CONFIG="); ok {
@@ -32,8 +33,9 @@
 	return ""
 }
 
-// The file's address wins over the variable, which still holds the old one; the list is asked for anew as a whole,
-// and a notice that the old address never took goes to the new one. A hanging watch is no obstacle.
+// On a reload the file's address of discovery overrides the variable, which still holds the old one. The whole list is
+// requested again, and notices that the old address never acknowledged go to the new one. A hanging request to the old
+// address must not block this.
 func TestReloadMovesDiscovery(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -45,7 +47,7 @@
 	w.submit("unsafe", "u", 3)
 	waitFor(t, func() bool { e := w.journalled()["u"]; return e != nil && e.Pending != nil })
 
-	v := newTestEnv(t) // another discovery, with a list of its own
+	v := newTestEnv(t) // a second discovery agent with its own list
 	v.setEntry(partnerlist.Entry{ID: "f", Cell: 5, Phase: "leaving"})
 	f := w.endpoint("f", 5, "hooks", respond(200))
 	v.setEntry(f)
@@ -61,7 +63,7 @@
 	}
 }
 
-// A faulty file keeps what is in force and says which setting is at fault.
+// A faulty file changes nothing, and the log names the setting at fault.
 func TestReloadOfFaultyFile(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -79,7 +81,7 @@
 		good[:len(good)/2]: "configuration",
 		strings.Replace(good, `"sockets":256`, `"sockets":-1`, 1):           "limits.sockets",
 		strings.Replace(good, `"memory_mb":192`, `"memory_mb":"plenty"`, 1): "memory_mb",
-		strings.Replace(good, `"disk_mb":1`, `"disk_mb":2`, 1):              "setting=limits", // sound, but not while running
+		strings.Replace(good, `"disk_mb":1`, `"disk_mb":2`, 1):              "setting=limits", // valid, but needs a restart
 	} {
 		w.reconfigure(cmd, text)
 		waitFor(t, func() bool {
@@ -93,7 +95,7 @@
 	w.awaitEmpty()
 }
 
-// Signals in a row, and during a stop, end nothing early and lose nothing.
+// Repeated reloads, also during a stop, must neither end the process early nor lose a message.
 func TestRepeatedReloadsAndReloadsDuringStop(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -15,14 +15,14 @@
 	"time"
 )
 
-// Each test kills the real program at one step of the journal and starts it again with nothing but its folder.
+// Most of these tests kill the real program between two records of the journal and restart it with its state folder.
 
 func TestKilledAfterAccept(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	cmd := w.spawn()
 	for _, class := range []string{"unsafe", "keyed", "free"} {
-		w.submit(class, class+"1", 3) // nobody serves the destination yet
+		w.submit(class, class+"1", 3) // no endpoint serves the destination yet
 	}
 	w.kill(cmd)
 	w.endpoint("e", 3, "hooks", respond(200))
@@ -38,7 +38,8 @@
 	}
 }
 
-// A call that was out may have run: an unsafe message must not be sent again and promises nothing, the others go on.
+// A call in progress may have run. An unsafe message must not be sent again, and its client gets no guarantee. Messages
+// of other classes are sent again.
 func TestKilledDuringCall(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -75,13 +76,13 @@
 	sent := time.Now()
 	waitFor(t, func() bool { return time.Since(sent) > 300*time.Millisecond })
 	w.spawn()
-	w.awaitNotice("k", "deferred") // handing it in again is for the client to time
+	w.awaitNotice("k", "deferred") // the client decides when to submit it again
 	if n := w.called("k"); n != 1 {
 		t.Errorf("%d calls, the second past the window", n)
 	}
 }
 
-// An attempt that provably never ran leaves no doubt, also over a restart.
+// An attempt that never ran leaves no doubt, also across a restart.
 func TestKilledAfterRefusal(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -96,7 +97,7 @@
 	old.Phase = "left"
 	w.setEntry(old)
 	w.endpoint("f", 3, "hooks", respond(200))
-	w.spawn() // a restart ends the wait
+	w.spawn() // the Retry-After does not survive a restart
 	w.awaitCalls("u", 2)
 	w.awaitEmpty()
 }
@@ -110,7 +111,7 @@
 	w.awaitEmpty()
 	w.kill(cmd)
 	cmd = w.spawn()
-	w.submit("free", "b", 3) // once this is through, what was taken up again would be, too
+	w.submit("free", "b", 3) // when this is delivered, restored messages would have been called, too
 	w.awaitCalls("b", 1)
 	w.awaitEmpty()
 	if n := w.called("a"); n != 1 {
@@ -119,7 +120,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.notices) > 0 {
-		t.Errorf("notices %v of what was delivered", w.notices)
+		t.Errorf("notices %v of a delivered message", w.notices)
 	}
 }
 
@@ -141,7 +142,7 @@
 	}
 }
 
-// What was given up stays given up: its client may hand it in again once it hears.
+// A refused message stays refused after a restart, because its client may submit it again when it is notified.
 func TestFailedMessageIsNotSentAfterRestart(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -155,7 +156,7 @@
 	}
 }
 
-// Attempts count on over restarts, and the last one allowed is the last.
+// Attempts are counted across restarts, and their limit holds.
 func TestAttemptsAreCountedAcrossKills(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -190,7 +191,8 @@
 	w.awaitEmpty()
 }
 
-// A planned stop goes on answering, lets calls finish so that no doubt is left, starts none late, and loses nothing.
+// During a planned stop the dispatcher still accepts messages, lets calls finish so that none is left in doubt, starts
+// no late calls and loses nothing.
 func TestPlannedStop(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -205,7 +207,7 @@
 	w.submit("unsafe", "out", 3)
 	w.awaitCalls("out", 1)
 	must(t, cmd.Process.Signal(syscall.SIGTERM))
-	w.submit("unsafe", "late", 4) // nobody serves it in this life
+	w.submit("unsafe", "late", 4) // no endpoint serves it before the restart
 	close(release)
 	waitFor(t, func() bool { return w.journalled()["out"] == nil })
 	if err := cmd.Wait(); err != nil {
@@ -223,7 +225,7 @@
 	}
 }
 
-// While stopping, each request that was read gets its answer; a connection ends only between two.
+// While stopping, each request that was read gets a response. Connections end only between requests.
 func TestClientsKeepGettingAnswersWhileStopping(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -238,7 +240,7 @@
 	for {
 		res, err := http.DefaultClient.Do(w.request("free", "m"+time.Now().Format("150405.000000"), 3))
 		if err != nil {
-			// One that came up just as the listener closed is cut off before anybody could read from it.
+			// A connection established just as the listener closed is reset before the dispatcher reads from it.
 			if c, open := net.Dial("tcp", w.addr); open == nil {
 				c.Close()
 				t.Errorf("after %d answers: %v", answered, err)
@@ -270,15 +272,15 @@
 	}
 }
 
-// The real program is killed at dozens of moments while clients hand in and partners answer, refuse and fail: none that
-// was answered 202 is lost, no unsafe one runs twice, and each that is not delivered ends by a notice.
+// The real program is killed at random moments under load, with an endpoint that refuses and fails. No message answered
+// 202 may be lost, no unsafe one may run twice, and each one not delivered must end with a notice.
 func TestKilledAtRandomMomentsUnderLoad(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.maxOpen, w.diskMB = 2000, 3
 	var n atomic.Int32
 	var calm atomic.Bool
-	ran := map[string]int{} // under w.mu
+	ran := map[string]int{} // guarded by w.mu
 	w.endpoint("e", 3, "hooks", func(rw http.ResponseWriter, r *http.Request) {
 		trouble := n.Add(1) % 25
 		if trouble == 0 && !calm.Load() {
@@ -286,7 +288,7 @@
 			return
 		}
 		w.update(func() { ran[r.Header.Get("X-Trace-Id")]++ })
-		if trouble == 1 && !calm.Load() { // it has run, and nobody hears of it
+		if trouble == 1 && !calm.Load() { // it has run, but the response reports an error
 			rw.WriteHeader(500)
 		}
 	})
@@ -314,7 +316,7 @@
 	}
 	calm.Store(true)
 	w.awaitEmpty()
-	ended := func(id string) bool { // the last notices are on their way
+	ended := func(id string) bool { // the last notices may still be on their way
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		return ran[id] > 0 || len(w.notices[id]) > 0
@@ -331,8 +333,8 @@
 			t.Errorf("%s, unsafe, ran %d times", id, times)
 		}
 	}
-	t.Logf("%d messages were taken in 25 lives", len(accepted))
+	t.Logf("%d messages were accepted by 25 processes", len(accepted))
 	if len(accepted) < 24 {
-		t.Errorf("%d messages in 25 lives prove nothing", len(accepted))
+		t.Errorf("%d messages accepted by 25 processes are too few", len(accepted))
 	}
 }
--- a/internal/node/rig_test.go
+++ b/internal/node/rig_test.go
@@ -26,7 +26,7 @@
 	"curlewmux/membership/partnerlist"
 )
 
-// settingsJSON are a dispatcher's settings with one class of each effect, by name, and one that asks for order.
+// settingsJSON are settings with one class of each effect, named after it, and one ordered class.
 const settingsJSON = `{"classes":[
  {"effect":"guarded","gain":1,"group":"all","hard-limit":60000000,"late-worth":0.5,"name":"keyed","target":30000000,"window":%d},
  {"effect":"free","gain":2,"group":"all","hard-limit":60000000,"late-worth":0.5,"name":"free","target":30000000,"window":5000000},
@@ -40,7 +40,7 @@
  "tip-multiple":2.0,"warm-up":10000000},
  "tenants":[{"fraction":0.6,"name":"core","quota-per-s":1000},{"fraction":0.4,"name":"docs","quota-per-s":1000}]}`
 
-// testEnv is all that a dispatcher meets: discovery's agent, endpoints and clients, on loopback sockets.
+// testEnv is the environment of a dispatcher on loopback sockets: the discovery agent, endpoints and clients.
 type testEnv struct {
 	operatorText string // text of the operator's file, "" for none
 	t            *testing.T
@@ -55,21 +55,21 @@
 	mu            sync.Mutex
 	revision      int64
 	entries       map[string]partnerlist.Entry
-	changes       []partnerlist.Entry // changes; the revision is their number
+	changes       []partnerlist.Entry // all changes; their number is the revision
 	changed       chan struct{}
-	blockWatch    bool // discovery is silent
-	rejectNotices bool // notices are not taken
+	blockWatch    bool // requests for the list get no response
+	rejectNotices bool // notices are answered 500
 	notices       map[string][]string
-	calls         map[string]int // by id
-	extraEnv      []string       // of the program's environment
-	faultyDir     *faultyDir     // in place of dir, for a dispatcher in this process
-	stderr        *os.File       // of the program
+	calls         map[string]int // number of calls by message id
+	extraEnv      []string       // variables added to the program's environment
+	faultyDir     *faultyDir     // wraps dir for a dispatcher in this process
+	stderr        *os.File       // stderr of the program
 }
 
 var testEnvs atomic.Int32
 
 func newTestEnv(t *testing.T) *testEnv {
-	// An address of its own, where nobody else's port can be: it stays free while the dispatcher is down.
+	// Each environment has its own loopback address, so that no other process takes the port while the dispatcher is down.
 	n := testEnvs.Add(1)
 	addr := fmt.Sprintf("127.%d.%d.%d:9000", 1+os.Getpid()%200, n/250, 1+n%250)
 	w := &testEnv{
@@ -84,6 +84,7 @@
 	return w
 }
 
+// discovery serves the endpoint list and accepts notices.
 func (w *testEnv) discovery(rw http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/reports" {
 		text, err := io.ReadAll(r.Body)
@@ -138,7 +139,7 @@
 	}
 }
 
-// setEntry changes the list.
+// setEntry changes an entry of the endpoint list.
 func (w *testEnv) setEntry(m partnerlist.Entry) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -151,12 +152,13 @@
 	w.wake()
 }
 
+// wake wakes the requests that wait for a change. The caller holds w.mu.
 func (w *testEnv) wake() {
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// update changes the world's own behaviour.
+// update changes the environment's own behaviour under its lock.
 func (w *testEnv) update(do func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -164,14 +166,14 @@
 	w.wake()
 }
 
-// listDestinations lists destinations by an endpoint that takes nothing new: messages for them are taken on and wait.
+// listDestinations lists destinations by a draining endpoint only, so that messages for them are accepted and wait.
 func (w *testEnv) listDestinations(dests ...int) {
 	for _, dest := range dests {
 		w.setEntry(partnerlist.Entry{ID: fmt.Sprint("old", dest), HostPort: "127.0.0.1:1", Locality: "west", Flavor: "hooks", Cell: dest, Phase: "leaving"})
 	}
 }
 
-// endpoint starts one for a destination and lists it. It counts what it reads and then does as told.
+// endpoint starts an endpoint of a destination and lists it. It counts the calls it reads and then runs do.
 func (w *testEnv) endpoint(id string, dest int, flavor string, do http.HandlerFunc) partnerlist.Entry {
 	s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -192,6 +194,7 @@
 	return m
 }
 
+// idsOf returns the ids of the messages in a call.
 func idsOf(r *http.Request, body []byte) (ids []string) {
 	if id := r.Header.Get("X-Trace-Id"); id != "" {
 		return []string{id}
@@ -209,7 +212,7 @@
 	return func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(code) }
 }
 
-// hang keeps a call until its connection ends.
+// hang never responds; it keeps a call until its connection ends.
 func hang(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
 func (w *testEnv) config() []byte {
@@ -225,7 +228,7 @@
 	return ""
 }
 
-// start runs a dispatcher in this process; stop ends it as SIGTERM does and waits.
+// start runs a dispatcher in this process. stop ends it as SIGTERM does and waits.
 func (w *testEnv) start() (stop func() error) {
 	w.t.Helper()
 	w.listDestinations(1, 2, 3, 4)
@@ -234,7 +237,7 @@
 	return w.runWith(cfg)
 }
 
-// runWith is start with a configuration that was read already.
+// runWith is like start, with a configuration that has been read.
 func (w *testEnv) runWith(cfg *Config) (stop func() error) {
 	w.t.Helper()
 	ctx, cancel := context.WithCancel(w.t.Context())
@@ -248,7 +251,7 @@
 	}
 }
 
-// spawn runs the real program.
+// spawn starts the real program.
 func (w *testEnv) spawn() *exec.Cmd {
 	w.t.Helper()
 	w.listDestinations(1, 2, 3, 4)
@@ -283,7 +286,7 @@
 func (w *testEnv) kill(cmd *exec.Cmd) {
 	w.t.Helper()
 	must(w.t, cmd.Process.Kill())
-	cmd.Wait() // its error is the signal
+	cmd.Wait() // the error only reports the signal
 }
 
 func (w *testEnv) awaitReady() {
@@ -298,7 +301,7 @@
 	})
 }
 
-// request is a message as a client hands it in.
+// request returns the request by which a client submits a message.
 func (w *testEnv) request(class, id string, dest int) *http.Request {
 	r, err := http.NewRequest("POST", "http://"+w.addr+"/"+class, strings.NewReader("body of "+id))
 	must(w.t, err)
@@ -321,7 +324,7 @@
 	return res.StatusCode, res.Header, string(body)
 }
 
-// submitUntilDone hands in a message that must be taken on.
+// submit submits a message that must be accepted.
 func (w *testEnv) submit(class, id string, dest int) {
 	w.t.Helper()
 	if code, _, why := w.do(w.request(class, id, dest)); code != 202 {
@@ -354,20 +357,20 @@
 	}
 }
 
-// awaitEmpty waits until nothing is owed any more, as the journal has it.
+// awaitEmpty waits until the journal holds no open message and no pending notice.
 func (w *testEnv) awaitEmpty() {
 	w.t.Helper()
 	waitFor(w.t, func() bool { return len(w.journalled()) == 0 })
 }
 
-// journalled reads what the dispatcher has on disk, from a copy: the folder itself is the dispatcher's.
-// leaves are those of the books in the folder, which a process may be writing to.
+// leaves returns the ledger's accounts in the state folder, which a process may be writing to.
 func (w *testEnv) leaves() []ledger.Leaf {
 	r, err := journal.Check(journal.OSDir(w.dir))
 	must(w.t, err)
 	return r.Leaves
 }
 
+// journalled returns the journaled messages by id. It reads a copy, because the dispatcher has locked the folder.
 func (w *testEnv) journalled() map[string]*engine.RestoredMessage {
 	w.t.Helper()
 	dir, err := os.MkdirTemp("", "copy")
@@ -384,7 +387,8 @@
 	return out
 }
 
-// copyFolder copies a journal's files, and tells whether none came or went meanwhile: what one held may be in the next.
+// copyFolder copies a journal's files. It returns false if a file was added or removed meanwhile, because records may
+// have moved between files.
 func copyFolder(from, to string) bool {
 	names := func() (out []string) {
 		files, err := os.ReadDir(from)
@@ -392,7 +396,7 @@
 			return nil
 		}
 		for _, f := range files {
-			if f.Type().IsRegular() { // the operators' socket is none
+			if f.Type().IsRegular() { // skip the operators' socket
 				out = append(out, f.Name())
 			}
 		}
@@ -412,7 +416,7 @@
 	return before != nil && slices.Equal(before, names())
 }
 
-// program is the real binary, built once for all tests.
+// program is the path of the real program, built once for all tests.
 var program string
 
 func TestMain(m *testing.M) {
--- a/internal/node/store_test.go
+++ b/internal/node/store_test.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// failStore makes every write to the journal of a dispatcher in this process fail, until the returned function is
-// called.
+// failStore makes every write to the journal fail, until the returned function is called. The dispatcher must run in
+// this process.
 func (w *testEnv) failStore() (mend func()) {
 	w.faultyDir.broken.Store(true)
 	return func() { w.faultyDir.broken.Store(false) }
 }
 
-// runWithFaultyDir starts a dispatcher in this process that stops at once when the test ends.
+// runWithFaultyDir runs a dispatcher in this process whose state folder can fail. It stops at once when the test ends.
 func (w *testEnv) runWithFaultyDir() {
 	w.t.Helper()
 	w.listDestinations(1, 2, 3, 4)
@@ -41,7 +41,7 @@
 	w.awaitReady()
 }
 
-// submitExpiring hands in a message that nobody serves and whose time is soon up.
+// submitExpiring submits a message that no endpoint serves and that expires soon.
 func (w *testEnv) submitExpiring(id string) {
 	w.t.Helper()
 	r := w.request("free", id, 4)
@@ -51,20 +51,20 @@
 	}
 }
 
-// While the journal can't be written nothing is sent and no try is used up; expiry goes on. Then sending goes on by
-// itself, with every try still to be had.
+// While the journal can't be written, nothing is sent and no attempt is used up, but messages still expire. Sending
+// resumes by itself afterwards, with all attempts left.
 func TestStoreFailureSendsNothingAndUsesNoAttempt(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
 	w.runWithFaultyDir()
 	const held = 20
 	for i := range held {
-		w.submit("unsafe", fmt.Sprint("m", i), 3) // nobody serves the destination yet
+		w.submit("unsafe", fmt.Sprint("m", i), 3) // no endpoint serves the destination yet
 	}
 	w.submitExpiring("short")
 	mend := w.failStore()
 	w.endpoint("e", 3, "hooks", respond(200))
-	w.awaitNotice("short", "deferred") // there were a hundred rounds by now
+	w.awaitNotice("short", "deferred") // about a hundred scheduling rounds have passed
 	for i := range held {
 		if n := w.called(fmt.Sprint("m", i)); n != 0 {
 			t.Errorf("message %d was called %d times without a record", i, n)
@@ -87,8 +87,8 @@
 	}
 }
 
-// A notice waits for its record: sent without one its message would live again after a restart, beside the one that
-// its client handed in anew. Past its time there is nothing left to send, and the notice goes out.
+// A notice is sent only after its record is stored. Otherwise the message would be open again after a restart, beside
+// the one that its client has submitted again. After the deadline nothing is left to send, and the notice goes out.
 func TestNoticeWaitsForItsRecordUntilDeadline(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -102,8 +102,8 @@
 	w.awaitCalls("u", 1)
 	w.submitExpiring("short")
 	mend := w.failStore()
-	close(release)                     // it may have run: u is given up at once
-	w.awaitNotice("short", "deferred") // this one without a record
+	close(release)                     // u may have run, so it fails at once
+	w.awaitNotice("short", "deferred") // sent without a record
 	w.update(func() {
 		if got := w.notices["u"]; len(got) > 0 {
 			t.Errorf("notice %v before its record", got)
@@ -122,8 +122,8 @@
 	})
 }
 
-// An attempt that could not be journalled proves nothing of the one before it, which may have run: after a restart past
-// the window of the key the message must not be sent.
+// An attempt that could not be journaled proves nothing about the one before, which may have run. After a restart past
+// the key's window the message must not be sent.
 func TestUnrecordedAttemptKeepsEarlierDoubt(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -138,7 +138,7 @@
 	w.submitExpiring("short")
 	mend := w.failStore()
 	failed := time.Now()
-	close(release) // the second attempt can't be journalled
+	close(release) // the second attempt can't be journaled
 	w.awaitNotice("short", "deferred")
 	old.Phase = "left"
 	w.setEntry(old)
@@ -151,8 +151,8 @@
 	}
 }
 
-// With sync always a message is answered only once it would outlast a power failure, and each attempt is made only then:
-// what a power failure leaves of the folder at any moment holds it.
+// With sync = "always" a message is acknowledged, and an attempt is made, only when its record survives a power failure.
+// The test reads what a power failure would leave of the folder.
 func TestSyncAlwaysSurvivesPowerFailure(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -167,7 +167,7 @@
 	go func() { done <- Run(ctx, cfg, nil, discardLog()) }()
 	w.awaitReady()
 	for i := range 10 {
-		w.submit("unsafe", fmt.Sprint("m", i), 3) // nobody serves the destination yet
+		w.submit("unsafe", fmt.Sprint("m", i), 3) // no endpoint serves the destination yet
 	}
 	held := func() map[string]*engine.RestoredMessage {
 		after := disk.Clone()
@@ -182,7 +182,7 @@
 		return out
 	}
 	if now := held(); len(now) != 10 {
-		t.Errorf("%d of 10 messages that were answered 202 outlast a power failure", len(now))
+		t.Errorf("%d of 10 messages that were answered 202 survive a power failure", len(now))
 	}
 	tried := make(chan bool, 1)
 	w.endpoint("e", 3, "hooks", func(_ http.ResponseWriter, r *http.Request) {
@@ -194,7 +194,7 @@
 		<-r.Context().Done()
 	})
 	if !<-tried {
-		t.Error("an attempt is made that a power failure would make forgotten")
+		t.Error("an attempt was made without a record that survives a power failure")
 	}
 	cancel()
 	must(t, <-done)
--- a/internal/node/undelivered_hard_test.go
+++ b/internal/node/undelivered_hard_test.go
@@ -16,7 +16,7 @@
 	"curlewmux/undelivered"
 )
 
-// newSingleUploadSim is a world with one upload in it whose first call hangs, with effect or without, and is then over.
+// newSingleUploadSim returns a simulation and an upload whose first call the archive answers by the given act.
 func newSingleUploadSim(t *testing.T, seed uint64, first archive.Act) (*undeliveredSim, *upload) {
 	s := newUndeliveredSim(t, seed)
 	n := 0
@@ -30,7 +30,7 @@
 	return s, u
 }
 
-// onlyEntry is the only one, once there is one.
+// onlyEntry returns the store's only entry, or an empty one if there is none.
 func (s *undeliveredSim) onlyEntry() *undelivered.Entry {
 	if list := s.entries(); len(list) == 1 {
 		return list[0]
@@ -38,15 +38,16 @@
 	return &undelivered.Entry{}
 }
 
+// awaitEntry runs the simulation until the only entry has the given state.
 func (s *undeliveredSim) awaitEntry(state undelivered.State) {
 	s.t.Helper()
 	s.runUntil(10*time.Minute, "its entry is "+string(state), func() bool { return s.onlyEntry().State == state })
 }
 
-// advance lets time go by.
+// advance lets simulated time pass.
 func (s *undeliveredSim) advance(d time.Duration) { s.Run(s.Now()+d, nil) }
 
-// runOnDesk has something done on the driver's goroutine, and waits for it.
+// runOnDesk runs f on the driver's goroutine and waits for it.
 func (s *undeliveredSim) runOnDesk(f func(d *redeliver.Desk)) {
 	s.t.Helper()
 	done := false
@@ -61,7 +62,8 @@
 	s.runUntil(time.Minute, "an order is carried out", func() bool { return done })
 }
 
-// A call that was given up runs after all: asked before it can't any more, the archive would say that it did not.
+// A call that the dispatcher has abandoned may still run. The archive must not be asked before that is impossible, or it
+// would deny an effect that comes later.
 func TestNoInquiryWhileTheEarlierCallMayRun(t *testing.T) {
 	t.Parallel()
 	s, u := newSingleUploadSim(t, 1, archive.Act{Hang: true, After: 4500 * time.Millisecond})
@@ -82,8 +84,8 @@
 	}
 }
 
-// A process that starts anew does not know how long ago calls ended: it waits the whole time once more, whatever the wall
-// clock says.
+// After a restart a process can't know how long ago calls ended. It waits the whole time again, whatever the wall clock
+// says.
 func TestNoInquiryWhileACallOfAnEarlierProcessMayRun(t *testing.T) {
 	t.Parallel()
 	s, u := newSingleUploadSim(t, 1, archive.Act{Hang: true, After: 4800 * time.Millisecond})
@@ -101,12 +103,12 @@
 	}
 }
 
-// An inquiry that hangs, fails, can't be read or is told to wait is no answer: it is asked again, and in the end believed.
+// An inquiry that hangs, fails, returns an invalid response or gets a Retry-After is repeated until it is answered.
 func TestAnInquiryThatFailsIsMadeAgain(t *testing.T) {
 	t.Parallel()
 	for name, lie := range map[string]archive.Lie{
 		"hangs": {Hang: true}, "fails": {Status: 500}, "cut": {Raw: `{"effect":"n`}, "other words": {Effect: "maybe"},
-		"no words": {Raw: "{}"}, "too long": {Raw: strings.Repeat(" ", 1<<20)}, "told to wait": {Status: 503, Wait: 30 * time.Second},
+		"no words": {Raw: "{}"}, "too long": {Raw: strings.Repeat(" ", 1<<20)}, "Retry-After": {Status: 503, Wait: 30 * time.Second},
 		"late": {Late: 3 * time.Second},
 	} {
 		for _, ran := range []bool{false, true} {
@@ -125,7 +127,7 @@
 			if s.archive.Effect(u.body) != 1 || n != 4 || ran && calls != 1 {
 				t.Errorf("%s: %d effects, %d inquiries, %d calls", name, s.archive.Effect(u.body), n, calls)
 			}
-			if e := s.onlyEntry(); name == "told to wait" && s.Now() < 30*time.Second {
+			if e := s.onlyEntry(); name == "Retry-After" && s.Now() < 30*time.Second {
 				t.Errorf("%s: asked again after %v: %+v", name, s.Now(), e.History)
 			}
 			s.Close()
@@ -133,7 +135,7 @@
 	}
 }
 
-// The key of a class in order is that of others, too: the partner is not asked about it.
+// In an ordered class several messages share a key, so the partner is not asked about the key.
 func TestOrderKeyIsNoProof(t *testing.T) {
 	t.Parallel()
 	s := newUndeliveredSim(t, 1)
@@ -157,13 +159,13 @@
 	}
 }
 
-// A keyed message goes again with the doubt of its earlier life: inside its key's window, and not a moment longer.
+// A keyed message in doubt is resent within its key's window, and not later.
 func TestAKeyedMessageGoesInItsWindowOnly(t *testing.T) {
 	t.Parallel()
 	s, u := newSingleUploadSim(t, 1, archive.Act{Hang: true})
 	defer s.Close()
 	u.class, u.key, s.keysByZone, s.window = "keyed", "k", true, 20_000_000
-	s.archive.KeyMemory = 20 * time.Second // as long as the window of its class
+	s.archive.KeyMemory = 20 * time.Second // same as the window of its class
 	script := s.archive.Script
 	s.archive.Script = func(items []archive.Item, b bool) archive.Act {
 		if s.Now() > 2*time.Second && s.Now() < 25*time.Second {
@@ -181,8 +183,8 @@
 	}
 }
 
-// A partner that has forgotten says "no", too: it is not asked any more, or not believed, and nothing is sent but by an
-// operator who says by name that it did not take effect.
+// A partner that no longer remembers a message answers "no". It is not asked after its memory has expired, and a late
+// answer is ignored. The message is sent only if an operator vouches by name that it took no effect.
 func TestAPartnerThatHasForgottenIsNotBelieved(t *testing.T) {
 	t.Parallel()
 	for _, slow := range []bool{false, true} {
@@ -193,7 +195,7 @@
 			if s.Now() < 16*time.Second {
 				return archive.Lie{Status: 500}
 			}
-			if slow { // it was asked in time, and answers too late
+			if slow { // asked in time, but answers too late
 				s.archive.Answers = nil
 				return archive.Lie{Late: 1900 * time.Millisecond, Effect: "no"}
 			}
@@ -210,7 +212,7 @@
 		var out redeliver.Outcome
 		s.runOnDesk(func(d *redeliver.Desk) { out = d.SendByHand(s.onlyEntry().No, redeliver.Order{By: "ana", Why: "x"}) })
 		if out.Did != redeliver.DidRefuse || !strings.Contains(out.Why, "forgotten") {
-			t.Errorf("by hand, nobody vouching: %+v", out)
+			t.Errorf("by hand without vouching: %+v", out)
 		}
 		s.runOnDesk(func(d *redeliver.Desk) {
 			out = d.SendByHand(s.onlyEntry().No, redeliver.Order{By: "ana", Why: "looked into the archive", Vouch: true})
@@ -219,19 +221,19 @@
 		e := s.onlyEntry()
 		at := slices.IndexFunc(e.History, func(ev undelivered.Event) bool { return ev.Kind == undelivered.WasCleared })
 		if at < 0 || e.History[at].By != "ana" || e.History[at].Why != "looked into the archive" {
-			t.Errorf("who vouched is not kept: %+v", e.History)
+			t.Errorf("the history lacks who vouched: %+v", e.History)
 		}
 		s.Close()
 	}
 }
 
-// Whoever comes second is told who won, and nothing is sent twice: two operators, an operator and a rule, a resend and a
-// drop, and a command that is given again.
+// Of concurrent orders one wins, and the others learn which; nothing is sent twice. The orders are of two operators,
+// a resend and a drop, and a repeated command.
 func TestOrdersAtTheSameMoment(t *testing.T) {
 	t.Parallel()
 	s, u := newSingleUploadSim(t, 1, archive.Act{Hang: true, NoEffect: true})
 	defer s.Close()
-	s.firstDelaySeconds = 3000 // the rule is due long after
+	s.firstDelaySeconds = 3000 // the rule is due only much later
 	s.boot()
 	s.submitUntilDone(u, "u")
 	s.awaitEntry(undelivered.Waiting)
@@ -270,7 +272,7 @@
 	script := s.archive.Script
 	s.archive.Script = func(items []archive.Item, b bool) archive.Act {
 		a := script(items, b)
-		a.Delay = 10 * time.Second // the new life takes its time
+		a.Delay = 10 * time.Second // the resend is slow
 		return a
 	}
 	s.boot()
@@ -291,7 +293,7 @@
 	}
 }
 
-// The client hands the same in again while it lies in the store or is sent again: nothing takes effect twice.
+// A client submits the same message again while it is kept or being resent. Nothing may take effect twice.
 func TestAClientThatComesAgain(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -312,7 +314,7 @@
 		}
 		s.boot()
 		s.submitUntilDone(u, "u")
-		s.runUntil(time.Minute, "its client is told", func() bool { return u.done }) // until then the same request again is answered 202
+		s.runUntil(time.Minute, "its client is notified", func() bool { return u.done }) // before that a repeated request is answered 202
 		s.awaitEntry(map[bool]undelivered.State{false: undelivered.Waiting, true: undelivered.Away}[c.away])
 		code := -1
 		s.clients.Go(func() { code = s.post(u.class, c.id, c.key, u.body, time.Second) })
@@ -322,7 +324,7 @@
 		}
 		s.awaitEntry(undelivered.Ended)
 		s.clients.Go(func() { code = s.post(u.class, "w", c.key, u.body, time.Second) })
-		if c.key != "" { // what took effect from here is known for a while
+		if c.key != "" { // keys of delivered entries are remembered for a while
 			s.runUntil(time.Minute, "an answer", func() bool { return code == 410 })
 		}
 		if n := s.archive.Effect(u.body); n != 1 {
@@ -332,7 +334,8 @@
 	}
 }
 
-// SIGKILL in each operation of the disk, from the upload's failure to the end of its new life: it takes effect once.
+// The process is killed in each disk operation from the failure of the upload to the end of its resend. The upload must
+// take effect once.
 func TestKilledInEachOperationOfTheDisk(t *testing.T) {
 	t.Parallel()
 	play := func(ran bool, crash int, written int) (ops int) {
@@ -385,8 +388,8 @@
 	}
 }
 
-// The disk fills up in the middle, for the store and the journal: what can't be kept is told, nothing takes effect twice,
-// and fresh work goes on when there is room again.
+// The disk becomes full for the store and the journal. Clients of messages that can't be kept are notified, nothing takes
+// effect twice, and fresh messages are delivered when there is room again.
 func TestDiskFullWhileRedelivering(t *testing.T) {
 	t.Parallel()
 	lost, evicted := 0, 0
@@ -396,7 +399,7 @@
 		random := rand.New(rand.NewPCG(seed, 3))
 		calm, closed := false, map[string]bool{}
 		injectMixedFaults(s, random, &calm, closed)
-		small := seed%2 == 1 // both shares are used up, in place of the disk
+		small := seed%2 == 1 // fills the shares of store and journal instead of the disk
 		if small {
 			s.disk = 0.14
 		}
@@ -415,7 +418,7 @@
 		s.After(9*time.Second, func() { s.mux.Disk().SetRoom(0) })
 		s.After(10*time.Second, func() {
 			calm = true
-			s.submitFresh(2, 30*time.Second) // a destination that failed is tried with harmless ones first
+			s.submitFresh(2, 30*time.Second) // a failed destination gets messages without side effects first
 		})
 		s.runUntil(time.Hour, "all is settled", func() bool {
 			if !calm {
@@ -445,16 +448,16 @@
 		lost, evicted = lost+counts.NotKept, evicted+counts.Evicted
 		u := &upload{class: "unsafe", body: "fresh", expires: time.Second}
 		s.submitUntilDone(u, "fresh")
-		s.runUntil(time.Minute, "fresh work goes on", func() bool { return s.archive.Effect("fresh") == 1 })
+		s.runUntil(time.Minute, "fresh messages are delivered", func() bool { return s.archive.Effect("fresh") == 1 })
 		s.Close()
 	}
-	t.Logf("%d were not kept, %d had to go", lost, evicted)
+	t.Logf("%d were not kept, %d were evicted", lost, evicted)
 	if simulationCount(16) == 16 && (lost == 0 || evicted == 0) {
-		t.Error("not all came up")
+		t.Error("not every kind of event occurred")
 	}
 }
 
-// A message that fails again and again ends in the store for good, with its history, and costs nothing any more.
+// A message that always fails stays in the store with its history, and causes no more calls, inquiries or disk writes.
 func TestPoisonCostsNothingAnyMore(t *testing.T) {
 	t.Parallel()
 	s := newUndeliveredSim(t, 1)
@@ -463,7 +466,7 @@
 	s.archive.Script = func([]archive.Item, bool) archive.Act { return archive.Act{Status: 500, NoEffect: true} }
 	s.boot()
 	s.submitUntilDone(&upload{class: "unsafe", body: "poison", expires: time.Second}, "p")
-	s.runUntil(time.Hour, "it had its tries", func() bool { return s.onlyEntry().Tries == 3 && s.onlyEntry().State == undelivered.Waiting })
+	s.runUntil(time.Hour, "all its resends are used up", func() bool { return s.onlyEntry().Tries == 3 && s.onlyEntry().State == undelivered.Waiting })
 	calls, inquiries := s.archive.Counts()
 	size := s.mux.Disk().Used()
 	s.advance(6 * time.Hour)
@@ -484,8 +487,8 @@
 	}
 }
 
-// A class or tenant that is gone, a destination that nobody lists, a body over today's limit, and a clock that was set back:
-// they stay, and nothing is sent.
+// Entries stay and are not sent if their class or tenant no longer exists, their destination is not listed, their body
+// is over the current limit, or the wall clock was set back.
 func TestWhatDoesNotFitTodaysSettingsStays(t *testing.T) {
 	t.Parallel()
 	s := newUndeliveredSim(t, 1)
@@ -526,7 +529,7 @@
 	}
 }
 
-// fillStore puts messages into the store that never ran, as an earlier process would have.
+// fillStore writes messages that never ran into the store, as an earlier process would have.
 func (s *undeliveredSim) fillStore(n int, change func(n int, m *engine.Message, l *undelivered.Life)) {
 	cfg := s.config()
 	set := cfg.Undelivered.store
@@ -549,7 +552,7 @@
 	s.mux.Disk().Crash()
 }
 
-// Where nothing fresh comes for a destination that failed, single kept messages find out that it is back.
+// If a failed destination gets no fresh messages, single undelivered messages detect that it is back.
 func TestKeptMessagesAloneFindOutThatADestinationIsBack(t *testing.T) {
 	t.Parallel()
 	s := newUndeliveredSim(t, 1)
@@ -568,7 +571,7 @@
 		t.Errorf("%d calls in ten minutes while it hung", calls)
 	}
 	hangs = false
-	s.runUntil(time.Hour, "all arrive", func() bool { return s.archive.Total() == 20 })
+	s.runUntil(time.Hour, "all are delivered", func() bool { return s.archive.Total() == 20 })
 	for body, n := range s.archive.Effects() {
 		if n != 1 {
 			t.Errorf("%s took effect %d times", body, n)
@@ -576,8 +579,8 @@
 	}
 }
 
-// A destination comes back after a night, to ten thousand kept messages: it is not pushed over, fresh work is not delayed,
-// and all of them arrive.
+// A destination recovers while ten thousand undelivered messages wait for it. The resends must not overload it or delay
+// fresh messages, and all of them must be delivered.
 func TestADestinationThatComesBackAfterANight(t *testing.T) {
 	t.Parallel()
 	const kept = 10_000
@@ -585,7 +588,8 @@
 	defer s.Close()
 	s.disk, s.listedRate = 40, 200
 	s.fillStore(kept, nil)
-	// It takes 200 calls a second when it is warm, a fifth of that when it is back, and falls over at twice what it can take.
+	// The archive handles 200 calls per second when warm and a fifth of that just after it is back. It fails at twice its
+	// current capacity.
 	const full = 200.0
 	var back time.Duration
 	var recent []time.Duration
@@ -614,12 +618,12 @@
 	}
 	s.boot()
 	s.advance(20 * time.Second)
-	s.submitFresh(4, 30*time.Second) // it is down: these fail, and tell the module so
+	s.submitFresh(4, 30*time.Second) // these fail, and show the decision module that the destination is down
 	s.advance(40 * time.Second)
 	back = s.Now()
 	s.advance(15 * time.Second)
 	if fell {
-		t.Fatal("it was pushed over")
+		t.Fatal("the destination was overloaded")
 	}
 	s.latency = nil
 	s.submitFresh(8, 60*time.Second)
@@ -628,16 +632,16 @@
 	if n := len(s.latency); n < 400 || s.latency[n*99/100] > 300*time.Millisecond {
 		t.Errorf("%d fresh messages, p99 %v", n, s.latency[max(n*99/100, 0)])
 	}
-	s.runUntil(2*time.Hour, "all arrive", func() bool { return s.archive.Total() >= kept })
+	s.runUntil(2*time.Hour, "all are delivered", func() bool { return s.archive.Total() >= kept })
 	for body, n := range s.archive.Effects() {
 		if n != 1 && strings.HasPrefix(body, "body of night") {
 			t.Errorf("%s took effect %d times", body, n)
 		}
 	}
-	t.Logf("all arrived %v after it was back; %d calls refused", s.Now()-back, refused)
+	t.Logf("all delivered %v after the recovery; %d calls refused", s.Now()-back, refused)
 }
 
-// submitFresh hands in so many harmless messages a second for a while, and notes how long each takes to arrive.
+// submitFresh submits messages without side effects at a rate per second for a while, and records the latency of each.
 func (s *undeliveredSim) submitFresh(rate int, d time.Duration) {
 	for at := time.Duration(0); at < d; at += time.Second / time.Duration(rate) {
 		s.After(at, func() {
@@ -661,8 +665,8 @@
 	}
 }
 
-// Fresh messages at half load lose little of their p99 while others are sent again: exactly so on the virtual clock,
-// whatever the machine does meanwhile (curlewbench undelivered measures it on the real program).
+// Resends must raise the p99 latency of fresh messages at half load only a little. The virtual clock makes this
+// independent of the machine's load; "curlewbench undelivered" measures it on the real program.
 func TestFreshMessageLatencyWhileResending(t *testing.T) {
 	t.Parallel()
 	p99 := func(seed uint64, kept int) (ms float64, resent int) {
@@ -690,14 +694,14 @@
 	for seed := range uint64(3) {
 		alone, _ := p99(seed, 0)
 		with, resent := p99(seed, 1000)
-		t.Logf("p99 %.1f ms alone, %.1f while %d are sent again", alone, with, resent)
+		t.Logf("p99 %.1f ms alone, %.1f while %d are resent", alone, with, resent)
 		ratios = append(ratios, with/alone)
 		if resent < 300 {
-			t.Errorf("%d were sent again in 25 s", resent)
+			t.Errorf("%d were resent in 25 s", resent)
 		}
 	}
 	slices.Sort(ratios)
 	if ratios[1] > 1.25 {
-		t.Errorf("ratios %v, 1.25 at most in the middle", ratios)
+		t.Errorf("ratios %v, median above 1.25", ratios)
 	}
 }
--- a/internal/node/undelivered_sim_test.go
+++ b/internal/node/undelivered_sim_test.go
@@ -14,10 +14,10 @@
 	"curlewmux/undelivered"
 )
 
-var undeliveredSeeds = flag.Int("kept-seeds", 100, "simulated worlds of a dispatcher that keeps what it can't deliver")
+var undeliveredSeeds = flag.Int("kept-seeds", 100, "number of simulations of a dispatcher that keeps undelivered messages")
 
-// injectMixedFaults is what becomes of calls and inquiries: each row of the table of outcomes, with and without effect, drawn for each
-// call. Calls that are given up may run on for 4 s.
+// injectMixedFaults makes calls and inquiries fail at random. Calls have each outcome, with and without effect; calls that
+// the dispatcher has abandoned may run for another 4 s.
 func injectMixedFaults(s *undeliveredSim, random *rand.Rand, calm *bool, closed map[string]bool) {
 	s.archive.Script = func(items []archive.Item, _ bool) archive.Act {
 		if *calm {
@@ -39,7 +39,7 @@
 		case 5, 6:
 			return archive.Act{Hang: true, NoEffect: no}
 		case 7:
-			return archive.Act{Hang: true, After: late} // it runs after all
+			return archive.Act{Hang: true, After: late} // runs after the call was abandoned
 		case 8:
 			return archive.Act{Status: 500, After: late}
 		case 9:
@@ -71,7 +71,7 @@
 	}
 }
 
-// simulationCount is how many of so many simulated worlds are played: a quarter with the race detector, which takes ten times as long.
+// simulationCount returns how many of n simulations to run: a quarter with the race detector, which is ten times as slow.
 func simulationCount(n int) uint64 {
 	if raceOn {
 		return uint64(n+3) / 4
@@ -79,8 +79,8 @@
 	return uint64(n)
 }
 
-// Uploads fail in mixed ways, with kills and planned stops in between, and are sent again by rule and by hand, some at the
-// same moment by both: each takes effect at the archive exactly once.
+// Uploads fail in different ways, the process is killed and stopped, and the uploads are resent by rule and by hand,
+// sometimes by both at once. Each must take effect at the archive exactly once.
 func TestEachUploadTakesEffectOnceOnASimulatedMachine(t *testing.T) {
 	t.Parallel()
 	var sum struct{ uploads, kept, ruled, handed, lost, doubted, kills, losses, took, again, scrapes int }
@@ -91,7 +91,7 @@
 		random := rand.New(rand.NewPCG(seed, 14))
 		calm, closed := false, map[string]bool{}
 		injectMixedFaults(s, random, &calm, closed)
-		power := seed%3 == 2 // the power fails, under the setting that is for that
+		power := seed%3 == 2 // power failures instead of some kills, with sync = "always"
 		if power {
 			s.sync = "always"
 			s.mux.SlowDisk(vnet.DiskTimes{Sync: 3 * time.Millisecond})
@@ -145,7 +145,7 @@
 						no = e.Number
 						return false
 					})
-					for range 1 + random.IntN(2) { // two operators at once
+					for range 1 + random.IntN(2) { // one or two operators at once
 						out := n.undelivered.redelivery.SendByHand(no, redeliver.Order{By: "ana", Why: "seen", Token: fmt.Sprint(random.IntN(50))})
 						if out.Did == redeliver.DidLose {
 							sum.lost++
@@ -220,7 +220,7 @@
 			}
 		}
 		if t.Failed() {
-			t.Logf("kept %s", s.states())
+			t.Logf("store: %s", s.states())
 			s.Close()
 			return
 		}
@@ -228,6 +228,6 @@
 	}
 	t.Logf("%+v", sum)
 	if simulationCount(*undeliveredSeeds) >= 100 && (sum.kept < sum.uploads/4 || sum.ruled == 0 || sum.handed == 0 || sum.lost == 0 || sum.doubted == 0 || sum.took == 0 || sum.kills == 0 || sum.losses == 0 || sum.again == 0 || sum.scrapes == 0) {
-		t.Error("not all came up")
+		t.Error("not every kind of event occurred")
 	}
 }
--- a/internal/node/undelivered_test.go
+++ b/internal/node/undelivered_test.go
@@ -18,31 +18,31 @@
 	"curlewmux/undelivered"
 )
 
-// undeliveredSim is a dispatcher that keeps what it can't deliver, on a simulated machine, with an archive (destination 1) that
-// can be asked.
+// undeliveredSim is a dispatcher on a simulated machine that keeps undelivered messages. Destination 1 is an archive that
+// answers inquiries.
 type undeliveredSim struct {
 	*vnet.World
 	t              *testing.T
 	mux            *vnet.Machine
-	archiveMachine *vnet.Machine // of the archive, and of discovery
+	archiveMachine *vnet.Machine // runs the archive and discovery
 	archive        *archive.Server
 	clients        host.Host
 	node           *Node
 
-	codes         map[string]int // the last status that each id was answered
+	codes         map[string]int // last status code by message id
 	notices       map[string]string
-	latency       []time.Duration // of fresh messages
-	freshCount    int             // of them
-	diagnose      func() string   // of what is not as it should be
-	checkInterval time.Duration   // between two looks at what is waited for: a look at the disk takes long
+	latency       []time.Duration // latencies of fresh messages
+	freshCount    int             // fresh messages submitted
+	diagnose      func() string   // describes what is wrong, for failure messages
+	checkInterval time.Duration   // simulated time between checks of a condition, since reading the disk is slow
 
-	// Of the settings:
+	// Settings of the configuration:
 	window          int
 	disk            float64
-	listedRate      int  // calls a second that the list tells
-	keysByZone      bool // keys are remembered by zone: then what may have run is not handed back
-	instances       int  // dispatchers that there are
-	orderedIsUnsafe bool // the class in order is unsafe
+	listedRate      int  // calls per second according to the endpoint list
+	keysByZone      bool // keys are remembered by zone, so messages in doubt are not returned to the client
+	instances       int  // number of dispatchers
+	orderedIsUnsafe bool // the ordered class is unsafe
 
 	// Settings of the operator's file:
 	rememberSeconds   int
@@ -50,7 +50,7 @@
 	maxResends        int
 	sync              string
 
-	monitor *ledgerMonitor // nil: none are kept
+	monitor *ledgerMonitor // nil: no ledger is kept
 }
 
 const undeliveredOperatorFile = `
@@ -86,6 +86,7 @@
 	return s
 }
 
+// startServers starts the archive and discovery.
 func (s *undeliveredSim) startServers() {
 	s.archiveMachine.Boot(func(h host.Host) {
 		s.archive.Host = h
@@ -109,7 +110,7 @@
 
 func (s *undeliveredSim) endpointList() string { return fmt.Sprintf(endpointListFormat, s.listedRate) }
 
-// serveDiscovery takes notices, and tells one list that never changes.
+// serveDiscovery accepts notices and serves a list that never changes.
 func (s *undeliveredSim) serveDiscovery(h host.Host, l net.Listener) {
 	for {
 		nc, err := l.Accept()
@@ -137,7 +138,7 @@
 					}
 					io.WriteString(nc, "HTTP/1.1 204 No Content\r\n\r\n")
 				case r.URL.Query().Get("after") != "":
-					io.Copy(io.Discard, nc) // nothing is new
+					io.Copy(io.Discard, nc) // the list never changes
 				default:
 					fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(s.endpointList()), s.endpointList())
 				}
@@ -180,18 +181,19 @@
 	})
 }
 
-// upload is what a client wants done once.
+// upload is a piece of work that a client wants done exactly once.
 type upload struct {
 	class   string
 	body    string
 	key     string
 	expires time.Duration
 	ids     []string
-	done    bool // its client does nothing more
-	inDoubt bool // it was told that nothing is promised of its hand-in
+	done    bool // the client has finished with it
+	inDoubt bool // a submission was answered 500, which promises nothing
 }
 
-// submitUntilDone hands an upload in, on a goroutine of its own, again and again until it is taken on; if it is handed back, anew.
+// submitUntilDone submits an upload from its own goroutine until it is accepted, and again under a new id if it is
+// returned as deferred.
 func (s *undeliveredSim) submitUntilDone(u *upload, name string) {
 	s.clients.Go(func() {
 		pause := func(d time.Duration) { s.clients.NewInbox().Take(nil, s.clients.Now().Add(d)) }
@@ -221,7 +223,7 @@
 	})
 }
 
-// post hands a message in once; 0 is no answer.
+// post submits a message once and returns the status code, or 0 if there was no response.
 func (s *undeliveredSim) post(class, id, key, body string, expires time.Duration) (code int) {
 	c, err := s.clients.Dial("mux:9000", time.Second, &host.Abort{})
 	if err != nil {
@@ -244,7 +246,7 @@
 	return "Idempotency-Key: " + key + "\r\n"
 }
 
-// runUntil runs the world until something is so.
+// runUntil runs the simulation until a condition holds.
 func (s *undeliveredSim) runUntil(limit time.Duration, what string, ok func() bool) {
 	s.t.Helper()
 	nextCheck := s.Now()
@@ -256,17 +258,18 @@
 		return ok()
 	})
 	if err != nil {
-		s.t.Fatalf("%s: %v; kept %v%s", what, err, s.states(), s.diagnose())
+		s.t.Fatalf("%s: %v; store: %v%s", what, err, s.states(), s.diagnose())
 	}
 }
 
-// entries reads what the store has on the disk.
+// entries reads the store's entries from a copy of the disk.
 func (s *undeliveredSim) entries() (out []*undelivered.Entry) {
 	list, err := undelivered.ReadAll(s.mux.Disk().Clone().Dir())
 	must(s.t, err)
 	return list
 }
 
+// states describes the store's entries for failure messages.
 func (s *undeliveredSim) states() string {
 	var b strings.Builder
 	for _, e := range s.entries() {
@@ -275,7 +278,7 @@
 	return b.String()
 }
 
-// An upload whose only call hangs is kept in doubt; the archive says that it took no effect, and it is sent again.
+// An upload whose only call hangs is kept in doubt. If the archive says that it took no effect, it is resent.
 func TestUploadInDoubtIsInquiredAndResent(t *testing.T) {
 	t.Parallel()
 	for _, ran := range []bool{false, true} {
--- a/internal/node/unsafe_test.go
+++ b/internal/node/unsafe_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A destination that gets unsafe messages alone hangs once: no unsafe message may be the trial of an endpoint that may run
-// it and say nothing, and others do not come. It is tried all the same once that is overdue, else nobody ever would.
+// A destination that gets only unsafe messages hangs once. Normally no unsafe message is the trial call of an endpoint that
+// may run it without responding. An overdue trial is made with one all the same, or the endpoint would never be tried.
 func TestDestinationWithOnlyUnsafeMessagesIsTriedAgain(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t)
@@ -17,12 +17,12 @@
 	w.endpoint("e", 1, "hooks", func(rw http.ResponseWriter, r *http.Request) {
 		if hangs.Load() {
 			<-release
-			panic(http.ErrAbortHandler) // no answer ever comes
+			panic(http.ErrAbortHandler) // never responds
 		}
 		respond(200)(rw, r)
 	})
 	w.start()
-	for i := range 30 { // it is known to be quick: its trials begin close together
+	for i := range 30 { // a short known response time makes trial calls frequent
 		id := fmt.Sprint("quick", i)
 		w.submit("unsafe", id, 1)
 		w.awaitCalls(id, 1)
