--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -42,12 +42,12 @@
 }
 
 // figuresPage returns a page, or one without text if the snapshot could not be taken.
-func figuresPage(text func() ([]byte, error), kind string) httpfront.Page {
-	t, err := text()
+func figuresPage(render func() ([]byte, error), contentType string) httpfront.Page {
+	text, err := render()
 	if err != nil {
 		return httpfront.Page{Again: figures.MaxAge}
 	}
-	return httpfront.Page{Text: t, Type: kind}
+	return httpfront.Page{Text: text, Type: contentType}
 }
 
 // openAdmin opens the operators' socket if there is anything to query.
@@ -56,8 +56,8 @@
 	if n.undelivered != nil {
 		name = n.undelivered.settings.socket
 	}
-	asked := name != ""
-	if !asked && n.figures != nil {
+	configured := name != ""
+	if !configured && n.figures != nil {
 		name = defaultSocketName
 	}
 	if name == "" || n.cfg.Dir != nil {
@@ -66,7 +66,7 @@
 	switch n.admin, err = admin.Listen(filepath.Join(n.cfg.State, name), n.log); {
 	case err == nil:
 		return nil
-	case asked:
+	case configured:
 		return fmt.Errorf("undelivered.socket: %w", err)
 	}
 	// The socket is not configured and the ledger works without it, so the start must not fail.
@@ -93,16 +93,16 @@
 
 // handleCommand handles a command from the operators' socket.
 func (n *Node) handleCommand(ctx context.Context, by admin.Peer, text json.RawMessage, reply func(any) error) error {
-	var r figures.Request
-	if err := json.Unmarshal(text, &r); err != nil {
+	var request figures.Request
+	if err := json.Unmarshal(text, &request); err != nil {
 		return fmt.Errorf("%w: %w", redeliver.ErrRequest, err)
 	}
-	switch r.Command {
+	switch request.Command {
 	case figures.CommandLedger, figures.CommandMetrics:
 		if n.figures == nil {
 			return errNoLedger
 		}
-		if r.Command == figures.CommandLedger {
+		if request.Command == figures.CommandLedger {
 			page, err := n.figures.cache.JSON()
 			if err != nil {
 				return err
@@ -115,11 +115,11 @@
 		}
 		return reply(string(page))
 	case figures.CommandQueues:
-		h, err := n.destinationQueues()
+		queues, err := n.destinationQueues()
 		if err != nil {
 			return err
 		}
-		return reply(h)
+		return reply(queues)
 	}
 	if n.undelivered == nil {
 		return errors.New("no undelivered messages are kept: the operator's file has no [undelivered]")
@@ -147,11 +147,11 @@
 	if len(list) == 0 {
 		return nil, errors.New("the dispatcher does not answer")
 	}
-	s := list[0].(backlog)
-	out := &figures.QueuesReply{Queues: []figures.DestinationQueue{}, Incomplete: s.more}
-	for _, h := range s.list {
+	result := list[0].(backlog)
+	out := &figures.QueuesReply{Queues: []figures.DestinationQueue{}, Incomplete: result.more}
+	for _, destination := range result.list {
 		out.Queues = append(out.Queues, figures.DestinationQueue{
-			Destination: h.Destination, OldestSeconds: float64(h.OldestAge) / float64(control.Second), Condition: h.Condition.String(),
+			Destination: destination.Destination, OldestSeconds: float64(destination.OldestAge) / float64(control.Second), Condition: destination.Condition.String(),
 		})
 	}
 	return out, nil
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -38,8 +38,8 @@
 )
 
 // Check reads the configuration and, unless settings is "", the operator's file of that name, as a start does. It
-// returns what would be in force. It opens no socket and reads no file except those that the settings name; it does not
-// touch the state folder. An error names the setting at fault.
+// returns what would be in force. It opens no socket and does not touch the state folder; besides these two files it reads
+// only files that settings name. An error names the setting at fault.
 func Check(env func(string) string, settings string) (*Report, error) {
 	file, text := &operator.File{}, ""
 	if settings != "" {
--- a/internal/node/ledger.go
+++ b/internal/node/ledger.go
@@ -32,36 +32,36 @@
 )
 
 // ReadLedger reads the section [ledger] of the operator's file. It returns nil if no ledger is to be kept.
-func ReadLedger(f *operator.Ledger) *Ledger {
-	if f == nil || !*f.Enabled {
+func ReadLedger(section *operator.Ledger) *Ledger {
+	if section == nil || !*section.Enabled {
 		return nil
 	}
-	l := &Ledger{MaxAccounts: f.MostAccounts, AuditPart: f.SweepPart, AuditInterval: time.Duration(f.SweepEveryMS) * time.Millisecond, HTTP: f.HTTP}
+	out := &Ledger{MaxAccounts: section.MostAccounts, AuditPart: section.SweepPart, AuditInterval: time.Duration(section.SweepEveryMS) * time.Millisecond, HTTP: section.HTTP}
 	if text, err := os.ReadFile(bootIDFile); err == nil { // without it a power failure can't be distinguished from another restart
-		l.BootID = strings.TrimSpace(string(text))
+		out.BootID = strings.TrimSpace(string(text))
 	}
-	return l
+	return out
 }
 
 // assembleLedger adds the settings of the ledger to the engine's.
 func (n *Node) assembleLedger(settings *engine.Settings) {
-	l := n.cfg.Ledger
-	if l == nil {
+	config := n.cfg.Ledger
+	if config == nil {
 		return
 	}
 	wall := n.host.Wall().UnixMicro()
 	random := rand.New(rand.NewPCG(n.cfg.Seed^0x6c6564676572, uint64(wall)))
-	most := l.MaxAccounts
-	if most == 0 {
-		most = ledger.DefaultMaxAccounts
+	maxAccounts := config.MaxAccounts
+	if maxAccounts == 0 {
+		maxAccounts = ledger.DefaultMaxAccounts
 	}
 	settings.Ledger = &engine.LedgerSettings{
 		Settings: ledger.Settings{
-			Instance: n.cfg.Name, MaxAccounts: max(1, min(most, int(n.cfg.Disk/accountDiskDivisor/bytesPerAccount))), BootID: l.BootID,
-			Durable: n.cfg.Sync == journal.SyncAlways, InterceptPost: l.InterceptPost,
+			Instance: n.cfg.Name, MaxAccounts: max(1, min(maxAccounts, int(n.cfg.Disk/accountDiskDivisor/bytesPerAccount))), BootID: config.BootID,
+			Durable: n.cfg.Sync == journal.SyncAlways, InterceptPost: config.InterceptPost,
 		},
 		Epoch:     ledger.NewEpoch(random.Uint64(), wall, ledger.ReasonNoLedger, ""),
-		AuditPart: l.AuditPart, AuditInterval: engine.Time(l.AuditInterval.Microseconds()),
+		AuditPart: config.AuditPart, AuditInterval: engine.Time(config.AuditInterval.Microseconds()),
 		StoredLeaf: func(number uint64) []byte { return n.journal.Leaf(number) },
 	}
 }
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -72,12 +72,12 @@
 		w := newTestEnv(t)
 		set(w)
 		w.start()
-		code, refused := 202, http.Header{}
+		code, header := 202, http.Header{}
 		for i := 0; code == 202 && i < 500; i++ {
-			code, refused, _ = w.do(w.request("unsafe", fmt.Sprint("m", i), 1))
+			code, header, _ = w.do(w.request("unsafe", fmt.Sprint("m", i), 1))
 		}
-		if code != 503 || refused.Get("Retry-After") == "" {
-			t.Errorf("%s: %d %v", name, code, refused)
+		if code != 503 || header.Get("Retry-After") == "" {
+			t.Errorf("%s: %d %v", name, code, header)
 		}
 		if n := diskUse(t, w.dir); n > int64(w.diskMB*1e6) {
 			t.Errorf("%s: %d bytes on disk", name, n)
--- a/internal/node/mail.go
+++ b/internal/node/mail.go
@@ -37,7 +37,7 @@
 
 const (
 	maxIdleMailConns   = 32  // idle connections to mail servers
-	defaultMailClients = 100 // default limit of client connections; the front gets at most a quarter of the sockets
+	defaultMailClients = 100 // default limit of client connections, unless a quarter of the sockets is less
 )
 
 // ReadMail reads the section [mail] of the operator's file. Names in it must be known in the configuration, and files
@@ -45,17 +45,17 @@
 func ReadMail(file *operator.Mail, config *Config) (*Mail, error) {
 	out := &Mail{partners: map[int]mailtransport.Partner{}, name: file.Name, maxCallBytes: make([]int, len(config.Settings.Kinds))}
 	for i := range file.Partners {
-		p := &file.Partners[i]
-		path := fmt.Sprintf("mail.partner[%d] (%s)", i, p.Kind)
-		kind := config.nameIndex().Kind(wire.Plain(p.Kind))
+		partner := &file.Partners[i]
+		path := fmt.Sprintf("mail.partner[%d] (%s)", i, partner.Kind)
+		kind := config.nameIndex().Kind(wire.Plain(partner.Kind))
 		if kind < 0 {
 			return nil, fmt.Errorf("%s.kind: there is no such kind", path)
 		}
 		var err error
-		if out.partners[kind], err = readPartner(path, p); err != nil {
+		if out.partners[kind], err = readPartner(path, partner); err != nil {
 			return nil, err
 		}
-		out.maxCallBytes[kind] = p.CallBytes
+		out.maxCallBytes[kind] = partner.CallBytes
 	}
 	if file.Front == nil {
 		return out, nil
@@ -68,8 +68,8 @@
 		Name: file.Name, Classes: map[string]mailfront.Class{}, Size: front.Most, Conns: cmp.Or(front.Connections, min(defaultMailClients, config.Sockets/4)),
 		Transit: config.Memory / transitMemoryDivisor,
 	}
-	for _, k := range config.Settings.Classes {
-		out.front.Classes[k.Name] = mailfront.Class{NeedsID: k.Effect != control.Free}
+	for _, class := range config.Settings.Classes {
+		out.front.Classes[class.Name] = mailfront.Class{NeedsID: class.Effect != control.Free}
 	}
 	if front.Certificate != "" {
 		pair, err := tls.LoadX509KeyPair(front.Certificate, front.Key)
@@ -81,23 +81,23 @@
 	if out.sockets() >= config.Sockets/2 {
 		return nil, fmt.Errorf("mail.front.connections: %d leave too few of %d sockets", out.front.Conns, config.Sockets)
 	}
-	for i, r := range file.Routes {
-		path := fmt.Sprintf("mail.route[%d] (%s)", i, r.Recipient)
-		class, tenant := wire.Plain(r.Class), wire.Plain(r.Tenant)
+	for i, route := range file.Routes {
+		path := fmt.Sprintf("mail.route[%d] (%s)", i, route.Recipient)
+		class, tenant := wire.Plain(route.Class), wire.Plain(route.Tenant)
 		if _, ok := out.front.Classes[class]; !ok {
-			return nil, fmt.Errorf("%s.class: %q is unknown", path, r.Class)
+			return nil, fmt.Errorf("%s.class: %q is unknown", path, route.Class)
 		}
 		if len(config.Settings.Tenants) > 0 && !slices.ContainsFunc(config.Settings.Tenants, func(t control.Tenant) bool { return t.Name == tenant }) {
-			return nil, fmt.Errorf("%s.tenant: %q is unknown", path, r.Tenant)
+			return nil, fmt.Errorf("%s.tenant: %q is unknown", path, route.Tenant)
 		}
 		for i := range config.Settings.Classes { // classes that a mail on this route can have
-			if config.Settings.Classes[i].Name == class || r.ClassField != "" {
+			if config.Settings.Classes[i].Name == class || route.ClassField != "" {
 				out.rememberTimes[i] = remember
 			}
 		}
 		out.front.Routes = append(out.front.Routes, mailfront.Route{
-			Recipient: r.Recipient, Dest: *r.Dest, Class: class, Tenant: tenant, Expires: r.Expires.Duration(),
-			ClassField: r.ClassField, TenantField: r.TenantField, ExpiresField: r.ExpiresField,
+			Recipient: route.Recipient, Dest: *route.Dest, Class: class, Tenant: tenant, Expires: route.Expires.Duration(),
+			ClassField: route.ClassField, TenantField: route.TenantField, ExpiresField: route.ExpiresField,
 		})
 	}
 	return out, nil
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -167,11 +167,11 @@
 	settings := cfg.engineSettings()
 	n.assembleUndelivered(&settings)
 	n.assembleLedger(&settings)
-	e, err := engine.New(settings)
+	core, err := engine.New(settings)
 	if err != nil {
 		return err
 	}
-	n.driver = driver.New(n.host, n.clock, e, n.log)
+	n.driver = driver.New(n.host, n.clock, core, n.log)
 	if cfg.Ledger != nil {
 		n.driver.OnBreach = cfg.Ledger.OnBreach
 	}
@@ -288,8 +288,8 @@
 		m.Message.Class, m.Message.Tenant = wire.Plain(m.Message.Class), wire.Plain(m.Message.Tenant) // names as the settings spell them
 		n.driver.Post(m)
 	}
-	for _, p := range s.Ended {
-		n.driver.Post(p)
+	for _, pending := range s.Ended {
+		n.driver.Post(pending)
 	}
 	n.driver.Post(&s.Last)
 	n.log.Info("ready", "name", n.cfg.Name, "held", len(s.Live))
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -183,9 +183,9 @@
 	if code, _, why := w.do(r); code != 202 {
 		t.Fatal(code, why)
 	}
-	handed := time.Now()
+	submitted := time.Now()
 	w.kill(cmd)
-	waitFor(t, func() bool { return time.Since(handed) > 300*time.Millisecond })
+	waitFor(t, func() bool { return time.Since(submitted) > 300*time.Millisecond })
 	w.spawn()
 	w.awaitNotice("f", "deferred")
 	w.awaitEmpty()
@@ -282,21 +282,21 @@
 	var calm atomic.Bool
 	ran := map[string]int{} // guarded by w.mu
 	w.endpoint("e", 3, "hooks", func(rw http.ResponseWriter, r *http.Request) {
-		trouble := n.Add(1) % 25
-		if trouble == 0 && !calm.Load() {
+		turn := n.Add(1) % 25
+		if turn == 0 && !calm.Load() {
 			rw.WriteHeader(503)
 			return
 		}
 		w.update(func() { ran[r.Header.Get("X-Trace-Id")]++ })
-		if trouble == 1 && !calm.Load() { // it has run, but the response reports an error
+		if turn == 1 && !calm.Load() { // it has run, but the response reports an error
 			rw.WriteHeader(500)
 		}
 	})
-	rnd := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	var accepted []string
 	cmd := w.spawn()
 	for kill := range 24 {
-		stop := time.After(time.Duration(5+rnd.IntN(30)) * time.Millisecond)
+		stop := time.After(time.Duration(5+random.IntN(30)) * time.Millisecond)
 		for i, on := 0, true; on; i++ {
 			select {
 			case <-stop:
--- a/internal/node/undelivered.go
+++ b/internal/node/undelivered.go
@@ -56,9 +56,9 @@
 		rules.MaxBody = max(rules.MaxBody, int(config.Mail.front.Size))
 	}
 	for i := range config.Settings.Classes {
-		k := &config.Settings.Classes[i]
+		class := &config.Settings.Classes[i]
 		rules.Classes = append(rules.Classes, resend.Class{
-			Name: k.Name, Effect: k.Effect, ZoneGroup: k.ZoneGroup, Ordered: k.InOrder, DedupWindow: k.Window, Deadline: k.Deadline, Worth: k.Worth,
+			Name: class.Name, Effect: class.Effect, ZoneGroup: class.ZoneGroup, Ordered: class.InOrder, DedupWindow: class.Window, Deadline: class.Deadline, Worth: class.Worth,
 		})
 	}
 	out.store.Classes, rules.Tenants = rules.Classes, config.tenants()
@@ -68,29 +68,29 @@
 	for name, v := range file.RetainClass { // kept also for classes that no longer exist
 		out.store.ClassKeep[wire.Plain(name)] = spanToTime(v)
 	}
-	for _, p := range file.Partners {
+	for _, partner := range file.Partners {
 		out.redelivery.Rules.Partners = append(out.redelivery.Rules.Partners, resend.Partner{
-			Destination: *p.Dest, SettleTime: spanToTime(p.Settle), RememberTime: spanToTime(p.Remembers),
-			Proof: map[string]resend.Proof{"none": resend.NoProof, "key": resend.ByKey, "inquiry": resend.ByInquiry}[p.Proof],
+			Destination: *partner.Dest, SettleTime: spanToTime(partner.Settle), RememberTime: spanToTime(partner.Remembers),
+			Proof: map[string]resend.Proof{"none": resend.NoProof, "key": resend.ByKey, "inquiry": resend.ByInquiry}[partner.Proof],
 		})
-		if p.Proof == "inquiry" {
-			out.inquiries[*p.Dest] = redeliver.Inquiry{Addr: p.Address, Path: p.Path, Limit: p.Timeout.Duration()}
+		if partner.Proof == "inquiry" {
+			out.inquiries[*partner.Dest] = redeliver.Inquiry{Addr: partner.Address, Path: partner.Path, Limit: partner.Timeout.Duration()}
 		}
 	}
-	for i, r := range file.Rules {
-		path := fmt.Sprintf("undelivered.rule[%d] (%s)", i, r.Name)
+	for i, section := range file.Rules {
+		path := fmt.Sprintf("undelivered.rule[%d] (%s)", i, section.Name)
 		rule := resend.Rule{
-			Name: r.Name, Destinations: r.Dests, Causes: r.Causes, MaxAge: spanToTime(r.MaxAge), MaxResends: r.Tries, FirstDelay: spanToTime(r.First),
-			Factor: r.Factor, MaxDelay: spanToTime(r.Most), Jitter: *r.Jitter,
-			Doubt: map[string]resend.DoubtFilter{"any": resend.AnyDoubt, "none": resend.NoDoubt, "only": resend.OnlyDoubt}[r.Doubt],
+			Name: section.Name, Destinations: section.Dests, Causes: section.Causes, MaxAge: spanToTime(section.MaxAge), MaxResends: section.Tries, FirstDelay: spanToTime(section.First),
+			Factor: section.Factor, MaxDelay: spanToTime(section.Most), Jitter: *section.Jitter,
+			Doubt: map[string]resend.DoubtFilter{"any": resend.AnyDoubt, "none": resend.NoDoubt, "only": resend.OnlyDoubt}[section.Doubt],
 		}
-		for _, name := range r.Classes {
+		for _, name := range section.Classes {
 			if !class(name) {
 				return nil, fmt.Errorf("%s.classes: %q is unknown", path, name)
 			}
 			rule.Classes = append(rule.Classes, wire.Plain(name))
 		}
-		for _, name := range r.Tenants {
+		for _, name := range section.Tenants {
 			if !slices.Contains(rules.Tenants, wire.Plain(name)) {
 				return nil, fmt.Errorf("%s.tenants: %q is unknown", path, name)
 			}
@@ -114,7 +114,7 @@
 	keeper     *undelivered.Keeper
 	redelivery *redeliver.Desk
 	inquirer   *redeliver.Inquirer
-	timer      host.Timer // next step of the redelivery; used on the driver's goroutine only
+	timer      host.Timer // next step of the redelivery; belongs to the driver's goroutine
 }
 
 // assembleUndelivered has the engine check submitted messages against the store of undelivered messages.
@@ -129,43 +129,43 @@
 // openUndelivered opens the store of undelivered messages after the journal has been read. The keeper then replaces the
 // journal as the driver's store.
 func (n *Node) openUndelivered(state *journal.State, random func() uint64) error {
-	k := n.undelivered
-	if k == nil {
+	parts := n.undelivered
+	if parts == nil {
 		return nil
 	}
-	settings := k.settings.store
+	settings := parts.settings.store
 	settings.Now, settings.Wall, settings.Random, settings.Log, settings.Sync = n.host.Now, n.host.Wall, random, n.log, n.cfg.Sync == journal.SyncAlways
 	var err error
-	if k.store, err = undelivered.Open(n.stateDir(), settings); err != nil {
+	if parts.store, err = undelivered.Open(n.stateDir(), settings); err != nil {
 		return err
 	}
-	k.store.Reconcile(state.Live, state.Ended)
-	k.redelivery = redeliver.New(k.settings.redelivery, k.store, n.log)
-	k.inquirer = redeliver.NewInquirer(n.host, k.settings.inquiries, func(q *redeliver.Question, a resend.Answer, why string) {
-		n.driver.Do(func() { k.redelivery.Answered(q, a, why) })
+	parts.store.Reconcile(state.Live, state.Ended)
+	parts.redelivery = redeliver.New(parts.settings.redelivery, parts.store, n.log)
+	parts.inquirer = redeliver.NewInquirer(n.host, parts.settings.inquiries, func(q *redeliver.Question, a resend.Answer, why string) {
+		n.driver.Do(func() { parts.redelivery.Answered(q, a, why) })
 	})
-	k.redelivery.Ports = redeliver.Ports{
+	parts.redelivery.Ports = redeliver.Ports{
 		Resend: func(in *engine.Submit, life redeliver.Time, reply func(engine.Verdict)) {
 			n.driver.Resend(in, n.host.Now().Add(engine.Duration(life)), reply)
 		},
 		Condition: n.driver.Engine().Condition,
-		Ask:       k.inquirer.Ask,
+		Ask:       parts.inquirer.Ask,
 		Wake:      n.scheduleRedelivery,
 	}
-	k.keeper = undelivered.NewKeeper(n.driver.Components.Store, k.store, n.clock, k.redelivery)
-	n.driver.Components.Store = k.keeper
+	parts.keeper = undelivered.NewKeeper(n.driver.Components.Store, parts.store, n.clock, parts.redelivery)
+	n.driver.Components.Store = parts.keeper
 	n.driver.Components.Sink = &redeliverySink{n.driver.Components.Sink, n}
 	return nil
 }
 
 // scheduleRedelivery schedules the next step of the redelivery at a time of the store's clock.
 func (n *Node) scheduleRedelivery(at redeliver.Time) {
-	k := n.undelivered
-	if k.timer != nil {
-		k.timer.Stop()
+	parts := n.undelivered
+	if parts.timer != nil {
+		parts.timer.Stop()
 	}
-	wait := max(engine.Duration(at-k.store.Now()), time.Millisecond)
-	k.timer = n.host.AfterFunc(wait, func() { n.driver.Do(k.redelivery.Step) })
+	wait := max(engine.Duration(at-parts.store.Now()), time.Millisecond)
+	parts.timer = n.host.AfterFunc(wait, func() { n.driver.Do(parts.redelivery.Step) })
 }
 
 // startRedelivery begins to resend, once the journaled messages have been posted to the engine.
@@ -178,19 +178,19 @@
 
 // handleUndeliveredCommand handles a command about undelivered messages.
 func (n *Node) handleUndeliveredCommand(ctx context.Context, by admin.Peer, text json.RawMessage, reply func(any) error) error {
-	var r redeliver.Request
-	if err := json.Unmarshal(text, &r); err != nil {
+	var request redeliver.Request
+	if err := json.Unmarshal(text, &request); err != nil {
 		return fmt.Errorf("%w: %w", redeliver.ErrRequest, err)
 	}
-	if r.By != "" {
-		r.By = fmt.Sprintf("%s (user %d)", r.By, by.UID)
+	if request.By != "" {
+		request.By = fmt.Sprintf("%s (user %d)", request.By, by.UID)
 	}
-	for _, list := range [][]string{r.Filter.Classes, r.Filter.Tenants} {
+	for _, list := range [][]string{request.Filter.Classes, request.Filter.Tenants} {
 		for i := range list {
 			list[i] = wire.Plain(list[i])
 		}
 	}
-	return n.service().Handle(ctx, &r, func(l *redeliver.Reply) error { return reply(l) })
+	return n.service().Handle(ctx, &request, func(l *redeliver.Reply) error { return reply(l) })
 }
 
 // service returns the handler of commands about undelivered messages.
--- a/internal/node/undelivered_sim_test.go
+++ b/internal/node/undelivered_sim_test.go
@@ -23,11 +23,11 @@
 		if *calm {
 			return archive.Act{}
 		}
-		no := random.IntN(2) == 0
-		late := time.Duration(random.IntN(4000)) * time.Millisecond
+		noEffect := random.IntN(2) == 0
+		delay := time.Duration(random.IntN(4000)) * time.Millisecond
 		switch random.IntN(12) {
 		case 0:
-			return archive.Act{Status: 500, NoEffect: no} // error
+			return archive.Act{Status: 500, NoEffect: noEffect} // error
 		case 1:
 			return archive.Act{Status: 503, NoEffect: true} // full
 		case 2:
@@ -35,19 +35,19 @@
 		case 3:
 			return archive.Act{Status: 504, NoEffect: true} // moot
 		case 4:
-			return archive.Act{Drop: true, NoEffect: no} // reset
+			return archive.Act{Drop: true, NoEffect: noEffect} // reset
 		case 5, 6:
-			return archive.Act{Hang: true, NoEffect: no}
+			return archive.Act{Hang: true, NoEffect: noEffect}
 		case 7:
-			return archive.Act{Hang: true, After: late} // runs after the call was abandoned
+			return archive.Act{Hang: true, After: delay} // runs after the call was abandoned
 		case 8:
-			return archive.Act{Status: 500, After: late}
+			return archive.Act{Status: 500, After: delay}
 		case 9:
 			if random.IntN(8) == 0 {
 				closed[string(items[0].Body)] = true
 				return archive.Act{Status: 410, NoEffect: true}
 			}
-			return archive.Act{Delay: late}
+			return archive.Act{Delay: delay}
 		}
 		return archive.Act{}
 	}
@@ -91,8 +91,8 @@
 		random := rand.New(rand.NewPCG(seed, 14))
 		calm, closed := false, map[string]bool{}
 		injectMixedFaults(s, random, &calm, closed)
-		power := seed%3 == 2 // power failures instead of some kills, with sync = "always"
-		if power {
+		powerFailures := seed%3 == 2 // power failures instead of some kills, with sync = "always"
+		if powerFailures {
 			s.sync = "always"
 			s.mux.SlowDisk(vnet.DiskTimes{Sync: 3 * time.Millisecond})
 		}
@@ -104,13 +104,13 @@
 			s.After(time.Duration(random.IntN(3000))*time.Millisecond, func() { s.submitUntilDone(u, fmt.Sprintf("u%d", n)) })
 		}
 		end := 40 * time.Second
-		var trouble, operator func()
-		trouble = func() {
+		var interrupt, operate func()
+		interrupt = func() {
 			if s.Now() > end || s.mux.Process() == nil {
 				return
 			}
 			switch {
-			case power && random.IntN(2) == 0:
+			case powerFailures && random.IntN(2) == 0:
 				s.mux.Lose()
 				s.monitor.powerFailures++
 				sum.losses++
@@ -120,33 +120,33 @@
 				s.mux.Kill()
 				sum.kills++
 			}
-			var revive func()
-			revive = func() {
+			var restart func()
+			restart = func() {
 				if s.mux.Process() != nil {
-					s.After(100*time.Millisecond, revive)
+					s.After(100*time.Millisecond, restart)
 					return
 				}
 				s.boot()
-				s.After(time.Duration(200+random.IntN(8000))*time.Millisecond, trouble)
+				s.After(time.Duration(200+random.IntN(8000))*time.Millisecond, interrupt)
 			}
-			s.After(time.Duration(10+random.IntN(600))*time.Millisecond, revive)
+			s.After(time.Duration(10+random.IntN(600))*time.Millisecond, restart)
 		}
-		operator = func() {
+		operate = func() {
 			if s.Now() > end {
 				return
 			}
 			if n := s.node; s.mux.Process() != nil && n.undelivered != nil && n.undelivered.redelivery != nil {
-				no := uint64(random.IntN(4))
+				number := uint64(random.IntN(4))
 				n.driver.Do(func() {
 					n.undelivered.store.Each(0, func(e undelivered.Summary) bool {
 						if e.State == undelivered.Ended || random.IntN(3) > 0 {
 							return true
 						}
-						no = e.Number
+						number = e.Number
 						return false
 					})
 					for range 1 + random.IntN(2) { // one or two operators at once
-						out := n.undelivered.redelivery.SendByHand(no, redeliver.Order{By: "ana", Why: "seen", Token: fmt.Sprint(random.IntN(50))})
+						out := n.undelivered.redelivery.SendByHand(number, redeliver.Order{By: "ana", Why: "seen", Token: fmt.Sprint(random.IntN(50))})
 						if out.Did == redeliver.DidLose {
 							sum.lost++
 						}
@@ -154,10 +154,10 @@
 					n.undelivered.redelivery.Settle()
 				})
 			}
-			s.After(time.Duration(random.IntN(2500))*time.Millisecond, operator)
+			s.After(time.Duration(random.IntN(2500))*time.Millisecond, operate)
 		}
-		s.After(time.Duration(500+random.IntN(5000))*time.Millisecond, trouble)
-		s.After(2*time.Second, operator)
+		s.After(time.Duration(500+random.IntN(5000))*time.Millisecond, interrupt)
+		s.After(2*time.Second, operate)
 		s.After(end, func() { calm = true })
 		settled := func() bool {
 			if s.Now() < end+time.Second {
