--- a/internal/suite/daemon.go
+++ b/internal/suite/daemon.go
@@ -323,7 +323,7 @@
 
 func (c counting) Dial(addr string, limit time.Duration, abort *host.Abort) (net.Conn, error) {
 	nc, err := c.Host.Dial(addr, limit, abort)
-	if err != nil && !abort.Completed() && addr != c.d.platform.Addr(7000) {
+	if err != nil && !abort.Done() && addr != c.d.platform.Addr(7000) {
 		c.d.unmet++
 	}
 	return nc, err
