--- a/internal/node/ledger.go
+++ b/internal/node/ledger.go
@@ -72,7 +72,7 @@
 		return
 	}
 	r := &engine.RestoredLedger{Leaves: s.Leaves}
-	if s.Found.Damage() {
+	if s.Findings.HasDamage() {
 		r.ResetReason = ledger.ReasonDamage
 	}
 	n.driver.Post(r)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -199,9 +199,9 @@
 	seeded := rand.New(rand.NewPCG(n.cfg.Seed, uint64(n.host.Wall().UnixMicro())))
 	n.journal, state, err = journal.Open(n.dir(), journal.Settings{
 		Disk: n.cfg.Disk, Owner: n.cfg.Name, Random: seeded.Uint64, Log: n.log,
-		Leaves: n.cfg.Ledger != nil, Sync: n.cfg.Sync, Every: n.cfg.SyncEvery, Go: n.host.Go,
+		KeepLeaves: n.cfg.Ledger != nil, Sync: n.cfg.Sync, SyncEvery: n.cfg.SyncEvery, Go: n.host.Go,
 		After: func(d time.Duration, f func()) { n.host.AfterFunc(d, f) },
-		Stored: func(b engine.Batch) {
+		OnStored: func(b engine.Batch) {
 			n.storedKept(b)
 			n.driver.Stored(b, nil)
 		},
