--- a/internal/journal/check.go
+++ b/internal/journal/check.go
@@ -11,29 +11,29 @@
 	"curlewmux/engine"
 )
 
-// Report is what a folder holds, for people.
+// Report describes the content of a folder for an operator.
 type Report struct {
 	State
 	Format        int // of the records, 0 if there are none
 	Owner         string
 	Segments      []Segment
-	ObsoleteFiles []string // files that count no more
-	Bytes         int64    // of all that is the journal's, in whole blocks
+	ObsoleteFiles []string // files that hold nothing needed
+	Bytes         int64    // disk use of all files of the journal, in whole blocks
 }
 
-// Segment is one file that counts.
+// Segment is one file that is in use.
 type Segment struct {
 	Name       string
-	Bytes      int64 // of the file
-	ValidBytes int64 // up to where it counts
+	Bytes      int64 // size of the file
+	ValidBytes int64 // size of its valid part
 }
 
-// Check reads a folder without changing it, also while a process writes there: then it is as it was a moment ago. An error
-// says that the folder can't be read, ErrNewerFormat that a newer program wrote it.
+// Check reads a folder without changing it. If a process is writing there, the report shows the state of a moment
+// ago. An error means that the folder can't be read, ErrNewerFormat that a newer program wrote it.
 func Check(dir Dir) (*Report, error) {
 	for try := 0; ; try++ {
-		r, err := check(dir)
-		// Segments go while they are read.
+		r, err := checkOnce(dir)
+		// Segments may be removed while they are read.
 		if again := errors.Is(err, fs.ErrNotExist) || errors.Is(err, io.ErrUnexpectedEOF); !again || try == 200 {
 			if err != nil {
 				return nil, fmt.Errorf("journal: %w", err)
@@ -43,25 +43,25 @@
 	}
 }
 
-func check(dir Dir) (*Report, error) {
+func checkOnce(dir Dir) (*Report, error) {
 	names, err := dir.List()
 	if err != nil {
 		return nil, err
 	}
-	r, err := read(dir, "", true)
+	r, err := readFolder(dir, "", true)
 	if err != nil {
 		return nil, err
 	}
-	rep := &Report{State: *r.list(r.found), Owner: r.owner, ObsoleteFiles: r.useless, Bytes: r.oldBytes}
-	for _, s := range r.segs {
-		rep.Segments = append(rep.Segments, Segment{s.name, s.disk, s.size})
-		rep.Bytes += blocks(s.disk)
+	rep := &Report{State: *r.toState(r.findings), Owner: r.owner, ObsoleteFiles: r.obsolete, Bytes: r.v1Bytes}
+	for _, s := range r.segments {
+		rep.Segments = append(rep.Segments, Segment{s.name, s.diskSize, s.validSize})
+		rep.Bytes += blocks(s.diskSize)
 	}
-	for _, name := range r.old {
+	for _, name := range r.v1Files {
 		n := fileSize(dir, name)
 		rep.Segments = append(rep.Segments, Segment{name, n, n})
 	}
-	for _, name := range r.useless {
+	for _, name := range r.obsolete {
 		rep.Bytes += fileSize(dir, name)
 	}
 	for _, name := range names {
@@ -70,15 +70,15 @@
 		}
 	}
 	switch {
-	case len(r.old) > 0:
+	case len(r.v1Files) > 0:
 		rep.Format = 1
-	case len(r.segs) > 0:
-		rep.Format = format
+	case len(r.segments) > 0:
+		rep.Format = formatVersion
 	}
 	return rep, nil
 }
 
-// Print writes the report as text, with a line for each message that is live, if asked for.
+// Print writes the report as text, with a line for each live message if messages is set.
 func (r *Report) Print(w io.Writer, messages bool) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	now := r.Last.LatestTimestamp
@@ -88,13 +88,13 @@
 			m := &l.Message
 			doubt, owed := "-", "-"
 			if l.DoubtAt != 0 {
-				doubt = at(l.DoubtAt)
+				doubt = formatTime(l.DoubtAt)
 			}
 			if l.Pending != nil {
-				owed = howName(l.Pending.Disposition)
+				owed = dispositionName(l.Pending.Disposition)
 			}
 			fmt.Fprintf(t, "%q\t%q\t%q\t%d\t%d\t%d\t%s\t%s\t%s\n",
-				m.ID, m.Class, m.Tenant, m.Destination, len(m.Body), l.Tries, doubt, at(l.Deadline), owed)
+				m.ID, m.Class, m.Tenant, m.Destination, len(m.Body), l.Tries, doubt, formatTime(l.Deadline), owed)
 		}
 		if err := t.Flush(); err != nil {
 			return err
@@ -122,7 +122,7 @@
 	fmt.Fprintf(t, "live\t%d\t%d may have run\t%d with an end to be told\n", len(r.Live), doubtful, owed)
 	fmt.Fprintf(t, "ended\t%d\tids that still count\n", len(r.Ended))
 	if now != 0 {
-		fmt.Fprintf(t, "written\t%s\n", at(now))
+		fmt.Fprintf(t, "written\t%s\n", formatTime(now))
 	}
 	fmt.Fprintf(t, "disk\t%d bytes\n", r.Bytes)
 	f := &r.Findings
@@ -135,11 +135,11 @@
 	return t.Flush()
 }
 
-func at(s engine.Timestamp) string {
+func formatTime(s engine.Timestamp) string {
 	return time.UnixMicro(int64(s)).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
-func howName(h engine.Disposition) string {
+func dispositionName(h engine.Disposition) string {
 	switch h {
 	case engine.Delivered:
 		return "delivered"
--- a/internal/journal/codec.go
+++ b/internal/journal/codec.go
@@ -8,28 +8,29 @@
 	"curlewmux/engine"
 )
 
-// A frame's payload is its numbers and then records. A record is a kind and fields: numbers as varints, text with its
-// length before it. Messages have numbers from being taken on, and small records name them by these. What is told of
-// messages that were taken (attempts, ends, ...) is a fact. Frames, facts and whole records of messages are numbered in
-// the order of being written, so that it is known what is missing.
-
-// numbers are a frame's: its own, those of the first fact and the first whole record in it or behind it, and how many
-// frames and facts before it were not known to outlast a power failure.
-type numbers struct {
-	frame, fact, whole    uint64
-	openFrames, openFacts uint64
+// A frame's payload is its counters, followed by records. A record is a kind and its fields: numbers as varints,
+// texts prefixed by their length. A message gets a number when it is accepted, and small records refer to it by this
+// number. A full record holds the complete state of a message. A fact is a record of what happened to accepted
+// messages (attempts, ends, ...) or to the clock. Frames, facts and full records are numbered in the order in which
+// they are written, so that a reader knows what is missing.
+
+// counters are the numbers of a frame: its own, those of the first fact and the first full record in it or after it,
+// and how many frames and facts before it were not known to be synced.
+type counters struct {
+	frame, fact, full             uint64
+	unsyncedFrames, unsyncedFacts uint64
 }
 
-func (n *numbers) append(b []byte) []byte {
-	for _, v := range [...]uint64{n.frame, n.fact, n.whole, n.openFrames, n.openFacts} {
+func (n *counters) append(b []byte) []byte {
+	for _, v := range [...]uint64{n.frame, n.fact, n.full, n.unsyncedFrames, n.unsyncedFacts} {
 		b = binary.AppendUvarint(b, v)
 	}
 	return b
 }
 
-func (r *reader) numbers() (n numbers) {
-	for _, v := range [...]*uint64{&n.frame, &n.fact, &n.whole, &n.openFrames, &n.openFacts} {
-		*v = r.num()
+func (r *reader) counters() (n counters) {
+	for _, v := range [...]*uint64{&n.frame, &n.fact, &n.full, &n.unsyncedFrames, &n.unsyncedFacts} {
+		*v = r.uvarint()
 	}
 	return n
 }
@@ -37,35 +38,35 @@
 type kind byte
 
 const (
-	kindTaken    kind = iota + 1 // a message, as it was taken on
-	kindCopy                     // a message with all that it has behind it, from an older segment
-	kindStone                    // a message that ended, from an older segment
-	kindAttempts                 // facts from here on
+	kindAccepted  kind = iota + 1 // a message when it was accepted
+	kindCopy                      // a message with its current state, copied from an older segment
+	kindTombstone                 // an ended message, copied from an older segment
+	kindAttempts                  // the first kind of fact
 	kindNeverRan
 	kindState
-	kindOwed
+	kindPending
 	kindEnded
-	kindShift
-	kindMark  // nothing
-	kindFirst // segments before this one are void
-	kindEcho  // facts that an earlier frame told, once more: their first number and their records
-	kindLeaf  // the newest text of a leaf of the books
+	kindClockStep
+	kindNoop         // no content
+	kindFirstSegment // segments before this one are obsolete
+	kindRepeat       // facts of an earlier frame, repeated: the number of the first one and the records
+	kindLeaf         // the newest text of a leaf of the ledger
 )
 
-func (k kind) fact() bool { return k >= kindAttempts && k <= kindShift }
+func (k kind) isFact() bool { return k >= kindAttempts && k <= kindClockStep }
 
-var errShort = errors.New("record is cut short")
+var errTruncated = errors.New("record is cut short")
 
-// reader reads fields; after a short read all is zero and err is set.
+// reader decodes fields. After a short read all values are zero and err is set.
 type reader struct {
-	buf   []byte
-	err   error
-	names map[string]string // what name has read, nil to keep none
+	buf      []byte
+	err      error
+	interned map[string]string // texts that internedText has read, nil to share none
 }
 
-func (r *reader) fail() { r.err, r.buf = errShort, nil }
+func (r *reader) fail() { r.err, r.buf = errTruncated, nil }
 
-func (r *reader) num() uint64 {
+func (r *reader) uvarint() uint64 {
 	v, n := binary.Uvarint(r.buf)
 	if n <= 0 {
 		r.fail()
@@ -75,7 +76,7 @@
 	return v
 }
 
-func (r *reader) signed() int64 {
+func (r *reader) varint() int64 {
 	v, n := binary.Varint(r.buf)
 	if n <= 0 {
 		r.fail()
@@ -85,7 +86,7 @@
 	return v
 }
 
-func (r *reader) stamp() engine.Timestamp { return engine.Timestamp(r.signed()) }
+func (r *reader) timestamp() engine.Timestamp { return engine.Timestamp(r.varint()) }
 
 func (r *reader) byte() byte {
 	if len(r.buf) == 0 {
@@ -108,7 +109,7 @@
 }
 
 func (r *reader) bytes() []byte {
-	n := r.num()
+	n := r.uvarint()
 	if n > uint64(len(r.buf)) {
 		r.fail()
 		return nil
@@ -120,13 +121,13 @@
 
 func (r *reader) text() string { return string(r.bytes()) }
 
-// name reads a text that comes again and again.
-func (r *reader) name() string {
+// internedText reads a text that recurs often, and shares the memory of its copies.
+func (r *reader) internedText() string {
 	b := r.bytes()
-	s, ok := r.names[string(b)]
+	s, ok := r.interned[string(b)]
 	if !ok {
-		if s = string(b); r.names != nil && len(r.names) < 1000 {
-			r.names[s] = s
+		if s = string(b); r.interned != nil && len(r.interned) < 1000 {
+			r.interned[s] = s
 		}
 	}
 	return s
@@ -136,7 +137,7 @@
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-func putStamp(b []byte, s engine.Timestamp) []byte { return binary.AppendVarint(b, int64(s)) }
+func putTimestamp(b []byte, s engine.Timestamp) []byte { return binary.AppendVarint(b, int64(s)) }
 
 func putFlag(b []byte, v bool) []byte {
 	if v {
@@ -145,106 +146,106 @@
 	return append(b, 0)
 }
 
-// record is any record as it was read. Which fields count depends on the kind.
+// record is a decoded record. Its kind says which fields are set.
 type record struct {
-	kind     kind
-	num      uint64 // of the message
-	msg      engine.Message
-	deadline engine.Timestamp
-	doubt    doubt
-	tries    int
-	owed     *engine.PendingResult
-	how      engine.Disposition
-	until    engine.Timestamp
-	print    uint64
-	at       engine.Timestamp
-	list     []part // attempts
-	shift    int64
-	first    uint64 // segment, or fact, or number of a leaf
-	facts    []byte // of an echo; text of a leaf
+	kind        kind
+	num         uint64 // of the message
+	msg         engine.Message
+	deadline    engine.Timestamp
+	doubt       doubt
+	tries       int
+	pending     *engine.PendingResult
+	disposition engine.Disposition
+	until       engine.Timestamp
+	fingerprint uint64
+	at          engine.Timestamp
+	attempts    []attemptEntry
+	clockStep   int64
+	number      uint64 // of a segment, a fact or a leaf
+	payload     []byte // repeated facts, or the text of a leaf
 }
 
-// part is one message's part in a record of attempts.
-type part struct {
+// attemptEntry is the attempt of one message in a record of attempts.
+type attemptEntry struct {
 	num  uint64
 	zone int
 }
 
-// doubt is whether and since when a message may have run.
+// doubt says whether and since when a message may have run.
 type doubt struct {
-	at     engine.Timestamp // send of the first attempt that may have run, 0 if there is none
-	zone   int
-	newest bool // that one is the newest attempt and its outcome is open: it may yet prove that it never ran
+	since         engine.Timestamp // when the first attempt that may have run was sent, 0 if there is none
+	zone          int
+	newestAttempt bool // that attempt is the newest one and its outcome is open: it may still prove that it never ran
 }
 
 func putMessage(b []byte, num uint64, m *engine.Message, deadline engine.Timestamp) []byte {
 	b = putText(putText(putText(putText(binary.AppendUvarint(b, num), m.ID), m.Class), m.Tenant), m.Key)
-	return putText(putStamp(binary.AppendVarint(b, int64(m.Destination)), deadline), m.Body)
+	return putText(putTimestamp(binary.AppendVarint(b, int64(m.Destination)), deadline), m.Body)
 }
 
 func putDoubt(b []byte, tries int, d doubt) []byte {
-	b = putStamp(binary.AppendUvarint(b, uint64(tries)), d.at)
-	return putFlag(binary.AppendVarint(b, int64(d.zone)), d.newest)
+	b = putTimestamp(binary.AppendUvarint(b, uint64(tries)), d.since)
+	return putFlag(binary.AppendVarint(b, int64(d.zone)), d.newestAttempt)
 }
 
-func putOwed(b []byte, o *engine.PendingResult) []byte {
+func putPending(b []byte, o *engine.PendingResult) []byte {
 	b = binary.AppendVarint(append(b, byte(o.Disposition)), int64(o.RetryAfter))
 	return binary.LittleEndian.AppendUint64(b, o.Fingerprint)
 }
 
-func putStone(b []byte, id string, until engine.Timestamp, print uint64) []byte {
-	return binary.LittleEndian.AppendUint64(putText(putStamp(b, until), id), print)
+func putTombstone(b []byte, id string, until engine.Timestamp, print uint64) []byte {
+	return binary.LittleEndian.AppendUint64(putText(putTimestamp(b, until), id), print)
 }
 
 func putLeaf(b []byte, number uint64, text []byte) []byte {
 	return putText(binary.AppendUvarint(append(b, byte(kindLeaf)), number), text)
 }
 
-// read reads one record. Bytes and strings that last are copies.
+// record reads one record. Strings and bodies are copies, payload is not.
 func (r *reader) record() (rec record, err error) {
 	rec.kind = kind(r.byte())
 	switch rec.kind {
-	case kindTaken, kindCopy:
-		rec.num = r.num()
-		rec.msg = engine.Message{ID: r.text(), Class: r.name(), Tenant: r.name(), Key: r.text()}
-		rec.msg.Destination, rec.deadline = int(r.signed()), r.stamp()
+	case kindAccepted, kindCopy:
+		rec.num = r.uvarint()
+		rec.msg = engine.Message{ID: r.text(), Class: r.internedText(), Tenant: r.internedText(), Key: r.text()}
+		rec.msg.Destination, rec.deadline = int(r.varint()), r.timestamp()
 		rec.msg.Body = append([]byte(nil), r.bytes()...)
 		if rec.kind == kindCopy {
 			rec.tries, rec.doubt = r.doubt()
 			if r.byte() == 1 {
-				rec.owed = r.owed()
+				rec.pending = r.pending()
 			}
 		}
-	case kindStone:
-		rec.num, rec.how = r.num(), engine.Disposition(r.byte())
-		rec.until, rec.msg.ID, rec.print = r.stamp(), r.text(), r.uint64()
+	case kindTombstone:
+		rec.num, rec.disposition = r.uvarint(), engine.Disposition(r.byte())
+		rec.until, rec.msg.ID, rec.fingerprint = r.timestamp(), r.text(), r.uint64()
 	case kindAttempts:
-		rec.at = r.stamp()
-		for n := r.num(); n > 0 && r.err == nil; n-- {
-			rec.list = append(rec.list, part{r.num(), int(r.signed())})
+		rec.at = r.timestamp()
+		for n := r.uvarint(); n > 0 && r.err == nil; n-- {
+			rec.attempts = append(rec.attempts, attemptEntry{r.uvarint(), int(r.varint())})
 		}
 	case kindNeverRan:
-		rec.num = r.num()
+		rec.num = r.uvarint()
 	case kindState:
-		rec.num = r.num()
+		rec.num = r.uvarint()
 		rec.tries, rec.doubt = r.doubt()
-	case kindOwed:
-		rec.num = r.num()
-		rec.owed = r.owed()
+	case kindPending:
+		rec.num = r.uvarint()
+		rec.pending = r.pending()
 	case kindEnded:
-		rec.num, rec.how = r.num(), engine.Disposition(r.byte())
+		rec.num, rec.disposition = r.uvarint(), engine.Disposition(r.byte())
 		if r.byte() == 1 {
-			rec.until, rec.msg.ID, rec.print = r.stamp(), r.text(), r.uint64()
+			rec.until, rec.msg.ID, rec.fingerprint = r.timestamp(), r.text(), r.uint64()
 		}
-	case kindShift:
-		rec.shift = r.signed()
-	case kindMark:
-	case kindFirst:
-		rec.first = r.num()
-	case kindEcho:
-		rec.first, rec.facts = r.num(), r.bytes()
+	case kindClockStep:
+		rec.clockStep = r.varint()
+	case kindNoop:
+	case kindFirstSegment:
+		rec.number = r.uvarint()
+	case kindRepeat:
+		rec.number, rec.payload = r.uvarint(), r.bytes()
 	case kindLeaf:
-		rec.first, rec.facts = r.num(), r.bytes()
+		rec.number, rec.payload = r.uvarint(), r.bytes()
 	default:
 		r.fail()
 	}
@@ -252,10 +253,10 @@
 }
 
 func (r *reader) doubt() (tries int, d doubt) {
-	tries = int(min(r.num(), 1<<30))
-	return tries, doubt{at: r.stamp(), zone: int(r.signed()), newest: r.byte() == 1}
+	tries = int(min(r.uvarint(), 1<<30))
+	return tries, doubt{since: r.timestamp(), zone: int(r.varint()), newestAttempt: r.byte() == 1}
 }
 
-func (r *reader) owed() *engine.PendingResult {
-	return &engine.PendingResult{Disposition: engine.Disposition(r.byte()), RetryAfter: time.Duration(r.signed()), Fingerprint: r.uint64()}
+func (r *reader) pending() *engine.PendingResult {
+	return &engine.PendingResult{Disposition: engine.Disposition(r.byte()), RetryAfter: time.Duration(r.varint()), Fingerprint: r.uint64()}
 }
--- a/internal/journal/compact.go
+++ b/internal/journal/compact.go
@@ -4,38 +4,39 @@
 	"encoding/binary"
 )
 
-// wanted tells whether there is something to gain by copying: when half of the log is void and it is no longer small,
-// or when the disk fills up.
-func (j *Journal) wanted() bool {
-	if len(j.segs) > 0 && j.segs[0].seq <= j.rewrite {
+// shouldCompact reports whether copying is worthwhile: when half of the log is obsolete and the log is not small, or
+// when the disk fills up.
+func (j *Journal) shouldCompact() bool {
+	if len(j.segments) > 0 && j.segments[0].seq <= j.rewriteUpTo {
 		return true
 	}
-	if j.total-j.bytes < 2*j.size {
+	if j.segmentBytes-j.liveBytes < 2*j.segmentSize {
 		return false
 	}
-	room := j.set.Disk - j.alien - j.spareSize()
-	return j.total > min(2*j.bytes+6*j.size, room/4*3, room-j.reserve(0)-j.size)
+	room := j.settings.Disk - j.foreignBytes - j.spareSize()
+	return j.segmentBytes > min(2*j.liveBytes+6*j.segmentSize, room/4*3, room-j.reserve(0)-j.segmentSize)
 }
 
-// compact appends copies of what is live in the oldest segments to buf, and drops those with nothing left in them.
+// compact appends copies of the live content of the oldest segments to buf, and drops segments with nothing left in
+// them.
 func (j *Journal) compact() {
-	room := min(stepCopies, int(j.size)/2) + copyRate*len(j.buf)
+	room := min(copyBytesPerFlush, int(j.segmentSize)/2) + copyFactor*len(j.buf)
 	work := 0
-	for dropped := 0; len(j.segs) > 0 && j.wanted(); {
-		s := j.segs[0]
-		if s.seq == j.target() {
+	for dropped := 0; len(j.segments) > 0 && j.shouldCompact(); {
+		s := j.segments[0]
+		if s.seq == j.targetSegment() {
 			return
 		}
 		n := j.oldest()
 		switch empty := n == nil || n.seg > s.seq; {
-		case empty && dropped == stepRemove, !empty && work >= room:
+		case empty && dropped == removalsPerFlush, !empty && work >= room:
 			return
 		case empty:
-			j.drop()
+			j.dropOldest()
 			dropped++
-		case n.life == nil && j.expired(n):
+		case n.live == nil && j.expired(n):
 			work += nodeCost
-			j.aside()
+			j.beginCopyFrame()
 			j.forget(n)
 		default:
 			at := len(j.buf)
@@ -45,83 +46,84 @@
 	}
 }
 
-// sweep looks at some nodes, a few more than are appended, and forgets ids whose time is over. Nothing is written for that.
-func (j *Journal) sweep() {
-	for range min(sweepNodes+2*len(j.starts), j.count) {
-		n := j.swept
-		if n == nil || n.next == nil || n == &j.root { // the end, or it is gone
+// forgetExpired checks some nodes, a few more than are appended, and forgets expired ids. Nothing is written for
+// that.
+func (j *Journal) forgetExpired() {
+	for range min(expiryScanNodes+2*len(j.frameStarts), j.count) {
+		n := j.expiryCursor
+		if n == nil || n.next == nil || n == &j.root { // the end of the list, or a removed node
 			n = j.root.next
 		}
-		j.swept = n.next
-		if n != &j.root && n.life == nil && j.expired(n) {
+		j.expiryCursor = n.next
+		if n != &j.root && n.live == nil && j.expired(n) {
 			j.forget(n)
 		}
 	}
 }
 
-// expired tells whether the id of a message that ended need not be kept.
+// expired reports whether the id of an ended message need not be kept any more.
 func (j *Journal) expired(n *node) bool {
 	if n.leaf != nil {
 		return false
 	}
-	now := j.wall
+	now := j.wallTime
 	if now == 0 {
-		now = j.real(j.last)
+		now = j.toWall(j.last)
 	}
-	return j.real(n.until) < now
+	return j.toWall(n.until) < now
 }
 
-// aside makes sure that the frame at the end of buf is one for copies, and not too large.
-func (j *Journal) aside() {
-	if n := len(j.starts); !j.copying || n == 0 || len(j.buf)-j.starts[n-1] >= copyFrame {
-		j.begin()
+// beginCopyFrame makes sure that the last frame in buf is for copies, and not too large.
+func (j *Journal) beginCopyFrame() {
+	if n := len(j.frameStarts); !j.copying || n == 0 || len(j.buf)-j.frameStarts[n-1] >= copyFrameSize {
+		j.beginFrame()
 		j.copying = true
 	}
 }
 
-// copyNode writes a node anew.
+// copyNode appends a full record of a node to buf.
 func (j *Journal) copyNode(n *node) {
-	j.aside()
-	j.buf = j.put(j.buf, n)
+	j.beginCopyFrame()
+	j.buf = j.appendNode(j.buf, n)
 	if n.leaf == nil {
-		j.whole++
+		j.nextFull++
 	}
-	j.move(n, j.target())
+	j.moveToSegment(n, j.targetSegment())
 }
 
-// drop makes the oldest segment void.
-func (j *Journal) drop() {
-	s := j.segs[0]
-	j.segs = j.segs[1:]
-	j.first = j.target()
-	if len(j.segs) > 0 {
-		j.first = j.segs[0].seq
+// dropOldest makes the oldest segment obsolete.
+func (j *Journal) dropOldest() {
+	s := j.segments[0]
+	j.segments = j.segments[1:]
+	j.firstSeq = j.targetSegment()
+	if len(j.segments) > 0 {
+		j.firstSeq = j.segments[0].seq
 	}
-	j.total -= blocks(s.disk)
-	j.waiting += blocks(s.disk)
-	j.aside()
-	j.buf = binary.AppendUvarint(append(j.buf, byte(kindFirst)), j.first)
-	j.cur.voids = append(j.cur.voids, s)
-	j.measure()
+	j.segmentBytes -= blocks(s.diskSize)
+	j.obsoleteBytes += blocks(s.diskSize)
+	j.beginCopyFrame()
+	j.buf = binary.AppendUvarint(append(j.buf, byte(kindFirstSegment)), j.firstSeq)
+	j.current.obsolete = append(j.current.obsolete, s)
+	j.updateLargest()
 }
 
-// unvoid takes back what a flight dropped.
-func (j *Journal) unvoid(f *flight) {
-	if len(f.voids) == 0 {
+// restoreObsolete brings back the segments that a write made obsolete.
+func (j *Journal) restoreObsolete(f *pendingWrite) {
+	if len(f.obsolete) == 0 {
 		return
 	}
-	j.segs = append(f.voids, j.segs...)
-	for _, s := range f.voids {
-		j.total += blocks(s.disk)
-		j.waiting -= blocks(s.disk)
+	j.segments = append(f.obsolete, j.segments...)
+	for _, s := range f.obsolete {
+		j.segmentBytes += blocks(s.diskSize)
+		j.obsoleteBytes -= blocks(s.diskSize)
 	}
-	j.first, f.voids = f.first, nil
-	j.measure()
+	j.firstSeq, f.obsolete = f.firstSeq, nil
+	j.updateLargest()
 }
 
-func (j *Journal) measure() {
-	j.most = 0
-	for _, s := range j.segs {
-		j.most = max(j.most, s.disk)
+func (j *Journal) updateLargest() {
+	j.largestSegment = 0
+	for _, s := range j.segments {
+		j.largestSegment = max(j.largestSegment, s.diskSize)
 	}
 }
--- a/internal/journal/echo.go
+++ b/internal/journal/echo.go
@@ -2,82 +2,82 @@
 
 import "encoding/binary"
 
-// Facts are written again, twice as a rule: once when the log has grown by at least a block, and once in a later segment.
-// So neither a damaged place of up to a block nor the loss of one segment loses a fact, but for the newest ones: what
-// ended is known to have ended, and what was tried to have been tried.
+// Facts are usually repeated twice: once when the log has grown by at least a block, and once in a later segment. So
+// neither damage of up to one block nor the loss of one segment loses a fact, except for the newest ones. It stays
+// known which messages ended and which were attempted.
 
-// echoes are the facts that are still to be written again, oldest first. Each chunk has a number that only grows.
-type echoes struct {
-	list []chunk
-	base int // number of the first in list
-	near int // the next to be written for the first time, and
-	far  int // in a later segment
+// repeatQueue holds the facts that are still to be repeated, oldest first. Each chunk has a number that only grows.
+type repeatQueue struct {
+	chunks     []factChunk
+	base       int // number of the first chunk
+	nextFirst  int // number of the next chunk to be repeated for the first time
+	nextSecond int // number of the next chunk to be repeated in a later segment
 }
 
-// chunk is the facts of one flight.
-type chunk struct {
-	first uint64
-	facts []byte
-	seg   uint64 // where they are
-	end   int64  // of the flight, as Journal.pos counts
-	again uint64 // segment of the first echo
+// factChunk holds the facts of one write.
+type factChunk struct {
+	firstFact     uint64
+	facts         []byte
+	segment       uint64 // segment that they were written to
+	end           int64  // end of the write, counted like Journal.bytesWritten
+	repeatSegment uint64 // segment of the first repetition
 }
 
-func (e *echoes) add(first uint64, facts []byte, seg uint64, end int64) {
-	e.list = append(e.list, chunk{first, append([]byte(nil), facts...), seg, end, 0})
+func (e *repeatQueue) add(first uint64, facts []byte, seg uint64, end int64) {
+	e.chunks = append(e.chunks, factChunk{first, append([]byte(nil), facts...), seg, end, 0})
 }
 
-// trim forgets chunks before a number, once they are half of all: so it costs no more than adding them did.
-func (e *echoes) trim(n int) {
-	if n-e.base < len(e.list)/2 || n == e.base {
+// trim forgets the chunks before a number once they are half of all, so that it costs no more than adding them did.
+func (e *repeatQueue) trim(n int) {
+	if n-e.base < len(e.chunks)/2 || n == e.base {
 		return
 	}
-	k := copy(e.list, e.list[n-e.base:])
-	clear(e.list[k:])
-	e.list, e.base = e.list[:k], n
+	k := copy(e.chunks, e.chunks[n-e.base:])
+	clear(e.chunks[k:])
+	e.chunks, e.base = e.chunks[:k], n
 }
 
-func (e *echoes) takeBack(f *flight) {
-	e.near, e.far = f.near, f.far
-	n := len(e.list)
-	for n > 0 && e.list[n-1].first >= f.fact {
+func (e *repeatQueue) undoWrite(f *pendingWrite) {
+	e.nextFirst, e.nextSecond = f.nextFirst, f.nextSecond
+	n := len(e.chunks)
+	for n > 0 && e.chunks[n-1].firstFact >= f.fact {
 		n--
 	}
-	clear(e.list[n:])
-	e.list = e.list[:n]
+	clear(e.chunks[n:])
+	e.chunks = e.chunks[:n]
 }
 
-// echo appends facts of earlier flights to what is to be written, if there is something: about as much as that, but
-// what comes for the first time goes in any case.
-func (j *Journal) echo() {
+// appendRepeats repeats facts of earlier writes if something is to be written. First repetitions are always added,
+// second ones up to about the size of what is written.
+func (j *Journal) appendRepeats() {
 	if len(j.buf) == 0 {
 		return
 	}
-	e := &j.echoes
-	seg, room := j.target(), len(j.buf)+block
-	frame := j.pos + int64(len(j.buf)) // all echoes of one flight begin in one frame
-	for ; e.near < e.base+len(e.list); e.near++ {
-		c := &e.list[e.near-e.base]
-		if c.seg == seg && c.end+block > frame {
+	e := &j.repeats
+	seg, room := j.targetSegment(), len(j.buf)+blockSize
+	frame := j.bytesWritten + int64(len(j.buf)) // all repetitions of one write start in one frame
+	for ; e.nextFirst < e.base+len(e.chunks); e.nextFirst++ {
+		c := &e.chunks[e.nextFirst-e.base]
+		if c.segment == seg && c.end+blockSize > frame {
 			break
 		}
-		c.again = seg
-		j.putEcho(c)
+		c.repeatSegment = seg
+		j.putRepeat(c)
 	}
-	for ; e.far < e.near && room > 0; e.far++ {
-		c := &e.list[e.far-e.base]
-		if c.seg == seg {
+	for ; e.nextSecond < e.nextFirst && room > 0; e.nextSecond++ {
+		c := &e.chunks[e.nextSecond-e.base]
+		if c.segment == seg {
 			break
 		}
-		if c.again == c.seg {
-			j.putEcho(c)
+		if c.repeatSegment == c.segment {
+			j.putRepeat(c)
 			room -= len(c.facts)
 		}
 	}
 }
 
-func (j *Journal) putEcho(c *chunk) {
-	j.aside()
-	j.buf = binary.AppendUvarint(append(j.buf, byte(kindEcho)), c.first)
+func (j *Journal) putRepeat(c *factChunk) {
+	j.beginCopyFrame()
+	j.buf = binary.AppendUvarint(append(j.buf, byte(kindRepeat)), c.firstFact)
 	j.buf = putText(j.buf, c.facts)
 }
--- a/internal/journal/frame_test.go
+++ b/internal/journal/frame_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// The frame is what one release hands to the next: its form is fixed by figures of its own, and any flipped byte of it,
-// or another place in the file, voids it.
+// Other releases read these frames, so the format is pinned by literal values here. A flipped byte or another place
+// in the file makes a frame invalid.
 func TestFrameIsLengthAndChecksum(t *testing.T) {
 	t.Parallel()
 	const salt, at = 0x0123456789abcdef, 7
-	frame := append(openFrame(nil), "123456789"...)
-	sealFrame(frame, salt, at)
+	frame := append(appendFrameHeader(nil), "123456789"...)
+	fillFrameHeader(frame, salt, at)
 	const check = 0xe3069283 // CRC-32C of "123456789", the check value of its definition (RFC 3720, B.4, has others)
 	if n := binary.LittleEndian.Uint32(frame); n != 9 {
 		t.Errorf("length %d", n)
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,9 +1,10 @@
-// Package journal keeps what a dispatcher has taken on in a folder, so that it outlasts the process: it implements
+// Package journal stores accepted messages in a folder, so that they survive the end of the process. It implements
 // engine.Store.
 //
-// The journal is a log in segments. Records are appended to the newest one. What is still needed of the oldest is copied
-// behind the newest records, a little with each Flush, and then the oldest is removed: no step grows with what is live.
-// The table of what is live shares texts and bodies with the engine's messages.
+// The journal is a log that is split into segments. Records are appended to the newest segment. Each Flush also
+// copies a bounded part of what is still needed in the oldest segments behind the newest records, and removes
+// segments that hold nothing needed any more. So the work of one call does not grow with the number of live messages.
+// The table of live messages shares texts and bodies with the engine's messages.
 package journal
 
 import (
@@ -18,172 +19,173 @@
 	"curlewmux/ledger"
 )
 
-// Settings of a journal. All but Disk may be left zero.
+// Settings configure a journal. Disk and Random are required. The other fields may be left zero, except where they
+// say otherwise.
 type Settings struct {
-	Disk  int64  // bytes that the journal's files may take, each counted in whole blocks of 512; MinDisk at least
-	Owner string // the dispatcher's name: segments of another one are not used; 200 bytes at most
+	Disk  int64  // bytes that the journal's files may take, each rounded up to blocks of 512; at least MinDisk
+	Owner string // name of the dispatcher, at most 200 bytes; segments of other owners are not used
 
 	Sync      Sync
-	SyncEvery time.Duration                   // between two syncs, for SyncInterval: more than 0
-	Go        func(func())                    // runs a function on a goroutine of its own; needed to sync
-	After     func(d time.Duration, f func()) // the same after a time; needed for SyncInterval
+	SyncEvery time.Duration                   // interval between two syncs, for SyncInterval; more than 0
+	Go        func(func())                    // runs a function on a goroutine of its own; required unless Sync is SyncNone
+	After     func(d time.Duration, f func()) // the same after a delay; required for SyncInterval
 	OnStored  func(upTo engine.Batch)         // see SyncAlways; called on the syncing goroutine
 
-	KeepLeaves bool // leaves of the books are kept; else those in the folder go
+	KeepLeaves bool // keep the leaves of the ledger; otherwise Open drops those in the folder
 
-	Random func() uint64 // marks segments, so that none is taken for another; needed
+	Random func() uint64 // its numbers distinguish segments and journals; required
 	Log    *slog.Logger
 }
 
-// Sync says when what was written is made to outlast a power failure. What was written outlasts the process in any case.
+// Sync says when written data is made to survive a power failure. It survives the end of the process in any case.
 type Sync uint8
 
 const (
-	// SyncNone leaves it to the system: a batch is stored once it is written.
+	// SyncNone leaves syncing to the operating system: a batch is stored once it is written.
 	SyncNone Sync = iota
 
-	// SyncInterval syncs every so often: a batch is stored once it is written.
+	// SyncInterval syncs at regular intervals: a batch is stored once it is written.
 	SyncInterval
 
-	// SyncAlways stores a batch by syncing it. Flush does not wait for that: Stored is told later up to which batch all
-	// are. When a sync fails Stored is told no more than before; the next Flush, which is to follow, then returns the
-	// error, and no batch that is not stored by then ever will be.
+	// SyncAlways stores a batch by syncing it. Flush does not wait for the sync: OnStored reports later up to which
+	// batch everything is stored. When a sync fails, OnStored reports the same batch as before. The caller must then
+	// call Flush, which returns the error. A batch that is not stored by then never will be.
 	SyncAlways
 )
 
-// MinDisk is the least disk that a journal works with.
+// MinDisk is the smallest Settings.Disk that a journal works with.
 const MinDisk = 48 << 10
 
 const (
-	block      = 512 // the disk is counted in these
-	lockName   = "journal.lock"
-	leastSize  = 4 << 10 // of a segment
-	mostSize   = 4 << 20
-	copyFrame  = 4 << 10 // copies share frames of about this size
-	stepCopies = 8 << 10 // what a Flush copies at most (half a segment, if that is less), and copyRate times what it writes
-	copyRate   = 4
-	stepRemove = 2 // segments that a Flush removes at most
-	sweepNodes = 16
+	blockSize         = 512 // unit in which disk use is counted
+	lockName          = "journal.lock"
+	minSegmentSize    = 4 << 10 // smallest size at which a segment is complete
+	maxSegmentSize    = 4 << 20 // largest size at which a segment is complete
+	copyFrameSize     = 4 << 10 // approximate size of a frame of copies
+	copyBytesPerFlush = 8 << 10 // bytes that a Flush copies besides copyFactor (or half a segment, if less)
+	copyFactor        = 4       // bytes copied for each byte that a Flush writes
+	removalsPerFlush  = 2       // segments that a Flush removes at most
+	expiryScanNodes   = 16      // nodes that a Flush checks for expiry, in addition to two for each frame that it writes
 )
 
-// Journal is a store in one folder, which it owns. One goroutine, the driver's, may call its methods.
+// Journal is a store in one folder, which it owns. Its methods must be called from one goroutine, the driver's.
 type Journal struct {
-	dir  Dir
-	set  Settings
-	lock io.Closer
+	dir      Dir
+	settings Settings
+	lock     io.Closer
 	*table
 
-	identity uint64
-	size     int64 // segments are begun anew from here on
-	alien    int64 // bytes of files that look like segments and are not this journal's
-	grace    int64 // what the folder may take for now, if it was opened with more in it than Disk
-
-	frame   uint64 // numbers of the next frame, fact and whole record
-	fact    uint64
-	whole   uint64
-	segs    []*segment // what counts, oldest first
-	head    *segment   // the last of segs, once it is this process's own
-	first   uint64     // segments before this one are void
-	lastSeq uint64     // the highest that any file had
-	total   int64      // blocks of segs, in bytes
-	most    int64      // of the largest of segs
-	voids   []*segment // to be removed
-	waiting int64      // blocks of all that are void and there, in bytes
-
-	buf     []byte // what the next Flush writes
-	starts  []int  // of the frames in buf
-	facts   []byte // the facts in buf
-	cur     flight // that is to be written with buf
-	copying bool   // the last frame in buf is one for copies
-	told    engine.Batch
-	swept   *node // what sweep looks at next
-	wall    engine.Timestamp
-	pos     int64 // bytes written by this process
-	echoes  echoes
-	spare   spare
-
-	syncer  syncer
-	flights []flight   // written and not synced
-	landed  uint64     // number of the last flight that is synced
-	sure    numbers    // frames and facts before these are
-	broken  error      // what was appended is not stored: the next Flush says so
-	closing []*segment // complete, and perhaps not synced
-	rewrite uint64     // segments up to this one are to be replaced
-	kept    []*segment // void once they are
+	identity     uint64
+	segmentSize  int64 // a segment of this size is complete, and the next write creates another one
+	foreignBytes int64 // disk use of files in the folder that are not part of the log
+	graceLimit   int64 // limit in place of Disk while the folder that was opened exceeds Disk, else 0
+
+	nextFrame      uint64     // number of the next frame
+	nextFact       uint64     // number of the next fact
+	nextFull       uint64     // number of the next full record
+	segments       []*segment // segments in use, oldest first
+	newest         *segment   // last of segments if this process created it, else nil
+	firstSeq       uint64     // segments before this one are obsolete
+	lastSeq        uint64     // highest sequence number of any file
+	segmentBytes   int64      // disk use of segments, in whole blocks
+	largestSegment int64      // size of the largest of segments
+	obsolete       []*segment // obsolete segments still to be removed
+	obsoleteBytes  int64      // disk use of all obsolete segments that still exist, in whole blocks
+
+	buf          []byte           // frames that the next Flush writes
+	frameStarts  []int            // offsets of the frames in buf
+	bufFacts     []byte           // encoded facts in buf
+	current      pendingWrite     // the write that buf becomes
+	copying      bool             // the last frame in buf is for copies
+	storedBatch  engine.Batch     // last batch that is known to be stored
+	expiryCursor *node            // next node that forgetExpired checks
+	wallTime     engine.Timestamp // set by Tick, 0 before
+	bytesWritten int64            // bytes written by this process
+	repeats      repeatQueue
+	spare        spare
+
+	syncer        syncer
+	pendingWrites []pendingWrite // written and not synced
+	syncedWrite   uint64         // number of the last write that is synced
+	synced        counters       // frames and facts before these numbers are synced
+	failure       error          // appended batches were not stored: the next Flush returns this error
+	retired       []*segment     // complete segments, perhaps not synced
+	rewriteUpTo   uint64         // segments up to this one are to be replaced by copies
+	heldObsolete  []*segment     // segments that become obsolete once that is done
 }
 
 var _ engine.Store = (*Journal)(nil)
 
 // segment is one file of the log.
 type segment struct {
-	seq   uint64
-	salt  uint64
-	name  string
-	file  File   // nil if it is not open
-	size  int64  // good bytes
-	disk  int64  // bytes of the file, as far as they are known: not less than size
-	torn  bool   // what is behind size can't be cut off
-	flown uint64 // number of the last flight in it
-}
-
-// flight is what one Flush writes, with what takes it back.
-type flight struct {
-	number      uint64
-	batch       engine.Batch // the last in it
-	undo        int          // changes of the table before it
-	fact, whole uint64       // as they were before it; so are the next four
-	frame       uint64
-	shift, last engine.Timestamp
-	first       uint64
-	near, far   int
-	after       numbers // the next ones after it
-	at          link
-	voids       []*segment // that count no more once it is stored
-	began       bool       // it began a segment
+	seq       uint64
+	salt      uint64
+	name      string
+	file      File   // nil if it is not open
+	validSize int64  // size of the part that holds valid frames
+	diskSize  int64  // size of the file as far as it is known, at least validSize
+	torn      bool   // a failed write behind validSize could not be truncated
+	lastWrite uint64 // number of the last write to this segment
+}
+
+// pendingWrite is what one Flush writes, with the state that is needed to undo it.
+type pendingWrite struct {
+	number                uint64
+	batch                 engine.Batch     // last batch in it
+	undo                  int              // length of table.undo before it
+	fact, full            uint64           // next numbers before it
+	frame                 uint64           // next number before it
+	shift, last           engine.Timestamp // of the table before it
+	firstSeq              uint64           // of the journal before it
+	nextFirst, nextSecond int              // positions in the repeat queue before it
+	next                  counters         // next numbers after it
+	previous              segmentLink      // end of the newest segment before it
+	obsolete              []*segment       // segments that become obsolete once it is stored
+	newSegment            bool             // it created a segment
 }
 
 // State is what a journal held when it was opened.
 type State struct {
-	Live     []*engine.RestoredMessage // in the order in which they were taken
+	Live     []*engine.RestoredMessage // in the order in which they were accepted
 	Ended    []*engine.RestoredEnd
-	Leaves   []ledger.Leaf // by number
+	Leaves   []ledger.Leaf // sorted by number
 	Last     engine.RestoreComplete
 	Findings Findings
 }
 
-func blocks(n int64) int64 { return (n + block - 1) / block * block }
+func blocks(n int64) int64 { return (n + blockSize - 1) / blockSize * blockSize }
 
 func (s *Settings) check() error {
 	switch {
 	case s.Disk < MinDisk:
-		return fmt.Errorf("disk of %d bytes: it needs %d", s.Disk, int64(MinDisk))
-	case len(s.Owner) > ownerMax:
-		return fmt.Errorf("owner's name of %d bytes: %d are allowed", len(s.Owner), ownerMax)
+		return fmt.Errorf("disk of %d bytes: at least %d are needed", s.Disk, int64(MinDisk))
+	case len(s.Owner) > maxOwnerBytes:
+		return fmt.Errorf("owner's name of %d bytes: at most %d are allowed", len(s.Owner), maxOwnerBytes)
 	case s.Random == nil:
-		return errors.New("Random is needed")
+		return errors.New("Random is required")
 	case s.Sync != SyncNone && s.Go == nil:
-		return errors.New("Go is needed to sync")
+		return errors.New("Go is required to sync")
 	case s.Sync == SyncAlways && s.OnStored == nil:
-		return errors.New("Stored is needed to sync always")
+		return errors.New("OnStored is required for SyncAlways")
 	case s.Sync == SyncInterval && (s.After == nil || s.SyncEvery <= 0):
-		return errors.New("After, and Every of more than 0, are needed to sync every so often")
+		return errors.New("After and a positive SyncEvery are required for SyncInterval")
 	}
 	return nil
 }
 
-// Capacity is how many messages a journal holds at least on a disk (bytes) if each has so many bytes in its texts and body.
-// Ids of messages that ended and still count take their share of that, as messages without a body.
+// Capacity returns how many messages a journal holds at least on a disk of so many bytes, if each has size bytes in
+// its texts and body. Ids of ended messages that are still kept count as messages without a body.
 func Capacity(disk int64, size int) int {
-	j := &Journal{set: Settings{Disk: disk}, size: segmentSize(disk)}
-	return int(max(j.liveMost(), 0) / (nodeCost + int64(size)))
+	j := &Journal{settings: Settings{Disk: disk}, segmentSize: segmentSize(disk)}
+	return int(max(j.maxLiveBytes(), 0) / (nodeCost + int64(size)))
 }
 
-func segmentSize(disk int64) int64 { return min(max(disk/32, leastSize), mostSize) }
+func segmentSize(disk int64) int64 { return min(max(disk/32, minSegmentSize), maxSegmentSize) }
 
-// Open takes the folder over, reads it and makes it ready for more. It fails with ErrLocked where the folder is in use,
-// with ErrNewerFormat where a newer program wrote it, with ErrOtherOwner where another dispatcher did, and where it can't be read; in
-// these cases it is left as it is. Damage is no error, nor is a full disk. What is in the folder stays but for files that
-// count no more, unless it is of the first format: that is written anew.
+// Open locks the folder, reads it and prepares it for appending. It fails with ErrLocked if the folder is in use,
+// with ErrNewerFormat if a newer program wrote it, with ErrOtherOwner if another dispatcher wrote it, and if it can't
+// be read. In these cases the folder is not changed. Damage and a full disk are not errors. Files are kept, except
+// for obsolete ones and those of the first format, whose content is written again in the current format.
 func Open(dir Dir, set Settings) (_ *Journal, _ *State, err error) {
 	if err := set.check(); err != nil {
 		return nil, nil, fmt.Errorf("journal: %w", err)
@@ -195,13 +197,13 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("journal: %w", err)
 	}
-	j := &Journal{dir: dir, set: set, lock: lock, size: segmentSize(set.Disk)}
+	j := &Journal{dir: dir, settings: set, lock: lock, segmentSize: segmentSize(set.Disk)}
 	defer func() {
 		if err != nil {
 			err = errors.Join(err, j.Close())
 		}
 	}()
-	r, err := read(dir, set.Owner, false)
+	r, err := readFolder(dir, set.Owner, false)
 	if err != nil {
 		return nil, nil, fmt.Errorf("journal: %w", err)
 	}
@@ -209,82 +211,82 @@
 		return nil, nil, fmt.Errorf("journal: %w", err)
 	}
 	if set.Sync != SyncNone {
-		if err := j.syncOpened(); err != nil {
+		if err := j.syncExisting(); err != nil {
 			return nil, nil, fmt.Errorf("journal: %w", err)
 		}
 	}
-	r.found.log(set.Log)
+	r.findings.log(set.Log)
 	if u := j.used() + j.reserve(0); u > set.Disk {
-		set.Log.Warn("journal: the folder holds more than its disk; no message is taken on until it holds less",
+		set.Log.Warn("journal: the folder exceeds its disk limit; no message is accepted until it is within it",
 			"disk", set.Disk, "used", j.used())
-		j.grace = u
+		j.graceLimit = u
 	}
 	j.fillSpare()
 	if !set.KeepLeaves {
 		for _, l := range j.leaves() {
-			j.forget(j.pages[l.Number])
+			j.forget(j.leafNodes[l.Number])
 		}
-		j.keep(len(j.undo))
+		j.discardUndo(len(j.undo))
 	}
-	return j, j.list(r.found), nil
+	return j, j.toState(r.findings), nil
 }
 
-// adopt takes over what reading found, and writes what the first format held anew.
-func (j *Journal) adopt(r *reading) error {
+// adopt takes over the result of reading the folder, and writes content of the first format in the current one.
+func (j *Journal) adopt(r *recovery) error {
 	j.table = r.table
-	j.final = false
-	j.identity, j.segs, j.first, j.alien = r.identity, r.segs, r.first, r.alien
-	j.frame, j.fact, j.whole, j.lastSeq = r.frame, r.fact, r.whole, r.lastSeq
-	j.sure = numbers{frame: j.frame, fact: j.fact}
+	j.noUndo = false
+	j.identity, j.segments, j.firstSeq, j.foreignBytes = r.identity, r.segments, r.firstSeq, r.foreignBytes
+	j.nextFrame, j.nextFact, j.nextFull, j.lastSeq = r.nextFrame, r.nextFact, r.nextFull, r.lastSeq
+	j.synced = counters{frame: j.nextFrame, fact: j.nextFact}
 	for j.identity == 0 {
-		j.identity = j.set.Random()
+		j.identity = j.settings.Random()
 	}
-	for _, s := range j.segs {
-		j.total += blocks(s.disk)
-		j.most = max(j.most, s.disk)
+	for _, s := range j.segments {
+		j.segmentBytes += blocks(s.diskSize)
+		j.largestSegment = max(j.largestSegment, s.diskSize)
 	}
-	for _, name := range r.useless {
+	for _, name := range r.obsolete {
 		if err := j.dir.Remove(name); err != nil {
-			j.set.Log.Warn("journal: removing a file that counts no more", "file", name, "error", err)
-			j.alien += fileSize(j.dir, name)
+			j.settings.Log.Warn("journal: removing an obsolete file", "file", name, "error", err)
+			j.foreignBytes += fileSize(j.dir, name)
 		}
 	}
-	if r.found.damaged() {
-		j.rewrite = j.lastSeq // the damage goes with the segments
+	if r.findings.isDamaged() {
+		j.rewriteUpTo = j.lastSeq // the damaged segments go once their content is copied
 	}
-	if len(r.old) == 0 {
+	if len(r.v1Files) == 0 {
 		return nil
 	}
-	j.alien += r.oldBytes // until they are gone both copies count
+	j.foreignBytes += r.v1Bytes // both copies exist until the old files are removed
 	for left := j.count; left > 0; left-- {
 		j.copyNode(j.oldest())
-		if int64(len(j.buf)) >= j.size {
+		if int64(len(j.buf)) >= j.segmentSize {
 			if err := j.write(); err != nil {
 				return err
 			}
 		}
 	}
-	j.aside()
-	j.buf = binary.AppendUvarint(append(j.buf, byte(kindFirst)), j.first) // all is there
+	j.beginCopyFrame()
+	j.buf = binary.AppendUvarint(append(j.buf, byte(kindFirstSegment)), j.firstSeq) // all of it is copied
 	if err := j.write(); err != nil {
 		return err
 	}
-	if j.set.Sync != SyncNone {
-		if err := j.syncOpened(); err != nil {
+	if j.settings.Sync != SyncNone {
+		if err := j.syncExisting(); err != nil {
 			return err
 		}
 	}
-	j.keep(len(j.undo))
-	for _, name := range r.old {
+	j.discardUndo(len(j.undo))
+	for _, name := range r.v1Files {
 		if err := j.dir.Remove(name); err != nil {
 			return err
 		}
 	}
-	j.alien -= r.oldBytes
+	j.foreignBytes -= r.v1Bytes
 	return nil
 }
 
-// fileSize is what a file takes, 0 if that can't be told.
+// fileSize returns the disk use of a file, or 0 if it can't be determined.
 func fileSize(dir Dir, name string) int64 {
 	f, err := dir.Open(name)
 	if err != nil {
@@ -295,192 +297,200 @@
 	return blocks(n)
 }
 
-// Close gives the folder up. What was appended and not flushed is not stored. Unless the journal does not sync, what was
-// flushed is synced first; Stored is told nothing more.
+// Close releases the folder. Batches that were appended and not flushed are not stored. Unless Sync is SyncNone,
+// flushed batches are synced first. OnStored is not called for them.
 func (j *Journal) Close() error {
 	j.syncer.mu.Lock()
 	j.syncer.closed = true
 	files := j.syncer.files
 	j.syncer.mu.Unlock()
 	var err error
-	if j.head != nil {
-		j.closing = append(j.closing, j.head)
+	if j.newest != nil {
+		j.retired = append(j.retired, j.newest)
 	}
-	if len(j.flights) > 0 {
-		for _, s := range j.closing {
+	if len(j.pendingWrites) > 0 {
+		for _, s := range j.retired {
 			files = append(files, s.file)
 		}
 		err = syncAll(j.dir, files, true)
 	}
-	for _, s := range j.closing {
+	for _, s := range j.retired {
 		err = errors.Join(err, s.file.Close())
 	}
-	j.head, j.closing = nil, nil
+	j.newest, j.retired = nil, nil
 	return errors.Join(err, j.spare.close(), j.lock.Close())
 }
 
-// Leaf is the newest text that the journal has of a leaf, with what was appended and not flushed; nil if it has none.
+// Leaf returns the newest text of a leaf, including appended batches that are not flushed, or nil if there is none.
 func (j *Journal) Leaf(number uint64) []byte {
-	if n := j.pages[number]; n != nil {
+	if n := j.leafNodes[number]; n != nil {
 		return n.leaf.Text
 	}
 	return nil
 }
 
-// Tick says what the wall clock shows, after the events of a round were handled and their batches appended, so that a
-// step of the clock is in a record first. Ids of messages that ended are forgotten by it. It is optional: without it
-// they are by the times of attempts.
-func (j *Journal) Tick(wall engine.Timestamp) { j.wall = wall }
+// Tick sets the time of the wall clock. It is called after the events of a round were handled and their batches
+// appended, so that a step of the clock is recorded first. Ids of ended messages expire by this time. Calling it is
+// optional: without it they expire by the times of attempts.
+func (j *Journal) Tick(wall engine.Timestamp) { j.wallTime = wall }
 
-// used is what the folder holds, as the disk is counted.
-func (j *Journal) used() int64 { return j.alien + j.total + j.waiting + j.spare.size }
+// used returns the disk use of the folder.
+func (j *Journal) used() int64 {
+	return j.foreignBytes + j.segmentBytes + j.obsoleteBytes + j.spare.size
+}
 
-// reserve is what messages that are taken on leave free, so that the oldest segment can always be copied and what was
-// taken has room for its end.
+// reserve returns the space that new messages must leave free, so that the oldest segment can always be copied and
+// accepted messages can always be ended.
 func (j *Journal) reserve(growth int64) int64 {
-	return 2*blocks(j.size) + blocks(max(j.size, j.most, growth))
+	return 2*blocks(j.segmentSize) + blocks(max(j.segmentSize, j.largestSegment, growth))
 }
 
-// liveMost is how much of the disk messages may take when copied. The rest is what makes copying cheap: a round that
-// copies everything frees at least that.
-func (j *Journal) liveMost() int64 { return (j.set.Disk - j.alien - 4*j.size - j.spareSize()) / 8 * 5 }
+// maxLiveBytes returns how much of the disk the copies of all messages may take. The rest keeps compaction cheap: a
+// round that copies everything frees at least that much.
+func (j *Journal) maxLiveBytes() int64 {
+	return (j.settings.Disk - j.foreignBytes - 4*j.segmentSize - j.spareSize()) / 8 * 5
+}
 
-func (j *Journal) limit() int64 { return max(j.set.Disk, j.grace) }
+func (j *Journal) diskLimit() int64 { return max(j.settings.Disk, j.graceLimit) }
 
-// fresh tells whether the next write begins a segment.
-func (j *Journal) fresh() bool { return j.head == nil || j.head.torn || j.head.size >= j.size }
+// needsNewSegment reports whether the next write creates a segment.
+func (j *Journal) needsNewSegment() bool {
+	return j.newest == nil || j.newest.torn || j.newest.validSize >= j.segmentSize
+}
 
-// target is the segment that the next write goes to.
-func (j *Journal) target() uint64 {
-	if j.fresh() {
+// targetSegment returns the segment that the next write goes to.
+func (j *Journal) targetSegment() uint64 {
+	if j.needsNewSegment() {
 		return j.lastSeq + 1
 	}
-	return j.head.seq
+	return j.newest.seq
 }
 
-// growth is by how much the next write lets the folder grow at most.
-func (j *Journal) growth() int64 { return blocks(int64(len(j.buf))+headerCopy+headerMax) + block }
+// growth returns by how much the next write lets the folder grow at most.
+func (j *Journal) growth() int64 {
+	return blocks(int64(len(j.buf))+headerCopyOffset+maxHeaderSize) + blockSize
+}
 
-// Append encodes a batch for the next Flush. Records must not change until the batch is stored or has failed.
+// Append encodes a batch for the next Flush. The records must not change until the batch is stored or has failed.
 func (j *Journal) Append(b engine.Batch, records []engine.Record) error {
-	j.settle()
-	if j.broken != nil {
-		return fmt.Errorf("journal: batch %d: %w", b, j.broken)
+	j.applySyncResults()
+	if j.failure != nil {
+		return fmt.Errorf("journal: batch %d: %w", b, j.failure)
 	}
-	m := j.mark()
-	size := j.bytes
+	m := j.checkpoint()
+	size := j.liveBytes
 	takes := false
-	j.begin()
+	j.beginFrame()
 	for _, r := range records {
 		if _, ok := r.(*engine.RecAccepted); ok {
 			takes = true
 		}
 		if err := j.encode(r); err != nil {
-			j.revert(m)
+			j.revertTo(m)
 			return fmt.Errorf("journal: batch %d: %w", b, err)
 		}
 	}
-	if takes && (j.bytes > size && j.bytes > j.liveMost() || j.spare.lost ||
-		j.used()+j.growth()+j.reserve(j.growth()) > j.set.Disk) {
-		j.revert(m)
-		if len(j.buf) == 0 { // nobody may flush for what is refused, and that makes room
+	if takes && (j.liveBytes > size && j.liveBytes > j.maxLiveBytes() || j.spare.missing ||
+		j.used()+j.growth()+j.reserve(j.growth()) > j.settings.Disk) {
+		j.revertTo(m)
+		if len(j.buf) == 0 { // a caller may not flush after a refusal, and a flush makes room
 			j.flush()
 		}
 		return fmt.Errorf("journal: batch %d: %w", b, engine.ErrFull)
 	}
-	j.cur.batch = b
+	j.current.batch = b
 	return nil
 }
 
-// mark is how far buf and the table are.
-type mark struct {
-	undo, buf, starts, facts int
-	frame, fact, whole       uint64
-	near, far                int
+// checkpoint is a state of buf and of the table that revertTo goes back to.
+type checkpoint struct {
+	undo, buf, frameStarts, facts int
+	frame, fact, full             uint64
+	nextFirst, nextSecond         int
 }
 
-func (j *Journal) mark() mark {
-	return mark{len(j.undo), len(j.buf), len(j.starts), len(j.facts), j.frame, j.fact, j.whole, j.echoes.near, j.echoes.far}
+func (j *Journal) checkpoint() checkpoint {
+	return checkpoint{len(j.undo), len(j.buf), len(j.frameStarts), len(j.bufFacts), j.nextFrame, j.nextFact, j.nextFull, j.repeats.nextFirst, j.repeats.nextSecond}
 }
 
-// revert takes back what came into buf since.
-func (j *Journal) revert(m mark) {
-	j.back(m.undo)
-	j.buf, j.starts, j.facts = j.buf[:m.buf], j.starts[:m.starts], j.facts[:m.facts]
-	j.frame, j.fact, j.whole, j.copying = m.frame, m.fact, m.whole, false
-	j.echoes.near, j.echoes.far = m.near, m.far
+// revertTo removes everything that was added to buf and the table since the checkpoint.
+func (j *Journal) revertTo(m checkpoint) {
+	j.undoTo(m.undo)
+	j.buf, j.frameStarts, j.bufFacts = j.buf[:m.buf], j.frameStarts[:m.frameStarts], j.bufFacts[:m.facts]
+	j.nextFrame, j.nextFact, j.nextFull, j.copying = m.frame, m.fact, m.full, false
+	j.repeats.nextFirst, j.repeats.nextSecond = m.nextFirst, m.nextSecond
 }
 
-// begin begins a frame.
-func (j *Journal) begin() {
+// beginFrame starts a frame at the end of buf.
+func (j *Journal) beginFrame() {
 	if len(j.buf) == 0 {
-		j.cur = flight{
-			undo: len(j.undo), fact: j.fact, whole: j.whole, frame: j.frame,
-			shift: j.shift, last: j.last, first: j.first,
-			near: j.echoes.near, far: j.echoes.far,
+		j.current = pendingWrite{
+			undo: len(j.undo), fact: j.nextFact, full: j.nextFull, frame: j.nextFrame,
+			shift: j.shift, last: j.last, firstSeq: j.firstSeq,
+			nextFirst: j.repeats.nextFirst, nextSecond: j.repeats.nextSecond,
 		}
-		if n := len(j.segs); n > 0 {
-			j.cur.at = link{j.segs[n-1].seq, j.segs[n-1].salt, j.segs[n-1].size}
+		if n := len(j.segments); n > 0 {
+			j.current.previous = segmentLink{j.segments[n-1].seq, j.segments[n-1].salt, j.segments[n-1].validSize}
 		}
 	}
 	j.copying = false
-	j.starts = append(j.starts, len(j.buf))
-	j.buf = openFrame(j.buf)
-	n := numbers{frame: j.frame, fact: j.fact, whole: j.whole}
-	if j.set.Sync != SyncNone {
-		n.openFrames, n.openFacts = j.frame-j.sure.frame, j.fact-j.sure.fact
+	j.frameStarts = append(j.frameStarts, len(j.buf))
+	j.buf = appendFrameHeader(j.buf)
+	n := counters{frame: j.nextFrame, fact: j.nextFact, full: j.nextFull}
+	if j.settings.Sync != SyncNone {
+		n.unsyncedFrames, n.unsyncedFacts = j.nextFrame-j.synced.frame, j.nextFact-j.synced.fact
 	}
 	j.buf = n.append(j.buf)
-	j.frame++
+	j.nextFrame++
 }
 
-// takeBack undoes a flight, the newest first.
-func (j *Journal) takeBack(f *flight) {
-	j.unvoid(f)
-	j.back(f.undo)
-	j.frame, j.fact, j.whole = f.frame, f.fact, f.whole
-	j.echoes.takeBack(f)
+// undoWrite undoes a write. Writes are undone newest first.
+func (j *Journal) undoWrite(f *pendingWrite) {
+	j.restoreObsolete(f)
+	j.undoTo(f.undo)
+	j.nextFrame, j.nextFact, j.nextFull = f.frame, f.fact, f.full
+	j.repeats.undoWrite(f)
 }
 
-// empty forgets what is in buf.
-func (j *Journal) empty() {
-	j.buf, j.starts, j.facts, j.cur = j.buf[:0], j.starts[:0], j.facts[:0], flight{}
+// clearBuffer discards the content of buf.
+func (j *Journal) clearBuffer() {
+	j.buf, j.frameStarts, j.bufFacts, j.current = j.buf[:0], j.frameStarts[:0], j.bufFacts[:0], pendingWrite{}
 }
 
-// encode appends a record to the frame that is open and changes the table by it. Records of messages that are not live
-// say nothing.
+// encode appends a record to the open frame and applies it to the table. Records about messages that are not live
+// have no effect.
 func (j *Journal) encode(r engine.Record) error {
 	b := j.buf
-	seq, fact := j.target(), j.fact
+	seq, fact := j.targetSegment(), j.nextFact
 	find := func(id string, k kind) *node {
 		n := j.live[id]
 		if n != nil {
 			b = binary.AppendUvarint(append(b, byte(k)), n.num)
-			j.fact++
+			j.nextFact++
 		}
 		return n
 	}
 	switch r := r.(type) {
 	case *engine.RecAccepted:
 		if j.live[r.Message.ID] != nil {
-			return fmt.Errorf("message %q is taken twice", r.Message.ID)
+			return fmt.Errorf("message %q is accepted twice", r.Message.ID)
 		}
-		n := j.take(j.num+1, seq, &r.Message, r.Deadline)
-		b = putMessage(append(b, byte(kindTaken)), n.num, &r.Message, r.Deadline)
-		j.whole++
+		n := j.accept(j.num+1, seq, &r.Message, r.Deadline)
+		b = putMessage(append(b, byte(kindAccepted)), n.num, &r.Message, r.Deadline)
+		j.nextFull++
 	case *engine.RecAttempts:
-		b = putStamp(append(b, byte(kindAttempts)), r.At)
+		b = putTimestamp(append(b, byte(kindAttempts)), r.At)
 		b = binary.AppendUvarint(b, uint64(len(r.List)))
 		for _, a := range r.List {
-			num := uint64(0) // no message's
+			num := uint64(0) // no message has this number
 			if n := j.live[a.ID]; n != nil {
 				num = n.num
-				j.attempt(n, r.At, a.Zone)
+				j.addAttempt(n, r.At, a.Zone)
 			}
 			b = binary.AppendVarint(binary.AppendUvarint(b, num), int64(a.Zone))
 		}
-		j.heard(r.At)
-		j.fact++
+		j.recordTime(r.At)
+		j.nextFact++
 	case *engine.RecNeverRan:
 		if n := find(r.ID, kindNeverRan); n != nil {
 			j.neverRan(n)
@@ -489,257 +499,258 @@
 		if n := find(r.ID, kindState); n != nil {
 			d := doubt{r.DoubtAt, r.DoubtZone, r.DoubtAt != 0 && !r.Settled}
 			b = putDoubt(b, r.Tries, d)
-			j.state(n, r.Tries, d)
+			j.setState(n, r.Tries, d)
 		}
 	case *engine.RecPendingResult:
-		if n := find(r.ID, kindOwed); n != nil {
+		if n := find(r.ID, kindPending); n != nil {
 			owed := r.PendingResult
-			b = putOwed(b, &owed)
-			j.owe(n, &owed)
+			b = putPending(b, &owed)
+			j.setPending(n, &owed)
 		}
 	case *engine.RecEnded:
 		if n := find(r.ID, kindEnded); n != nil {
 			b = putFlag(append(b, byte(r.Disposition)), r.Until != 0)
 			if r.Until != 0 {
-				b = putStone(b, r.ID, r.Until, r.Fingerprint)
+				b = putTombstone(b, r.ID, r.Until, r.Fingerprint)
 			}
 			j.end(n, seq, r.Disposition, r.Until, r.Fingerprint)
 		}
 	case *engine.RecClockStep:
-		b = binary.AppendVarint(append(b, byte(kindShift)), r.By)
-		j.step(r.By)
-		j.fact++
+		b = binary.AppendVarint(append(b, byte(kindClockStep)), r.By)
+		j.stepClock(r.By)
+		j.nextFact++
 	case *engine.RecNoop:
-		b = append(b, byte(kindMark))
+		b = append(b, byte(kindNoop))
 	case *engine.RecLedgerLeaf:
 		if len(r.Text) > ledger.MaxLeafBytes {
-			return fmt.Errorf("leaf %d of %d bytes", r.Number, len(r.Text))
+			return fmt.Errorf("leaf %d is too long: %d bytes", r.Number, len(r.Text))
 		}
 		b = putLeaf(b, r.Number, r.Text)
-		j.turn(seq, r)
+		j.setLeaf(seq, r)
 	default:
 		return fmt.Errorf("record of unknown type %T", r)
 	}
-	if j.fact > fact {
-		j.facts = append(j.facts, b[len(j.buf):]...)
+	if j.nextFact > fact {
+		j.bufFacts = append(j.bufFacts, b[len(j.buf):]...)
 	}
 	j.buf = b
 	return nil
 }
 
-// Flush writes what was appended in one write, with some of what was written before once more: copies for the compaction
-// (8 KiB, four times what was appended and one message more, at most) and echoes (twice the facts of the Flush before,
-// at most in the mean). That and the removal of two segments is the most that it ever adds.
+// Flush writes what was appended with one write. It adds copies for the compaction (at most 8 KiB, four times what
+// was appended and one message) and repeats facts (on average at most twice the facts of the previous Flush). It
+// removes two segments at most.
 func (j *Journal) Flush() (engine.Batch, error) {
-	j.settle()
-	if err := j.broken; err != nil {
-		j.broken = nil
-		return j.told, fmt.Errorf("journal: %w", err)
+	j.applySyncResults()
+	if err := j.failure; err != nil {
+		j.failure = nil
+		return j.storedBatch, fmt.Errorf("journal: %w", err)
 	}
 	return j.flush()
 }
 
 func (j *Journal) flush() (engine.Batch, error) {
 	j.refillSpare()
-	j.sweep()
-	if len(j.kept) > 0 && j.used()+j.reserve(0) > j.limit() {
-		// Syncs failed so often that there is no room to write what is live anew. A power failure now may take more than the
-		// last span's; a journal that never again takes anything is worse.
-		j.set.Log.Warn("journal: no room is left to keep what was void when a sync failed", "segments", len(j.kept))
-		j.voids = append(j.voids, j.kept...)
-		j.kept = nil
-	}
-	m := j.mark()
-	j.echo()
-	if j.wanted() {
+	j.forgetExpired()
+	if len(j.heldObsolete) > 0 && j.used()+j.reserve(0) > j.diskLimit() {
+		// Syncs failed so often that there is no room to copy all live content. After this a power failure may lose
+		// more than was written since the last sync. That is better than a journal that never accepts a message
+		// again.
+		j.settings.Log.Warn("journal: no room is left to keep what was void when a sync failed", "segments", len(j.heldObsolete))
+		j.obsolete = append(j.obsolete, j.heldObsolete...)
+		j.heldObsolete = nil
+	}
+	m := j.checkpoint()
+	j.appendRepeats()
+	if j.shouldCompact() {
 		j.compact()
 	}
-	if len(j.buf) > m.buf && j.used()+j.growth() > j.limit() { // what was appended goes before
-		j.unvoid(&j.cur)
-		j.revert(m)
+	if len(j.buf) > m.buf && j.used()+j.growth() > j.diskLimit() { // appended batches take precedence over copies
+		j.restoreObsolete(&j.current)
+		j.revertTo(m)
 	}
 	if len(j.buf) > 0 {
-		last := j.cur.batch
+		last := j.current.batch
 		if err := j.write(); err != nil {
 			if last == 0 { // only copies failed
-				return j.told, nil
+				return j.storedBatch, nil
 			}
-			if j.settle(); j.set.Sync == SyncAlways { // nothing behind what is stored may come after all
-				j.takeBackFlights()
+			if j.applySyncResults(); j.settings.Sync == SyncAlways { // no batch behind the stored ones may become stored later
+				j.undoPendingWrites()
 			}
-			j.broken = nil
-			return j.told, fmt.Errorf("journal: %w", err)
+			j.failure = nil
+			return j.storedBatch, fmt.Errorf("journal: %w", err)
 		}
-		if err := j.launch(); err != nil {
-			return j.told, fmt.Errorf("journal: %w", err)
+		if err := j.finishWrite(); err != nil {
+			return j.storedBatch, fmt.Errorf("journal: %w", err)
 		}
 	}
-	j.clear()
-	return j.told, nil
+	j.cleanUp()
+	return j.storedBatch, nil
 }
 
-// launch hands the flight that was written to the syncing goroutine, or takes it as stored where there is none.
-func (j *Journal) launch() error {
-	f := j.cur
-	f.after = numbers{frame: j.frame, fact: j.fact}
-	j.empty()
-	if f.batch > 0 && j.set.Sync != SyncAlways {
-		j.told = f.batch
-	}
-	if j.rewrite > 0 && (len(j.segs) == 0 || j.segs[0].seq > j.rewrite) {
-		j.rewrite = 0
-		f.voids = append(f.voids, j.kept...)
-		j.kept = nil
-	}
-	if j.set.Sync != SyncAlways { // it can't be taken back any more
-		j.keep(len(j.undo))
-		f.undo, f.far = 0, j.echoes.far
-		j.echoes.trim(j.echoes.far)
-	}
-	if j.set.Sync == SyncNone {
-		j.land(&f)
+// finishWrite hands the finished write to the syncing goroutine, or marks it as stored if the journal does not sync.
+func (j *Journal) finishWrite() error {
+	f := j.current
+	f.next = counters{frame: j.nextFrame, fact: j.nextFact}
+	j.clearBuffer()
+	if f.batch > 0 && j.settings.Sync != SyncAlways {
+		j.storedBatch = f.batch
+	}
+	if j.rewriteUpTo > 0 && (len(j.segments) == 0 || j.segments[0].seq > j.rewriteUpTo) {
+		j.rewriteUpTo = 0
+		f.obsolete = append(f.obsolete, j.heldObsolete...)
+		j.heldObsolete = nil
+	}
+	if j.settings.Sync != SyncAlways { // it can't be undone any more
+		j.discardUndo(len(j.undo))
+		f.undo, f.nextSecond = 0, j.repeats.nextSecond
+		j.repeats.trim(j.repeats.nextSecond)
+	}
+	if j.settings.Sync == SyncNone {
+		j.markStored(&f)
 		return nil
 	}
-	err := j.fly(&f)
-	j.head.flown = f.number
-	j.flights = append(j.flights, f)
+	err := j.handToSyncer(&f)
+	j.newest.lastWrite = f.number
+	j.pendingWrites = append(j.pendingWrites, f)
 	if err != nil {
-		j.settle()
-		err, j.broken = j.broken, nil
+		j.applySyncResults()
+		err, j.failure = j.failure, nil
 	}
 	return err
 }
 
-// land takes a flight as stored.
-func (j *Journal) land(f *flight) {
-	j.told = max(j.told, f.batch)
-	j.landed, j.sure = f.number, f.after
-	j.voids = append(j.voids, f.voids...)
+// markStored records that a write is stored.
+func (j *Journal) markStored(f *pendingWrite) {
+	j.storedBatch = max(j.storedBatch, f.batch)
+	j.syncedWrite, j.synced = f.number, f.next
+	j.obsolete = append(j.obsolete, f.obsolete...)
 }
 
-// clear closes what is complete, and removes segments that count no more.
-func (j *Journal) clear() {
-	for len(j.closing) > 0 && j.closing[0].flown <= j.landed {
-		s := j.closing[0]
+// cleanUp closes complete segments, and removes obsolete ones.
+func (j *Journal) cleanUp() {
+	for len(j.retired) > 0 && j.retired[0].lastWrite <= j.syncedWrite {
+		s := j.retired[0]
 		if err := s.file.Close(); err != nil {
-			j.set.Log.Warn("journal: closing a segment", "segment", s.name, "error", err)
+			j.settings.Log.Warn("journal: closing a segment", "segment", s.name, "error", err)
 		}
 		s.file = nil
-		j.closing = j.closing[1:]
+		j.retired = j.retired[1:]
 	}
-	for range min(stepRemove, len(j.voids)) {
-		s := j.voids[0]
-		if s.file != nil { // being synced
+	for range min(removalsPerFlush, len(j.obsolete)) {
+		s := j.obsolete[0]
+		if s.file != nil { // not synced yet
 			break
 		}
 		if err := j.dir.Remove(s.name); err != nil {
-			j.set.Log.Warn("journal: removing an old segment", "segment", s.name, "error", err)
+			j.settings.Log.Warn("journal: removing an obsolete segment", "segment", s.name, "error", err)
 			break
 		}
-		j.waiting -= blocks(s.disk)
-		j.voids = j.voids[1:]
+		j.obsoleteBytes -= blocks(s.diskSize)
+		j.obsolete = j.obsolete[1:]
 	}
-	if j.grace > 0 && j.used()+j.reserve(0) <= j.set.Disk {
-		j.grace = 0
+	if j.graceLimit > 0 && j.used()+j.reserve(0) <= j.settings.Disk {
+		j.graceLimit = 0
 	}
 }
 
-// write writes buf behind the newest segment, or as the begin of a new one. With an error nothing of it counts.
+// write writes buf to the end of the newest segment, or to a new one. After an error nothing of it counts.
 func (j *Journal) write() error {
-	err := j.writeOnce()
-	if err != nil && noRoom(err) && j.spare.give() {
-		j.set.Log.Warn("journal: the disk is full; no message is taken on until there is room again", "error", err)
-		err = j.writeOnce()
+	err := j.tryWrite()
+	if err != nil && isDiskFull(err) && j.spare.release() {
+		j.settings.Log.Warn("journal: the disk is full; no message is accepted until there is room again", "error", err)
+		err = j.tryWrite()
 	}
 	if err != nil {
-		j.takeBack(&j.cur)
-		j.empty()
+		j.undoWrite(&j.current)
+		j.clearBuffer()
 		return err
 	}
-	j.pos += int64(len(j.buf))
-	if len(j.facts) > 0 {
-		j.echoes.add(j.cur.fact, j.facts, j.head.seq, j.pos)
+	j.bytesWritten += int64(len(j.buf))
+	if len(j.bufFacts) > 0 {
+		j.repeats.add(j.current.fact, j.bufFacts, j.newest.seq, j.bytesWritten)
 	}
-	j.buf, j.starts, j.facts = j.buf[:0], j.starts[:0], j.facts[:0]
+	j.buf, j.frameStarts, j.bufFacts = j.buf[:0], j.frameStarts[:0], j.bufFacts[:0]
 	return nil
 }
 
-func (j *Journal) writeOnce() error {
-	if j.fresh() {
-		return j.writeNew()
+func (j *Journal) tryWrite() error {
+	if j.needsNewSegment() {
+		return j.writeNewSegment()
 	}
-	h := j.head
-	grown := blocks(h.size+int64(len(j.buf))) - blocks(h.disk)
-	if j.used()+grown > j.limit() {
+	h := j.newest
+	grown := blocks(h.validSize+int64(len(j.buf))) - blocks(h.diskSize)
+	if j.used()+grown > j.diskLimit() {
 		return engine.ErrFull
 	}
-	j.seal(j.buf, h.salt, h.size)
-	if _, err := h.file.WriteAt(j.buf, h.size); err != nil {
-		// What did land is cut off again, else what is written later would follow a torn record.
-		if e := h.file.Truncate(h.size); e != nil {
-			h.torn, h.disk = true, h.size+int64(len(j.buf))
-			j.total += grown
+	j.fillFrameHeaders(j.buf, h.salt, h.validSize)
+	if _, err := h.file.WriteAt(j.buf, h.validSize); err != nil {
+		// Truncate what was written, or else later frames would follow a torn one.
+		if e := h.file.Truncate(h.validSize); e != nil {
+			h.torn, h.diskSize = true, h.validSize+int64(len(j.buf))
+			j.segmentBytes += grown
 			err = errors.Join(err, e)
 		}
 		return err
 	}
-	h.size += int64(len(j.buf))
-	h.disk = h.size
-	j.total += grown
-	j.most = max(j.most, h.disk)
+	h.validSize += int64(len(j.buf))
+	h.diskSize = h.validSize
+	j.segmentBytes += grown
+	j.largestSegment = max(j.largestSegment, h.diskSize)
 	return nil
 }
 
-// seal fills in the heads of the frames in b, which is buf, to be written at off.
-func (j *Journal) seal(b []byte, salt uint64, off int64) {
-	for i, s := range j.starts {
+// fillFrameHeaders fills in the headers of the frames in b, which holds buf and is to be written at off.
+func (j *Journal) fillFrameHeaders(b []byte, salt uint64, off int64) {
+	for i, s := range j.frameStarts {
 		end := len(b)
-		if i+1 < len(j.starts) {
-			end = j.starts[i+1]
+		if i+1 < len(j.frameStarts) {
+			end = j.frameStarts[i+1]
 		}
-		sealFrame(b[s:end], salt, off+int64(s))
+		fillFrameHeader(b[s:end], salt, off+int64(s))
 	}
 }
 
-// writeNew begins a segment with buf. It counts once it is written whole.
-func (j *Journal) writeNew() error {
+// writeNewSegment creates a segment that starts with buf. It counts once it is written completely.
+func (j *Journal) writeNewSegment() error {
 	h := header{
-		identity: j.identity, seq: j.lastSeq + 1, salt: j.set.Random(), first: j.cur.first,
-		frame: j.cur.frame, fact: j.cur.fact, whole: j.cur.whole, num: j.num,
-		shift: j.cur.shift, owner: j.set.Owner, prev: j.cur.at, // as things are until all of this is there
+		identity: j.identity, seq: j.lastSeq + 1, salt: j.settings.Random(), firstSeq: j.current.firstSeq,
+		nextFrame: j.current.frame, nextFact: j.current.fact, nextFull: j.current.full, lastMessage: j.num,
+		clockShift: j.current.shift, owner: j.settings.Owner, prev: j.current.previous, // state before this write
 	}
-	if j.cur.last != 0 {
-		h.last = j.cur.last + h.shift
+	if j.current.last != 0 {
+		h.latestTime = j.current.last + h.clockShift
 	}
-	b := h.append(make([]byte, 0, headerCopy+headerMax+len(j.buf)))
+	b := h.append(make([]byte, 0, headerCopyOffset+maxHeaderSize+len(j.buf)))
 	at := len(b)
 	b = append(b, j.buf...)
 	grown := blocks(int64(len(b)))
-	if j.used()+grown > j.limit() {
+	if j.used()+grown > j.diskLimit() {
 		return engine.ErrFull
 	}
-	s := &segment{seq: h.seq, salt: h.salt, name: segmentName(h.seq), disk: int64(len(b))}
-	j.seal(b[at:], s.salt, int64(at))
+	s := &segment{seq: h.seq, salt: h.salt, name: segmentName(h.seq), diskSize: int64(len(b))}
+	j.fillFrameHeaders(b[at:], s.salt, int64(at))
 	f, err := j.dir.Create(s.name)
 	if err != nil {
 		return err
 	}
 	if _, err := f.WriteAt(b, 0); err != nil {
 		err = errors.Join(err, f.Close())
-		if e := j.dir.Remove(s.name); e != nil { // it stays for now; its number is not used again
+		if e := j.dir.Remove(s.name); e != nil { // the file stays for now; its number is not used again
 			j.lastSeq = s.seq
-			j.voids = append(j.voids, s)
-			j.waiting += grown
+			j.obsolete = append(j.obsolete, s)
+			j.obsoleteBytes += grown
 			err = errors.Join(err, e)
 		}
 		return err
 	}
-	s.file, s.size = f, int64(len(b))
-	j.retire()
-	j.head, j.lastSeq = s, s.seq
-	j.segs = append(j.segs, s)
-	j.total += grown
-	j.most = max(j.most, s.disk)
-	j.cur.began = true
+	s.file, s.validSize = f, int64(len(b))
+	j.retireNewest()
+	j.newest, j.lastSeq = s, s.seq
+	j.segments = append(j.segments, s)
+	j.segmentBytes += grown
+	j.largestSegment = max(j.largestSegment, s.diskSize)
+	j.current.newSegment = true
 	return nil
 }
--- a/internal/journal/memdir/memdir.go
+++ b/internal/journal/memdir/memdir.go
@@ -1,6 +1,6 @@
-// Package memdir is a folder in memory for tests and simulations: it outlasts a process that is crashed, loses or tears
-// what was not synced when its power fails, and fails as it is told. The same calls with the same random numbers have the
-// same effect.
+// Package memdir is a folder in memory for tests and simulations. It survives a crash of the process that uses it. A
+// power failure makes it lose or tear what was not synced, and its operations can be made to fail. The same calls
+// with the same random numbers have the same effect.
 package memdir
 
 import (
@@ -16,16 +16,17 @@
 	"curlewmux/internal/journal"
 )
 
-// ErrCrashed is what every call returns once the process that made it has crashed.
+// ErrCrashed is returned by every call of a process that has crashed.
 var ErrCrashed = errors.New("the process has crashed")
 
-// block is the unit that is written whole or not at all when the power fails, and that room is counted in.
-const block = 512
+// blockSize is the unit that is written completely or not at all when the power fails, and in which disk use is
+// counted.
+const blockSize = 512
 
 // OpKind is the kind of an Op.
 type OpKind uint8
 
-// Kinds of Op. Reading is none: it changes nothing.
+// Kinds of Op. Reading is not an Op, because it changes nothing.
 const (
 	Create OpKind = iota + 1
 	Write
@@ -41,25 +42,25 @@
 
 // Op is one operation that changes the disk.
 type Op struct {
-	Index int // 0 for the first since the disk was made
+	Index int // 0 for the first one on the disk
 	Kind  OpKind
-	Name  string // of the file, "" for the folder
+	Name  string // of the file, empty for the folder
 	Size  int    // bytes to be written
 
-	d    *Disk
-	data []byte
-	off  int64 // of data, or the size to truncate to
+	disk   *Disk
+	data   []byte
+	offset int64 // of data, or the size to truncate to
 }
 
-// DiskAfterCrash is a copy of the disk as the operation leaves it if the process crashes in it: a write lands up to so many
-// bytes, any other operation is done unless land is 0. Only Disk.Fault may call it.
+// DiskAfterCrash returns a copy of the disk as it is if the process crashes during the operation. Of a write the
+// first land bytes are written. Any other operation is done unless land is 0. Only Disk.Fault may call it.
 func (op Op) DiskAfterCrash(land int) *Disk {
-	c := op.d.clone()
+	c := op.disk.clone()
 	f := c.files[op.Name]
 	switch {
 	case op.Kind == Write:
 		if f != nil {
-			f.write(op.data[:min(land, len(op.data))], op.off)
+			f.write(op.data[:min(land, len(op.data))], op.offset)
 		}
 	case land == 0:
 	case op.Kind == Create:
@@ -68,7 +69,7 @@
 		}
 	case op.Kind == Truncate:
 		if f != nil {
-			f.truncate(op.off)
+			f.truncate(op.offset)
 		}
 	case op.Kind == Remove:
 		delete(c.files, op.Name)
@@ -82,25 +83,25 @@
 	return c
 }
 
-// Fault is what happens instead of an operation. Its zero value is that it succeeds.
+// Fault says what happens instead of an operation. The zero value lets it succeed.
 type Fault struct {
-	Err          error // returned
-	WrittenBytes int   // of a write: bytes that land all the same
-	Crash        bool  // the process crashes in it, after Land bytes
+	Err          error // returned by the operation
+	WrittenBytes int   // of a write: bytes that are written in spite of the fault
+	Crash        bool  // the process crashes in it, after WrittenBytes bytes
 }
 
 // Disk is the disk below a folder. Its methods may be called from any goroutine.
 type Disk struct {
-	// Fault is asked before each operation, if it is not nil. It must not call the disk.
+	// Fault is called before each operation, if it is not nil. It must not call the disk.
 	Fault func(Op) Fault
 
-	mu      sync.Mutex
-	files   map[string]*inode
-	durable map[string]*inode // as the folder was when it was last synced
-	room    int64             // bytes that files may take, counted in blocks; 0: no limit
-	ops     int
-	boot    int // of the process that the folder's handles belong to
-	locked  bool
+	mu         sync.Mutex
+	files      map[string]*inode
+	durable    map[string]*inode // the files when the folder was last synced
+	capacity   int64             // bytes that files may take, counted in blocks; 0 for no limit
+	ops        int
+	generation int // number of crashes so far; a handle of an earlier generation fails
+	locked     bool
 }
 
 type inode struct {
@@ -117,32 +118,32 @@
 
 func (f *inode) truncate(size int64) { f.data = f.data[:min(int64(len(f.data)), size)] }
 
-// New makes an empty disk.
+// New returns an empty disk.
 func New() *Disk { return &Disk{files: map[string]*inode{}, durable: map[string]*inode{}} }
 
-// Dir is the folder as the process sees it that runs from now on, until Crash or PowerFail.
+// Dir returns the folder for the current process. It works until Crash or PowerFail.
 func (d *Disk) Dir() journal.Dir {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return &dir{d, d.boot}
+	return &dir{d, d.generation}
 }
 
-// Ops is how many operations there were.
+// Ops returns the number of operations so far.
 func (d *Disk) Ops() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ops
 }
 
-// SetCapacity sets how many bytes files may take, each counted in whole blocks; 0 sets no limit. Writes that take more fail
-// with ENOSPC once they have filled it.
+// SetCapacity sets how many bytes files may take, each rounded up to whole blocks; 0 sets no limit. A write that
+// exceeds the capacity fills the disk and fails with ENOSPC.
 func (d *Disk) SetCapacity(n int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.room = n
+	d.capacity = n
 }
 
-// Used is what the files take, each counted in whole blocks.
+// Used returns the disk use of all files, each rounded up to whole blocks.
 func (d *Disk) Used() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -156,19 +157,19 @@
 	return n
 }
 
-func blocks(n int) int64 { return int64(n+block-1) / block * block }
+func blocks(n int) int64 { return int64(n+blockSize-1) / blockSize * blockSize }
 
-// Crash ends the process: its handles and locks go, what it wrote stays.
+// Crash ends the process: its handles and locks become invalid, what it wrote stays.
 func (d *Disk) Crash() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.crash()
 }
 
-func (d *Disk) crash() { d.boot, d.locked = d.boot+1, false }
+func (d *Disk) crash() { d.generation, d.locked = d.generation+1, false }
 
-// PowerFail ends the process and the system below it. Of what was not synced each block of a file, and each file that was
-// made or removed, is as it was or as it was to be, as random numbers (below n) tell.
+// PowerFail ends the process and the system below it. Each block that was not synced, and each file that was created
+// or removed and not synced, is in its old or its new state. The random numbers (below n) decide which.
 func (d *Disk) PowerFail(random func(n int) int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -211,19 +212,19 @@
 		size = len(f.synced)
 	}
 	out := make([]byte, size)
-	for at := 0; at < size; at += block {
+	for at := 0; at < size; at += blockSize {
 		from := f.data
 		if random(2) == 0 {
 			from = f.synced
 		}
 		if at < len(from) {
-			copy(out[at:min(at+block, size)], from[at:])
+			copy(out[at:min(at+blockSize, size)], from[at:])
 		}
 	}
 	f.data, f.synced = out, slices.Clone(out)
 }
 
-// Read is what a file holds, nil if it is not there.
+// Read returns the content of a file, or nil if it does not exist.
 func (d *Disk) Read(name string) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -233,7 +234,7 @@
 	return nil
 }
 
-// Put makes a file hold something, as if it had always been there; nil removes it.
+// Put sets the content of a file, as if it had always been there. Nil removes the file.
 func (d *Disk) Put(name string, data []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -246,7 +247,7 @@
 	d.files[name], d.durable[name] = f, f
 }
 
-// Names lists the files, sorted.
+// Names returns the names of all files, sorted.
 func (d *Disk) Names() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -262,7 +263,7 @@
 	return out
 }
 
-// Clone is another disk that holds the same, with no process, fault or limit.
+// Clone returns another disk with the same content, and with no process, fault or limit.
 func (d *Disk) Clone() *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -287,12 +288,12 @@
 	return out
 }
 
-// begin counts an operation and says what becomes of it. The disk is locked.
-func (d *Disk) begin(boot int, op Op) (Fault, error) {
-	if boot != d.boot {
+// beginOp counts an operation and returns its fault. The disk is locked.
+func (d *Disk) beginOp(boot int, op Op) (Fault, error) {
+	if boot != d.generation {
 		return Fault{}, ErrCrashed
 	}
-	op.Index, op.d = d.ops, d
+	op.Index, op.disk = d.ops, d
 	d.ops++
 	if d.Fault == nil {
 		return Fault{}, nil
@@ -304,11 +305,11 @@
 	return f, nil
 }
 
-// simple carries out an operation that is done whole or not at all: before a crash, if Land is not 0, or not.
-func (d *Disk) simple(boot int, op Op, do func() error) error {
+// atomicOp runs an operation that is done completely or not at all. In a crash it is done if WrittenBytes is not 0.
+func (d *Disk) atomicOp(boot int, op Op, do func() error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f, err := d.begin(boot, op)
+	f, err := d.beginOp(boot, op)
 	switch {
 	case err != nil:
 		return err
@@ -325,30 +326,30 @@
 }
 
 type dir struct {
-	d    *Disk
-	boot int
+	disk       *Disk
+	generation int
 }
 
-func (v *dir) alive() error {
-	if v.boot != v.d.boot {
+func (v *dir) checkAlive() error {
+	if v.generation != v.disk.generation {
 		return ErrCrashed
 	}
 	return nil
 }
 
 func (v *dir) List() ([]string, error) {
-	v.d.mu.Lock()
-	defer v.d.mu.Unlock()
-	return v.d.names(), v.alive()
+	v.disk.mu.Lock()
+	defer v.disk.mu.Unlock()
+	return v.disk.names(), v.checkAlive()
 }
 
 func (v *dir) Create(name string) (f journal.File, err error) {
-	err = v.d.simple(v.boot, Op{Kind: Create, Name: name}, func() error {
-		if v.d.files[name] != nil {
+	err = v.disk.atomicOp(v.generation, Op{Kind: Create, Name: name}, func() error {
+		if v.disk.files[name] != nil {
 			return &fs.PathError{Op: "create", Path: name, Err: fs.ErrExist}
 		}
 		n := &inode{}
-		v.d.files[name] = n
+		v.disk.files[name] = n
 		f = &file{dir: v, name: name, inode: n}
 		return nil
 	})
@@ -356,12 +357,12 @@
 }
 
 func (v *dir) Open(name string) (journal.File, error) {
-	v.d.mu.Lock()
-	defer v.d.mu.Unlock()
-	if err := v.alive(); err != nil {
+	v.disk.mu.Lock()
+	defer v.disk.mu.Unlock()
+	if err := v.checkAlive(); err != nil {
 		return nil, err
 	}
-	n := v.d.files[name]
+	n := v.disk.files[name]
 	if n == nil {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 	}
@@ -371,50 +372,50 @@
 func (v *dir) Reopen(name string) (journal.File, error) { return v.Open(name) }
 
 func (v *dir) Remove(name string) error {
-	return v.d.simple(v.boot, Op{Kind: Remove, Name: name}, func() error {
-		if v.d.files[name] == nil {
+	return v.disk.atomicOp(v.generation, Op{Kind: Remove, Name: name}, func() error {
+		if v.disk.files[name] == nil {
 			return &fs.PathError{Op: "remove", Path: name, Err: fs.ErrNotExist}
 		}
-		delete(v.d.files, name)
+		delete(v.disk.files, name)
 		return nil
 	})
 }
 
 func (v *dir) Sync() error {
-	return v.d.simple(v.boot, Op{Kind: SyncDir}, func() error {
-		v.d.syncDir()
+	return v.disk.atomicOp(v.generation, Op{Kind: SyncDir}, func() error {
+		v.disk.syncDir()
 		return nil
 	})
 }
 
 func (v *dir) Lock(name string) (io.Closer, error) {
-	v.d.mu.Lock()
-	defer v.d.mu.Unlock()
-	if err := v.alive(); err != nil {
+	v.disk.mu.Lock()
+	defer v.disk.mu.Unlock()
+	if err := v.checkAlive(); err != nil {
 		return nil, err
 	}
-	if v.d.locked {
+	if v.disk.locked {
 		return nil, journal.ErrLocked
 	}
-	v.d.locked = true
-	if v.d.files[name] == nil {
-		v.d.files[name] = &inode{}
+	v.disk.locked = true
+	if v.disk.files[name] == nil {
+		v.disk.files[name] = &inode{}
 	}
 	return &lock{v, false}, nil
 }
 
 type lock struct {
 	*dir
-	done bool
+	released bool
 }
 
 func (l *lock) Close() error {
-	l.d.mu.Lock()
-	defer l.d.mu.Unlock()
-	if l.alive() == nil && !l.done {
-		l.d.locked = false
+	l.disk.mu.Lock()
+	defer l.disk.mu.Unlock()
+	if l.checkAlive() == nil && !l.released {
+		l.disk.locked = false
 	}
-	l.done = true
+	l.released = true
 	return nil
 }
 
@@ -425,17 +426,17 @@
 	closed bool
 }
 
-func (f *file) usable() error {
+func (f *file) checkUsable() error {
 	if f.closed {
 		return fs.ErrClosed
 	}
-	return f.alive()
+	return f.checkAlive()
 }
 
 func (f *file) ReadAt(p []byte, off int64) (int, error) {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	if err := f.usable(); err != nil {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if err := f.checkUsable(); err != nil {
 		return 0, err
 	}
 	if off >= int64(len(f.inode.data)) {
@@ -449,12 +450,12 @@
 }
 
 func (f *file) WriteAt(p []byte, off int64) (int, error) {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
 	if f.closed {
 		return 0, fs.ErrClosed
 	}
-	fault, err := f.d.begin(f.boot, Op{Kind: Write, Name: f.name, Size: len(p), data: p, off: off})
+	fault, err := f.disk.beginOp(f.generation, Op{Kind: Write, Name: f.name, Size: len(p), data: p, offset: off})
 	if err != nil {
 		return 0, err
 	}
@@ -463,22 +464,22 @@
 		n = min(fault.WrittenBytes, n)
 	}
 	err = fault.Err
-	if room := f.d.room; room > 0 {
-		free := room - f.d.used() + blocks(len(f.inode.data)) - off
+	if room := f.disk.capacity; room > 0 {
+		free := room - f.disk.used() + blocks(len(f.inode.data)) - off
 		if free = max(free, 0); free < int64(n) {
 			n, err = int(free), &fs.PathError{Op: "write", Path: f.name, Err: syscall.ENOSPC}
 		}
 	}
 	f.inode.write(p[:n], off)
 	if fault.Crash {
-		f.d.crash()
+		f.disk.crash()
 		return 0, ErrCrashed
 	}
 	return n, err
 }
 
 func (f *file) Truncate(size int64) error {
-	return f.d.simple(f.boot, Op{Kind: Truncate, Name: f.name, off: size}, func() error {
+	return f.disk.atomicOp(f.generation, Op{Kind: Truncate, Name: f.name, offset: size}, func() error {
 		if f.closed {
 			return fs.ErrClosed
 		}
@@ -488,13 +489,13 @@
 }
 
 func (f *file) Size() (int64, error) {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	return int64(len(f.inode.data)), f.usable()
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	return int64(len(f.inode.data)), f.checkUsable()
 }
 
 func (f *file) Sync() error {
-	return f.d.simple(f.boot, Op{Kind: SyncFile, Name: f.name}, func() error {
+	return f.disk.atomicOp(f.generation, Op{Kind: SyncFile, Name: f.name}, func() error {
 		if f.closed {
 			return fs.ErrClosed
 		}
@@ -504,8 +505,8 @@
 }
 
 func (f *file) Close() error {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
 	if f.closed {
 		return fs.ErrClosed
 	}
--- a/internal/journal/old.go
+++ b/internal/journal/old.go
@@ -12,25 +12,25 @@
 	"curlewmux/engine"
 )
 
-// The first format: files journal-N, each a run of records: "cm", the length and CRC-32C of the payload, the payload. It
-// is only read.
+// The first format has files journal-N, each a sequence of records: "cm", the length and the CRC-32C of the payload,
+// and the payload. It is only read.
 
-const oldHead = 10
+const v1HeaderSize = 10
 
-// Kinds of record of the first format.
+// Kinds of records of the first format.
 const (
-	oldStart  = iota + 1 // what came before is void
-	oldTaken             // a message was taken on
-	oldOut               // attempts are about to be written to their endpoints
-	oldNotRun            // the newest attempt of a message provably never ran
-	oldOwed              // the end was decided: its notice is owed
-	oldEnded             // nothing more is owed
-	oldTried             // what a message has behind it
+	v1Reset    = iota + 1 // everything before is obsolete
+	v1Accepted            // a message was accepted
+	v1Attempts            // attempts are about to be sent to their endpoints
+	v1NeverRan            // the newest attempt of a message provably never ran
+	v1Pending             // the disposition of a message is decided, and its result notification is pending
+	v1Ended               // nothing is pending for a message any more
+	v1State               // attempts and doubt of a message so far
 )
 
-// oldNumber reads the name of a file of the first format. temp is a compaction that was cut off.
-func oldNumber(name string) (n int, temp, ok bool) {
-	rest, ok := strings.CutPrefix(name, prefix)
+// parseV1Name parses the name of a file of the first format. temp is set for an interrupted compaction.
+func parseV1Name(name string) (n int, temp, ok bool) {
+	rest, ok := strings.CutPrefix(name, segmentPrefix)
 	if !ok {
 		return 0, false, false
 	}
@@ -41,11 +41,11 @@
 	return n, temp, true
 }
 
-// oldFiles lists the files of the first format, oldest first.
-func oldFiles(names []string) (segments, temps []string) {
+// listV1Files returns the segments of the first format, oldest first, and the files of interrupted compactions.
+func listV1Files(names []string) (segments, temps []string) {
 	numbers := map[string]int{}
 	for _, name := range names {
-		switch n, temp, ok := oldNumber(name); {
+		switch n, temp, ok := parseV1Name(name); {
 		case ok && temp:
 			temps = append(temps, name)
 		case ok:
@@ -57,19 +57,19 @@
 	return segments, temps
 }
 
-// oldReplay gives the payload of each good record to apply. It returns where the good records end and how many bytes
-// before that were damaged; what follows the last good one is an unfinished write.
-func oldReplay(text []byte, apply func([]byte) error) (good, bad int) {
-	for at := 0; at+oldHead <= len(text); {
+// replayV1 passes the payload of each valid record to apply. It returns where the valid records end and how many
+// bytes before that are damaged. What follows the last valid record is an unfinished write.
+func replayV1(text []byte, apply func([]byte) error) (good, bad int) {
+	for at := 0; at+v1HeaderSize <= len(text); {
 		n := int64(binary.LittleEndian.Uint32(text[at+2:]))
-		if text[at] == 'c' && text[at+1] == 'm' && n <= int64(len(text)-at-oldHead) {
-			payload := text[at+oldHead:][:n]
-			if binary.LittleEndian.Uint32(text[at+6:]) == sum(payload) {
+		if text[at] == 'c' && text[at+1] == 'm' && n <= int64(len(text)-at-v1HeaderSize) {
+			payload := text[at+v1HeaderSize:][:n]
+			if binary.LittleEndian.Uint32(text[at+6:]) == checksum(payload) {
 				bad += at - good
-				if apply(payload) != nil { // whole, but of no known form: what looks like a record inside is none
-					bad += oldHead + int(n)
+				if apply(payload) != nil { // intact, but it can't be decoded: nothing inside it is taken for a record
+					bad += v1HeaderSize + int(n)
 				}
-				at += oldHead + int(n)
+				at += v1HeaderSize + int(n)
 				good = at
 				continue
 			}
@@ -83,56 +83,56 @@
 	return good, bad
 }
 
-func (r *reader) oldStamp() engine.Timestamp { return engine.Timestamp(r.num()) }
+func (r *reader) v1Timestamp() engine.Timestamp { return engine.Timestamp(r.uvarint()) }
 
-// applyOld changes the table by one record of the first format.
-func (t *table) applyOld(payload []byte) error {
+// applyV1 applies one record of the first format to the table.
+func (t *table) applyV1(payload []byte) error {
 	if len(payload) == 0 {
 		return io.ErrUnexpectedEOF
 	}
 	r := &reader{buf: payload[1:]}
 	switch payload[0] {
-	case oldStart:
+	case v1Reset:
 		for n := t.oldest(); n != nil; n = t.oldest() {
 			t.end(n, 0, 0, 0, 0)
 		}
-	case oldTaken:
-		m := engine.Message{ID: r.text(), Class: r.text(), Tenant: r.text(), Destination: int(r.num())}
-		deadline := r.oldStamp()
+	case v1Accepted:
+		m := engine.Message{ID: r.text(), Class: r.text(), Tenant: r.text(), Destination: int(r.uvarint())}
+		deadline := r.v1Timestamp()
 		m.Key, m.Body = r.text(), bytes.Clone(r.bytes())
 		if r.err == nil && t.live[m.ID] == nil {
-			t.take(t.num+1, 0, &m, deadline)
+			t.accept(t.num+1, 0, &m, deadline)
 		}
-	case oldOut:
-		at := r.oldStamp()
-		for n := r.num(); n > 0 && r.err == nil; n-- {
-			id, zone := r.text(), int(r.num())
+	case v1Attempts:
+		at := r.v1Timestamp()
+		for n := r.uvarint(); n > 0 && r.err == nil; n-- {
+			id, zone := r.text(), int(r.uvarint())
 			if n := t.live[id]; n != nil && r.err == nil {
-				t.attempt(n, at, zone)
+				t.addAttempt(n, at, zone)
 			}
 		}
-	case oldNotRun:
+	case v1NeverRan:
 		if n := t.live[r.text()]; n != nil && r.err == nil {
 			t.neverRan(n)
 		}
-	case oldOwed:
-		id, deferred, again := r.text(), r.num(), r.num()
+	case v1Pending:
+		id, deferred, again := r.text(), r.uvarint(), r.uvarint()
 		if n := t.live[id]; n != nil && r.err == nil {
 			o := &engine.PendingResult{Disposition: engine.Failed, RetryAfter: time.Duration(min(again, 1<<40)) * time.Millisecond}
 			if deferred == 1 {
 				o.Disposition = engine.Refused
 			}
-			o.Fingerprint = n.life.msg.Fingerprint() // of the first format's, with the body still there
-			t.owe(n, o)
+			o.Fingerprint = n.live.msg.Fingerprint() // computed while the body is still there
+			t.setPending(n, o)
 		}
-	case oldEnded:
+	case v1Ended:
 		if n := t.live[r.text()]; n != nil && r.err == nil {
 			t.end(n, 0, 0, 0, 0)
 		}
-	case oldTried:
-		id, tries, at, zone, unproven := r.text(), r.num(), r.oldStamp(), r.num(), r.num()
+	case v1State:
+		id, tries, at, zone, unproven := r.text(), r.uvarint(), r.v1Timestamp(), r.uvarint(), r.uvarint()
 		if n := t.live[id]; n != nil && r.err == nil {
-			t.state(n, int(min(tries, 1<<30)), doubt{at, int(min(zone, 1<<30)), unproven == 1})
+			t.setState(n, int(min(tries, 1<<30)), doubt{at, int(min(zone, 1<<30)), unproven == 1})
 		}
 	default:
 		return fmt.Errorf("record of unknown kind %d", payload[0])
--- a/internal/journal/osdir.go
+++ b/internal/journal/osdir.go
@@ -9,7 +9,7 @@
 	"syscall"
 )
 
-// OSDir is a folder of the operating system's. It has to exist.
+// OSDir is an existing folder of the operating system.
 type OSDir string
 
 var _ Dir = OSDir("")
@@ -64,7 +64,7 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// Lock uses flock, which the kernel takes back when the process ends.
+// Lock uses flock, which the kernel releases when the process ends.
 func (d OSDir) Lock(name string) (io.Closer, error) {
 	f, err := os.OpenFile(d.path(name), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -87,7 +87,8 @@
 
 type osLock struct{ *os.File }
 
-// Close gives the lock up by name: a child that is just being started has a copy of the file until it is running.
+// Close unlocks the file explicitly, because a child process that is just being started has a copy of it until it
+// runs.
 func (l osLock) Close() error {
 	return errors.Join(syscall.Flock(int(l.Fd()), syscall.LOCK_UN), l.File.Close())
 }
@@ -102,7 +103,7 @@
 	return info.Size(), nil
 }
 
-// Sync is fdatasync: times of files tell nothing here. Close waits for it.
+// Sync uses fdatasync, as the times of files are not needed here. Close waits for it.
 func (f osFile) Sync() error {
 	rc, err := f.SyscallConn()
 	if err != nil {
--- a/internal/journal/recover.go
+++ b/internal/journal/recover.go
@@ -11,32 +11,31 @@
 	"curlewmux/engine"
 )
 
-// Findings is what was wrong with a folder. All of it but Cut is damage.
+// Findings says what is wrong with a folder. See HasDamage for what counts as damage.
 type Findings struct {
-	UnfinishedBytes  int64    // bytes of unfinished writes at the end, which never counted
-	DamagedBytes     int64    // bytes that can't be read, before the end
-	MissingSegments  int      // segments that are not there, or of which nothing can be read
-	LostMessages     uint64   // whole records of messages lost with these, at most; some may have ended
-	LostFacts        uint64   // records about messages lost with these, and not found a second time
-	RecoveredFacts   uint64   // the same, found a second time
-	DoubtfulMessages int      // live messages that these may have been about: whether they ran, or even ended, is not known
+	UnfinishedBytes  int64    // unfinished writes at the end, which never counted
+	DamagedBytes     int64    // bytes before the end that can't be read
+	MissingSegments  int      // segments that do not exist or are completely unreadable
+	LostMessages     uint64   // full records of messages lost with these, at most; some of the messages may have ended
+	LostFacts        uint64   // facts lost with these and not found repeated
+	RecoveredFacts   uint64   // facts lost with these and found repeated
+	DoubtfulMessages int      // live messages that lost facts may be about: it is not known whether they ran, or even ended
 	ForeignFiles     []string // segments of other journals, left as they are
 }
 
-// OK tells that nothing is wrong.
-func (f *Findings) OK() bool { return !f.damaged() && len(f.ForeignFiles) == 0 }
+// OK reports whether there is neither damage nor a foreign file.
+func (f *Findings) OK() bool { return !f.isDamaged() && len(f.ForeignFiles) == 0 }
 
-func (f *Findings) damaged() bool {
+func (f *Findings) isDamaged() bool {
 	return f.DamagedBytes > 0 || f.MissingSegments > 0 || f.LostMessages > 0 || f.LostFacts > 0 || f.RecoveredFacts > 0
 }
 
-// HasDamage tells that something of what counted may be lost: not where only foreign files were found, or an unfinished
-// write.
-func (f *Findings) HasDamage() bool { return f.damaged() }
+// HasDamage reports whether stored data may be lost. Foreign files and an unfinished write are no damage.
+func (f *Findings) HasDamage() bool { return f.isDamaged() }
 
 func (f *Findings) log(log *slog.Logger) {
 	if f.UnfinishedBytes > 0 {
-		log.Warn("journal: it ends in an unfinished write, which does not count", "bytes", f.UnfinishedBytes)
+		log.Warn("journal: the log ends in an unfinished write, which is ignored", "bytes", f.UnfinishedBytes)
 	}
 	if !f.OK() {
 		log.Error("journal: the folder is damaged; the rest of it is used", "bytes", f.DamagedBytes, "segments", f.MissingSegments,
@@ -44,155 +43,156 @@
 	}
 }
 
-// reading is a folder as it was read.
-type reading struct {
+// recovery is the state of reading a folder, and the result of it.
+type recovery struct {
 	*table
-	found    Findings
-	owner    string
-	anyone   bool   // owner is that of the journal that is found
-	identity uint64 // 0 if there is no segment
-	segs     []*segment
-	frame    uint64 // next numbers
-	fact     uint64
-	whole    uint64
-	first    uint64
-	floor    uint64 // the same, as far as nothing is missing between that segment and what says so
-	lastSeq  uint64
-	alien    int64
-	began    bool     // the log says where it begins: what was in the first format is all there
-	useless  []string // files that hold nothing that counts
-	unread   int      // of these, before the segments were read
-	cut      int64    // found.Cut, the same
-	old      []string // files of the first format
-	oldBytes int64
-	started  bool // fact and whole are known
-	byNum    map[uint64]known
-	names    map[string]string // of classes and tenants, each kept once
-
-	sureFrame uint64 // frames and facts before these had been confirmed
-	sureFact  uint64
-	hole      int64 // bytes since the last good frame
-	holes     bool  // a frame is missing
-	again     bool  // the folder is read for the second time
-	ended     bool  // the log ends before where reading is
-	gaps      int32 // places so far where facts are missing
-	losses    []loss
-	missing   []span
-	saved     map[uint64][]byte // facts that are missing, as an echo tells them
+	findings         Findings
+	owner            string
+	anyOwner         bool   // any owner will do; owner is then set to that of the journal found
+	identity         uint64 // 0 if there is no segment
+	segments         []*segment
+	nextFrame        uint64 // next number
+	nextFact         uint64 // next number
+	nextFull         uint64 // next number
+	firstSeq         uint64 // segments before this one are obsolete
+	gaplessFirst     uint64 // firstSeq, as far as nothing is missing between that segment and the record that says so
+	lastSeq          uint64
+	foreignBytes     int64
+	migrated         bool     // the log holds a kindFirstSegment record, so everything of the first format is in it
+	obsolete         []string // files that hold nothing needed
+	obsoleteBefore   int      // length of obsolete before the segments were read
+	unfinishedBefore int64    // findings.UnfinishedBytes before the segments were read
+	v1Files          []string // files of the first format
+	v1Bytes          int64    // disk use of v1Files
+	started          bool     // the next numbers are known
+	byNum            map[uint64]known
+	interned         map[string]string // classes and tenants, each stored once
+
+	syncedFrame     uint64 // frames before this one were synced
+	syncedFact      uint64 // facts before this one were synced
+	unreadableBytes int64  // bytes since the last valid frame
+	frameMissing    bool   // a frame is missing
+	secondPass      bool   // the folder is read for the second time
+	logEnded        bool   // the log ended before the current position
+	gapCount        int32  // number of places so far where facts are lost
+	losses          []loss
+	missingFacts    []factRange
+	recoveredFacts  map[uint64][]byte // missing facts that are repeated elsewhere, by number
 }
 
-// known is a message as reading knows it.
+// known is a message and what the recovery knows of it.
 type known struct {
 	*node
-	whole int32 // gaps that there were when all of it was told, last
-	alive int32 // gaps that there were when it was last heard of
+	fullAtGap  int32 // gapCount when its full state was last read
+	aliveAtGap int32 // gapCount when a record last showed that it is live
 }
 
 // loss is what is missing before a place in a segment.
 type loss struct {
-	place                  uint64 // see jump
-	bytes                  int64
-	messages, facts, again uint64
+	place                      uint64 // see advance
+	bytes                      int64
+	messages, facts, recovered uint64
 }
 
-// span is a range of numbers of facts, the end not in it.
-type span struct{ from, to uint64 }
+// factRange is a range of fact numbers. The end is not part of it.
+type factRange struct{ from, to uint64 }
 
-// candidate is a file that looks like a segment.
+// candidate is a file that is named like a segment.
 type candidate struct {
-	name   string
-	number uint64 // in its name
-	size   int64
-	head   header
-	frames int64 // offset
-	err    error // of reading the header: errHeader
+	name         string
+	number       uint64 // from its name
+	size         int64
+	header       header
+	framesOffset int64 // offset of the first frame
+	err          error // errBadHeader if the header can't be read
 }
 
-// read reads the folder without changing it: the journal of one owner, or of any.
-func read(dir Dir, owner string, anyone bool) (*reading, error) {
+// readFolder reads the folder without changing it: the journal of one owner, or of any owner.
+func readFolder(dir Dir, owner string, anyone bool) (*recovery, error) {
 	names, err := dir.List()
 	if err != nil {
 		return nil, err
 	}
-	r := &reading{owner: owner, anyone: anyone, names: map[string]string{}}
+	r := &recovery{owner: owner, anyOwner: anyone, interned: map[string]string{}}
 	r.reset()
 	var list []*candidate
 	for _, name := range names {
-		n, ok := segmentNumber(name)
+		n, ok := parseSegmentName(name)
 		if !ok {
 			continue
 		}
-		c, err := inspect(dir, name, n)
+		c, err := inspectFile(dir, name, n)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
-		r.lastSeq = max(r.lastSeq, n, c.head.seq)
+		r.lastSeq = max(r.lastSeq, n, c.header.seq)
 		list = append(list, c)
 	}
-	chain := r.choose(list)
+	chain := r.chooseChain(list)
 	if len(chain) == 0 {
 		for _, c := range list {
 			if c.err == nil {
-				return nil, fmt.Errorf("%w: that of %q", ErrOtherOwner, c.head.owner)
+				return nil, fmt.Errorf("%w: that of %q", ErrOtherOwner, c.header.owner)
 			}
 		}
 	}
 	if err := r.replay(dir, chain); err != nil {
 		return nil, err
 	}
-	// Where something is missing it is read once more, now that it is known what of it had been confirmed and what an echo
-	// tells; without segments that are void, which need not follow each other.
-	for more := r.holes; more; more = slices.ContainsFunc(chain, func(c *candidate) bool { return c.head.seq < r.floor }) {
+	// If something is missing, the folder is read again. By now it is known which of the missing frames had been
+	// synced and which missing facts are repeated elsewhere. Obsolete segments are left out, as they need not follow
+	// each other.
+	for more := r.frameMissing; more; more = slices.ContainsFunc(chain, func(c *candidate) bool { return c.header.seq < r.gaplessFirst }) {
 		var left []*candidate
-		useless := r.useless[:r.unread:r.unread]
+		useless := r.obsolete[:r.obsoleteBefore:r.obsoleteBefore]
 		for _, c := range chain {
 			switch {
-			case c.head.seq >= r.floor:
+			case c.header.seq >= r.gaplessFirst:
 				left = append(left, c)
-			case !c.gone():
+			case !c.isMissing():
 				useless = append(useless, c.name)
 			}
 		}
 		chain = left
 		r.reset()
-		r.useless, r.found.UnfinishedBytes, r.again = useless, r.cut, true
+		r.obsolete, r.findings.UnfinishedBytes, r.secondPass = useless, r.unfinishedBefore, true
 		if err := r.replay(dir, chain); err != nil {
 			return nil, err
 		}
 	}
-	r.index()
-	r.judge()
-	old, temps := oldFiles(names)
-	r.useless = append(r.useless, temps...)
-	if r.began {
-		r.useless = append(r.useless, old...)
+	r.buildIndex()
+	r.resolveLostFacts()
+	old, temps := listV1Files(names)
+	r.obsolete = append(r.obsolete, temps...)
+	if r.migrated {
+		r.obsolete = append(r.obsolete, old...)
 		return r, nil
 	}
 	if len(old) == 0 {
 		return r, nil
 	}
-	// What is there of this format is the begin of a change from the first one that was cut off.
+	// The segments are the beginning of a change from the first format that was interrupted.
 	for _, c := range chain {
-		if !c.gone() {
-			r.useless = append(r.useless, c.name)
+		if !c.isMissing() {
+			r.obsolete = append(r.obsolete, c.name)
 		}
 	}
 	r.reset()
-	r.identity, r.bulk = 0, false
-	return r, r.readOld(dir, old)
+	r.identity, r.deferIndex = 0, false
+	return r, r.readV1(dir, old)
 }
 
-func (r *reading) reset() {
+func (r *recovery) reset() {
 	r.table, r.byNum = newTable(), map[uint64]known{}
-	r.final, r.bulk = true, true
-	r.frame, r.fact, r.whole, r.first, r.floor, r.started, r.began = 0, 0, 0, 0, 0, false, false
-	r.gaps, r.hole, r.ended, r.losses, r.missing, r.segs, r.found = 0, 0, false, nil, nil, nil, Findings{ForeignFiles: r.found.ForeignFiles}
+	r.noUndo, r.deferIndex = true, true
+	r.nextFrame, r.nextFact, r.nextFull, r.firstSeq, r.gaplessFirst, r.started, r.migrated = 0, 0, 0, 0, 0, false, false
+	r.gapCount, r.unreadableBytes, r.logEnded, r.losses, r.missingFacts, r.segments, r.findings = 0, 0, false, nil, nil, nil, Findings{ForeignFiles: r.findings.ForeignFiles}
 }
 
-func (c *candidate) gone() bool { return c.name == "" }
+func (c *candidate) isMissing() bool { return c.name == "" }
 
-// inspect reads the header of a file.
-func inspect(dir Dir, name string, n uint64) (*candidate, error) {
+// inspectFile reads the header of a file.
+func inspectFile(dir Dir, name string, n uint64) (*candidate, error) {
 	f, err := dir.Open(name)
 	if err != nil {
 		return nil, err
@@ -202,11 +202,11 @@
 	if c.size, err = f.Size(); err != nil {
 		return nil, err
 	}
-	text := make([]byte, min(c.size, headerCopy+headerMax+64))
+	text := make([]byte, min(c.size, headerCopyOffset+maxHeaderSize+64))
 	if err := readFull(f, text); err != nil {
 		return nil, err
 	}
-	c.head, c.frames, c.err = readHeader(text)
+	c.header, c.framesOffset, c.err = readHeader(text)
 	if errors.Is(c.err, ErrNewerFormat) {
 		return nil, c.err
 	}
@@ -220,101 +220,102 @@
 	return nil
 }
 
-// choose finds the segments that make up the journal, oldest first. Segments that ought to be there and are not are in
-// the list without a name.
-func (r *reading) choose(list []*candidate) []*candidate {
+// chooseChain returns the segments that make up the journal, oldest first. Segments that should exist and do not are
+// in the list without a name.
+func (r *recovery) chooseChain(list []*candidate) []*candidate {
 	count, newest := map[uint64]int{}, map[uint64]uint64{}
 	for _, c := range list {
-		if c.err == nil && (r.anyone || c.head.owner == r.owner) {
-			count[c.head.identity]++
-			newest[c.head.identity] = max(newest[c.head.identity], c.head.seq)
+		if c.err == nil && (r.anyOwner || c.header.owner == r.owner) {
+			count[c.header.identity]++
+			newest[c.header.identity] = max(newest[c.header.identity], c.header.seq)
 		}
 	}
-	for _, c := range list { // the journal with the most segments, then with the highest number
-		if id := c.head.identity; count[id] > 0 && c.err == nil {
+	for _, c := range list { // the journal with the most segments, then the one with the highest sequence number
+		if id := c.header.identity; count[id] > 0 && c.err == nil {
 			if d := cmp.Or(cmp.Compare(count[id], count[r.identity]), cmp.Compare(newest[id], newest[r.identity])); d > 0 {
-				r.identity, r.owner = id, c.head.owner
+				r.identity, r.owner = id, c.header.owner
 			}
 		}
 	}
 	bySeq := map[uint64]*candidate{}
-	var nameless []*candidate // no header to be read
+	var nameless []*candidate // files without a readable header
 	for _, c := range list {
 		switch {
 		case c.err != nil:
 			nameless = append(nameless, c)
-		case c.head.identity != r.identity || c.head.owner != r.owner:
-			r.alien += blocks(c.size)
-			r.found.ForeignFiles = append(r.found.ForeignFiles, c.name)
-		case bySeq[c.head.seq] == nil:
-			bySeq[c.head.seq] = c
-		default: // the same segment twice: the one in its place counts
-			if c.number == c.head.seq {
-				c, bySeq[c.head.seq] = bySeq[c.head.seq], c
+		case c.header.identity != r.identity || c.header.owner != r.owner:
+			r.foreignBytes += blocks(c.size)
+			r.findings.ForeignFiles = append(r.findings.ForeignFiles, c.name)
+		case bySeq[c.header.seq] == nil:
+			bySeq[c.header.seq] = c
+		default: // the same segment twice: the file with the matching name is used
+			if c.number == c.header.seq {
+				c, bySeq[c.header.seq] = bySeq[c.header.seq], c
 			}
-			r.useless = append(r.useless, c.name)
+			r.obsolete = append(r.obsolete, c.name)
 		}
 	}
 	var chain []*candidate
-	at := link{seq: newest[r.identity]}
+	at := segmentLink{seq: newest[r.identity]}
 	if c := bySeq[at.seq]; c != nil {
-		at = link{at.seq, c.head.salt, c.size}
+		at = segmentLink{at.seq, c.header.salt, c.size}
 	}
-	for at.seq > 0 && (len(chain) == 0 || at.seq >= chain[0].head.first) {
+	for at.seq > 0 && (len(chain) == 0 || at.seq >= chain[0].header.firstSeq) {
 		c := bySeq[at.seq]
-		if c != nil && c.head.salt != at.salt {
-			r.useless = append(r.useless, c.name)
+		if c != nil && c.header.salt != at.salt {
+			r.obsolete = append(r.obsolete, c.name)
 			c = nil
 		}
 		if c == nil {
-			for i, u := range nameless { // the header is lost, but the next one says with what its frames are checked
+			for i, u := range nameless { // the header is lost, but the next segment names the salt of its frames
 				if u.number == at.seq {
 					c = u
-					c.head = header{identity: r.identity, seq: at.seq, salt: at.salt}
+					c.header = header{identity: r.identity, seq: at.seq, salt: at.salt}
 					nameless = slices.Delete(nameless, i, i+1)
 					break
 				}
 			}
 		}
 		if c == nil {
-			c = &candidate{head: header{seq: at.seq, salt: at.salt}}
+			c = &candidate{header: header{seq: at.seq, salt: at.salt}}
 		}
 		delete(bySeq, at.seq)
-		c.size, c.number = at.size, at.seq
+		c.size, c.number = at.validSize, at.seq
 		chain = append([]*candidate{c}, chain...)
-		at = c.head.prev
-		if c.err != nil || c.gone() || at.seq >= c.head.seq { // what came before it is not known
-			at = link{}
+		at = c.header.prev
+		if c.err != nil || c.isMissing() || at.seq >= c.header.seq { // the segments before it are not known
+			at = segmentLink{}
 			for seq, o := range bySeq {
-				if seq < c.head.seq && seq > at.seq {
-					at = link{seq, o.head.salt, o.size}
+				if seq < c.header.seq && seq > at.seq {
+					at = segmentLink{seq, o.header.salt, o.size}
 				}
 			}
 		}
 	}
-	for _, c := range list { // begun and never linked: a write that failed, or was void already
-		if bySeq[c.head.seq] == c && c.err == nil {
-			r.useless = append(r.useless, c.name)
+	for _, c := range list { // created and never linked: a write that failed, or an obsolete segment
+		if bySeq[c.header.seq] == c && c.err == nil {
+			r.obsolete = append(r.obsolete, c.name)
 		}
 	}
 	for _, c := range nameless {
-		r.useless = append(r.useless, c.name)
-		r.found.UnfinishedBytes += c.size
+		r.obsolete = append(r.obsolete, c.name)
+		r.findings.UnfinishedBytes += c.size
 	}
 	return chain
 }
 
-// replay applies the segments of a chain, up to the first hole in what was never confirmed: that is where the log ends.
-func (r *reading) replay(dir Dir, chain []*candidate) error {
-	r.unread, r.cut = len(r.useless), r.found.UnfinishedBytes
+// replay applies the segments of a chain. The log ends at the first gap in frames that were never confirmed as
+// synced.
+func (r *recovery) replay(dir Dir, chain []*candidate) error {
+	r.obsoleteBefore, r.unfinishedBefore = len(r.obsolete), r.findings.UnfinishedBytes
 	var missing, lost []uint64
 	for i, c := range chain {
-		if c.gone() {
-			missing = append(missing, c.head.seq)
+		if c.isMissing() {
+			missing = append(missing, c.header.seq)
 			continue
 		}
-		if r.ended {
-			r.useless = append(r.useless, c.name)
+		if r.logEnded {
+			r.obsolete = append(r.obsolete, c.name)
 			continue
 		}
 		text, disk, err := readFile(dir, c.name)
@@ -322,52 +323,52 @@
 			return fmt.Errorf("%s: %w", c.name, err)
 		}
 		limit := min(c.size, disk)
-		s := &segment{seq: c.head.seq, salt: c.head.salt, name: c.name, size: c.frames, disk: disk}
+		s := &segment{seq: c.header.seq, salt: c.header.salt, name: c.name, validSize: c.framesOffset, diskSize: disk}
 		if c.err == nil {
-			r.enter(&c.head)
+			r.enterSegment(&c.header)
 		}
-		sc := scanFrames(text[:limit], c.head.salt, c.frames, func(payload []byte, at, after int64) {
-			if r.hole += at - after; r.ended {
+		sc := scanFrames(text[:limit], c.header.salt, c.framesOffset, func(payload []byte, at, after int64) {
+			if r.unreadableBytes += at - after; r.logEnded {
 				return
 			}
-			if !r.apply(payload, s.seq) {
-				r.found.DamagedBytes += int64(len(payload))
+			if !r.applyFrame(payload, s.seq) {
+				r.findings.DamagedBytes += int64(len(payload))
 			}
-			if !r.ended {
-				s.size = at + frameHead + int64(len(payload))
+			if !r.logEnded {
+				s.validSize = at + frameHeaderSize + int64(len(payload))
 			}
 		})
 		switch {
-		case r.ended && s.size == c.frames, c.err != nil && sc.frames == 0: // nothing of it counts, or can be read
-			if !r.ended {
-				missing = append(missing, c.head.seq)
+		case r.logEnded && s.validSize == c.framesOffset, c.err != nil && sc.frameCount == 0: // none of it counts, or can be read
+			if !r.logEnded {
+				missing = append(missing, c.header.seq)
 			}
-			r.useless = append(r.useless, c.name)
+			r.obsolete = append(r.obsolete, c.name)
 			continue
-		case r.ended || i == len(chain)-1:
-			r.found.UnfinishedBytes += disk - s.size
+		case r.logEnded || i == len(chain)-1:
+			r.findings.UnfinishedBytes += disk - s.validSize
 		default:
-			r.hole += max(c.size-s.size, 0)
+			r.unreadableBytes += max(c.size-s.validSize, 0)
 		}
 		lost, missing = append(lost, missing...), nil
-		r.segs = append(r.segs, s)
+		r.segments = append(r.segments, s)
 	}
-	for _, seq := range lost { // between segments that count
-		if seq >= r.first {
-			r.found.MissingSegments++
+	for _, seq := range lost { // between segments that are in use
+		if seq >= r.firstSeq {
+			r.findings.MissingSegments++
 		}
 	}
 	for _, l := range r.losses {
-		if l.place > 2*r.first { // at the begin of a segment it is of the one before
-			r.found.DamagedBytes += l.bytes
-			r.found.LostMessages += l.messages
-			r.found.LostFacts += l.facts
-			r.found.RecoveredFacts += l.again
+		if l.place > 2*r.firstSeq { // a loss at the start of a segment belongs to the segment before it
+			r.findings.DamagedBytes += l.bytes
+			r.findings.LostMessages += l.messages
+			r.findings.LostFacts += l.facts
+			r.findings.RecoveredFacts += l.recovered
 		}
 	}
-	for len(r.segs) > 0 && r.segs[0].seq < r.first {
-		r.useless = append(r.useless, r.segs[0].name)
-		r.segs = r.segs[1:]
+	for len(r.segments) > 0 && r.segments[0].seq < r.firstSeq {
+		r.obsolete = append(r.obsolete, r.segments[0].name)
+		r.segments = r.segments[1:]
 	}
 	return nil
 }
@@ -385,284 +386,285 @@
 	return text, size, readFull(f, text)
 }
 
-// enter begins a segment.
-func (r *reading) enter(h *header) {
-	if !r.jump(numbers{frame: h.frame, fact: h.fact, whole: h.whole}, 2*h.seq) {
+// enterSegment starts reading a segment.
+func (r *recovery) enterSegment(h *header) {
+	if !r.advance(counters{frame: h.nextFrame, fact: h.nextFact, full: h.nextFull}, 2*h.seq) {
 		return
 	}
-	r.void(min(h.first, h.seq))
-	r.num = max(r.num, h.num)
-	if h.shift != r.shift {
-		r.step(int64(h.shift - r.shift))
+	r.dropBefore(min(h.firstSeq, h.seq))
+	r.num = max(r.num, h.lastMessage)
+	if h.clockShift != r.shift {
+		r.stepClock(int64(h.clockShift - r.shift))
 	}
-	r.seen(h.last)
+	r.noteTime(h.latestTime)
 }
 
-// jump goes on with the numbers of a frame, or of a segment before its first one: the place is its number twice, and one
-// more for a frame. It returns false where the log ends before it.
-func (r *reading) jump(n numbers, place uint64) bool {
+// advance goes to the numbers of a frame, or of a segment before its first frame. The place is twice the sequence
+// number of the segment, plus one for a frame. It returns false if the log ends before the place.
+func (r *recovery) advance(n counters, place uint64) bool {
 	if !r.started {
 		r.started = true
-	} else if n.frame > r.frame {
-		r.holes = true
-		if r.again && n.frame > r.sureFrame {
-			r.ended = true
-			n.frame, n.fact, n.whole = max(r.frame, r.sureFrame), max(r.fact, min(n.fact, r.sureFact)), r.whole
-		}
-		if n.frame == r.frame {
-			r.found.UnfinishedBytes += r.hole
+	} else if n.frame > r.nextFrame {
+		r.frameMissing = true
+		if r.secondPass && n.frame > r.syncedFrame {
+			r.logEnded = true
+			n.frame, n.fact, n.full = max(r.nextFrame, r.syncedFrame), max(r.nextFact, min(n.fact, r.syncedFact)), r.nextFull
+		}
+		if n.frame == r.nextFrame {
+			r.findings.UnfinishedBytes += r.unreadableBytes
 		} else {
-			r.gap(n, place)
+			r.addGap(n, place)
 		}
 	}
-	r.hole = 0
-	r.frame, r.fact, r.whole = n.frame, n.fact, n.whole
-	return !r.ended
+	r.unreadableBytes = 0
+	r.nextFrame, r.nextFact, r.nextFull = n.frame, n.fact, n.full
+	return !r.logEnded
 }
 
-// void drops what is only in segments before one.
-func (r *reading) void(first uint64) {
-	r.first = max(r.first, first)
+// dropBefore removes what is only in segments before the given one.
+func (r *recovery) dropBefore(first uint64) {
+	r.firstSeq = max(r.firstSeq, first)
 	if !slices.ContainsFunc(r.losses, func(l loss) bool { return l.place > 2*first }) {
-		r.floor = max(r.floor, first)
+		r.gaplessFirst = max(r.gaplessFirst, first)
 	}
-	for n := r.oldest(); n != nil && n.seg < r.first; n = r.oldest() {
-		r.remove(n)
+	for n := r.oldest(); n != nil && n.seg < r.firstSeq; n = r.oldest() {
+		r.removeNode(n)
 	}
 }
 
-// apply applies a frame. It returns false if its content is of no known form; what was read of it before that counts.
-func (r *reading) apply(payload []byte, seg uint64) bool {
-	f := &reader{buf: payload, names: r.names}
-	n := f.numbers()
+// applyFrame applies a frame. It returns false if the content can't be decoded. The records before that point count.
+func (r *recovery) applyFrame(payload []byte, seg uint64) bool {
+	f := &reader{buf: payload, interned: r.interned}
+	n := f.counters()
 	if f.err != nil {
 		return false
 	}
-	r.sureFrame = max(r.sureFrame, n.frame-min(n.openFrames, n.frame))
-	r.sureFact = max(r.sureFact, n.fact-min(n.openFacts, n.fact))
-	if !r.jump(n, 2*seg+1) {
+	r.syncedFrame = max(r.syncedFrame, n.frame-min(n.unsyncedFrames, n.frame))
+	r.syncedFact = max(r.syncedFact, n.fact-min(n.unsyncedFacts, n.fact))
+	if !r.advance(n, 2*seg+1) {
 		return true
 	}
-	r.frame++
+	r.nextFrame++
 	for len(f.buf) > 0 {
-		if kind(f.buf[0]) == kindLeaf { // there are many: no record is made of them
+		if kind(f.buf[0]) == kindLeaf { // there are many leaves, so no record is allocated
 			f.byte()
-			number, text := f.num(), f.bytes()
+			number, text := f.uvarint(), f.bytes()
 			if f.err != nil {
 				return false
 			}
-			r.turnCopy(number, seg, text)
+			r.setLeafCopy(number, seg, text)
 			continue
 		}
 		rec, err := f.record()
 		if err != nil {
 			return false
 		}
-		r.one(&rec, seg)
-		if rec.kind.fact() {
-			r.fact++
+		r.applyRecord(&rec, seg)
+		if rec.kind.isFact() {
+			r.nextFact++
 		}
 	}
 	return true
 }
 
-// gap is a place where something is missing, up to the numbers given. Facts that an echo tells are put in.
-func (r *reading) gap(n numbers, place uint64) {
-	g := loss{place: place, bytes: r.hole}
-	if n.whole > r.whole {
-		g.messages = n.whole - r.whole
+// addGap notes that something is missing up to the given numbers. It applies missing facts that are repeated
+// elsewhere.
+func (r *recovery) addGap(n counters, place uint64) {
+	g := loss{place: place, bytes: r.unreadableBytes}
+	if n.full > r.nextFull {
+		g.messages = n.full - r.nextFull
 	}
-	if n.fact > r.fact {
-		r.missing = append(r.missing, span{r.fact, n.fact})
-		g.facts = n.fact - r.fact
+	if n.fact > r.nextFact {
+		r.missingFacts = append(r.missingFacts, factRange{r.nextFact, n.fact})
+		g.facts = n.fact - r.nextFact
 		var here []uint64
-		for f := range r.saved {
-			if f >= r.fact && f < n.fact {
+		for f := range r.recoveredFacts {
+			if f >= r.nextFact && f < n.fact {
 				here = append(here, f)
 			}
 		}
 		slices.Sort(here)
 		for _, f := range here {
-			rd := &reader{buf: r.saved[f]}
+			rd := &reader{buf: r.recoveredFacts[f]}
 			if rec, err := rd.record(); err == nil {
-				r.one(&rec, place/2)
+				r.applyRecord(&rec, place/2)
 				g.facts--
-				g.again++
+				g.recovered++
 			}
 		}
 	}
 	if g.facts > 0 {
-		r.gaps++
+		r.gapCount++
 	}
 	r.losses = append(r.losses, g)
 }
 
-// echo saves what an echo tells of facts that are missing.
-func (r *reading) echo(first uint64, facts []byte) {
+// saveRepeats keeps those repeated facts that are missing.
+func (r *recovery) saveRepeats(first uint64, facts []byte) {
 	for rd := (&reader{buf: facts}); len(rd.buf) > 0; first++ {
 		at := rd.buf
 		if _, err := rd.record(); err != nil {
 			return
 		}
-		for _, s := range r.missing {
-			if first >= s.from && first < s.to && r.saved[first] == nil {
-				if r.saved == nil {
-					r.saved = map[uint64][]byte{}
+		for _, s := range r.missingFacts {
+			if first >= s.from && first < s.to && r.recoveredFacts[first] == nil {
+				if r.recoveredFacts == nil {
+					r.recoveredFacts = map[uint64][]byte{}
 				}
-				r.saved[first] = at[:len(at)-len(rd.buf)]
+				r.recoveredFacts[first] = at[:len(at)-len(rd.buf)]
 			}
 		}
 	}
 }
 
-// judge settles what became of messages that missing facts may have been about. What was heard of since is alive, and
-// may have run; of the others not even that is known: they are not sent again, and whoever waits is told that nothing is
-// promised.
-func (r *reading) judge() {
-	if r.gaps == 0 {
+// resolveLostFacts decides about messages that lost facts may have been about. A message with a later record is live,
+// and may have run. Of the others not even that is known: they are not sent again, and their pending result is a
+// failure with the doubt left open.
+func (r *recovery) resolveLostFacts() {
+	if r.gapCount == 0 {
 		return
 	}
 	for n := r.root.next; n != &r.root; n = n.next {
 		k := r.byNum[n.num]
-		if n.life == nil || k.whole == r.gaps {
+		if n.live == nil || k.fullAtGap == r.gapCount {
 			continue
 		}
-		r.found.DoubtfulMessages++
-		r.state(n, n.life.tries+1, doubt{at: 1}) // out of the time that any key is remembered
-		if k.alive < r.gaps && n.life.owed == nil {
-			r.owe(n, &engine.PendingResult{Disposition: engine.Failed, Fingerprint: n.life.msg.Fingerprint()})
+		r.findings.DoubtfulMessages++
+		r.setState(n, n.live.tries+1, doubt{since: 1}) // so long ago that no endpoint remembers the key
+		if k.aliveAtGap < r.gapCount && n.live.pending == nil {
+			r.setPending(n, &engine.PendingResult{Disposition: engine.Failed, Fingerprint: n.live.msg.Fingerprint()})
 		}
 	}
 }
 
-// one applies one record.
-func (r *reading) one(rec *record, seg uint64) {
+// applyRecord applies one record.
+func (r *recovery) applyRecord(rec *record, seg uint64) {
 	if rec.kind == kindState {
-		r.seen(rec.doubt.at)
+		r.noteTime(rec.doubt.since)
 	}
 	var k known
 	if rec.num != 0 {
 		k = r.byNum[rec.num]
 	}
-	if k.node == nil || k.life == nil {
+	if k.node == nil || k.live == nil {
 		switch rec.kind {
-		case kindNeverRan, kindState, kindOwed:
+		case kindNeverRan, kindState, kindPending:
 			return
-		case kindEnded: // the message itself may be gone with its segment
+		case kindEnded: // the message's own record may be lost with its segment
 			if k.node == nil && rec.until != 0 {
-				r.add(r.stone(rec.num, seg, rec.msg.ID, rec.how, rec.until, rec.print))
+				r.addNode(r.addTombstone(rec.num, seg, rec.msg.ID, rec.disposition, rec.until, rec.fingerprint))
 			}
 			return
 		}
 	} else {
-		r.isAlive(k)
+		r.markAlive(k)
 	}
 	switch rec.kind {
-	case kindTaken, kindCopy:
-		r.whole++
+	case kindAccepted, kindCopy:
+		r.nextFull++
 		if k.node != nil {
-			r.remove(k.node)
+			r.removeNode(k.node)
 		}
-		n := r.take(rec.num, seg, &rec.msg, rec.deadline)
-		r.add(n)
+		n := r.accept(rec.num, seg, &rec.msg, rec.deadline)
+		r.addNode(n)
 		if rec.kind == kindCopy {
-			r.state(n, rec.tries, rec.doubt)
-			if rec.owed != nil {
-				r.owe(n, rec.owed)
+			r.setState(n, rec.tries, rec.doubt)
+			if rec.pending != nil {
+				r.setPending(n, rec.pending)
 			}
 		}
-	case kindStone:
-		r.whole++
+	case kindTombstone:
+		r.nextFull++
 		if k.node != nil {
-			r.remove(k.node)
+			r.removeNode(k.node)
 		}
-		r.add(r.stone(rec.num, seg, rec.msg.ID, rec.how, rec.until, rec.print))
+		r.addNode(r.addTombstone(rec.num, seg, rec.msg.ID, rec.disposition, rec.until, rec.fingerprint))
 	case kindAttempts:
-		r.seen(rec.at)
-		for _, p := range rec.list {
-			if k := r.byNum[p.num]; k.node != nil && k.life != nil {
-				r.attempt(k.node, rec.at, p.zone)
-				r.isAlive(k)
+		r.noteTime(rec.at)
+		for _, p := range rec.attempts {
+			if k := r.byNum[p.num]; k.node != nil && k.live != nil {
+				r.addAttempt(k.node, rec.at, p.zone)
+				r.markAlive(k)
 			}
 		}
 	case kindNeverRan:
 		r.neverRan(k.node)
 	case kindState:
-		r.state(k.node, rec.tries, rec.doubt)
-		r.byNum[rec.num] = known{k.node, r.gaps, r.gaps}
-	case kindOwed:
-		r.owe(k.node, rec.owed)
+		r.setState(k.node, rec.tries, rec.doubt)
+		r.byNum[rec.num] = known{k.node, r.gapCount, r.gapCount}
+	case kindPending:
+		r.setPending(k.node, rec.pending)
 	case kindEnded:
-		r.end(k.node, seg, rec.how, rec.until, rec.print)
+		r.end(k.node, seg, rec.disposition, rec.until, rec.fingerprint)
 		if rec.until == 0 {
 			delete(r.byNum, rec.num)
 		}
-	case kindShift:
-		r.step(rec.shift)
-	case kindFirst:
-		r.began = true
-		r.void(min(rec.first, seg))
-	case kindEcho:
-		r.echo(rec.first, rec.facts)
+	case kindClockStep:
+		r.stepClock(rec.clockStep)
+	case kindFirstSegment:
+		r.migrated = true
+		r.dropBefore(min(rec.number, seg))
+	case kindRepeat:
+		r.saveRepeats(rec.number, rec.payload)
 	}
 }
 
-func (r *reading) add(n *node) { r.byNum[n.num] = known{n, r.gaps, r.gaps} }
+func (r *recovery) addNode(n *node) { r.byNum[n.num] = known{n, r.gapCount, r.gapCount} }
 
-// isAlive notes that a message is alive.
-func (r *reading) isAlive(k known) {
-	if k.alive != r.gaps {
-		k.alive = r.gaps
+// markAlive notes that a message is live.
+func (r *recovery) markAlive(k known) {
+	if k.aliveAtGap != r.gapCount {
+		k.aliveAtGap = r.gapCount
 		r.byNum[k.num] = k
 	}
 }
 
-func (r *reading) remove(n *node) {
+func (r *recovery) removeNode(n *node) {
 	delete(r.byNum, n.num)
-	if n.life != nil {
+	if n.live != nil {
 		r.end(n, 0, 0, 0, 0)
 	} else {
 		r.forget(n)
 	}
 }
 
-// readOld reads files of the first format.
-func (r *reading) readOld(dir Dir, names []string) error {
+// readV1 reads files of the first format.
+func (r *recovery) readV1(dir Dir, names []string) error {
 	for i, name := range names {
 		text, size, err := readFile(dir, name)
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		good, bad := oldReplay(text, r.applyOld)
-		r.found.DamagedBytes += int64(bad)
+		good, bad := replayV1(text, r.applyV1)
+		r.findings.DamagedBytes += int64(bad)
 		if i == len(names)-1 {
-			r.found.UnfinishedBytes += int64(len(text) - good)
+			r.findings.UnfinishedBytes += int64(len(text) - good)
 		} else {
-			r.found.DamagedBytes += int64(len(text) - good)
+			r.findings.DamagedBytes += int64(len(text) - good)
 		}
-		r.old = append(r.old, name)
-		r.oldBytes += blocks(size)
+		r.v1Files = append(r.v1Files, name)
+		r.v1Bytes += blocks(size)
 	}
 	return nil
 }
 
-// list is the table as the engine is told of it.
-func (t *table) list(f Findings) *State {
-	s := &State{Last: engine.RestoreComplete{LatestTimestamp: t.real(t.last)}, Findings: f, Leaves: t.leaves()}
+// toState returns the content of the table for the engine.
+func (t *table) toState(f Findings) *State {
+	s := &State{Last: engine.RestoreComplete{LatestTimestamp: t.toWall(t.last)}, Findings: f, Leaves: t.leaves()}
 	var live, ended []*node
 	newest := map[string]*node{}
 	for n := t.root.next; n != &t.root; n = n.next {
 		if n.leaf != nil {
 			continue
 		}
-		if n.life != nil {
+		if n.live != nil {
 			live = append(live, n)
 		} else if o := newest[n.id]; t.live[n.id] == nil && (o == nil || o.num < n.num) {
 			newest[n.id] = n
 		}
 	}
 	for n := t.root.next; n != &t.root; n = n.next {
-		if n.life == nil && n.leaf == nil && newest[n.id] == n {
+		if n.live == nil && n.leaf == nil && newest[n.id] == n {
 			ended = append(ended, n)
 		}
 	}
@@ -670,14 +672,14 @@
 	slices.SortFunc(live, byNum)
 	slices.SortFunc(ended, byNum)
 	for _, n := range live {
-		l := n.life
+		l := n.live
 		s.Live = append(s.Live, &engine.RestoredMessage{
-			Message: l.msg, Deadline: t.real(l.deadline), Tries: l.tries, DoubtAt: t.real(l.doubt.at),
-			DoubtZone: l.doubt.zone, Pending: l.owed,
+			Message: l.msg, Deadline: t.toWall(l.deadline), Tries: l.tries, DoubtAt: t.toWall(l.doubt.since),
+			DoubtZone: l.doubt.zone, Pending: l.pending,
 		})
 	}
 	for _, n := range ended {
-		s.Ended = append(s.Ended, &engine.RestoredEnd{ID: n.id, Disposition: n.how, Until: t.real(n.until), Fingerprint: n.print})
+		s.Ended = append(s.Ended, &engine.RestoredEnd{ID: n.id, Disposition: n.disposition, Until: t.toWall(n.until), Fingerprint: n.fingerprint})
 	}
 	return s
 }
--- a/internal/journal/spare.go
+++ b/internal/journal/spare.go
@@ -6,27 +6,27 @@
 	"syscall"
 )
 
-// The budget is one limit on the journal's room; the disk itself, which others fill too, is another. So the journal keeps
-// a file of zeros that it gives up when the disk is full: what was taken on has room for its end, and old segments can be
-// copied and go. No message is taken on until the file is back.
+// Settings.Disk limits the journal's own files, but others may fill the disk, too. So the journal keeps a file of
+// zeros, and truncates it when the disk is full. This leaves room to end accepted messages, and to copy and remove
+// old segments. No message is accepted until the file is restored.
 const (
-	spareName = "journal.spare"
-	spareWait = 16 // calls of Flush between two tries to make it again
+	spareName         = "journal.spare"
+	spareRetryFlushes = 16 // calls of Flush between two attempts to restore the file
 )
 
 type spare struct {
-	file File
-	size int64 // bytes that it takes now
-	lost bool  // it was given up, or could not be made
-	wait int
+	file              File
+	size              int64 // its current disk use
+	missing           bool  // it was truncated, or could not be written
+	flushesUntilRetry int
 }
 
-// give frees the room. It returns false if there is none.
-func (s *spare) give() bool {
+// release frees the space of the file. It returns false if there is none.
+func (s *spare) release() bool {
 	if s.size == 0 || s.file == nil || s.file.Truncate(0) != nil {
 		return false
 	}
-	s.size, s.lost, s.wait = 0, true, spareWait
+	s.size, s.missing, s.flushesUntilRetry = 0, true, spareRetryFlushes
 	return true
 }
 
@@ -37,14 +37,16 @@
 	return s.file.Close()
 }
 
-func noRoom(err error) bool { return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) }
+func isDiskFull(err error) bool {
+	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
+}
 
-func (j *Journal) spareSize() int64 { return blocks(j.size / 2) }
+func (j *Journal) spareSize() int64 { return blocks(j.segmentSize / 2) }
 
-// fillSpare makes the file.
+// fillSpare writes the file.
 func (j *Journal) fillSpare() {
 	s := &j.spare
-	s.lost = true
+	s.missing = true
 	if s.file == nil { // an earlier process may have left one
 		if err := j.dir.Remove(spareName); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			s.size = fileSize(j.dir, spareName)
@@ -52,7 +54,7 @@
 		}
 		s.size = 0
 	}
-	if j.used()+j.spareSize() > j.limit() {
+	if j.used()+j.spareSize() > j.diskLimit() {
 		return
 	}
 	if s.file == nil {
@@ -63,23 +65,23 @@
 		s.file = f
 	}
 	if _, err := s.file.WriteAt(make([]byte, j.spareSize()), 0); err != nil {
-		_ = s.file.Truncate(0) // if that fails it takes room that is not counted, at most for a while
+		_ = s.file.Truncate(0) // if this fails the file takes uncounted space, at most for a while
 		return
 	}
-	s.size, s.lost = j.spareSize(), false
+	s.size, s.missing = j.spareSize(), false
 }
 
-// refillSpare makes the file again once in a while.
+// refillSpare tries to restore the file once in a while.
 func (j *Journal) refillSpare() {
 	s := &j.spare
-	if !s.lost {
+	if !s.missing {
 		return
 	}
-	if s.wait--; s.wait > 0 {
+	if s.flushesUntilRetry--; s.flushesUntilRetry > 0 {
 		return
 	}
-	s.wait = spareWait
-	if j.fillSpare(); !s.lost {
-		j.set.Log.Info("journal: there is room again")
+	s.flushesUntilRetry = spareRetryFlushes
+	if j.fillSpare(); !s.missing {
+		j.settings.Log.Info("journal: there is room again")
 	}
 }
--- a/internal/journal/sync.go
+++ b/internal/journal/sync.go
@@ -7,84 +7,85 @@
 	"curlewmux/engine"
 )
 
-// syncer is what the driver's goroutine and the syncing one share.
+// syncer is the state that the driver's goroutine and the syncing goroutine share.
 type syncer struct {
-	mu     sync.Mutex
-	busy   bool         // the syncing goroutine runs, or a timer for it does
-	files  []File       // written since they were last synced
-	dir    bool         // files were made since the folder was last synced
-	wrote  uint64       // the number of the last flight that was written
-	batch  engine.Batch // the last in it
-	done   uint64       // flights up to this one are synced, or were taken back
-	stored engine.Batch // the last batch that is
-	taken  int          // times that flights were taken back
-	failed error        // of the last sync; the driver takes it away
-	closed bool
+	mu          sync.Mutex
+	running     bool         // the syncing goroutine or a timer for it is running
+	files       []File       // written since they were last synced
+	dirChanged  bool         // files were created since the folder was last synced
+	lastWritten uint64       // number of the last write
+	lastBatch   engine.Batch // last batch in it
+	syncedUpTo  uint64       // writes up to this one are synced, or were undone
+	storedBatch engine.Batch // last batch that is synced
+	discards    int          // how often pending syncs were discarded
+	syncError   error        // of the last sync, until the driver's goroutine has handled it
+	closed      bool
 }
 
-// fly hands a flight that was written to the syncing goroutine. An error is that of an earlier sync, which the flight
-// then shares.
-func (j *Journal) fly(f *flight) error {
+// handToSyncer hands a finished write to the syncing goroutine. It returns the error of an earlier sync, which is
+// then the error of this write, too.
+func (j *Journal) handToSyncer(f *pendingWrite) error {
 	s := &j.syncer
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f.number = s.wrote + 1
-	if s.failed != nil {
-		return s.failed
-	}
-	s.wrote++
-	s.batch = max(s.batch, f.batch)
-	if n := len(s.files); n == 0 || s.files[n-1] != j.head.file {
-		s.files = append(s.files, j.head.file)
-	}
-	s.dir = s.dir || f.began
-	if !s.busy {
-		s.busy = true
+	f.number = s.lastWritten + 1
+	if s.syncError != nil {
+		return s.syncError
+	}
+	s.lastWritten++
+	s.lastBatch = max(s.lastBatch, f.batch)
+	if n := len(s.files); n == 0 || s.files[n-1] != j.newest.file {
+		s.files = append(s.files, j.newest.file)
+	}
+	s.dirChanged = s.dirChanged || f.newSegment
+	if !s.running {
+		s.running = true
 		j.startSync()
 	}
 	return nil
 }
 
 func (j *Journal) startSync() {
-	if j.set.Sync == SyncInterval {
-		j.set.After(j.set.SyncEvery, j.runSync)
+	if j.settings.Sync == SyncInterval {
+		j.settings.After(j.settings.SyncEvery, j.runSync)
 	} else {
-		j.set.Go(j.runSync)
+		j.settings.Go(j.runSync)
 	}
 }
 
-// runSync syncs what was written, on a goroutine of its own: each time all that was written during the sync before.
+// runSync syncs what was written, on a goroutine of its own. Each pass syncs all that was written during the pass
+// before.
 func (j *Journal) runSync() {
 	s := &j.syncer
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for !s.closed && s.failed == nil && s.wrote > s.done {
-		files, dir, number, batch, taken := s.files, s.dir, s.wrote, s.batch, s.taken
-		s.files, s.dir = nil, false
+	for !s.closed && s.syncError == nil && s.lastWritten > s.syncedUpTo {
+		files, dir, number, batch, taken := s.files, s.dirChanged, s.lastWritten, s.lastBatch, s.discards
+		s.files, s.dirChanged = nil, false
 		s.mu.Unlock()
 		err := syncAll(j.dir, files, dir)
 		s.mu.Lock()
 		switch {
 		case s.closed:
 			return
-		case s.taken != taken: // what it was for is void
-			s.done, s.dir = max(s.done, number), true
+		case s.discards != taken: // what this sync was for is undone
+			s.syncedUpTo, s.dirChanged = max(s.syncedUpTo, number), true
 		case err != nil:
-			s.failed = err
+			s.syncError = err
 		default:
-			s.done, s.stored = number, batch
+			s.syncedUpTo, s.storedBatch = number, batch
 		}
-		if j.set.Sync == SyncAlways {
-			tell := s.stored
+		if j.settings.Sync == SyncAlways {
+			tell := s.storedBatch
 			s.mu.Unlock()
-			j.set.OnStored(tell)
+			j.settings.OnStored(tell)
 			s.mu.Lock()
-		} else if s.failed == nil && s.wrote > s.done {
+		} else if s.syncError == nil && s.lastWritten > s.syncedUpTo {
 			j.startSync()
 			return
 		}
 	}
-	s.busy = false
+	s.running = false
 }
 
 func syncAll(dir Dir, files []File, names bool) error {
@@ -99,131 +100,131 @@
 	return nil
 }
 
-// settle takes up what the syncing goroutine has done. If a sync failed with SyncAlways, all that is not stored is taken
-// back, and broken says so.
-func (j *Journal) settle() {
-	if j.set.Sync == SyncNone {
+// applySyncResults takes over the results of the syncing goroutine. If a sync failed with SyncAlways, all that is not
+// stored is undone, and failure is set.
+func (j *Journal) applySyncResults() {
+	if j.settings.Sync == SyncNone {
 		return
 	}
 	s := &j.syncer
 	s.mu.Lock()
-	done, failed := s.done, s.failed
+	done, failed := s.syncedUpTo, s.syncError
 	s.mu.Unlock()
 	n := 0
-	for n < len(j.flights) && j.flights[n].number <= done {
-		j.land(&j.flights[n])
+	for n < len(j.pendingWrites) && j.pendingWrites[n].number <= done {
+		j.markStored(&j.pendingWrites[n])
 		n++
 	}
-	j.release(n)
-	j.landed = max(j.landed, done)
+	j.releaseWrites(n)
+	j.syncedWrite = max(j.syncedWrite, done)
 	if failed == nil {
 		return
 	}
-	j.set.Log.Error("journal: a sync failed; what it was for is not stored, or is written anew", "error", failed)
-	if j.set.Sync == SyncAlways {
+	j.settings.Log.Error("journal: a sync failed; its batches are not stored, or are written again", "error", failed)
+	if j.settings.Sync == SyncAlways {
 		if len(j.buf) > 0 {
-			j.takeBack(&j.cur)
-			j.empty()
+			j.undoWrite(&j.current)
+			j.clearBuffer()
 		}
-		j.takeBackFlights()
-		j.broken = failed
+		j.undoPendingWrites()
+		j.failure = failed
 		return
 	}
-	// What was written counts for this process. All that is live goes into new segments, and until it is there what was
-	// void stays.
-	j.voidSyncs()
-	j.rewrite = j.lastSeq
-	for i := range j.flights {
-		j.kept = append(j.kept, j.flights[i].voids...)
+	// With SyncInterval, what was written still counts for this process. All live content is copied to new segments,
+	// and obsolete segments stay until that is done.
+	j.discardSyncs()
+	j.rewriteUpTo = j.lastSeq
+	for i := range j.pendingWrites {
+		j.heldObsolete = append(j.heldObsolete, j.pendingWrites[i].obsolete...)
 	}
-	j.flights = nil
-	j.retire()
+	j.pendingWrites = nil
+	j.retireNewest()
 }
 
-// voidSyncs has the syncing goroutine forget what it was handed.
-func (j *Journal) voidSyncs() {
+// discardSyncs makes the syncing goroutine forget the writes that it was given.
+func (j *Journal) discardSyncs() {
 	s := &j.syncer
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.taken++
-	s.files, s.dir, s.batch = nil, true, s.stored
-	if s.failed != nil || !s.busy { // else it is at it, and says when it is through
-		s.done = s.wrote
+	s.discards++
+	s.files, s.dirChanged, s.lastBatch = nil, true, s.storedBatch
+	if s.syncError != nil || !s.running { // otherwise the running sync sets syncedUpTo when it ends
+		s.syncedUpTo = s.lastWritten
 	}
-	s.failed = nil
-	j.landed = s.done
+	s.syncError = nil
+	j.syncedWrite = s.syncedUpTo
 }
 
-// takeBackFlights undoes all that was written and is not synced. The segments that it began go, and the one before counts
-// up to where it was: the next one says so.
-func (j *Journal) takeBackFlights() {
-	j.voidSyncs()
-	if len(j.flights) == 0 {
+// undoPendingWrites undoes all writes that are not synced. The segments that they created are removed. The segment
+// before them is valid up to its earlier size, which the header of the next segment records.
+func (j *Journal) undoPendingWrites() {
+	j.discardSyncs()
+	if len(j.pendingWrites) == 0 {
 		return
 	}
-	at := j.flights[0].at
-	for i := len(j.flights) - 1; i >= 0; i-- {
-		j.takeBack(&j.flights[i])
-	}
-	j.flights = nil
-	j.retire()
-	for i := len(j.segs) - 1; i >= 0 && j.segs[i].seq > at.seq; i-- {
-		w := j.segs[i]
-		j.segs = j.segs[:i]
-		j.total -= blocks(w.disk)
-		j.waiting += blocks(w.disk)
-		j.voids = append(j.voids, w)
-	}
-	if n := len(j.segs); n > 0 && j.segs[n-1].seq == at.seq {
-		// Until the next segment is there its end is better gone.
-		w := j.segs[n-1]
-		w.size = at.size
-		if w.file != nil && w.file.Truncate(at.size) == nil {
-			j.total += blocks(at.size) - blocks(w.disk)
-			w.disk = at.size
+	at := j.pendingWrites[0].previous
+	for i := len(j.pendingWrites) - 1; i >= 0; i-- {
+		j.undoWrite(&j.pendingWrites[i])
+	}
+	j.pendingWrites = nil
+	j.retireNewest()
+	for i := len(j.segments) - 1; i >= 0 && j.segments[i].seq > at.seq; i-- {
+		w := j.segments[i]
+		j.segments = j.segments[:i]
+		j.segmentBytes -= blocks(w.diskSize)
+		j.obsoleteBytes += blocks(w.diskSize)
+		j.obsolete = append(j.obsolete, w)
+	}
+	if n := len(j.segments); n > 0 && j.segments[n-1].seq == at.seq {
+		// Until the next segment is written nothing records the valid size, so truncate the file.
+		w := j.segments[n-1]
+		w.validSize = at.validSize
+		if w.file != nil && w.file.Truncate(at.validSize) == nil {
+			j.segmentBytes += blocks(at.validSize) - blocks(w.diskSize)
+			w.diskSize = at.validSize
 		}
 	}
-	j.measure()
+	j.updateLargest()
 }
 
-// release forgets the first flights, and how to take them back.
-func (j *Journal) release(n int) {
+// releaseWrites forgets the first n writes, and how to undo them.
+func (j *Journal) releaseWrites(n int) {
 	if n == 0 {
 		return
 	}
 	from := len(j.undo)
-	if n < len(j.flights) {
-		from = j.flights[n].undo
+	if n < len(j.pendingWrites) {
+		from = j.pendingWrites[n].undo
 	} else if len(j.buf) > 0 {
-		from = j.cur.undo
+		from = j.current.undo
 	}
-	j.keep(from)
+	j.discardUndo(from)
 	switch {
-	case n < len(j.flights):
-		j.echoes.trim(j.flights[n].far)
+	case n < len(j.pendingWrites):
+		j.repeats.trim(j.pendingWrites[n].nextSecond)
 	case len(j.buf) > 0:
-		j.echoes.trim(j.cur.far)
+		j.repeats.trim(j.current.nextSecond)
 	default:
-		j.echoes.trim(j.echoes.far)
+		j.repeats.trim(j.repeats.nextSecond)
 	}
-	j.flights = append(j.flights[:0], j.flights[n:]...)
-	for i := range j.flights {
-		j.flights[i].undo -= from
+	j.pendingWrites = append(j.pendingWrites[:0], j.pendingWrites[n:]...)
+	for i := range j.pendingWrites {
+		j.pendingWrites[i].undo -= from
 	}
-	j.cur.undo -= from
+	j.current.undo -= from
 }
 
-// retire ends the newest segment: the next write begins another one.
-func (j *Journal) retire() {
-	if j.head != nil {
-		j.closing = append(j.closing, j.head)
-		j.head = nil
+// retireNewest ends the newest segment: the next write creates another one.
+func (j *Journal) retireNewest() {
+	if j.newest != nil {
+		j.retired = append(j.retired, j.newest)
+		j.newest = nil
 	}
 }
 
-// syncOpened makes what an earlier process wrote outlast a power failure.
-func (j *Journal) syncOpened() error {
-	for _, s := range j.segs {
+// syncExisting makes what an earlier process wrote survive a power failure.
+func (j *Journal) syncExisting() error {
+	for _, s := range j.segments {
 		f, err := j.dir.Open(s.name)
 		if err != nil {
 			return err
--- a/internal/journal/table.go
+++ b/internal/journal/table.go
@@ -9,59 +9,59 @@
 	"curlewmux/ledger"
 )
 
-// node is a message in the table: alive, or ended with an id that still counts. Or it is a leaf of the books.
+// node is an entry of the table: a live message, an ended message whose id is still kept, or a leaf of the ledger.
 type node struct {
-	prev, next *node  // in the order of their newest whole records in the log
-	seg        uint64 // segment of that record, or one before it
-	num        uint64
-	id         string
-	life       *life                 // nil once it ended
-	leaf       *engine.RecLedgerLeaf // nil but for one of the books: it is no message then, and has neither number nor id
-	how        engine.Disposition
-	until      engine.Timestamp
-	print      uint64
+	prev, next  *node  // in the order of their newest full records in the log
+	seg         uint64 // segment of that record, or an earlier one
+	num         uint64
+	id          string
+	live        *liveState            // nil once the message ended
+	leaf        *engine.RecLedgerLeaf // nil for a message; a leaf has neither number nor id
+	disposition engine.Disposition
+	until       engine.Timestamp
+	fingerprint uint64
 }
 
-// life is what is kept of a message that is alive. It shares the memory of texts and body with the engine's. All stamps
-// here and in node are without the shifts so far: see table.shift.
-type life struct {
+// liveState is what the table keeps of a live message. It shares the memory of texts and body with the engine's
+// message. All times here and in node are without the clock steps so far: see table.shift.
+type liveState struct {
 	msg      engine.Message
 	deadline engine.Timestamp
 	tries    int
 	doubt    doubt
-	owed     *engine.PendingResult
+	pending  *engine.PendingResult
 }
 
-// leafCost is what a leaf of the engine's books is charged with at least, so that its figures can grow.
-const leafCost = 160
+// minLeafCost is the least that a leaf of the ledger is charged with, so that its figures can grow.
+const minLeafCost = 160
 
-// table is what the records written so far come to. Each change can be taken back, newest first.
+// table is the result of the records so far. Each change can be undone, newest first.
 type table struct {
-	live  map[string]*node
-	pages map[uint64]*node // of leaves, by their numbers
-	root  node             // of the ring of all nodes
-	count int              // of all nodes
-	bytes int64            // that all nodes take when copied, at most
-	num   uint64
-	shift engine.Timestamp // sum of all shifts; what the table keeps is to be read with it added
-	last  engine.Timestamp // the latest wall time in any record
-	undo  []change         // since the last call of keep
-	final bool             // nothing will be taken back
-	bulk  bool             // live is made later, by index
+	live       map[string]*node
+	leafNodes  map[uint64]*node // leaves by number
+	root       node             // of the ring of all nodes
+	count      int              // number of nodes
+	liveBytes  int64            // what copies of all nodes take at most
+	num        uint64           // number of the last message
+	shift      engine.Timestamp // sum of all clock steps, to be added to the times in the table
+	last       engine.Timestamp // the latest time in any record, without the clock steps
+	undo       []change         // since the last call of discardUndo
+	noUndo     bool             // changes can't be undone
+	deferIndex bool             // live is built later, by buildIndex
 }
 
-// change is what takes one change of the table back.
+// change is what is needed to undo one change of the table.
 type change struct {
-	n           *node
-	was         node
-	life        life
-	added       bool // n was not there before
-	bytes       int64
+	node        *node
+	before      node
+	live        liveState
+	added       bool // node was added
+	liveBytes   int64
 	shift, last engine.Timestamp
 }
 
 func newTable() *table {
-	t := &table{live: map[string]*node{}, pages: map[uint64]*node{}}
+	t := &table{live: map[string]*node{}, leafNodes: map[uint64]*node{}}
 	t.root.prev, t.root.next = &t.root, &t.root
 	return t
 }
@@ -73,8 +73,8 @@
 	return t.root.next
 }
 
-// raw takes the shifts off a stamp, and real puts them back. 0 stays 0.
-func (t *table) raw(s engine.Timestamp) engine.Timestamp {
+// toRaw subtracts the clock steps from a time, and toWall adds them. 0 stays 0.
+func (t *table) toRaw(s engine.Timestamp) engine.Timestamp {
 	if s == 0 {
 		return 0
 	}
@@ -84,7 +84,7 @@
 	return s
 }
 
-func (t *table) real(s engine.Timestamp) engine.Timestamp {
+func (t *table) toWall(s engine.Timestamp) engine.Timestamp {
 	if s == 0 {
 		return 0
 	}
@@ -94,13 +94,13 @@
 	return s
 }
 
-func (t *table) seen(at engine.Timestamp) { t.last = max(t.last, t.raw(at)) }
+func (t *table) noteTime(at engine.Timestamp) { t.last = max(t.last, t.toRaw(at)) }
 
-// nodeCost is the most that a node takes in a segment besides its texts and body: kind, number, lengths, stamps and its
-// part of a frame's head.
+// nodeCost is the most that a node takes in a segment besides its texts and body: kind, number, lengths, times and
+// its share of a frame's header.
 const nodeCost = 100
 
-func cost(id string, l *life) int64 {
+func cost(id string, l *liveState) int64 {
 	n := int64(nodeCost + len(id))
 	if l != nil {
 		n += int64(len(l.msg.Class) + len(l.msg.Tenant) + len(l.msg.Key) + len(l.msg.Body))
@@ -110,21 +110,21 @@
 
 func (n *node) cost() int64 {
 	if n.leaf != nil {
-		return nodeCost + max(leafCost, int64(len(n.leaf.Text)))
+		return nodeCost + max(minLeafCost, int64(len(n.leaf.Text)))
 	}
-	return cost(n.id, n.life)
+	return cost(n.id, n.live)
 }
 
-// note notes how things are before a change.
-func (t *table) note(n *node, added bool) {
-	if t.final {
+// saveUndo saves the state before a change.
+func (t *table) saveUndo(n *node, added bool) {
+	if t.noUndo {
 		return
 	}
-	c := change{added: added, bytes: t.bytes, shift: t.shift, last: t.last, n: n}
+	c := change{added: added, liveBytes: t.liveBytes, shift: t.shift, last: t.last, node: n}
 	if n != nil {
-		c.was = *n
-		if n.life != nil {
-			c.life = *n.life
+		c.before = *n
+		if n.live != nil {
+			c.live = *n.live
 		}
 	}
 	t.undo = append(t.undo, c)
@@ -141,41 +141,41 @@
 	t.count++
 }
 
-// keep forgets how to take back all but the newest changes, from the number given on.
-func (t *table) keep(from int) {
+// discardUndo forgets how to undo the changes before the given index.
+func (t *table) discardUndo(from int) {
 	n := copy(t.undo, t.undo[from:])
 	clear(t.undo[n:])
 	t.undo = t.undo[:n]
 }
 
-// back takes changes back until so many are left.
-func (t *table) back(left int) {
+// undoTo undoes changes until the given number of them is left.
+func (t *table) undoTo(left int) {
 	for i := len(t.undo) - 1; i >= left; i-- {
 		c := &t.undo[i]
-		t.bytes, t.shift, t.last = c.bytes, c.shift, c.last
-		n := c.n
+		t.liveBytes, t.shift, t.last = c.liveBytes, c.shift, c.last
+		n := c.node
 		switch {
 		case n == nil:
 		case c.added:
 			t.unlink(n)
 			n.prev, n.next = nil, nil
-			if n.life != nil {
+			if n.live != nil {
 				delete(t.live, n.id)
 			}
 			if n.leaf != nil {
-				delete(t.pages, n.leaf.Number)
+				delete(t.leafNodes, n.leaf.Number)
 			}
 		default:
 			if n.prev != nil {
 				t.unlink(n)
 			}
-			*n = c.was
-			if n.life != nil {
-				*n.life = c.life
+			*n = c.before
+			if n.live != nil {
+				*n.live = c.live
 				t.live[n.id] = n
 			}
 			if n.leaf != nil {
-				t.pages[n.leaf.Number] = n
+				t.leafNodes[n.leaf.Number] = n
 			}
 			n.prev.next, n.next.prev = n, n
 			t.count++
@@ -185,24 +185,25 @@
 	t.undo = t.undo[:left]
 }
 
-func (t *table) take(num, seg uint64, m *engine.Message, deadline engine.Timestamp) *node {
-	n := &node{seg: seg, num: num, id: m.ID, life: &life{msg: *m, deadline: t.raw(deadline)}}
-	t.note(n, true)
-	if !t.bulk {
+func (t *table) accept(num, seg uint64, m *engine.Message, deadline engine.Timestamp) *node {
+	n := &node{seg: seg, num: num, id: m.ID, live: &liveState{msg: *m, deadline: t.toRaw(deadline)}}
+	t.saveUndo(n, true)
+	if !t.deferIndex {
 		t.live[n.id] = n
 	}
 	t.push(n)
-	t.bytes += n.cost()
+	t.liveBytes += n.cost()
 	t.num = max(t.num, num)
 	return n
 }
 
-// index makes the map of what is live. Where two messages have one id, the end of the one that was taken first was lost.
-func (t *table) index() {
-	t.bulk = false
+// buildIndex builds the map of live messages. If two messages have the same id, the end of the one that was accepted
+// first was lost.
+func (t *table) buildIndex() {
+	t.deferIndex = false
 	t.live = make(map[string]*node, t.count)
 	for n, next := t.root.next, (*node)(nil); n != &t.root; n = next {
-		if next = n.next; n.life == nil {
+		if next = n.next; n.live == nil {
 			continue
 		}
 		o := t.live[n.id]
@@ -219,152 +220,151 @@
 	}
 }
 
-// stone adds a message that has ended.
-func (t *table) stone(num, seg uint64, id string, how engine.Disposition, until engine.Timestamp, print uint64) *node {
-	n := &node{seg: seg, num: num, id: id, how: how, until: t.raw(until), print: print}
-	t.note(n, true)
+// addTombstone adds a message that has ended.
+func (t *table) addTombstone(num, seg uint64, id string, how engine.Disposition, until engine.Timestamp, print uint64) *node {
+	n := &node{seg: seg, num: num, id: id, disposition: how, until: t.toRaw(until), fingerprint: print}
+	t.saveUndo(n, true)
 	t.push(n)
-	t.bytes += n.cost()
+	t.liveBytes += n.cost()
 	t.num = max(t.num, num)
 	return n
 }
 
-func (t *table) attempt(n *node, at engine.Timestamp, zone int) {
-	t.note(n, false)
-	l := n.life
+func (t *table) addAttempt(n *node, at engine.Timestamp, zone int) {
+	t.saveUndo(n, false)
+	l := n.live
 	l.tries++
-	if l.doubt.at == 0 {
-		l.doubt = doubt{t.raw(at), zone, true}
+	if l.doubt.since == 0 {
+		l.doubt = doubt{t.toRaw(at), zone, true}
 	} else {
-		l.doubt.newest = false
+		l.doubt.newestAttempt = false
 	}
-	t.seen(at)
+	t.noteTime(at)
 }
 
 func (t *table) neverRan(n *node) {
-	if n.life.doubt.newest {
-		t.note(n, false)
-		n.life.doubt = doubt{}
+	if n.live.doubt.newestAttempt {
+		t.saveUndo(n, false)
+		n.live.doubt = doubt{}
 	}
 }
 
-func (t *table) state(n *node, tries int, d doubt) {
-	t.note(n, false)
-	t.seen(d.at)
-	d.at = t.raw(d.at)
-	n.life.tries, n.life.doubt = tries, d
+func (t *table) setState(n *node, tries int, d doubt) {
+	t.saveUndo(n, false)
+	t.noteTime(d.since)
+	d.since = t.toRaw(d.since)
+	n.live.tries, n.live.doubt = tries, d
 }
 
-func (t *table) owe(n *node, o *engine.PendingResult) {
-	t.note(n, false)
-	t.bytes -= n.cost()
-	n.life.owed, n.life.msg.Body = o, nil
-	t.bytes += n.cost()
+func (t *table) setPending(n *node, o *engine.PendingResult) {
+	t.saveUndo(n, false)
+	t.liveBytes -= n.cost()
+	n.live.pending, n.live.msg.Body = o, nil
+	t.liveBytes += n.cost()
 }
 
-// end ends a message. With until 0 nothing stays of it, else its id does.
+// end ends a message. If until is 0 nothing of it is kept, else its id is.
 func (t *table) end(n *node, seg uint64, how engine.Disposition, until engine.Timestamp, print uint64) {
-	t.note(n, false)
-	t.bytes -= n.cost()
+	t.saveUndo(n, false)
+	t.liveBytes -= n.cost()
 	t.unlink(n)
-	if !t.bulk {
+	if !t.deferIndex {
 		delete(t.live, n.id)
 	}
-	n.prev, n.next, n.life = nil, nil, nil
+	n.prev, n.next, n.live = nil, nil, nil
 	if until != 0 {
-		n.seg, n.how, n.until, n.print = seg, how, t.raw(until), print
+		n.seg, n.disposition, n.until, n.fingerprint = seg, how, t.toRaw(until), print
 		t.push(n)
-		t.bytes += n.cost()
+		t.liveBytes += n.cost()
 	}
 }
 
-// turn puts a text in the place of the one that a leaf had. The record stays as it is from now on: a newer one takes its
-// place.
-func (t *table) turn(seg uint64, r *engine.RecLedgerLeaf) {
-	n := t.pages[r.Number]
+// setLeaf replaces the text of a leaf. The table keeps the record, which must not change after that.
+func (t *table) setLeaf(seg uint64, r *engine.RecLedgerLeaf) {
+	n := t.leafNodes[r.Number]
 	if n == nil {
 		n = &node{seg: seg, leaf: r}
-		t.note(n, true)
-		t.pages[r.Number] = n
+		t.saveUndo(n, true)
+		t.leafNodes[r.Number] = n
 	} else {
-		t.note(n, false)
-		t.bytes -= n.cost()
+		t.saveUndo(n, false)
+		t.liveBytes -= n.cost()
 		t.unlink(n)
 		n.seg, n.leaf = seg, r
 	}
 	t.push(n)
-	t.bytes += n.cost()
+	t.liveBytes += n.cost()
 }
 
-// turnCopy is turn while a folder is read, of a text that does not last.
-func (t *table) turnCopy(number, seg uint64, text []byte) {
-	n := t.pages[number]
+// setLeafCopy is setLeaf while a folder is read. It copies the text.
+func (t *table) setLeafCopy(number, seg uint64, text []byte) {
+	n := t.leafNodes[number]
 	if n == nil {
-		t.turn(seg, &engine.RecLedgerLeaf{Number: number, Text: append([]byte(nil), text...)})
+		t.setLeaf(seg, &engine.RecLedgerLeaf{Number: number, Text: append([]byte(nil), text...)})
 		return
 	}
-	t.bytes -= n.cost()
+	t.liveBytes -= n.cost()
 	t.unlink(n)
 	n.seg, n.leaf.Text = seg, append(n.leaf.Text[:0], text...)
 	t.push(n)
-	t.bytes += n.cost()
+	t.liveBytes += n.cost()
 }
 
-// leaves are the texts of all leaves, by number.
+// leaves returns the texts of all leaves, sorted by number.
 func (t *table) leaves() (out []ledger.Leaf) {
-	for _, n := range t.pages {
+	for _, n := range t.leafNodes {
 		out = append(out, ledger.Leaf{Number: n.leaf.Number, Text: n.leaf.Text})
 	}
 	slices.SortFunc(out, func(a, b ledger.Leaf) int { return cmp.Compare(a.Number, b.Number) })
 	return out
 }
 
-// forget drops the id of a message that ended, or a leaf.
+// forget removes the id of an ended message, or a leaf.
 func (t *table) forget(n *node) {
-	t.note(n, false)
+	t.saveUndo(n, false)
 	if n.leaf != nil {
-		delete(t.pages, n.leaf.Number)
+		delete(t.leafNodes, n.leaf.Number)
 	}
-	t.bytes -= n.cost()
+	t.liveBytes -= n.cost()
 	t.unlink(n)
 	n.prev, n.next = nil, nil
 }
 
-// move says that a node has a whole record in a newer segment.
-func (t *table) move(n *node, seg uint64) {
-	t.note(n, false)
+// moveToSegment notes that a node has a full record in a newer segment.
+func (t *table) moveToSegment(n *node, seg uint64) {
+	t.saveUndo(n, false)
 	t.unlink(n)
 	n.seg = seg
 	t.push(n)
 }
 
-// heard notes the time of a record.
-func (t *table) heard(at engine.Timestamp) {
-	t.note(nil, false)
-	t.seen(at)
+// recordTime notes the time of a record.
+func (t *table) recordTime(at engine.Timestamp) {
+	t.saveUndo(nil, false)
+	t.noteTime(at)
 }
 
-func (t *table) step(by int64) {
-	t.note(nil, false)
+func (t *table) stepClock(by int64) {
+	t.saveUndo(nil, false)
 	t.shift += engine.Timestamp(by)
 }
 
-// put appends the record that makes a node anew.
-func (t *table) put(b []byte, n *node) []byte {
-	l := n.life
+// appendNode appends a full record of a node.
+func (t *table) appendNode(b []byte, n *node) []byte {
+	l := n.live
 	if n.leaf != nil {
 		return putLeaf(b, n.leaf.Number, n.leaf.Text)
 	}
 	if l == nil {
-		b = append(binary.AppendUvarint(append(b, byte(kindStone)), n.num), byte(n.how))
-		return putStone(b, n.id, t.real(n.until), n.print)
+		b = append(binary.AppendUvarint(append(b, byte(kindTombstone)), n.num), byte(n.disposition))
+		return putTombstone(b, n.id, t.toWall(n.until), n.fingerprint)
 	}
-	b = putMessage(append(b, byte(kindCopy)), n.num, &l.msg, t.real(l.deadline))
+	b = putMessage(append(b, byte(kindCopy)), n.num, &l.msg, t.toWall(l.deadline))
 	d := l.doubt
-	d.at = t.real(d.at)
-	b = putFlag(putDoubt(b, l.tries, d), l.owed != nil)
-	if l.owed != nil {
-		b = putOwed(b, l.owed)
+	d.since = t.toWall(d.since)
+	b = putFlag(putDoubt(b, l.tries, d), l.pending != nil)
+	if l.pending != nil {
+		b = putPending(b, l.pending)
 	}
 	return b
 }
