--- a/internal/journal/check_test.go
+++ b/internal/journal/check_test.go
@@ -15,22 +15,22 @@
 
 func TestCheckTellsWhatAFolderHoldsAndChangesNothing(t *testing.T) {
 	t.Parallel()
-	w := newWorld(6, journal.SyncNone, 64<<10)
+	w := newSimulation(6, journal.SyncNone, 64<<10)
 	w.set.Owner = "first"
 	must(t, w.start(true))
 	for range 80 {
 		must(t, w.round())
 		ops := w.disk.Ops()
-		r, err := journal.Check(w.disk.Dir()) // while the folder has its owner
+		r, err := journal.Check(w.disk.Dir()) // the folder is locked by its owner meanwhile
 		must(t, err)
-		if why := w.sure.differs(&store{State: &r.State}); why != "" {
+		if why := w.confirmed.differs(&store{State: &r.State}); why != "" {
 			t.Fatal(why)
 		}
 		if !r.Findings.OK() || r.Owner != "first" || r.Format != 2 || r.Bytes != w.disk.Used() || w.disk.Ops() != ops {
 			t.Fatalf("owner %q, format %d, found %+v, %d bytes of %d", r.Owner, r.Format, r.Findings, r.Bytes, w.disk.Used())
 		}
 	}
-	id := w.sure.order[0]
+	id := w.confirmed.order[0]
 	must(t, w.batch(&engine.RecPendingResult{ID: id, PendingResult: engine.PendingResult{Disposition: engine.Refused}}))
 	must(t, w.flush())
 	name := segments(w.disk)[1]
@@ -68,7 +68,7 @@
 	}
 }
 
-// The folder is read while a process writes there as fast as it can: what is found is never damage.
+// A folder that is read while a process writes there as fast as it can never shows damage.
 func TestCheckReadsAFolderThatIsWrittenTo(t *testing.T) {
 	t.Parallel()
 	dir := journal.OSDir(t.TempDir())
@@ -83,7 +83,7 @@
 			default:
 			}
 			id := fmt.Sprint("m", i)
-			err := errors.Join(j.put(sized(id, 500)), j.put(attempt(now, id, 1)), j.put(ended(id)))
+			err := errors.Join(j.put(acceptedOfSize(id, 500)), j.put(attempt(now, id, 1)), j.put(ended(id)))
 			if err != nil {
 				done <- err
 				return
--- a/internal/journal/crash_test.go
+++ b/internal/journal/crash_test.go
@@ -15,30 +15,30 @@
 	"curlewmux/internal/journal/memdir"
 )
 
-// long is how many seeds the tests that crash play in addition.
+// long is the number of additional seeds for the tests that crash the process.
 var long = flag.Uint64("long", 0, "seeds of loads that crash at each operation, each in all ways")
 
-// world is a load on a journal, played from a seed, and what is known of it: sure is what was told as stored, open what
-// may be there or not.
-type world struct {
+// simulation runs a random load on a journal, generated from a seed, and tracks what the journal must hold: confirmed
+// is what was reported as stored, unconfirmed may be there or not.
+type simulation struct {
 	disk  *memdir.Disk
-	dir   journal.Dir // in place of the disk's
-	trace []batch     // all that were appended
+	dir   journal.Dir // used in place of the disk's folder, unless nil
+	trace []batch     // all batches that were appended
 	set   journal.Settings
 	rnd   *rand.Rand
 	now   engine.Timestamp
 
-	j      *store
-	sure   *model
-	view   *model    // as the engine sees it: with what is on its way
-	open   []batch   // appended and not told of, oldest first
-	limbo  [][]batch // told as not stored, and nothing written since: a crash may show them
-	all    map[string]bool
-	next   int
-	sync   []func() // that the syncing goroutine is to run
-	fails  int
-	forks  uint64
-	rounds int
+	j           *store
+	confirmed   *model
+	view        *model    // the state as the engine sees it, including unconfirmed batches
+	unconfirmed []batch   // appended and not reported as stored, oldest first
+	rejected    [][]batch // reported as failed, with nothing written since: they may be there after a crash
+	ids         map[string]bool
+	nextID      int
+	syncWork    []func() // work for the syncing goroutine
+	failures    int
+	forks       uint64
+	rounds      int
 }
 
 type batch struct {
@@ -46,29 +46,30 @@
 	records []engine.Record
 }
 
-func newWorld(seed uint64, sync journal.Sync, disk int64) *world {
-	w := &world{disk: memdir.New(), rnd: rand.New(rand.NewPCG(seed, 7)), now: now, sure: newModel(), all: map[string]bool{}}
+func newSimulation(seed uint64, sync journal.Sync, disk int64) *simulation {
+	w := &simulation{disk: memdir.New(), rnd: rand.New(rand.NewPCG(seed, 7)), now: now, confirmed: newModel(), ids: map[string]bool{}}
 	w.set = journal.Settings{
 		Disk: disk, Sync: sync, KeepLeaves: true, SyncEvery: time.Second, Random: rand.New(rand.NewPCG(seed, 8)).Uint64,
-		Go:       func(f func()) { w.sync = append(w.sync, f) },
-		After:    func(_ time.Duration, f func()) { w.sync = append(w.sync, f) },
+		Go:       func(f func()) { w.syncWork = append(w.syncWork, f) },
+		After:    func(_ time.Duration, f func()) { w.syncWork = append(w.syncWork, f) },
 		OnStored: w.stored,
 	}
 	return w
 }
 
-// stored is what the journal tells of syncs.
-func (w *world) stored(b engine.Batch) {
-	for len(w.open) > 0 && w.open[0].number <= b {
-		w.sure.apply(w.open[0].records)
-		w.open = w.open[1:]
+// stored is the journal's OnStored callback.
+func (w *simulation) stored(b engine.Batch) {
+	for len(w.unconfirmed) > 0 && w.unconfirmed[0].number <= b {
+		w.confirmed.apply(w.unconfirmed[0].records)
+		w.unconfirmed = w.unconfirmed[1:]
 	}
-	w.limbo = slices.DeleteFunc(w.limbo, func(l []batch) bool { return len(l) == 0 || l[len(l)-1].number < b })
+	w.rejected = slices.DeleteFunc(w.rejected, func(l []batch) bool { return len(l) == 0 || l[len(l)-1].number < b })
 }
 
-// start opens the folder and compares it with what is known. It returns an error only if the open crashed.
-func (w *world) start(strict bool) error {
-	w.sync = nil
+// start opens the folder and compares it with the expected state. It returns memdir.ErrCrashed if the process crashes
+// in it.
+func (w *simulation) start(strict bool) error {
+	w.syncWork = nil
 	dir := w.dir
 	if dir == nil {
 		dir = w.disk.Dir()
@@ -84,41 +85,41 @@
 	if why := w.check(strict); why != "" {
 		return errors.New(why)
 	}
-	// What is there now counts.
-	w.open, w.limbo = nil, nil
-	w.sure = newModel()
-	w.sure.written = j.Last.LatestTimestamp
+	// From here on the state that was found counts.
+	w.unconfirmed, w.rejected = nil, nil
+	w.confirmed = newModel()
+	w.confirmed.written = j.Last.LatestTimestamp
 	for _, r := range j.Live {
 		v := *r
-		w.sure.order = append(w.sure.order, r.Message.ID)
-		w.sure.live[r.Message.ID] = &v
-		w.sure.newest[r.Message.ID] = j.DoubtIsNewestAttempt(r.Message.ID)
+		w.confirmed.order = append(w.confirmed.order, r.Message.ID)
+		w.confirmed.live[r.Message.ID] = &v
+		w.confirmed.newest[r.Message.ID] = j.DoubtIsNewestAttempt(r.Message.ID)
 	}
 	for _, e := range j.Ended {
 		v := *e
-		w.sure.ended[e.ID] = &v
+		w.confirmed.ended[e.ID] = &v
 	}
 	for _, l := range j.Leaves {
-		w.sure.leaves[l.Number] = string(l.Text)
+		w.confirmed.leaves[l.Number] = string(l.Text)
 	}
-	w.look()
+	w.rebuildView()
 	return nil
 }
 
-// check compares what the journal holds with what is known: strictly, it is what was sure with the first so many of the
-// open batches; else each open batch may be there or not.
-func (w *world) check(strict bool) string {
+// check compares the journal's state with the expected one. If strict, it must be the confirmed state with some
+// number of the first unconfirmed batches applied. Otherwise each unconfirmed batch may be there or not.
+func (w *simulation) check(strict bool) string {
 	if !w.j.Findings.OK() {
-		return fmt.Sprintf("damage is told where there is none: %+v", w.j.Findings)
+		return fmt.Sprintf("damage is reported where there is none: %+v", w.j.Findings)
 	}
-	maybe := append(w.limbo, w.open)
+	maybe := append(w.rejected, w.unconfirmed)
 	if strict {
-		why := w.sure.differs(w.j)
+		why := w.confirmed.differs(w.j)
 		if why == "" {
 			return ""
 		}
 		for _, list := range maybe {
-			m := w.sure.clone()
+			m := w.confirmed.clone()
 			for _, b := range list {
 				m.apply(b.records)
 				more := m.differs(w.j)
@@ -147,7 +148,7 @@
 			case *engine.RecLedgerLeaf:
 				turned[r.Number] = true
 			case *engine.RecClockStep:
-				return "" // no stamp can be compared
+				return "" // times can't be compared after a clock step
 			}
 		}
 	}
@@ -155,13 +156,13 @@
 	for _, l := range w.j.Leaves {
 		have[l.Number] = string(l.Text)
 	}
-	for n, text := range w.sure.leaves {
+	for n, text := range w.confirmed.leaves {
 		if !turned[n] && have[n] != text {
 			return fmt.Sprintf("leaf %d is %q, want %q", n, have[n], text)
 		}
 	}
-	for id, l := range w.sure.live {
-		got := w.j.of(id)
+	for id, l := range w.confirmed.live {
+		got := w.j.message(id)
 		switch {
 		case touched[id]:
 		case got == nil:
@@ -174,66 +175,66 @@
 	for _, e := range w.j.Ended {
 		ended[e.ID] = true
 	}
-	for id, e := range w.sure.ended {
+	for id, e := range w.confirmed.ended {
 		if !touched[id] && !ended[id] && e.Until >= w.j.Last.LatestTimestamp {
 			return "ended " + id + " is forgotten"
 		}
 	}
 	for _, r := range w.j.Live {
-		if id := r.Message.ID; w.sure.live[id] == nil && !touched[id] {
-			return id + " has come to life"
+		if id := r.Message.ID; w.confirmed.live[id] == nil && !touched[id] {
+			return id + " is live and must not be"
 		}
 	}
 	return ""
 }
 
-// look makes view anew.
-func (w *world) look() {
-	w.view = w.sure.clone()
-	for _, b := range w.open {
+// rebuildView sets view from the confirmed state and the unconfirmed batches.
+func (w *simulation) rebuildView() {
+	w.view = w.confirmed.clone()
+	for _, b := range w.unconfirmed {
 		w.view.apply(b.records)
 	}
 }
 
 // batch appends a batch.
-func (w *world) batch(records ...engine.Record) error {
+func (w *simulation) batch(records ...engine.Record) error {
 	w.j.batch++
 	b := batch{w.j.batch, records}
 	err := w.j.Append(b.number, records)
 	if err == nil {
-		w.open = append(w.open, b)
+		w.unconfirmed = append(w.unconfirmed, b)
 		w.trace = append(w.trace, b)
 	}
 	return err
 }
 
-// flush flushes, and passes on what is stored.
-func (w *world) flush() error {
+// flush calls Flush and records what is stored.
+func (w *simulation) flush() error {
 	b, err := w.j.Flush()
 	w.stored(b)
 	if errors.Is(err, memdir.ErrCrashed) {
 		return err
 	}
-	if err != nil { // what was appended is not there
-		w.fails += len(w.open)
-		w.limbo = append(w.limbo, w.open)
-		w.open = nil
-		w.look()
+	if err != nil { // what was appended is not stored
+		w.failures += len(w.unconfirmed)
+		w.rejected = append(w.rejected, w.unconfirmed)
+		w.unconfirmed = nil
+		w.rebuildView()
 	}
 	return nil
 }
 
-// runSync runs what the syncing goroutine has to do.
-func (w *world) runSync() {
-	for len(w.sync) > 0 {
-		f := w.sync[0]
-		w.sync = w.sync[1:]
+// runSync runs the work of the syncing goroutine.
+func (w *simulation) runSync() {
+	for len(w.syncWork) > 0 {
+		f := w.syncWork[0]
+		w.syncWork = w.syncWork[1:]
 		f()
 	}
 }
 
-// round does one round of the load. An error says that the process crashed.
-func (w *world) round() error {
+// round runs one round of the load. An error means that the process crashed.
+func (w *simulation) round() error {
 	w.now += engine.Timestamp(1 + w.rnd.IntN(50_000))
 	view := w.view
 	pick := func() string {
@@ -248,10 +249,10 @@
 			var r engine.Record
 			switch n := w.rnd.IntN(100); {
 			case n < 35:
-				w.next++
-				id := fmt.Sprint("m", w.next)
-				w.all[id] = true
-				r = sized(id, 20+w.rnd.IntN(900))
+				w.nextID++
+				id := fmt.Sprint("m", w.nextID)
+				w.ids[id] = true
+				r = acceptedOfSize(id, 20+w.rnd.IntN(900))
 			case n < 55:
 				r = &engine.RecAttempts{At: w.now, List: []engine.RecAttempt{{ID: pick(), Zone: w.rnd.IntN(3)}, {ID: pick(), Zone: -1}}}
 			case n < 62:
@@ -265,7 +266,7 @@
 			case n < 72:
 				r = &engine.RecNoop{}
 			case n < 80:
-				r = &engine.RecLedgerLeaf{Number: 1 + w.rnd.Uint64N(4), Text: fmt.Append(nil, "figures of ", w.next, " at ", w.now)}
+				r = &engine.RecLedgerLeaf{Number: 1 + w.rnd.Uint64N(4), Text: fmt.Append(nil, "figures of ", w.nextID, " at ", w.now)}
 			default:
 				e := &engine.RecEnded{ID: pick(), Disposition: engine.Delivered}
 				if w.rnd.IntN(2) == 0 {
@@ -279,7 +280,7 @@
 		if err := w.batch(records...); err != nil && !errors.Is(err, engine.ErrFull) && w.set.Sync != journal.SyncAlways {
 			return fmt.Errorf("append: %w", err)
 		} else if err != nil {
-			w.look()
+			w.rebuildView()
 			view = w.view
 		}
 	}
@@ -292,9 +293,9 @@
 	return nil
 }
 
-// play plays rounds, with restarts of the process between. When it crashes it starts again, after power failures if
-// these are asked for.
-func (w *world) play(rounds int, power bool) error {
+// play runs rounds with restarts of the process in between. After a crash it starts again, after a power failure if
+// power is set.
+func (w *simulation) play(rounds int, power bool) error {
 	strict := !power
 	var random func(int) int
 	if power {
@@ -337,22 +338,22 @@
 
 const crashDisk = journal.MinDisk
 
-// fork is the world as it goes on from a copy of its disk.
-func (w *world) fork(d *memdir.Disk) *world {
+// fork returns a simulation that continues from a copy of this one's disk.
+func (w *simulation) fork(d *memdir.Disk) *simulation {
 	w.forks++
-	c := newWorld(w.forks, w.set.Sync, w.set.Disk)
-	c.disk, c.now, c.next, c.sure = d, w.now, w.next+1000, w.sure.clone()
-	c.open, c.limbo = slices.Clone(w.open), slices.Clone(w.limbo)
+	c := newSimulation(w.forks, w.set.Sync, w.set.Disk)
+	c.disk, c.now, c.nextID, c.confirmed = d, w.now, w.nextID+1000, w.confirmed.clone()
+	c.unconfirmed, c.rejected = slices.Clone(w.unconfirmed), slices.Clone(w.rejected)
 	return c
 }
 
-// crashEverywhere plays a load once. At each operation on its files the process is killed, in a copy: before it, half-way
-// through a write, just before the end of one, and right after it. The copy starts again and plays on, and where it was
-// killed half-way it is also killed in the first operations of that start. It returns how often that was in which kind of
-// operation.
+// crashEverywhere runs a load once. At each operation on its files it crashes a copy of the process: before the
+// operation, halfway through a write, just before the end of a write, and right after the operation. The copy
+// restarts and continues. A copy that was crashed halfway is crashed again in the first operations of its restart.
+// The result counts the crashes by kind of operation.
 func crashEverywhere(t *testing.T, seed uint64, sync journal.Sync, power bool, rounds int) map[memdir.OpKind]int {
 	t.Helper()
-	w := newWorld(seed, sync, crashDisk)
+	w := newSimulation(seed, sync, crashDisk)
 	kinds := map[memdir.OpKind]int{}
 	w.disk.Fault = func(op memdir.Op) memdir.Fault {
 		lands := []int{0, op.Size / 2, max(op.Size-1, 1), max(op.Size, 1)}
@@ -387,7 +388,7 @@
 	kinds := crashEverywhere(t, 1, journal.SyncNone, false, 200)
 	t.Logf("crashed in %v", kinds)
 	if kinds[memdir.Create] < 40 || kinds[memdir.Remove] < 20 || kinds[memdir.Write] < 400 {
-		t.Errorf("crashed in %v: the load compacts nothing", kinds)
+		t.Errorf("crashed in %v: the load causes no compaction", kinds)
 	}
 	for seed := range *long {
 		crashEverywhere(t, seed, journal.SyncNone, false, 1000)
@@ -396,21 +397,22 @@
 	}
 }
 
-// With SyncAlways the power fails, and of what was not synced any block and any name may be lost.
+// With SyncAlways the power fails, and any block and any file name that was not synced may be lost.
 func TestNothingConfirmedIsLostByAPowerFailureAtAnyOperation(t *testing.T) {
 	t.Parallel()
 	kinds := crashEverywhere(t, 2, journal.SyncAlways, true, 130)
 	t.Logf("the power failed in %v", kinds)
 	if kinds[memdir.SyncFile] < 100 || kinds[memdir.SyncDir] < 30 || kinds[memdir.Remove] < 20 || kinds[memdir.Write] < 250 {
-		t.Errorf("the power failed in %v: the load compacts nothing", kinds)
+		t.Errorf("the power failed in %v: the load causes no compaction", kinds)
 	}
 	for seed := range *long {
 		crashEverywhere(t, seed, journal.SyncAlways, true, 1000)
 	}
 }
 
-// trouble makes a disk fail at random moments: it fills up for a while, loses the end of a write, or fails for once.
-func trouble(w *world, seed uint64) {
+// injectDiskFaults makes a disk fail at random moments: it is full for a while, loses the end of a write, or fails
+// once.
+func injectDiskFaults(w *simulation, seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, 11))
 	full, bad := 0, 0
 	w.disk.Fault = func(op memdir.Op) memdir.Fault {
@@ -437,27 +439,27 @@
 	}
 }
 
-// The disk fills up and fails at random moments, also while the process is killed. What failed is not there, what was
-// stored is, and the journal goes on by itself.
+// The disk is full or fails at random moments, and the process crashes. What failed is not stored, what was stored is
+// kept, and the journal recovers without help.
 func TestADiskInTroubleLosesNothingStored(t *testing.T) {
 	t.Parallel()
 	for _, sync := range []journal.Sync{journal.SyncNone, journal.SyncInterval, journal.SyncAlways} {
 		fails, ends := 0, 0
 		for seed := range 24 + 5**long {
-			w := newWorld(seed, sync, crashDisk)
-			trouble(w, seed)
+			w := newSimulation(seed, sync, crashDisk)
+			injectDiskFaults(w, seed)
 			if err := w.play(200, false); err != nil {
 				t.Fatalf("sync %d, seed %d: %v", sync, seed, err)
 			}
-			w.disk.Fault = nil // all is well again: within some rounds messages are taken on
+			w.disk.Fault = nil // no more faults: messages must be accepted within some rounds
 			w.disk.Crash()
 			must(t, w.start(true))
-			for _, id := range slices.Clone(w.sure.order) {
+			for _, id := range slices.Clone(w.confirmed.order) {
 				must(t, w.batch(ended(id)))
 			}
 			must(t, w.flush())
 			for i := 0; ; i++ {
-				err := w.batch(taken("late"))
+				err := w.batch(accepted("late"))
 				must(t, w.flush())
 				if w.runSync(); err == nil {
 					break
@@ -466,25 +468,25 @@
 					t.Fatalf("sync %d, seed %d: it does not go on by itself: %v", sync, seed, err)
 				}
 			}
-			fails, ends = fails+w.fails, ends+len(w.sure.ended)
+			fails, ends = fails+w.failures, ends+len(w.confirmed.ended)
 		}
 		if fails < 100 || ends < 50 {
-			t.Errorf("sync %d: %d batches failed, %d ids: the disk was not in trouble, or nothing was done", sync, fails, ends)
+			t.Errorf("sync %d: %d batches failed, %d ids: the disk had no faults, or nothing was done", sync, fails, ends)
 		}
 	}
 }
 
-// The same under power failures: SyncAlways keeps what it told as stored.
+// The same with power failures: SyncAlways keeps what it reported as stored.
 func TestADiskInTroubleLosesNothingSynced(t *testing.T) {
 	t.Parallel()
 	fails := 0
 	for seed := range 36 + 5**long {
-		w := newWorld(seed, journal.SyncAlways, crashDisk)
-		trouble(w, seed)
+		w := newSimulation(seed, journal.SyncAlways, crashDisk)
+		injectDiskFaults(w, seed)
 		if err := w.play(200, true); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		fails += w.fails
+		fails += w.failures
 	}
 	if fails < 100 {
 		t.Errorf("%d batches failed", fails)
--- a/internal/journal/damage_test.go
+++ b/internal/journal/damage_test.go
@@ -10,50 +10,50 @@
 	"curlewmux/internal/journal/memdir"
 )
 
-// full is a disk on which much ended, and the model of what is live; sure is how long the newest segment was three writes
-// ago.
-func full(t *testing.T, rounds int, disk int64) (d *memdir.Disk, m *model, sure int) {
+// filledDisk returns a disk on which many messages ended, and the model of what is live. sure is the size that the
+// newest segment had three writes ago, or 0 if it is newer than that.
+func filledDisk(t *testing.T, rounds int, disk int64) (d *memdir.Disk, m *model, sure int) {
 	t.Helper()
-	w := newWorld(5, journal.SyncNone, disk)
+	w := newSimulation(5, journal.SyncNone, disk)
 	must(t, w.start(true))
 	var name string
 	for i := range rounds {
 		if i == rounds-3 {
-			name = last(w.disk)
+			name = newestSegment(w.disk)
 			sure = len(w.disk.Read(name))
 		}
 		must(t, w.round())
 	}
-	if name != last(w.disk) {
+	if name != newestSegment(w.disk) {
 		sure = 0
 	}
-	return w.disk, w.sure, sure
+	return w.disk, w.confirmed, sure
 }
 
-func last(d *memdir.Disk) string { s := segments(d); return s[len(s)-1] }
+func newestSegment(d *memdir.Disk) string { s := segments(d); return s[len(s)-1] }
 
-// harmless says what a journal holds that it must not, given what was live before the damage: an end undone, or an attempt
-// forgotten.
-func harmless(s *store, m *model) string {
+// findHarm describes what a journal holds and must not, given what was live before the damage: a message that had
+// ended, or one without an attempt that was made. It returns "" if there is nothing.
+func findHarm(s *store, m *model) string {
 	for _, r := range s.Live {
 		w := m.live[r.Message.ID]
 		switch {
 		case w == nil && r.Pending == nil:
-			return r.Message.ID + " has ended and came to life"
+			return r.Message.ID + " has ended and is live again"
 		case w != nil && w.DoubtAt != 0 && r.Pending == nil && (r.DoubtAt == 0 || r.DoubtAt > w.DoubtAt):
-			return fmt.Sprintf("%s may have run since %d, told is %d", r.Message.ID, w.DoubtAt, r.DoubtAt)
+			return fmt.Sprintf("%s may have run since %d, reported is %d", r.Message.ID, w.DoubtAt, r.DoubtAt)
 		case w != nil && w.Pending != nil && r.Pending == nil:
-			return r.Message.ID + " had its end decided and came to life"
+			return r.Message.ID + " has a disposition and is live without it"
 		}
 	}
 	return ""
 }
 
-// Whatever single byte is wrong: nothing that ended comes to life, no attempt is forgotten, and at most what stood there
-// is lost. Only the last facts of all can be lost with their echo: they are as good as not written.
+// A single wrong byte anywhere revives no ended message and drops no attempt, and at most what stood there is lost.
+// The last frame is left out: with a wrong byte it is taken for an unfinished write.
 func TestAWrongByteAnywhereHarmsNothingElse(t *testing.T) {
 	t.Parallel()
-	d, m, _ := full(t, 60, 64<<10)
+	d, m, _ := filledDisk(t, 60, 64<<10)
 	names := segments(d)
 	if len(names) < 3 {
 		t.Fatalf("segments %v", names)
@@ -74,39 +74,40 @@
 			b[at] ^= 0x10
 			bad.Put(name, b)
 			s := open(t, bad.Dir(), 128<<10)
-			if why := harmless(s, m); why != "" {
+			if why := findHarm(s, m); why != "" {
 				t.Fatalf("%s, byte %d: %s; found %+v", name, at, why, s.Findings)
 			}
 			if n := len(m.order) - len(s.Live); n > int(s.Findings.LostMessages) {
-				t.Fatalf("%s, byte %d: %d messages are lost, told are %+v", name, at, n, s.Findings)
+				t.Fatalf("%s, byte %d: %d messages are lost, reported are %+v", name, at, n, s.Findings)
 			}
 			if !s.Findings.OK() {
 				told++
 			}
-			must(t, s.put(taken("new"))) // and it goes on
+			must(t, s.put(accepted("new"))) // the journal still accepts messages
 		}
 	}
 	if told < 300 {
-		t.Errorf("damage was told %d times", told)
+		t.Errorf("damage was reported %d times", told)
 	}
 }
 
-// lastFrame is where the last frame of the newest segment begins: with a wrong byte in it, it is an unfinished write.
+// lastFrame returns where the last frame of the newest segment begins. With a wrong byte it is taken for an
+// unfinished write.
 func lastFrame(t *testing.T, d *memdir.Disk, name string) int {
 	t.Helper()
 	return int(journal.LastFrame(d.Read(name)))
 }
 
-// The same for each block of 512 bytes that reads as zeros, but for the last few writes: they may hold facts of which the
-// echo is not there yet, or in the same block.
+// The same for each block of 512 bytes that reads as zeros. The last few writes are left out: their facts may not be
+// repeated yet, or only in the same block.
 func TestAZeroedBlockAnywhereHarmsNothingElse(t *testing.T) {
 	t.Parallel()
-	for _, disk := range []int64{64 << 10, 3e6} { // some small segments, and a single large one
-		d, m, sure := full(t, 90, disk)
+	for _, disk := range []int64{64 << 10, 3e6} { // several small segments, and a single large one
+		d, m, sure := filledDisk(t, 90, disk)
 		for _, name := range segments(d) {
 			text := d.Read(name)
 			end := len(text)
-			if name == last(d) {
+			if name == newestSegment(d) {
 				end = min(sure, end)
 			}
 			for at := 0; at+512 <= end; at += 512 {
@@ -115,78 +116,78 @@
 				clear(b[at : at+512])
 				bad.Put(name, b)
 				s := open(t, bad.Dir(), disk)
-				if why := harmless(s, m); why != "" {
+				if why := findHarm(s, m); why != "" {
 					t.Errorf("%s, block at %d: %s; found %+v", name, at, why, s.Findings)
 				}
 				if n := len(m.order) - len(s.Live); n > int(s.Findings.LostMessages) {
-					t.Errorf("%s, block at %d: %d messages are lost, told are %+v", name, at, n, s.Findings)
+					t.Errorf("%s, block at %d: %d messages are lost, reported are %+v", name, at, n, s.Findings)
 				}
 				if s.Findings.LostFacts > 0 {
-					t.Errorf("%s, block at %d: facts are lost with their echo: %+v", name, at, s.Findings)
+					t.Errorf("%s, block at %d: facts are lost with their repetitions: %+v", name, at, s.Findings)
 				}
 			}
 		}
 	}
 }
 
-// A segment that is not there any more takes the messages in it along, and nothing else.
+// The loss of a segment loses the messages in it and nothing else.
 func TestALostSegmentHarmsNothingElse(t *testing.T) {
 	t.Parallel()
-	d, m, _ := full(t, 120, 64<<10)
+	d, m, _ := filledDisk(t, 120, 64<<10)
 	names := segments(d)
 	for _, name := range names[:len(names)-1] {
 		bad := d.Clone()
 		bad.Put(name, nil)
 		s := open(t, bad.Dir(), 128<<10)
-		if why := harmless(s, m); why != "" {
+		if why := findHarm(s, m); why != "" {
 			t.Errorf("%s: %s; found %+v", name, why, s.Findings)
 		}
 		if s.Findings.MissingSegments != 1 && name != names[0] {
 			t.Errorf("%s: found %+v", name, s.Findings)
 		}
-		must(t, s.put(taken("new")))
+		must(t, s.put(accepted("new")))
 		turnOver(t, s, bad)
 		if s = reopen(t, bad, 128<<10); !s.Findings.OK() {
-			t.Errorf("%s: the damage is told for ever: %+v", name, s.Findings)
+			t.Errorf("%s: the damage is reported again after a restart: %+v", name, s.Findings)
 		}
 	}
 }
 
-// A segment cut short is damage where another one follows it.
+// A segment that is cut short is reported as damage if another one follows it.
 func TestACutSegmentIsToldUnlessItIsTheLast(t *testing.T) {
 	t.Parallel()
-	d, m, _ := full(t, 120, 64<<10)
+	d, m, _ := filledDisk(t, 120, 64<<10)
 	names := segments(d)
 	for _, name := range names[:len(names)-1] {
 		bad := d.Clone()
 		text := bad.Read(name)
 		bad.Put(name, text[:len(text)*2/3])
 		s := open(t, bad.Dir(), 64<<10)
-		if why := harmless(s, m); why != "" || s.Findings.OK() {
+		if why := findHarm(s, m); why != "" || s.Findings.OK() {
 			t.Errorf("%s: %s; found %+v", name, why, s.Findings)
 		}
 	}
 }
 
-// Copies of segments, in their place or another, and segments of other journals change nothing.
+// Copies of segments, under the same name or another one, and segments of other journals change nothing.
 func TestStraySegmentsDoNotCount(t *testing.T) {
 	t.Parallel()
-	d, m, _ := full(t, 120, 64<<10)
+	d, m, _ := filledDisk(t, 120, 64<<10)
 	names := segments(d)
 	other := memdir.New()
 	set := settings(64 << 10)
 	set.Owner = "another"
 	o, err := tryOpen(other.Dir(), set)
 	must(t, err)
-	must(t, o.put(taken("foreign")))
+	must(t, o.put(accepted("foreign")))
 	foreign := other.Read(segments(other)[0])
 
-	same := memdir.New() // of the same name, but begun apart
+	same := memdir.New() // the same owner, but another journal
 	set = settings(64 << 10)
 	set.Random = func() uint64 { return 99 }
 	o, err = tryOpen(same.Dir(), set)
 	must(t, err)
-	must(t, o.put(taken("foreign")))
+	must(t, o.put(accepted("foreign")))
 
 	for i, c := range []struct {
 		name string
@@ -208,88 +209,88 @@
 		if c.told != (len(j.Findings.ForeignFiles) == 1) || c.told != (s.Read(c.name) != nil) {
 			t.Errorf("case %d: found %+v, files %v", i, j.Findings, s.Names())
 		}
-		must(t, j.put(taken("new")))
-		if j = reopen(t, s, 128<<10); j.of("new") == nil || len(j.Live) != len(m.order)+1 {
+		must(t, j.put(accepted("new")))
+		if j = reopen(t, s, 128<<10); j.message("new") == nil || len(j.Live) != len(m.order)+1 {
 			t.Errorf("case %d: after a restart live %s", i, j.ids())
 		}
 	}
 }
 
-// A body that holds frames, as they stand earlier in its own segment, is not read as frames, also where its own is damaged.
+// A body that holds frames, copied from its own segment, is not read as frames, even if its own frame is damaged.
 func TestABodyIsNeverReadAsFrames(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 1e6)
-	must(t, j.put(taken("a")))
+	must(t, j.put(accepted("a")))
 	name := segments(d)[0]
 	frame := len(d.Read(name))
 	must(t, j.put(attempt(now, "a", 1)))
-	m := taken("outer")
+	m := accepted("outer")
 	m.Message.Body = d.Read(name)[frame:]
 	start := len(d.Read(name))
 	must(t, j.put(m))
-	must(t, j.put(taken("last")))
+	must(t, j.put(accepted("last")))
 	text := d.Read(name)
-	for _, at := range []int{0, 4, 8, 12, 30} { // in each field of the head, and in the payload
+	for _, at := range []int{0, 4, 8, 12, 30} { // in each field of the header, and in the payload
 		bad := slices.Clone(text)
 		bad[start+at] ^= 0xff
 		k := memdir.New()
 		k.Put(name, bad)
-		if s := open(t, k.Dir(), 1e6); s.ids() != "a last" || s.of("a").Tries != 1 {
-			t.Errorf("byte %d: live %s, %+v", at, s.ids(), s.of("a"))
+		if s := open(t, k.Dir(), 1e6); s.ids() != "a last" || s.message("a").Tries != 1 {
+			t.Errorf("byte %d: live %s, %+v", at, s.ids(), s.message("a"))
 		}
 	}
 }
 
-// Frames of another segment that landed in this one, at the same place, are not read.
+// Frames of another segment that were written to the same place in this one are not read.
 func TestFramesOfAnotherSegmentAreNotRead(t *testing.T) {
 	t.Parallel()
-	d, m, _ := full(t, 120, 64<<10)
+	d, m, _ := filledDisk(t, 120, 64<<10)
 	names := segments(d)
-	for i, name := range names[1 : len(names)-1] { // in the newest, what is missing at the end was never written
+	for i, name := range names[1 : len(names)-1] { // in the newest segment a missing end was never written
 		from, to := d.Read(names[i]), d.Read(name)
 		for at := 1024; at < min(len(from), len(to)); at += 512 {
 			bad := d.Clone()
 			bad.Put(name, slices.Concat(to[:at], from[at:]))
 			s := open(t, bad.Dir(), 128<<10)
-			if why := harmless(s, m); why != "" {
+			if why := findHarm(s, m); why != "" {
 				t.Fatalf("%s from byte %d: %s; found %+v", name, at, why, s.Findings)
 			}
 			for _, r := range s.Live {
 				if w := m.live[r.Message.ID]; w != nil && s.Findings.DoubtfulMessages == 0 && r.Tries > w.Tries {
-					t.Fatalf("%s from byte %d: %s was tried %d times, told are %d", name, at, r.Message.ID, w.Tries, r.Tries)
+					t.Fatalf("%s from byte %d: %s was tried %d times, reported are %d", name, at, r.Message.ID, w.Tries, r.Tries)
 				}
 			}
 		}
 	}
 }
 
-// Where a fact is lost with its echo, the messages that it may have been about are not sent again: those heard of since
-// are in doubt, and of the others nothing is promised.
+// If a fact and its repetitions are lost, the messages that it may have been about are not sent again. Those with a
+// later record are in doubt. The others get a pending failure.
 func TestWhatLostFactsMayBeAboutIsNotSentAgain(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 1e6)
-	must(t, j.put(taken("ended"), taken("tried"), taken("later"), taken("heard")))
+	must(t, j.put(accepted("ended"), accepted("tried"), accepted("later"), accepted("heard")))
 	name := segments(d)[0]
 	from := len(d.Read(name))
 	must(t, j.put(ended("ended"), attempt(now, "tried", 1)))
 	to := len(d.Read(name))
-	must(t, j.put(taken("after"), attempt(now, "heard", 1)))
+	must(t, j.put(accepted("after"), attempt(now, "heard", 1)))
 	text := d.Read(name)
 	clear(text[from:to])
 	d.Put(name, text)
 	for range 2 {
 		s := reopen(t, d, 1e6)
 		for _, id := range []string{"ended", "tried", "later"} {
-			if r := s.of(id); r == nil || r.Pending == nil || r.Pending.Disposition != engine.Failed || r.DoubtAt == 0 {
+			if r := s.message(id); r == nil || r.Pending == nil || r.Pending.Disposition != engine.Failed || r.DoubtAt == 0 {
 				t.Errorf("%s: %+v", id, r)
 			}
 		}
-		if r := s.of("heard"); r == nil || r.Pending != nil || r.DoubtAt == 0 || r.DoubtAt >= now {
+		if r := s.message("heard"); r == nil || r.Pending != nil || r.DoubtAt == 0 || r.DoubtAt >= now {
 			t.Errorf("heard: %+v", r)
 		}
-		if r := s.of("after"); r == nil || r.Pending != nil || r.DoubtAt != 0 {
+		if r := s.message("after"); r == nil || r.Pending != nil || r.DoubtAt != 0 {
 			t.Errorf("after: %+v", r)
 		}
 		if s.Findings.LostFacts != 2 || s.Findings.DoubtfulMessages != 4 {
--- a/internal/journal/fuzz_test.go
+++ b/internal/journal/fuzz_test.go
@@ -13,8 +13,9 @@
 	"curlewmux/internal/journal/memdir"
 )
 
-// accepts opens a folder of any content, uses it and opens it again: there is a state, with accounts that are right.
-func accepts(t testing.TB, d *memdir.Disk) {
+// checkOpens opens a folder with any content, uses it and opens it again. The state and the sums of the table must be
+// consistent.
+func checkOpens(t testing.TB, d *memdir.Disk) {
 	t.Helper()
 	j, err := tryOpen(d.Dir(), settings(1<<20))
 	if err != nil {
@@ -25,7 +26,7 @@
 	}
 	before := j.ids()
 	if err := j.put(&engine.RecNoop{}); err != nil {
-		return // more than the disk was there
+		return // the folder held more than the disk limit
 	}
 	k := reopen(t, d, 1<<20)
 	if why := k.CheckTable(); why != "" {
@@ -38,7 +39,7 @@
 
 // Any bytes in a folder give an error or a state.
 func FuzzReplay(f *testing.F) {
-	w := newWorld(3, journal.SyncNone, 64<<10)
+	w := newSimulation(3, journal.SyncNone, 64<<10)
 	must(f, w.start(true))
 	for range 30 {
 		must(f, w.round())
@@ -55,18 +56,18 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		d := memdir.New()
 		d.Put("journal-00000001.seg", text)
-		accepts(t, d)
+		checkOpens(t, d)
 		d = memdir.New()
 		d.Put("journal-00000001.seg", good)
 		d.Put("journal-00000002.seg", text)
-		accepts(t, d)
+		checkOpens(t, d)
 		d = memdir.New()
 		d.Put("journal-1", text)
-		accepts(t, d)
+		checkOpens(t, d)
 	})
 }
 
-// Frames whose checks are right may hold anything.
+// Frames with valid checksums may hold anything.
 func FuzzRecords(f *testing.F) {
 	f.Add([]byte("\x01\x01\x01a\x01b\x01c\x00\x00\x00\x01d"), []byte("\x08\x01\x01\x00"))
 	f.Add([]byte("\x02\x01\x01a\x01b\x01c\x00\x00\x00\x01d\x01\x02\x00\x01\x01\x02\x00"), []byte("\x06\x01\x02\x03\x04\x00"))
@@ -75,11 +76,11 @@
 	f.Fuzz(func(t *testing.T, a, b []byte) {
 		d := memdir.New()
 		d.Put("journal-00000001.seg", journal.MakeSegment(1, a, b, slices.Concat(a, b)))
-		accepts(t, d)
+		checkOpens(t, d)
 	})
 }
 
-// Random records in random batches, with restarts, on a small disk: what is there is what the model says.
+// Random records in random batches, with restarts, on a small disk: the journal's state is that of the model.
 func TestTheJournalIsItsModel(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -98,7 +99,7 @@
 			switch rapid.IntRange(0, 8).Draw(t, "kind") {
 			case 0, 1:
 				if e := m.ended[id]; m.live[id] == nil && (e == nil || e.Until < m.written) { // as the engine does
-					return sized(id, rapid.IntRange(1, 6000).Draw(t, "size"))
+					return acceptedOfSize(id, rapid.IntRange(1, 6000).Draw(t, "size"))
 				}
 				return &engine.RecNeverRan{ID: id}
 			case 2:
@@ -143,7 +144,7 @@
 				if why := m.differs(j); why != "" {
 					t.Fatal(why)
 				}
-				for id := range m.ended { // what is forgotten is forgotten for good
+				for id := range m.ended { // an id that was forgotten once stays forgotten
 					if !slices.ContainsFunc(j.Ended, func(e *engine.RestoredEnd) bool { return e.ID == id }) {
 						delete(m.ended, id)
 					}
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -20,14 +20,14 @@
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 1e6)
-	must(t, j.put(taken("a")))
-	must(t, j.put(taken("b"), taken("c")))
+	must(t, j.put(accepted("a")))
+	must(t, j.put(accepted("b"), accepted("c")))
 	must(t, j.put(attempt(now, "a", 1), attempt(now+5, "c", 0)))
 	must(t, j.put(attempt(now+1e6, "a", 0)))
 	must(t, j.put(&engine.RecPendingResult{ID: "b", PendingResult: engine.PendingResult{Disposition: engine.Refused, RetryAfter: 1500 * time.Millisecond}}))
 	must(t, j.put(&engine.RecState{ID: "c", Tries: 4, DoubtAt: now + 7, DoubtZone: -1}))
-	b := taken("b")
-	b.Message.Body = nil // whoever is told the end needs none
+	b := accepted("b")
+	b.Message.Body = nil // a notification of the result needs no body
 	want := []*engine.RestoredMessage{
 		{Message: message("a"), Deadline: now + 3_600_000_000, Tries: 2, DoubtAt: now, DoubtZone: 1},
 		{Message: b.Message, Deadline: now + 3_600_000_000, Pending: &engine.PendingResult{Disposition: engine.Refused, RetryAfter: 1500 * time.Millisecond}},
@@ -49,13 +49,13 @@
 	}
 }
 
-// Only the proof for the attempt that began the doubt ends it, also when a compaction comes between the two.
+// Only the proof for the attempt that began the doubt ends it, also after a compaction between the two.
 func TestJournalDoubt(t *testing.T) {
 	t.Parallel()
 	for _, compacted := range []bool{false, true} {
 		d := memdir.New()
 		j := open(t, d.Dir(), 200<<10)
-		must(t, j.put(taken("first"), taken("both"), taken("settled")))
+		must(t, j.put(accepted("first"), accepted("both"), accepted("settled")))
 		must(t, j.put(attempt(now, "first", 0), attempt(now, "both", 0)))
 		if compacted {
 			turnOver(t, j, d)
@@ -65,19 +65,19 @@
 		must(t, j.put(&engine.RecNeverRan{ID: "both"}))
 		must(t, j.put(&engine.RecState{ID: "settled", Tries: 1, DoubtAt: now, Settled: true}, &engine.RecNeverRan{ID: "settled"}))
 		j = reopen(t, d, 200<<10)
-		if r := j.of("first"); r.Tries != 1 || r.DoubtAt != 0 {
+		if r := j.message("first"); r.Tries != 1 || r.DoubtAt != 0 {
 			t.Errorf("compacted %v: still in doubt: %+v", compacted, r)
 		}
-		if r := j.of("both"); r.Tries != 2 || r.DoubtAt == 0 {
+		if r := j.message("both"); r.Tries != 2 || r.DoubtAt == 0 {
 			t.Errorf("compacted %v: its first attempt may have run: %+v", compacted, r)
 		}
-		if r := j.of("settled"); r.DoubtAt == 0 {
+		if r := j.message("settled"); r.DoubtAt == 0 {
 			t.Errorf("compacted %v: its doubt was of an earlier attempt: %+v", compacted, r)
 		}
 	}
 }
 
-// turnOver appends until no segment is left that there was before.
+// turnOver appends until all segments that existed before are removed.
 func turnOver(t *testing.T, j *store, d *memdir.Disk) {
 	t.Helper()
 	old := segments(d)
@@ -87,7 +87,7 @@
 			t.Fatalf("%s is still there", last)
 		}
 		id := fmt.Sprint("turn", i)
-		must(t, j.put(sized(id, 500)))
+		must(t, j.put(acceptedOfSize(id, 500)))
 		must(t, j.put(ended(id)))
 	}
 }
@@ -96,10 +96,10 @@
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 1e6)
-	must(t, j.put(taken("a")))
+	must(t, j.put(accepted("a")))
 	name := segments(d)[0]
 	whole := len(d.Read(name))
-	must(t, j.put(taken("b")))
+	must(t, j.put(accepted("b")))
 	text := d.Read(name)
 	for n := whole; n < len(text); n++ {
 		cut := memdir.New()
@@ -108,7 +108,7 @@
 		if k.ids() != "a" || !k.Findings.OK() || k.Findings.UnfinishedBytes != int64(n-whole) {
 			t.Fatalf("cut at %d: live %s, found %+v", n, k.ids(), k.Findings)
 		}
-		must(t, k.put(taken("c")))
+		must(t, k.put(accepted("c")))
 		if k = reopen(t, cut, 1e6); k.ids() != "a c" || !k.Findings.OK() {
 			t.Fatalf("cut at %d: live %s, found %+v", n, k.ids(), k.Findings)
 		}
@@ -122,7 +122,7 @@
 	var ends []int
 	var name string
 	for _, id := range []string{"a", "b", "c"} {
-		must(t, j.put(taken(id)))
+		must(t, j.put(accepted(id)))
 		name = segments(d)[0]
 		ends = append(ends, len(d.Read(name)))
 	}
@@ -139,7 +139,8 @@
 	}
 }
 
-// A change from the first format may end at any point: before all is written anew, and before the old files are gone.
+// A change from the first format may be interrupted at any point: before everything is copied, or before the old
+// files are removed.
 func TestJournalCompactionCutOff(t *testing.T) {
 	t.Parallel()
 	text, err := os.ReadFile(filepath.Join("testdata", "format1", "journal-2"))
@@ -167,7 +168,7 @@
 				t.Fatalf("crash in operation %d: live %s", n, j.ids())
 			}
 			must(t, j.put(ended("untouched")))
-			if j = reopen(t, d, 1e6); j.of("untouched") != nil || len(j.Live) != len(want)-1 {
+			if j = reopen(t, d, 1e6); j.message("untouched") != nil || len(j.Live) != len(want)-1 {
 				t.Fatalf("crash in operation %d: live %s", n, j.ids())
 			}
 			if names := strings.Join(d.Names(), " "); strings.Contains(names, "journal-1 ") || strings.Contains(names, "journal-2 ") {
@@ -177,8 +178,8 @@
 	}
 }
 
-// The disk limit holds at every moment, also while segments are copied; what is refused leaves room for the records of
-// what was taken on.
+// The disk limit holds at every moment, also while segments are copied. Refusals leave room for the records of
+// accepted messages.
 func TestJournalStaysInsideItsBudget(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
@@ -187,7 +188,7 @@
 	refused, held := 0, []string{}
 	for i := range 3000 {
 		id := fmt.Sprint("m", i)
-		switch err := j.put(sized(id, 1000)); {
+		switch err := j.put(acceptedOfSize(id, 1000)); {
 		case err == nil:
 			held = append(held, id)
 		case errors.Is(err, engine.ErrFull):
@@ -208,14 +209,14 @@
 		}
 	}
 	if refused == 0 || len(held) < 40 {
-		t.Fatalf("%d refused, %d held: the budget was not reached or not used", refused, len(held))
+		t.Fatalf("%d refused, %d live: the budget was not reached or not used", refused, len(held))
 	}
 	if k := reopen(t, d, budget); k.ids() != strings.Join(held, " ") {
 		t.Errorf("%d live after a restart, want %d", len(k.Live), len(held))
 	}
 }
 
-// A batch that could not be written, whole or in part, is not there, and what comes after it is.
+// A batch that could not be written, in whole or in part, is not there, and later batches are.
 func TestJournalWriteErrorRefuses(t *testing.T) {
 	t.Parallel()
 	for _, err := range []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO} {
@@ -223,19 +224,19 @@
 			for land := range 120 {
 				d := memdir.New()
 				j := open(t, d.Dir(), 1e6)
-				must(t, j.put(taken("a")))
+				must(t, j.put(accepted("a")))
 				d.Fault = func(op memdir.Op) memdir.Fault {
 					if op.Kind == memdir.Truncate && cut {
 						return memdir.Fault{}
 					}
 					return memdir.Fault{Err: err, WrittenBytes: land}
 				}
-				if e := j.put(taken("b")); !errors.Is(e, err) {
-					t.Fatalf("taken on though nothing was written: %v", e)
+				if e := j.put(accepted("b")); !errors.Is(e, err) {
+					t.Fatalf("accepted though nothing was written: %v", e)
 				}
 				d.Fault = nil
-				must(t, j.soon(taken("c"))) // in a new segment, if what landed could not be cut off
-				must(t, j.put(taken("b")))
+				must(t, j.putWithRetry(accepted("c"))) // in a new segment, if the failed write could not be truncated
+				must(t, j.put(accepted("b")))
 				if j = reopen(t, d, 1e6); j.ids() != "a c b" || !j.Findings.OK() {
 					t.Fatalf("%v after %d bytes: live %s, found %+v", err, land, j.ids(), j.Findings)
 				}
@@ -244,16 +245,16 @@
 	}
 }
 
-// A batch that failed changes nothing: the same records count when they are appended again.
+// A batch that failed changes nothing: its records count when they are appended again.
 func TestJournalTellsLaterWhatItCouldNotWrite(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 1e6)
-	must(t, j.put(taken("delivered"), taken("refused"), taken("owed"), taken("other")))
+	must(t, j.put(accepted("delivered"), accepted("refused"), accepted("owed"), accepted("other")))
 	must(t, j.put(attempt(now, "delivered", 0), attempt(now, "refused", 0)))
 	facts := []engine.Record{
 		&engine.RecEnded{ID: "delivered", Disposition: engine.Delivered, Until: now + 1e6, Fingerprint: 5},
-		&engine.RecNeverRan{ID: "refused"}, &engine.RecPendingResult{ID: "owed", PendingResult: engine.PendingResult{Disposition: engine.Failed}}, taken("new"),
+		&engine.RecNeverRan{ID: "refused"}, &engine.RecPendingResult{ID: "owed", PendingResult: engine.PendingResult{Disposition: engine.Failed}}, accepted("new"),
 		&engine.RecClockStep{By: 1000},
 	}
 	before := reopen(t, d, 1e6)
@@ -261,7 +262,7 @@
 	d.Fault = func(memdir.Op) memdir.Fault { return memdir.Fault{Err: syscall.EIO} }
 	for range 3 {
 		if j.put(facts...) == nil {
-			t.Fatal("no fault is told")
+			t.Fatal("no fault is reported")
 		}
 	}
 	d.Fault = nil
@@ -272,7 +273,7 @@
 	}
 	must(t, k.put(facts...))
 	k = reopen(t, d, 1e6)
-	if k.ids() != "refused owed other new" || k.of("refused").DoubtAt != 0 || k.of("owed").Pending == nil {
+	if k.ids() != "refused owed other new" || k.message("refused").DoubtAt != 0 || k.message("owed").Pending == nil {
 		t.Errorf("after a restart: %s", k.ids())
 	}
 	want := []*engine.RestoredEnd{{ID: "delivered", Disposition: engine.Delivered, Until: now + 1e6 + 1000, Fingerprint: 5}}
@@ -281,7 +282,7 @@
 	}
 }
 
-// Small records of what is held always have room, however full the journal is with messages.
+// Small records of accepted messages always have room, however full the journal is.
 func TestJournalKeepsRoomForEnds(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
@@ -289,7 +290,7 @@
 	var ids []string
 	for i := 0; ; i++ {
 		id := fmt.Sprint("m", i)
-		if err := j.put(taken(id)); err != nil {
+		if err := j.put(accepted(id)); err != nil {
 			if !errors.Is(err, engine.ErrFull) {
 				t.Fatal(err)
 			}
@@ -318,7 +319,7 @@
 	}
 }
 
-// A batch of any size is read back: the first format's reader skipped records over 1 MiB.
+// A batch of any size is read back. The reader of the first format skipped records over 1 MiB.
 func TestARecordOfAnySizeIsReadBack(t *testing.T) {
 	t.Parallel()
 	const n = 20_000
@@ -328,14 +329,14 @@
 	all := &engine.RecAttempts{At: now}
 	for i := range n {
 		id := fmt.Sprintf("message-with-a-long-id-%08d", i)
-		list = append(list, sized(id, 1))
+		list = append(list, acceptedOfSize(id, 1))
 		all.List = append(all.List, engine.RecAttempt{ID: id, Zone: 1})
 	}
 	must(t, j.put(list...))
 	must(t, j.put(all))
-	must(t, j.put(sized("large", 3<<20)))
+	must(t, j.put(acceptedOfSize("large", 3<<20)))
 	j = reopen(t, d, 64<<20)
-	if len(j.Live) != n+1 || len(j.of("large").Message.Body) != 3<<20 {
+	if len(j.Live) != n+1 || len(j.message("large").Message.Body) != 3<<20 {
 		t.Fatalf("%d live", len(j.Live))
 	}
 	for _, r := range j.Live[:n] {
@@ -357,28 +358,28 @@
 		if want := "untouched in-doubt refused-once owed-refused owed-failed proven twice large"; j.ids() != want {
 			t.Fatalf("live %s, want %s", j.ids(), want)
 		}
-		r := j.of("untouched")
+		r := j.message("untouched")
 		if r.Message.Class != "release-upload" || r.Message.Tenant != "core" || r.Message.Destination != 7 ||
 			r.Message.Key != "k-untouched" || string(r.Message.Body) != "\x00cm\xffbody of untouched" ||
 			r.Deadline != at+3_600_000_000 || r.Tries != 0 || r.DoubtAt != 0 || r.Pending != nil {
 			t.Errorf("untouched: %+v", r)
 		}
-		if r := j.of("in-doubt"); r.Tries != 1 || r.DoubtAt != at || r.DoubtZone != 2 {
+		if r := j.message("in-doubt"); r.Tries != 1 || r.DoubtAt != at || r.DoubtZone != 2 {
 			t.Errorf("in doubt: %+v", r)
 		}
-		if r := j.of("proven"); r.Tries != 1 || r.DoubtAt != 0 {
+		if r := j.message("proven"); r.Tries != 1 || r.DoubtAt != 0 {
 			t.Errorf("proven: %+v", r)
 		}
-		if r := j.of("twice"); r.Tries != 2 || r.DoubtAt != at || r.DoubtZone != 1 {
+		if r := j.message("twice"); r.Tries != 2 || r.DoubtAt != at || r.DoubtZone != 1 {
 			t.Errorf("twice: %+v", r)
 		}
-		if o := j.of("owed-refused").Pending; o == nil || o.Disposition != engine.Refused || o.RetryAfter != 1500*time.Millisecond || o.Fingerprint == 0 {
+		if o := j.message("owed-refused").Pending; o == nil || o.Disposition != engine.Refused || o.RetryAfter != 1500*time.Millisecond || o.Fingerprint == 0 {
 			t.Errorf("owed, refused: %+v", o)
 		}
-		if o := j.of("owed-failed").Pending; o == nil || o.Disposition != engine.Failed || o.RetryAfter != 0 || o.Fingerprint == 0 {
+		if o := j.message("owed-failed").Pending; o == nil || o.Disposition != engine.Failed || o.RetryAfter != 0 || o.Fingerprint == 0 {
 			t.Errorf("owed, failed: %+v", o)
 		}
-		if n := len(j.of("large").Message.Body); n != 6000 {
+		if n := len(j.message("large").Message.Body); n != 6000 {
 			t.Errorf("large: body of %d bytes", n)
 		}
 		if j.Last.LatestTimestamp != at+2_000_000 {
@@ -414,7 +415,7 @@
 	set.Owner = "first"
 	j, err := tryOpen(d.Dir(), set)
 	must(t, err)
-	must(t, j.put(taken("a")))
+	must(t, j.put(accepted("a")))
 	d.Crash()
 	ops := d.Ops()
 	set.Owner = "second"
@@ -425,7 +426,7 @@
 		t.Errorf("%d operations", d.Ops()-ops)
 	}
 	set.Owner = "first"
-	if j, err = tryOpen(d.Dir(), set); err != nil || j.ids() != "a" { // the lock was given back
+	if j, err = tryOpen(d.Dir(), set); err != nil || j.ids() != "a" { // the lock was released
 		t.Errorf("%v, %v", j, err)
 	}
 }
@@ -436,14 +437,14 @@
 		j := open(t, memdir.New().Dir(), disk)
 		n := 0
 		for ; ; n++ {
-			if err := j.put(sized(fmt.Sprintf("m%05d", n), 200)); err != nil {
+			if err := j.put(acceptedOfSize(fmt.Sprintf("m%05d", n), 200)); err != nil {
 				break
 			}
 		}
-		m := sized("m00000", 200).Message
+		m := acceptedOfSize("m00000", 200).Message
 		size := len(m.ID) + len(m.Class) + len(m.Tenant) + len(m.Key) + 200
 		if c := journal.Capacity(disk, size); n < c || c < n*9/10 {
-			t.Errorf("disk %d: %d are held, told are %d", disk, n, c)
+			t.Errorf("disk %d: %d are live, Capacity is %d", disk, n, c)
 		}
 	}
 }
@@ -455,9 +456,9 @@
 		if _, err := tryOpen(dir, settings(1e6)); !errors.Is(err, journal.ErrLocked) {
 			t.Errorf("%s: a second owner: %v", name, err)
 		}
-		must(t, j.put(taken("a")))
+		must(t, j.put(accepted("a")))
 		must(t, j.Close())
-		j = open(t, dir, 1e6) // the lock's file is still there
+		j = open(t, dir, 1e6) // the lock file still exists
 		if j.ids() != "a" {
 			t.Errorf("%s: live %s", name, j.ids())
 		}
@@ -479,12 +480,12 @@
 	}
 }
 
-// The engine's messages and the journal's share one body.
+// The engine's messages and the journal share one body.
 func TestBodiesAreNotKeptTwice(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 1e6)
-	r := taken("a")
+	r := accepted("a")
 	must(t, j.put(r))
 	if got := j.Body("a"); &got[0] != &r.Message.Body[0] {
 		t.Error("the journal keeps a copy of what was taken")
--- a/internal/journal/leaf_test.go
+++ b/internal/journal/leaf_test.go
@@ -8,7 +8,7 @@
 	"curlewmux/internal/journal/memdir"
 )
 
-// The newest text of a leaf is carried on however many segments go, though it is written once.
+// The newest text of a leaf is written once, and kept by copies when old segments are removed.
 func TestLeavesAreCarriedThroughCompaction(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
@@ -20,8 +20,8 @@
 	first := segments(d)[0]
 	for i := range 2000 {
 		id := fmt.Sprint("m", i)
-		must(t, j.soon(taken(id)))
-		must(t, j.soon(ended(id)))
+		must(t, j.putWithRetry(accepted(id)))
+		must(t, j.putWithRetry(ended(id)))
 		if i%500 == 499 {
 			j = reopen(t, d, 64<<10)
 			if len(j.Leaves) != 20 {
@@ -35,11 +35,11 @@
 		}
 	}
 	if segments(d)[0] == first {
-		t.Error("no segment went: the test proves nothing")
+		t.Error("no segment was removed: the test proves nothing")
 	}
 }
 
-// Who keeps no books has no leaves: they go, and nothing is written of them.
+// Without KeepLeaves the leaves in the folder are dropped and no new ones are accepted.
 func TestLeavesGoWhereNoBooksAreKept(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
@@ -53,6 +53,6 @@
 		t.Errorf("left: %+v", j.Leaves)
 	}
 	if err := j.put(&engine.RecLedgerLeaf{Number: 1, Text: make([]byte, 1000)}); err == nil {
-		t.Error("a leaf of 1000 bytes is taken")
+		t.Error("a leaf of 1000 bytes is accepted")
 	}
 }
--- a/internal/journal/load_test.go
+++ b/internal/journal/load_test.go
@@ -11,14 +11,14 @@
 	"curlewmux/internal/journal/memdir"
 )
 
-// stream is a load of messages that live for a number of others each: taken, tried and ended.
+// stream is a load of messages that are accepted, attempted, and ended after a number of later messages.
 type stream struct {
 	*store
 	body, life int
-	keep       int // messages for which an id that ended counts
-	from, to   int // of what is held
+	keep       int // number of messages for which the id of an ended one is kept
+	from, to   int // live messages
 	refused    int
-	appended   int // bytes of the last round, about
+	appended   int // approximate bytes appended in the last round
 	largest    int
 }
 
@@ -38,7 +38,7 @@
 	}
 	for range messages {
 		id := fmt.Sprintf("message-%08d", s.to)
-		if put(s.body+120, sized(id, s.body)) {
+		if put(s.body+120, acceptedOfSize(id, s.body)) {
 			s.to++
 			s.largest = max(s.largest, s.body+150)
 		} else {
@@ -60,15 +60,15 @@
 	}
 }
 
-// At three times the usual rate, with each message living its full time, a Flush writes no more than its bound and removes
-// two segments at most, whatever is live; the disk is never exceeded, and only messages are refused.
+// At three times the usual rate, with each message living its full time, a Flush writes no more than its bound and
+// removes two segments at most, whatever is live. The disk limit is never exceeded, and only messages are refused.
 func TestCompactionKeepsItsBoundUnderAnyLoad(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		disk       int64
 		body, life int
 		keep       int
-		messages   int // a round
+		messages   int // per round
 	}{
 		{1e6, 200, 700, 700, 1}, {3e6, 200, 2500, 500, 8}, {3e6, 200, 1 << 20, 500, 3}, {3e6, 4000, 200, 200, 2},
 		{3e6, 1, 3, 3000, 5}, {256 << 10, 600, 100, 100, 2}, {journal.MinDisk, 30, 20, 20, 1}, {4e6, 200, 4000, 1000, 10},
@@ -89,7 +89,7 @@
 		for i := range rounds {
 			removed, wrote = 0, 0
 			s.round(t, c.messages)
-			// What was appended, four times that in copies and 8 KiB, twice the facts, a message, a header.
+			// What was appended, four times that and 8 KiB in copies, twice the facts, a message and a header.
 			if bound := 7*s.appended + 8<<10 + s.largest + 2048; wrote > bound || removed > 2 {
 				t.Fatalf("%+v, round %d: %d bytes written and %d segments removed, for %d appended", c, i, wrote, removed, s.appended)
 			}
@@ -105,30 +105,30 @@
 			}
 		}
 		if c.life > 1<<19 != (s.refused > 0) {
-			t.Errorf("%+v: %d refused, %d held", c, s.refused, s.to-s.from)
+			t.Errorf("%+v: %d refused, %d live", c, s.refused, s.to-s.from)
 		}
-		t.Logf("%+v: %d rounds, %d bytes a message, at most %d on disk, %d held, %d refused", c, rounds, total/max(s.to, 1), peak, s.to-s.from, s.refused)
+		t.Logf("%+v: %d rounds, %d bytes a message, at most %d on disk, %d live, %d refused", c, rounds, total/max(s.to, 1), peak, s.to-s.from, s.refused)
 		if k := reopen(t, d, c.disk); len(k.Live) != s.to-s.from {
 			t.Errorf("%+v: %d live, want %d", c, len(k.Live), s.to-s.from)
 		}
 	}
 }
 
-// A message with a body of any size that fits is kept through compactions; one that does not is refused for good.
+// A message with a body of any size that fits is kept through compactions. A larger one is always refused.
 func TestAMessageLargerThanASegment(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	const disk = 1 << 20 // segments of 32 KiB
 	j := open(t, d.Dir(), disk)
-	must(t, j.put(sized("large", 200<<10)))
+	must(t, j.put(acceptedOfSize("large", 200<<10)))
 	for _, size := range []int{400 << 10, 600 << 10, 1 << 20, 4 << 20} {
-		if err := j.put(sized("too large", size)); !errors.Is(err, engine.ErrFull) {
+		if err := j.put(acceptedOfSize("too large", size)); !errors.Is(err, engine.ErrFull) {
 			t.Fatalf("%d bytes: %v", size, err)
 		}
 	}
 	for i := range 3000 {
 		id := fmt.Sprint("m", i)
-		if err := j.put(sized(id, 1000)); err != nil {
+		if err := j.put(acceptedOfSize(id, 1000)); err != nil {
 			t.Fatal(i, err, j.Sizes())
 		}
 		must(t, j.put(ended(id)))
@@ -136,20 +136,20 @@
 			t.Fatalf("%d bytes on disk", n)
 		}
 	}
-	if j = reopen(t, d, disk); j.ids() != "large" || len(j.of("large").Message.Body) != 200<<10 {
+	if j = reopen(t, d, disk); j.ids() != "large" || len(j.message("large").Message.Body) != 200<<10 {
 		t.Errorf("live %s", j.ids())
 	}
 	must(t, j.put(ended("large")))
-	must(t, j.put(sized("again", 200<<10)))
+	must(t, j.put(acceptedOfSize("again", 200<<10)))
 }
 
-// What does not fit is refused before it is written: a batch that takes nothing only if there is no room at all, messages
-// while there is room for what must come after them.
+// What does not fit is refused before it is written. A batch without new messages is refused only if there is no room
+// at all. New messages are refused while the records that must follow them would have no room.
 func TestWhatDoesNotFitIsRefusedAndTheRestIsStored(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), journal.MinDisk)
-	must(t, j.put(taken("a")))
+	must(t, j.put(accepted("a")))
 	large := &engine.RecAttempts{At: now}
 	for range 30_000 {
 		large.List = append(large.List, engine.RecAttempt{ID: "a", Zone: 1})
@@ -157,13 +157,13 @@
 	if err := j.put(large); !errors.Is(err, engine.ErrFull) {
 		t.Fatalf("a batch larger than the disk: %v", err)
 	}
-	for round := range 40 { // much is void already, and much more comes than there is room for
+	for round := range 40 { // much is obsolete already, and much more comes than there is room for
 		refused := 0
 		var ends []engine.Record
 		for i := range 30 {
 			id := fmt.Sprintf("m%d-%d", round, i)
 			j.batch++
-			switch err := j.Append(j.batch, []engine.Record{sized(id, 1000), ended(id)}); {
+			switch err := j.Append(j.batch, []engine.Record{acceptedOfSize(id, 1000), ended(id)}); {
 			case errors.Is(err, engine.ErrFull):
 				refused++
 			case err != nil:
@@ -180,8 +180,8 @@
 			t.Fatalf("round %d: %d refused, %d bytes on disk", round, refused, n)
 		}
 	}
-	if j = reopen(t, d, journal.MinDisk); j.ids() != "a" || j.of("a").Tries != 40*30 {
-		t.Errorf("live %s, %+v", j.ids(), j.of("a"))
+	if j = reopen(t, d, journal.MinDisk); j.ids() != "a" || j.message("a").Tries != 40*30 {
+		t.Errorf("live %s, %+v", j.ids(), j.message("a"))
 	}
 }
 
@@ -191,28 +191,28 @@
 		d := memdir.New()
 		j := open(t, d.Dir(), 256<<10)
 		for life := range 3 {
-			r := taken("id")
+			r := accepted("id")
 			r.Message.Destination = life
 			must(t, j.put(r))
 			must(t, j.put(attempt(now, "id", life)))
 			if life < 2 {
 				must(t, j.put(&engine.RecEnded{ID: "id", Disposition: engine.Delivered, Until: until, Fingerprint: uint64(life)}))
 				if until != 0 {
-					must(t, j.put(attempt(until+1, "none", 0))) // its time is over
+					must(t, j.put(attempt(until+1, "none", 0))) // the kept id expires
 				}
 			}
 			if life == 1 {
 				turnOver(t, j, d)
 			}
 			k := open(t, d.Clone().Dir(), 256<<10)
-			if r := k.of("id"); (r != nil) != (life == 2) || r != nil && (r.Message.Destination != 2 || r.Tries != 1 || len(k.Ended) != 0) {
+			if r := k.message("id"); (r != nil) != (life == 2) || r != nil && (r.Message.Destination != 2 || r.Tries != 1 || len(k.Ended) != 0) {
 				t.Errorf("until %d, life %d: %+v, ended %+v", until, life, r, k.Ended)
 			}
 		}
 	}
 }
 
-// Ends of messages in older segments, many at once, and of messages that are not there.
+// Ends of messages in older segments, many at once, and of messages that do not exist.
 func TestEndsOfMessagesInOlderSegments(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
@@ -220,7 +220,7 @@
 	var ends []engine.Record
 	for i := range 200 {
 		id := fmt.Sprint("m", i)
-		must(t, j.put(sized(id, 300)))
+		must(t, j.put(acceptedOfSize(id, 300)))
 		ends = append(ends, &engine.RecEnded{ID: id, Disposition: engine.Closed, Until: now + engine.Timestamp(i%2)*1e9})
 	}
 	must(t, j.put(attempt(now+1, "none", 0)))
@@ -228,7 +228,7 @@
 		t.Fatalf("segments %v", segments(d))
 	}
 	must(t, j.put(append(ends, ended("never there"))...))
-	must(t, j.put(ends...)) // once more: it says nothing
+	must(t, j.put(ends...)) // once more: this has no effect
 	turnOver(t, j, d)
 	j = reopen(t, d, 256<<10)
 	if len(j.Live) != 0 || len(j.Ended) != 100 {
@@ -236,26 +236,26 @@
 	}
 }
 
-// A folder that holds more than the disk it is opened with takes nothing on until it holds less.
+// A folder that exceeds the disk limit it is opened with accepts no message until it is within the limit.
 func TestASmallerDiskIsReachedByItself(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 1<<20)
 	for i := range 500 {
-		must(t, j.put(sized(fmt.Sprint("m", i), 800)))
+		must(t, j.put(acceptedOfSize(fmt.Sprint("m", i), 800)))
 	}
 	const disk = 256 << 10
 	j = reopen(t, d, disk)
 	if len(j.Live) != 500 {
 		t.Fatalf("%d live", len(j.Live))
 	}
-	if err := j.put(taken("new")); !errors.Is(err, engine.ErrFull) {
-		t.Fatalf("taken on: %v", err)
+	if err := j.put(accepted("new")); !errors.Is(err, engine.ErrFull) {
+		t.Fatalf("accepted: %v", err)
 	}
 	for i := range 450 {
 		must(t, j.put(ended(fmt.Sprint("m", i))))
 	}
-	must(t, j.soon(taken("new")))
+	must(t, j.putWithRetry(accepted("new")))
 	if n := d.Used(); n > disk {
 		t.Errorf("%d bytes on disk", n)
 	}
--- a/internal/journal/model_test.go
+++ b/internal/journal/model_test.go
@@ -9,11 +9,11 @@
 	"curlewmux/engine"
 )
 
-// model is what records come to, in the plainest way.
+// model is a plain implementation of what records mean.
 type model struct {
 	order   []string
 	live    map[string]*engine.RestoredMessage
-	newest  map[string]bool // the doubt is of the newest attempt
+	newest  map[string]bool // the doubt is about the newest attempt
 	ended   map[string]*engine.RestoredEnd
 	leaves  map[uint64]string
 	written engine.Timestamp
@@ -98,8 +98,7 @@
 	}
 }
 
-// differs says in what a journal's state is not the model's, "" if in nothing. An id that ended may be forgotten once its
-// time is over.
+// differs describes how a journal's state differs from the model, "" if it does not. An expired id may be forgotten.
 func (m *model) differs(s *store) string {
 	var got []string
 	for _, r := range s.Live {
--- a/internal/journal/rig_test.go
+++ b/internal/journal/rig_test.go
@@ -14,7 +14,7 @@
 
 const now = engine.Timestamp(1_764_550_000_000_000)
 
-// store is a journal under test and what it held when it was opened.
+// store is a journal under test and the state that it had when it was opened.
 type store struct {
 	*journal.Journal
 	*journal.State
@@ -40,7 +40,7 @@
 	return &store{Journal: j, State: st}, err
 }
 
-// reopen crashes the process and opens the folder anew.
+// reopen crashes the process and opens the folder again.
 func reopen(t testing.TB, d *memdir.Disk, disk int64) *store {
 	t.Helper()
 	d.Crash()
@@ -62,9 +62,9 @@
 	return nil
 }
 
-// soon stores records as one batch, trying again while there is no room, as often as the journal needs to find out that
-// there is some again.
-func (s *store) soon(records ...engine.Record) (err error) {
+// putWithRetry stores records as one batch. While the journal is full it tries again, as often as the journal needs
+// to notice that there is room.
+func (s *store) putWithRetry(records ...engine.Record) (err error) {
 	for range 20 {
 		if err = s.put(records...); !errors.Is(err, engine.ErrFull) {
 			return err
@@ -89,10 +89,10 @@
 	}
 }
 
-func taken(id string) *engine.RecAccepted { return sized(id, 0) }
+func accepted(id string) *engine.RecAccepted { return acceptedOfSize(id, 0) }
 
-// sized is a message with a body of a size, or of message's.
-func sized(id string, size int) *engine.RecAccepted {
+// acceptedOfSize is a message with a body of the given size, or with the default body if size is 0.
+func acceptedOfSize(id string, size int) *engine.RecAccepted {
 	m := message(id)
 	if size > 0 {
 		m.Body = []byte(strings.Repeat("x", size))
@@ -108,7 +108,7 @@
 	return &engine.RecEnded{ID: id, Disposition: engine.Delivered}
 }
 
-// ids lists the live messages' ids.
+// ids returns the ids of the live messages.
 func (s *store) ids() string {
 	var out []string
 	for _, r := range s.Live {
@@ -117,7 +117,7 @@
 	return strings.Join(out, " ")
 }
 
-func (s *store) of(id string) *engine.RestoredMessage {
+func (s *store) message(id string) *engine.RestoredMessage {
 	for _, r := range s.Live {
 		if r.Message.ID == id {
 			return r
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// segments lists the files of the log.
+// segments returns the names of the log's files.
 func segments(d *memdir.Disk) (out []string) {
 	for _, name := range d.Names() {
 		if strings.HasSuffix(name, ".seg") {
--- a/internal/journal/sync_test.go
+++ b/internal/journal/sync_test.go
@@ -19,13 +19,13 @@
 	"curlewmux/internal/journal/memdir"
 )
 
-// synced opens a journal that syncs when run is called.
-func synced(t *testing.T, d *memdir.Disk, sync journal.Sync) (j *store, list *[]engine.Batch, run func()) {
+// openSynced opens a journal that syncs when run is called. list holds what OnStored was called with.
+func openSynced(t *testing.T, d *memdir.Disk, sync journal.Sync) (j *store, list *[]engine.Batch, run func()) {
 	t.Helper()
-	return syncedOn(t, d, sync, 1e6)
+	return openSyncedOnDisk(t, d, sync, 1e6)
 }
 
-func syncedOn(t *testing.T, d *memdir.Disk, sync journal.Sync, disk int64) (j *store, list *[]engine.Batch, run func()) {
+func openSyncedOnDisk(t *testing.T, d *memdir.Disk, sync journal.Sync, disk int64) (j *store, list *[]engine.Batch, run func()) {
 	t.Helper()
 	var work []func()
 	list = &[]engine.Batch{}
@@ -45,7 +45,7 @@
 	}
 }
 
-func syncs(d *memdir.Disk) *int {
+func countSyncs(d *memdir.Disk) *int {
 	n := new(int)
 	d.Fault = func(op memdir.Op) memdir.Fault {
 		if op.Kind == memdir.SyncFile {
@@ -56,14 +56,14 @@
 	return n
 }
 
-// A batch is told as stored only once it is synced, and one sync is for all that was flushed since the last.
+// A batch is reported as stored only once it is synced. One sync covers all that was flushed since the last one.
 func TestOneSyncIsForAllThatWasFlushedMeanwhile(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
-	j, list, run := synced(t, d, journal.SyncAlways)
-	n := syncs(d)
+	j, list, run := openSynced(t, d, journal.SyncAlways)
+	n := countSyncs(d)
 	flush := func(b engine.Batch) {
-		must(t, j.Append(b, []engine.Record{taken(fmt.Sprint("m", b))}))
+		must(t, j.Append(b, []engine.Record{accepted(fmt.Sprint("m", b))}))
 		if got, err := j.Flush(); err != nil || got >= b {
 			t.Fatalf("batch %d: stored up to %d before any sync, %v", b, got, err)
 		}
@@ -72,11 +72,11 @@
 		flush(b + 1)
 	}
 	if len(*list) > 0 {
-		t.Fatalf("told %v before any sync", *list)
+		t.Fatalf("reported %v before any sync", *list)
 	}
 	run()
 	if *n != 1 || len(*list) != 1 || (*list)[0] != 5 {
-		t.Errorf("%d syncs, told %v", *n, *list)
+		t.Errorf("%d syncs, reported %v", *n, *list)
 	}
 	flush(6)
 	run()
@@ -89,16 +89,16 @@
 	}
 }
 
-// What a sync that fails was for is not stored: it is told so, is gone at once and at the next start, and what comes after
-// it counts.
+// A failed sync means that its batches are not stored. This is reported, they are gone at once and after a restart,
+// and later batches count.
 func TestAFailedSyncTakesBackWhatItWasFor(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
-	j, list, run := synced(t, d, journal.SyncAlways)
-	must(t, j.Append(1, []engine.Record{taken("a"), taken("b")}))
+	j, list, run := openSynced(t, d, journal.SyncAlways)
+	must(t, j.Append(1, []engine.Record{accepted("a"), accepted("b")}))
 	j.Flush()
 	run()
-	must(t, j.Append(2, []engine.Record{taken("c"), ended("a")}))
+	must(t, j.Append(2, []engine.Record{accepted("c"), ended("a")}))
 	j.Flush()
 	must(t, j.Append(3, []engine.Record{attempt(now, "c", 1), &engine.RecPendingResult{ID: "b", PendingResult: engine.PendingResult{Disposition: engine.Failed}}}))
 	j.Flush()
@@ -108,23 +108,23 @@
 		}
 		return memdir.Fault{}
 	}
-	must(t, j.Append(4, []engine.Record{taken("d")})) // not flushed yet
+	must(t, j.Append(4, []engine.Record{accepted("d")})) // not flushed yet
 	run()
 	d.Fault = nil
-	if !slices.Equal(*list, []engine.Batch{1, 1}) { // nothing new, but Flush has something to tell
-		t.Fatalf("told %v", *list)
+	if !slices.Equal(*list, []engine.Batch{1, 1}) { // nothing new is stored, but Flush has an error to return
+		t.Fatalf("reported %v", *list)
 	}
-	if err := j.Append(5, []engine.Record{taken("e")}); !errors.Is(err, syscall.EIO) {
+	if err := j.Append(5, []engine.Record{accepted("e")}); !errors.Is(err, syscall.EIO) {
 		t.Fatalf("appended behind what is taken back: %v", err)
 	}
-	if b, err := j.Flush(); b != 1 || !errors.Is(err, syscall.EIO) { // 4 was appended to what is taken back
+	if b, err := j.Flush(); b != 1 || !errors.Is(err, syscall.EIO) { // batch 4 was appended to what is undone
 		t.Fatalf("stored up to %d, %v", b, err)
 	}
-	must(t, j.Append(6, []engine.Record{taken("a2"), attempt(now, "a", 1)}))
+	must(t, j.Append(6, []engine.Record{accepted("a2"), attempt(now, "a", 1)}))
 	j.Flush()
 	run()
 	if last := (*list)[len(*list)-1]; last != 6 {
-		t.Errorf("told %v", *list)
+		t.Errorf("reported %v", *list)
 	}
 	if why := j.CheckTable(); why != "" {
 		t.Error(why)
@@ -135,34 +135,34 @@
 			c.PowerFail(func(int) int { return 0 })
 		}
 		k := open(t, c.Dir(), 1e6)
-		if k.ids() != "a b a2" || k.of("b").Pending != nil || k.of("a").Tries != 1 || string(k.of("b").Message.Body) == "" {
+		if k.ids() != "a b a2" || k.message("b").Pending != nil || k.message("a").Tries != 1 || string(k.message("b").Message.Body) == "" {
 			t.Errorf("power failure %v: live %s", power, k.ids())
 		}
 	}
 }
 
-// When a write fails nothing behind what is stored may come after all: what was on its way is taken back, too, and the
-// sync that it was handed to tells nothing of it.
+// When a write fails, no batch behind the stored ones may become stored later. Writes that wait for their sync are
+// undone, too, and that sync does not report them.
 func TestAFailedWriteTakesBackWhatIsOnItsWay(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
-	j, list, run := synced(t, d, journal.SyncAlways)
-	must(t, j.Append(1, []engine.Record{taken("a")}))
+	j, list, run := openSynced(t, d, journal.SyncAlways)
+	must(t, j.Append(1, []engine.Record{accepted("a")}))
 	j.Flush()
 	run()
-	must(t, j.Append(2, []engine.Record{taken("b"), ended("a")}))
+	must(t, j.Append(2, []engine.Record{accepted("b"), ended("a")}))
 	j.Flush()
 	d.Fault = func(memdir.Op) memdir.Fault { return memdir.Fault{Err: syscall.EIO, WrittenBytes: 1 << 20} }
-	must(t, j.Append(3, []engine.Record{taken("c")}))
+	must(t, j.Append(3, []engine.Record{accepted("c")}))
 	if b, err := j.Flush(); b != 1 || !errors.Is(err, syscall.EIO) {
 		t.Fatalf("stored up to %d, %v", b, err)
 	}
 	d.Fault = nil
-	must(t, j.Append(4, []engine.Record{taken("d")}))
+	must(t, j.Append(4, []engine.Record{accepted("d")}))
 	j.Flush()
 	run()
 	if last := (*list)[len(*list)-1]; last != 4 || slices.Contains(*list, 2) || slices.Contains(*list, 3) {
-		t.Errorf("told %v", *list)
+		t.Errorf("reported %v", *list)
 	}
 	if b, err := j.Flush(); b != 4 || err != nil {
 		t.Errorf("stored up to %d, %v", b, err)
@@ -172,35 +172,35 @@
 	}
 }
 
-// during is a folder that calls something in the middle of the next sync of a file.
-type during struct {
+// hookedDir is a folder that calls onSync in the middle of the next sync of a file.
+type hookedDir struct {
 	journal.Dir
-	do func()
+	onSync func()
 }
 
-func (d *during) Create(name string) (journal.File, error) {
+func (d *hookedDir) Create(name string) (journal.File, error) {
 	f, err := d.Dir.Create(name)
-	return duringFile{f, d}, err
+	return hookedFile{f, d}, err
 }
 
-type duringFile struct {
+type hookedFile struct {
 	journal.File
-	d *during
+	d *hookedDir
 }
 
-func (f duringFile) Sync() error {
-	if do := f.d.do; do != nil {
-		f.d.do = nil
+func (f hookedFile) Sync() error {
+	if do := f.d.onSync; do != nil {
+		f.d.onSync = nil
 		do()
 	}
 	return f.File.Sync()
 }
 
-// The same while the sync that it was handed to is under way, which then succeeds.
+// The same while the sync is under way. It then succeeds.
 func TestASyncUnderWayTellsNothingOfWhatWasTakenBack(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
-	dir := &during{Dir: d.Dir()}
+	dir := &hookedDir{Dir: d.Dir()}
 	var work []func()
 	var list []engine.Batch
 	set := settings(1e6)
@@ -208,21 +208,21 @@
 	set.OnStored = func(b engine.Batch) { list = append(list, b) }
 	j, err := tryOpen(dir, set)
 	must(t, err)
-	must(t, j.Append(1, []engine.Record{taken("a")}))
+	must(t, j.Append(1, []engine.Record{accepted("a")}))
 	j.Flush()
-	dir.do = func() {
+	dir.onSync = func() {
 		d.Fault = func(op memdir.Op) memdir.Fault {
 			if op.Kind == memdir.Write {
 				return memdir.Fault{Err: syscall.EIO}
 			}
 			return memdir.Fault{}
 		}
-		must(t, j.Append(2, []engine.Record{taken("b")}))
+		must(t, j.Append(2, []engine.Record{accepted("b")}))
 		if b, err := j.Flush(); b != 0 || !errors.Is(err, syscall.EIO) {
 			t.Errorf("stored up to %d, %v", b, err)
 		}
 		d.Fault = nil
-		must(t, j.Append(3, []engine.Record{taken("c")}))
+		must(t, j.Append(3, []engine.Record{accepted("c")}))
 		j.Flush()
 	}
 	for len(work) > 0 {
@@ -231,7 +231,7 @@
 		f()
 	}
 	if slices.Contains(list, 1) || slices.Contains(list, 2) || !slices.Contains(list, 3) {
-		t.Errorf("told %v", list)
+		t.Errorf("reported %v", list)
 	}
 	d.PowerFail(func(int) int { return 0 })
 	if k := open(t, d.Dir(), 1e6); k.ids() != "c" {
@@ -239,13 +239,13 @@
 	}
 }
 
-// With SyncInterval a batch is stored at once and synced when the time has come; after a sync that failed all that is
-// live is written anew, so that the next one makes it last.
+// With SyncInterval a batch is stored at once and synced later. After a failed sync all live content is written
+// again, so that the next sync makes it durable.
 func TestAnIntervalsFailedSyncIsMadeGood(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
-	j, _, run := synced(t, d, journal.SyncInterval)
-	must(t, j.put(taken("a"), taken("b")))
+	j, _, run := openSynced(t, d, journal.SyncInterval)
+	must(t, j.put(accepted("a"), accepted("b")))
 	must(t, j.put(attempt(now, "a", 1)))
 	d.Fault = func(op memdir.Op) memdir.Fault {
 		if op.Kind == memdir.SyncFile {
@@ -261,30 +261,30 @@
 	run()
 	must(t, j.put(&engine.RecNoop{}))
 	run()
-	// What the failed sync was for is lost when the power fails, also what it had written before.
+	// What the failed sync covered is lost when the power fails, including what was written before it.
 	first := segments(d)[0]
 	if len(segments(d)) > 1 || first == "journal-00000001.seg" {
 		t.Errorf("segments %v: the one that could not be synced is still needed", segments(d))
 	}
 	d.PowerFail(func(int) int { return 0 })
-	if k := open(t, d.Dir(), 1e6); k.ids() != "a" || k.of("a").DoubtAt != now {
+	if k := open(t, d.Dir(), 1e6); k.ids() != "a" || k.message("a").DoubtAt != now {
 		t.Errorf("live %s", k.ids())
 	}
 }
 
-// What was synced long ago stays where it was until its copy is synced, also when that sync fails.
+// A segment that was synced is kept until the copies of its content are synced, also if that sync fails.
 func TestASegmentStaysUntilItsCopiesAreSynced(t *testing.T) {
 	t.Parallel()
 	for _, sync := range []journal.Sync{journal.SyncInterval, journal.SyncAlways} {
 		for n := 1; n < 70; n += 4 {
 			d := memdir.New()
-			j, _, run := synced(t, d, sync)
+			j, _, run := openSynced(t, d, sync)
 			j.batch = 1
-			must(t, j.Append(1, []engine.Record{sized("old", 3000)}))
+			must(t, j.Append(1, []engine.Record{acceptedOfSize("old", 3000)}))
 			round := func(i int) {
 				id := fmt.Sprint("m", i)
 				j.batch++
-				j.Append(j.batch, []engine.Record{sized(id, 12_000), ended(id)}) // it may fail with the sync before
+				j.Append(j.batch, []engine.Record{acceptedOfSize(id, 12_000), ended(id)}) // it may fail with the sync before
 				j.Flush()
 				run()
 			}
@@ -303,7 +303,7 @@
 			for seed := range uint64(4) {
 				c := d.Clone()
 				c.PowerFail(rand.New(rand.NewPCG(seed, uint64(n))).IntN)
-				if k := open(t, c.Dir(), 1e6); k.of("old") == nil {
+				if k := open(t, c.Dir(), 1e6); k.message("old") == nil {
 					t.Fatalf("sync %d, %d rounds: live %s, found %+v", sync, n, k.ids(), k.Findings)
 				}
 			}
@@ -311,7 +311,7 @@
 	}
 }
 
-// The same with a goroutine that syncs for real, on the system's files.
+// The same with a real syncing goroutine on the operating system's files.
 func TestSyncAlwaysOnTheSystemsFiles(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -333,7 +333,7 @@
 	must(t, err)
 	const n = 300
 	for b := engine.Batch(1); b <= n; b++ {
-		records := []engine.Record{sized(fmt.Sprint("m", b), 2000)}
+		records := []engine.Record{acceptedOfSize(fmt.Sprint("m", b), 2000)}
 		if b > 10 {
 			records = append(records, ended(fmt.Sprint("m", b-10)))
 		}
@@ -357,15 +357,15 @@
 	must(t, j.Close())
 }
 
-// The wall clock is stepped by an hour each way while messages are held: all that was written before moves along, also
-// over restarts and compaction, and no id is forgotten before its time.
+// The wall clock is stepped by an hour either way while messages are live. All times that were written before move
+// along, also through restarts and compaction, and no id is forgotten too early.
 func TestAStepOfTheClockMovesWhatWasWrittenBefore(t *testing.T) {
 	t.Parallel()
 	const hour = 3_600_000_000
 	for _, by := range []int64{hour, -hour} {
 		d := memdir.New()
 		j := open(t, d.Dir(), 256<<10)
-		must(t, j.put(taken("held"), taken("tried"), taken("done")))
+		must(t, j.put(accepted("held"), accepted("tried"), accepted("done")))
 		must(t, j.put(attempt(now, "tried", 1)))
 		must(t, j.put(&engine.RecEnded{ID: "done", Disposition: engine.Delivered, Until: now + 60e6}))
 		must(t, j.put(&engine.RecClockStep{By: by}))
@@ -378,10 +378,10 @@
 				turnOver(t, j, d)
 			}
 			j = reopen(t, d, 256<<10)
-			if r := j.of("held"); r.Deadline != then+hour || r.DoubtAt != then+1e6 {
+			if r := j.message("held"); r.Deadline != then+hour || r.DoubtAt != then+1e6 {
 				t.Errorf("step %d, compacted %v: held %+v", by, compacted, r)
 			}
-			if r := j.of("tried"); r.Deadline != then+hour || r.DoubtAt != then {
+			if r := j.message("tried"); r.Deadline != then+hour || r.DoubtAt != then {
 				t.Errorf("step %d, compacted %v: tried %+v", by, compacted, r)
 			}
 			if len(j.Ended) != 1 || j.Ended[0].Until != then+60e6 {
@@ -391,7 +391,7 @@
 				t.Errorf("step %d, compacted %v: written %d", by, compacted, j.Last.LatestTimestamp-then)
 			}
 		}
-		j.Tick(then + 61e6) // its time is over
+		j.Tick(then + 61e6) // the id expires
 		turnOver(t, j, d)
 		if j = reopen(t, d, 256<<10); len(j.Ended) != 0 {
 			t.Errorf("step %d: ended %+v", by, j.Ended)
@@ -399,12 +399,12 @@
 	}
 }
 
-// Where the clock was set back while the process was down, the state says what the last record bore.
+// If the clock was set back while the process was down, the state still has the time of the last record.
 func TestTheLastRecordsTimeIsToldAfterARestart(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 256<<10)
-	must(t, j.put(taken("a"), attempt(now+5, "a", 1)))
+	must(t, j.put(accepted("a"), attempt(now+5, "a", 1)))
 	must(t, j.put(&engine.RecNeverRan{ID: "a"}))
 	turnOver(t, j, d) // the attempt's own record is gone
 	if j = reopen(t, d, 256<<10); j.Last.LatestTimestamp != now+5 {
@@ -418,20 +418,21 @@
 
 const childSeed = 21
 
-// child is the world that TestKilledProcess's child plays on the system's files: the same one each time.
-func child(dir journal.Dir) *world {
-	w := newWorld(childSeed, journal.SyncNone, 128<<10)
+// childSimulation is what the child process of TestAKilledProcessLosesNothing runs on real files: the same load each
+// time.
+func childSimulation(dir journal.Dir) *simulation {
+	w := newSimulation(childSeed, journal.SyncNone, 128<<10)
 	w.dir = dir
 	return w
 }
 
-// TestMain is the child, if it is asked to be.
+// TestMain runs the child process if JOURNAL_TEST_CHILD is set.
 func TestMain(m *testing.M) {
 	dir := os.Getenv("JOURNAL_TEST_CHILD")
 	if dir == "" {
 		os.Exit(m.Run())
 	}
-	w := child(journal.OSDir(dir))
+	w := childSimulation(journal.OSDir(dir))
 	if err := w.start(true); err != nil {
 		fmt.Println(err)
 		os.Exit(1)
@@ -445,8 +446,8 @@
 	}
 }
 
-// A real process is killed with SIGKILL at some dozens of moments: what it had confirmed is there, and of the rest the
-// first so many batches. A start is never refused, though the lock's file is left behind.
+// A real process is killed with SIGKILL at a random moment, some dozens of times. What it had confirmed is there, and
+// of the rest some number of the first batches. A start is never refused, though the lock file is left behind.
 func TestAKilledProcessLosesNothing(t *testing.T) {
 	t.Parallel()
 	rnd := rand.New(rand.NewPCG(1, 3))
@@ -462,23 +463,23 @@
 			if rounds, err = strconv.Atoi(lines.Text()); err != nil {
 				t.Fatal(lines.Text())
 			}
-			if rounds == stop { // what comes after it is read on
+			if rounds == stop { // its later output is still read
 				must(t, cmd.Process.Kill())
 			}
 		}
 		if err := cmd.Wait(); err == nil || rounds < stop {
 			t.Fatalf("the child ended by itself after %d rounds: %v", rounds, err)
 		}
-		w := child(nil)
+		w := childSimulation(nil)
 		must(t, w.start(true))
 		for range rounds {
 			must(t, w.round())
 		}
 		j, err := tryOpen(journal.OSDir(dir), settings(128<<10))
 		must(t, err)
-		why := w.sure.differs(j)
-		m := w.sure.clone()
-		for range 2 { // what was written after the last line
+		why := w.confirmed.differs(j)
+		m := w.confirmed.clone()
+		for range 2 { // what was written after the last line of output
 			w.trace = nil
 			must(t, w.round())
 			for _, b := range w.trace {
@@ -494,15 +495,15 @@
 	}
 }
 
-// On a disk that others have filled, what was taken on has room for its end, and no message is taken on; once there is
-// room they are again.
+// On a disk that others have filled, accepted messages have room for their end, and no new one is accepted. Once
+// there is room, messages are accepted again.
 func TestWhatWasTakenHasRoomForItsEndOnAFullDisk(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 1e6)
 	const n = 60
 	for i := range n {
-		must(t, j.put(sized(fmt.Sprint("m", i), 300)))
+		must(t, j.put(acceptedOfSize(fmt.Sprint("m", i), 300)))
 	}
 	d.SetCapacity(d.Used()) // not one block is left
 	for i := range n {
@@ -511,25 +512,25 @@
 		must(t, j.put(&engine.RecPendingResult{ID: id, PendingResult: engine.PendingResult{Disposition: engine.Failed}}))
 		must(t, j.put(&engine.RecEnded{ID: id, Disposition: engine.Failed, Until: now + 1e6}))
 		if i > 10 {
-			if err := j.put(taken("new")); !errors.Is(err, engine.ErrFull) {
-				t.Fatalf("taken on: %v", err)
+			if err := j.put(accepted("new")); !errors.Is(err, engine.ErrFull) {
+				t.Fatalf("accepted: %v", err)
 			}
 		}
 	}
 	d.SetCapacity(0)
-	must(t, j.soon(taken("new")))
+	must(t, j.putWithRetry(accepted("new")))
 	if j = reopen(t, d, 1e6); j.ids() != "new" || len(j.Ended) != n {
 		t.Errorf("live %s, %d ended", j.ids(), len(j.Ended))
 	}
 }
 
-// The same where nothing is ever flushed, because nothing else comes: what is refused makes room for itself.
+// The same if nothing is ever flushed, because nothing else arrives: a refused batch makes room itself.
 func TestTakingGoesOnByItselfThoughNothingIsFlushed(t *testing.T) {
 	t.Parallel()
 	again := func(j *store) error {
 		for range 40 {
 			j.batch++
-			err := j.Append(j.batch, []engine.Record{taken("new")})
+			err := j.Append(j.batch, []engine.Record{accepted("new")})
 			if !errors.Is(err, engine.ErrFull) {
 				return err
 			}
@@ -538,23 +539,23 @@
 	}
 	d := memdir.New() // a full disk
 	j := open(t, d.Dir(), 1e6)
-	must(t, j.put(taken("a")))
+	must(t, j.put(accepted("a")))
 	d.SetCapacity(d.Used())
 	for i := range 60 {
 		must(t, j.put(attempt(now, "a", i)))
 	}
-	d.SetCapacity(d.Used()) // others took what the spare file had
+	d.SetCapacity(d.Used()) // others took the space of the spare file
 	if err := again(j); err == nil {
-		t.Fatal("taken on while the disk is full")
+		t.Fatal("accepted while the disk is full")
 	}
 	d.SetCapacity(0)
 	must(t, again(j))
 
-	d = memdir.New() // a journal full of what has ended
+	d = memdir.New() // a journal full of ended messages
 	j = open(t, d.Dir(), 256<<10)
 	for i := 0; ; i++ {
 		j.batch++
-		err := j.Append(j.batch, []engine.Record{sized(fmt.Sprint("m", i), 3000), ended(fmt.Sprint("m", i))})
+		err := j.Append(j.batch, []engine.Record{acceptedOfSize(fmt.Sprint("m", i), 3000), ended(fmt.Sprint("m", i))})
 		if errors.Is(err, engine.ErrFull) {
 			break
 		}
@@ -566,20 +567,21 @@
 	must(t, again(j))
 }
 
-// Guards against a journal that takes nothing any more for good: each sync that fails has all that is live written anew,
-// and what was void stays meanwhile. Where that finds no room, it must not stay for ever.
+// Guards against a journal that never accepts a message again. Each failed sync makes the journal copy all live
+// content and keep obsolete segments meanwhile. If there is no room for the copies, the obsolete segments must not be
+// kept for good.
 func TestSyncsThatFailAgainAndAgainLeaveRoomInTheEnd(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
 		d := memdir.New()
-		j, _, run := syncedOn(t, d, journal.SyncInterval, 100<<10)
+		j, _, run := openSyncedOnDisk(t, d, journal.SyncInterval, 100<<10)
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var live []string
 		n := 0
 		put := func() (err error) {
 			n++
 			id := fmt.Sprint("m", n)
-			if err = j.put(sized(id, 300)); err == nil {
+			if err = j.put(acceptedOfSize(id, 300)); err == nil {
 				live = append(live, id)
 			}
 			if len(live) > 0 && (err != nil || len(live) > 40) {
@@ -613,7 +615,7 @@
 			run()
 		}
 		if good < 200 {
-			t.Errorf("seed %d: %d of 300 messages are taken once all is well", seed, good)
+			t.Errorf("seed %d: %d of 300 messages are accepted without faults", seed, good)
 		}
 		if why := j.CheckTable(); why != "" {
 			t.Error(why)
