--- a/internal/journal/check.go
+++ b/internal/journal/check.go
@@ -31,10 +31,10 @@
 // Check reads a folder without changing it. If a process is writing there, the report shows the state of a moment
 // ago. An error means that the folder can't be read, ErrNewerFormat that a newer program wrote it.
 func Check(dir Dir) (*Report, error) {
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		r, err := checkOnce(dir)
 		// Segments may be removed while they are read.
-		if again := errors.Is(err, fs.ErrNotExist) || errors.Is(err, io.ErrUnexpectedEOF); !again || try == 200 {
+		if again := errors.Is(err, fs.ErrNotExist) || errors.Is(err, io.ErrUnexpectedEOF); !again || attempt == 200 {
 			if err != nil {
 				return nil, fmt.Errorf("journal: %w", err)
 			}
@@ -48,91 +48,91 @@
 	if err != nil {
 		return nil, err
 	}
-	r, err := readFolder(dir, "", true)
+	result, err := readFolder(dir, "", true)
 	if err != nil {
 		return nil, err
 	}
-	rep := &Report{State: *r.toState(r.findings), Owner: r.owner, ObsoleteFiles: r.obsolete, Bytes: r.v1Bytes}
-	for _, s := range r.segments {
-		rep.Segments = append(rep.Segments, Segment{s.name, s.diskSize, s.validSize})
-		rep.Bytes += blocks(s.diskSize)
+	report := &Report{State: *result.toState(result.findings), Owner: result.owner, ObsoleteFiles: result.obsolete, Bytes: result.v1Bytes}
+	for _, s := range result.segments {
+		report.Segments = append(report.Segments, Segment{s.name, s.diskSize, s.validSize})
+		report.Bytes += blocks(s.diskSize)
 	}
-	for _, name := range r.v1Files {
+	for _, name := range result.v1Files {
 		n := fileSize(dir, name)
-		rep.Segments = append(rep.Segments, Segment{name, n, n})
+		report.Segments = append(report.Segments, Segment{name, n, n})
 	}
-	for _, name := range r.obsolete {
-		rep.Bytes += fileSize(dir, name)
+	for _, name := range result.obsolete {
+		report.Bytes += fileSize(dir, name)
 	}
 	for _, name := range names {
 		if name == spareName {
-			rep.Bytes += fileSize(dir, name)
+			report.Bytes += fileSize(dir, name)
 		}
 	}
 	switch {
-	case len(r.v1Files) > 0:
-		rep.Format = 1
-	case len(r.segments) > 0:
-		rep.Format = formatVersion
+	case len(result.v1Files) > 0:
+		report.Format = 1
+	case len(result.segments) > 0:
+		report.Format = formatVersion
 	}
-	return rep, nil
+	return report, nil
 }
 
 // Print writes the report as text, with a line for each live message if messages is set.
 func (r *Report) Print(w io.Writer, messages bool) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	now := r.Last.LatestTimestamp
 	if messages {
-		fmt.Fprintln(t, "ID\tCLASS\tTENANT\tDEST\tBYTES\tTRIES\tDOUBT\tDEADLINE\tOWED")
+		fmt.Fprintln(out, "ID\tCLASS\tTENANT\tDEST\tBYTES\tTRIES\tDOUBT\tDEADLINE\tOWED")
 		for _, l := range r.Live {
 			m := &l.Message
-			doubt, owed := "-", "-"
+			doubt, pending := "-", "-"
 			if l.DoubtAt != 0 {
 				doubt = formatTime(l.DoubtAt)
 			}
 			if l.Pending != nil {
-				owed = dispositionName(l.Pending.Disposition)
+				pending = dispositionName(l.Pending.Disposition)
 			}
-			fmt.Fprintf(t, "%q\t%q\t%q\t%d\t%d\t%d\t%s\t%s\t%s\n",
-				m.ID, m.Class, m.Tenant, m.Destination, len(m.Body), l.Tries, doubt, formatTime(l.Deadline), owed)
+			fmt.Fprintf(out, "%q\t%q\t%q\t%d\t%d\t%d\t%s\t%s\t%s\n",
+				m.ID, m.Class, m.Tenant, m.Destination, len(m.Body), l.Tries, doubt, formatTime(l.Deadline), pending)
 		}
-		if err := t.Flush(); err != nil {
+		if err := out.Flush(); err != nil {
 			return err
 		}
 	}
 	for _, s := range r.Segments {
-		fmt.Fprintf(t, "segment\t%s\t%d bytes\t%d count\n", s.Name, s.Bytes, s.ValidBytes)
+		fmt.Fprintf(out, "segment\t%s\t%d bytes\t%d count\n", s.Name, s.Bytes, s.ValidBytes)
 	}
 	for _, name := range r.ObsoleteFiles {
-		fmt.Fprintf(t, "void\t%s\n", name)
+		fmt.Fprintf(out, "void\t%s\n", name)
 	}
 	for _, name := range r.Findings.ForeignFiles {
-		fmt.Fprintf(t, "foreign\t%s\n", name)
+		fmt.Fprintf(out, "foreign\t%s\n", name)
 	}
-	fmt.Fprintf(t, "format\t%d\nowner\t%q\n", r.Format, r.Owner)
-	owed, doubtful := 0, 0
+	fmt.Fprintf(out, "format\t%d\nowner\t%q\n", r.Format, r.Owner)
+	pending, doubtful := 0, 0
 	for _, l := range r.Live {
 		if l.Pending != nil {
-			owed++
+			pending++
 		}
 		if l.DoubtAt != 0 {
 			doubtful++
 		}
 	}
-	fmt.Fprintf(t, "live\t%d\t%d may have run\t%d with an end to be told\n", len(r.Live), doubtful, owed)
-	fmt.Fprintf(t, "ended\t%d\tids that still count\n", len(r.Ended))
+	fmt.Fprintf(out, "live\t%d\t%d may have run\t%d with an end to be told\n", len(r.Live), doubtful, pending)
+	fmt.Fprintf(out, "ended\t%d\tids that still count\n", len(r.Ended))
 	if now != 0 {
-		fmt.Fprintf(t, "written\t%s\n", formatTime(now))
+		fmt.Fprintf(out, "written\t%s\n", formatTime(now))
 	}
-	fmt.Fprintf(t, "disk\t%d bytes\n", r.Bytes)
+	fmt.Fprintf(out, "disk\t%d bytes\n", r.Bytes)
 	f := &r.Findings
-	fmt.Fprintf(t, "unfinished\t%d bytes\n", f.UnfinishedBytes)
+	fmt.Fprintf(out, "unfinished\t%d bytes\n", f.UnfinishedBytes)
 	if !f.OK() {
-		fmt.Fprintf(t, "DAMAGED\t%d bytes, %d segments missing\n", f.DamagedBytes, f.MissingSegments)
-		fmt.Fprintf(t, "lost\t%d messages at most\t%d records about messages, and %d found a second time\n", f.LostMessages, f.LostFacts, f.RecoveredFacts)
-		fmt.Fprintf(t, "doubtful\t%d messages will not be sent again\n", f.DoubtfulMessages)
+		fmt.Fprintf(out, "DAMAGED\t%d bytes, %d segments missing\n", f.DamagedBytes, f.MissingSegments)
+		fmt.Fprintf(out, "lost\t%d messages at most\t%d records about messages, and %d found a second time\n", f.LostMessages, f.LostFacts, f.RecoveredFacts)
+		fmt.Fprintf(out, "doubtful\t%d messages will not be sent again\n", f.DoubtfulMessages)
 	}
-	return t.Flush()
+	return out.Flush()
 }
 
 func formatTime(s engine.Timestamp) string {
--- a/internal/journal/compact.go
+++ b/internal/journal/compact.go
@@ -20,8 +20,8 @@
 // compact appends copies of the live content of the oldest segments to buf, and drops segments with nothing left in
 // them.
 func (j *Journal) compact() {
-	room := min(copyBytesPerFlush, int(j.segmentSize)/2) + copyFactor*len(j.buf)
-	work := 0
+	budget := min(copyBytesPerFlush, int(j.segmentSize)/2) + copyFactor*len(j.buf)
+	copied := 0
 	for dropped := 0; len(j.segments) > 0 && j.shouldCompact(); {
 		s := j.segments[0]
 		if s.seq == j.targetSegment() {
@@ -29,19 +29,19 @@
 		}
 		n := j.oldest()
 		switch empty := n == nil || n.seg > s.seq; {
-		case empty && dropped == removalsPerFlush, !empty && work >= room:
+		case empty && dropped == removalsPerFlush, !empty && copied >= budget:
 			return
 		case empty:
 			j.dropOldest()
 			dropped++
 		case n.live == nil && j.expired(n):
-			work += nodeCost
+			copied += nodeCost
 			j.beginCopyFrame()
 			j.forget(n)
 		default:
 			at := len(j.buf)
 			j.copyNode(n)
-			work += len(j.buf) - at
+			copied += len(j.buf) - at
 		}
 	}
 }
--- a/internal/journal/crash_test.go
+++ b/internal/journal/crash_test.go
@@ -112,13 +112,13 @@
 	if !w.j.Findings.OK() {
 		return fmt.Sprintf("damage is reported where there is none: %+v", w.j.Findings)
 	}
-	maybe := append(w.rejected, w.unconfirmed)
+	possible := append(w.rejected, w.unconfirmed)
 	if strict {
 		why := w.confirmed.differs(w.j)
 		if why == "" {
 			return ""
 		}
-		for _, list := range maybe {
+		for _, list := range possible {
 			m := w.confirmed.clone()
 			for _, b := range list {
 				m.apply(b.records)
@@ -131,8 +131,8 @@
 		}
 		return why
 	}
-	touched, turned := map[string]bool{}, map[uint64]bool{}
-	for _, b := range slices.Concat(maybe...) {
+	touched, changedLeaves := map[string]bool{}, map[uint64]bool{}
+	for _, b := range slices.Concat(possible...) {
 		for _, r := range b.records {
 			switch r := r.(type) {
 			case *engine.RecAccepted:
@@ -146,7 +146,7 @@
 			case *engine.RecEnded:
 				touched[r.ID] = true
 			case *engine.RecLedgerLeaf:
-				turned[r.Number] = true
+				changedLeaves[r.Number] = true
 			case *engine.RecClockStep:
 				return "" // times can't be compared after a clock step
 			}
@@ -157,7 +157,7 @@
 		have[l.Number] = string(l.Text)
 	}
 	for n, text := range w.confirmed.leaves {
-		if !turned[n] && have[n] != text {
+		if !changedLeaves[n] && have[n] != text {
 			return fmt.Sprintf("leaf %d is %q, want %q", n, have[n], text)
 		}
 	}
@@ -339,10 +339,10 @@
 const crashDisk = journal.MinDisk
 
 // fork returns a simulation that continues from a copy of this one's disk.
-func (w *simulation) fork(d *memdir.Disk) *simulation {
+func (w *simulation) fork(disk *memdir.Disk) *simulation {
 	w.forks++
 	c := newSimulation(w.forks, w.set.Sync, w.set.Disk)
-	c.disk, c.now, c.nextID, c.confirmed = d, w.now, w.nextID+1000, w.confirmed.clone()
+	c.disk, c.now, c.nextID, c.confirmed = disk, w.now, w.nextID+1000, w.confirmed.clone()
 	c.unconfirmed, c.rejected = slices.Clone(w.unconfirmed), slices.Clone(w.rejected)
 	return c
 }
@@ -356,8 +356,8 @@
 	w := newSimulation(seed, sync, crashDisk)
 	kinds := map[memdir.OpKind]int{}
 	w.disk.Fault = func(op memdir.Op) memdir.Fault {
-		lands := []int{0, op.Size / 2, max(op.Size-1, 1), max(op.Size, 1)}
-		for how, land := range lands {
+		writtenSizes := []int{0, op.Size / 2, max(op.Size-1, 1), max(op.Size, 1)}
+		for how, land := range writtenSizes {
 			if land == 0 && how > 0 || op.Size == 0 && how == 2 {
 				continue
 			}
@@ -444,7 +444,7 @@
 func TestADiskInTroubleLosesNothingStored(t *testing.T) {
 	t.Parallel()
 	for _, sync := range []journal.Sync{journal.SyncNone, journal.SyncInterval, journal.SyncAlways} {
-		fails, ends := 0, 0
+		failures, ends := 0, 0
 		for seed := range 24 + 5**long {
 			w := newSimulation(seed, sync, crashDisk)
 			injectDiskFaults(w, seed)
@@ -468,10 +468,10 @@
 					t.Fatalf("sync %d, seed %d: it does not go on by itself: %v", sync, seed, err)
 				}
 			}
-			fails, ends = fails+w.failures, ends+len(w.confirmed.ended)
+			failures, ends = failures+w.failures, ends+len(w.confirmed.ended)
 		}
-		if fails < 100 || ends < 50 {
-			t.Errorf("sync %d: %d batches failed, %d ids: the disk had no faults, or nothing was done", sync, fails, ends)
+		if failures < 100 || ends < 50 {
+			t.Errorf("sync %d: %d batches failed, %d ids: the disk had no faults, or nothing was done", sync, failures, ends)
 		}
 	}
 }
@@ -479,16 +479,16 @@
 // The same with power failures: SyncAlways keeps what it reported as stored.
 func TestADiskInTroubleLosesNothingSynced(t *testing.T) {
 	t.Parallel()
-	fails := 0
+	failures := 0
 	for seed := range 36 + 5**long {
 		w := newSimulation(seed, journal.SyncAlways, crashDisk)
 		injectDiskFaults(w, seed)
 		if err := w.play(200, true); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		fails += w.failures
+		failures += w.failures
 	}
-	if fails < 100 {
-		t.Errorf("%d batches failed", fails)
+	if failures < 100 {
+		t.Errorf("%d batches failed", failures)
 	}
 }
--- a/internal/journal/damage_test.go
+++ b/internal/journal/damage_test.go
@@ -10,9 +10,9 @@
 	"curlewmux/internal/journal/memdir"
 )
 
-// filledDisk returns a disk on which many messages ended, and the model of what is live. sure is the size that the
+// filledDisk returns a disk on which many messages ended, and the model of what is live. earlierSize is the size that the
 // newest segment had three writes ago, or 0 if it is newer than that.
-func filledDisk(t *testing.T, rounds int, disk int64) (d *memdir.Disk, m *model, sure int) {
+func filledDisk(t *testing.T, rounds int, disk int64) (d *memdir.Disk, m *model, earlierSize int) {
 	t.Helper()
 	w := newSimulation(5, journal.SyncNone, disk)
 	must(t, w.start(true))
@@ -20,14 +20,14 @@
 	for i := range rounds {
 		if i == rounds-3 {
 			name = newestSegment(w.disk)
-			sure = len(w.disk.Read(name))
+			earlierSize = len(w.disk.Read(name))
 		}
 		must(t, w.round())
 	}
 	if name != newestSegment(w.disk) {
-		sure = 0
+		earlierSize = 0
 	}
-	return w.disk, w.confirmed, sure
+	return w.disk, w.confirmed, earlierSize
 }
 
 func newestSegment(d *memdir.Disk) string { s := segments(d); return s[len(s)-1] }
@@ -58,7 +58,7 @@
 	if len(names) < 3 {
 		t.Fatalf("segments %v", names)
 	}
-	told := 0
+	reported := 0
 	for i, name := range names {
 		text := d.Read(name)
 		end := len(text)
@@ -81,13 +81,13 @@
 				t.Fatalf("%s, byte %d: %d messages are lost, reported are %+v", name, at, n, s.Findings)
 			}
 			if !s.Findings.OK() {
-				told++
+				reported++
 			}
 			must(t, s.put(accepted("new"))) // the journal still accepts messages
 		}
 	}
-	if told < 300 {
-		t.Errorf("damage was reported %d times", told)
+	if reported < 300 {
+		t.Errorf("damage was reported %d times", reported)
 	}
 }
 
@@ -103,12 +103,12 @@
 func TestAZeroedBlockAnywhereHarmsNothingElse(t *testing.T) {
 	t.Parallel()
 	for _, disk := range []int64{64 << 10, 3e6} { // several small segments, and a single large one
-		d, m, sure := filledDisk(t, 90, disk)
+		d, m, earlierSize := filledDisk(t, 90, disk)
 		for _, name := range segments(d) {
 			text := d.Read(name)
 			end := len(text)
 			if name == newestSegment(d) {
-				end = min(sure, end)
+				end = min(earlierSize, end)
 			}
 			for at := 0; at+512 <= end; at += 512 {
 				bad := d.Clone()
@@ -190,9 +190,9 @@
 	must(t, o.put(accepted("foreign")))
 
 	for i, c := range []struct {
-		name string
-		text []byte
-		told bool
+		name     string
+		text     []byte
+		reported bool
 	}{
 		{"journal-00000900.seg", d.Read(names[1]), false},
 		{"journal-00000001.seg", d.Read(names[0]), false},
@@ -206,7 +206,7 @@
 		if why := m.differs(j); why != "" {
 			t.Errorf("case %d: %s", i, why)
 		}
-		if c.told != (len(j.Findings.ForeignFiles) == 1) || c.told != (s.Read(c.name) != nil) {
+		if c.reported != (len(j.Findings.ForeignFiles) == 1) || c.reported != (s.Read(c.name) != nil) {
 			t.Errorf("case %d: found %+v, files %v", i, j.Findings, s.Names())
 		}
 		must(t, j.put(accepted("new")))
--- a/internal/journal/echo.go
+++ b/internal/journal/echo.go
@@ -32,9 +32,9 @@
 	if n-e.base < len(e.chunks)/2 || n == e.base {
 		return
 	}
-	k := copy(e.chunks, e.chunks[n-e.base:])
-	clear(e.chunks[k:])
-	e.chunks, e.base = e.chunks[:k], n
+	left := copy(e.chunks, e.chunks[n-e.base:])
+	clear(e.chunks[left:])
+	e.chunks, e.base = e.chunks[:left], n
 }
 
 func (e *repeatQueue) undoWrite(f *pendingWrite) {
@@ -53,19 +53,19 @@
 	if len(j.buf) == 0 {
 		return
 	}
-	e := &j.repeats
+	queue := &j.repeats
 	seg, room := j.targetSegment(), len(j.buf)+blockSize
-	frame := j.bytesWritten + int64(len(j.buf)) // all repetitions of one write start in one frame
-	for ; e.nextFirst < e.base+len(e.chunks); e.nextFirst++ {
-		c := &e.chunks[e.nextFirst-e.base]
-		if c.segment == seg && c.end+blockSize > frame {
+	frameStart := j.bytesWritten + int64(len(j.buf)) // all repetitions of one write start in one frame
+	for ; queue.nextFirst < queue.base+len(queue.chunks); queue.nextFirst++ {
+		c := &queue.chunks[queue.nextFirst-queue.base]
+		if c.segment == seg && c.end+blockSize > frameStart {
 			break
 		}
 		c.repeatSegment = seg
 		j.putRepeat(c)
 	}
-	for ; e.nextSecond < e.nextFirst && room > 0; e.nextSecond++ {
-		c := &e.chunks[e.nextSecond-e.base]
+	for ; queue.nextSecond < queue.nextFirst && room > 0; queue.nextSecond++ {
+		c := &queue.chunks[queue.nextSecond-queue.base]
 		if c.segment == seg {
 			break
 		}
--- a/internal/journal/frame.go
+++ b/internal/journal/frame.go
@@ -42,7 +42,7 @@
 // end of the valid frame before it. If the two differ, the bytes between them are damaged. What follows the last
 // valid frame is an unfinished write, or damage that can't be told from one.
 func scanFrames(text []byte, salt uint64, at int64, use func(payload []byte, at, after int64)) scanResult {
-	s := scanResult{validEnd: at}
+	result := scanResult{validEnd: at}
 	for n := int64(len(text)); at+frameHeaderSize <= n; {
 		head := text[at : at+frameHeaderSize]
 		size := int64(binary.LittleEndian.Uint32(head))
@@ -52,11 +52,11 @@
 		}
 		end := at + frameHeaderSize + size
 		if payload := text[at+frameHeaderSize : end]; binary.LittleEndian.Uint32(head[4:]) == checksum(payload) {
-			use(payload, at, s.validEnd)
-			s.validEnd = end
-			s.frameCount++
+			use(payload, at, result.validEnd)
+			result.validEnd = end
+			result.frameCount++
 		}
 		at = end
 	}
-	return s
+	return result
 }
--- a/internal/journal/fuzz_test.go
+++ b/internal/journal/fuzz_test.go
@@ -92,9 +92,9 @@
 		}
 		m := newModel()
 		ids := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f", "g", "h"})
-		stamp := rapid.Int64Range(int64(now)-1e9, int64(now)+1e9)
+		timestamps := rapid.Int64Range(int64(now)-1e9, int64(now)+1e9)
 		keep := map[string]bool{}
-		one := func() engine.Record {
+		drawRecord := func() engine.Record {
 			id := ids.Draw(t, "id")
 			switch rapid.IntRange(0, 8).Draw(t, "kind") {
 			case 0, 1:
@@ -103,11 +103,11 @@
 				}
 				return &engine.RecNeverRan{ID: id}
 			case 2:
-				return &engine.RecAttempts{At: engine.Timestamp(stamp.Draw(t, "at")), List: []engine.RecAttempt{{ID: id, Zone: 1}, {ID: ids.Draw(t, "id"), Zone: -1}}}
+				return &engine.RecAttempts{At: engine.Timestamp(timestamps.Draw(t, "at")), List: []engine.RecAttempt{{ID: id, Zone: 1}, {ID: ids.Draw(t, "id"), Zone: -1}}}
 			case 3:
 				return &engine.RecNeverRan{ID: id}
 			case 4:
-				return &engine.RecState{ID: id, Tries: 2, DoubtAt: engine.Timestamp(stamp.Draw(t, "at")), Settled: rapid.Bool().Draw(t, "settled")}
+				return &engine.RecState{ID: id, Tries: 2, DoubtAt: engine.Timestamp(timestamps.Draw(t, "at")), Settled: rapid.Bool().Draw(t, "settled")}
 			case 5:
 				return &engine.RecPendingResult{ID: id, PendingResult: engine.PendingResult{Disposition: engine.Refused, RetryAfter: 5}}
 			case 6:
@@ -115,7 +115,7 @@
 			default:
 				e := &engine.RecEnded{ID: id, Disposition: engine.Closed}
 				if keep[id] || rapid.Bool().Draw(t, "keep") {
-					e.Until, keep[id] = engine.Timestamp(stamp.Draw(t, "until")), true
+					e.Until, keep[id] = engine.Timestamp(timestamps.Draw(t, "until")), true
 				}
 				return e
 			}
@@ -125,7 +125,7 @@
 				var records []engine.Record
 				before := m.clone()
 				for range rapid.IntRange(1, 4).Draw(t, "records") {
-					r := one()
+					r := drawRecord()
 					records = append(records, r)
 					m.apply([]engine.Record{r})
 				}
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -186,57 +186,57 @@
 // with ErrNewerFormat if a newer program wrote it, with ErrOtherOwner if another dispatcher wrote it, and if it can't
 // be read. In these cases the folder is not changed. Damage and a full disk are not errors. Files are kept, except
 // for obsolete ones and those of the first format, whose content is written again in the current format.
-func Open(dir Dir, set Settings) (_ *Journal, _ *State, err error) {
-	if err := set.check(); err != nil {
+func Open(dir Dir, settings Settings) (_ *Journal, _ *State, err error) {
+	if err := settings.check(); err != nil {
 		return nil, nil, fmt.Errorf("journal: %w", err)
 	}
-	if set.Log == nil {
-		set.Log = slog.New(slog.DiscardHandler)
+	if settings.Log == nil {
+		settings.Log = slog.New(slog.DiscardHandler)
 	}
 	lock, err := dir.Lock(lockName)
 	if err != nil {
 		return nil, nil, fmt.Errorf("journal: %w", err)
 	}
-	j := &Journal{dir: dir, settings: set, lock: lock, segmentSize: segmentSize(set.Disk)}
+	j := &Journal{dir: dir, settings: settings, lock: lock, segmentSize: segmentSize(settings.Disk)}
 	defer func() {
 		if err != nil {
 			err = errors.Join(err, j.Close())
 		}
 	}()
-	r, err := readFolder(dir, set.Owner, false)
+	result, err := readFolder(dir, settings.Owner, false)
 	if err != nil {
 		return nil, nil, fmt.Errorf("journal: %w", err)
 	}
-	if err := j.adopt(r); err != nil {
+	if err := j.adopt(result); err != nil {
 		return nil, nil, fmt.Errorf("journal: %w", err)
 	}
-	if set.Sync != SyncNone {
+	if settings.Sync != SyncNone {
 		if err := j.syncExisting(); err != nil {
 			return nil, nil, fmt.Errorf("journal: %w", err)
 		}
 	}
-	r.findings.log(set.Log)
-	if u := j.used() + j.reserve(0); u > set.Disk {
-		set.Log.Warn("journal: the folder exceeds its disk limit; no message is accepted until it is within it",
-			"disk", set.Disk, "used", j.used())
-		j.graceLimit = u
+	result.findings.log(settings.Log)
+	if needed := j.used() + j.reserve(0); needed > settings.Disk {
+		settings.Log.Warn("journal: the folder exceeds its disk limit; no message is accepted until it is within it",
+			"disk", settings.Disk, "used", j.used())
+		j.graceLimit = needed
 	}
 	j.fillSpare()
-	if !set.KeepLeaves {
+	if !settings.KeepLeaves {
 		for _, l := range j.leaves() {
 			j.forget(j.leafNodes[l.Number])
 		}
 		j.discardUndo(len(j.undo))
 	}
-	return j, j.toState(r.findings), nil
+	return j, j.toState(result.findings), nil
 }
 
 // adopt takes over the result of reading the folder, and writes content of the first format in the current one.
-func (j *Journal) adopt(r *recovery) error {
-	j.table = r.table
+func (j *Journal) adopt(result *recovery) error {
+	j.table = result.table
 	j.noUndo = false
-	j.identity, j.segments, j.firstSeq, j.foreignBytes = r.identity, r.segments, r.firstSeq, r.foreignBytes
-	j.nextFrame, j.nextFact, j.nextFull, j.lastSeq = r.nextFrame, r.nextFact, r.nextFull, r.lastSeq
+	j.identity, j.segments, j.firstSeq, j.foreignBytes = result.identity, result.segments, result.firstSeq, result.foreignBytes
+	j.nextFrame, j.nextFact, j.nextFull, j.lastSeq = result.nextFrame, result.nextFact, result.nextFull, result.lastSeq
 	j.synced = counters{frame: j.nextFrame, fact: j.nextFact}
 	for j.identity == 0 {
 		j.identity = j.settings.Random()
@@ -245,19 +245,19 @@
 		j.segmentBytes += blocks(s.diskSize)
 		j.largestSegment = max(j.largestSegment, s.diskSize)
 	}
-	for _, name := range r.obsolete {
+	for _, name := range result.obsolete {
 		if err := j.dir.Remove(name); err != nil {
 			j.settings.Log.Warn("journal: removing an obsolete file", "file", name, "error", err)
 			j.foreignBytes += fileSize(j.dir, name)
 		}
 	}
-	if r.findings.isDamaged() {
+	if result.findings.isDamaged() {
 		j.rewriteUpTo = j.lastSeq // the damaged segments go once their content is copied
 	}
-	if len(r.v1Files) == 0 {
+	if len(result.v1Files) == 0 {
 		return nil
 	}
-	j.foreignBytes += r.v1Bytes // both copies exist until the old files are removed
+	j.foreignBytes += result.v1Bytes // both copies exist until the old files are removed
 	for left := j.count; left > 0; left-- {
 		j.copyNode(j.oldest())
 		if int64(len(j.buf)) >= j.segmentSize {
@@ -277,12 +277,12 @@
 		}
 	}
 	j.discardUndo(len(j.undo))
-	for _, name := range r.v1Files {
+	for _, name := range result.v1Files {
 		if err := j.dir.Remove(name); err != nil {
 			return err
 		}
 	}
-	j.foreignBytes -= r.v1Bytes
+	j.foreignBytes -= result.v1Bytes
 	return nil
 }
 
@@ -323,8 +323,8 @@
 
 // Leaf returns the newest text of a leaf, including appended batches that are not flushed, or nil if there is none.
 func (j *Journal) Leaf(number uint64) []byte {
-	if n := j.leafNodes[number]; n != nil {
-		return n.leaf.Text
+	if leafNode := j.leafNodes[number]; leafNode != nil {
+		return leafNode.leaf.Text
 	}
 	return nil
 }
@@ -378,19 +378,19 @@
 		return fmt.Errorf("journal: batch %d: %w", b, j.failure)
 	}
 	m := j.checkpoint()
-	size := j.liveBytes
-	takes := false
+	liveBefore := j.liveBytes
+	accepts := false
 	j.beginFrame()
 	for _, r := range records {
 		if _, ok := r.(*engine.RecAccepted); ok {
-			takes = true
+			accepts = true
 		}
 		if err := j.encode(r); err != nil {
 			j.revertTo(m)
 			return fmt.Errorf("journal: batch %d: %w", b, err)
 		}
 	}
-	if takes && (j.liveBytes > size && j.liveBytes > j.maxLiveBytes() || j.spare.missing ||
+	if accepts && (j.liveBytes > liveBefore && j.liveBytes > j.maxLiveBytes() || j.spare.missing ||
 		j.used()+j.growth()+j.reserve(j.growth()) > j.settings.Disk) {
 		j.revertTo(m)
 		if len(j.buf) == 0 { // a caller may not flush after a refusal, and a flush makes room
@@ -503,9 +503,9 @@
 		}
 	case *engine.RecPendingResult:
 		if n := find(r.ID, kindPending); n != nil {
-			owed := r.PendingResult
-			b = putPending(b, &owed)
-			j.setPending(n, &owed)
+			pending := r.PendingResult
+			b = putPending(b, &pending)
+			j.setPending(n, &pending)
 		}
 	case *engine.RecEnded:
 		if n := find(r.ID, kindEnded); n != nil {
@@ -591,29 +591,29 @@
 
 // finishWrite hands the finished write to the syncing goroutine, or marks it as stored if the journal does not sync.
 func (j *Journal) finishWrite() error {
-	f := j.current
-	f.next = counters{frame: j.nextFrame, fact: j.nextFact}
+	pending := j.current
+	pending.next = counters{frame: j.nextFrame, fact: j.nextFact}
 	j.clearBuffer()
-	if f.batch > 0 && j.settings.Sync != SyncAlways {
-		j.storedBatch = f.batch
+	if pending.batch > 0 && j.settings.Sync != SyncAlways {
+		j.storedBatch = pending.batch
 	}
 	if j.rewriteUpTo > 0 && (len(j.segments) == 0 || j.segments[0].seq > j.rewriteUpTo) {
 		j.rewriteUpTo = 0
-		f.obsolete = append(f.obsolete, j.heldObsolete...)
+		pending.obsolete = append(pending.obsolete, j.heldObsolete...)
 		j.heldObsolete = nil
 	}
 	if j.settings.Sync != SyncAlways { // it can't be undone any more
 		j.discardUndo(len(j.undo))
-		f.undo, f.nextSecond = 0, j.repeats.nextSecond
+		pending.undo, pending.nextSecond = 0, j.repeats.nextSecond
 		j.repeats.trim(j.repeats.nextSecond)
 	}
 	if j.settings.Sync == SyncNone {
-		j.markStored(&f)
+		j.markStored(&pending)
 		return nil
 	}
-	err := j.handToSyncer(&f)
-	j.newest.lastWrite = f.number
-	j.pendingWrites = append(j.pendingWrites, f)
+	err := j.handToSyncer(&pending)
+	j.newest.lastWrite = pending.number
+	j.pendingWrites = append(j.pendingWrites, pending)
 	if err != nil {
 		j.applySyncResults()
 		err, j.failure = j.failure, nil
@@ -679,25 +679,25 @@
 	if j.needsNewSegment() {
 		return j.writeNewSegment()
 	}
-	h := j.newest
-	grown := blocks(h.validSize+int64(len(j.buf))) - blocks(h.diskSize)
+	newest := j.newest
+	grown := blocks(newest.validSize+int64(len(j.buf))) - blocks(newest.diskSize)
 	if j.used()+grown > j.diskLimit() {
 		return engine.ErrFull
 	}
-	j.fillFrameHeaders(j.buf, h.salt, h.validSize)
-	if _, err := h.file.WriteAt(j.buf, h.validSize); err != nil {
+	j.fillFrameHeaders(j.buf, newest.salt, newest.validSize)
+	if _, err := newest.file.WriteAt(j.buf, newest.validSize); err != nil {
 		// Truncate what was written, or else later frames would follow a torn one.
-		if e := h.file.Truncate(h.validSize); e != nil {
-			h.torn, h.diskSize = true, h.validSize+int64(len(j.buf))
+		if truncateErr := newest.file.Truncate(newest.validSize); truncateErr != nil {
+			newest.torn, newest.diskSize = true, newest.validSize+int64(len(j.buf))
 			j.segmentBytes += grown
-			err = errors.Join(err, e)
+			err = errors.Join(err, truncateErr)
 		}
 		return err
 	}
-	h.validSize += int64(len(j.buf))
-	h.diskSize = h.validSize
+	newest.validSize += int64(len(j.buf))
+	newest.diskSize = newest.validSize
 	j.segmentBytes += grown
-	j.largestSegment = max(j.largestSegment, h.diskSize)
+	j.largestSegment = max(j.largestSegment, newest.diskSize)
 	return nil
 }
 
@@ -723,34 +723,34 @@
 		h.latestTime = j.current.last + h.clockShift
 	}
 	b := h.append(make([]byte, 0, headerCopyOffset+maxHeaderSize+len(j.buf)))
-	at := len(b)
+	headerSize := len(b)
 	b = append(b, j.buf...)
 	grown := blocks(int64(len(b)))
 	if j.used()+grown > j.diskLimit() {
 		return engine.ErrFull
 	}
-	s := &segment{seq: h.seq, salt: h.salt, name: segmentName(h.seq), diskSize: int64(len(b))}
-	j.fillFrameHeaders(b[at:], s.salt, int64(at))
-	f, err := j.dir.Create(s.name)
+	created := &segment{seq: h.seq, salt: h.salt, name: segmentName(h.seq), diskSize: int64(len(b))}
+	j.fillFrameHeaders(b[headerSize:], created.salt, int64(headerSize))
+	f, err := j.dir.Create(created.name)
 	if err != nil {
 		return err
 	}
 	if _, err := f.WriteAt(b, 0); err != nil {
 		err = errors.Join(err, f.Close())
-		if e := j.dir.Remove(s.name); e != nil { // the file stays for now; its number is not used again
-			j.lastSeq = s.seq
-			j.obsolete = append(j.obsolete, s)
+		if removeErr := j.dir.Remove(created.name); removeErr != nil { // the file stays for now; its number is not used again
+			j.lastSeq = created.seq
+			j.obsolete = append(j.obsolete, created)
 			j.obsoleteBytes += grown
-			err = errors.Join(err, e)
+			err = errors.Join(err, removeErr)
 		}
 		return err
 	}
-	s.file, s.validSize = f, int64(len(b))
+	created.file, created.validSize = f, int64(len(b))
 	j.retireNewest()
-	j.newest, j.lastSeq = s, s.seq
-	j.segments = append(j.segments, s)
+	j.newest, j.lastSeq = created, created.seq
+	j.segments = append(j.segments, created)
 	j.segmentBytes += grown
-	j.largestSegment = max(j.largestSegment, s.diskSize)
+	j.largestSegment = max(j.largestSegment, created.diskSize)
 	j.current.newSegment = true
 	return nil
 }
--- a/internal/journal/memdir/memdir.go
+++ b/internal/journal/memdir/memdir.go
@@ -53,34 +53,34 @@
 }
 
 // DiskAfterCrash returns a copy of the disk as it is if the process crashes during the operation. Of a write the
-// first land bytes are written. Any other operation is done unless land is 0. Only Disk.Fault may call it.
-func (op Op) DiskAfterCrash(land int) *Disk {
-	c := op.disk.clone()
-	f := c.files[op.Name]
+// first writtenBytes bytes are written. Any other operation is done unless writtenBytes is 0. Only Disk.Fault may call it.
+func (op Op) DiskAfterCrash(writtenBytes int) *Disk {
+	crashed := op.disk.clone()
+	f := crashed.files[op.Name]
 	switch {
 	case op.Kind == Write:
 		if f != nil {
-			f.write(op.data[:min(land, len(op.data))], op.offset)
+			f.write(op.data[:min(writtenBytes, len(op.data))], op.offset)
 		}
-	case land == 0:
+	case writtenBytes == 0:
 	case op.Kind == Create:
 		if f == nil {
-			c.files[op.Name] = &inode{}
+			crashed.files[op.Name] = &inode{}
 		}
 	case op.Kind == Truncate:
 		if f != nil {
 			f.truncate(op.offset)
 		}
 	case op.Kind == Remove:
-		delete(c.files, op.Name)
+		delete(crashed.files, op.Name)
 	case op.Kind == SyncFile:
 		if f != nil {
 			f.synced = slices.Clone(f.data)
 		}
 	case op.Kind == SyncDir:
-		c.syncDir()
+		crashed.syncDir()
 	}
-	return c
+	return crashed
 }
 
 // Fault says what happens instead of an operation. The zero value lets it succeed.
@@ -187,10 +187,10 @@
 	}
 	slices.Sort(list)
 	for _, name := range list {
-		f, old := d.files[name], d.durable[name]
-		if f != old {
+		f, durable := d.files[name], d.durable[name]
+		if f != durable {
 			if random(2) == 0 {
-				f = old
+				f = durable
 			}
 			delete(d.files, name)
 			if f != nil {
@@ -213,12 +213,12 @@
 	}
 	out := make([]byte, size)
 	for at := 0; at < size; at += blockSize {
-		from := f.data
+		source := f.data
 		if random(2) == 0 {
-			from = f.synced
+			source = f.synced
 		}
-		if at < len(from) {
-			copy(out[at:min(at+blockSize, size)], from[at:])
+		if at < len(source) {
+			copy(out[at:min(at+blockSize, size)], source[at:])
 		}
 	}
 	f.data, f.synced = out, slices.Clone(out)
@@ -289,8 +289,8 @@
 }
 
 // beginOp counts an operation and returns its fault. The disk is locked.
-func (d *Disk) beginOp(boot int, op Op) (Fault, error) {
-	if boot != d.generation {
+func (d *Disk) beginOp(generation int, op Op) (Fault, error) {
+	if generation != d.generation {
 		return Fault{}, ErrCrashed
 	}
 	op.Index, op.disk = d.ops, d
@@ -306,10 +306,10 @@
 }
 
 // atomicOp runs an operation that is done completely or not at all. In a crash it is done if WrittenBytes is not 0.
-func (d *Disk) atomicOp(boot int, op Op, do func() error) error {
+func (d *Disk) atomicOp(generation int, op Op, do func() error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f, err := d.beginOp(boot, op)
+	f, err := d.beginOp(generation, op)
 	switch {
 	case err != nil:
 		return err
--- a/internal/journal/old.go
+++ b/internal/journal/old.go
@@ -59,28 +59,28 @@
 
 // replayV1 passes the payload of each valid record to apply. It returns where the valid records end and how many
 // bytes before that are damaged. What follows the last valid record is an unfinished write.
-func replayV1(text []byte, apply func([]byte) error) (good, bad int) {
-	for at := 0; at+v1HeaderSize <= len(text); {
-		n := int64(binary.LittleEndian.Uint32(text[at+2:]))
-		if text[at] == 'c' && text[at+1] == 'm' && n <= int64(len(text)-at-v1HeaderSize) {
-			payload := text[at+v1HeaderSize:][:n]
-			if binary.LittleEndian.Uint32(text[at+6:]) == checksum(payload) {
-				bad += at - good
+func replayV1(text []byte, apply func([]byte) error) (validEnd, damaged int) {
+	for offset := 0; offset+v1HeaderSize <= len(text); {
+		n := int64(binary.LittleEndian.Uint32(text[offset+2:]))
+		if text[offset] == 'c' && text[offset+1] == 'm' && n <= int64(len(text)-offset-v1HeaderSize) {
+			payload := text[offset+v1HeaderSize:][:n]
+			if binary.LittleEndian.Uint32(text[offset+6:]) == checksum(payload) {
+				damaged += offset - validEnd
 				if apply(payload) != nil { // intact, but it can't be decoded: nothing inside it is taken for a record
-					bad += v1HeaderSize + int(n)
+					damaged += v1HeaderSize + int(n)
 				}
-				at += v1HeaderSize + int(n)
-				good = at
+				offset += v1HeaderSize + int(n)
+				validEnd = offset
 				continue
 			}
 		}
-		next := bytes.Index(text[at+1:], []byte("cm"))
+		next := bytes.Index(text[offset+1:], []byte("cm"))
 		if next < 0 {
 			break
 		}
-		at += 1 + next
+		offset += 1 + next
 	}
-	return good, bad
+	return validEnd, damaged
 }
 
 func (r *reader) v1Timestamp() engine.Timestamp { return engine.Timestamp(r.uvarint()) }
@@ -116,23 +116,23 @@
 			t.neverRan(n)
 		}
 	case v1Pending:
-		id, deferred, again := r.text(), r.uvarint(), r.uvarint()
+		id, deferred, retryAfter := r.text(), r.uvarint(), r.uvarint()
 		if n := t.live[id]; n != nil && r.err == nil {
-			o := &engine.PendingResult{Disposition: engine.Failed, RetryAfter: time.Duration(min(again, 1<<40)) * time.Millisecond}
+			pending := &engine.PendingResult{Disposition: engine.Failed, RetryAfter: time.Duration(min(retryAfter, 1<<40)) * time.Millisecond}
 			if deferred == 1 {
-				o.Disposition = engine.Refused
+				pending.Disposition = engine.Refused
 			}
-			o.Fingerprint = n.live.msg.Fingerprint() // computed while the body is still there
-			t.setPending(n, o)
+			pending.Fingerprint = n.live.msg.Fingerprint() // computed while the body is still there
+			t.setPending(n, pending)
 		}
 	case v1Ended:
 		if n := t.live[r.text()]; n != nil && r.err == nil {
 			t.end(n, 0, 0, 0, 0)
 		}
 	case v1State:
-		id, tries, at, zone, unproven := r.text(), r.uvarint(), r.v1Timestamp(), r.uvarint(), r.uvarint()
+		id, tries, at, zone, newestAttempt := r.text(), r.uvarint(), r.v1Timestamp(), r.uvarint(), r.uvarint()
 		if n := t.live[id]; n != nil && r.err == nil {
-			t.setState(n, int(min(tries, 1<<30)), doubt{at, int(min(zone, 1<<30)), unproven == 1})
+			t.setState(n, int(min(tries, 1<<30)), doubt{at, int(min(zone, 1<<30)), newestAttempt == 1})
 		}
 	default:
 		return fmt.Errorf("record of unknown kind %d", payload[0])
--- a/internal/journal/recover.go
+++ b/internal/journal/recover.go
@@ -108,14 +108,14 @@
 }
 
 // readFolder reads the folder without changing it: the journal of one owner, or of any owner.
-func readFolder(dir Dir, owner string, anyone bool) (*recovery, error) {
+func readFolder(dir Dir, owner string, anyOwner bool) (*recovery, error) {
 	names, err := dir.List()
 	if err != nil {
 		return nil, err
 	}
-	r := &recovery{owner: owner, anyOwner: anyone, interned: map[string]string{}}
+	r := &recovery{owner: owner, anyOwner: anyOwner, interned: map[string]string{}}
 	r.reset()
-	var list []*candidate
+	var candidates []*candidate
 	for _, name := range names {
 		n, ok := parseSegmentName(name)
 		if !ok {
@@ -126,11 +126,11 @@
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
 		r.lastSeq = max(r.lastSeq, n, c.header.seq)
-		list = append(list, c)
+		candidates = append(candidates, c)
 	}
-	chain := r.chooseChain(list)
+	chain := r.chooseChain(candidates)
 	if len(chain) == 0 {
-		for _, c := range list {
+		for _, c := range candidates {
 			if c.err == nil {
 				return nil, fmt.Errorf("%w: that of %q", ErrOtherOwner, c.header.owner)
 			}
@@ -143,32 +143,32 @@
 	// synced and which missing facts are repeated elsewhere. Obsolete segments are left out, as they need not follow
 	// each other.
 	for more := r.frameMissing; more; more = slices.ContainsFunc(chain, func(c *candidate) bool { return c.header.seq < r.gaplessFirst }) {
-		var left []*candidate
-		useless := r.obsolete[:r.obsoleteBefore:r.obsoleteBefore]
+		var remaining []*candidate
+		obsolete := r.obsolete[:r.obsoleteBefore:r.obsoleteBefore]
 		for _, c := range chain {
 			switch {
 			case c.header.seq >= r.gaplessFirst:
-				left = append(left, c)
+				remaining = append(remaining, c)
 			case !c.isMissing():
-				useless = append(useless, c.name)
+				obsolete = append(obsolete, c.name)
 			}
 		}
-		chain = left
+		chain = remaining
 		r.reset()
-		r.obsolete, r.findings.UnfinishedBytes, r.secondPass = useless, r.unfinishedBefore, true
+		r.obsolete, r.findings.UnfinishedBytes, r.secondPass = obsolete, r.unfinishedBefore, true
 		if err := r.replay(dir, chain); err != nil {
 			return nil, err
 		}
 	}
 	r.buildIndex()
 	r.resolveLostFacts()
-	old, temps := listV1Files(names)
-	r.obsolete = append(r.obsolete, temps...)
+	v1Files, v1Temps := listV1Files(names)
+	r.obsolete = append(r.obsolete, v1Temps...)
 	if r.migrated {
-		r.obsolete = append(r.obsolete, old...)
+		r.obsolete = append(r.obsolete, v1Files...)
 		return r, nil
 	}
-	if len(old) == 0 {
+	if len(v1Files) == 0 {
 		return r, nil
 	}
 	// The segments are the beginning of a change from the first format that was interrupted.
@@ -179,7 +179,7 @@
 	}
 	r.reset()
 	r.identity, r.deferIndex = 0, false
-	return r, r.readV1(dir, old)
+	return r, r.readV1(dir, v1Files)
 }
 
 func (r *recovery) reset() {
@@ -222,15 +222,15 @@
 
 // chooseChain returns the segments that make up the journal, oldest first. Segments that should exist and do not are
 // in the list without a name.
-func (r *recovery) chooseChain(list []*candidate) []*candidate {
+func (r *recovery) chooseChain(candidates []*candidate) []*candidate {
 	count, newest := map[uint64]int{}, map[uint64]uint64{}
-	for _, c := range list {
+	for _, c := range candidates {
 		if c.err == nil && (r.anyOwner || c.header.owner == r.owner) {
 			count[c.header.identity]++
 			newest[c.header.identity] = max(newest[c.header.identity], c.header.seq)
 		}
 	}
-	for _, c := range list { // the journal with the most segments, then the one with the highest sequence number
+	for _, c := range candidates { // the journal with the most segments, then the one with the highest sequence number
 		if id := c.header.identity; count[id] > 0 && c.err == nil {
 			if d := cmp.Or(cmp.Compare(count[id], count[r.identity]), cmp.Compare(newest[id], newest[r.identity])); d > 0 {
 				r.identity, r.owner = id, c.header.owner
@@ -239,7 +239,7 @@
 	}
 	bySeq := map[uint64]*candidate{}
 	var nameless []*candidate // files without a readable header
-	for _, c := range list {
+	for _, c := range candidates {
 		switch {
 		case c.err != nil:
 			nameless = append(nameless, c)
@@ -256,43 +256,43 @@
 		}
 	}
 	var chain []*candidate
-	at := segmentLink{seq: newest[r.identity]}
-	if c := bySeq[at.seq]; c != nil {
-		at = segmentLink{at.seq, c.header.salt, c.size}
+	link := segmentLink{seq: newest[r.identity]}
+	if c := bySeq[link.seq]; c != nil {
+		link = segmentLink{link.seq, c.header.salt, c.size}
 	}
-	for at.seq > 0 && (len(chain) == 0 || at.seq >= chain[0].header.firstSeq) {
-		c := bySeq[at.seq]
-		if c != nil && c.header.salt != at.salt {
+	for link.seq > 0 && (len(chain) == 0 || link.seq >= chain[0].header.firstSeq) {
+		c := bySeq[link.seq]
+		if c != nil && c.header.salt != link.salt {
 			r.obsolete = append(r.obsolete, c.name)
 			c = nil
 		}
 		if c == nil {
-			for i, u := range nameless { // the header is lost, but the next segment names the salt of its frames
-				if u.number == at.seq {
-					c = u
-					c.header = header{identity: r.identity, seq: at.seq, salt: at.salt}
+			for i, unnamed := range nameless { // the header is lost, but the next segment names the salt of its frames
+				if unnamed.number == link.seq {
+					c = unnamed
+					c.header = header{identity: r.identity, seq: link.seq, salt: link.salt}
 					nameless = slices.Delete(nameless, i, i+1)
 					break
 				}
 			}
 		}
 		if c == nil {
-			c = &candidate{header: header{seq: at.seq, salt: at.salt}}
+			c = &candidate{header: header{seq: link.seq, salt: link.salt}}
 		}
-		delete(bySeq, at.seq)
-		c.size, c.number = at.validSize, at.seq
+		delete(bySeq, link.seq)
+		c.size, c.number = link.validSize, link.seq
 		chain = append([]*candidate{c}, chain...)
-		at = c.header.prev
-		if c.err != nil || c.isMissing() || at.seq >= c.header.seq { // the segments before it are not known
-			at = segmentLink{}
-			for seq, o := range bySeq {
-				if seq < c.header.seq && seq > at.seq {
-					at = segmentLink{seq, o.header.salt, o.size}
+		link = c.header.prev
+		if c.err != nil || c.isMissing() || link.seq >= c.header.seq { // the segments before it are not known
+			link = segmentLink{}
+			for seq, other := range bySeq {
+				if seq < c.header.seq && seq > link.seq {
+					link = segmentLink{seq, other.header.salt, other.size}
 				}
 			}
 		}
 	}
-	for _, c := range list { // created and never linked: a write that failed, or an obsolete segment
+	for _, c := range candidates { // created and never linked: a write that failed, or an obsolete segment
 		if bySeq[c.header.seq] == c && c.err == nil {
 			r.obsolete = append(r.obsolete, c.name)
 		}
@@ -318,52 +318,52 @@
 			r.obsolete = append(r.obsolete, c.name)
 			continue
 		}
-		text, disk, err := readFile(dir, c.name)
+		text, diskSize, err := readFile(dir, c.name)
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.name, err)
 		}
-		limit := min(c.size, disk)
-		s := &segment{seq: c.header.seq, salt: c.header.salt, name: c.name, validSize: c.framesOffset, diskSize: disk}
+		limit := min(c.size, diskSize)
+		current := &segment{seq: c.header.seq, salt: c.header.salt, name: c.name, validSize: c.framesOffset, diskSize: diskSize}
 		if c.err == nil {
 			r.enterSegment(&c.header)
 		}
-		sc := scanFrames(text[:limit], c.header.salt, c.framesOffset, func(payload []byte, at, after int64) {
+		scanned := scanFrames(text[:limit], c.header.salt, c.framesOffset, func(payload []byte, at, after int64) {
 			if r.unreadableBytes += at - after; r.logEnded {
 				return
 			}
-			if !r.applyFrame(payload, s.seq) {
+			if !r.applyFrame(payload, current.seq) {
 				r.findings.DamagedBytes += int64(len(payload))
 			}
 			if !r.logEnded {
-				s.validSize = at + frameHeaderSize + int64(len(payload))
+				current.validSize = at + frameHeaderSize + int64(len(payload))
 			}
 		})
 		switch {
-		case r.logEnded && s.validSize == c.framesOffset, c.err != nil && sc.frameCount == 0: // none of it counts, or can be read
+		case r.logEnded && current.validSize == c.framesOffset, c.err != nil && scanned.frameCount == 0: // none of it counts, or can be read
 			if !r.logEnded {
 				missing = append(missing, c.header.seq)
 			}
 			r.obsolete = append(r.obsolete, c.name)
 			continue
 		case r.logEnded || i == len(chain)-1:
-			r.findings.UnfinishedBytes += disk - s.validSize
+			r.findings.UnfinishedBytes += diskSize - current.validSize
 		default:
-			r.unreadableBytes += max(c.size-s.validSize, 0)
+			r.unreadableBytes += max(c.size-current.validSize, 0)
 		}
 		lost, missing = append(lost, missing...), nil
-		r.segments = append(r.segments, s)
+		r.segments = append(r.segments, current)
 	}
 	for _, seq := range lost { // between segments that are in use
 		if seq >= r.firstSeq {
 			r.findings.MissingSegments++
 		}
 	}
-	for _, l := range r.losses {
-		if l.place > 2*r.firstSeq { // a loss at the start of a segment belongs to the segment before it
-			r.findings.DamagedBytes += l.bytes
-			r.findings.LostMessages += l.messages
-			r.findings.LostFacts += l.facts
-			r.findings.RecoveredFacts += l.recovered
+	for _, lost := range r.losses {
+		if lost.place > 2*r.firstSeq { // a loss at the start of a segment belongs to the segment before it
+			r.findings.DamagedBytes += lost.bytes
+			r.findings.LostMessages += lost.messages
+			r.findings.LostFacts += lost.facts
+			r.findings.RecoveredFacts += lost.recovered
 		}
 	}
 	for len(r.segments) > 0 && r.segments[0].seq < r.firstSeq {
@@ -434,28 +434,28 @@
 
 // applyFrame applies a frame. It returns false if the content can't be decoded. The records before that point count.
 func (r *recovery) applyFrame(payload []byte, seg uint64) bool {
-	f := &reader{buf: payload, interned: r.interned}
-	n := f.counters()
-	if f.err != nil {
+	frame := &reader{buf: payload, interned: r.interned}
+	numbers := frame.counters()
+	if frame.err != nil {
 		return false
 	}
-	r.syncedFrame = max(r.syncedFrame, n.frame-min(n.unsyncedFrames, n.frame))
-	r.syncedFact = max(r.syncedFact, n.fact-min(n.unsyncedFacts, n.fact))
-	if !r.advance(n, 2*seg+1) {
+	r.syncedFrame = max(r.syncedFrame, numbers.frame-min(numbers.unsyncedFrames, numbers.frame))
+	r.syncedFact = max(r.syncedFact, numbers.fact-min(numbers.unsyncedFacts, numbers.fact))
+	if !r.advance(numbers, 2*seg+1) {
 		return true
 	}
 	r.nextFrame++
-	for len(f.buf) > 0 {
-		if kind(f.buf[0]) == kindLeaf { // there are many leaves, so no record is allocated
-			f.byte()
-			number, text := f.uvarint(), f.bytes()
-			if f.err != nil {
+	for len(frame.buf) > 0 {
+		if kind(frame.buf[0]) == kindLeaf { // there are many leaves, so no record is allocated
+			frame.byte()
+			number, text := frame.uvarint(), frame.bytes()
+			if frame.err != nil {
 				return false
 			}
 			r.setLeafCopy(number, seg, text)
 			continue
 		}
-		rec, err := f.record()
+		rec, err := frame.record()
 		if err != nil {
 			return false
 		}
@@ -470,48 +470,48 @@
 // addGap notes that something is missing up to the given numbers. It applies missing facts that are repeated
 // elsewhere.
 func (r *recovery) addGap(n counters, place uint64) {
-	g := loss{place: place, bytes: r.unreadableBytes}
+	gap := loss{place: place, bytes: r.unreadableBytes}
 	if n.full > r.nextFull {
-		g.messages = n.full - r.nextFull
+		gap.messages = n.full - r.nextFull
 	}
 	if n.fact > r.nextFact {
 		r.missingFacts = append(r.missingFacts, factRange{r.nextFact, n.fact})
-		g.facts = n.fact - r.nextFact
+		gap.facts = n.fact - r.nextFact
 		var here []uint64
-		for f := range r.recoveredFacts {
-			if f >= r.nextFact && f < n.fact {
-				here = append(here, f)
+		for number := range r.recoveredFacts {
+			if number >= r.nextFact && number < n.fact {
+				here = append(here, number)
 			}
 		}
 		slices.Sort(here)
-		for _, f := range here {
-			rd := &reader{buf: r.recoveredFacts[f]}
-			if rec, err := rd.record(); err == nil {
+		for _, number := range here {
+			decoder := &reader{buf: r.recoveredFacts[number]}
+			if rec, err := decoder.record(); err == nil {
 				r.applyRecord(&rec, place/2)
-				g.facts--
-				g.recovered++
+				gap.facts--
+				gap.recovered++
 			}
 		}
 	}
-	if g.facts > 0 {
+	if gap.facts > 0 {
 		r.gapCount++
 	}
-	r.losses = append(r.losses, g)
+	r.losses = append(r.losses, gap)
 }
 
 // saveRepeats keeps those repeated facts that are missing.
 func (r *recovery) saveRepeats(first uint64, facts []byte) {
-	for rd := (&reader{buf: facts}); len(rd.buf) > 0; first++ {
-		at := rd.buf
-		if _, err := rd.record(); err != nil {
+	for decoder := (&reader{buf: facts}); len(decoder.buf) > 0; first++ {
+		rest := decoder.buf
+		if _, err := decoder.record(); err != nil {
 			return
 		}
-		for _, s := range r.missingFacts {
-			if first >= s.from && first < s.to && r.recoveredFacts[first] == nil {
+		for _, missing := range r.missingFacts {
+			if first >= missing.from && first < missing.to && r.recoveredFacts[first] == nil {
 				if r.recoveredFacts == nil {
 					r.recoveredFacts = map[uint64][]byte{}
 				}
-				r.recoveredFacts[first] = at[:len(at)-len(rd.buf)]
+				r.recoveredFacts[first] = rest[:len(rest)-len(decoder.buf)]
 			}
 		}
 	}
@@ -581,9 +581,9 @@
 		r.addNode(r.addTombstone(rec.num, seg, rec.msg.ID, rec.disposition, rec.until, rec.fingerprint))
 	case kindAttempts:
 		r.noteTime(rec.at)
-		for _, p := range rec.attempts {
-			if k := r.byNum[p.num]; k.node != nil && k.live != nil {
-				r.addAttempt(k.node, rec.at, p.zone)
+		for _, entry := range rec.attempts {
+			if k := r.byNum[entry.num]; k.node != nil && k.live != nil {
+				r.addAttempt(k.node, rec.at, entry.zone)
 				r.markAlive(k)
 			}
 		}
@@ -635,12 +635,12 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		good, bad := replayV1(text, r.applyV1)
-		r.findings.DamagedBytes += int64(bad)
+		validEnd, damaged := replayV1(text, r.applyV1)
+		r.findings.DamagedBytes += int64(damaged)
 		if i == len(names)-1 {
-			r.findings.UnfinishedBytes += int64(len(text) - good)
+			r.findings.UnfinishedBytes += int64(len(text) - validEnd)
 		} else {
-			r.findings.DamagedBytes += int64(len(text) - good)
+			r.findings.DamagedBytes += int64(len(text) - validEnd)
 		}
 		r.v1Files = append(r.v1Files, name)
 		r.v1Bytes += blocks(size)
@@ -649,8 +649,8 @@
 }
 
 // toState returns the content of the table for the engine.
-func (t *table) toState(f Findings) *State {
-	s := &State{Last: engine.RestoreComplete{LatestTimestamp: t.toWall(t.last)}, Findings: f, Leaves: t.leaves()}
+func (t *table) toState(findings Findings) *State {
+	state := &State{Last: engine.RestoreComplete{LatestTimestamp: t.toWall(t.last)}, Findings: findings, Leaves: t.leaves()}
 	var live, ended []*node
 	newest := map[string]*node{}
 	for n := t.root.next; n != &t.root; n = n.next {
@@ -659,7 +659,7 @@
 		}
 		if n.live != nil {
 			live = append(live, n)
-		} else if o := newest[n.id]; t.live[n.id] == nil && (o == nil || o.num < n.num) {
+		} else if other := newest[n.id]; t.live[n.id] == nil && (other == nil || other.num < n.num) {
 			newest[n.id] = n
 		}
 	}
@@ -672,14 +672,14 @@
 	slices.SortFunc(live, byNum)
 	slices.SortFunc(ended, byNum)
 	for _, n := range live {
-		l := n.live
-		s.Live = append(s.Live, &engine.RestoredMessage{
-			Message: l.msg, Deadline: t.toWall(l.deadline), Tries: l.tries, DoubtAt: t.toWall(l.doubt.since),
-			DoubtZone: l.doubt.zone, Pending: l.pending,
+		message := n.live
+		state.Live = append(state.Live, &engine.RestoredMessage{
+			Message: message.msg, Deadline: t.toWall(message.deadline), Tries: message.tries, DoubtAt: t.toWall(message.doubt.since),
+			DoubtZone: message.doubt.zone, Pending: message.pending,
 		})
 	}
 	for _, n := range ended {
-		s.Ended = append(s.Ended, &engine.RestoredEnd{ID: n.id, Disposition: n.disposition, Until: t.toWall(n.until), Fingerprint: n.fingerprint})
+		state.Ended = append(state.Ended, &engine.RestoredEnd{ID: n.id, Disposition: n.disposition, Until: t.toWall(n.until), Fingerprint: n.fingerprint})
 	}
-	return s
+	return state
 }
--- a/internal/journal/segment.go
+++ b/internal/journal/segment.go
@@ -64,7 +64,7 @@
 	b = append(b, magic...)
 	b = binary.LittleEndian.AppendUint32(b, formatVersion)
 	b = binary.LittleEndian.AppendUint32(b, checksum(b[len(b)-len(magic)-4:]))
-	at := len(b)
+	lengthOffset := len(b)
 	b = append(b, make([]byte, 8)...)
 	b = binary.LittleEndian.AppendUint64(b, h.identity)
 	b = binary.LittleEndian.AppendUint64(b, h.salt)
@@ -73,8 +73,8 @@
 		b = binary.AppendUvarint(b, v)
 	}
 	b = putText(putTimestamp(putTimestamp(b, h.clockShift), h.latestTime), h.owner)
-	binary.LittleEndian.PutUint32(b[at:], uint32(len(b)-at-8))
-	binary.LittleEndian.PutUint32(b[at+4:], checksum(b[at+8:]))
+	binary.LittleEndian.PutUint32(b[lengthOffset:], uint32(len(b)-lengthOffset-8))
+	binary.LittleEndian.PutUint32(b[lengthOffset+4:], checksum(b[lengthOffset+8:]))
 	return b
 }
 
--- a/internal/journal/sync.go
+++ b/internal/journal/sync.go
@@ -60,15 +60,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for !s.closed && s.syncError == nil && s.lastWritten > s.syncedUpTo {
-		files, dir, number, batch, taken := s.files, s.dirChanged, s.lastWritten, s.lastBatch, s.discards
+		files, dirChanged, number, batch, discards := s.files, s.dirChanged, s.lastWritten, s.lastBatch, s.discards
 		s.files, s.dirChanged = nil, false
 		s.mu.Unlock()
-		err := syncAll(j.dir, files, dir)
+		err := syncAll(j.dir, files, dirChanged)
 		s.mu.Lock()
 		switch {
 		case s.closed:
 			return
-		case s.discards != taken: // what this sync was for is undone
+		case s.discards != discards: // what this sync was for is undone
 			s.syncedUpTo, s.dirChanged = max(s.syncedUpTo, number), true
 		case err != nil:
 			s.syncError = err
@@ -76,9 +76,9 @@
 			s.syncedUpTo, s.storedBatch = number, batch
 		}
 		if j.settings.Sync == SyncAlways {
-			tell := s.storedBatch
+			stored := s.storedBatch
 			s.mu.Unlock()
-			j.settings.OnStored(tell)
+			j.settings.OnStored(stored)
 			s.mu.Lock()
 		} else if s.syncError == nil && s.lastWritten > s.syncedUpTo {
 			j.startSync()
@@ -88,13 +88,13 @@
 	s.running = false
 }
 
-func syncAll(dir Dir, files []File, names bool) error {
+func syncAll(dir Dir, files []File, syncDir bool) error {
 	for _, f := range files {
 		if err := f.Sync(); err != nil {
 			return err
 		}
 	}
-	if names {
+	if syncDir {
 		return dir.Sync()
 	}
 	return nil
@@ -108,7 +108,7 @@
 	}
 	s := &j.syncer
 	s.mu.Lock()
-	done, failed := s.syncedUpTo, s.syncError
+	done, syncError := s.syncedUpTo, s.syncError
 	s.mu.Unlock()
 	n := 0
 	for n < len(j.pendingWrites) && j.pendingWrites[n].number <= done {
@@ -117,17 +117,17 @@
 	}
 	j.releaseWrites(n)
 	j.syncedWrite = max(j.syncedWrite, done)
-	if failed == nil {
+	if syncError == nil {
 		return
 	}
-	j.settings.Log.Error("journal: a sync failed; its batches are not stored, or are written again", "error", failed)
+	j.settings.Log.Error("journal: a sync failed; its batches are not stored, or are written again", "error", syncError)
 	if j.settings.Sync == SyncAlways {
 		if len(j.buf) > 0 {
 			j.undoWrite(&j.current)
 			j.clearBuffer()
 		}
 		j.undoPendingWrites()
-		j.failure = failed
+		j.failure = syncError
 		return
 	}
 	// With SyncInterval, what was written still counts for this process. All live content is copied to new segments,
@@ -162,26 +162,26 @@
 	if len(j.pendingWrites) == 0 {
 		return
 	}
-	at := j.pendingWrites[0].previous
+	end := j.pendingWrites[0].previous
 	for i := len(j.pendingWrites) - 1; i >= 0; i-- {
 		j.undoWrite(&j.pendingWrites[i])
 	}
 	j.pendingWrites = nil
 	j.retireNewest()
-	for i := len(j.segments) - 1; i >= 0 && j.segments[i].seq > at.seq; i-- {
-		w := j.segments[i]
+	for i := len(j.segments) - 1; i >= 0 && j.segments[i].seq > end.seq; i-- {
+		seg := j.segments[i]
 		j.segments = j.segments[:i]
-		j.segmentBytes -= blocks(w.diskSize)
-		j.obsoleteBytes += blocks(w.diskSize)
-		j.obsolete = append(j.obsolete, w)
+		j.segmentBytes -= blocks(seg.diskSize)
+		j.obsoleteBytes += blocks(seg.diskSize)
+		j.obsolete = append(j.obsolete, seg)
 	}
-	if n := len(j.segments); n > 0 && j.segments[n-1].seq == at.seq {
+	if n := len(j.segments); n > 0 && j.segments[n-1].seq == end.seq {
 		// Until the next segment is written nothing records the valid size, so truncate the file.
-		w := j.segments[n-1]
-		w.validSize = at.validSize
-		if w.file != nil && w.file.Truncate(at.validSize) == nil {
-			j.segmentBytes += blocks(at.validSize) - blocks(w.diskSize)
-			w.diskSize = at.validSize
+		seg := j.segments[n-1]
+		seg.validSize = end.validSize
+		if seg.file != nil && seg.file.Truncate(end.validSize) == nil {
+			j.segmentBytes += blocks(end.validSize) - blocks(seg.diskSize)
+			seg.diskSize = end.validSize
 		}
 	}
 	j.updateLargest()
--- a/internal/journal/sync_test.go
+++ b/internal/journal/sync_test.go
@@ -19,24 +19,24 @@
 	"curlewmux/internal/journal/memdir"
 )
 
-// openSynced opens a journal that syncs when run is called. list holds what OnStored was called with.
-func openSynced(t *testing.T, d *memdir.Disk, sync journal.Sync) (j *store, list *[]engine.Batch, run func()) {
+// openSynced opens a journal that syncs when run is called. stored holds what OnStored was called with.
+func openSynced(t *testing.T, d *memdir.Disk, sync journal.Sync) (j *store, stored *[]engine.Batch, run func()) {
 	t.Helper()
 	return openSyncedOnDisk(t, d, sync, 1e6)
 }
 
-func openSyncedOnDisk(t *testing.T, d *memdir.Disk, sync journal.Sync, disk int64) (j *store, list *[]engine.Batch, run func()) {
+func openSyncedOnDisk(t *testing.T, d *memdir.Disk, sync journal.Sync, disk int64) (j *store, stored *[]engine.Batch, run func()) {
 	t.Helper()
 	var work []func()
-	list = &[]engine.Batch{}
+	stored = &[]engine.Batch{}
 	set := settings(disk)
 	set.Sync, set.SyncEvery = sync, time.Second
 	set.Go = func(f func()) { work = append(work, f) }
 	set.After = func(_ time.Duration, f func()) { work = append(work, f) }
-	set.OnStored = func(b engine.Batch) { *list = append(*list, b) }
+	set.OnStored = func(b engine.Batch) { *stored = append(*stored, b) }
 	j, err := tryOpen(d.Dir(), set)
 	must(t, err)
-	return j, list, func() {
+	return j, stored, func() {
 		for len(work) > 0 {
 			f := work[0]
 			work = work[1:]
--- a/internal/journal/table.go
+++ b/internal/journal/table.go
@@ -206,15 +206,15 @@
 		if next = n.next; n.live == nil {
 			continue
 		}
-		o := t.live[n.id]
-		if o == nil || o.num < n.num {
+		older := t.live[n.id]
+		if older == nil || older.num < n.num {
 			t.live[n.id] = n
 		} else {
-			o = n
+			older = n
 		}
-		if o != nil {
+		if older != nil {
 			live := t.live[n.id]
-			t.end(o, 0, 0, 0, 0)
+			t.end(older, 0, 0, 0, 0)
 			t.live[n.id] = live
 		}
 	}
