--- a/internal/journal/codec.go
+++ b/internal/journal/codec.go
@@ -193,8 +193,8 @@
 	return binary.LittleEndian.AppendUint64(b, o.Fingerprint)
 }
 
-func putTombstone(b []byte, id string, until engine.Timestamp, print uint64) []byte {
-	return binary.LittleEndian.AppendUint64(putText(putTimestamp(b, until), id), print)
+func putTombstone(b []byte, id string, until engine.Timestamp, fingerprint uint64) []byte {
+	return binary.LittleEndian.AppendUint64(putText(putTimestamp(b, until), id), fingerprint)
 }
 
 func putLeaf(b []byte, number uint64, text []byte) []byte {
--- a/internal/journal/memdir/memdir.go
+++ b/internal/journal/memdir/memdir.go
@@ -53,7 +53,8 @@
 }
 
 // DiskAfterCrash returns a copy of the disk as it is if the process crashes during the operation. Of a write the
-// first writtenBytes bytes are written. Any other operation is done unless writtenBytes is 0. Only Disk.Fault may call it.
+// first writtenBytes bytes are written. Any other operation is done unless writtenBytes is 0. Only Disk.Fault may call
+// it.
 func (op Op) DiskAfterCrash(writtenBytes int) *Disk {
 	crashed := op.disk.clone()
 	f := crashed.files[op.Name]
--- a/internal/journal/table.go
+++ b/internal/journal/table.go
@@ -221,8 +221,8 @@
 }
 
 // addTombstone adds a message that has ended.
-func (t *table) addTombstone(num, seg uint64, id string, how engine.Disposition, until engine.Timestamp, print uint64) *node {
-	n := &node{seg: seg, num: num, id: id, disposition: how, until: t.toRaw(until), fingerprint: print}
+func (t *table) addTombstone(num, seg uint64, id string, disposition engine.Disposition, until engine.Timestamp, fingerprint uint64) *node {
+	n := &node{seg: seg, num: num, id: id, disposition: disposition, until: t.toRaw(until), fingerprint: fingerprint}
 	t.saveUndo(n, true)
 	t.push(n)
 	t.liveBytes += n.cost()
@@ -264,7 +264,7 @@
 }
 
 // end ends a message. If until is 0 nothing of it is kept, else its id is.
-func (t *table) end(n *node, seg uint64, how engine.Disposition, until engine.Timestamp, print uint64) {
+func (t *table) end(n *node, seg uint64, disposition engine.Disposition, until engine.Timestamp, fingerprint uint64) {
 	t.saveUndo(n, false)
 	t.liveBytes -= n.cost()
 	t.unlink(n)
@@ -273,7 +273,7 @@
 	}
 	n.prev, n.next, n.live = nil, nil, nil
 	if until != 0 {
-		n.seg, n.disposition, n.until, n.fingerprint = seg, how, t.toRaw(until), print
+		n.seg, n.disposition, n.until, n.fingerprint = seg, disposition, t.toRaw(until), fingerprint
 		t.push(n)
 		t.liveBytes += n.cost()
 	}
