--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -201,9 +201,9 @@
 	random := rand.New(rand.NewPCG(n.cfg.Seed, uint64(n.host.Wall().UnixMicro())))
 	n.journal, state, err = journal.Open(n.stateDir(), journal.Settings{
 		Disk: n.cfg.Disk, Owner: n.cfg.Name, Random: random.Uint64, Log: n.log,
-		Leaves: n.cfg.Ledger != nil, Sync: n.cfg.Sync, Every: n.cfg.SyncInterval, Go: n.host.Go,
+		KeepLeaves: n.cfg.Ledger != nil, Sync: n.cfg.Sync, SyncEvery: n.cfg.SyncInterval, Go: n.host.Go,
 		After: func(d time.Duration, f func()) { n.host.AfterFunc(d, f) },
-		Stored: func(b engine.Batch) {
+		OnStored: func(b engine.Batch) {
 			n.batchStored(b)
 			n.driver.Stored(b, nil)
 		},
--- a/internal/node/undelivered.go
+++ b/internal/node/undelivered.go
@@ -33,9 +33,9 @@
 // configuration. It subtracts the store's share from the configuration's disk space. Its errors name the setting.
 func ReadUndelivered(file *operator.Undelivered, config *Config) (*Undelivered, error) {
 	share := int64(file.Share * float64(config.Disk))
-	if share < undelivered.LeastDisk || config.Disk-share < journal.LeastDisk {
+	if share < undelivered.LeastDisk || config.Disk-share < journal.MinDisk {
 		return nil, fmt.Errorf("undelivered.disk_share: %g of %d bytes leaves too little: the store needs at least %d and the journal at least %d",
-			file.Share, config.Disk, int64(undelivered.LeastDisk), int64(journal.LeastDisk))
+			file.Share, config.Disk, int64(undelivered.LeastDisk), int64(journal.MinDisk))
 	}
 	if refusedBytes := int64(*file.Refused) * 256; refusedBytes > share/4 {
 		return nil, fmt.Errorf("undelivered.refused: %d take %d bytes, over a quarter of the store's share of %d", *file.Refused, refusedBytes, share)
--- a/internal/node/undelivered_hard_test.go
+++ b/internal/node/undelivered_hard_test.go
@@ -345,10 +345,10 @@
 		s.submitUntilDone(u, "u")
 		crashed := false
 		s.mux.Disk().Fault = func(o memdir.Op) memdir.Fault {
-			ops = o.N + 1
-			if o.N == crash {
+			ops = o.Index + 1
+			if o.Index == crash {
 				crashed = true
-				return memdir.Fault{Crash: true, Land: written}
+				return memdir.Fault{Crash: true, WrittenBytes: written}
 			}
 			return memdir.Fault{}
 		}
@@ -412,10 +412,10 @@
 		}
 		s.After(time.Duration(500+random.IntN(3000))*time.Millisecond, func() {
 			if !small {
-				s.mux.Disk().SetRoom(s.mux.Disk().Used() + int64(random.IntN(8000)))
+				s.mux.Disk().SetCapacity(s.mux.Disk().Used() + int64(random.IntN(8000)))
 			}
 		})
-		s.After(9*time.Second, func() { s.mux.Disk().SetRoom(0) })
+		s.After(9*time.Second, func() { s.mux.Disk().SetCapacity(0) })
 		s.After(10*time.Second, func() {
 			calm = true
 			s.submitFresh(2, 30*time.Second) // a failed destination gets messages without side effects first
