--- a/internal/redeliver/byhand.go
+++ b/internal/redeliver/byhand.go
@@ -9,43 +9,43 @@
 	"curlewmux/undelivered"
 )
 
-// ManualAction is what an operator wants done with an entry.
+// ManualAction is an operator's instruction for an entry.
 type ManualAction struct {
 	Operator          string
 	Reason            string
-	Token             string // of the command: given again it changes nothing more
-	ConfirmedNoEffect bool   // the operator says that the message took no effect
+	Token             string // of the command; repeating it with the same token changes nothing more
+	ConfirmedNoEffect bool   // the operator confirms that the message had no effect
 	DryRun            bool
 }
 
-// Result is what became of an Order.
+// ActionResult is the result of a ManualAction.
 type ActionResult struct {
 	Number     uint64             `json:"number"`
 	Status     ActionStatus       `json:"did"`
-	Claim      uint64             `json:"claim,omitempty"` // the order's own
+	Claim      uint64             `json:"claim,omitempty"` // the claim that this action made
 	NewID      string             `json:"new_id,omitempty"`
 	Reason     string             `json:"why,omitempty"`
-	OtherClaim *undelivered.Claim `json:"won,omitempty"` // who has it, where the order lost
+	OtherClaim *undelivered.Claim `json:"won,omitempty"` // the existing claim, if Status is StatusClaimedByOther
 }
 
-// ActionStatus is what was done.
+// ActionStatus says what a ManualAction did.
 type ActionStatus string
 
-// What may have been done.
+// Results of a ManualAction.
 const (
-	StatusClaimed        ActionStatus = "claimed" // it is sent as soon as its destination takes it
+	StatusClaimed        ActionStatus = "claimed" // it is resent as soon as its destination accepts it
 	StatusDropped        ActionStatus = "dropped"
-	StatusDoneBefore     ActionStatus = "done before" // by the same command
-	StatusClaimedByOther ActionStatus = "lost"        // somebody else has it: see Won
-	StatusRefused        ActionStatus = "refused"     // see Why
-	StatusAlreadyEnded   ActionStatus = "ended"       // it had ended
-	StatusNotFound       ActionStatus = "none"        // there is no such entry
+	StatusDoneBefore     ActionStatus = "done before" // by an earlier run of the same command
+	StatusClaimedByOther ActionStatus = "lost"        // see OtherClaim
+	StatusRefused        ActionStatus = "refused"     // see Reason
+	StatusAlreadyEnded   ActionStatus = "ended"
+	StatusNotFound       ActionStatus = "none"
 	StatusWouldClaim     ActionStatus = "would claim"
 	StatusWouldDrop      ActionStatus = "would drop"
 )
 
-// look finds an entry and what speaks against any order about it.
-func (d *Resender) look(no uint64, o ManualAction) (s undelivered.Summary, out ActionResult, ok bool) {
+// findForAction finds an entry and checks whether an action on it is possible. If not, ok is false and out says why.
+func (d *Resender) findForAction(no uint64, o ManualAction) (s undelivered.Summary, out ActionResult, ok bool) {
 	out.Number = no
 	s, known := d.store.Get(no)
 	if !known {
@@ -85,9 +85,10 @@
 	return s, out, false
 }
 
-// ResendManually has an entry sent in an operator's name. Settle follows after a series of orders.
+// ResendManually claims an entry for an operator, so that it is resent. ScheduleWake must follow after a series of
+// actions.
 func (d *Resender) ResendManually(no uint64, o ManualAction) ActionResult {
-	s, out, ok := d.look(no, o)
+	s, out, ok := d.findForAction(no, o)
 	if !ok {
 		return out
 	}
@@ -96,12 +97,12 @@
 		return out
 	}
 	now, due := d.store.Now(), Time(0)
-	v := d.set.Rules.DecideManual(&s.Item, now, o.ConfirmedNoEffect)
+	v := d.settings.Rules.DecideManual(&s.Item, now, o.ConfirmedNoEffect)
 	switch {
 	case v.Action == resend.Leave:
 		out.Status, out.Reason = StatusRefused, v.Reason
 		return out
-	case v.Action == resend.Wait && v.At >= now+d.set.ManualClaimDuration:
+	case v.Action == resend.Wait && v.At >= now+d.settings.ManualClaimDuration:
 		out.Status, out.Reason = StatusRefused, fmt.Sprintf("%s, until %s", v.Reason, d.store.WallTime(v.At).Format(time.RFC3339))
 		return out
 	case v.Action == resend.Wait:
@@ -112,7 +113,7 @@
 		return out
 	}
 	e, err := d.store.Claim(no, undelivered.Claim{
-		By: o.Operator, Why: o.Reason, Token: o.Token, ConfirmedNoEffect: o.ConfirmedNoEffect, Manual: true, ExpiresAt: now + d.set.ManualClaimDuration,
+		By: o.Operator, Why: o.Reason, Token: o.Token, ConfirmedNoEffect: o.ConfirmedNoEffect, Manual: true, ExpiresAt: now + d.settings.ManualClaimDuration,
 	})
 	var lost *undelivered.ClaimedError
 	switch {
@@ -122,14 +123,14 @@
 		out.Status, out.Reason = StatusRefused, err.Error()
 	default:
 		out.Status, out.Claim = StatusClaimed, e.Claim.Number
-		d.plan.Schedule(s.Node(), due)
+		d.planner.Schedule(s.Node(), due)
 	}
 	return out
 }
 
-// Drop ends an entry in an operator's name.
+// Drop ends an entry for an operator.
 func (d *Resender) Drop(no uint64, o ManualAction) ActionResult {
-	_, out, ok := d.look(no, o)
+	_, out, ok := d.findForAction(no, o)
 	switch {
 	case !ok:
 	case o.DryRun:
@@ -143,16 +144,16 @@
 	return out
 }
 
-// ScheduleWake follows a series of orders.
-func (d *Resender) ScheduleWake() { d.arm() }
+// ScheduleWake schedules the next Step after a series of actions.
+func (d *Resender) ScheduleWake() { d.armWake() }
 
-// Outlook is what will become of an entry by itself, for people; "" for one that somebody has, or that has ended. It reads
-// no file.
+// Outlook describes for operators what will happen to an entry without their action. It is "" for one that is claimed
+// or has ended. It reads no file.
 func (d *Resender) Outlook(s *undelivered.Summary) string {
 	if s.State != undelivered.Waiting && s.State != undelivered.Held {
 		return ""
 	}
-	switch v := d.set.Rules.Decide(&s.Item, d.store.Now()); v.Action {
+	switch v := d.settings.Rules.Decide(&s.Item, d.store.Now()); v.Action {
 	case resend.Leave:
 		return "operators: " + v.Reason
 	case resend.Wait:
--- a/internal/redeliver/ctl_test.go
+++ b/internal/redeliver/ctl_test.go
@@ -17,7 +17,7 @@
 // and a folder without a dispatcher.
 func TestOperatorsCommandsOnTheRealPrograms(t *testing.T) {
 	t.Parallel()
-	f := newFarm(t, 2, 2)
+	f := newHarness(t, 2, 2)
 	f.archive.Script = func(items []archive.Item, _ bool) archive.Act {
 		if strings.HasPrefix(items[0].ID, "u") { // first lives fail
 			return archive.Act{Status: 500, NoEffect: true}
@@ -30,7 +30,7 @@
 			t.Fatal(code)
 		}
 	}
-	count := func() int { n, _ := f.listed(); return n }
+	count := func() int { n, _ := f.countEntries(); return n }
 	f.until("four are kept", func() bool { return count() == 4 })
 	run := func(status int, want string, args ...string) string {
 		t.Helper()
@@ -109,7 +109,7 @@
 // Without the operator's file there is no socket and no file of the store's.
 func TestOffWithoutTheOperatorsFile(t *testing.T) {
 	t.Parallel()
-	f := newFarm(t, 1, 1)
+	f := newHarness(t, 1, 1)
 	f.archive.Script = func([]archive.Item, bool) archive.Act { return archive.Act{Status: 500, NoEffect: true} }
 	must(t, os.WriteFile(f.op, nil, 0o600))
 	f.start()
--- a/internal/redeliver/inquiry.go
+++ b/internal/redeliver/inquiry.go
@@ -16,8 +16,9 @@
 	"curlewmux/resend"
 )
 
-// InquiryEndpoint is where a partner can be asked whether messages took effect: POST Path with {"ids":[...],"key":"..."} is
-// answered 200 with {"effect":"yes"}, "no" or "unknown". All else is no answer.
+// InquiryEndpoint is where a partner can be asked whether messages took effect. A POST to Path with
+// {"ids":[...],"key":"..."} is answered with status 200 and {"effect":"yes"}, "no" or "unknown". Anything else is no
+// answer.
 type InquiryEndpoint struct {
 	Addr    string // host:port
 	Path    string
@@ -25,29 +26,29 @@
 }
 
 const (
-	answerMost = 4 << 10
-	waitMost   = 10 * time.Minute // a told wait counts for no longer
+	maxAnswerBytes = 4 << 10
+	maxRetryAfter  = 10 * time.Minute // limit on a Retry-After
 )
 
-// Inquirer asks partners. Its methods may be called from any goroutine.
+// Inquirer asks partners whether messages took effect. Its methods may be called from any goroutine.
 type Inquirer struct {
-	host  host.Host
-	where map[int]InquiryEndpoint
-	told  func(q *Question, a resend.Answer, why string) // from any goroutine; it must not block
+	host      host.Host
+	endpoints map[int]InquiryEndpoint
+	onAnswer  func(q *Question, a resend.Answer, why string) // called on any goroutine; must not block
 
-	mu     sync.Mutex
-	closed bool
-	out    map[*Question]*host.Abort
-	waits  map[int]time.Time // destinations that told to wait
-	idle   host.Inbox        // gets a value for each inquiry that ended, once closed
+	mu         sync.Mutex
+	closed     bool
+	active     map[*Question]*host.Abort
+	retryAfter map[int]time.Time // by destination, the time before which no inquiry may be sent
+	finished   host.Inbox        // once closed, gets a value for each inquiry that ends
 }
 
-// NewInquirer makes an inquirer for these destinations.
+// NewInquirer returns an Inquirer for these destinations.
 func NewInquirer(h host.Host, where map[int]InquiryEndpoint, told func(*Question, resend.Answer, string)) *Inquirer {
-	return &Inquirer{host: h, where: where, told: told, out: map[*Question]*host.Abort{}, waits: map[int]time.Time{}, idle: h.NewInbox()}
+	return &Inquirer{host: h, endpoints: where, onAnswer: told, active: map[*Question]*host.Abort{}, retryAfter: map[int]time.Time{}, finished: h.NewInbox()}
 }
 
-// Inquire asks, on a goroutine of its own.
+// Ask sends an inquiry on a goroutine of its own.
 func (i *Inquirer) Ask(q *Question) {
 	abort := &host.Abort{}
 	i.mu.Lock()
@@ -55,35 +56,35 @@
 		i.mu.Unlock()
 		return
 	}
-	i.out[q] = abort
+	i.active[q] = abort
 	i.mu.Unlock()
 	i.host.Go(func() {
-		a, why := i.ask(q, abort)
-		i.told(q, a, why)
+		a, why := i.inquire(q, abort)
+		i.onAnswer(q, a, why)
 		i.mu.Lock()
-		delete(i.out, q)
+		delete(i.active, q)
 		closed := i.closed
 		i.mu.Unlock()
 		if closed {
-			i.idle.Put(nil)
+			i.finished.Put(nil)
 		}
 	})
 }
 
-func (i *Inquirer) ask(q *Question, abort *host.Abort) (resend.Answer, string) {
-	at, ok := i.where[q.Destination]
+func (i *Inquirer) inquire(q *Question, abort *host.Abort) (resend.Answer, string) {
+	endpoint, ok := i.endpoints[q.Destination]
 	if !ok {
 		return resend.Unanswered, "nobody can be asked"
 	}
 	now := i.host.Now()
 	i.mu.Lock()
-	wait := i.waits[q.Destination]
+	wait := i.retryAfter[q.Destination]
 	i.mu.Unlock()
 	if now.Before(wait) {
 		return resend.Unanswered, "the partner told to wait"
 	}
-	until := now.Add(at.Timeout)
-	nc, err := i.host.Dial(at.Addr, at.Timeout, abort)
+	until := now.Add(endpoint.Timeout)
+	nc, err := i.host.Dial(endpoint.Addr, endpoint.Timeout, abort)
 	if err != nil {
 		return resend.Unanswered, err.Error()
 	}
@@ -98,25 +99,25 @@
 	if err != nil {
 		return resend.Unanswered, err.Error()
 	}
-	b := http1.AppendRequest(nil, http.MethodPost, at.Addr, at.Path)
+	b := http1.AppendRequest(nil, http.MethodPost, endpoint.Addr, endpoint.Path)
 	b = http1.AppendField(b, "Content-Type", "application/json")
 	b = http1.AppendField(b, "Connection", "close")
 	if err := c.Write(http1.AppendBody(b, body), until); err != nil {
 		return resend.Unanswered, err.Error()
 	}
-	ans, err := c.Read(http1.Limits{Until: until, Body: answerMost})
+	response, err := c.Read(http1.Limits{Until: until, Body: maxAnswerBytes})
 	if err != nil {
 		return resend.Unanswered, err.Error()
 	}
-	if s, err := strconv.ParseFloat(ans.Get("Retry-After"), 64); err == nil && s > 0 {
+	if s, err := strconv.ParseFloat(response.Get("Retry-After"), 64); err == nil && s > 0 {
 		i.mu.Lock()
-		i.waits[q.Destination] = i.host.Now().Add(min(time.Duration(min(s, 1e6)*float64(time.Second)), waitMost))
+		i.retryAfter[q.Destination] = i.host.Now().Add(min(time.Duration(min(s, 1e6)*float64(time.Second)), maxRetryAfter))
 		i.mu.Unlock()
 	}
-	return readAnswer(ans.Status, ans.Body)
+	return readAnswer(response.Status, response.Body)
 }
 
-// readAnswer reads what came back. Only what is said in so many words counts.
+// readAnswer reads a response. Only an explicit "yes", "no" or "unknown" counts as an answer.
 func readAnswer(status int, body []byte) (resend.Answer, string) {
 	if status != http.StatusOK {
 		return resend.Unanswered, fmt.Sprintf("status %d", status)
@@ -142,14 +143,14 @@
 	return resend.Unanswered, fmt.Sprintf("effect %.20q", *got.Effect)
 }
 
-// Close ends what is out and waits for it.
+// Close aborts the active inquiries and waits for them to end.
 func (i *Inquirer) Close() {
 	i.mu.Lock()
 	i.closed = true
-	list := slices.SortedFunc(maps.Keys(i.out), func(a, b *Question) int { return cmp.Compare(a.Number, b.Number) })
+	list := slices.SortedFunc(maps.Keys(i.active), func(a, b *Question) int { return cmp.Compare(a.Number, b.Number) })
 	aborts := make([]*host.Abort, len(list))
 	for n, q := range list {
-		aborts[n] = i.out[q]
+		aborts[n] = i.active[q]
 	}
 	i.mu.Unlock()
 	for _, a := range aborts {
@@ -157,11 +158,11 @@
 	}
 	for {
 		i.mu.Lock()
-		left := len(i.out)
+		left := len(i.active)
 		i.mu.Unlock()
 		if left == 0 {
 			return
 		}
-		i.idle.Take(nil, time.Time{})
+		i.finished.Take(nil, time.Time{})
 	}
 }
--- a/internal/redeliver/service.go
+++ b/internal/redeliver/service.go
@@ -14,35 +14,36 @@
 	"curlewmux/undelivered"
 )
 
-// Request is a command of an operator's.
+// Request is a command of an operator.
 type Request struct {
 	Command           string `json:"command"` // list, show, resend, drop or export
 	Filter            Filter `json:"filter"`
-	By                string `json:"by,omitempty"` // resend, drop; so are the next five
+	By                string `json:"by,omitempty"` // who gives the command; only resend and drop use it and the fields below
 	Why               string `json:"why,omitempty"`
 	Token             string `json:"token,omitempty"`
 	ConfirmedNoEffect bool   `json:"vouch,omitempty"`
 	DryRun            bool   `json:"dry_run,omitempty"`
-	Wait              bool   `json:"wait,omitempty"` // until what was claimed is no longer being sent
+	Wait              bool   `json:"wait,omitempty"` // wait until the claimed entries are no longer being resent
 }
 
-// Filter says which entries are meant: those that all of its fields fit. Empty fields fit all.
+// Filter selects the entries that match all of its fields. An empty field matches everything.
 type Filter struct {
-	All            bool                `json:"all,omitempty"` // needed by resend and drop where nothing else is set
+	All            bool                `json:"all,omitempty"` // required by resend and drop if no other field is set
 	Numbers        []uint64            `json:"numbers,omitempty"`
 	IDs            []string            `json:"ids,omitempty"`
 	Classes        []string            `json:"classes,omitempty"`
 	Tenants        []string            `json:"tenants,omitempty"`
 	Destinations   []int               `json:"dests,omitempty"`
 	Causes         []string            `json:"causes,omitempty"`
-	States         []undelivered.State `json:"states,omitempty"` // none: all but those that have ended
+	States         []undelivered.State `json:"states,omitempty"` // if empty, all but entries that ended
 	Doubt          string              `json:"doubt,omitempty"`  // only or none
 	OlderSeconds   int64               `json:"older_s,omitempty"`
 	YoungerSeconds int64               `json:"younger_s,omitempty"`
 	Limit          int                 `json:"limit,omitempty"`
 }
 
-// Reply is one line of the answer to a Request; one of its fields is set.
+// Reply is one line of the answer to a Request. Usually one field is set; the last line has Summary and may have
+// Counts.
 type Reply struct {
 	Entry    *EntryLine        `json:"entry,omitempty"`
 	Details  *EntryDetails     `json:"full,omitempty"`
@@ -53,14 +54,14 @@
 	Counts   map[string]string `json:"counts,omitempty"`
 }
 
-// Refusal is a message that was handed back to its client.
+// Refusal is a message that was returned to its client.
 type Refusal = undelivered.RefusedMessage
 
-// Progress says how far long work is.
+// Progress reports how far a command has got.
 type Progress struct {
 	Done     int `json:"done"`
-	Total    int `json:"of,omitempty"`   // 0: not known yet
-	InFlight int `json:"left,omitempty"` // being sent
+	Total    int `json:"of,omitempty"`   // 0 if not known yet
+	InFlight int `json:"left,omitempty"` // entries being resent
 }
 
 // EntryLine is an entry in a list.
@@ -80,23 +81,23 @@
 	Outlook     string            `json:"outlook,omitempty"`
 }
 
-// EntryDetails is all of an entry; Body only where it was asked for.
+// EntryDetails is an entry with its history. Body is set only by export.
 type EntryDetails struct {
 	*undelivered.Entry
 	Body    []byte `json:"body,omitempty"`
 	Outlook string `json:"outlook,omitempty"`
 }
 
-// ErrRequest is in the chain of errors about a request that can't be understood.
+// ErrRequest is wrapped by errors about an invalid request.
 var ErrRequest = errors.New("request")
 
 const (
-	chunkRows   = 500 // looked at in one go on the driver's goroutine
-	chunkOrders = 20  // carried out in one go
-	pollGap     = 200 * time.Millisecond
+	rowsPerChunk    = 500 // rows read in one call on the driver's goroutine
+	actionsPerChunk = 20  // actions carried out in one call
+	pollInterval    = 200 * time.Millisecond
 )
 
-// Check tells what is wrong with a request.
+// Check returns an error if the request is invalid.
 func (r *Request) Check() error {
 	f := &r.Filter
 	switch {
@@ -124,8 +125,8 @@
 	return nil
 }
 
-// fits tells whether an entry is meant, as far as that shows without its file.
-func (f *Filter) fits(s *undelivered.Summary, now Time) bool {
+// matches reports whether an entry matches, as far as its summary shows.
+func (f *Filter) matches(s *undelivered.Summary, now Time) bool {
 	age := int64((now - s.KeptAt) / control.Second)
 	switch {
 	case len(f.Numbers) > 0 && !slices.Contains(f.Numbers, s.Number),
@@ -142,18 +143,18 @@
 	return s.State != undelivered.Ended || len(f.Numbers)+len(f.IDs) > 0
 }
 
-// Service answers commands.
+// Service executes the commands of operators.
 type Service struct {
 	Resender    *Resender
 	Dir         journal.Dir         // may be read from any goroutine
-	RunOnDriver func(f func()) bool // runs f on the driver's goroutine; false if that has stopped
-	Sleep       func(time.Duration) // pauses
+	RunOnDriver func(f func()) bool // runs f on the driver's goroutine; false if the driver has stopped
+	Sleep       func(time.Duration)
 }
 
 var errStopped = errors.New("the dispatcher is stopping")
 
-// do runs f on the driver's goroutine and waits for it.
-func (s *Service) do(ctx context.Context, f func()) error {
+// waitOnDriver runs f on the driver's goroutine and waits for it.
+func (s *Service) waitOnDriver(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	if !s.RunOnDriver(func() { f(); close(done) }) {
 		return errStopped
@@ -166,30 +167,30 @@
 	}
 }
 
-// Handle answers one command, on any goroutine but the driver's. reply is called for each line; its error ends the
-// command. What was done by then stays done.
+// Handle executes one command, on any goroutine but the driver's. It calls reply for each line. An error of reply ends
+// the command; actions carried out before stay.
 func (s *Service) Handle(ctx context.Context, r *Request, reply func(*Reply) error) error {
 	if err := r.Check(); err != nil {
 		return err
 	}
 	switch r.Command {
 	case "list", "show", "export":
-		return s.tell(ctx, r, reply)
+		return s.query(ctx, r, reply)
 	}
-	return s.orders(ctx, r, reply)
+	return s.runActions(ctx, r, reply)
 }
 
-// pick is an entry that a filter fits.
-type pick struct {
+// match is an entry that a filter selects.
+type match struct {
 	undelivered.Summary
 	file, outlook string
 }
 
-// picks finds the entries that a filter fits, some at a time, so that nothing waits for it.
-func (s *Service) picks(ctx context.Context, f *Filter, outlook bool, each func([]pick) error) error {
+// forEachMatch finds the entries that a filter selects, in chunks, so that it does not block the driver for long.
+func (s *Service) forEachMatch(ctx context.Context, f *Filter, outlook bool, each func([]match) error) error {
 	numbers := map[uint64]bool{}
 	if len(f.IDs) > 0 {
-		err := s.do(ctx, func() {
+		err := s.waitOnDriver(ctx, func() {
 			for _, id := range f.IDs {
 				for _, no := range s.Resender.store.FindByID(id) {
 					numbers[no] = true
@@ -202,18 +203,18 @@
 	}
 	next, found := uint64(0), 0
 	for more := true; more; {
-		var list []pick
+		var list []match
 		more = false
-		err := s.do(ctx, func() {
+		err := s.waitOnDriver(ctx, func() {
 			now, rows := s.Resender.store.Now(), 0
 			s.Resender.store.Each(next, func(e undelivered.Summary) bool {
-				if rows++; rows > chunkRows {
+				if rows++; rows > rowsPerChunk {
 					more = true
 					return false
 				}
 				next = e.Number + 1
-				if f.fits(&e, now) && (len(f.IDs) == 0 || numbers[e.Number]) {
-					one := pick{Summary: e, file: s.Resender.store.FileName(e.Number)}
+				if f.matches(&e, now) && (len(f.IDs) == 0 || numbers[e.Number]) {
+					one := match{Summary: e, file: s.Resender.store.FileName(e.Number)}
 					if outlook {
 						one.outlook = s.Resender.Outlook(&e)
 					}
@@ -238,21 +239,21 @@
 	return nil
 }
 
-// tell lists, shows or exports.
-func (s *Service) tell(ctx context.Context, r *Request, reply func(*Reply) error) error {
+// query executes list, show and export.
+func (s *Service) query(ctx context.Context, r *Request, reply func(*Reply) error) error {
 	sum := map[string]int{}
 	if slices.Contains(r.Filter.States, undelivered.Refused) {
 		if err := ReplyRefused(s.Dir, &r.Filter, sum, reply); err != nil {
 			return err
 		}
 	}
-	err := s.picks(ctx, &r.Filter, true, func(list []pick) error {
+	err := s.forEachMatch(ctx, &r.Filter, true, func(list []match) error {
 		for i := range list {
 			p := &list[i]
 			sum[string(p.State)]++
 			e, err := undelivered.Read(s.Dir, p.file)
-			if errors.Is(err, fs.ErrNotExist) { // it was written anew, or went
-				if s.do(ctx, func() { e, err = s.Resender.store.Entry(p.Number) }) != nil || err != nil {
+			if errors.Is(err, fs.ErrNotExist) { // its file was rewritten or removed meanwhile
+				if s.waitOnDriver(ctx, func() { e, err = s.Resender.store.Entry(p.Number) }) != nil || err != nil {
 					continue
 				}
 			}
@@ -273,8 +274,8 @@
 	}
 	var counts undelivered.Counts
 	used, out := int64(0), 0
-	if err := s.do(ctx, func() {
-		counts, used, out = s.Resender.store.Counts, s.Resender.store.DiskBytes(), s.Resender.plan.InFlight()
+	if err := s.waitOnDriver(ctx, func() {
+		counts, used, out = s.Resender.store.Counts, s.Resender.store.DiskBytes(), s.Resender.planner.InFlight()
 	}); err != nil {
 		return err
 	}
@@ -287,7 +288,7 @@
 	}})
 }
 
-// ReplyEntry replies with an entry as a command wants it.
+// ReplyEntry replies with an entry in the form of the command.
 func ReplyEntry(command string, e *undelivered.Entry, outlook string, reply func(*Reply) error) error {
 	if command == "list" {
 		l := &EntryLine{
@@ -306,7 +307,7 @@
 	return reply(&Reply{Details: full})
 }
 
-// ReplyRefused replies with what was handed back to clients of late.
+// ReplyRefused replies with the recently refused messages.
 func ReplyRefused(dir journal.Dir, f *Filter, sum map[string]int, reply func(*Reply) error) error {
 	list, err := undelivered.ReadRefused(dir)
 	if err != nil {
@@ -327,7 +328,8 @@
 	return nil
 }
 
-// ReplyFromFolder answers list, show and export from a folder that no dispatcher need have. What rules would do is not known.
+// ReplyFromFolder executes list, show and export on a folder without a running dispatcher. The outlook of entries is
+// then unknown.
 func ReplyFromFolder(dir journal.Dir, r *Request, reply func(*Reply) error) error {
 	if err := r.Check(); err != nil {
 		return err
@@ -346,7 +348,7 @@
 	for _, e := range list {
 		one := e.Summary()
 		age := Time(time.Since(e.KeptAt).Microseconds())
-		if !r.Filter.fits(&one, one.KeptAt+age) || len(r.Filter.IDs) > 0 && !e.HasAnyID(r.Filter.IDs) {
+		if !r.Filter.matches(&one, one.KeptAt+age) || len(r.Filter.IDs) > 0 && !e.HasAnyID(r.Filter.IDs) {
 			continue
 		}
 		sum[string(e.State)]++
@@ -360,10 +362,10 @@
 	return reply(&Reply{Summary: sum})
 }
 
-// orders carries out resend or drop.
-func (s *Service) orders(ctx context.Context, r *Request, reply func(*Reply) error) error {
+// runActions executes resend and drop.
+func (s *Service) runActions(ctx context.Context, r *Request, reply func(*Reply) error) error {
 	var list []uint64
-	err := s.picks(ctx, &r.Filter, false, func(p []pick) error {
+	err := s.forEachMatch(ctx, &r.Filter, false, func(p []match) error {
 		for i := range p {
 			list = append(list, p[i].Number)
 		}
@@ -372,7 +374,7 @@
 	if err != nil {
 		return err
 	}
-	for _, no := range r.Filter.Numbers { // also those that are not there are told of
+	for _, no := range r.Filter.Numbers { // numbers without an entry get a result, too
 		if !slices.Contains(list, no) && len(r.Filter.States) == 0 {
 			list = append(list, no)
 		}
@@ -380,10 +382,10 @@
 	o := ManualAction{Operator: r.By, Reason: r.Why, Token: r.Token, ConfirmedNoEffect: r.ConfirmedNoEffect, DryRun: r.DryRun}
 	sum := map[string]int{}
 	var claimed []uint64
-	for from := 0; from < len(list); from += chunkOrders {
-		part := list[from:min(from+chunkOrders, len(list))]
+	for from := 0; from < len(list); from += actionsPerChunk {
+		part := list[from:min(from+actionsPerChunk, len(list))]
 		var outs []ActionResult
-		err := s.do(ctx, func() {
+		err := s.waitOnDriver(ctx, func() {
 			for _, no := range part {
 				if r.Command == "drop" {
 					outs = append(outs, s.Resender.Drop(no, o))
@@ -410,21 +412,21 @@
 		}
 	}
 	if r.Wait && r.Command == "resend" {
-		if err := s.await(ctx, claimed, sum, reply); err != nil {
+		if err := s.awaitResends(ctx, claimed, sum, reply); err != nil {
 			return err
 		}
 	}
 	return reply(&Reply{Summary: sum})
 }
 
-// await waits until entries are no longer claimed or away, and counts how they stand then.
-func (s *Service) await(ctx context.Context, list []uint64, sum map[string]int, reply func(*Reply) error) error {
+// awaitResends waits until no entry is claimed or in flight, and counts the states they end up in.
+func (s *Service) awaitResends(ctx context.Context, list []uint64, sum map[string]int, reply func(*Reply) error) error {
 	all := len(list)
 	for len(list) > 0 {
 		var left []uint64
-		for from := 0; from < len(list); from += chunkRows {
-			err := s.do(ctx, func() {
-				for _, no := range list[from:min(from+chunkRows, len(list))] {
+		for from := 0; from < len(list); from += rowsPerChunk {
+			err := s.waitOnDriver(ctx, func() {
+				for _, no := range list[from:min(from+rowsPerChunk, len(list))] {
 					e, ok := s.Resender.store.Get(no)
 					switch {
 					case !ok:
@@ -446,7 +448,7 @@
 		if err := reply(&Reply{Progress: &Progress{Done: all - len(list), Total: all, InFlight: len(list)}}); err != nil {
 			return err
 		}
-		s.Sleep(pollGap)
+		s.Sleep(pollInterval)
 		if ctx.Err() != nil {
 			return errStopped
 		}
--- a/internal/redeliver/thousand_test.go
+++ b/internal/redeliver/thousand_test.go
@@ -24,7 +24,7 @@
 	"curlewmux/internal/standin/discovery"
 )
 
-const generous = 2 * time.Minute
+const waitTimeout = 2 * time.Minute
 
 // programs are the real ones, built once.
 var programs string
@@ -57,8 +57,8 @@
  "report":{"names":[],"via":"none"},"rules":{"cold-from":0.5,"overload-for":100000,"stop-sending-within":1000000,
  "tip-multiple":2.0,"warm-up":200000},"tenants":[{"fraction":1.0,"name":"core","quota-per-s":100000}]}`
 
-// farm is a real dispatcher with an archive of many destinations, all on loopback.
-type farm struct {
+// harness is a real dispatcher with an archive of many destinations, all on loopback.
+type harness struct {
 	t       *testing.T
 	agent   *discovery.Agent
 	archive *archive.Server
@@ -72,9 +72,9 @@
 	n       int32
 }
 
-// newFarm starts all but the dispatcher. Each destination has an endpoint of its own; those above up are down.
-func newFarm(t *testing.T, dests, up int) *farm {
-	f := &farm{t: t, n: farms.Add(1), archive: &archive.Server{Host: host.System{}}, dests: dests, state: t.TempDir()}
+// newHarness starts all but the dispatcher. Each destination has an endpoint of its own; those above up are down.
+func newHarness(t *testing.T, dests, up int) *harness {
+	f := &harness{t: t, n: harnessCount.Add(1), archive: &archive.Server{Host: host.System{}}, dests: dests, state: t.TempDir()}
 	var err error
 	f.agent, err = discovery.Start()
 	must(t, err)
@@ -109,14 +109,14 @@
 }
 
 // address is one of this farm's own, where nobody else's port can be.
-func (f *farm) address(n int) string {
+func (f *harness) address(n int) string {
 	return fmt.Sprintf("127.%d.%d.%d:9000", 1+os.Getpid()%200, 100+f.n, n+1)
 }
 
-var farms atomic.Int32
+var harnessCount atomic.Int32
 
 // serve has the archive answer at an address.
-func (f *farm) serve(addr string) {
+func (f *harness) serve(addr string) {
 	l, err := net.Listen("tcp", addr)
 	must(f.t, err)
 	f.t.Cleanup(func() { l.Close() })
@@ -130,7 +130,7 @@
 	}
 }
 
-func (f *farm) start() {
+func (f *harness) start() {
 	f.t.Helper()
 	f.cmd = exec.Command(filepath.Join(programs, "curlewmux"), "--operator", f.op)
 	f.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+f.config, "EDGE_STATE="+f.state)
@@ -154,9 +154,9 @@
 	})
 }
 
-func (f *farm) until(what string, ok func() bool) {
+func (f *harness) until(what string, ok func() bool) {
 	f.t.Helper()
-	for limit := time.Now().Add(generous); !ok(); time.Sleep(20 * time.Millisecond) {
+	for limit := time.Now().Add(waitTimeout); !ok(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(limit) {
 			out, _ := f.ctl("undelivered", "list", f.state, "--limit", "20")
 			f.t.Fatalf("it never comes to that: %s\n%s", what, out)
@@ -165,7 +165,7 @@
 }
 
 // ctl runs curlewctl and returns what it printed and its exit status.
-func (f *farm) ctl(args ...string) (string, int) {
+func (f *harness) ctl(args ...string) (string, int) {
 	cmd := exec.Command(filepath.Join(programs, "curlewctl"), args...)
 	var out bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &out, &out
@@ -177,8 +177,8 @@
 	return out.String(), cmd.ProcessState.ExitCode()
 }
 
-// listed counts the entries of a state, as curlewctl has it.
-func (f *farm) listed() (n int, ended int) {
+// countEntries counts the entries of a state, as curlewctl has it.
+func (f *harness) countEntries() (n int, ended int) {
 	out, _ := f.ctl("undelivered", "list", f.state, "--json", "--state=waiting,held,claimed,away,ended,damaged")
 	for line := range strings.Lines(out) {
 		var l struct{ Entry *struct{ State string } }
@@ -194,7 +194,7 @@
 }
 
 // post hands a message in once; 0 is no answer.
-func (f *farm) post(class, id, body string, dest int) int {
+func (f *harness) post(class, id, body string, dest int) int {
 	r, err := http.NewRequest("POST", "http://"+f.addr+"/"+class, strings.NewReader(body))
 	if err != nil {
 		return 0
@@ -213,9 +213,9 @@
 	return res.StatusCode
 }
 
-// fates are what becomes of an upload's first calls: each row of the table of outcomes that a partner can bring about, with
+// callScripts are what becomes of an upload's first calls: each row of the table of outcomes that a partner can bring about, with
 // and without effect. What runs late does so within half a second.
-func fates() map[string]archive.Act {
+func callScripts() map[string]archive.Act {
 	out := map[string]archive.Act{
 		"ok": {}, "over": {Status: 410, NoEffect: true}, "wait": {Status: 429, Wait: 100 * time.Millisecond, NoEffect: true},
 		"full": {Status: 503, NoEffect: true}, "moot": {Status: 504, NoEffect: true}, "slow": {Delay: 300 * time.Millisecond},
@@ -234,8 +234,8 @@
 func TestAThousandUploads(t *testing.T) {
 	t.Parallel()
 	const uploads, dests = 1000, 40
-	f := newFarm(t, dests, dests-2)
-	acts := fates()
+	f := newHarness(t, dests, dests-2)
+	acts := callScripts()
 	names := make([]string, 0, len(acts))
 	for name := range acts {
 		names = append(names, name)
@@ -272,7 +272,7 @@
 	var clients sync.WaitGroup
 	var handed atomic.Int32
 	work := make(chan int)
-	unsure := sync.Map{}
+	unconfirmed := sync.Map{}
 	done := make(chan struct{})
 	for range 150 {
 		clients.Go(func() {
@@ -283,7 +283,7 @@
 					code := 0
 					for code != 202 && code != 410 {
 						if code = f.post(class, id, body, dest); code == 500 {
-							unsure.Store(body, true)
+							unconfirmed.Store(body, true)
 							break
 						}
 						if code != 202 {
@@ -291,7 +291,7 @@
 						}
 					}
 					handed.Add(1)
-					if code != 202 || over(n) || !f.deferred(id, body, done) { // of what is over nobody is told
+					if code != 202 || over(n) || !f.waitDeferred(id, body, done) { // of what is over nobody is told
 						break
 					}
 				}
@@ -308,9 +308,9 @@
 			}
 		}
 	})
-	var lives sync.WaitGroup
+	var restarts sync.WaitGroup
 	stop := make(chan struct{})
-	lives.Go(func() { // the dispatcher dies and is started again
+	restarts.Go(func() { // the dispatcher dies and is started again
 		for n := 0; ; n++ {
 			select {
 			case <-stop:
@@ -351,12 +351,12 @@
 	close(work)
 	t.Logf("all were handed in after %v", time.Since(begun))
 	close(stop)
-	lives.Wait()
+	restarts.Wait()
 	missing := func() (left []string) {
 		effects := f.archive.Effects()
 		for n := range uploads {
 			body := fmt.Sprintf("upload %d", n)
-			if _, ok := unsure.Load(body); !ok && !over(n) && effects[body] == 0 {
+			if _, ok := unconfirmed.Load(body); !ok && !over(n) && effects[body] == 0 {
 				left = append(left, body)
 			}
 		}
@@ -367,7 +367,7 @@
 	close(done)
 	clients.Wait()
 	operators.Wait()
-	f.until("nothing lies there any more", func() bool { n, _ := f.listed(); return n == 0 })
+	f.until("nothing lies there any more", func() bool { n, _ := f.countEntries(); return n == 0 })
 	effects := f.archive.Effects()
 	for n := range uploads {
 		body := fmt.Sprintf("upload %d", n)
@@ -375,7 +375,7 @@
 			t.Errorf("%s (%s) took effect %d times", body, names[n%len(names)], effects[body])
 		}
 	}
-	_, ended := f.listed()
+	_, ended := f.countEntries()
 	calls, inquiries := f.archive.Counts()
 	t.Logf("%d hand-ins, %d kept and sent again, %d calls, %d inquiries", handed.Load(), ended, calls, inquiries)
 	if ended < uploads/5 {
@@ -383,8 +383,8 @@
 	}
 }
 
-// deferred waits for the end of a message that was taken on, and tells whether it was handed back.
-func (f *farm) deferred(id, body string, done <-chan struct{}) bool {
+// waitDeferred waits for the end of a message that was taken on, and tells whether it was handed back.
+func (f *harness) waitDeferred(id, body string, done <-chan struct{}) bool {
 	for {
 		if list := f.agent.Of(id); len(list) > 0 {
 			return list[0].Status == discovery.Deferred
--- a/undelivered/damage_test.go
+++ b/undelivered/damage_test.go
@@ -11,16 +11,16 @@
 	"curlewmux/resend"
 )
 
-// tangled is a store with an entry that was sent again, and what its file held after each event.
-func tangled(t *testing.T) (r *rig, no uint64, name string, ends []int) {
+// newResentEntry is a store with an entry that was sent again, and what its file held after each event.
+func newResentEntry(t *testing.T) (r *rig, no uint64, name string, ends []int) {
 	r = newRig(t)
 	r.open(nil)
 	no, err := r.s.Keep(message("u", "unsafe"), Submission{ID: "u", Disposition: "failed", Cause: "tries"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.s.await(1, no)
-	r.s.stored(1)
+	r.s.setEndBatch(1, no)
+	r.s.batchesStored(1)
 	name = r.s.FileName(no)
 	note := func() { ends = append(ends, len(r.disk.Read(name))) }
 	note()
@@ -37,8 +37,8 @@
 		note()
 		r.s.SubmissionEnded(m.ID, Submission{ID: m.ID, Disposition: "refused", Cause: "time"})
 		note()
-		r.s.await(1, no)
-		r.s.stored(1)
+		r.s.setEndBatch(1, no)
+		r.s.batchesStored(1)
 	}
 	return r, no, name, ends
 }
@@ -46,14 +46,14 @@
 // Whatever is damaged in a file, nothing of that message is sent by itself, and other messages go on.
 func TestADamagedEntryIsNeverSentByARule(t *testing.T) {
 	t.Parallel()
-	r, no, name, _ := tangled(t)
+	r, no, name, _ := newResentEntry(t)
 	other := r.keep("other", "unsafe")
 	whole, disk := r.disk.Read(name), r.disk
 	rules := &resend.Settings{
 		Classes: r.set.Classes, Rules: []resend.Rule{{Name: "x", MaxResends: 9}},
 		Partners: []resend.Partner{{Destination: 3, Proof: resend.ByInquiry, RememberTime: 1 << 50}},
 	}
-	states := map[State]int{}
+	seenStates := map[State]int{}
 	for at := 0; at < len(whole)+512; at += 3 {
 		for _, how := range []string{"a byte", "a block", "bytes behind the end"} {
 			text := slices.Clone(whole)
@@ -74,7 +74,7 @@
 				r.open(nil)
 				r.want(other, Waiting, true)
 				s := r.get(no)
-				states[s.State]++
+				seenStates[s.State]++
 				if s.State == Damaged {
 					if _, err := r.s.Claim(no, Claim{By: "x"}); !errors.Is(err, ErrDamaged) {
 						t.Fatalf("%s at %d: claimed: %v", how, at, err)
@@ -89,7 +89,7 @@
 				}
 			}
 			if s := r.get(no); s.State == Held { // an operator may still send it
-				if _, id := r.hand(no); id == "" {
+				if _, id := r.claimAndBegin(no); id == "" {
 					t.Fatal("no id")
 				}
 			}
@@ -98,15 +98,15 @@
 			}
 		}
 	}
-	if states[Damaged] == 0 || states[Held] == 0 {
-		t.Errorf("not all came up: %v", states)
+	if seenStates[Damaged] == 0 || seenStates[Held] == 0 {
+		t.Errorf("not all came up: %v", seenStates)
 	}
 }
 
 // A file that is cut short is as if the process had ended in that write.
 func TestAFileThatIsCutShort(t *testing.T) {
 	t.Parallel()
-	r, no, name, ends := tangled(t)
+	r, no, name, ends := newResentEntry(t)
 	whole, disk := r.disk.Read(name), r.disk
 	for size := range len(whole) {
 		r.disk = disk.Clone()
@@ -140,9 +140,9 @@
 		text    []byte
 		ageless bool
 	}{
-		{append(make([]byte, block), whole[block:]...), false}, // one copy is lost
-		{append(slices.Clone(whole[:block]), make([]byte, block)...), false},
-		{make([]byte, 2*block), true},
+		{append(make([]byte, blockSize), whole[blockSize:]...), false}, // one copy is lost
+		{append(slices.Clone(whole[:blockSize]), make([]byte, blockSize)...), false},
+		{make([]byte, 2*blockSize), true},
 		{nil, true},
 		{whole[:20], true},
 	} {
@@ -150,7 +150,7 @@
 		r.disk.Put(metaName, c.text)
 		r.open(nil)
 		s := r.get(no)
-		n, err := r.s.number()
+		n, err := r.s.nextNumber()
 		if s.Doubt.AgeUnknown != c.ageless || r.s.ID() != id || err != nil || n <= no {
 			t.Errorf("ages known %v, store %x (was %x), number %d after %d: %v", !s.Doubt.AgeUnknown, r.s.ID(), id, n, no, err)
 		}
@@ -159,23 +159,23 @@
 
 func FuzzDecode(f *testing.F) {
 	e := &Entry{Number: 7, ID: "u", Body: []byte("body"), Bytes: 4, Submissions: []Submission{{ID: "u"}}}
-	b, _ := frame(7, 0, e, e.Body)
+	b, _ := encodeFrame(7, 0, e, e.Body)
 	f.Add(b)
-	ev, _ := frame(7, int64(len(b)), Event{Kind: EventClaimed, Claim: &Claim{Number: 8}}, nil)
+	ev, _ := encodeFrame(7, int64(len(b)), Event{Kind: EventClaimed, Claim: &Claim{Number: 8}}, nil)
 	f.Add(append(b, ev...))
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		e, err := decode(7, b)
 		if err != nil {
-			if !errors.Is(err, ErrDamaged) && !errors.Is(err, errCut) {
+			if !errors.Is(err, ErrDamaged) && !errors.Is(err, errTruncated) {
 				t.Fatal(err)
 			}
 			return
 		}
-		if e.Number != 7 || e.size > int64(len(b)) {
+		if e.Number != 7 || e.fileSize > int64(len(b)) {
 			t.Fatalf("%+v", e)
 		}
-		again, err := frame(7, 0, e, e.Body)
+		again, err := encodeFrame(7, 0, e, e.Body)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -190,12 +190,12 @@
 	f.Add([]byte(`{"kind":"handed","id":"r"}`), []byte(`{"kind":"released"}`))
 	f.Add([]byte(`{"kind":"over","life":{"id":"r","how":"delivered"}}`), []byte(`{"kind":"claimed"}`))
 	f.Fuzz(func(t *testing.T, one, two []byte) {
-		b, err := frame(7, 0, &Entry{Number: 7}, nil)
+		b, err := encodeFrame(7, 0, &Entry{Number: 7}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, text := range [][]byte{one, two} {
-			ev, err := frame(7, int64(len(b)), rawJSON(text), nil)
+			ev, err := encodeFrame(7, int64(len(b)), rawJSON(text), nil)
 			if err != nil {
 				return
 			}
--- a/undelivered/entry.go
+++ b/undelivered/entry.go
@@ -1,6 +1,6 @@
-// Package undelivered keeps messages that could not be delivered, in the folder that lasts, beside the journal. Store has
-// one file for each; Keeper stands between an engine and its store, so that a message moves from the journal into the
-// Store in one step. What is sent again, and when, is decided in package resend.
+// Package undelivered keeps messages that could not be delivered, in the same durable folder as the journal. Store has
+// one file per message. Keeper wraps the engine's journal, so that a message moves from the journal into the Store in
+// one step. Package resend decides what is resent and when.
 package undelivered
 
 import (
@@ -14,95 +14,95 @@
 	"curlewmux/resend"
 )
 
-// Time is the store's own time in microseconds: it never goes back, also not over restarts.
+// Time is the store's own time in microseconds. It never goes back, not even over restarts.
 type Time = resend.Time
 
-// State is how an entry stands.
+// State is the state of an entry.
 type State string
 
-// States.
+// States of an entry.
 const (
-	Waiting  State = "waiting" // it lies there; a rule may send it
-	Held     State = "held"    // it lies there; only an operator may send it
-	Claimed  State = "claimed" // somebody has it, and nothing was handed in yet
-	InFlight State = "away"    // it was handed in as a new life
-	Ended    State = "ended"   // for good, without its body
+	Waiting  State = "waiting" // kept; a rule may resend it
+	Held     State = "held"    // kept; only an operator may resend it
+	Claimed  State = "claimed" // claimed by a rule or an operator, and not submitted yet
+	InFlight State = "away"    // submitted again; its result is not known yet
+	Ended    State = "ended"   // final; its body is removed
 	Damaged  State = "damaged" // its file can't be read
-	Refused  State = "refused" // it was handed back to its client, who may hand it in again: listed, without its body
+	Refused  State = "refused" // returned to its client, which may submit it again; listed without its body
 )
 
-// states are all but Refused, which has no entry, in the order in which rows number them.
+// states holds all states but Refused, which has no entry. A row stores an index into it.
 var states = [...]State{Waiting, Held, Claimed, InFlight, Ended, Damaged}
 
-// Entry is a kept message with all that is known of it.
+// Entry is an undelivered message with its history.
 type Entry struct {
 	Number            uint64       `json:"number"`
-	Store             string       `json:"store"` // whose number it is
-	ID                string       `json:"id"`    // as its client handed it in
+	Store             string       `json:"store"` // the id of the store that gave the number
+	ID                string       `json:"id"`    // the id under which its client submitted it
 	Class             string       `json:"class"`
 	Tenant            string       `json:"tenant,omitempty"`
 	Destination       int          `json:"dest"`
 	Key               string       `json:"key,omitempty"`
-	Bytes             int          `json:"bytes"` // of its body
+	Bytes             int          `json:"bytes"` // size of the body
 	KeptStoreTime     Time         `json:"kept"`
-	KeptAt            time.Time    `json:"kept_at"` // by the wall clock, for people; so are the others
+	KeptAt            time.Time    `json:"kept_at"` // wall time; the other times of an Entry are store time
 	State             State        `json:"state"`
-	HoldReason        string       `json:"held,omitempty"` // why no rule may send it
-	LastEnd           Time         `json:"last"`           // when its newest life ended
-	Resends           int          `json:"tries"`          // lives after the first
+	HoldReason        string       `json:"held,omitempty"` // why no rule may resend it
+	LastEnd           Time         `json:"last"`           // when its newest submission ended
+	Resends           int          `json:"tries"`          // submissions after the first
 	LastFailedInquiry Time         `json:"asked,omitempty"`
 	FailedInquiries   int          `json:"asks,omitempty"`
 	Doubt             Doubt        `json:"doubt,omitzero"`
 	Claim             *Claim       `json:"claim,omitempty"`
 	Submissions       []Submission `json:"lives"`
 	History           []Event      `json:"history"`
-	Disposition       string       `json:"end,omitempty"` // how it ended for good
+	Disposition       string       `json:"end,omitempty"` // how it ended, once it is Ended
 	Body              []byte       `json:"-"`
-	gen               int          // of its file
-	size              int64        // of its file
-	torn              bool         // there is something behind size
-	damage            bool         // some of what was told of it can't be read
+	generation        int          // of its file
+	fileSize          int64        // bytes of its file up to the last whole frame
+	hasPartialFrame   bool         // the file holds bytes beyond fileSize
+	damaged           bool         // part of its history can't be read
 }
 
-// Doubt says that a message may have taken effect.
+// Doubt says whether a message may have taken effect.
 type Doubt struct {
-	FirstSent Time     `json:"at"`    // send of the first attempt that may have run, 0 if none may have
-	Zone      int      `json:"zone"`  // which it went to
-	QuietFrom Time     `json:"quiet"` // from then on no call of it is out here
-	IDs       []string `json:"ids"`   // of the lives that may have
+	FirstSent Time     `json:"at"`    // when the first attempt in doubt was sent; 0 if there is none
+	Zone      int      `json:"zone"`  // where that attempt was sent
+	QuietFrom Time     `json:"quiet"` // no call of the message is out here from this time on
+	IDs       []string `json:"ids"`   // the submissions in doubt
 
-	AgeUnknown bool `json:"ageless,omitempty"` // At can't be trusted
+	AgeUnknown bool `json:"ageless,omitempty"` // FirstSent can't be trusted
 }
 
-// Claim says who has an entry.
+// Claim is the exclusive right of a rule or an operator to resend an entry.
 type Claim struct {
 	Number            uint64    `json:"number"`
 	By                string    `json:"by"`
 	Why               string    `json:"why,omitempty"`
 	Token             string    `json:"token,omitempty"`
 	Manual            bool      `json:"by_hand,omitempty"`
-	ConfirmedNoEffect bool      `json:"vouched,omitempty"` // its owner says that the message took no effect
-	ExpiresAt         Time      `json:"until,omitempty"`   // of one by hand: then it is given back, if nothing was handed in
+	ConfirmedNoEffect bool      `json:"vouched,omitempty"` // the operator confirms that the message had no effect
+	ExpiresAt         Time      `json:"until,omitempty"`   // a manual claim is released at this time if nothing was submitted under it
 	ClaimedAt         time.Time `json:"at"`
-	SubmittedID       string    `json:"id,omitempty"` // what it was handed in as
+	SubmittedID       string    `json:"id,omitempty"` // the id of the submission made under the claim
 }
 
-// Submission is one life of a message, from a hand-in to an end.
+// Submission is one submission of a message and how it ended.
 type Submission struct {
 	ID              string    `json:"id"`
-	Disposition     string    `json:"how,omitempty"` // how it ended; "" it has not
+	Disposition     string    `json:"how,omitempty"` // how it ended; empty while it has not
 	Cause           string    `json:"cause,omitempty"`
-	Reason          string    `json:"why,omitempty"` // in the partner's words
+	Reason          string    `json:"why,omitempty"` // as the partner reported it
 	EndedAt         time.Time `json:"ended_at,omitzero"`
 	AttemptCount    int       `json:"tries"`
-	EarlierAttempts int       `json:"attempts_before_a_restart,omitempty"` // of which only their number is known, and DoubtAt
-	Attempts        []Attempt `json:"attempts,omitempty"`                  // those of the process in which it ended
-	DoubtAt         Time      `json:"doubt_at,omitempty"`                  // send of the first that may have run, 0 if none may have
+	EarlierAttempts int       `json:"attempts_before_a_restart,omitempty"` // attempts of earlier processes, of which only the number and DoubtAt are known
+	Attempts        []Attempt `json:"attempts,omitempty"`                  // attempts of the process in which the submission ended
+	DoubtAt         Time      `json:"doubt_at,omitempty"`                  // when its first attempt in doubt was sent; 0 if there is none
 	DoubtZone       int       `json:"doubt_zone,omitempty"`
 	QuietFrom       Time      `json:"quiet,omitempty"`
 }
 
-// Attempt is one attempt of a life.
+// Attempt is one attempt to deliver a submission.
 type Attempt struct {
 	SentAt       time.Time `json:"sent"`
 	EndedAt      time.Time `json:"ended,omitzero"`
@@ -112,23 +112,23 @@
 	RetryAfterMS int64     `json:"wait_ms,omitempty"`
 }
 
-// EventKind is what happened to an entry.
+// EventKind is the kind of an Event.
 type EventKind string
 
 // Kinds of event.
 const (
 	EventKept            EventKind = "kept"
 	EventClaimed         EventKind = "claimed"
-	EventReleased        EventKind = "released" // its claim was given back; nothing was handed in
-	EventInquired        EventKind = "asked"    // the partner was asked whether it took effect
-	EventDoubtCleared    EventKind = "cleared"  // it took no effect, and no earlier call can run any more
-	EventSubmitted       EventKind = "handed"   // it is about to be handed in as a new life
-	EventSubmissionEnded EventKind = "over"     // that life ended
+	EventReleased        EventKind = "released" // the claim was released and nothing was submitted
+	EventInquired        EventKind = "asked"    // the partner was asked whether the message took effect
+	EventDoubtCleared    EventKind = "cleared"  // the message had no effect, and no earlier call can run any more
+	EventSubmitted       EventKind = "handed"   // written before the message is submitted again
+	EventSubmissionEnded EventKind = "over"     // the newest submission ended
 	EventHeld            EventKind = "held"
 	EventEnded           EventKind = "ended"
 )
 
-// Event is one thing that happened to an entry, with who, when and why.
+// Event is one step in the history of an entry: what happened, when, by whom and why.
 type Event struct {
 	Kind       EventKind   `json:"kind"`
 	At         Time        `json:"at"`
@@ -138,18 +138,18 @@
 	Claim      *Claim      `json:"claim,omitempty"`
 	ID         string      `json:"id,omitempty"`
 	Token      string      `json:"token,omitempty"`
-	Result     string      `json:"how,omitempty"` // an answer, or the end
+	Result     string      `json:"how,omitempty"` // the answer to an inquiry, or how the submission or entry ended
 	Submission *Submission `json:"life,omitempty"`
 }
 
-// apply changes an entry by what happened.
+// apply adds an event to the history and updates the entry.
 func (e *Entry) apply(ev Event) {
 	e.History = append(e.History, ev)
 	switch ev.Kind {
 	case EventClaimed:
 		e.Claim = ev.Claim
 	case EventReleased:
-		if e.Claim != nil && e.Claim.SubmittedID != "" && len(e.Submissions) > 0 { // it was never taken
+		if e.Claim != nil && e.Claim.SubmittedID != "" && len(e.Submissions) > 0 { // the submission was never accepted
 			e.Resends--
 			e.Submissions = e.Submissions[:len(e.Submissions)-1]
 		}
@@ -163,10 +163,10 @@
 	case EventDoubtCleared:
 		e.Doubt = Doubt{}
 	case EventSubmitted:
-		if ev.Claim != nil { // claimed and handed in at once
+		if ev.Claim != nil { // claimed and submitted in one event
 			e.Claim = ev.Claim
 		}
-		if e.life().ID != ev.ID { // else that life goes on: the journal did not have its end
+		if e.lastSubmission().ID != ev.ID { // otherwise the journal did not have the end, and that submission continues
 			e.Resends++
 			e.Submissions = append(e.Submissions, Submission{ID: ev.ID})
 		}
@@ -179,7 +179,7 @@
 		if n := len(e.Submissions); n > 0 && e.Submissions[n-1].ID == ev.Submission.ID {
 			e.Submissions = e.Submissions[:n-1]
 		}
-		e.lived(ev.Submission, ev.At)
+		e.addSubmission(ev.Submission, ev.At)
 		if e.Claim = nil; ev.Submission.Disposition == EndDelivered || ev.Submission.Disposition == EndClosed {
 			e.Disposition, e.Body = ev.Submission.Disposition, nil
 		}
@@ -189,11 +189,11 @@
 		e.Disposition, e.Claim, e.Body = ev.Result, nil, nil
 		e.LastEnd = ev.At
 	}
-	e.State = e.state()
+	e.State = e.currentState()
 }
 
-// lived adds a life that ended.
-func (e *Entry) lived(l *Submission, at Time) {
+// addSubmission adds a submission that ended.
+func (e *Entry) addSubmission(l *Submission, at Time) {
 	e.Submissions = append(e.Submissions, *l)
 	e.LastEnd, e.FailedInquiries = at, 0
 	if l.DoubtAt == 0 {
@@ -209,7 +209,7 @@
 	}
 }
 
-func (e *Entry) state() State {
+func (e *Entry) currentState() State {
 	switch {
 	case e.Disposition != "":
 		return Ended
@@ -223,26 +223,27 @@
 	return Waiting
 }
 
-// life is the newest life.
-func (e *Entry) life() *Submission {
+// lastSubmission returns the newest submission, or an empty one.
+func (e *Entry) lastSubmission() *Submission {
 	if len(e.Submissions) == 0 {
 		return &Submission{}
 	}
 	return &e.Submissions[len(e.Submissions)-1]
 }
 
-// Message is what is handed in again, under a new id.
+// Message returns the message to submit under a new id.
 func (e *Entry) Message(id string) engine.Message {
 	return engine.Message{ID: id, Class: e.Class, Tenant: e.Tenant, Destination: e.Destination, Key: e.Key, Body: e.Body}
 }
 
-// lifeID is the id of a new life: it names the store, the entry and the claim, so that whoever meets it finds the entry.
-func lifeID(store, no, claim uint64) string {
+// resentID returns the id of a new submission. It names the store, the entry and the claim, so that the entry can be
+// found from the id alone.
+func resentID(store, no, claim uint64) string {
 	return fmt.Sprintf("r%016x-%d-%d", store, no, claim)
 }
 
-// parseLife takes an id of a new life apart; false for any other id.
-func parseLife(id string) (store, no, claim uint64, ok bool) {
+// parseResentID splits an id made by resentID. ok is false for any other id.
+func parseResentID(id string) (store, no, claim uint64, ok bool) {
 	parts := strings.Split(id, "-")
 	if len(parts) != 3 || len(parts[0]) != 17 || id[0] != 'r' {
 		return 0, 0, 0, false
@@ -251,6 +252,6 @@
 	store, errs[0] = strconv.ParseUint(parts[0][1:], 16, 64)
 	no, errs[1] = strconv.ParseUint(parts[1], 10, 64)
 	claim, errs[2] = strconv.ParseUint(parts[2], 10, 64)
-	ok = errs == [3]error{} && lifeID(store, no, claim) == id
+	ok = errs == [3]error{} && resentID(store, no, claim) == id
 	return store, no, claim, ok
 }
--- a/undelivered/file.go
+++ b/undelivered/file.go
@@ -14,65 +14,66 @@
 	"curlewmux/internal/journal"
 )
 
-// A file is one entry as it stood, with its body, and then what happened since, one frame each. A frame is the length and
-// the check of its payload, a check of these two, and the payload: the length of a JSON text, the text, and bytes that go
-// with it. The checks cover the entry's number and the frame's offset, too, so that no stray block is read as one; that of
-// the head tells a frame that is cut short from one with a damaged length.
+// An entry's file is a sequence of frames: the entry as it was kept, with its body, then one frame for each later
+// event. A frame is the length and the checksum of its payload, a checksum of these two, and the payload. The payload
+// is the length of a JSON text, the text, and raw bytes. The checksums cover the entry's number and the frame's
+// offset, too, so that a stray block is not read as a frame. The header's own checksum distinguishes a truncated frame
+// from one with a damaged length.
 const (
-	frameHead = 12
-	frameMost = 96 << 20 // of a payload
-	fileMost  = frameMost + 8<<20
-	block     = 512 // the platform counts files in these
+	frameHeaderSize = 12
+	maxFramePayload = 96 << 20
+	maxFileSize     = maxFramePayload + 8<<20
+	blockSize       = 512 // bytes; the platform counts file sizes in blocks
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func blocks(n int64) int64 { return (n + block - 1) / block * block }
+func roundUpToBlock(n int64) int64 { return (n + blockSize - 1) / blockSize * blockSize }
 
-func check(no uint64, off int64, payload []byte) uint32 {
+func checksum(no uint64, off int64, payload []byte) uint32 {
 	var place [16]byte
 	binary.LittleEndian.PutUint64(place[:], no)
 	binary.LittleEndian.PutUint64(place[8:], uint64(off))
 	return crc32.Update(crc32.Checksum(place[:], castagnoli), castagnoli, payload)
 }
 
-// frame makes a frame that stands at an offset of an entry's file.
-func frame(no uint64, off int64, v any, raw []byte) ([]byte, error) {
+// encodeFrame returns the frame for a given offset of an entry's file.
+func encodeFrame(no uint64, off int64, v any, raw []byte) ([]byte, error) {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return nil, err
 	}
-	b := make([]byte, frameHead, frameHead+binary.MaxVarintLen64+len(text)+len(raw))
+	b := make([]byte, frameHeaderSize, frameHeaderSize+binary.MaxVarintLen64+len(text)+len(raw))
 	b = binary.AppendUvarint(b, uint64(len(text)))
 	b = append(append(b, text...), raw...)
-	binary.LittleEndian.PutUint32(b, uint32(len(b)-frameHead))
-	binary.LittleEndian.PutUint32(b[4:], check(no, off, b[frameHead:]))
-	binary.LittleEndian.PutUint32(b[8:], check(no, off, b[:8]))
+	binary.LittleEndian.PutUint32(b, uint32(len(b)-frameHeaderSize))
+	binary.LittleEndian.PutUint32(b[4:], checksum(no, off, b[frameHeaderSize:]))
+	binary.LittleEndian.PutUint32(b[8:], checksum(no, off, b[:8]))
 	return b, nil
 }
 
-// errCut says that a frame is not whole: what it stood for never began.
-var errCut = errors.New("cut short")
+// errTruncated means that a frame is incomplete. Its event counts as not having happened.
+var errTruncated = errors.New("cut short")
 
-// ErrDamaged says that a file is not as it was written.
+// ErrDamaged means that a file is not as it was written.
 var ErrDamaged = errors.New("the file is damaged")
 
-// unframe reads the frame that stands at off and returns where the next one does.
-func unframe(no uint64, b []byte, off int64, v any) (raw []byte, next int64, err error) {
+// decodeFrame reads the frame at off and returns the offset of the next one.
+func decodeFrame(no uint64, b []byte, off int64, v any) (raw []byte, next int64, err error) {
 	rest := b[off:]
-	if len(rest) < frameHead {
-		return nil, 0, errCut
+	if len(rest) < frameHeaderSize {
+		return nil, 0, errTruncated
 	}
 	n := int64(binary.LittleEndian.Uint32(rest))
 	switch {
-	case n == 0 || n > frameMost || binary.LittleEndian.Uint32(rest[8:]) != check(no, off, rest[:8]):
+	case n == 0 || n > maxFramePayload || binary.LittleEndian.Uint32(rest[8:]) != checksum(no, off, rest[:8]):
 		return nil, 0, ErrDamaged
-	case int64(len(rest)) < frameHead+n:
-		return nil, 0, errCut
+	case int64(len(rest)) < frameHeaderSize+n:
+		return nil, 0, errTruncated
 	}
-	payload := rest[frameHead : frameHead+n]
-	next = off + frameHead + n
-	if binary.LittleEndian.Uint32(rest[4:]) != check(no, off, payload) {
+	payload := rest[frameHeaderSize : frameHeaderSize+n]
+	next = off + frameHeaderSize + n
+	if binary.LittleEndian.Uint32(rest[4:]) != checksum(no, off, payload) {
 		return nil, next, ErrDamaged
 	}
 	size, w := binary.Uvarint(payload)
@@ -86,51 +87,51 @@
 	return payload[w+int(size):], next, nil
 }
 
-// decode reads a file. An error wraps ErrDamaged or errCut if nothing of it can be told; damage behind its first frame is
-// told by the entry, which then counts as in doubt.
+// decode reads a file. An error wraps ErrDamaged or errTruncated if the entry can't be read at all. If a later frame
+// is damaged, the entry is marked as damaged instead; Reconcile then records it as in doubt.
 func decode(no uint64, b []byte) (*Entry, error) {
-	e, _, err := decodeFat(no, b)
+	e, _, err := decodeWithBody(no, b)
 	return e, err
 }
 
-// decodeFat also tells whether the file has a body, which the entry has no more if it ended.
-func decodeFat(no uint64, b []byte) (_ *Entry, fat bool, _ error) {
+// decodeWithBody also reports whether the file still holds a body. An entry that ended has none in memory.
+func decodeWithBody(no uint64, b []byte) (_ *Entry, fat bool, _ error) {
 	e := &Entry{}
-	body, off, err := unframe(no, b, 0, e)
+	body, off, err := decodeFrame(no, b, 0, e)
 	if err != nil {
 		return nil, false, err
 	}
 	if e.Number != no {
 		return nil, false, fmt.Errorf("%w: it is of entry %d", ErrDamaged, e.Number)
 	}
-	e.Body, e.State = append([]byte(nil), body...), e.state()
+	e.Body, e.State = append([]byte(nil), body...), e.currentState()
 	for off < int64(len(b)) {
 		var ev Event
-		_, next, err := unframe(no, b, off, &ev)
-		if errors.Is(err, errCut) {
-			e.torn = true
+		_, next, err := decodeFrame(no, b, off, &ev)
+		if errors.Is(err, errTruncated) {
+			e.hasPartialFrame = true
 			break
 		}
 		if err != nil || ev.Kind == EventSubmissionEnded && ev.Submission == nil || ev.Kind == EventClaimed && ev.Claim == nil {
-			e.damage = true
+			e.damaged = true
 			break
 		}
 		e.apply(ev)
 		off = next
 	}
-	e.size = off
+	e.fileSize = off
 	return e, len(body) > 0, nil
 }
 
 const filePrefix = "kept-"
 
-// fileName names the file of an entry. The hash of its id is there so that its fate can be told where the file can't be
-// read; gen grows when it is written anew.
+// fileName returns the name of an entry's file. It has the hash of the message's id, so that the entry is found by
+// that id even if the file can't be read. The generation grows with each rewrite.
 func fileName(no, id uint64, gen int) string {
 	return fmt.Sprintf("%s%012x-%016x-%02x", filePrefix, no, id, gen)
 }
 
-func parseName(name string) (no, id uint64, gen int, ok bool) {
+func parseFileName(name string) (no, id uint64, gen int, ok bool) {
 	if !strings.HasPrefix(name, filePrefix) {
 		return 0, 0, 0, false
 	}
@@ -138,14 +139,14 @@
 	return no, id, gen, err == nil && n == 3 && fileName(no, id, gen) == name
 }
 
-// hashID is an id as file names and the index have it.
+// hashID returns the hash of an id that file names and indexes use.
 func hashID(id string) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, id)
 	return h.Sum64()
 }
 
-// readFile reads a file whole.
+// readFile reads a whole file.
 func readFile(dir journal.Dir, name string) ([]byte, error) {
 	f, err := dir.Open(name)
 	if err != nil {
@@ -156,7 +157,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if n > fileMost {
+	if n > maxFileSize {
 		return nil, fmt.Errorf("%w: %d bytes", ErrDamaged, n)
 	}
 	b := make([]byte, n)
@@ -169,9 +170,9 @@
 	return b, nil
 }
 
-// Read reads one file of an entry, by its name.
+// Read reads the entry in the named file.
 func Read(dir journal.Dir, name string) (*Entry, error) {
-	no, _, gen, ok := parseName(name)
+	no, _, gen, ok := parseFileName(name)
 	if !ok {
 		return nil, fmt.Errorf("%s: no file of an entry", name)
 	}
@@ -183,28 +184,28 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	e.gen = gen
+	e.generation = gen
 	return e, nil
 }
 
-// ReadAll reads all entries of a folder, also while a process writes there: then each is as it was a moment ago. Those
-// whose files can't be read are Damaged, with a number only.
+// ReadAll reads all entries of a folder. It may run while a process writes there; each entry is then as it was a
+// moment ago. An entry whose file can't be read is Damaged and has only its number.
 func ReadAll(dir journal.Dir) ([]*Entry, error) {
 	names, err := dir.List()
 	if err != nil {
 		return nil, err
 	}
 	var out []*Entry
-	for _, name := range names { // sorted: a newer file of an entry comes behind the older one
-		no, _, _, ok := parseName(name)
+	for _, name := range names { // sorted, so a newer file of an entry follows the older one
+		no, _, _, ok := parseFileName(name)
 		if !ok {
 			continue
 		}
 		e, err := Read(dir, name)
 		switch last := len(out) - 1; {
 		case errors.Is(err, fs.ErrNotExist):
-		case err != nil && last >= 0 && out[last].Number == no: // it is being written
-		case errors.Is(err, ErrDamaged) || errors.Is(err, errCut):
+		case err != nil && last >= 0 && out[last].Number == no: // the newer file is still being written
+		case errors.Is(err, ErrDamaged) || errors.Is(err, errTruncated):
 			out = append(out, &Entry{Number: no, State: Damaged})
 		case err != nil:
 			return nil, err
--- a/undelivered/keeper.go
+++ b/undelivered/keeper.go
@@ -7,24 +7,25 @@
 	"curlewmux/engine"
 )
 
-// Keeper stands in the place of an engine's store, the journal, and has each message that is given up in the Store before
-// the journal has its end. As long as the journal has a message that is alive, what the Store says of it does not count:
-// so the journal's record of the end is the one step in which a message moves. The driver calls its methods.
+// Keeper wraps the engine's store, the journal. It writes each message that failed to the Store before the journal
+// records the end. While the journal has a message as alive, what the Store has of it does not count, so the journal's
+// record of the end moves the message in one step. The driver calls its methods.
 type Keeper struct {
 	engine.Store // the journal
 	store        *Store
 	clock        engine.Clock
-	on           Events
-	batch        []uint64 // entries whose newest lives end in the batch at hand
+	events       Events
+	endedEntries []uint64 // entries whose newest submissions end in the current batch
 }
 
-// Events are told on the driver's goroutine.
+// Events receives notifications on the driver's goroutine.
 type Events interface {
-	// SubmissionEnded tells that the new life of an entry ended; it can't be claimed yet. tried tells whether this process made an
-	// attempt at it: else its end tells nothing of the destination.
+	// SubmissionEnded reports the end of an entry's newest submission. The entry can't be claimed yet. tried is false
+	// if this process made no attempt; the end then says nothing about the destination.
 	SubmissionEnded(no uint64, how string, tried bool)
 
-	// Claimable tells that an entry, new or back, may be claimed from now on: the journal has the end of its newest life.
+	// Claimable reports that an entry, new or resent, may be claimed: the journal has the end of its newest
+	// submission.
 	Claimable(no uint64)
 }
 
@@ -33,29 +34,29 @@
 	_ engine.ExpiringStore = (*Keeper)(nil)
 )
 
-// NewKeeper makes a keeper round the journal.
+// NewKeeper returns a Keeper that wraps the journal.
 func NewKeeper(journal engine.Store, s *Store, clock engine.Clock, on Events) *Keeper {
-	return &Keeper{Store: journal, store: s, clock: clock, on: on}
+	return &Keeper{Store: journal, store: s, clock: clock, events: on}
 }
 
-// Append writes what is given up to the store and hands the batch on. What the store can't write never holds the journal
-// up.
+// Append writes ended messages to the store and passes the batch to the journal. Failures of the store never hold up
+// the journal.
 func (k *Keeper) Append(b engine.Batch, records []engine.Record) error {
-	k.batch = k.batch[:0]
+	k.endedEntries = k.endedEntries[:0]
 	for _, r := range records {
 		switch r := r.(type) {
 		case *engine.RecPendingResult:
-			k.owed(r)
+			k.recordPendingResult(r)
 		case *engine.RecEnded:
 			if k.store.IsResentID(r.ID) && r.Disposition != engine.Refused && r.Disposition != engine.Failed {
-				k.ended(r.ID, Submission{ID: r.ID, Disposition: howOf(r.Disposition)})
+				k.recordEnd(r.ID, Submission{ID: r.ID, Disposition: dispositionName(r.Disposition)})
 			}
 		}
 	}
 	if err := k.Store.Append(b, records); err != nil {
 		return err
 	}
-	k.store.await(b, k.batch...)
+	k.store.setEndBatch(b, k.endedEntries...)
 	for _, r := range records {
 		if r, ok := r.(*engine.RecAccepted); ok {
 			k.store.HoldDuplicates(&r.Message)
@@ -64,27 +65,27 @@
 	return nil
 }
 
-// Flush is engine.Store's.
+// Flush implements engine.Store.
 func (k *Keeper) Flush() (engine.Batch, error) {
 	b, err := k.Store.Flush()
 	if err != nil {
-		k.store.lost(b)
+		k.store.batchesLost(b)
 	}
 	k.Stored(b)
 	return b, err
 }
 
-// Stored says, for a journal that answers later, up to which batch all is stored.
+// Stored reports that the journal has all batches up to b, for a journal that stores them asynchronously.
 func (k *Keeper) Stored(b engine.Batch) {
-	if len(k.store.early) == 0 {
+	if len(k.store.endNotStored) == 0 {
 		return
 	}
-	for _, no := range k.store.stored(b) {
-		k.on.Claimable(no)
+	for _, no := range k.store.batchesStored(b) {
+		k.events.Claimable(no)
 	}
 }
 
-// Tick is engine.Aging's.
+// Tick implements engine.ExpiringStore.
 func (k *Keeper) Tick(now engine.Timestamp) {
 	k.store.Tick()
 	if a, ok := k.Store.(engine.ExpiringStore); ok {
@@ -92,62 +93,62 @@
 	}
 }
 
-func (k *Keeper) ended(id string, l Submission) {
-	l.EndedAt = k.store.set.Wall().UTC()
-	if _, no, _, ok := parseLife(id); ok {
-		k.batch = append(k.batch, no)
+func (k *Keeper) recordEnd(id string, l Submission) {
+	l.EndedAt = k.store.settings.Wall().UTC()
+	if _, no, _, ok := parseResentID(id); ok {
+		k.endedEntries = append(k.endedEntries, no)
 	}
 	if no, ok := k.store.SubmissionEnded(id, l); ok {
-		k.on.SubmissionEnded(no, l.Disposition, len(l.Attempts) > 0)
+		k.events.SubmissionEnded(no, l.Disposition, len(l.Attempts) > 0)
 	}
 }
 
-// owed takes up a message that is given up.
-func (k *Keeper) owed(r *engine.RecPendingResult) {
+// recordPendingResult records a message that was refused or failed.
+func (k *Keeper) recordPendingResult(r *engine.RecPendingResult) {
 	g := r.Undelivered
-	if g == nil { // it was given up in an earlier process
+	if g == nil { // an earlier process recorded it
 		return
 	}
-	l := k.life(g, r.Disposition)
+	l := k.submission(g, r.Disposition)
 	switch {
 	case k.store.IsResentID(r.ID):
-		k.ended(r.ID, l)
+		k.recordEnd(r.ID, l)
 	case r.Disposition == engine.Refused && !g.Rewritten:
 		k.store.RecordRefused(RefusedMessage{
 			ID: r.ID, Class: g.Message.Class, Tenant: g.Message.Tenant, Destination: g.Message.Destination, Cause: string(g.Cause), Attempts: g.Tries,
 		})
 	case r.Disposition == engine.Failed && g.Rewritten:
-		if no, ok := k.store.kept(r.ID); ok {
-			k.batch = append(k.batch, no)
+		if no, ok := k.store.numberOf(r.ID); ok {
+			k.endedEntries = append(k.endedEntries, no)
 		}
 	case r.Disposition == engine.Failed:
 		no, err := k.store.Keep(&g.Message, l)
 		if err != nil {
-			k.store.fault("message "+r.ID+" is not kept", err)
+			k.store.logFault("message "+r.ID+" is not kept", err)
 			return
 		}
-		k.batch = append(k.batch, no)
+		k.endedEntries = append(k.endedEntries, no)
 	}
 }
 
-func (k *Keeper) life(g *engine.Undelivered, how engine.Disposition) Submission {
+func (k *Keeper) submission(g *engine.Undelivered, how engine.Disposition) Submission {
 	at := func(t engine.Time) Time { return k.store.TimeAt(k.clock.Time(t)) }
-	l := Submission{ID: g.Message.ID, Disposition: howOf(how), Cause: string(g.Cause), Reason: g.Reason, AttemptCount: g.Tries, EndedAt: k.wall(g.At), QuietFrom: at(g.CallsOverAt)}
+	l := Submission{ID: g.Message.ID, Disposition: dispositionName(how), Cause: string(g.Cause), Reason: g.Reason, AttemptCount: g.Tries, EndedAt: k.wallTime(g.At), QuietFrom: at(g.CallsOverAt)}
 	if g.DoubtAt != 0 {
 		l.DoubtAt, l.DoubtZone = max(at(g.DoubtAt), 1), g.DoubtZone
 	}
 	l.EarlierAttempts = max(g.Tries-len(g.Attempts), 0)
 	for _, a := range g.Attempts {
-		one := Attempt{SentAt: k.wall(a.Sent), Endpoint: a.Endpoint, Addr: a.Addr, Result: "no outcome yet", RetryAfterMS: int64(a.RetryAfter / control.Millisecond)}
+		one := Attempt{SentAt: k.wallTime(a.Sent), Endpoint: a.Endpoint, Addr: a.Addr, Result: "no outcome yet", RetryAfterMS: int64(a.RetryAfter / control.Millisecond)}
 		if a.End != 0 {
-			one.EndedAt, one.Result = k.wall(a.End), resultName(a.Result)
+			one.EndedAt, one.Result = k.wallTime(a.End), resultName(a.Result)
 		}
 		l.Attempts = append(l.Attempts, one)
 	}
 	return l
 }
 
-func (k *Keeper) wall(t engine.Time) time.Time {
+func (k *Keeper) wallTime(t engine.Time) time.Time {
 	return k.store.WallTime(k.store.TimeAt(k.clock.Time(t)))
 }
 
--- a/undelivered/refused.go
+++ b/undelivered/refused.go
@@ -12,15 +12,15 @@
 	"curlewmux/internal/journal"
 )
 
-// What was handed back to its client is listed only, in one file of so many slots, the oldest of which is written over.
-// Nothing is sent from here.
+// Refused messages are returned to their clients and never resent from here. They are only listed, in one file with a
+// fixed number of slots. The newest overwrites the oldest.
 const (
-	refusedName = "kept-refused"
-	refusedSlot = 256
-	refusedHead = 6 // check and length
+	refusedName       = "kept-refused"
+	refusedSlotSize   = 256 // bytes
+	refusedHeaderSize = 6   // bytes: checksum and length
 )
 
-// RefusedMessage is a message that was handed back to its client.
+// RefusedMessage is a message that was returned to its client.
 type RefusedMessage struct {
 	Seq         uint64    `json:"n"`
 	At          time.Time `json:"at"`
@@ -32,10 +32,10 @@
 	Attempts    int       `json:"tries,omitempty"`
 }
 
-type refused struct {
-	file  journal.File
-	slots int64 // 0: nothing is listed
-	seq   uint64
+type refusedList struct {
+	file    journal.File
+	slots   int64 // 0 disables the list
+	lastSeq uint64
 }
 
 func (h RefusedMessage) encode() []byte {
@@ -44,12 +44,12 @@
 	cut(&h.Class, 24)
 	cut(&h.Tenant, 24)
 	text, err := json.Marshal(h)
-	if err != nil || len(text) > refusedSlot-refusedHead { // a text that needs much escaping
+	if err != nil || len(text) > refusedSlotSize-refusedHeaderSize { // escaping can make a text longer than the slot
 		h.ID, h.Class, h.Tenant = "?", "?", ""
-		text, _ = json.Marshal(h) // numbers and a time: it can't fail
+		text, _ = json.Marshal(h) // only numbers and a time are left; this can't fail
 	}
-	b := make([]byte, refusedSlot)
-	copy(b[refusedHead:], text)
+	b := make([]byte, refusedSlotSize)
+	copy(b[refusedHeaderSize:], text)
 	binary.LittleEndian.PutUint16(b[4:], uint16(len(text)))
 	binary.LittleEndian.PutUint32(b, crc32.Checksum(b[4:], castagnoli))
 	return b
@@ -57,20 +57,20 @@
 
 func decodeHanded(b []byte) (h RefusedMessage, ok bool) {
 	n := int(binary.LittleEndian.Uint16(b[4:]))
-	if n > refusedSlot-refusedHead || binary.LittleEndian.Uint32(b) != crc32.Checksum(b[4:], castagnoli) {
+	if n > refusedSlotSize-refusedHeaderSize || binary.LittleEndian.Uint32(b) != crc32.Checksum(b[4:], castagnoli) {
 		return h, false
 	}
-	return h, json.Unmarshal(b[refusedHead:refusedHead+n], &h) == nil
+	return h, json.Unmarshal(b[refusedHeaderSize:refusedHeaderSize+n], &h) == nil
 }
 
-// ReadRefused lists what was handed back to clients of late, oldest first. Slots that can't be read are left out.
+// ReadRefused returns the recently refused messages, oldest first. Slots that can't be read are skipped.
 func ReadRefused(dir journal.Dir) (list []RefusedMessage, err error) {
 	b, err := readFile(dir, refusedName)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
-	for ; len(b) >= refusedSlot; b = b[refusedSlot:] {
-		if h, ok := decodeHanded(b[:refusedSlot]); ok {
+	for ; len(b) >= refusedSlotSize; b = b[refusedSlotSize:] {
+		if h, ok := decodeHanded(b[:refusedSlotSize]); ok {
 			list = append(list, h)
 		}
 	}
@@ -78,13 +78,13 @@
 	return list, err
 }
 
-func (r *refused) open(s *Store) error {
+func (r *refusedList) open(s *Store) error {
 	list, err := ReadRefused(s.dir)
 	if err != nil {
 		return err
 	}
 	for _, h := range list {
-		r.seq = max(r.seq, h.Seq)
+		r.lastSeq = max(r.lastSeq, h.Seq)
 	}
 	if r.slots == 0 {
 		return nil
@@ -96,15 +96,15 @@
 	return err
 }
 
-// add lists one.
-func (r *refused) add(h RefusedMessage) error {
+// add writes a message to the next slot.
+func (r *refusedList) add(h RefusedMessage) error {
 	if r.slots == 0 {
 		return nil
 	}
-	h.Seq = r.seq + 1
-	if _, err := r.file.WriteAt(h.encode(), int64(h.Seq)%r.slots*refusedSlot); err != nil {
+	h.Seq = r.lastSeq + 1
+	if _, err := r.file.WriteAt(h.encode(), int64(h.Seq)%r.slots*refusedSlotSize); err != nil {
 		return err
 	}
-	r.seq++
+	r.lastSeq++
 	return nil
 }
--- a/undelivered/rig_test.go
+++ b/undelivered/rig_test.go
@@ -40,7 +40,7 @@
 	return r
 }
 
-// open opens the store as a new process does, with what the journal has.
+// claimedEntries opens the store as a new process does, with what the journal has.
 func (r *rig) open(live []*engine.RestoredMessage, ended ...*engine.RestoredEnd) *Store {
 	r.t.Helper()
 	s, err := r.tryOpen(live, ended...)
@@ -61,8 +61,8 @@
 	return s, nil
 }
 
-// pass lets time go by on both clocks.
-func (r *rig) pass(d time.Duration) { r.now, r.wall = r.now.Add(d), r.wall.Add(d) }
+// advance lets time go by on both clocks.
+func (r *rig) advance(d time.Duration) { r.now, r.wall = r.now.Add(d), r.wall.Add(d) }
 
 func message(id, class string) *engine.Message {
 	return &engine.Message{ID: id, Class: class, Tenant: "core", Destination: 3, Body: []byte("body of " + id)}
@@ -71,22 +71,22 @@
 // keep keeps a message that may have run, and tells that the journal has its end.
 func (r *rig) keep(id, class string) uint64 {
 	r.t.Helper()
-	no, err := r.s.Keep(message(id, class), r.life(id))
+	no, err := r.s.Keep(message(id, class), r.failedSubmission(id))
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	r.s.await(1, no)
-	r.s.stored(1)
+	r.s.setEndBatch(1, no)
+	r.s.batchesStored(1)
 	return no
 }
 
-func (r *rig) life(id string) Submission {
+func (r *rig) failedSubmission(id string) Submission {
 	now := r.s.Now()
 	return Submission{ID: id, Disposition: "failed", Cause: "time", AttemptCount: 1, DoubtAt: now - second, QuietFrom: now, Attempts: []Attempt{{Endpoint: "e", Result: "timed out"}}}
 }
 
-// hand claims an entry and hands it in.
-func (r *rig) hand(no uint64) (claim uint64, id string) {
+// claimAndBegin claims an entry and hands it in.
+func (r *rig) claimAndBegin(no uint64) (claim uint64, id string) {
 	r.t.Helper()
 	e, err := r.s.Claim(no, Claim{By: "rule x"})
 	if err != nil {
--- a/undelivered/store.go
+++ b/undelivered/store.go
@@ -16,16 +16,16 @@
 	"curlewmux/resend"
 )
 
-// Settings of a store. Classes, Disk, Now, Wall and Random are needed.
+// Settings of a store. Classes, MaxDiskBytes, Now, Wall and Random are required.
 type Settings struct {
-	MaxDiskBytes    int64 // bytes that its files may take, each counted in whole blocks of 512
-	EvictLeastWorth bool  // where the disk is used up what is worth least goes first, else the oldest
-	Retention       Time  // what lies there for longer goes; the same for a class by its name
-	ClassRetention  map[string]Time
-	EndedRetention  Time // the same for what has ended
-	RefusedSlots    int  // how many of those handed back to their clients are listed
+	MaxDiskBytes    int64           // limit for all files, each rounded up to whole blocks of 512 bytes
+	EvictLeastWorth bool            // when the disk share is used up, evict the least worth first instead of the oldest
+	Retention       Time            // entries kept for longer are removed; 0 is no limit
+	ClassRetention  map[string]Time // overrides Retention, by class name
+	EndedRetention  Time            // Retention of entries that ended
+	RefusedSlots    int             // number of refused messages that are listed
 	Classes         []resend.Class
-	Sync            bool // each write is synced before it counts
+	Sync            bool // sync each write before it counts
 
 	Now    func() time.Time // the host's clock
 	Wall   func() time.Time
@@ -33,108 +33,109 @@
 	Log    *slog.Logger
 }
 
-// MinDiskBytes is the least disk that a store works with.
+// MinDiskBytes is the smallest MaxDiskBytes that a store accepts.
 const MinDiskBytes = 64 << 10
 
-// Store is the entries of one folder, which the caller owns. One goroutine, the driver's, may call its methods. Where a
-// write fails the entries are as if it had succeeded, but for Keep and Claim, and it is tried again later.
+// Store holds the entries of one folder, which the caller owns. Only the driver's goroutine may call its methods. When
+// a write fails, the change still applies in memory and the write is retried later. Keep, Claim and BeginSubmission
+// fail instead.
 type Store struct {
-	dir journal.Dir
-	set Settings
-	log *slog.Logger
-
-	meta     meta
-	metaFile journal.File
-	last     uint64 // of the numbers
-	begun    time.Time
-	base     Time  // the store's time at begun
-	offset   int64 // wall clock less the host's at the last look, in microseconds
-	refused  refused
-
-	rows   []*row // by number; some are gone
-	gone   int
-	byID   map[uint64]*row
-	bySame map[uint64]*row // of several the newest
-	shared int             // rows that another one has displaced there
-	open   map[uint64]*Entry
-	early  map[uint64]engine.Batch // the journal does not have the end of their newest life yet: it is in this batch, 0 in none
-	dirty  map[uint64]*Entry
-	fat    map[uint64]bool // ended, and the body is still there
-	until  map[uint64]Time // of claims by hand under which nothing was handed in yet
-	drop   func(*resend.Node)
-	texts  texts
-	used   int64
-	swept  int
-	told   time.Time
-	Counts Counts
-}
-
-// Counts are what happened since the start.
+	dir      journal.Dir
+	settings Settings
+	log      *slog.Logger
+
+	meta           meta
+	metaFile       journal.File
+	lastNumber     uint64 // last number given to an entry or a claim
+	startedAt      time.Time
+	baseTime       Time  // store time at startedAt
+	lastWallOffset int64 // wall clock minus the host's clock at the last check, in microseconds
+	refused        refusedList
+
+	rows              []*row // sorted by number; removed rows are nil
+	removedRows       int
+	byID              map[uint64]*row
+	byIdentity        map[uint64]*row // the newest row of each identity
+	displacedRows     int             // rows that a newer one has replaced in byIdentity
+	claimedEntries    map[uint64]*Entry
+	endNotStored      map[uint64]engine.Batch // entries whose newest end the journal has not stored, with the batch that holds it; 0 is none yet
+	unwritten         map[uint64]*Entry
+	endedWithBody     map[uint64]bool // ended entries whose files still have their bodies
+	manualClaimExpiry map[uint64]Time // expiry of manual claims under which nothing was submitted yet
+	onRemove          func(*resend.Node)
+	texts             textTable
+	diskBytes         int64
+	cleanupPosition   int
+	lastFaultLog      time.Time
+	Counts            Counts
+}
+
+// Counts are totals since the start.
 type Counts struct {
 	Kept, NotKept, Refused         int
 	Removed                        int // by age
-	Evicted                        int // for want of room
+	Evicted                        int // for lack of space
 	Void, Damaged, Lost, Unwritten int
 }
 
-// row is what is in memory of an entry.
+// row is the in-memory summary of an entry.
 type row struct {
 	resend.Node
-	id, same   uint64
-	kept, last Time
-	doubtAt    Time
-	quiet      Time
-	size       uint32 // blocks
-	body       uint32
-	class      uint16 // texts
-	tenant     uint16
-	cause      uint16
-	held       uint16
-	tries      uint8
-	asks       uint8
-	state      uint8 // states
-	zone       int8
-	gen        uint8
-	flags      uint8
+	idHash, identity uint64
+	keptAt, lastEnd  Time
+	doubtAt          Time
+	quietFrom        Time
+	blockCount       uint32 // file size in blocks
+	bodyBytes        uint32
+	class            uint16 // index into Store.texts, like the next three
+	tenant           uint16
+	cause            uint16
+	holdReason       uint16
+	resends          uint8
+	failedInquiries  uint8
+	state            uint8 // index into states
+	zone             int8
+	generation       uint8
+	flags            uint8
 }
 
 const (
 	hasKey = 1 << iota
 	removed
-	took // ended by taking effect
-	ageless
+	tookEffect // ended by taking effect
+	ageUnknown
 )
 
-// texts are those that come again and again.
-type texts struct {
-	list []string
-	no   map[string]uint16
+// textTable interns repeated texts.
+type textTable struct {
+	values  []string
+	indexes map[string]uint16
 }
 
-const mostTexts = 1 << 12
+const maxTexts = 1 << 12
 
-func (t *texts) add(s string) uint16 {
-	n, ok := t.no[s]
+func (t *textTable) add(s string) uint16 {
+	n, ok := t.indexes[s]
 	if !ok {
-		if len(t.list) >= mostTexts {
+		if len(t.values) >= maxTexts {
 			return t.add("...")
 		}
-		n = uint16(len(t.list))
-		t.list = append(t.list, s)
-		t.no[s] = n
+		n = uint16(len(t.values))
+		t.values = append(t.values, s)
+		t.indexes[s] = n
 	}
 	return n
 }
 
 const (
-	mostHistory = 200                    // events of an entry: then it is held
-	spareShare  = 16                     // one part in so many of the disk is for what happens to entries that are there
-	mostSwept   = 500                    // rows that a sweep looks at
-	mostWritten = 50                     // entries that it writes, for each of its reasons
-	mostEvicted = 256 << 10              // bytes that are made free at once, about: a few milliseconds
-	lateClock   = 100 * time.Millisecond // a wall clock that is off by more is taken for one that was stepped
-	lateStart   = 500 * time.Millisecond // the same at a start, under what package resend lets ages be off by
-	clockTries  = 10
+	maxHistoryEvents    = 200 // an entry with more is not claimed again
+	reservedDiskDivisor = 16  // 1/16 of the disk share is reserved for events of existing entries
+	maxRowsPerCleanup   = 500
+	maxWritesPerCleanup = 50                     // rewrites or releases, for each reason
+	maxEvictionBytes    = 256 << 10              // bytes freed at a time, which takes a few milliseconds
+	clockStepTolerance  = 100 * time.Millisecond // a larger deviation of the wall clock counts as a step
+	startClockTolerance = 500 * time.Millisecond // used at a start; below the error of ages that package resend allows for
+	maxClockReads       = 10
 )
 
 // Errors of the store. ClaimedError is another.
@@ -145,7 +146,7 @@
 	ErrNoSpace      = errors.New("the store has no room")
 )
 
-// ClaimedError says that somebody else has an entry.
+// ClaimedError means that an entry is already claimed.
 type ClaimedError struct{ Claim Claim }
 
 func (e *ClaimedError) Error() string {
@@ -157,7 +158,7 @@
 	return text
 }
 
-// Open reads what is in a folder. Damage is no error. Reconcile must follow, before anything else.
+// Open reads the entries of a folder. Damaged files are not an error. Reconcile must be called next.
 func Open(dir journal.Dir, set Settings) (_ *Store, err error) {
 	if set.MaxDiskBytes < MinDiskBytes {
 		return nil, fmt.Errorf("undelivered: disk of %d bytes: it needs %d", set.MaxDiskBytes, MinDiskBytes)
@@ -166,9 +167,9 @@
 		set.Log = slog.New(slog.DiscardHandler)
 	}
 	s := &Store{
-		dir: dir, set: set, log: set.Log, begun: set.Now(), byID: map[uint64]*row{}, bySame: map[uint64]*row{},
-		open: map[uint64]*Entry{}, early: map[uint64]engine.Batch{}, dirty: map[uint64]*Entry{}, until: map[uint64]Time{}, fat: map[uint64]bool{}, texts: texts{no: map[string]uint16{}},
-		refused: refused{slots: int64(set.RefusedSlots)},
+		dir: dir, settings: set, log: set.Log, startedAt: set.Now(), byID: map[uint64]*row{}, byIdentity: map[uint64]*row{},
+		claimedEntries: map[uint64]*Entry{}, endNotStored: map[uint64]engine.Batch{}, unwritten: map[uint64]*Entry{}, manualClaimExpiry: map[uint64]Time{}, endedWithBody: map[uint64]bool{}, texts: textTable{indexes: map[string]uint16{}},
+		refused: refusedList{slots: int64(set.RefusedSlots)},
 	}
 	defer func() {
 		if err != nil {
@@ -187,110 +188,110 @@
 		return nil, err
 	}
 	for _, r := range s.rows {
-		if r != nil && r.doubtAt != 0 && r.doubtAt <= s.meta.ageless {
-			r.flags |= ageless
+		if r != nil && r.doubtAt != 0 && r.doubtAt <= s.meta.ageUnknownUpTo {
+			r.flags |= ageUnknown
 		}
 	}
 	if err := s.refused.open(s); err != nil {
 		return nil, err
 	}
-	s.used += 2*block + blocks(s.refused.slots*refusedSlot)
+	s.diskBytes += 2*blockSize + roundUpToBlock(s.refused.slots*refusedSlotSize)
 	return s, nil
 }
 
-// clocks reads both clocks at one moment: where the process was held up between the two, once more.
-func (s *Store) clocks() (now time.Time, wall int64) {
-	for range clockTries {
-		before := s.set.Now()
-		wall = s.set.Wall().UnixMicro()
-		if now = s.set.Now(); now.Sub(before) < time.Millisecond {
+// readClocks reads both clocks at one moment. It retries if the process was delayed between the two reads.
+func (s *Store) readClocks() (now time.Time, wall int64) {
+	for range maxClockReads {
+		before := s.settings.Now()
+		wall = s.settings.Wall().UnixMicro()
+		if now = s.settings.Now(); now.Sub(before) < time.Millisecond {
 			break
 		}
 	}
 	return now, wall
 }
 
-// wallOffset is what the wall clock shows beyond the host's clock.
+// wallOffset returns the wall clock's lead over the host's clock, in microseconds.
 func (s *Store) wallOffset() int64 {
-	now, wall := s.clocks()
-	return wall - now.Sub(s.begun).Microseconds()
+	now, wall := s.readClocks()
+	return wall - now.Sub(s.startedAt).Microseconds()
 }
 
-// setClock finds out what time it is in the store, and writes it.
+// setClock determines the store time at this start and writes it.
 func (s *Store) setClock(m meta, known bool, newest Time) error {
-	// From this moment on, not from before all files were read: that may have taken long.
-	begun, wall := s.clocks()
-	s.begun, s.offset = begun, wall
+	// The time starts here and not before all files were read, because reading them may have taken long.
+	begun, wall := s.readClocks()
+	s.startedAt, s.lastWallOffset = begun, wall
 	switch {
 	case !known && newest == 0:
-		m = meta{store: s.set.Random()}
-		m.at = 1000 * control.Second
-	case !known: // its two copies are damaged: what there is is of unknown age
+		m = meta{storeID: s.settings.Random()}
+		m.storeTime = 1000 * control.Second
+	case !known: // both copies are damaged, so the age of all entries is unknown
 		s.log.Error("undelivered: the file of numbers is damaged; what may have taken effect counts as too old to be asked about")
-		m.store = s.storeOf()
-		m.at, m.ageless = newest, newest
+		m.storeID = s.storeIDFromEntries()
+		m.storeTime, m.ageUnknownUpTo = newest, newest
 	default:
-		gap := wall - m.wall
-		if now := m.at + Time(gap); gap < -lateStart.Microseconds() || now < newest-Time(lateStart.Microseconds()) {
+		gap := wall - m.wallMicros
+		if now := m.storeTime + Time(gap); gap < -startClockTolerance.Microseconds() || now < newest-Time(startClockTolerance.Microseconds()) {
 			s.log.Warn("undelivered: the clock was set back; what may have taken effect counts as too old to be asked about")
-			m.at = max(m.at, newest)
-			m.ageless = m.at
+			m.storeTime = max(m.storeTime, newest)
+			m.ageUnknownUpTo = m.storeTime
 		} else {
-			m.at = max(now, m.at, newest)
+			m.storeTime = max(now, m.storeTime, newest)
 		}
 	}
-	m.upTo = max(m.upTo, s.last)
-	s.last = m.upTo // what was reserved may have been used
-	m.wall = wall
-	s.base = m.at
+	m.reservedUpTo = max(m.reservedUpTo, s.lastNumber)
+	s.lastNumber = m.reservedUpTo // the reserved numbers may have been used
+	m.wallMicros = wall
+	s.baseTime = m.storeTime
 	return s.writeMeta(m)
 }
 
-// storeOf is the store that entries name.
-func (s *Store) storeOf() uint64 {
+// storeIDFromEntries returns the store id that the entries name, or a new one.
+func (s *Store) storeIDFromEntries() uint64 {
 	for _, r := range s.rows {
-		if e, err := s.read(r); err == nil {
+		if e, err := s.readEntry(r); err == nil {
 			if n, err := strconv.ParseUint(e.Store, 16, 64); err == nil {
 				return n
 			}
 		}
 	}
-	return s.set.Random()
+	return s.settings.Random()
 }
 
-// Tick looks whether the wall clock was stepped: then the pair of times is written anew.
+// Tick writes the pair of store time and wall time again if the wall clock was stepped.
 func (s *Store) Tick() {
 	now := s.wallOffset()
-	if d := now - s.offset; d < lateClock.Microseconds() && d > -lateClock.Microseconds() {
+	if d := now - s.lastWallOffset; d < clockStepTolerance.Microseconds() && d > -clockStepTolerance.Microseconds() {
 		return
 	}
 	s.writeTimes(now)
 }
 
-// writeTimes writes the pair of times.
+// writeTimes writes the current pair of store time and wall time.
 func (s *Store) writeTimes(now int64) {
 	m := s.meta
-	at, wall := s.clocks()
-	m.at, m.wall = s.TimeAt(at), wall
+	at, wall := s.readClocks()
+	m.storeTime, m.wallMicros = s.TimeAt(at), wall
 	if err := s.writeMeta(m); err != nil {
-		s.fault("the time can't be recorded", err)
-		return // tried again
+		s.logFault("the time can't be recorded", err)
+		return // the next Tick tries again
 	}
-	s.offset = now
+	s.lastWallOffset = now
 }
 
-// Now is the store's time.
-func (s *Store) Now() Time { return s.TimeAt(s.set.Now()) }
+// Now returns the current store time.
+func (s *Store) Now() Time { return s.TimeAt(s.settings.Now()) }
 
-// TimeAt is the store's time at a moment of the host's clock.
-func (s *Store) TimeAt(t time.Time) Time { return s.base + Time(t.Sub(s.begun).Microseconds()) }
+// TimeAt converts a time of the host's clock to store time.
+func (s *Store) TimeAt(t time.Time) Time { return s.baseTime + Time(t.Sub(s.startedAt).Microseconds()) }
 
-// WallTime is what a wall clock showed, or will, at the store's time, as far as this process can tell.
+// WallTime converts store time to wall time, by the offset that this process last saw.
 func (s *Store) WallTime(t Time) time.Time {
-	return time.UnixMicro(s.offset + int64(t-s.base)).UTC()
+	return time.UnixMicro(s.lastWallOffset + int64(t-s.baseTime)).UTC()
 }
 
-// load reads all files, and returns the newest time that any of them bears.
+// load reads all files and returns the newest store time in them.
 func (s *Store) load() (newest Time, err error) {
 	names, err := s.dir.List()
 	if err != nil {
@@ -298,8 +299,8 @@
 	}
 	var old []string
 	var before *row
-	for _, name := range names { // sorted: by number, and then by gen
-		no, id, gen, ok := parseName(name)
+	for _, name := range names { // sorted by number, then by generation
+		no, id, gen, ok := parseFileName(name)
 		if !ok {
 			continue
 		}
@@ -307,91 +308,91 @@
 		if err != nil && !errors.Is(err, ErrDamaged) {
 			return 0, fmt.Errorf("%s: %w", name, err)
 		}
-		s.last = max(s.last, no)
-		e, fat, err := decodeFat(no, b)
+		s.lastNumber = max(s.lastNumber, no)
+		e, fat, err := decodeWithBody(no, b)
 		if err != nil {
-			if before != nil && before.Number == no { // it was being written anew, and the older one is whole
+			if before != nil && before.Number == no { // a rewrite was interrupted, and the older file is whole
 				old = append(old, name)
 				continue
 			}
-			e = &Entry{Number: no, State: Damaged, size: int64(len(b))}
+			e = &Entry{Number: no, State: Damaged, fileSize: int64(len(b))}
 		}
-		e.gen = gen
-		r := &row{id: id}
+		e.generation = gen
+		r := &row{idHash: id}
 		r.Number = no
-		s.fill(r, e, int64(len(b)))
+		s.updateRow(r, e, int64(len(b)))
 		if e.State != Damaged {
 			m := e.Message("")
-			r.same = s.identity(&m)
+			r.identity = s.identity(&m)
 			for _, ev := range e.History {
 				newest = max(newest, ev.At)
 				if ev.Claim != nil {
-					s.last = max(s.last, ev.Claim.Number)
+					s.lastNumber = max(s.lastNumber, ev.Claim.Number)
 				}
 			}
 		}
 		if before != nil && before.Number == no {
-			old = append(old, fileName(no, before.id, int(before.gen)))
+			old = append(old, fileName(no, before.idHash, int(before.generation)))
 			s.forget(before)
 		}
 		s.insert(r)
 		before = r
 		if e.State == Ended && fat {
-			s.fat[no] = true
+			s.endedWithBody[no] = true
 		}
 		e.Body = nil
 		switch {
-		case e.damage || e.Claim != nil && (!e.Claim.Manual || e.Claim.SubmittedID != ""):
-			s.open[no] = e
-		case e.Claim != nil: // there may be many: their files have the rest
-			s.until[no] = e.Claim.ExpiresAt
+		case e.damaged || e.Claim != nil && (!e.Claim.Manual || e.Claim.SubmittedID != ""):
+			s.claimedEntries[no] = e
+		case e.Claim != nil: // there may be many, so only the expiry is kept in memory
+			s.manualClaimExpiry[no] = e.Claim.ExpiresAt
 		}
 	}
 	for _, name := range old {
 		if err := s.dir.Remove(name); err != nil {
-			s.fault("an old file stays", err)
+			s.logFault("an old file stays", err)
 		}
 	}
 	return newest, nil
 }
 
-// fill sets a row by its entry.
-func (s *Store) fill(r *row, e *Entry, size int64) {
-	r.size = uint32(blocks(size) / block)
-	r.gen = uint8(e.gen)
+// updateRow sets a row from its entry.
+func (s *Store) updateRow(r *row, e *Entry, size int64) {
+	r.blockCount = uint32(roundUpToBlock(size) / blockSize)
+	r.generation = uint8(e.generation)
 	r.state = uint8(slices.Index(states[:], e.State))
 	r.flags &= removed
 	if e.State == Damaged {
 		return
 	}
-	r.kept, r.last = e.KeptStoreTime, e.LastEnd
-	r.doubtAt, r.quiet, r.zone = e.Doubt.FirstSent, e.Doubt.QuietFrom, int8(e.Doubt.Zone)
-	r.body = uint32(e.Bytes)
+	r.keptAt, r.lastEnd = e.KeptStoreTime, e.LastEnd
+	r.doubtAt, r.quietFrom, r.zone = e.Doubt.FirstSent, e.Doubt.QuietFrom, int8(e.Doubt.Zone)
+	r.bodyBytes = uint32(e.Bytes)
 	r.class, r.tenant = s.texts.add(e.Class), s.texts.add(e.Tenant)
-	r.cause, r.held = s.texts.add(e.life().Cause), s.texts.add(e.HoldReason)
-	r.tries, r.asks = uint8(min(e.Resends, 255)), uint8(min(e.FailedInquiries, 255))
+	r.cause, r.holdReason = s.texts.add(e.lastSubmission().Cause), s.texts.add(e.HoldReason)
+	r.resends, r.failedInquiries = uint8(min(e.Resends, 255)), uint8(min(e.FailedInquiries, 255))
 	r.SetDestination(e.Destination)
 	if e.Key != "" {
 		r.flags |= hasKey
 	}
 	if e.Disposition == EndDelivered || e.Disposition == EndTookEffect {
-		r.flags |= took
+		r.flags |= tookEffect
 	}
-	if e.Doubt.AgeUnknown || e.Doubt.FirstSent != 0 && e.Doubt.FirstSent <= s.meta.ageless {
-		r.flags |= ageless
+	if e.Doubt.AgeUnknown || e.Doubt.FirstSent != 0 && e.Doubt.FirstSent <= s.meta.ageUnknownUpTo {
+		r.flags |= ageUnknown
 	}
 }
 
-// Ways to end for good.
+// Dispositions of entries that ended.
 const (
 	EndDelivered  = "delivered"
-	EndTookEffect = "took effect" // as the partner said when it was asked
-	EndClosed     = "over"        // the partner says that nothing more is owed
+	EndTookEffect = "took effect" // reported by the partner when asked
+	EndClosed     = "over"        // the endpoint reported that nothing more needs to be delivered
 	EndDropped    = "dropped"
 )
 
-// identity is by what a message is known that comes again under another id: its key, or all of it if it has none. 0 is
-// none: repeating it is harmless.
+// identity returns a hash that recognises a message submitted again under another id: of its key, or of the whole
+// message without one. 0 means that repeating it is harmless.
 func (s *Store) identity(m *engine.Message) uint64 {
 	c := s.class(m.Class)
 	if c == nil || c.Effect == control.Free {
@@ -404,63 +405,64 @@
 }
 
 func (s *Store) class(name string) *resend.Class {
-	if i := slices.IndexFunc(s.set.Classes, func(c resend.Class) bool { return c.Name == name }); i >= 0 {
-		return &s.set.Classes[i]
+	if i := slices.IndexFunc(s.settings.Classes, func(c resend.Class) bool { return c.Name == name }); i >= 0 {
+		return &s.settings.Classes[i]
 	}
 	return nil
 }
 
-// insert adds a row; its number is the highest.
+// insert adds a row. Its number must be the highest.
 func (s *Store) insert(r *row) {
 	s.rows = append(s.rows, r)
-	s.byID[r.id] = r
-	if r.same != 0 {
-		if s.bySame[r.same] != nil {
-			s.shared++
+	s.byID[r.idHash] = r
+	if r.identity != 0 {
+		if s.byIdentity[r.identity] != nil {
+			s.displacedRows++
 		}
-		s.bySame[r.same] = r
+		s.byIdentity[r.identity] = r
 	}
-	s.used += int64(r.size) * block
+	s.diskBytes += int64(r.blockCount) * blockSize
 }
 
-// forget takes a row out of memory.
+// forget removes a row from memory.
 func (s *Store) forget(r *row) {
 	if r.flags&removed != 0 {
 		return
 	}
 	r.flags |= removed
-	s.used -= int64(r.size) * block
-	if s.byID[r.id] == r {
-		delete(s.byID, r.id)
+	s.diskBytes -= int64(r.blockCount) * blockSize
+	if s.byID[r.idHash] == r {
+		delete(s.byID, r.idHash)
 	}
-	if s.bySame[r.same] == r {
-		delete(s.bySame, r.same)
-		if s.shared > 0 {
+	if s.byIdentity[r.identity] == r {
+		delete(s.byIdentity, r.identity)
+		if s.displacedRows > 0 {
 			for _, o := range s.rows {
-				if o != nil && o.flags&removed == 0 && o.same == r.same {
-					s.bySame[r.same] = o
+				if o != nil && o.flags&removed == 0 && o.identity == r.identity {
+					s.byIdentity[r.identity] = o
 				}
 			}
 		}
 	}
-	delete(s.open, r.Number)
-	delete(s.early, r.Number)
-	delete(s.dirty, r.Number)
-	delete(s.until, r.Number)
-	delete(s.fat, r.Number)
-	if i, ok := s.at(r.Number); ok && s.rows[i] == r {
+	delete(s.claimedEntries, r.Number)
+	delete(s.endNotStored, r.Number)
+	delete(s.unwritten, r.Number)
+	delete(s.manualClaimExpiry, r.Number)
+	delete(s.endedWithBody, r.Number)
+	if i, ok := s.rowIndex(r.Number); ok && s.rows[i] == r {
 		s.rows[i] = nil
-		s.gone++
+		s.removedRows++
 	}
-	if s.gone > len(s.rows)/2+16 {
+	if s.removedRows > len(s.rows)/2+16 {
 		s.rows = slices.DeleteFunc(s.rows, func(o *row) bool { return o == nil })
 		s.rows = slices.Clip(s.rows)
-		s.gone, s.swept = 0, 0
+		s.removedRows, s.cleanupPosition = 0, 0
 	}
 }
 
-// at finds a number's place; those that are gone are nil, so it looks on to the next that is there.
-func (s *Store) at(no uint64) (int, bool) {
+// rowIndex finds the index of a number by binary search. Removed rows are nil, so each probe moves on to the next one
+// that is present.
+func (s *Store) rowIndex(no uint64) (int, bool) {
 	lo, hi := 0, len(s.rows)
 	for lo < hi {
 		mid := (lo + hi) / 2
@@ -483,15 +485,15 @@
 }
 
 func (s *Store) row(no uint64) *row {
-	if i, ok := s.at(no); ok {
+	if i, ok := s.rowIndex(no); ok {
 		return s.rows[i]
 	}
 	return nil
 }
 
-// read reads an entry's file.
-func (s *Store) read(r *row) (*Entry, error) {
-	b, err := readFile(s.dir, fileName(r.Number, r.id, int(r.gen)))
+// readEntry reads an entry's file.
+func (s *Store) readEntry(r *row) (*Entry, error) {
+	b, err := readFile(s.dir, fileName(r.Number, r.idHash, int(r.generation)))
 	if err != nil {
 		return nil, err
 	}
@@ -499,22 +501,22 @@
 	if err != nil {
 		return nil, err
 	}
-	e.gen = int(r.gen)
+	e.generation = int(r.generation)
 	return e, nil
 }
 
-// entry is an entry as it stands.
-func (s *Store) entry(r *row) (*Entry, error) {
-	if e := s.open[r.Number]; e != nil {
+// currentEntry returns an entry from memory if it is there, else from its file.
+func (s *Store) currentEntry(r *row) (*Entry, error) {
+	if e := s.claimedEntries[r.Number]; e != nil {
 		return e, nil
 	}
-	if e := s.dirty[r.Number]; e != nil {
+	if e := s.unwritten[r.Number]; e != nil {
 		return e, nil
 	}
-	return s.read(r)
+	return s.readEntry(r)
 }
 
-// Close gives the files back.
+// Close closes the files.
 func (s *Store) Close() error {
 	var err error
 	if s.metaFile != nil {
@@ -526,51 +528,49 @@
 	return err
 }
 
-// fault tells operators, once a second at most.
-func (s *Store) fault(what string, err error) {
-	if now := s.set.Now(); s.told.IsZero() || now.Sub(s.told) >= time.Second {
-		s.told = now
+// logFault logs an error, at most once a second.
+func (s *Store) logFault(what string, err error) {
+	if now := s.settings.Now(); s.lastFaultLog.IsZero() || now.Sub(s.lastFaultLog) >= time.Second {
+		s.lastFaultLog = now
 		s.log.Error("undelivered: "+what, "error", err, "counts", fmt.Sprintf("%+v", s.Counts))
 	}
 }
 
-// ---- what comes in ----
-
-// Keep keeps a message whose life ended, before the journal has that. An error says that it is not kept.
+// Keep stores a message that failed, before the journal records its end. On error the message is not kept.
 func (s *Store) Keep(m *engine.Message, l Submission) (uint64, error) {
-	if no, ok := s.kept(m.ID); ok {
+	if no, ok := s.numberOf(m.ID); ok {
 		return no, nil
 	}
-	no, err := s.number()
+	no, err := s.nextNumber()
 	if err != nil {
 		s.Counts.NotKept++
 		return 0, err
 	}
 	at := s.Now()
 	e := &Entry{
-		Number: no, Store: strconv.FormatUint(s.meta.store, 16), ID: m.ID, Class: m.Class, Tenant: m.Tenant, Destination: m.Destination, Key: m.Key,
-		Bytes: len(m.Body), Body: m.Body, KeptStoreTime: at, KeptAt: s.set.Wall().UTC(),
+		Number: no, Store: strconv.FormatUint(s.meta.storeID, 16), ID: m.ID, Class: m.Class, Tenant: m.Tenant, Destination: m.Destination, Key: m.Key,
+		Bytes: len(m.Body), Body: m.Body, KeptStoreTime: at, KeptAt: s.settings.Wall().UTC(),
 	}
-	e.lived(&l, at)
+	e.addSubmission(&l, at)
 	e.History = []Event{{Kind: EventKept, At: at, WallTime: e.KeptAt, By: "dispatcher", Why: l.Cause}}
-	e.State = e.state()
-	r := &row{id: hashID(m.ID)}
+	e.State = e.currentState()
+	r := &row{idHash: hashID(m.ID)}
 	r.Number = no
-	size, err := s.create(r, e, true)
+	size, err := s.createFile(r, e, true)
 	if err != nil {
 		s.Counts.NotKept++
 		return 0, err
 	}
-	s.fill(r, e, size)
-	r.same = s.identity(m)
+	s.updateRow(r, e, size)
+	r.identity = s.identity(m)
 	s.insert(r)
-	s.early[no] = 0
+	s.endNotStored[no] = 0
 	s.Counts.Kept++
 	return no, nil
 }
 
-// kept is the number under which a message is kept that its client handed in as id.
-func (s *Store) kept(id string) (uint64, bool) {
+// numberOf returns the number of the entry whose client submitted it under id.
+func (s *Store) numberOf(id string) (uint64, bool) {
 	r := s.byID[hashID(id)]
 	if r == nil {
 		return 0, false
@@ -578,119 +578,119 @@
 	return r.Number, true
 }
 
-// create makes the file of an entry as it stands. What is new is kept only within the disk.
-func (s *Store) create(r *row, e *Entry, fresh bool) (int64, error) {
-	b, err := frame(e.Number, 0, e, e.Body)
+// createFile writes an entry to a new file. A fresh entry must fit into the disk share.
+func (s *Store) createFile(r *row, e *Entry, fresh bool) (int64, error) {
+	b, err := encodeFrame(e.Number, 0, e, e.Body)
 	if err != nil {
 		return 0, err
 	}
 	if fresh {
-		if err := s.makeRoom(blocks(int64(len(b))), e); err != nil {
+		if err := s.makeRoom(roundUpToBlock(int64(len(b))), e); err != nil {
 			return 0, err
 		}
 	}
-	name := fileName(e.Number, r.id, e.gen)
+	name := fileName(e.Number, r.idHash, e.generation)
 	f, err := s.dir.Create(name)
 	if err != nil {
 		return 0, err
 	}
 	_, err = f.WriteAt(b, 0)
-	if err == nil && s.set.Sync {
+	if err == nil && s.settings.Sync {
 		err = errors.Join(f.Sync(), s.dir.Sync())
 	}
 	if e := f.Close(); err == nil {
 		err = e
 	}
 	if err != nil {
-		if gone := s.dir.Remove(name); gone != nil { // part of it may stay; its number is not used again
+		if gone := s.dir.Remove(name); gone != nil { // part of the file may stay; its number is not used again
 			err = errors.Join(err, gone)
 		}
 		return 0, err
 	}
-	e.size, e.torn, e.damage = int64(len(b)), false, false
-	return e.size, nil
+	e.fileSize, e.hasPartialFrame, e.damaged = int64(len(b)), false, false
+	return e.fileSize, nil
 }
 
-// RecordRefused lists a message that was handed back to its client.
+// RecordRefused lists a message that was returned to its client.
 func (s *Store) RecordRefused(h RefusedMessage) {
 	s.Counts.Refused++
-	h.At = s.set.Wall().UTC().Truncate(time.Millisecond)
+	h.At = s.settings.Wall().UTC().Truncate(time.Millisecond)
 	if err := s.refused.add(h); err != nil {
-		s.fault("what is handed back can't be listed", err)
+		s.logFault("what is handed back can't be listed", err)
 	}
 }
 
-// makeRoom takes entries out until there is room for so many bytes of an entry that is about to come.
-func (s *Store) makeRoom(need int64, e *Entry) error {
-	most := s.set.MaxDiskBytes - s.set.MaxDiskBytes/spareShare
-	if s.used+need <= most {
+// makeRoom evicts entries until a new one of the given size fits.
+func (s *Store) makeRoom(need int64, incoming *Entry) error {
+	limit := s.settings.MaxDiskBytes - s.settings.MaxDiskBytes/reservedDiskDivisor
+	if s.diskBytes+need <= limit {
 		return nil
 	}
-	short := s.used + max(need, min(s.set.MaxDiskBytes/64, mostEvicted)) - most
+	short := s.diskBytes + max(need, min(s.settings.MaxDiskBytes/64, maxEvictionBytes)) - limit
 	free := func(ok func(r *row) bool) {
 		for i := 0; i < len(s.rows) && short > 0; i++ {
 			r := s.rows[i]
 			if r == nil || !ok(r) {
 				continue
 			}
-			n := int64(r.size) * block
+			n := int64(r.blockCount) * blockSize
 			if s.remove(r) == nil {
 				short -= n
 				s.Counts.Evicted++
-				if i >= len(s.rows) || s.rows[i] != nil { // the list was made shorter
+				if i >= len(s.rows) || s.rows[i] != nil { // forget compacted the rows
 					i = -1
 				}
 			}
 		}
 	}
-	lies := func(r *row) bool {
+	evictable := func(r *row) bool {
 		st := states[r.state]
 		return (st == Waiting || st == Held) && !s.EndNotStored(r.Number)
 	}
 	free(func(r *row) bool { return states[r.state] == Ended })
-	if s.set.EvictLeastWorth {
-		own := s.worth(s.texts.add(e.Class))
+	if s.settings.EvictLeastWorth {
+		own := s.worth(s.texts.add(incoming.Class))
 		worths := map[float64]bool{}
 		for _, r := range s.rows {
-			if r != nil && lies(r) {
+			if r != nil && evictable(r) {
 				worths[s.worth(r.class)] = true
 			}
 		}
 		for _, w := range slices.Sorted(maps.Keys(worths)) {
-			if w > own { // it is worth less than all that lies here
+			if w > own { // the new entry is worth less than all that remain
 				break
 			}
-			free(func(r *row) bool { return lies(r) && s.worth(r.class) == w })
+			free(func(r *row) bool { return evictable(r) && s.worth(r.class) == w })
 		}
 	} else {
-		free(lies)
+		free(evictable)
 	}
-	if s.used+need > most {
+	if s.diskBytes+need > limit {
 		return ErrNoSpace
 	}
-	s.fault("its share of the disk is used up: entries go", ErrNoSpace)
+	s.logFault("its share of the disk is used up: entries go", ErrNoSpace)
 	return nil
 }
 
 func (s *Store) worth(class uint16) float64 {
-	if c := s.class(s.texts.list[class]); c != nil {
+	if c := s.class(s.texts.values[class]); c != nil {
 		return c.Worth
 	}
 	return 0
 }
 
-// remove removes an entry with its file.
+// remove deletes an entry and its file.
 func (s *Store) remove(r *row) error {
-	if err := s.dir.Remove(fileName(r.Number, r.id, int(r.gen))); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		s.fault("an entry can't be removed", err)
+	if err := s.dir.Remove(fileName(r.Number, r.idHash, int(r.generation))); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		s.logFault("an entry can't be removed", err)
 		return err
 	}
-	if s.drop != nil {
-		s.drop(&r.Node)
+	if s.onRemove != nil {
+		s.onRemove(&r.Node)
 	}
 	s.forget(r)
 	return nil
 }
 
-// OnRemove sets what is told of each entry that goes.
-func (s *Store) OnRemove(f func(*resend.Node)) { s.drop = f }
+// OnRemove sets the function that is called for each entry that ends or is removed.
+func (s *Store) OnRemove(f func(*resend.Node)) { s.onRemove = f }
--- a/undelivered/store_test.go
+++ b/undelivered/store_test.go
@@ -21,10 +21,10 @@
 	r := newRig(t)
 	r.open(nil)
 	no := r.keep("u", "unsafe")
-	r.pass(10 * time.Second)
-	claim, id := r.hand(no)
+	r.advance(10 * time.Second)
+	claim, id := r.claimAndBegin(no)
 	r.want(no, InFlight, true)
-	l := r.life(id)
+	l := r.failedSubmission(id)
 	l.DoubtAt = 0
 	if n, ok := r.s.SubmissionEnded(id, l); n != no || !ok {
 		t.Fatal(n, ok)
@@ -40,7 +40,7 @@
 	if fmt.Sprint(before.History) != fmt.Sprint(e.History) && len(before.History) != len(e.History) {
 		t.Errorf("history %v, was %v", e.History, before.History)
 	}
-	_, id = r.hand(no)
+	_, id = r.claimAndBegin(no)
 	if _, ok := r.s.SubmissionEnded(id, Submission{ID: id, Disposition: EndDelivered}); !ok {
 		t.Fatal("its end is not taken")
 	}
@@ -65,7 +65,7 @@
 	s.Reconcile(nil, nil)
 	r.s = s
 	no := r.keep("u", "unsafe")
-	r.hand(no)
+	r.claimAndBegin(no)
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 			t.Fatal(err)
 		}
 	}
-	r.pass(101 * time.Second)
+	r.advance(101 * time.Second)
 	if got, _ := r.s.Cleanup(); !slices.Equal(got, []uint64{no}) {
 		t.Errorf("given back %v", got)
 	}
@@ -128,27 +128,27 @@
 	t.Parallel()
 	r := newRig(t)
 	r.open(nil)
-	no, err := r.s.Keep(message("u", "unsafe"), r.life("u"))
+	no, err := r.s.Keep(message("u", "unsafe"), r.failedSubmission("u"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := r.s.Claim(no, Claim{By: "x"}); !errors.Is(err, ErrEndNotStored) {
 		t.Errorf("claimed: %v", err)
 	}
-	r.s.await(5, no)
-	if got := r.s.stored(4); len(got) > 0 {
+	r.s.setEndBatch(5, no)
+	if got := r.s.batchesStored(4); len(got) > 0 {
 		t.Errorf("free %v with batch 4", got)
 	}
-	r.s.lost(4) // that batch never came into the journal
-	if got := r.s.stored(9); len(got) > 0 {
+	r.s.batchesLost(4) // that batch never came into the journal
+	if got := r.s.batchesStored(9); len(got) > 0 {
 		t.Errorf("free %v without a batch", got)
 	}
-	r.s.await(10, no)
-	if got := r.s.stored(10); !slices.Equal(got, []uint64{no}) {
+	r.s.setEndBatch(10, no)
+	if got := r.s.batchesStored(10); !slices.Equal(got, []uint64{no}) {
 		t.Errorf("free %v", got)
 	}
-	_, id := r.hand(no)
-	r.s.SubmissionEnded(id, r.life(id))
+	_, id := r.claimAndBegin(no)
+	r.s.SubmissionEnded(id, r.failedSubmission(id))
 	if _, err := r.s.Claim(no, Claim{By: "x"}); !errors.Is(err, ErrEndNotStored) {
 		t.Errorf("claimed after its next life: %v", err)
 	}
@@ -172,14 +172,14 @@
 		"kept, and owed there":  {live: func(string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive("u", failed)} }, state: Waiting},
 		"kept, and ended there": {state: Waiting},
 		"handed in, unknown there": {
-			do: func(r *rig, no uint64) string { _, id := r.hand(no); return id }, state: Waiting, doubt: true,
+			do: func(r *rig, no uint64) string { _, id := r.claimAndBegin(no); return id }, state: Waiting, doubt: true,
 		},
 		"handed in, alive there": {
-			do:   func(r *rig, no uint64) string { _, id := r.hand(no); return id },
+			do:   func(r *rig, no uint64) string { _, id := r.claimAndBegin(no); return id },
 			live: func(id string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive(id, nil)} }, state: InFlight,
 		},
 		"handed in, owed there in doubt": {
-			do: func(r *rig, no uint64) string { _, id := r.hand(no); return id },
+			do: func(r *rig, no uint64) string { _, id := r.claimAndBegin(no); return id },
 			live: func(id string) []*engine.RestoredMessage {
 				m := alive(id, failed)
 				m.DoubtAt = 1
@@ -187,23 +187,23 @@
 			}, state: Waiting, doubt: true,
 		},
 		"handed in, refused there": {
-			do: func(r *rig, no uint64) string { _, id := r.hand(no); return id },
+			do: func(r *rig, no uint64) string { _, id := r.claimAndBegin(no); return id },
 			live: func(id string) []*engine.RestoredMessage {
 				return []*engine.RestoredMessage{alive(id, &engine.PendingResult{Disposition: engine.Refused})}
 			}, state: Waiting,
 		},
 		"handed in, delivered there": {
-			do:    func(r *rig, no uint64) string { _, id := r.hand(no); return id },
+			do:    func(r *rig, no uint64) string { _, id := r.claimAndBegin(no); return id },
 			ended: func(id string) *engine.RestoredEnd { return &engine.RestoredEnd{ID: id, Disposition: engine.Delivered} }, state: Ended,
 		},
 		"handed in, failed there": {
-			do:    func(r *rig, no uint64) string { _, id := r.hand(no); return id },
+			do:    func(r *rig, no uint64) string { _, id := r.claimAndBegin(no); return id },
 			ended: func(id string) *engine.RestoredEnd { return &engine.RestoredEnd{ID: id, Disposition: engine.Failed} }, state: Waiting, doubt: true,
 		},
 		"its end here, alive there": {
 			do: func(r *rig, no uint64) string {
-				_, id := r.hand(no)
-				l := r.life(id)
+				_, id := r.claimAndBegin(no)
+				l := r.failedSubmission(id)
 				l.DoubtAt = 0
 				r.s.SubmissionEnded(id, l)
 				return id
@@ -212,7 +212,7 @@
 		},
 		"delivered here, alive there": {
 			do: func(r *rig, no uint64) string {
-				_, id := r.hand(no)
+				_, id := r.claimAndBegin(no)
 				r.s.SubmissionEnded(id, Submission{ID: id, Disposition: EndDelivered})
 				return id
 			},
@@ -265,8 +265,8 @@
 			return did
 		}
 		did = append(did, "kept")
-		r.s.await(1, no)
-		r.s.stored(1)
+		r.s.setEndBatch(1, no)
+		r.s.batchesStored(1)
 		for range 2 {
 			e, err := r.s.Claim(no, Claim{By: "rule x"})
 			if err != nil {
@@ -283,12 +283,12 @@
 				how = EndDelivered
 			}
 			r.s.SubmissionEnded(m.ID, Submission{ID: m.ID, Disposition: how})
-			if r.s.dirty[no] != nil {
+			if r.s.unwritten[no] != nil {
 				return did
 			}
 			did = append(did, how)
-			r.s.await(1, no)
-			r.s.stored(1)
+			r.s.setEndBatch(1, no)
+			r.s.batchesStored(1)
 		}
 		return append(did, "all")
 	}
@@ -322,19 +322,19 @@
 			if s.Len() != 1 {
 				t.Fatalf("%s: %d entries", at, s.Len())
 			}
-			no, _ := s.kept("u")
+			no, _ := s.numberOf("u")
 			e := r.entry(no)
 			last := did[len(did)-1]
 			id, handed := strings.CutPrefix(last, "handed ")
 			switch {
 			case last == EndDelivered && e.State != Ended:
 				t.Errorf("%s: %s", at, e.State)
-			case handed && e.State != Ended && !slices.Contains(e.Doubt.IDs, id) && !(e.life().ID == id && e.life().Disposition == "failed"):
+			case handed && e.State != Ended && !slices.Contains(e.Doubt.IDs, id) && !(e.lastSubmission().ID == id && e.lastSubmission().Disposition == "failed"):
 				t.Errorf("%s: %s is forgotten: %+v", at, id, e)
 			case e.State != Waiting && e.State != Ended:
 				t.Errorf("%s: %s", at, e.State)
 			}
-			if n, err := s.number(); err != nil || slices.Contains(did, fmt.Sprint("claim ", n)) || n <= no {
+			if n, err := s.nextNumber(); err != nil || slices.Contains(did, fmt.Sprint("claim ", n)) || n <= no {
 				t.Errorf("%s: number %d again: %v", at, n, err)
 			}
 		}
@@ -358,7 +358,7 @@
 	}
 	r.want(no, Waiting, true)
 	r.disk.Fault = nil
-	claim, _ := r.hand(no)
+	claim, _ := r.claimAndBegin(no)
 	r.disk.Fault = func(memdir.Op) memdir.Fault { return memdir.Fault{Err: syscall.EIO} }
 	r.s.Release(no, claim, "x") // told, and tried again
 	other := r.disk.Clone()
@@ -388,27 +388,27 @@
 	r := newRig(t)
 	r.open(nil)
 	no := r.keep("u", "unsafe")
-	claim, id := r.hand(no)
+	claim, id := r.claimAndBegin(no)
 	for _, fault := range []error{syscall.ENOSPC, syscall.EIO} {
 		r.disk.Fault = func(memdir.Op) memdir.Fault { return memdir.Fault{Err: fault, Land: 20} }
-		if _, err := r.s.Keep(message("v", "unsafe"), r.life("v")); !errors.Is(err, fault) || r.s.Counts.NotKept == 0 {
+		if _, err := r.s.Keep(message("v", "unsafe"), r.failedSubmission("v")); !errors.Is(err, fault) || r.s.Counts.NotKept == 0 {
 			t.Errorf("kept on a disk that fails: %v", err)
 		}
 	}
-	r.s.SubmissionEnded(id, r.life(id))
+	r.s.SubmissionEnded(id, r.failedSubmission(id))
 	r.want(no, Waiting, true)
-	r.s.await(2, no)
-	r.s.stored(2)
+	r.s.setEndBatch(2, no)
+	r.s.batchesStored(2)
 	if _, err := r.s.Claim(no, Claim{By: "x"}); err == nil {
 		t.Error("claimed on a disk that fails")
 	}
-	if e := r.entry(no); e.Claim != nil || e.life().ID != id {
+	if e := r.entry(no); e.Claim != nil || e.lastSubmission().ID != id {
 		t.Errorf("%+v", e)
 	}
 	c := r.disk.Clone() // killed now, its end is not known
 	r.disk.Fault = nil
 	r.s.Cleanup()
-	if len(r.s.dirty) > 0 {
+	if len(r.s.unwritten) > 0 {
 		t.Error("what happened is not written when the disk is back")
 	}
 	if e, err := r.s.Claim(no, Claim{By: "x"}); err != nil || e.Claim.Number <= claim {
@@ -416,12 +416,12 @@
 	}
 	r.open(nil)
 	r.want(no, Waiting, true)
-	if e := r.entry(no); e.life().ID != id || len(e.History) != 6 {
+	if e := r.entry(no); e.lastSubmission().ID != id || len(e.History) != 6 {
 		t.Errorf("%+v", e)
 	}
 	r.disk = c
 	r.open(nil)
-	if e := r.entry(no); e.State != Waiting || !slices.Contains(e.Doubt.IDs, id) || e.life().Disposition != "unknown" {
+	if e := r.entry(no); e.State != Waiting || !slices.Contains(e.Doubt.IDs, id) || e.lastSubmission().Disposition != "unknown" {
 		t.Errorf("killed before its end was written: %+v", e)
 	}
 }
@@ -433,18 +433,18 @@
 		r.set.MaxDiskBytes, r.set.EvictLeastWorth, r.set.RefusedSlots = MinDiskBytes, least, 0
 		r.open(nil)
 		away := r.keep("away", "free")
-		r.hand(away)
+		r.claimAndBegin(away)
 		classes := []string{"free", "unsafe", "keyed"}
 		for i := range 300 {
 			id := fmt.Sprint("m", i)
 			m := message(id, classes[i%3])
-			if no, err := r.s.Keep(m, r.life(id)); err == nil {
-				r.s.await(1, no)
-				r.s.stored(1)
+			if no, err := r.s.Keep(m, r.failedSubmission(id)); err == nil {
+				r.s.setEndBatch(1, no)
+				r.s.batchesStored(1)
 			} else if !errors.Is(err, ErrNoSpace) {
 				t.Fatal(err)
 			}
-			if u := r.s.DiskBytes(); u > r.set.MaxDiskBytes || u < r.disk.Used()-block {
+			if u := r.s.DiskBytes(); u > r.set.MaxDiskBytes || u < r.disk.Used()-blockSize {
 				t.Fatalf("%d used as counted, %d in truth, of %d", u, r.disk.Used(), r.set.MaxDiskBytes)
 			}
 		}
@@ -466,8 +466,8 @@
 		}
 		// What was claimed has room for what happens to it.
 		id := r.s.ActiveClaim(away).SubmittedID
-		r.s.SubmissionEnded(id, r.life(id))
-		if len(r.s.dirty) > 0 {
+		r.s.SubmissionEnded(id, r.failedSubmission(id))
+		if len(r.s.unwritten) > 0 {
 			t.Error("the end of one that was away found no room")
 		}
 	}
@@ -478,7 +478,7 @@
 	r := newRig(t)
 	r.open(nil)
 	unsafe, keyed, away, ended := r.keep("u", "unsafe"), r.keep("k", "keyed"), r.keep("a", "keyed"), r.keep("e", "unsafe")
-	r.hand(away)
+	r.claimAndBegin(away)
 	r.s.End(ended, EndDropped, "ana", "old", "t")
 	if e := r.entry(ended); len(e.Body) > 0 || e.Bytes == 0 || e.History[1].By != "ana" {
 		t.Errorf("dropped: %+v", e)
@@ -493,11 +493,11 @@
 		}
 	}
 	there(unsafe, keyed, away, ended)
-	r.pass(51 * time.Second)
+	r.advance(51 * time.Second)
 	there(unsafe, away, ended)
-	r.pass(50 * time.Second)
+	r.advance(50 * time.Second)
 	there(unsafe, away)
-	r.pass(900 * time.Second)
+	r.advance(900 * time.Second)
 	there(away)
 }
 
@@ -519,16 +519,16 @@
 	r.open(nil)
 	no := r.keep("u", "unsafe")
 	for _, takes := range []time.Duration{5 * time.Second, 0, 5 * time.Second} {
-		r.pass(time.Second)
+		r.advance(time.Second)
 		r.disk.Crash()
-		s, err := Open(slowDir{r.disk.Dir(), func() { r.pass(takes) }}, r.set)
+		s, err := Open(slowDir{r.disk.Dir(), func() { r.advance(takes) }}, r.set)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.Reconcile(nil, nil)
 		r.s = s
 		before := s.Now()
-		claim, _ := r.hand(no)
+		claim, _ := r.claimAndBegin(no)
 		s.Release(no, claim, "x")
 		if sum := r.get(no); sum.Doubt.AgeUnknown || s.Now() != before {
 			t.Fatalf("age known %v", !sum.Doubt.AgeUnknown)
@@ -557,11 +557,11 @@
 		r := newRig(t)
 		r.open(nil)
 		no := r.keep("u", "unsafe")
-		r.pass(c.run)
+		r.advance(c.run)
 		r.s.Tick()
 		r.wall = r.wall.Add(c.step)
 		r.s.Tick()
-		r.pass(c.run)
+		r.advance(c.run)
 		if c.step == 0 { // a step is written at once
 			r.s.Cleanup()
 		}
@@ -599,23 +599,23 @@
 		held    bool
 	}{
 		"same id":                       {again: with("u", ""), verdict: engine.AlreadyEnded},
-		"same id, away":                 {do: func(r *rig, no uint64) { r.hand(no) }, again: with("u", ""), verdict: engine.AlreadyEnded},
+		"same id, away":                 {do: func(r *rig, no uint64) { r.claimAndBegin(no) }, again: with("u", ""), verdict: engine.AlreadyEnded},
 		"same key, in doubt":            {key: "k", doubt: true, again: with("v", "k"), verdict: engine.AlreadyEnded},
 		"same key, never ran":           {key: "k", again: with("v", "k"), verdict: engine.Accepted, held: true},
-		"same key, away":                {key: "k", do: func(r *rig, no uint64) { r.hand(no) }, again: with("v", "k"), verdict: engine.Busy},
+		"same key, away":                {key: "k", do: func(r *rig, no uint64) { r.claimAndBegin(no) }, again: with("v", "k"), verdict: engine.Busy},
 		"another key":                   {key: "k", doubt: true, again: with("v", "l"), verdict: engine.Accepted},
 		"same content without a key":    {doubt: true, again: with("v", ""), verdict: engine.Accepted, held: true},
 		"another content without a key": {doubt: true, again: message("v", "unsafe"), verdict: engine.Accepted},
-		"the id of a new life":          {again: with(lifeID(0x9E3779B97F4A7C15, 1, 2), ""), verdict: engine.AlreadyEnded},
+		"the id of a new life":          {again: with(resentID(0x9E3779B97F4A7C15, 1, 2), ""), verdict: engine.AlreadyEnded},
 		"same key, took effect from here": {key: "k", do: func(r *rig, no uint64) {
-			_, id := r.hand(no)
+			_, id := r.claimAndBegin(no)
 			r.s.SubmissionEnded(id, Submission{ID: id, Disposition: EndDelivered})
 		}, again: with("v", "k"), verdict: engine.AlreadyEnded},
 		"same key, dropped": {key: "k", doubt: true, do: func(r *rig, no uint64) { r.s.End(no, EndDropped, "ana", "x", "") }, again: with("v", "k"), verdict: engine.Accepted},
 	} {
 		r := newRig(t)
 		r.open(nil)
-		l := r.life("u")
+		l := r.failedSubmission("u")
 		if !c.doubt {
 			l.DoubtAt = 0
 		}
@@ -623,8 +623,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.s.await(1, no)
-		r.s.stored(1)
+		r.s.setEndBatch(1, no)
+		r.s.batchesStored(1)
 		if c.do != nil {
 			c.do(r, no)
 		}
@@ -652,7 +652,7 @@
 	r.keep("f", "free")
 	m := message("o", "ordered")
 	m.Key = "k"
-	if _, err := r.s.Keep(m, r.life("o")); err != nil {
+	if _, err := r.s.Keep(m, r.failedSubmission("o")); err != nil {
 		t.Fatal(err)
 	}
 	other := message("p", "ordered")
@@ -688,7 +688,7 @@
 	if err != nil || len(list) != 8 || list[0].ID != "m13" || list[6].ID != "m19" || list[6].Destination != 19 {
 		t.Errorf("%v %+v", err, list)
 	}
-	if size := len(r.disk.Read(refusedName)); size > 8*refusedSlot {
+	if size := len(r.disk.Read(refusedName)); size > 8*refusedSlotSize {
 		t.Errorf("%d bytes", size)
 	}
 	if r.s.Len() != 0 {
@@ -701,10 +701,10 @@
 	r := newRig(t)
 	r.open(nil)
 	no := r.keep("u", "unsafe")
-	for range mostHistory {
+	for range maxHistoryEvents {
 		e, err := r.s.Claim(no, Claim{By: "rule x"})
 		if err != nil {
-			if n := len(r.entry(no).History); n < mostHistory {
+			if n := len(r.entry(no).History); n < maxHistoryEvents {
 				t.Errorf("after %d events: %v", n, err)
 			}
 			return
