--- a/internal/redeliver/ctl_test.go
+++ b/internal/redeliver/ctl_test.go
@@ -13,13 +13,13 @@
 	"curlewmux/internal/standin/archive"
 )
 
-// A bad night with the real programs: looking, a dry run, an order that loses, one that is given again, a drop, an export,
-// and a folder without a dispatcher.
+// Runs the operators' commands with the real programs: listing, a dry run, an invalid command, a repeated command, a
+// drop, an export, and reading a folder without a dispatcher.
 func TestOperatorsCommandsOnTheRealPrograms(t *testing.T) {
 	t.Parallel()
 	f := newHarness(t, 2, 2)
 	f.archive.Script = func(items []archive.Item, _ bool) archive.Act {
-		if strings.HasPrefix(items[0].ID, "u") { // first lives fail
+		if strings.HasPrefix(items[0].ID, "u") { // first submissions fail
 			return archive.Act{Status: 500, NoEffect: true}
 		}
 		return archive.Act{}
@@ -106,7 +106,7 @@
 	}
 }
 
-// Without the operator's file there is no socket and no file of the store's.
+// Without the operator's file there must be no admin socket and no file of the store.
 func TestOffWithoutTheOperatorsFile(t *testing.T) {
 	t.Parallel()
 	f := newHarness(t, 1, 1)
--- a/internal/redeliver/desk.go
+++ b/internal/redeliver/desk.go
@@ -29,9 +29,9 @@
 
 // Callbacks connect a Resender to the dispatcher. They are called on the driver's goroutine and must not block.
 type Callbacks struct {
-	// Submit submits a message with this deadline. told is called with the verdict on the driver's goroutine, or never
-	// if the driver stops.
-	Submit func(in *engine.Submit, life Time, told func(engine.Verdict))
+	// Submit submits a message that may be delivered for the time life. onVerdict is called on the driver's goroutine,
+	// or never if the driver stops.
+	Submit func(in *engine.Submit, life Time, onVerdict func(engine.Verdict))
 
 	// Condition returns the condition of a destination and its listed rate.
 	Condition func(dest int) (control.Condition, float64)
--- a/internal/redeliver/inquiry_test.go
+++ b/internal/redeliver/inquiry_test.go
@@ -7,7 +7,7 @@
 	"curlewmux/resend"
 )
 
-// Only what is said in so many words counts: anything else is no answer, and above all no "no".
+// Only an explicit answer counts. Anything else is no answer; above all it must not be read as "no".
 func FuzzAnswer(f *testing.F) {
 	for _, s := range []string{`{"effect":"yes"}`, `{"effect":"no"}`, `{"effect":"unknown","why":"gone"}`, `{"effect":"NO"}`, `{}`, `null`, `"no"`, `{"effect":null}`, `{"effect":"no"`} {
 		f.Add(200, []byte(s))
--- a/internal/redeliver/thousand_test.go
+++ b/internal/redeliver/thousand_test.go
@@ -26,7 +26,7 @@
 
 const waitTimeout = 2 * time.Minute
 
-// programs are the real ones, built once.
+// programs is the folder with the real programs, built once.
 var programs string
 
 func TestMain(m *testing.M) {
@@ -57,7 +57,7 @@
  "report":{"names":[],"via":"none"},"rules":{"cold-from":0.5,"overload-for":100000,"stop-sending-within":1000000,
  "tip-multiple":2.0,"warm-up":200000},"tenants":[{"fraction":1.0,"name":"core","quota-per-s":100000}]}`
 
-// harness is a real dispatcher with an archive of many destinations, all on loopback.
+// harness runs a real dispatcher against an archive with many destinations, all on loopback.
 type harness struct {
 	t       *testing.T
 	agent   *discovery.Agent
@@ -72,7 +72,8 @@
 	n       int32
 }
 
-// newHarness starts all but the dispatcher. Each destination has an endpoint of its own; those above up are down.
+// newHarness starts everything but the dispatcher. Each destination has one endpoint. Destinations numbered up and
+// above have theirs down.
 func newHarness(t *testing.T, dests, up int) *harness {
 	f := &harness{t: t, n: harnessCount.Add(1), archive: &archive.Server{Host: host.System{}}, dests: dests, state: t.TempDir()}
 	var err error
@@ -89,7 +90,7 @@
 		if dest < up {
 			f.serve(addr)
 		} else {
-			f.down = append(f.down, addr) // what is dialled there is refused, until it is served
+			f.down = append(f.down, addr) // connections are refused until it is served
 		}
 		f.agent.Tell(discovery.Member{ID: fmt.Sprint("e", dest), HostPort: addr, Locality: "east", Flavor: "archives", Cell: dest, Phase: "active", Size: 100_000})
 	}
@@ -108,14 +109,14 @@
 	return f
 }
 
-// address is one of this farm's own, where nobody else's port can be.
+// address returns an address in this harness's own loopback range, so that no other process can have the port.
 func (f *harness) address(n int) string {
 	return fmt.Sprintf("127.%d.%d.%d:9000", 1+os.Getpid()%200, 100+f.n, n+1)
 }
 
 var harnessCount atomic.Int32
 
-// serve has the archive answer at an address.
+// serve lets the archive accept connections at an address.
 func (f *harness) serve(addr string) {
 	l, err := net.Listen("tcp", addr)
 	must(f.t, err)
@@ -177,7 +178,7 @@
 	return out.String(), cmd.ProcessState.ExitCode()
 }
 
-// countEntries counts the entries of a state, as curlewctl has it.
+// countEntries counts the open and the ended entries, as listed by curlewctl.
 func (f *harness) countEntries() (n int, ended int) {
 	out, _ := f.ctl("undelivered", "list", f.state, "--json", "--state=waiting,held,claimed,away,ended,damaged")
 	for line := range strings.Lines(out) {
@@ -193,7 +194,7 @@
 	return n, ended
 }
 
-// post hands a message in once; 0 is no answer.
+// post submits a message once and returns the status, 0 if there was no response.
 func (f *harness) post(class, id, body string, dest int) int {
 	r, err := http.NewRequest("POST", "http://"+f.addr+"/"+class, strings.NewReader(body))
 	if err != nil {
@@ -213,8 +214,8 @@
 	return res.StatusCode
 }
 
-// callScripts are what becomes of an upload's first calls: each row of the table of outcomes that a partner can bring about, with
-// and without effect. What runs late does so within half a second.
+// callScripts returns what the archive does with the first calls of an upload: each outcome that a partner can bring
+// about, with and without effect. Late effects occur within half a second.
 func callScripts() map[string]archive.Act {
 	out := map[string]archive.Act{
 		"ok": {}, "over": {Status: 410, NoEffect: true}, "wait": {Status: 429, Wait: 100 * time.Millisecond, NoEffect: true},
@@ -229,8 +230,8 @@
 	return out
 }
 
-// A thousand uploads fail in mixed ways, with SIGKILL and SIGTERM in between; they are sent again by rule and by hand, some
-// at the same moment by both; each takes effect at the archive exactly once.
+// A thousand uploads fail in different ways while the dispatcher is stopped with SIGKILL and SIGTERM. Rules and
+// operators resend them, sometimes at the same moment. Each must take effect at the archive exactly once.
 func TestAThousandUploads(t *testing.T) {
 	t.Parallel()
 	const uploads, dests = 1000, 40
@@ -242,7 +243,7 @@
 	}
 	rand.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	over := func(n int) bool { return names[n%len(names)] == "over" }
-	var seen sync.Map // calls of each upload
+	var seen sync.Map // number of calls of each upload
 	f.archive.Script = func(items []archive.Item, _ bool) archive.Act {
 		body := string(items[0].Body)
 		var n int
@@ -257,7 +258,7 @@
 	}
 	var asked atomic.Int32
 	f.archive.Answers = func([]string, string) archive.Lie {
-		switch n := asked.Add(1); { // some of the first hang or fail
+		switch n := asked.Add(1); { // some of the first inquiries hang or fail
 		case n > 100:
 		case n%10 == 3:
 			return archive.Lie{Hang: true}
@@ -268,7 +269,7 @@
 	}
 	f.start()
 
-	// Clients hand each upload in until it is taken on, and again under a new id if it is handed back.
+	// Clients submit each upload until it is accepted, and again under a new id if it is refused.
 	var clients sync.WaitGroup
 	var handed atomic.Int32
 	work := make(chan int)
@@ -291,14 +292,14 @@
 						}
 					}
 					handed.Add(1)
-					if code != 202 || over(n) || !f.waitDeferred(id, body, done) { // of what is over nobody is told
+					if code != 202 || over(n) || !f.waitDeferred(id, body, done) { // for 410 no result is reported
 						break
 					}
 				}
 			}
 		})
 	}
-	clients.Go(func() { // harmless messages, as they come to each destination; the module tries what failed with these first
+	clients.Go(func() { // harmless messages for each destination; the dispatcher uses them first to try one that failed
 		for n := 0; ; n++ {
 			select {
 			case <-done:
@@ -310,7 +311,7 @@
 	})
 	var restarts sync.WaitGroup
 	stop := make(chan struct{})
-	restarts.Go(func() { // the dispatcher dies and is started again
+	restarts.Go(func() { // kills and restarts the dispatcher
 		for n := 0; ; n++ {
 			select {
 			case <-stop:
@@ -327,7 +328,7 @@
 		}
 	})
 	var operators sync.WaitGroup
-	for _, who := range []string{"ana", "ben"} { // both send whatever lies there, over and over
+	for _, who := range []string{"ana", "ben"} { // both repeatedly resend all entries
 		operators.Go(func() {
 			for {
 				select {
@@ -342,7 +343,7 @@
 	begun := time.Now()
 	for n := range uploads {
 		work <- n
-		if n == uploads/4 { // the two that are down come back
+		if n == uploads/4 { // the two endpoints that are down come back
 			for _, addr := range f.down {
 				f.serve(addr)
 			}
@@ -383,7 +384,7 @@
 	}
 }
 
-// waitDeferred waits for the end of a message that was taken on, and tells whether it was handed back.
+// waitDeferred waits for the end of an accepted message and reports whether it was returned to its client.
 func (f *harness) waitDeferred(id, body string, done <-chan struct{}) bool {
 	for {
 		if list := f.agent.Of(id); len(list) > 0 {
--- a/undelivered/damage_test.go
+++ b/undelivered/damage_test.go
@@ -11,7 +11,7 @@
 	"curlewmux/resend"
 )
 
-// newResentEntry is a store with an entry that was sent again, and what its file held after each event.
+// newResentEntry returns a store with an entry that was resent twice, and the size of its file after each event.
 func newResentEntry(t *testing.T) (r *rig, no uint64, name string, ends []int) {
 	r = newRig(t)
 	r.open(nil)
@@ -43,7 +43,7 @@
 	return r, no, name, ends
 }
 
-// Whatever is damaged in a file, nothing of that message is sent by itself, and other messages go on.
+// Damage anywhere in a file must not lead to a resend by a rule, nor affect other messages.
 func TestADamagedEntryIsNeverSentByARule(t *testing.T) {
 	t.Parallel()
 	r, no, name, _ := newResentEntry(t)
@@ -70,7 +70,7 @@
 			}
 			r.disk = disk.Clone()
 			r.disk.Put(name, text)
-			for range 2 { // it is known at the next start, too
+			for range 2 { // the next start detects it, too
 				r.open(nil)
 				r.want(other, Waiting, true)
 				s := r.get(no)
@@ -103,7 +103,7 @@
 	}
 }
 
-// A file that is cut short is as if the process had ended in that write.
+// A truncated file must read as if the process had ended during that write.
 func TestAFileThatIsCutShort(t *testing.T) {
 	t.Parallel()
 	r, no, name, ends := newResentEntry(t)
@@ -112,7 +112,7 @@
 		r.disk = disk.Clone()
 		r.disk.Put(name, whole[:size])
 		r.open(nil)
-		n, _ := slices.BinarySearch(ends, size+1) // events that are whole
+		n, _ := slices.BinarySearch(ends, size+1) // number of complete events
 		if n == 0 {
 			r.want(no, Damaged, false)
 			r.open([]*engine.RestoredMessage{{Message: engine.Message{ID: "u"}}})
@@ -122,7 +122,7 @@
 			continue
 		}
 		e := r.entry(no)
-		if doubted := e.Doubt.FirstSent != 0; e.State != Waiting || doubted != (n%3 == 0) { // cut behind "handed"
+		if doubted := e.Doubt.FirstSent != 0; e.State != Waiting || doubted != (n%3 == 0) { // truncated after "handed"
 			t.Fatalf("cut at %d behind event %d: %s, in doubt %v", size, n, e.State, doubted)
 		}
 	}
@@ -185,7 +185,7 @@
 	})
 }
 
-// What the checks let through can be any JSON: no event breaks an entry.
+// A frame with valid checksums may hold any JSON. No event may make decoding panic or fail with another error.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte(`{"kind":"handed","id":"r"}`), []byte(`{"kind":"released"}`))
 	f.Add([]byte(`{"kind":"over","life":{"id":"r","how":"delivered"}}`), []byte(`{"kind":"claimed"}`))
--- a/undelivered/keeper_test.go
+++ b/undelivered/keeper_test.go
@@ -13,7 +13,7 @@
 	"curlewmux/internal/journal/memdir"
 )
 
-// recordingJournal is a journal that notes how many entries the store had as each batch came.
+// recordingJournal is a journal that records the number of entries in the store at each batch.
 type recordingJournal struct {
 	r      *rig
 	err    error // of the next Append
@@ -44,7 +44,7 @@
 
 func (b *recordingJournal) Tick(engine.Timestamp) { b.ticks++ }
 
-// recordedEvents is what a keeper tells.
+// recordedEvents records the notifications of a keeper.
 type recordedEvents struct{ list []string }
 
 func (h *recordedEvents) SubmissionEnded(no uint64, how string, _ bool) {
@@ -60,7 +60,7 @@
 	return r, b, h, NewKeeper(b, r.s, engine.Clock{Start: r.now}, h)
 }
 
-// pendingRecord is the record of a message that is given up in doubt.
+// pendingRecord returns the record of a message that ended while in doubt.
 func pendingRecord(m *engine.Message, how engine.Disposition) *engine.RecPendingResult {
 	g := &engine.Undelivered{
 		Message: *m, At: engine.Epoch + 3*second, Cause: engine.CauseDeadline, Tries: 2, DoubtAt: engine.Epoch + second, CallsOverAt: engine.Epoch + 9*second,
@@ -95,7 +95,8 @@
 	}
 }
 
-// A batch that the journal does not have makes nothing free; the engine tells the end once more, without the body.
+// An entry must not become claimable through a batch that the journal did not store. The engine then writes the end
+// again, without the body.
 func TestAnEndThatTheJournalCouldNotWrite(t *testing.T) {
 	t.Parallel()
 	for _, where := range []string{"append", "flush"} {
@@ -145,7 +146,7 @@
 	if list, err := ReadRefused(r.dir()); err != nil || len(list) != 1 || list[0].ID != "r" || r.s.Len() != 0 {
 		t.Errorf("refused: %v %v, %d entries", list, err, r.s.Len())
 	}
-	put(&engine.RecPendingResult{ID: "x", PendingResult: engine.PendingResult{Disposition: engine.Failed}}) // of an earlier process
+	put(&engine.RecPendingResult{ID: "x", PendingResult: engine.PendingResult{Disposition: engine.Failed}}) // recorded by an earlier process
 	if r.s.Len() != 0 {
 		t.Error("what was given up by an earlier process is kept")
 	}
@@ -158,7 +159,7 @@
 		switch end {
 		case engine.Refused, engine.Failed:
 			put(pendingRecord(m, end))
-			put(&engine.RecEnded{ID: id, Disposition: end}) // once it was told
+			put(&engine.RecEnded{ID: id, Disposition: end}) // after its client was notified
 		default:
 			put(&engine.RecEnded{ID: id, Disposition: end})
 		}
@@ -174,7 +175,7 @@
 	if r.s.Len() != 1 {
 		t.Errorf("%d entries", r.s.Len())
 	}
-	// A client that hands the same in again: the kept one is held, once the journal takes the new one.
+	// A client submits the same message again. The entry is held once the journal has accepted the new one.
 	put(pendingRecord(message("v", "unsafe"), engine.Failed))
 	v, _ := r.s.numberOf("v")
 	same := message("w", "unsafe")
@@ -188,7 +189,7 @@
 	r.want(v, Held, true)
 }
 
-// A store that takes nothing holds nobody up: the journal has every batch.
+// A store whose writes all fail must not hold up the journal.
 func TestAStoreThatFailsHoldsNothingUp(t *testing.T) {
 	t.Parallel()
 	r, b, _, k := newKeeper(t)
--- a/undelivered/rig_test.go
+++ b/undelivered/rig_test.go
@@ -13,7 +13,7 @@
 
 const second = control.Second
 
-// rig is a store on a disk in memory, with clocks that stand still unless they are moved.
+// rig is a store on an in-memory disk, with clocks that only move when told to.
 type rig struct {
 	t    *testing.T
 	disk *memdir.Disk
@@ -40,7 +40,7 @@
 	return r
 }
 
-// claimedEntries opens the store as a new process does, with what the journal has.
+// open opens the store as a new process does, with the messages that the journal has.
 func (r *rig) open(live []*engine.RestoredMessage, ended ...*engine.RestoredEnd) *Store {
 	r.t.Helper()
 	s, err := r.tryOpen(live, ended...)
@@ -61,14 +61,14 @@
 	return s, nil
 }
 
-// advance lets time go by on both clocks.
+// advance moves both clocks.
 func (r *rig) advance(d time.Duration) { r.now, r.wall = r.now.Add(d), r.wall.Add(d) }
 
 func message(id, class string) *engine.Message {
 	return &engine.Message{ID: id, Class: class, Tenant: "core", Destination: 3, Body: []byte("body of " + id)}
 }
 
-// keep keeps a message that may have run, and tells that the journal has its end.
+// keep stores a message in doubt and reports that the journal has its end.
 func (r *rig) keep(id, class string) uint64 {
 	r.t.Helper()
 	no, err := r.s.Keep(message(id, class), r.failedSubmission(id))
@@ -85,7 +85,7 @@
 	return Submission{ID: id, Disposition: "failed", Cause: "time", AttemptCount: 1, DoubtAt: now - second, QuietFrom: now, Attempts: []Attempt{{Endpoint: "e", Result: "timed out"}}}
 }
 
-// claimAndBegin claims an entry and hands it in.
+// claimAndBegin claims an entry and begins a submission of it.
 func (r *rig) claimAndBegin(no uint64) (claim uint64, id string) {
 	r.t.Helper()
 	e, err := r.s.Claim(no, Claim{By: "rule x"})
@@ -124,5 +124,5 @@
 	}
 }
 
-// dir is the folder as somebody else reads it.
+// dir returns a copy of the folder, as another process reads it.
 func (r *rig) dir() journal.Dir { return r.disk.Clone().Dir() }
--- a/undelivered/store_test.go
+++ b/undelivered/store_test.go
@@ -49,7 +49,7 @@
 	if e := r.entry(no); e.Disposition != EndDelivered || len(e.Body) > 0 || e.Bytes != 9 || e.Resends != 2 || len(e.History) != 7 {
 		t.Errorf("%+v", e)
 	}
-	if len(r.disk.Names()) != 3 { // the entry, the numbers and what is refused
+	if len(r.disk.Names()) != 3 { // the entry, the meta file and the list of refused messages
 		t.Errorf("files %v", r.disk.Names())
 	}
 }
@@ -80,7 +80,8 @@
 	}
 }
 
-// Who comes second is told who won, and numbers of claims only grow, also over restarts and when entries have gone.
+// A second claim fails and names the holder of the first. Claim numbers only grow, also over restarts and after
+// entries are removed.
 func TestOneClaimAtATime(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -98,7 +99,7 @@
 	last := first.Claim.Number
 	for range 5 {
 		r.open(nil)
-		r.want(no, Claimed, true) // an operator's stays
+		r.want(no, Claimed, true) // an operator's claim outlasts a restart
 		if c := r.s.ActiveClaim(no); c == nil || c.Number != first.Claim.Number {
 			t.Fatalf("claim %+v", c)
 		}
@@ -121,7 +122,7 @@
 		t.Error(err)
 	}
 	r.open(nil)
-	r.want(no, Waiting, true) // a rule's does not stay
+	r.want(no, Waiting, true) // a rule's claim does not outlast a restart
 }
 
 func TestNothingIsClaimedBeforeTheJournalHasItsEnd(t *testing.T) {
@@ -139,7 +140,7 @@
 	if got := r.s.batchesStored(4); len(got) > 0 {
 		t.Errorf("free %v with batch 4", got)
 	}
-	r.s.batchesLost(4) // that batch never came into the journal
+	r.s.batchesLost(4) // the journal did not store that batch
 	if got := r.s.batchesStored(9); len(got) > 0 {
 		t.Errorf("free %v without a batch", got)
 	}
@@ -154,7 +155,8 @@
 	}
 }
 
-// A message that the journal has alive is nowhere else; what it has as ended stays here.
+// At a start, the journal decides: a message that it has alive is not kept here as well, and one that it has as ended
+// stays here.
 func TestTheJournalsWordCountsAtAStart(t *testing.T) {
 	t.Parallel()
 	alive := func(id string, owed *engine.PendingResult) *engine.RestoredMessage {
@@ -162,11 +164,11 @@
 	}
 	failed := &engine.PendingResult{Disposition: engine.Failed}
 	for name, c := range map[string]struct {
-		do    func(r *rig, no uint64) string // returns the id of a new life
+		do    func(r *rig, no uint64) string // returns the id of the new submission
 		live  func(id string) []*engine.RestoredMessage
 		ended func(id string) *engine.RestoredEnd
-		state State // "": gone
-		doubt bool  // of the new life
+		state State // empty: removed
+		doubt bool  // of the new submission
 	}{
 		"kept, and alive there": {live: func(string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive("u", nil)} }},
 		"kept, and owed there":  {live: func(string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive("u", failed)} }, state: Waiting},
@@ -243,7 +245,7 @@
 		if ok && id != "" && slices.Contains(r.entry(no).Doubt.IDs, id) != c.doubt {
 			t.Errorf("%s: in doubt %v", name, r.entry(no).Doubt.IDs)
 		}
-		if c.state == InFlight { // its end comes by the keeper, once
+		if c.state == InFlight { // the keeper reports its end once
 			if _, ok := r.s.SubmissionEnded(id, Submission{ID: id, Disposition: EndDelivered}); !ok || r.get(no).State != Ended || r.entry(no).Resends != 1 {
 				t.Errorf("%s: its end is not taken: %+v", name, r.entry(no))
 			}
@@ -251,8 +253,8 @@
 	}
 }
 
-// The process ends in each operation of the disk, before it, in the middle and behind it: what was written counts or does
-// not, numbers are never used twice, and what was handed in is never forgotten.
+// The process ends at each disk operation: before it, in the middle, and after it. A write must count fully or not at
+// all, numbers must never be used twice, and a submission must never be forgotten.
 func TestAProcessThatEndsAtAnyWrite(t *testing.T) {
 	t.Parallel()
 	play := func(r *rig) (did []string) {
@@ -303,12 +305,12 @@
 			r := newRig(t)
 			r.disk.Fault = func(o memdir.Op) memdir.Fault { return memdir.Fault{Crash: o.N == op, Land: land} }
 			did := play(r)
-			if len(did) > 0 && did[len(did)-1] == "all" { // it ended as an old file was removed
+			if len(did) > 0 && did[len(did)-1] == "all" { // it ended while an old file was being removed
 				did = did[:len(did)-1]
 			}
 			r.disk.Fault = nil
 			var live []*engine.RestoredMessage
-			if !slices.Contains(did, "kept") { // the journal has it still
+			if !slices.Contains(did, "kept") { // the journal still has it
 				live = append(live, &engine.RestoredMessage{Message: engine.Message{ID: "u"}})
 			}
 			s := r.open(live)
@@ -341,7 +343,7 @@
 	}
 }
 
-// A claim that can't be written is none.
+// A claim that could not be written must not count.
 func TestNothingIsClaimedUnlessThatIsWritten(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -360,7 +362,7 @@
 	r.disk.Fault = nil
 	claim, _ := r.claimAndBegin(no)
 	r.disk.Fault = func(memdir.Op) memdir.Fault { return memdir.Fault{Err: syscall.EIO} }
-	r.s.Release(no, claim, "x") // told, and tried again
+	r.s.Release(no, claim, "x") // logged and retried
 	other := r.disk.Clone()
 	r.disk.Fault = nil
 	if _, err := r.s.BeginSubmission(no, claim); err == nil {
@@ -382,7 +384,7 @@
 	r.want(no, Waiting, true)
 }
 
-// A disk that takes nothing: nothing is kept or claimed, and what happened is written when it takes something again.
+// While all writes fail, nothing is kept or claimed. Events are written once the disk works again.
 func TestADiskThatFails(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -405,7 +407,7 @@
 	if e := r.entry(no); e.Claim != nil || e.lastSubmission().ID != id {
 		t.Errorf("%+v", e)
 	}
-	c := r.disk.Clone() // killed now, its end is not known
+	c := r.disk.Clone() // the state after a kill at this moment: the end is unknown
 	r.disk.Fault = nil
 	r.s.Cleanup()
 	if len(r.s.unwritten) > 0 {
@@ -464,7 +466,7 @@
 		if least && (count["keyed"] != 0 || count["unsafe"] < 40) || !least && (count["keyed"] < 10 || oldest < 200) {
 			t.Errorf("least worth first %v: %v are left, the oldest %d", least, count, oldest)
 		}
-		// What was claimed has room for what happens to it.
+		// The reserved part of the disk share has room for events of claimed entries.
 		id := r.s.ActiveClaim(away).SubmittedID
 		r.s.SubmissionEnded(id, r.failedSubmission(id))
 		if len(r.s.unwritten) > 0 {
@@ -501,7 +503,7 @@
 	there(away)
 }
 
-// slowDir takes its time to be read.
+// slowDir is a folder whose listing takes time.
 type slowDir struct {
 	journal.Dir
 	wait func()
@@ -512,7 +514,8 @@
 	return d.Dir.List()
 }
 
-// A start that takes long is no step of a clock: neither it nor the next one takes ages for unknown.
+// A slow start must not be taken for a step of the clock, neither by that start nor by the next. Otherwise the ages of
+// doubts would count as unknown.
 func TestAStartThatTakesLong(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -539,11 +542,11 @@
 	}
 }
 
-// No step of a clock makes a doubt look younger than it is.
+// A step of the wall clock must never make a doubt look younger than it is.
 func TestAClockThatIsSet(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		run, step, down, skew time.Duration // run, then stepped while it runs, then down, with a step while it is
+		run, step, down, skew time.Duration // run time, step while running, down time, step while down
 		ageless               bool
 	}{
 		"as it should be":                     {run: time.Minute, down: time.Minute},
@@ -562,7 +565,7 @@
 		r.wall = r.wall.Add(c.step)
 		r.s.Tick()
 		r.advance(c.run)
-		if c.step == 0 { // a step is written at once
+		if c.step == 0 { // otherwise the step itself makes Tick write the times
 			r.s.Cleanup()
 		}
 		r.now, r.wall = r.now.Add(c.down), r.wall.Add(c.down+c.skew)
@@ -591,7 +594,7 @@
 		return m
 	}
 	for name, c := range map[string]struct {
-		key     string // of the kept one
+		key     string // of the kept message
 		doubt   bool
 		do      func(r *rig, no uint64)
 		again   *engine.Message
@@ -646,7 +649,7 @@
 			t.Errorf("%s: held %q", name, s.HoldReason)
 		}
 	}
-	// Harmless ones, and the keys of a class in order, are not looked at.
+	// Messages that are harmless to repeat and keys of ordered classes are not checked.
 	r := newRig(t)
 	r.open(nil)
 	r.keep("f", "free")
