--- a/internal/redeliver/desk.go
+++ b/internal/redeliver/desk.go
@@ -29,9 +29,9 @@
 
 // Callbacks connect a Resender to the dispatcher. They are called on the driver's goroutine and must not block.
 type Callbacks struct {
-	// Submit submits a message that may be delivered for the time life. onVerdict is called on the driver's goroutine,
+	// Submit submits a message that must be delivered within deadline. onVerdict is called on the driver's goroutine,
 	// or never if the driver stops.
-	Submit func(in *engine.Submit, life Time, onVerdict func(engine.Verdict))
+	Submit func(in *engine.Submit, deadline Time, onVerdict func(engine.Verdict))
 
 	// Condition returns the condition of a destination and its listed rate.
 	Condition func(dest int) (control.Condition, float64)
@@ -75,9 +75,9 @@
 )
 
 // New returns a Resender. Start must follow once the journal has been read.
-func New(set Settings, store *undelivered.Store, log *slog.Logger) *Resender {
+func New(settings Settings, store *undelivered.Store, log *slog.Logger) *Resender {
 	d := &Resender{
-		settings: set, store: store, planner: resend.NewPlanner(set.MaxInFlight, set.RateShare, set.TrialInterval), log: log, inProgress: map[uint64]int{},
+		settings: settings, store: store, planner: resend.NewPlanner(settings.MaxInFlight, settings.RateShare, settings.TrialInterval), log: log, inProgress: map[uint64]int{},
 	}
 	store.OnRemove(d.planner.Remove)
 	return d
@@ -339,11 +339,11 @@
 		in.DoubtAge, in.DoubtZone = max(d.store.Now()-s.Doubt.FirstSent, 1), s.Doubt.Zone
 	}
 	no := s.Number
-	life := Time(0)
+	deadline := Time(0)
 	if c := d.findClass(m.Class); c != nil {
-		life = c.Deadline
+		deadline = c.Deadline
 	}
-	d.Submit(in, life, func(v engine.Verdict) { d.handleVerdict(no, claim, v) })
+	d.Submit(in, deadline, func(v engine.Verdict) { d.handleVerdict(no, claim, v) })
 }
 
 // handleVerdict handles the verdict on a submission.
@@ -363,11 +363,11 @@
 }
 
 // SubmissionEnded implements undelivered.Events.
-func (d *Resender) SubmissionEnded(no uint64, how string, tried bool) {
+func (d *Resender) SubmissionEnded(no uint64, disposition string, tried bool) {
 	switch {
-	case how == undelivered.EndDelivered:
+	case disposition == undelivered.EndDelivered:
 		d.complete(no, resend.Success)
-	case tried && (how == "failed" || how == "refused"):
+	case tried && (disposition == "failed" || disposition == "refused"):
 		d.complete(no, resend.Failure)
 	default: // a call that was out when an earlier process ended fails for that reason alone
 		d.complete(no, resend.Inconclusive)
--- a/internal/redeliver/service.go
+++ b/internal/redeliver/service.go
@@ -241,16 +241,16 @@
 
 // query executes list, show and export.
 func (s *Service) query(ctx context.Context, r *Request, reply func(*Reply) error) error {
-	sum := map[string]int{}
+	totals := map[string]int{}
 	if slices.Contains(r.Filter.States, undelivered.Refused) {
-		if err := ReplyRefused(s.Dir, &r.Filter, sum, reply); err != nil {
+		if err := ReplyRefused(s.Dir, &r.Filter, totals, reply); err != nil {
 			return err
 		}
 	}
 	err := s.forEachMatch(ctx, &r.Filter, true, func(list []match) error {
 		for i := range list {
 			p := &list[i]
-			sum[string(p.State)]++
+			totals[string(p.State)]++
 			e, err := undelivered.Read(s.Dir, p.file)
 			if errors.Is(err, fs.ErrNotExist) { // its file was rewritten or removed meanwhile
 				if s.waitOnDriver(ctx, func() { e, err = s.Resender.store.Entry(p.Number) }) != nil || err != nil {
@@ -283,7 +283,7 @@
 	if err != nil {
 		return err
 	}
-	return reply(&Reply{Summary: sum, Counts: map[string]string{
+	return reply(&Reply{Summary: totals, Counts: map[string]string{
 		"since_start": string(text), "disk_bytes": fmt.Sprint(used), "being_sent": fmt.Sprint(out),
 	}})
 }
@@ -308,7 +308,7 @@
 }
 
 // ReplyRefused replies with the recently refused messages.
-func ReplyRefused(dir journal.Dir, f *Filter, sum map[string]int, reply func(*Reply) error) error {
+func ReplyRefused(dir journal.Dir, f *Filter, totals map[string]int, reply func(*Reply) error) error {
 	list, err := undelivered.ReadRefused(dir)
 	if err != nil {
 		return err
@@ -320,7 +320,7 @@
 			len(f.Causes) > 0 && !slices.Contains(f.Causes, h.Cause) {
 			continue
 		}
-		sum[string(undelivered.Refused)]++
+		totals[string(undelivered.Refused)]++
 		if err := reply(&Reply{Refused: h}); err != nil {
 			return err
 		}
@@ -334,9 +334,9 @@
 	if err := r.Check(); err != nil {
 		return err
 	}
-	sum := map[string]int{}
+	totals := map[string]int{}
 	if slices.Contains(r.Filter.States, undelivered.Refused) {
-		if err := ReplyRefused(dir, &r.Filter, sum, reply); err != nil {
+		if err := ReplyRefused(dir, &r.Filter, totals, reply); err != nil {
 			return err
 		}
 	}
@@ -351,7 +351,7 @@
 		if !r.Filter.matches(&one, one.KeptAt+age) || len(r.Filter.IDs) > 0 && !e.HasAnyID(r.Filter.IDs) {
 			continue
 		}
-		sum[string(e.State)]++
+		totals[string(e.State)]++
 		if err := ReplyEntry(r.Command, e, "", reply); err != nil {
 			return err
 		}
@@ -359,7 +359,7 @@
 			break
 		}
 	}
-	return reply(&Reply{Summary: sum})
+	return reply(&Reply{Summary: totals})
 }
 
 // runActions executes resend and drop.
@@ -380,17 +380,17 @@
 		}
 	}
 	o := ManualAction{Operator: r.By, Reason: r.Why, Token: r.Token, ConfirmedNoEffect: r.ConfirmedNoEffect, DryRun: r.DryRun}
-	sum := map[string]int{}
+	totals := map[string]int{}
 	var claimed []uint64
 	for from := 0; from < len(list); from += actionsPerChunk {
 		part := list[from:min(from+actionsPerChunk, len(list))]
-		var outs []ActionResult
+		var results []ActionResult
 		err := s.waitOnDriver(ctx, func() {
 			for _, no := range part {
 				if r.Command == "drop" {
-					outs = append(outs, s.Resender.Drop(no, o))
+					results = append(results, s.Resender.Drop(no, o))
 				} else {
-					outs = append(outs, s.Resender.ResendManually(no, o))
+					results = append(results, s.Resender.ResendManually(no, o))
 				}
 			}
 			s.Resender.ScheduleWake()
@@ -398,12 +398,12 @@
 		if err != nil {
 			return err
 		}
-		for i := range outs {
-			sum[string(outs[i].Status)]++
-			if outs[i].Status == StatusClaimed || outs[i].Status == StatusDoneBefore {
-				claimed = append(claimed, outs[i].Number)
+		for i := range results {
+			totals[string(results[i].Status)]++
+			if results[i].Status == StatusClaimed || results[i].Status == StatusDoneBefore {
+				claimed = append(claimed, results[i].Number)
 			}
-			if err := reply(&Reply{Result: &outs[i]}); err != nil {
+			if err := reply(&Reply{Result: &results[i]}); err != nil {
 				return err
 			}
 		}
@@ -412,15 +412,15 @@
 		}
 	}
 	if r.Wait && r.Command == "resend" {
-		if err := s.awaitResends(ctx, claimed, sum, reply); err != nil {
+		if err := s.awaitResends(ctx, claimed, totals, reply); err != nil {
 			return err
 		}
 	}
-	return reply(&Reply{Summary: sum})
+	return reply(&Reply{Summary: totals})
 }
 
 // awaitResends waits until no entry is claimed or in flight, and counts the states they end up in.
-func (s *Service) awaitResends(ctx context.Context, list []uint64, sum map[string]int, reply func(*Reply) error) error {
+func (s *Service) awaitResends(ctx context.Context, list []uint64, totals map[string]int, reply func(*Reply) error) error {
 	all := len(list)
 	for len(list) > 0 {
 		var left []uint64
@@ -430,11 +430,11 @@
 					e, ok := s.Resender.store.Get(no)
 					switch {
 					case !ok:
-						sum["now gone"]++
+						totals["now gone"]++
 					case e.State == undelivered.Claimed || e.State == undelivered.InFlight:
 						left = append(left, no)
 					default:
-						sum["now "+string(e.State)]++
+						totals["now "+string(e.State)]++
 					}
 				}
 			})
--- a/internal/redeliver/thousand_test.go
+++ b/internal/redeliver/thousand_test.go
@@ -242,7 +242,7 @@
 		names = append(names, name)
 	}
 	rand.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
-	over := func(n int) bool { return names[n%len(names)] == "over" }
+	closed := func(n int) bool { return names[n%len(names)] == "over" }
 	var seen sync.Map // number of calls of each upload
 	f.archive.Script = func(items []archive.Item, _ bool) archive.Act {
 		body := string(items[0].Body)
@@ -271,7 +271,7 @@
 
 	// Clients submit each upload until it is accepted, and again under a new id if it is refused.
 	var clients sync.WaitGroup
-	var handed atomic.Int32
+	var submissions atomic.Int32
 	work := make(chan int)
 	unconfirmed := sync.Map{}
 	done := make(chan struct{})
@@ -291,8 +291,8 @@
 							time.Sleep(20 * time.Millisecond)
 						}
 					}
-					handed.Add(1)
-					if code != 202 || over(n) || !f.waitDeferred(id, body, done) { // for 410 no result is reported
+					submissions.Add(1)
+					if code != 202 || closed(n) || !f.waitDeferred(id, body, done) { // for 410 no result is reported
 						break
 					}
 				}
@@ -357,7 +357,7 @@
 		effects := f.archive.Effects()
 		for n := range uploads {
 			body := fmt.Sprintf("upload %d", n)
-			if _, ok := unconfirmed.Load(body); !ok && !over(n) && effects[body] == 0 {
+			if _, ok := unconfirmed.Load(body); !ok && !closed(n) && effects[body] == 0 {
 				left = append(left, body)
 			}
 		}
@@ -378,7 +378,7 @@
 	}
 	_, ended := f.countEntries()
 	calls, inquiries := f.archive.Counts()
-	t.Logf("%d hand-ins, %d kept and sent again, %d calls, %d inquiries", handed.Load(), ended, calls, inquiries)
+	t.Logf("%d hand-ins, %d kept and sent again, %d calls, %d inquiries", submissions.Load(), ended, calls, inquiries)
 	if ended < uploads/5 {
 		t.Errorf("%d of %d were ever kept: this proves little", ended, uploads)
 	}
--- a/undelivered/change.go
+++ b/undelivered/change.go
@@ -446,10 +446,10 @@
 			s.remove(r)
 		}
 	}
-	ends := map[string]*engine.RestoredEnd{}
+	endedHere := map[string]*engine.RestoredEnd{}
 	for _, p := range ended {
 		if s.IsResentID(p.ID) {
-			ends[p.ID] = p
+			endedHere[p.ID] = p
 		}
 	}
 	for _, m := range live { // the end may be recorded here already, or the record of the submission may be lost
@@ -479,7 +479,7 @@
 		if e.damaged {
 			s.repair(r, e)
 		}
-		s.resumeClaimed(r, e, alive, ends)
+		s.resumeClaimed(r, e, alive, endedHere)
 	}
 	if n := s.Counts.Damaged; n > 0 {
 		s.log.Error("undelivered: files are damaged; nothing of them is sent but by an operator", "entries", n)
@@ -502,7 +502,7 @@
 }
 
 // resumeClaimed continues with an entry that was claimed when the previous process ended.
-func (s *Store) resumeClaimed(r *row, e *Entry, alive map[string]*engine.RestoredMessage, ends map[string]*engine.RestoredEnd) {
+func (s *Store) resumeClaimed(r *row, e *Entry, alive map[string]*engine.RestoredMessage, ended map[string]*engine.RestoredEnd) {
 	s.updateState(r, e)
 	c := e.Claim
 	switch {
@@ -523,7 +523,7 @@
 		if m.DoubtAt != 0 {
 			l.DoubtAt = s.submittedAt(e)
 		}
-	} else if p := ends[c.SubmittedID]; p != nil {
+	} else if p := ended[c.SubmittedID]; p != nil {
 		l.Disposition = dispositionName(p.Disposition)
 		if p.Disposition == engine.Failed || p.Disposition == engine.Withdrawn {
 			l.DoubtAt = s.submittedAt(e)
--- a/undelivered/entry.go
+++ b/undelivered/entry.go
@@ -45,7 +45,7 @@
 	Key               string       `json:"key,omitempty"`
 	Bytes             int          `json:"bytes"` // size of the body
 	KeptStoreTime     Time         `json:"kept"`
-	KeptAt            time.Time    `json:"kept_at"` // wall time; the other times of an Entry are store time
+	KeptAt            time.Time    `json:"kept_at"` // wall time, for people, like every time.Time here
 	State             State        `json:"state"`
 	HoldReason        string       `json:"held,omitempty"` // why no rule may resend it
 	LastEnd           Time         `json:"last"`           // when its newest submission ended
--- a/undelivered/file.go
+++ b/undelivered/file.go
@@ -76,15 +76,15 @@
 	if binary.LittleEndian.Uint32(rest[4:]) != checksum(no, off, payload) {
 		return nil, next, ErrDamaged
 	}
-	size, w := binary.Uvarint(payload)
-	if w <= 0 || size > uint64(len(payload)-w) {
+	size, sizeBytes := binary.Uvarint(payload)
+	if sizeBytes <= 0 || size > uint64(len(payload)-sizeBytes) {
 		return nil, next, ErrDamaged
 	}
-	text := payload[w : w+int(size)]
+	text := payload[sizeBytes : sizeBytes+int(size)]
 	if err := json.Unmarshal(text, v); err != nil {
 		return nil, next, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	return payload[w+int(size):], next, nil
+	return payload[sizeBytes+int(size):], next, nil
 }
 
 // decode reads a file. An error wraps ErrDamaged or errTruncated if the entry can't be read at all. If a later frame
@@ -95,7 +95,7 @@
 }
 
 // decodeWithBody also reports whether the file still holds a body. An entry that ended has none in memory.
-func decodeWithBody(no uint64, b []byte) (_ *Entry, fat bool, _ error) {
+func decodeWithBody(no uint64, b []byte) (_ *Entry, hasBody bool, _ error) {
 	e := &Entry{}
 	body, off, err := decodeFrame(no, b, 0, e)
 	if err != nil {
--- a/undelivered/keeper.go
+++ b/undelivered/keeper.go
@@ -22,7 +22,7 @@
 type Events interface {
 	// SubmissionEnded reports the end of an entry's newest submission. The entry can't be claimed yet. tried is false
 	// if this process made no attempt; the end then says nothing about the destination.
-	SubmissionEnded(no uint64, how string, tried bool)
+	SubmissionEnded(no uint64, disposition string, tried bool)
 
 	// Claimable reports that an entry, new or resent, may be claimed: the journal has the end of its newest
 	// submission.
@@ -105,24 +105,24 @@
 
 // recordPendingResult records a message that was refused or failed.
 func (k *Keeper) recordPendingResult(r *engine.RecPendingResult) {
-	g := r.Undelivered
-	if g == nil { // an earlier process recorded it
+	ended := r.Undelivered
+	if ended == nil { // an earlier process recorded it
 		return
 	}
-	l := k.submission(g, r.Disposition)
+	l := k.submission(ended, r.Disposition)
 	switch {
 	case k.store.IsResentID(r.ID):
 		k.recordEnd(r.ID, l)
-	case r.Disposition == engine.Refused && !g.Rewritten:
+	case r.Disposition == engine.Refused && !ended.Rewritten:
 		k.store.RecordRefused(RefusedMessage{
-			ID: r.ID, Class: g.Message.Class, Tenant: g.Message.Tenant, Destination: g.Message.Destination, Cause: string(g.Cause), Attempts: g.Tries,
+			ID: r.ID, Class: ended.Message.Class, Tenant: ended.Message.Tenant, Destination: ended.Message.Destination, Cause: string(ended.Cause), Attempts: ended.Tries,
 		})
-	case r.Disposition == engine.Failed && g.Rewritten:
+	case r.Disposition == engine.Failed && ended.Rewritten:
 		if no, ok := k.store.numberOf(r.ID); ok {
 			k.endedEntries = append(k.endedEntries, no)
 		}
 	case r.Disposition == engine.Failed:
-		no, err := k.store.Keep(&g.Message, l)
+		no, err := k.store.Keep(&ended.Message, l)
 		if err != nil {
 			k.store.logFault("message "+r.ID+" is not kept", err)
 			return
@@ -131,14 +131,14 @@
 	}
 }
 
-func (k *Keeper) submission(g *engine.Undelivered, how engine.Disposition) Submission {
+func (k *Keeper) submission(ended *engine.Undelivered, disposition engine.Disposition) Submission {
 	at := func(t engine.Time) Time { return k.store.TimeAt(k.clock.Time(t)) }
-	l := Submission{ID: g.Message.ID, Disposition: dispositionName(how), Cause: string(g.Cause), Reason: g.Reason, AttemptCount: g.Tries, EndedAt: k.wallTime(g.At), QuietFrom: at(g.CallsOverAt)}
-	if g.DoubtAt != 0 {
-		l.DoubtAt, l.DoubtZone = max(at(g.DoubtAt), 1), g.DoubtZone
+	l := Submission{ID: ended.Message.ID, Disposition: dispositionName(disposition), Cause: string(ended.Cause), Reason: ended.Reason, AttemptCount: ended.Tries, EndedAt: k.wallTime(ended.At), QuietFrom: at(ended.CallsOverAt)}
+	if ended.DoubtAt != 0 {
+		l.DoubtAt, l.DoubtZone = max(at(ended.DoubtAt), 1), ended.DoubtZone
 	}
-	l.EarlierAttempts = max(g.Tries-len(g.Attempts), 0)
-	for _, a := range g.Attempts {
+	l.EarlierAttempts = max(ended.Tries-len(ended.Attempts), 0)
+	for _, a := range ended.Attempts {
 		one := Attempt{SentAt: k.wallTime(a.Sent), Endpoint: a.Endpoint, Addr: a.Addr, Result: "no outcome yet", RetryAfterMS: int64(a.RetryAfter / control.Millisecond)}
 		if a.End != 0 {
 			one.EndedAt, one.Result = k.wallTime(a.End), resultName(a.Result)
--- a/undelivered/store.go
+++ b/undelivered/store.go
@@ -159,17 +159,17 @@
 }
 
 // Open reads the entries of a folder. Damaged files are not an error. Reconcile must be called next.
-func Open(dir journal.Dir, set Settings) (_ *Store, err error) {
-	if set.MaxDiskBytes < MinDiskBytes {
-		return nil, fmt.Errorf("undelivered: disk of %d bytes: it needs %d", set.MaxDiskBytes, MinDiskBytes)
+func Open(dir journal.Dir, settings Settings) (_ *Store, err error) {
+	if settings.MaxDiskBytes < MinDiskBytes {
+		return nil, fmt.Errorf("undelivered: disk of %d bytes: it needs %d", settings.MaxDiskBytes, MinDiskBytes)
 	}
-	if set.Log == nil {
-		set.Log = slog.New(slog.DiscardHandler)
+	if settings.Log == nil {
+		settings.Log = slog.New(slog.DiscardHandler)
 	}
 	s := &Store{
-		dir: dir, settings: set, log: set.Log, startedAt: set.Now(), byID: map[uint64]*row{}, byIdentity: map[uint64]*row{},
+		dir: dir, settings: settings, log: settings.Log, startedAt: settings.Now(), byID: map[uint64]*row{}, byIdentity: map[uint64]*row{},
 		claimedEntries: map[uint64]*Entry{}, endNotStored: map[uint64]engine.Batch{}, unwritten: map[uint64]*Entry{}, manualClaimExpiry: map[uint64]Time{}, endedWithBody: map[uint64]bool{}, texts: textTable{indexes: map[string]uint16{}},
-		refused: refusedList{slots: int64(set.RefusedSlots)},
+		refused: refusedList{slots: int64(settings.RefusedSlots)},
 	}
 	defer func() {
 		if err != nil {
@@ -297,8 +297,8 @@
 	if err != nil {
 		return 0, err
 	}
-	var old []string
-	var before *row
+	var obsolete []string
+	var previous *row
 	for _, name := range names { // sorted by number, then by generation
 		no, id, gen, ok := parseFileName(name)
 		if !ok {
@@ -309,10 +309,10 @@
 			return 0, fmt.Errorf("%s: %w", name, err)
 		}
 		s.lastNumber = max(s.lastNumber, no)
-		e, fat, err := decodeWithBody(no, b)
+		e, hasBody, err := decodeWithBody(no, b)
 		if err != nil {
-			if before != nil && before.Number == no { // a rewrite was interrupted, and the older file is whole
-				old = append(old, name)
+			if previous != nil && previous.Number == no { // a rewrite was interrupted, and the older file is whole
+				obsolete = append(obsolete, name)
 				continue
 			}
 			e = &Entry{Number: no, State: Damaged, fileSize: int64(len(b))}
@@ -331,13 +331,13 @@
 				}
 			}
 		}
-		if before != nil && before.Number == no {
-			old = append(old, fileName(no, before.idHash, int(before.generation)))
-			s.forget(before)
+		if previous != nil && previous.Number == no {
+			obsolete = append(obsolete, fileName(no, previous.idHash, int(previous.generation)))
+			s.forget(previous)
 		}
 		s.insert(r)
-		before = r
-		if e.State == Ended && fat {
+		previous = r
+		if e.State == Ended && hasBody {
 			s.endedWithBody[no] = true
 		}
 		e.Body = nil
@@ -348,7 +348,7 @@
 			s.manualClaimExpiry[no] = e.Claim.ExpiresAt
 		}
 	}
-	for _, name := range old {
+	for _, name := range obsolete {
 		if err := s.dir.Remove(name); err != nil {
 			s.logFault("an old file stays", err)
 		}
@@ -626,16 +626,16 @@
 	if s.diskBytes+need <= limit {
 		return nil
 	}
-	short := s.diskBytes + max(need, min(s.settings.MaxDiskBytes/64, maxEvictionBytes)) - limit
+	missing := s.diskBytes + max(need, min(s.settings.MaxDiskBytes/64, maxEvictionBytes)) - limit
 	free := func(ok func(r *row) bool) {
-		for i := 0; i < len(s.rows) && short > 0; i++ {
+		for i := 0; i < len(s.rows) && missing > 0; i++ {
 			r := s.rows[i]
 			if r == nil || !ok(r) {
 				continue
 			}
 			n := int64(r.blockCount) * blockSize
 			if s.remove(r) == nil {
-				short -= n
+				missing -= n
 				s.Counts.Evicted++
 				if i >= len(s.rows) || s.rows[i] != nil { // forget compacted the rows
 					i = -1
@@ -649,15 +649,15 @@
 	}
 	free(func(r *row) bool { return states[r.state] == Ended })
 	if s.settings.EvictLeastWorth {
-		own := s.worth(s.texts.add(incoming.Class))
-		worths := map[float64]bool{}
+		incomingWorth := s.worth(s.texts.add(incoming.Class))
+		evictableWorths := map[float64]bool{}
 		for _, r := range s.rows {
 			if r != nil && evictable(r) {
-				worths[s.worth(r.class)] = true
+				evictableWorths[s.worth(r.class)] = true
 			}
 		}
-		for _, w := range slices.Sorted(maps.Keys(worths)) {
-			if w > own { // the new entry is worth less than all that remain
+		for _, w := range slices.Sorted(maps.Keys(evictableWorths)) {
+			if w > incomingWorth { // the new entry is worth less than all that remain
 				break
 			}
 			free(func(r *row) bool { return evictable(r) && s.worth(r.class) == w })
--- a/undelivered/store_test.go
+++ b/undelivered/store_test.go
@@ -257,46 +257,46 @@
 // all, numbers must never be used twice, and a submission must never be forgotten.
 func TestAProcessThatEndsAtAnyWrite(t *testing.T) {
 	t.Parallel()
-	play := func(r *rig) (did []string) {
-		defer func() { r.t.Logf("%v", did) }()
+	run := func(r *rig) (steps []string) {
+		defer func() { r.t.Logf("%v", steps) }()
 		if _, err := r.tryOpen(nil); err != nil {
-			return did
+			return steps
 		}
 		no, err := r.s.Keep(message("u", "unsafe"), Submission{ID: "u", Disposition: "failed", Cause: "tries"})
 		if err != nil {
-			return did
+			return steps
 		}
-		did = append(did, "kept")
+		steps = append(steps, "kept")
 		r.s.setEndBatch(1, no)
 		r.s.batchesStored(1)
 		for range 2 {
 			e, err := r.s.Claim(no, Claim{By: "rule x"})
 			if err != nil {
-				return did
+				return steps
 			}
-			did = append(did, fmt.Sprint("claim ", e.Claim.Number))
+			steps = append(steps, fmt.Sprint("claim ", e.Claim.Number))
 			m, err := r.s.BeginSubmission(no, e.Claim.Number)
 			if err != nil {
-				return did
+				return steps
 			}
-			did = append(did, "handed "+m.ID)
+			steps = append(steps, "handed "+m.ID)
 			how := "failed"
-			if len(did) > 4 {
+			if len(steps) > 4 {
 				how = EndDelivered
 			}
 			r.s.SubmissionEnded(m.ID, Submission{ID: m.ID, Disposition: how})
 			if r.s.unwritten[no] != nil {
-				return did
+				return steps
 			}
-			did = append(did, how)
+			steps = append(steps, how)
 			r.s.setEndBatch(1, no)
 			r.s.batchesStored(1)
 		}
-		return append(did, "all")
+		return append(steps, "all")
 	}
-	whole := newRig(t)
-	play(whole)
-	ops := whole.disk.Ops()
+	undisturbed := newRig(t)
+	run(undisturbed)
+	ops := undisturbed.disk.Ops()
 	if ops < 12 {
 		t.Fatalf("%d operations", ops)
 	}
@@ -304,18 +304,18 @@
 		for _, land := range []int{0, 7, 1 << 20} {
 			r := newRig(t)
 			r.disk.Fault = func(o memdir.Op) memdir.Fault { return memdir.Fault{Crash: o.N == op, Land: land} }
-			did := play(r)
-			if len(did) > 0 && did[len(did)-1] == "all" { // it ended while an old file was being removed
-				did = did[:len(did)-1]
+			steps := run(r)
+			if len(steps) > 0 && steps[len(steps)-1] == "all" { // it ended while an old file was being removed
+				steps = steps[:len(steps)-1]
 			}
 			r.disk.Fault = nil
 			var live []*engine.RestoredMessage
-			if !slices.Contains(did, "kept") { // the journal still has it
+			if !slices.Contains(steps, "kept") { // the journal still has it
 				live = append(live, &engine.RestoredMessage{Message: engine.Message{ID: "u"}})
 			}
 			s := r.open(live)
-			at := fmt.Sprintf("operation %d, %d bytes landed, after %v", op, land, did)
-			if len(did) == 0 {
+			at := fmt.Sprintf("operation %d, %d bytes landed, after %v", op, land, steps)
+			if len(steps) == 0 {
 				if s.Len() != 0 {
 					t.Errorf("%s: it is in both", at)
 				}
@@ -326,7 +326,7 @@
 			}
 			no, _ := s.numberOf("u")
 			e := r.entry(no)
-			last := did[len(did)-1]
+			last := steps[len(steps)-1]
 			id, handed := strings.CutPrefix(last, "handed ")
 			switch {
 			case last == EndDelivered && e.State != Ended:
@@ -336,7 +336,7 @@
 			case e.State != Waiting && e.State != Ended:
 				t.Errorf("%s: %s", at, e.State)
 			}
-			if n, err := s.nextNumber(); err != nil || slices.Contains(did, fmt.Sprint("claim ", n)) || n <= no {
+			if n, err := s.nextNumber(); err != nil || slices.Contains(steps, fmt.Sprint("claim ", n)) || n <= no {
 				t.Errorf("%s: number %d again: %v", at, n, err)
 			}
 		}
