--- a/undelivered/change.go
+++ b/undelivered/change.go
@@ -133,7 +133,7 @@
 		return err
 	}
 	if err := s.dir.Remove(fileName(r.Number, r.idHash, oldGeneration)); err != nil {
-		s.logFault("an old file stays", err) // it is removed at the next start
+		s.logFault("an old file of an entry can't be removed", err) // it is removed at the next start
 	}
 	r.generation = uint8(e.generation)
 	s.setFileSize(r, size)
@@ -482,7 +482,7 @@
 		s.resumeClaimed(r, e, alive, endedHere)
 	}
 	if n := s.Counts.Damaged; n > 0 {
-		s.log.Error("undelivered: files are damaged; nothing of them is sent but by an operator", "entries", n)
+		s.log.Error("undelivered: files are damaged; no rule resends their messages", "entries", n)
 	}
 }
 
@@ -605,7 +605,7 @@
 			err = s.rewrite(r, e)
 		}
 		if err != nil { // it is retried after the next start
-			s.logFault("the body of an entry that ended stays", err)
+			s.logFault("the body of an entry that ended can't be removed", err)
 			break
 		}
 	}
--- a/undelivered/file.go
+++ b/undelivered/file.go
@@ -102,7 +102,7 @@
 		return nil, false, err
 	}
 	if e.Number != no {
-		return nil, false, fmt.Errorf("%w: it is of entry %d", ErrDamaged, e.Number)
+		return nil, false, fmt.Errorf("%w: it belongs to entry %d", ErrDamaged, e.Number)
 	}
 	e.Body, e.State = append([]byte(nil), body...), e.currentState()
 	for off < int64(len(b)) {
@@ -174,7 +174,7 @@
 func Read(dir journal.Dir, name string) (*Entry, error) {
 	no, _, gen, ok := parseFileName(name)
 	if !ok {
-		return nil, fmt.Errorf("%s: no file of an entry", name)
+		return nil, fmt.Errorf("%s is not the file of an entry", name)
 	}
 	b, err := readFile(dir, name)
 	if err != nil {
--- a/undelivered/store.go
+++ b/undelivered/store.go
@@ -161,7 +161,7 @@
 // Open reads the entries of a folder. Damaged files are not an error. Reconcile must be called next.
 func Open(dir journal.Dir, settings Settings) (_ *Store, err error) {
 	if settings.MaxDiskBytes < MinDiskBytes {
-		return nil, fmt.Errorf("undelivered: disk of %d bytes: it needs %d", settings.MaxDiskBytes, MinDiskBytes)
+		return nil, fmt.Errorf("undelivered: a disk share of %d bytes is below the minimum of %d", settings.MaxDiskBytes, MinDiskBytes)
 	}
 	if settings.Log == nil {
 		settings.Log = slog.New(slog.DiscardHandler)
@@ -227,13 +227,13 @@
 		m = meta{storeID: s.settings.Random()}
 		m.storeTime = 1000 * control.Second
 	case !known: // both copies are damaged, so the age of all entries is unknown
-		s.log.Error("undelivered: the file of numbers is damaged; what may have taken effect counts as too old to be asked about")
+		s.log.Error("undelivered: kept-meta is damaged; messages in doubt count as too old to ask their partners about")
 		m.storeID = s.storeIDFromEntries()
 		m.storeTime, m.ageUnknownUpTo = newest, newest
 	default:
 		gap := wall - m.wallMicros
 		if now := m.storeTime + Time(gap); gap < -startClockTolerance.Microseconds() || now < newest-Time(startClockTolerance.Microseconds()) {
-			s.log.Warn("undelivered: the clock was set back; what may have taken effect counts as too old to be asked about")
+			s.log.Warn("undelivered: the clock was set back; messages in doubt count as too old to ask their partners about")
 			m.storeTime = max(m.storeTime, newest)
 			m.ageUnknownUpTo = m.storeTime
 		} else {
@@ -350,7 +350,7 @@
 	}
 	for _, name := range obsolete {
 		if err := s.dir.Remove(name); err != nil {
-			s.logFault("an old file stays", err)
+			s.logFault("an old file of an entry can't be removed", err)
 		}
 	}
 	return newest, nil
@@ -616,7 +616,7 @@
 	s.Counts.Refused++
 	h.At = s.settings.Wall().UTC().Truncate(time.Millisecond)
 	if err := s.refused.add(h); err != nil {
-		s.logFault("what is handed back can't be listed", err)
+		s.logFault("a refused message can't be listed", err)
 	}
 }
 
