--- a/undelivered/change.go
+++ b/undelivered/change.go
@@ -314,7 +314,7 @@
 
 // SubmissionEnded records the end of a resent message, before the journal does. taken is false if no entry has a claim
 // with this id.
-func (s *Store) SubmissionEnded(id string, l Submission) (no uint64, taken bool) {
+func (s *Store) SubmissionEnded(id string, submission Submission) (no uint64, taken bool) {
 	store, no, claim, ok := parseResentID(id)
 	if !ok || store != s.meta.storeID {
 		return 0, false
@@ -323,7 +323,7 @@
 	if r == nil || e.Claim.SubmittedID != id {
 		return 0, false
 	}
-	s.recordEvent(r, Event{Kind: EventSubmissionEnded, ID: id, Result: l.Disposition, Submission: &l})
+	s.recordEvent(r, Event{Kind: EventSubmissionEnded, ID: id, Result: submission.Disposition, Submission: &submission})
 	if states[r.state] != Ended {
 		s.endNotStored[no] = 0
 	}
@@ -514,30 +514,30 @@
 		s.recordEvent(r, Event{Kind: EventReleased, Why: "the dispatcher was started anew"})
 		return
 	}
-	l := Submission{ID: c.SubmittedID, EndedAt: s.settings.Wall().UTC(), QuietFrom: s.Now()}
+	submission := Submission{ID: c.SubmittedID, EndedAt: s.settings.Wall().UTC(), QuietFrom: s.Now()}
 	if m := alive[c.SubmittedID]; m != nil {
 		if m.Pending == nil {
 			return // the engine continues with it
 		}
-		l.AttemptCount, l.Disposition, l.DoubtZone = m.Tries, dispositionName(m.Pending.Disposition), m.DoubtZone
+		submission.AttemptCount, submission.Disposition, submission.DoubtZone = m.Tries, dispositionName(m.Pending.Disposition), m.DoubtZone
 		if m.DoubtAt != 0 {
-			l.DoubtAt = s.submittedAt(e)
+			submission.DoubtAt = s.submittedAt(e)
 		}
 	} else if p := ended[c.SubmittedID]; p != nil {
-		l.Disposition = dispositionName(p.Disposition)
+		submission.Disposition = dispositionName(p.Disposition)
 		if p.Disposition == engine.Failed || p.Disposition == engine.Withdrawn {
-			l.DoubtAt = s.submittedAt(e)
+			submission.DoubtAt = s.submittedAt(e)
 		}
 	} else {
 		// Usually it was never accepted, but its end may have been lost.
 		s.Counts.Lost++
-		l.Disposition, l.DoubtAt = "unknown", s.submittedAt(e)
-		l.Reason = "the dispatcher was started anew, and the journal has nothing of it"
+		submission.Disposition, submission.DoubtAt = "unknown", s.submittedAt(e)
+		submission.Reason = "the dispatcher was started anew, and the journal has nothing of it"
 	}
 	if cl := s.class(e.Class); cl != nil && cl.Effect == control.Free {
-		l.DoubtAt = 0
+		submission.DoubtAt = 0
 	}
-	s.SubmissionEnded(c.SubmittedID, l)
+	s.SubmissionEnded(c.SubmittedID, submission)
 	delete(s.endNotStored, r.Number)
 }
 
--- a/undelivered/entry.go
+++ b/undelivered/entry.go
@@ -193,19 +193,19 @@
 }
 
 // addSubmission adds a submission that ended.
-func (e *Entry) addSubmission(l *Submission, at Time) {
-	e.Submissions = append(e.Submissions, *l)
+func (e *Entry) addSubmission(submission *Submission, at Time) {
+	e.Submissions = append(e.Submissions, *submission)
 	e.LastEnd, e.FailedInquiries = at, 0
-	if l.DoubtAt == 0 {
+	if submission.DoubtAt == 0 {
 		return
 	}
 	d := &e.Doubt
-	if d.FirstSent == 0 || l.DoubtAt < d.FirstSent {
-		d.FirstSent, d.Zone = l.DoubtAt, l.DoubtZone
+	if d.FirstSent == 0 || submission.DoubtAt < d.FirstSent {
+		d.FirstSent, d.Zone = submission.DoubtAt, submission.DoubtZone
 	}
-	d.QuietFrom = max(d.QuietFrom, l.QuietFrom)
-	if !slices.Contains(d.IDs, l.ID) {
-		d.IDs = append(d.IDs, l.ID)
+	d.QuietFrom = max(d.QuietFrom, submission.QuietFrom)
+	if !slices.Contains(d.IDs, submission.ID) {
+		d.IDs = append(d.IDs, submission.ID)
 	}
 }
 
--- a/undelivered/keeper.go
+++ b/undelivered/keeper.go
@@ -35,8 +35,8 @@
 )
 
 // NewKeeper returns a Keeper that wraps the journal.
-func NewKeeper(journal engine.Store, s *Store, clock engine.Clock, on Events) *Keeper {
-	return &Keeper{Store: journal, store: s, clock: clock, events: on}
+func NewKeeper(journal engine.Store, s *Store, clock engine.Clock, events Events) *Keeper {
+	return &Keeper{Store: journal, store: s, clock: clock, events: events}
 }
 
 // Append writes ended messages to the store and passes the batch to the journal. Failures of the store never hold up
@@ -93,13 +93,13 @@
 	}
 }
 
-func (k *Keeper) recordEnd(id string, l Submission) {
-	l.EndedAt = k.store.settings.Wall().UTC()
+func (k *Keeper) recordEnd(id string, submission Submission) {
+	submission.EndedAt = k.store.settings.Wall().UTC()
 	if _, no, _, ok := parseResentID(id); ok {
 		k.endedEntries = append(k.endedEntries, no)
 	}
-	if no, ok := k.store.SubmissionEnded(id, l); ok {
-		k.events.SubmissionEnded(no, l.Disposition, len(l.Attempts) > 0)
+	if no, ok := k.store.SubmissionEnded(id, submission); ok {
+		k.events.SubmissionEnded(no, submission.Disposition, len(submission.Attempts) > 0)
 	}
 }
 
@@ -109,10 +109,10 @@
 	if ended == nil { // an earlier process recorded it
 		return
 	}
-	l := k.submission(ended, r.Disposition)
+	submission := k.submission(ended, r.Disposition)
 	switch {
 	case k.store.IsResentID(r.ID):
-		k.recordEnd(r.ID, l)
+		k.recordEnd(r.ID, submission)
 	case r.Disposition == engine.Refused && !ended.Rewritten:
 		k.store.RecordRefused(RefusedMessage{
 			ID: r.ID, Class: ended.Message.Class, Tenant: ended.Message.Tenant, Destination: ended.Message.Destination, Cause: string(ended.Cause), Attempts: ended.Tries,
@@ -122,7 +122,7 @@
 			k.endedEntries = append(k.endedEntries, no)
 		}
 	case r.Disposition == engine.Failed:
-		no, err := k.store.Keep(&ended.Message, l)
+		no, err := k.store.Keep(&ended.Message, submission)
 		if err != nil {
 			k.store.logFault("message "+r.ID+" is not kept", err)
 			return
@@ -133,19 +133,19 @@
 
 func (k *Keeper) submission(ended *engine.Undelivered, disposition engine.Disposition) Submission {
 	at := func(t engine.Time) Time { return k.store.TimeAt(k.clock.Time(t)) }
-	l := Submission{ID: ended.Message.ID, Disposition: dispositionName(disposition), Cause: string(ended.Cause), Reason: ended.Reason, AttemptCount: ended.Tries, EndedAt: k.wallTime(ended.At), QuietFrom: at(ended.CallsOverAt)}
+	submission := Submission{ID: ended.Message.ID, Disposition: dispositionName(disposition), Cause: string(ended.Cause), Reason: ended.Reason, AttemptCount: ended.Tries, EndedAt: k.wallTime(ended.At), QuietFrom: at(ended.CallsOverAt)}
 	if ended.DoubtAt != 0 {
-		l.DoubtAt, l.DoubtZone = max(at(ended.DoubtAt), 1), ended.DoubtZone
+		submission.DoubtAt, submission.DoubtZone = max(at(ended.DoubtAt), 1), ended.DoubtZone
 	}
-	l.EarlierAttempts = max(ended.Tries-len(ended.Attempts), 0)
+	submission.EarlierAttempts = max(ended.Tries-len(ended.Attempts), 0)
 	for _, a := range ended.Attempts {
 		one := Attempt{SentAt: k.wallTime(a.Sent), Endpoint: a.Endpoint, Addr: a.Addr, Result: "no outcome yet", RetryAfterMS: int64(a.RetryAfter / control.Millisecond)}
 		if a.End != 0 {
 			one.EndedAt, one.Result = k.wallTime(a.End), resultName(a.Result)
 		}
-		l.Attempts = append(l.Attempts, one)
+		submission.Attempts = append(submission.Attempts, one)
 	}
-	return l
+	return submission
 }
 
 func (k *Keeper) wallTime(t engine.Time) time.Time {
--- a/undelivered/store.go
+++ b/undelivered/store.go
@@ -537,7 +537,7 @@
 }
 
 // Keep stores a message that failed, before the journal records its end. On error the message is not kept.
-func (s *Store) Keep(m *engine.Message, l Submission) (uint64, error) {
+func (s *Store) Keep(m *engine.Message, submission Submission) (uint64, error) {
 	if no, ok := s.numberOf(m.ID); ok {
 		return no, nil
 	}
@@ -551,8 +551,8 @@
 		Number: no, Store: strconv.FormatUint(s.meta.storeID, 16), ID: m.ID, Class: m.Class, Tenant: m.Tenant, Destination: m.Destination, Key: m.Key,
 		Bytes: len(m.Body), Body: m.Body, KeptStoreTime: at, KeptAt: s.settings.Wall().UTC(),
 	}
-	e.addSubmission(&l, at)
-	e.History = []Event{{Kind: EventKept, At: at, WallTime: e.KeptAt, By: "dispatcher", Why: l.Cause}}
+	e.addSubmission(&submission, at)
+	e.History = []Event{{Kind: EventKept, At: at, WallTime: e.KeptAt, By: "dispatcher", Why: submission.Cause}}
 	e.State = e.currentState()
 	r := &row{idHash: hashID(m.ID)}
 	r.Number = no
