--- a/internal/node/undelivered.go
+++ b/internal/node/undelivered.go
@@ -33,9 +33,9 @@
 // share off the configuration's disk. Its errors name the setting.
 func ReadUndelivered(u *operator.Undelivered, c *Config) (*Undelivered, error) {
 	share := int64(u.Share * float64(c.Disk))
-	if share < undelivered.MinDiskBytes || c.Disk-share < journal.LeastDisk {
+	if share < undelivered.MinDiskBytes || c.Disk-share < journal.MinDisk {
 		return nil, fmt.Errorf("undelivered.disk_share: %g of %d bytes leave too little: %d for the store and %d for the journal are the least",
-			u.Share, c.Disk, int64(undelivered.MinDiskBytes), int64(journal.LeastDisk))
+			u.Share, c.Disk, int64(undelivered.MinDiskBytes), int64(journal.MinDisk))
 	}
 	if ring := int64(*u.Refused) * 256; ring > share/4 {
 		return nil, fmt.Errorf("undelivered.refused: %d take %d bytes, over a quarter of the store's share of %d", *u.Refused, ring, share)
--- a/internal/node/undelivered_hard_test.go
+++ b/internal/node/undelivered_hard_test.go
@@ -344,10 +344,10 @@
 		s.hand(u, "u")
 		crashed := false
 		s.mux.Disk().Fault = func(o memdir.Op) memdir.Fault {
-			ops = o.N + 1
-			if o.N == crash {
+			ops = o.Index + 1
+			if o.Index == crash {
 				crashed = true
-				return memdir.Fault{Crash: true, Land: land}
+				return memdir.Fault{Crash: true, WrittenBytes: land}
 			}
 			return memdir.Fault{}
 		}
@@ -411,10 +411,10 @@
 		}
 		s.After(time.Duration(500+dice.IntN(3000))*time.Millisecond, func() {
 			if !small {
-				s.mux.Disk().SetRoom(s.mux.Disk().Used() + int64(dice.IntN(8000)))
+				s.mux.Disk().SetCapacity(s.mux.Disk().Used() + int64(dice.IntN(8000)))
 			}
 		})
-		s.After(9*time.Second, func() { s.mux.Disk().SetRoom(0) })
+		s.After(9*time.Second, func() { s.mux.Disk().SetCapacity(0) })
 		s.After(10*time.Second, func() {
 			calm = true
 			s.fresh(2, 30*time.Second) // a destination that failed is tried with harmless ones first
--- a/internal/node/undelivered_test.go
+++ b/internal/node/undelivered_test.go
@@ -158,7 +158,7 @@
 	must(s.t, err)
 	f, err := operator.Parse(fmt.Sprintf(keptOperator, s.sync, s.remembers, s.first, s.tries))
 	must(s.t, err)
-	must(s.t, cfg.Operate(f))
+	must(s.t, cfg.ApplyOperatorFile(f))
 	return cfg
 }
 
--- a/internal/transport/http/call.go
+++ b/internal/transport/http/call.go
@@ -76,7 +76,7 @@
 
 // unwritten ends a call whose write failed: at the endpoint, or because we broke it off.
 func (k *call) unwritten() {
-	if k.abort.Completed() {
+	if k.abort.Done() {
 		k.end(control.Moot)
 	} else {
 		k.end(control.ConnectFailed)
@@ -94,7 +94,7 @@
 				k.add(i, engine.Outcome{Result: control.Moot})
 			}
 		}
-		if k.open == 0 || k.abort.Completed() {
+		if k.open == 0 || k.abort.Done() {
 			k.end(control.Moot)
 			return nil, nil
 		}
@@ -151,7 +151,7 @@
 	switch {
 	case err == nil:
 		return newConn(k.t.host, nc, k.peer)
-	case k.abort.Completed(), due && errors.As(err, &timeout) && timeout.Timeout(), !k.t.host.Now().Before(last), ours(err):
+	case k.abort.Done(), due && errors.As(err, &timeout) && timeout.Timeout(), !k.t.host.Now().Before(last), ours(err):
 		k.end(control.Moot) // it says nothing about the endpoint
 	default:
 		k.end(control.ConnectFailed)
@@ -171,7 +171,7 @@
 		Until: k.t.clock.Time(k.due()), Span: answerSpan, Body: answerBody, Discard: !k.batch, Progress: k,
 	})
 	k.abort.On(nil)
-	called := k.abort.Completed() // then its connection is closed, or is about to be
+	called := k.abort.Done() // then its connection is closed, or is about to be
 	switch {
 	case err == nil:
 		if a.More {
--- a/internal/transport/http/transport.go
+++ b/internal/transport/http/transport.go
@@ -114,7 +114,7 @@
 func (t *Transport) mayCommit(k *call) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if k.abort.Completed() {
+	if k.abort.Done() {
 		return false
 	}
 	k.committed()
--- a/undelivered/store_test.go
+++ b/undelivered/store_test.go
@@ -303,7 +303,7 @@
 	for op := range ops {
 		for _, land := range []int{0, 7, 1 << 20} {
 			r := newRig(t)
-			r.disk.Fault = func(o memdir.Op) memdir.Fault { return memdir.Fault{Crash: o.N == op, Land: land} }
+			r.disk.Fault = func(o memdir.Op) memdir.Fault { return memdir.Fault{Crash: o.Index == op, WrittenBytes: land} }
 			steps := run(r)
 			if len(steps) > 0 && steps[len(steps)-1] == "all" { // it ended while an old file was being removed
 				steps = steps[:len(steps)-1]
@@ -353,7 +353,7 @@
 		if o.Name == metaName {
 			return memdir.Fault{}
 		}
-		return memdir.Fault{Err: syscall.EIO, Land: 5}
+		return memdir.Fault{Err: syscall.EIO, WrittenBytes: 5}
 	}
 	if _, err := r.s.Claim(no, Claim{By: "x"}); !errors.Is(err, syscall.EIO) {
 		t.Errorf("claimed: %v", err)
@@ -392,7 +392,7 @@
 	no := r.keep("u", "unsafe")
 	claim, id := r.claimAndBegin(no)
 	for _, fault := range []error{syscall.ENOSPC, syscall.EIO} {
-		r.disk.Fault = func(memdir.Op) memdir.Fault { return memdir.Fault{Err: fault, Land: 20} }
+		r.disk.Fault = func(memdir.Op) memdir.Fault { return memdir.Fault{Err: fault, WrittenBytes: 20} }
 		if _, err := r.s.Keep(message("v", "unsafe"), r.failedSubmission("v")); !errors.Is(err, fault) || r.s.Counts.NotKept == 0 {
 			t.Errorf("kept on a disk that fails: %v", err)
 		}
