--- a/internal/node/undelivered.go
+++ b/internal/node/undelivered.go
@@ -23,7 +23,7 @@
 type Undelivered struct {
 	store      undelivered.Settings
 	redelivery redeliver.Settings
-	inquiries  map[int]redeliver.Inquiry
+	inquiries  map[int]redeliver.InquiryEndpoint
 	socket     string // name of the socket in the state folder, "" for none
 }
 
@@ -33,22 +33,22 @@
 // configuration. It subtracts the store's share from the configuration's disk space. Its errors name the setting.
 func ReadUndelivered(file *operator.Undelivered, config *Config) (*Undelivered, error) {
 	share := int64(file.Share * float64(config.Disk))
-	if share < undelivered.LeastDisk || config.Disk-share < journal.MinDisk {
+	if share < undelivered.MinDiskBytes || config.Disk-share < journal.MinDisk {
 		return nil, fmt.Errorf("undelivered.disk_share: %g of %d bytes leaves too little: the store needs at least %d and the journal at least %d",
-			file.Share, config.Disk, int64(undelivered.LeastDisk), int64(journal.MinDisk))
+			file.Share, config.Disk, int64(undelivered.MinDiskBytes), int64(journal.MinDisk))
 	}
 	if refusedBytes := int64(*file.Refused) * 256; refusedBytes > share/4 {
 		return nil, fmt.Errorf("undelivered.refused: %d take %d bytes, over a quarter of the store's share of %d", *file.Refused, refusedBytes, share)
 	}
 	out := &Undelivered{
 		store: undelivered.Settings{
-			Disk: share, LeastWorth: file.WhenFull == "least-worth", Retain: spanToTime(file.Retain), RetainEnd: spanToTime(file.RetainEnded),
-			Refused: *file.Refused, ClassKeep: map[string]undelivered.Time{},
+			MaxDiskBytes: share, EvictLeastWorth: file.WhenFull == "least-worth", Retention: spanToTime(file.Retain), EndedRetention: spanToTime(file.RetainEnded),
+			RefusedSlots: *file.Refused, ClassRetention: map[string]undelivered.Time{},
 		},
 		redelivery: redeliver.Settings{
-			Slots: max(1, int(file.Slots*float64(config.Settings.Slots))), Share: file.Rate, Trial: spanToTime(file.Trial), Hand: spanToTime(file.Claim),
+			MaxInFlight: max(1, int(file.Slots*float64(config.Settings.Slots))), RateShare: file.Rate, TrialInterval: spanToTime(file.Trial), ManualClaimDuration: spanToTime(file.Claim),
 		},
-		inquiries: map[int]redeliver.Inquiry{}, socket: *file.Socket,
+		inquiries: map[int]redeliver.InquiryEndpoint{}, socket: *file.Socket,
 	}
 	rules := &out.redelivery.Rules
 	rules.MaxBody = maxHTTPBodyBytes
@@ -66,7 +66,7 @@
 		return slices.ContainsFunc(rules.Classes, func(k resend.Class) bool { return k.Name == wire.Plain(name) })
 	}
 	for name, v := range file.RetainClass { // kept also for classes that no longer exist
-		out.store.ClassKeep[wire.Plain(name)] = spanToTime(v)
+		out.store.ClassRetention[wire.Plain(name)] = spanToTime(v)
 	}
 	for _, partner := range file.Partners {
 		out.redelivery.Rules.Partners = append(out.redelivery.Rules.Partners, resend.Partner{
@@ -74,7 +74,7 @@
 			Proof: map[string]resend.Proof{"none": resend.NoProof, "key": resend.ByKey, "inquiry": resend.ByInquiry}[partner.Proof],
 		})
 		if partner.Proof == "inquiry" {
-			out.inquiries[*partner.Dest] = redeliver.Inquiry{Addr: partner.Address, Path: partner.Path, Limit: partner.Timeout.Duration()}
+			out.inquiries[*partner.Dest] = redeliver.InquiryEndpoint{Addr: partner.Address, Path: partner.Path, Timeout: partner.Timeout.Duration()}
 		}
 	}
 	for i, section := range file.Rules {
@@ -112,7 +112,7 @@
 	settings   *Undelivered
 	store      *undelivered.Store
 	keeper     *undelivered.Keeper
-	redelivery *redeliver.Desk
+	redelivery *redeliver.Resender
 	inquirer   *redeliver.Inquirer
 	timer      host.Timer // next step of the redelivery; belongs to the driver's goroutine
 }
@@ -123,7 +123,7 @@
 		return
 	}
 	n.undelivered = &undeliveredParts{settings: n.cfg.Undelivered}
-	settings.CheckUndelivered = func(m *engine.Message) (engine.VerdictKind, string) { return n.undelivered.store.Again(m) }
+	settings.CheckUndelivered = func(m *engine.Message) (engine.VerdictKind, string) { return n.undelivered.store.CheckDuplicate(m) }
 }
 
 // openUndelivered opens the store of undelivered messages after the journal has been read. The keeper then replaces the
@@ -142,15 +142,15 @@
 	parts.store.Reconcile(state.Live, state.Ended)
 	parts.redelivery = redeliver.New(parts.settings.redelivery, parts.store, n.log)
 	parts.inquirer = redeliver.NewInquirer(n.host, parts.settings.inquiries, func(q *redeliver.Question, a resend.Answer, why string) {
-		n.driver.Do(func() { parts.redelivery.Answered(q, a, why) })
+		n.driver.Do(func() { parts.redelivery.InquiryAnswered(q, a, why) })
 	})
-	parts.redelivery.Ports = redeliver.Ports{
-		Resend: func(in *engine.Submit, life redeliver.Time, reply func(engine.Verdict)) {
+	parts.redelivery.Callbacks = redeliver.Callbacks{
+		Submit: func(in *engine.Submit, life redeliver.Time, reply func(engine.Verdict)) {
 			n.driver.Resend(in, n.host.Now().Add(engine.Duration(life)), reply)
 		},
 		Condition: n.driver.Engine().Condition,
-		Ask:       parts.inquirer.Ask,
-		Wake:      n.scheduleRedelivery,
+		Inquire:   parts.inquirer.Ask,
+		WakeAt:    n.scheduleRedelivery,
 	}
 	parts.keeper = undelivered.NewKeeper(n.driver.Components.Store, parts.store, n.clock, parts.redelivery)
 	n.driver.Components.Store = parts.keeper
@@ -195,7 +195,7 @@
 
 // service returns the handler of commands about undelivered messages.
 func (n *Node) service() *redeliver.Service {
-	return &redeliver.Service{Desk: n.undelivered.redelivery, Dir: n.stateDir(), Do: n.driver.Do, Wait: func(d time.Duration) {
+	return &redeliver.Service{Resender: n.undelivered.redelivery, Dir: n.stateDir(), RunOnDriver: n.driver.Do, Sleep: func(d time.Duration) {
 		n.host.NewInbox().Take(nil, n.host.Now().Add(d))
 	}}
 }
@@ -230,7 +230,7 @@
 
 func (s *redeliverySink) Completed(d *engine.Done) {
 	switch {
-	case !s.node.undelivered.store.Owns(d.ID):
+	case !s.node.undelivered.store.IsResentID(d.ID):
 		s.Sink.Completed(d)
 	case d.Disposition == engine.Refused || d.Disposition == engine.Failed:
 		s.node.driver.Notified([]string{d.ID})
--- a/internal/node/undelivered_hard_test.go
+++ b/internal/node/undelivered_hard_test.go
@@ -48,14 +48,14 @@
 func (s *undeliveredSim) advance(d time.Duration) { s.Run(s.Now()+d, nil) }
 
 // runOnDesk runs f on the driver's goroutine and waits for it.
-func (s *undeliveredSim) runOnDesk(f func(d *redeliver.Desk)) {
+func (s *undeliveredSim) runOnDesk(f func(d *redeliver.Resender)) {
 	s.t.Helper()
 	done := false
 	n := s.node
 	s.mux.Process().Go(func() {
 		n.driver.Do(func() {
 			f(n.undelivered.redelivery)
-			n.undelivered.redelivery.Settle()
+			n.undelivered.redelivery.ScheduleWake()
 			done = true
 		})
 	})
@@ -76,8 +76,8 @@
 	s.boot()
 	s.submitUntilDone(u, "u")
 	s.awaitEntry(undelivered.Ended)
-	if n := s.archive.Effect(u.body); n != 1 || s.onlyEntry().End != undelivered.EndTook {
-		t.Errorf("%d effects, end %q", n, s.onlyEntry().End)
+	if n := s.archive.Effect(u.body); n != 1 || s.onlyEntry().Disposition != undelivered.EndTookEffect {
+		t.Errorf("%d effects, end %q", n, s.onlyEntry().Disposition)
 	}
 	if len(inquiries) != 1 || inquiries[0] < 5500*time.Millisecond {
 		t.Errorf("asked at %v", inquiries)
@@ -98,8 +98,8 @@
 	s.advance(100 * time.Millisecond)
 	s.boot()
 	s.awaitEntry(undelivered.Ended)
-	if n := s.archive.Effect(u.body); n != 1 || s.onlyEntry().End != undelivered.EndTook {
-		t.Errorf("%d effects, end %q", n, s.onlyEntry().End)
+	if n := s.archive.Effect(u.body); n != 1 || s.onlyEntry().Disposition != undelivered.EndTookEffect {
+		t.Errorf("%d effects, end %q", n, s.onlyEntry().Disposition)
 	}
 }
 
@@ -141,9 +141,9 @@
 	s := newUndeliveredSim(t, 1)
 	defer s.Close()
 	s.orderedIsUnsafe = true
-	s.fillStore(1, func(_ int, m *engine.Message, l *undelivered.Life) {
+	s.fillStore(1, func(_ int, m *engine.Message, l *undelivered.Submission) {
 		m.Class, m.Key = "ordered", "k"
-		l.DoubtAt, l.Quiet = 1000*control.Second, 1000*control.Second
+		l.DoubtAt, l.QuietFrom = 1000*control.Second, 1000*control.Second
 	})
 	var keys []string
 	s.archive.Answers = func(_ []string, key string) archive.Lie {
@@ -152,7 +152,7 @@
 	}
 	s.boot()
 	s.advance(20 * time.Second)
-	s.runOnDesk(func(d *redeliver.Desk) { d.SendByHand(1, redeliver.Order{By: "ana", Why: "x"}) })
+	s.runOnDesk(func(d *redeliver.Resender) { d.ResendManually(1, redeliver.ManualAction{Operator: "ana", Reason: "x"}) })
 	s.awaitEntry(undelivered.Ended)
 	if !slices.Equal(keys, []string{""}) {
 		t.Errorf("asked about keys %q", keys)
@@ -175,11 +175,11 @@
 	}
 	s.boot()
 	s.submitUntilDone(u, "u")
-	s.awaitEntry(undelivered.Away)
+	s.awaitEntry(undelivered.InFlight)
 	s.awaitEntry(undelivered.Ended)
 	e := s.onlyEntry()
-	if n := s.archive.Effect(u.body); n != 1 || e.End != undelivered.EndTook || e.Tries != 1 {
-		t.Errorf("%d effects, end %q after %d tries", n, e.End, e.Tries)
+	if n := s.archive.Effect(u.body); n != 1 || e.Disposition != undelivered.EndTookEffect || e.Resends != 1 {
+		t.Errorf("%d effects, end %q after %d tries", n, e.Disposition, e.Resends)
 	}
 }
 
@@ -209,17 +209,19 @@
 		if e := s.onlyEntry(); calls != 1 || s.archive.Effect(u.body) != 1 || e.State == undelivered.Ended {
 			t.Errorf("%d calls, %d effects, entry %s", calls, s.archive.Effect(u.body), e.State)
 		}
-		var out redeliver.Outcome
-		s.runOnDesk(func(d *redeliver.Desk) { out = d.SendByHand(s.onlyEntry().No, redeliver.Order{By: "ana", Why: "x"}) })
-		if out.Did != redeliver.DidRefuse || !strings.Contains(out.Why, "forgotten") {
+		var out redeliver.ActionResult
+		s.runOnDesk(func(d *redeliver.Resender) {
+			out = d.ResendManually(s.onlyEntry().Number, redeliver.ManualAction{Operator: "ana", Reason: "x"})
+		})
+		if out.Status != redeliver.StatusRefused || !strings.Contains(out.Reason, "forgotten") {
 			t.Errorf("by hand without vouching: %+v", out)
 		}
-		s.runOnDesk(func(d *redeliver.Desk) {
-			out = d.SendByHand(s.onlyEntry().No, redeliver.Order{By: "ana", Why: "looked into the archive", Vouch: true})
+		s.runOnDesk(func(d *redeliver.Resender) {
+			out = d.ResendManually(s.onlyEntry().Number, redeliver.ManualAction{Operator: "ana", Reason: "looked into the archive", ConfirmedNoEffect: true})
 		})
 		s.awaitEntry(undelivered.Ended)
 		e := s.onlyEntry()
-		at := slices.IndexFunc(e.History, func(ev undelivered.Event) bool { return ev.Kind == undelivered.WasCleared })
+		at := slices.IndexFunc(e.History, func(ev undelivered.Event) bool { return ev.Kind == undelivered.EventDoubtCleared })
 		if at < 0 || e.History[at].By != "ana" || e.History[at].Why != "looked into the archive" {
 			t.Errorf("the history lacks who vouched: %+v", e.History)
 		}
@@ -238,26 +240,26 @@
 	s.submitUntilDone(u, "u")
 	s.awaitEntry(undelivered.Waiting)
 	s.advance(20 * time.Second)
-	no := s.onlyEntry().No
-	ana := redeliver.Order{By: "ana", Why: "it is urgent", Token: "t1"}
-	ben := redeliver.Order{By: "ben", Why: "it is old", Token: "t2"}
-	var outs []redeliver.Outcome
-	s.runOnDesk(func(d *redeliver.Desk) {
-		outs = append(outs, d.SendByHand(no, ana), d.SendByHand(no, ben), d.Drop(no, ben), d.SendByHand(no, ana))
+	no := s.onlyEntry().Number
+	ana := redeliver.ManualAction{Operator: "ana", Reason: "it is urgent", Token: "t1"}
+	ben := redeliver.ManualAction{Operator: "ben", Reason: "it is old", Token: "t2"}
+	var outs []redeliver.ActionResult
+	s.runOnDesk(func(d *redeliver.Resender) {
+		outs = append(outs, d.ResendManually(no, ana), d.ResendManually(no, ben), d.Drop(no, ben), d.ResendManually(no, ana))
 	})
-	if outs[0].Did != redeliver.DidClaim || outs[3].Did != redeliver.DidAgain || outs[3].Claim != outs[0].Claim {
+	if outs[0].Status != redeliver.StatusClaimed || outs[3].Status != redeliver.StatusDoneBefore || outs[3].Claim != outs[0].Claim {
 		t.Errorf("ana: %+v, given again %+v", outs[0], outs[3])
 	}
 	for _, o := range outs[1:3] {
-		if o.Did != redeliver.DidLose || o.Won == nil || o.Won.By != "ana" || o.Won.No != outs[0].Claim {
+		if o.Status != redeliver.StatusClaimedByOther || o.OtherClaim == nil || o.OtherClaim.By != "ana" || o.OtherClaim.Number != outs[0].Claim {
 			t.Errorf("ben: %+v", o)
 		}
 	}
 	s.awaitEntry(undelivered.Ended)
-	s.runOnDesk(func(d *redeliver.Desk) {
-		outs = []redeliver.Outcome{d.SendByHand(no, ana), d.SendByHand(no, ben), d.Drop(no, ben), d.Drop(999, ben)}
+	s.runOnDesk(func(d *redeliver.Resender) {
+		outs = []redeliver.ActionResult{d.ResendManually(no, ana), d.ResendManually(no, ben), d.Drop(no, ben), d.Drop(999, ben)}
 	})
-	if outs[0].Did != redeliver.DidAgain || outs[1].Did != redeliver.DidNothing || outs[2].Did != redeliver.DidNothing || outs[3].Did != redeliver.DidMiss {
+	if outs[0].Status != redeliver.StatusDoneBefore || outs[1].Status != redeliver.StatusAlreadyEnded || outs[2].Status != redeliver.StatusAlreadyEnded || outs[3].Status != redeliver.StatusNotFound {
 		t.Errorf("afterwards: %+v", outs)
 	}
 	if n := s.archive.Effect(u.body); n != 1 {
@@ -277,13 +279,13 @@
 	}
 	s.boot()
 	s.submitUntilDone(u, "u")
-	s.awaitEntry(undelivered.Away)
+	s.awaitEntry(undelivered.InFlight)
 	e := s.onlyEntry()
-	var outs []redeliver.Outcome
-	o := redeliver.Order{By: "ana", Why: "x", Vouch: true}
-	s.runOnDesk(func(d *redeliver.Desk) { outs = append(outs, d.SendByHand(e.No, o), d.Drop(e.No, o)) })
+	var outs []redeliver.ActionResult
+	o := redeliver.ManualAction{Operator: "ana", Reason: "x", ConfirmedNoEffect: true}
+	s.runOnDesk(func(d *redeliver.Resender) { outs = append(outs, d.ResendManually(e.Number, o), d.Drop(e.Number, o)) })
 	for _, out := range outs {
-		if out.Did != redeliver.DidLose || out.Won == nil || out.Won.By != "rule all" || out.Won.ID != e.Claim.ID || !strings.Contains(out.Why, e.Claim.ID) {
+		if out.Status != redeliver.StatusClaimedByOther || out.OtherClaim == nil || out.OtherClaim.By != "rule all" || out.OtherClaim.SubmittedID != e.Claim.SubmittedID || !strings.Contains(out.Reason, e.Claim.SubmittedID) {
 			t.Errorf("%+v", out)
 		}
 	}
@@ -315,7 +317,7 @@
 		s.boot()
 		s.submitUntilDone(u, "u")
 		s.runUntil(time.Minute, "its client is notified", func() bool { return u.done }) // before that a repeated request is answered 202
-		s.awaitEntry(map[bool]undelivered.State{false: undelivered.Waiting, true: undelivered.Away}[c.away])
+		s.awaitEntry(map[bool]undelivered.State{false: undelivered.Waiting, true: undelivered.InFlight}[c.away])
 		code := -1
 		s.clients.Go(func() { code = s.post(u.class, c.id, c.key, u.body, time.Second) })
 		s.runUntil(time.Minute, "an answer", func() bool { return code >= 0 })
@@ -466,7 +468,7 @@
 	s.archive.Script = func([]archive.Item, bool) archive.Act { return archive.Act{Status: 500, NoEffect: true} }
 	s.boot()
 	s.submitUntilDone(&upload{class: "unsafe", body: "poison", expires: time.Second}, "p")
-	s.runUntil(time.Hour, "all its resends are used up", func() bool { return s.onlyEntry().Tries == 3 && s.onlyEntry().State == undelivered.Waiting })
+	s.runUntil(time.Hour, "all its resends are used up", func() bool { return s.onlyEntry().Resends == 3 && s.onlyEntry().State == undelivered.Waiting })
 	calls, inquiries := s.archive.Counts()
 	size := s.mux.Disk().Used()
 	s.advance(6 * time.Hour)
@@ -474,12 +476,12 @@
 		t.Errorf("six hours later: %d calls and %d inquiries more, %d bytes more", c-calls, a-inquiries, s.mux.Disk().Used()-size)
 	}
 	e := s.onlyEntry()
-	if len(e.Lives) != 4 || len(e.Lives[3].Attempts) == 0 || e.Lives[3].Attempts[0].How != "error" || e.State != undelivered.Waiting {
+	if len(e.Submissions) != 4 || len(e.Submissions[3].Attempts) == 0 || e.Submissions[3].Attempts[0].Result != "error" || e.State != undelivered.Waiting {
 		t.Errorf("%+v", e)
 	}
 	var outlook string
-	s.runOnDesk(func(d *redeliver.Desk) {
-		sum, _ := s.node.undelivered.store.Get(e.No)
+	s.runOnDesk(func(d *redeliver.Resender) {
+		sum, _ := s.node.undelivered.store.Get(e.Number)
 		outlook = d.Outlook(&sum)
 	})
 	if !strings.Contains(outlook, "all 3 tries") {
@@ -493,7 +495,7 @@
 	t.Parallel()
 	s := newUndeliveredSim(t, 1)
 	defer s.Close()
-	s.fillStore(5, func(n int, m *engine.Message, l *undelivered.Life) {
+	s.fillStore(5, func(n int, m *engine.Message, l *undelivered.Submission) {
 		switch n {
 		case 0:
 			m.Class = "gone"
@@ -504,7 +506,7 @@
 		case 3:
 			m.Body = make([]byte, 70_000)
 		case 4:
-			l.DoubtAt, l.Quiet = 1000*control.Second, 1000*control.Second
+			l.DoubtAt, l.QuietFrom = 1000*control.Second, 1000*control.Second
 		}
 	})
 	s.mux.StepWall(-time.Hour)
@@ -519,7 +521,7 @@
 	}
 	for n, want := range []string{`class "gone"`, `tenant "nobody"`, "as soon as", "over today's limit", "forgotten"} {
 		var outlook string
-		s.runOnDesk(func(d *redeliver.Desk) {
+		s.runOnDesk(func(d *redeliver.Resender) {
 			sum, _ := s.node.undelivered.store.Get(uint64(n) + 1)
 			outlook = d.Outlook(&sum)
 		})
@@ -530,7 +532,7 @@
 }
 
 // fillStore writes messages that never ran into the store, as an earlier process would have.
-func (s *undeliveredSim) fillStore(n int, change func(n int, m *engine.Message, l *undelivered.Life)) {
+func (s *undeliveredSim) fillStore(n int, change func(n int, m *engine.Message, l *undelivered.Submission)) {
 	cfg := s.config()
 	set := cfg.Undelivered.store
 	h := s.clients
@@ -541,7 +543,7 @@
 	for i := range n {
 		id := fmt.Sprintf("night-%d", i)
 		m := &engine.Message{ID: id, Class: "unsafe", Tenant: "core", Destination: 1, Body: []byte("body of " + id)}
-		l := undelivered.Life{ID: id, How: "failed", Cause: "time"}
+		l := undelivered.Submission{ID: id, Disposition: "failed", Cause: "time"}
 		if change != nil {
 			change(i, m, &l)
 		}
--- a/internal/node/undelivered_sim_test.go
+++ b/internal/node/undelivered_sim_test.go
@@ -146,12 +146,12 @@
 						return false
 					})
 					for range 1 + random.IntN(2) { // one or two operators at once
-						out := n.undelivered.redelivery.SendByHand(number, redeliver.Order{By: "ana", Why: "seen", Token: fmt.Sprint(random.IntN(50))})
-						if out.Did == redeliver.DidLose {
+						out := n.undelivered.redelivery.ResendManually(number, redeliver.ManualAction{Operator: "ana", Reason: "seen", Token: fmt.Sprint(random.IntN(50))})
+						if out.Status == redeliver.StatusClaimedByOther {
 							sum.lost++
 						}
 					}
-					n.undelivered.redelivery.Settle()
+					n.undelivered.redelivery.ScheduleWake()
 				})
 			}
 			s.After(time.Duration(random.IntN(2500))*time.Millisecond, operate)
@@ -201,19 +201,19 @@
 		}
 		for _, e := range s.entries() {
 			sum.kept++
-			if e.End == undelivered.EndTook {
+			if e.Disposition == undelivered.EndTookEffect {
 				sum.took++
 			}
 			for _, ev := range e.History {
 				switch {
 				case ev.Claim == nil:
-				case ev.Claim.Hand:
+				case ev.Claim.Manual:
 					sum.handed++
 				default:
 					sum.ruled++
 				}
 			}
-			for _, l := range e.Lives {
+			for _, l := range e.Submissions {
 				if l.DoubtAt != 0 {
 					sum.doubted++
 				}
--- a/internal/node/undelivered_test.go
+++ b/internal/node/undelivered_test.go
@@ -273,7 +273,7 @@
 func (s *undeliveredSim) states() string {
 	var b strings.Builder
 	for _, e := range s.entries() {
-		fmt.Fprintf(&b, " %d:%s:%s tries %d doubt %v held %q end %q;", e.No, e.ID, e.State, e.Tries, e.Doubt.At != 0, e.Held, e.End)
+		fmt.Fprintf(&b, " %d:%s:%s tries %d doubt %v held %q end %q;", e.Number, e.ID, e.State, e.Resends, e.Doubt.FirstSent != 0, e.HoldReason, e.Disposition)
 	}
 	return b.String()
 }
@@ -297,11 +297,11 @@
 		calls, inquiries := s.archive.Counts()
 		want := undelivered.EndDelivered
 		if ran {
-			want = undelivered.EndTook
+			want = undelivered.EndTookEffect
 		}
 		e := s.entries()[0]
-		if s.archive.Effect("upload 1") != 1 || e.End != want || inquiries == 0 || ran && calls != 1 {
-			t.Errorf("took %v: %d effects, end %q, %d calls, %d inquiries", ran, s.archive.Effect("upload 1"), e.End, calls, inquiries)
+		if s.archive.Effect("upload 1") != 1 || e.Disposition != want || inquiries == 0 || ran && calls != 1 {
+			t.Errorf("took %v: %d effects, end %q, %d calls, %d inquiries", ran, s.archive.Effect("upload 1"), e.Disposition, calls, inquiries)
 		}
 		s.Close()
 	}
--- a/internal/redeliver/ctl_test.go
+++ b/internal/redeliver/ctl_test.go
@@ -13,13 +13,13 @@
 	"curlewmux/internal/standin/archive"
 )
 
-// A bad night with the real programs: looking, a dry run, an order that loses, one that is given again, a drop, an export,
-// and a folder without a dispatcher.
+// Runs the operators' commands with the real programs: listing, a dry run, an invalid command, a repeated command, a
+// drop, an export, and reading a folder without a dispatcher.
 func TestOperatorsCommandsOnTheRealPrograms(t *testing.T) {
 	t.Parallel()
-	f := newFarm(t, 2, 2)
+	f := newHarness(t, 2, 2)
 	f.archive.Script = func(items []archive.Item, _ bool) archive.Act {
-		if strings.HasPrefix(items[0].ID, "u") { // first lives fail
+		if strings.HasPrefix(items[0].ID, "u") { // first submissions fail
 			return archive.Act{Status: 500, NoEffect: true}
 		}
 		return archive.Act{}
@@ -30,7 +30,7 @@
 			t.Fatal(code)
 		}
 	}
-	count := func() int { n, _ := f.listed(); return n }
+	count := func() int { n, _ := f.countEntries(); return n }
 	f.until("four are kept", func() bool { return count() == 4 })
 	run := func(status int, want string, args ...string) string {
 		t.Helper()
@@ -106,10 +106,10 @@
 	}
 }
 
-// Without the operator's file there is no socket and no file of the store's.
+// Without the operator's file there must be no admin socket and no file of the store.
 func TestOffWithoutTheOperatorsFile(t *testing.T) {
 	t.Parallel()
-	f := newFarm(t, 1, 1)
+	f := newHarness(t, 1, 1)
 	f.archive.Script = func([]archive.Item, bool) archive.Act { return archive.Act{Status: 500, NoEffect: true} }
 	must(t, os.WriteFile(f.op, nil, 0o600))
 	f.start()
--- a/undelivered/refused.go
+++ b/undelivered/refused.go
@@ -12,79 +12,79 @@
 	"curlewmux/internal/journal"
 )
 
-// What was handed back to its client is listed only, in one file of so many slots, the oldest of which is written over.
-// Nothing is sent from here.
+// Refused messages are returned to their clients and never resent from here. They are only listed, in one file with a
+// fixed number of slots. The newest overwrites the oldest.
 const (
-	refusedName = "kept-refused"
-	refusedSlot = 256
-	refusedHead = 6 // check and length
+	refusedName       = "kept-refused"
+	refusedSlotSize   = 256 // bytes
+	refusedHeaderSize = 6   // bytes: checksum and length
 )
 
-// Handed is a message that was handed back to its client.
-type Handed struct {
-	Seq    uint64    `json:"n"`
-	At     time.Time `json:"at"`
-	ID     string    `json:"id"`
-	Class  string    `json:"class"`
-	Tenant string    `json:"tenant,omitempty"`
-	Dest   int       `json:"dest"`
-	Cause  string    `json:"cause"`
-	Tries  int       `json:"tries,omitempty"`
+// RefusedMessage is a message that was returned to its client.
+type RefusedMessage struct {
+	Seq         uint64    `json:"n"`
+	At          time.Time `json:"at"`
+	ID          string    `json:"id"`
+	Class       string    `json:"class"`
+	Tenant      string    `json:"tenant,omitempty"`
+	Destination int       `json:"dest"`
+	Cause       string    `json:"cause"`
+	Attempts    int       `json:"tries,omitempty"`
 }
 
-type refused struct {
-	file  journal.File
-	slots int64 // 0: nothing is listed
-	seq   uint64
+type refusedList struct {
+	file    journal.File
+	slots   int64 // 0 disables the list
+	lastSeq uint64
 }
 
-func (h Handed) encode() []byte {
+func (h RefusedMessage) encode() []byte {
 	cut := func(s *string, n int) { *s = (*s)[:min(len(*s), n)] }
 	cut(&h.ID, 64)
 	cut(&h.Class, 24)
 	cut(&h.Tenant, 24)
 	text, err := json.Marshal(h)
-	if err != nil || len(text) > refusedSlot-refusedHead { // a text that needs much escaping
+	if err != nil || len(text) > refusedSlotSize-refusedHeaderSize { // escaping can make a text longer than the slot
 		h.ID, h.Class, h.Tenant = "?", "?", ""
-		text, _ = json.Marshal(h) // numbers and a time: it can't fail
+		text, _ = json.Marshal(h) // only numbers and a time are left; this can't fail
 	}
-	b := make([]byte, refusedSlot)
-	copy(b[refusedHead:], text)
+	b := make([]byte, refusedSlotSize)
+	copy(b[refusedHeaderSize:], text)
 	binary.LittleEndian.PutUint16(b[4:], uint16(len(text)))
 	binary.LittleEndian.PutUint32(b, crc32.Checksum(b[4:], castagnoli))
 	return b
 }
 
-func decodeHanded(b []byte) (h Handed, ok bool) {
+func decodeHanded(b []byte) (h RefusedMessage, ok bool) {
 	n := int(binary.LittleEndian.Uint16(b[4:]))
-	if n > refusedSlot-refusedHead || binary.LittleEndian.Uint32(b) != crc32.Checksum(b[4:], castagnoli) {
+	if n > refusedSlotSize-refusedHeaderSize || binary.LittleEndian.Uint32(b) != crc32.Checksum(b[4:], castagnoli) {
 		return h, false
 	}
-	return h, json.Unmarshal(b[refusedHead:refusedHead+n], &h) == nil
+	return h, json.Unmarshal(b[refusedHeaderSize:refusedHeaderSize+n], &h) == nil
 }
 
-// ReadRefused lists what was handed back to clients of late, oldest first. Slots that can't be read are left out.
-func ReadRefused(dir journal.Dir) (list []Handed, err error) {
+// ReadRefused returns the recently refused messages, oldest first. Slots that can't be read are skipped.
+func ReadRefused(dir journal.Dir) (list []RefusedMessage, err error) {
 	b, err := readFile(dir, refusedName)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
-	for ; len(b) >= refusedSlot; b = b[refusedSlot:] {
-		if h, ok := decodeHanded(b[:refusedSlot]); ok {
+	for ; len(b) >= refusedSlotSize; b = b[refusedSlotSize:] {
+		if h, ok := decodeHanded(b[:refusedSlotSize]); ok {
 			list = append(list, h)
 		}
 	}
-	slices.SortFunc(list, func(a, b Handed) int { return int(a.Seq) - int(b.Seq) })
+	slices.SortFunc(list, func(a, b RefusedMessage) int { return int(a.Seq) - int(b.Seq) })
 	return list, err
 }
 
-func (r *refused) open(s *Store) error {
+func (r *refusedList) open(s *Store) error {
 	list, err := ReadRefused(s.dir)
 	if err != nil {
 		return err
 	}
 	for _, h := range list {
-		r.seq = max(r.seq, h.Seq)
+		r.lastSeq = max(r.lastSeq, h.Seq)
 	}
 	if r.slots == 0 {
 		return nil
@@ -96,15 +96,15 @@
 	return err
 }
 
-// add lists one.
-func (r *refused) add(h Handed) error {
+// add writes a message to the next slot.
+func (r *refusedList) add(h RefusedMessage) error {
 	if r.slots == 0 {
 		return nil
 	}
-	h.Seq = r.seq + 1
-	if _, err := r.file.WriteAt(h.encode(), int64(h.Seq)%r.slots*refusedSlot); err != nil {
+	h.Seq = r.lastSeq + 1
+	if _, err := r.file.WriteAt(h.encode(), int64(h.Seq)%r.slots*refusedSlotSize); err != nil {
 		return err
 	}
-	r.seq++
+	r.lastSeq++
 	return nil
 }
--- a/undelivered/rig_test.go
+++ b/undelivered/rig_test.go
@@ -13,7 +13,7 @@
 
 const second = control.Second
 
-// rig is a store on a disk in memory, with clocks that stand still unless they are moved.
+// rig is a store on an in-memory disk, with clocks that only move when told to.
 type rig struct {
 	t    *testing.T
 	disk *memdir.Disk
@@ -27,7 +27,7 @@
 func newRig(t *testing.T) *rig {
 	r := &rig{t: t, disk: memdir.New(), now: time.Unix(1000, 0), wall: time.Date(2026, 12, 1, 3, 0, 0, 0, time.UTC)}
 	r.set = Settings{
-		Disk: 1 << 20, Retain: 1000 * second, RetainEnd: 100 * second, Refused: 8, ClassKeep: map[string]Time{"keyed": 50 * second},
+		MaxDiskBytes: 1 << 20, Retention: 1000 * second, EndedRetention: 100 * second, RefusedSlots: 8, ClassRetention: map[string]Time{"keyed": 50 * second},
 		Classes: []resend.Class{
 			{Name: "unsafe", Effect: control.SingleShot, Worth: 5},
 			{Name: "keyed", Effect: control.Guarded, Worth: 1},
@@ -40,7 +40,7 @@
 	return r
 }
 
-// open opens the store as a new process does, with what the journal has.
+// open opens the store as a new process does, with the messages that the journal has.
 func (r *rig) open(live []*engine.RestoredMessage, ended ...*engine.RestoredEnd) *Store {
 	r.t.Helper()
 	s, err := r.tryOpen(live, ended...)
@@ -61,42 +61,42 @@
 	return s, nil
 }
 
-// pass lets time go by on both clocks.
-func (r *rig) pass(d time.Duration) { r.now, r.wall = r.now.Add(d), r.wall.Add(d) }
+// advance moves both clocks.
+func (r *rig) advance(d time.Duration) { r.now, r.wall = r.now.Add(d), r.wall.Add(d) }
 
 func message(id, class string) *engine.Message {
 	return &engine.Message{ID: id, Class: class, Tenant: "core", Destination: 3, Body: []byte("body of " + id)}
 }
 
-// keep keeps a message that may have run, and tells that the journal has its end.
+// keep stores a message in doubt and reports that the journal has its end.
 func (r *rig) keep(id, class string) uint64 {
 	r.t.Helper()
-	no, err := r.s.Keep(message(id, class), r.life(id))
+	no, err := r.s.Keep(message(id, class), r.failedSubmission(id))
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	r.s.await(1, no)
-	r.s.stored(1)
+	r.s.setEndBatch(1, no)
+	r.s.batchesStored(1)
 	return no
 }
 
-func (r *rig) life(id string) Life {
+func (r *rig) failedSubmission(id string) Submission {
 	now := r.s.Now()
-	return Life{ID: id, How: "failed", Cause: "time", Tries: 1, DoubtAt: now - second, Quiet: now, Attempts: []Attempt{{Endpoint: "e", How: "timed out"}}}
+	return Submission{ID: id, Disposition: "failed", Cause: "time", AttemptCount: 1, DoubtAt: now - second, QuietFrom: now, Attempts: []Attempt{{Endpoint: "e", Result: "timed out"}}}
 }
 
-// hand claims an entry and hands it in.
-func (r *rig) hand(no uint64) (claim uint64, id string) {
+// claimAndBegin claims an entry and begins a submission of it.
+func (r *rig) claimAndBegin(no uint64) (claim uint64, id string) {
 	r.t.Helper()
 	e, err := r.s.Claim(no, Claim{By: "rule x"})
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	m, err := r.s.Hand(no, e.Claim.No)
+	m, err := r.s.BeginSubmission(no, e.Claim.Number)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	return e.Claim.No, m.ID
+	return e.Claim.Number, m.ID
 }
 
 func (r *rig) get(no uint64) Summary {
@@ -124,5 +124,5 @@
 	}
 }
 
-// dir is the folder as somebody else reads it.
+// dir returns a copy of the folder, as another process reads it.
 func (r *rig) dir() journal.Dir { return r.disk.Clone().Dir() }
--- a/undelivered/store_test.go
+++ b/undelivered/store_test.go
@@ -21,35 +21,35 @@
 	r := newRig(t)
 	r.open(nil)
 	no := r.keep("u", "unsafe")
-	r.pass(10 * time.Second)
-	claim, id := r.hand(no)
-	r.want(no, Away, true)
-	l := r.life(id)
+	r.advance(10 * time.Second)
+	claim, id := r.claimAndBegin(no)
+	r.want(no, InFlight, true)
+	l := r.failedSubmission(id)
 	l.DoubtAt = 0
-	if n, ok := r.s.Over(id, l); n != no || !ok {
+	if n, ok := r.s.SubmissionEnded(id, l); n != no || !ok {
 		t.Fatal(n, ok)
 	}
 	before := r.entry(no)
 	r.open(nil)
 	r.want(no, Waiting, true)
 	e := r.entry(no)
-	if string(e.Body) != "body of u" || e.Tries != 1 || len(e.Lives) != 2 || e.Lives[1].ID != id || len(e.History) != 4 ||
-		e.Lives[0].Attempts[0].Endpoint != "e" || e.History[1].Claim.No != claim || !slices.Equal(e.Doubt.IDs, []string{"u"}) {
+	if string(e.Body) != "body of u" || e.Resends != 1 || len(e.Submissions) != 2 || e.Submissions[1].ID != id || len(e.History) != 4 ||
+		e.Submissions[0].Attempts[0].Endpoint != "e" || e.History[1].Claim.Number != claim || !slices.Equal(e.Doubt.IDs, []string{"u"}) {
 		t.Errorf("%+v", e)
 	}
 	if fmt.Sprint(before.History) != fmt.Sprint(e.History) && len(before.History) != len(e.History) {
 		t.Errorf("history %v, was %v", e.History, before.History)
 	}
-	_, id = r.hand(no)
-	if _, ok := r.s.Over(id, Life{ID: id, How: EndDelivered}); !ok {
+	_, id = r.claimAndBegin(no)
+	if _, ok := r.s.SubmissionEnded(id, Submission{ID: id, Disposition: EndDelivered}); !ok {
 		t.Fatal("its end is not taken")
 	}
 	r.open(nil)
 	r.want(no, Ended, true)
-	if e := r.entry(no); e.End != EndDelivered || len(e.Body) > 0 || e.Bytes != 9 || e.Tries != 2 || len(e.History) != 7 {
+	if e := r.entry(no); e.Disposition != EndDelivered || len(e.Body) > 0 || e.Bytes != 9 || e.Resends != 2 || len(e.History) != 7 {
 		t.Errorf("%+v", e)
 	}
-	if len(r.disk.Names()) != 3 { // the entry, the numbers and what is refused
+	if len(r.disk.Names()) != 3 { // the entry, the meta file and the list of refused messages
 		t.Errorf("files %v", r.disk.Names())
 	}
 }
@@ -65,7 +65,7 @@
 	s.Reconcile(nil, nil)
 	r.s = s
 	no := r.keep("u", "unsafe")
-	r.hand(no)
+	r.claimAndBegin(no)
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -80,40 +80,41 @@
 	}
 }
 
-// Who comes second is told who won, and numbers of claims only grow, also over restarts and when entries have gone.
+// A second claim fails and names the holder of the first. Claim numbers only grow, also over restarts and after
+// entries are removed.
 func TestOneClaimAtATime(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.open(nil)
 	no := r.keep("u", "unsafe")
-	first, err := r.s.Claim(no, Claim{By: "ana", Hand: true, Until: r.s.Now() + 100*second})
+	first, err := r.s.Claim(no, Claim{By: "ana", Manual: true, ExpiresAt: r.s.Now() + 100*second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, err = r.s.Claim(no, Claim{By: "rule x"})
 	var lost *ClaimedError
-	if !errors.As(err, &lost) || lost.Claim.By != "ana" || lost.Claim.No != first.Claim.No || !strings.Contains(err.Error(), "ana") {
+	if !errors.As(err, &lost) || lost.Claim.By != "ana" || lost.Claim.Number != first.Claim.Number || !strings.Contains(err.Error(), "ana") {
 		t.Errorf("the second: %v", err)
 	}
-	last := first.Claim.No
+	last := first.Claim.Number
 	for range 5 {
 		r.open(nil)
-		r.want(no, Claimed, true) // an operator's stays
-		if c := r.s.Claimant(no); c == nil || c.No != first.Claim.No {
+		r.want(no, Claimed, true) // an operator's claim outlasts a restart
+		if c := r.s.ActiveClaim(no); c == nil || c.Number != first.Claim.Number {
 			t.Fatalf("claim %+v", c)
 		}
 		one := r.keep(fmt.Sprint("v", last), "unsafe")
 		e, err := r.s.Claim(one, Claim{By: "rule x"})
-		if err != nil || e.Claim.No <= last || one <= last {
-			t.Fatalf("claim %d, entry %d after %d: %v", e.Claim.No, one, last, err)
+		if err != nil || e.Claim.Number <= last || one <= last {
+			t.Fatalf("claim %d, entry %d after %d: %v", e.Claim.Number, one, last, err)
 		}
-		last = e.Claim.No
+		last = e.Claim.Number
 		if err := r.s.remove(r.s.row(one)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r.pass(101 * time.Second)
-	if got, _ := r.s.Sweep(); !slices.Equal(got, []uint64{no}) {
+	r.advance(101 * time.Second)
+	if got, _ := r.s.Cleanup(); !slices.Equal(got, []uint64{no}) {
 		t.Errorf("given back %v", got)
 	}
 	r.want(no, Waiting, true)
@@ -121,40 +122,41 @@
 		t.Error(err)
 	}
 	r.open(nil)
-	r.want(no, Waiting, true) // a rule's does not stay
+	r.want(no, Waiting, true) // a rule's claim does not outlast a restart
 }
 
 func TestNothingIsClaimedBeforeTheJournalHasItsEnd(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.open(nil)
-	no, err := r.s.Keep(message("u", "unsafe"), r.life("u"))
+	no, err := r.s.Keep(message("u", "unsafe"), r.failedSubmission("u"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := r.s.Claim(no, Claim{By: "x"}); !errors.Is(err, ErrEarly) {
+	if _, err := r.s.Claim(no, Claim{By: "x"}); !errors.Is(err, ErrEndNotStored) {
 		t.Errorf("claimed: %v", err)
 	}
-	r.s.await(5, no)
-	if got := r.s.stored(4); len(got) > 0 {
+	r.s.setEndBatch(5, no)
+	if got := r.s.batchesStored(4); len(got) > 0 {
 		t.Errorf("free %v with batch 4", got)
 	}
-	r.s.lost(4) // that batch never came into the journal
-	if got := r.s.stored(9); len(got) > 0 {
+	r.s.batchesLost(4) // the journal did not store that batch
+	if got := r.s.batchesStored(9); len(got) > 0 {
 		t.Errorf("free %v without a batch", got)
 	}
-	r.s.await(10, no)
-	if got := r.s.stored(10); !slices.Equal(got, []uint64{no}) {
+	r.s.setEndBatch(10, no)
+	if got := r.s.batchesStored(10); !slices.Equal(got, []uint64{no}) {
 		t.Errorf("free %v", got)
 	}
-	_, id := r.hand(no)
-	r.s.Over(id, r.life(id))
-	if _, err := r.s.Claim(no, Claim{By: "x"}); !errors.Is(err, ErrEarly) {
+	_, id := r.claimAndBegin(no)
+	r.s.SubmissionEnded(id, r.failedSubmission(id))
+	if _, err := r.s.Claim(no, Claim{By: "x"}); !errors.Is(err, ErrEndNotStored) {
 		t.Errorf("claimed after its next life: %v", err)
 	}
 }
 
-// A message that the journal has alive is nowhere else; what it has as ended stays here.
+// At a start, the journal decides: a message that it has alive is not kept here as well, and one that it has as ended
+// stays here.
 func TestTheJournalsWordCountsAtAStart(t *testing.T) {
 	t.Parallel()
 	alive := func(id string, owed *engine.PendingResult) *engine.RestoredMessage {
@@ -162,24 +164,24 @@
 	}
 	failed := &engine.PendingResult{Disposition: engine.Failed}
 	for name, c := range map[string]struct {
-		do    func(r *rig, no uint64) string // returns the id of a new life
+		do    func(r *rig, no uint64) string // returns the id of the new submission
 		live  func(id string) []*engine.RestoredMessage
 		ended func(id string) *engine.RestoredEnd
-		state State // "": gone
-		doubt bool  // of the new life
+		state State // empty: removed
+		doubt bool  // of the new submission
 	}{
 		"kept, and alive there": {live: func(string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive("u", nil)} }},
 		"kept, and owed there":  {live: func(string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive("u", failed)} }, state: Waiting},
 		"kept, and ended there": {state: Waiting},
 		"handed in, unknown there": {
-			do: func(r *rig, no uint64) string { _, id := r.hand(no); return id }, state: Waiting, doubt: true,
+			do: func(r *rig, no uint64) string { _, id := r.claimAndBegin(no); return id }, state: Waiting, doubt: true,
 		},
 		"handed in, alive there": {
-			do:   func(r *rig, no uint64) string { _, id := r.hand(no); return id },
-			live: func(id string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive(id, nil)} }, state: Away,
+			do:   func(r *rig, no uint64) string { _, id := r.claimAndBegin(no); return id },
+			live: func(id string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive(id, nil)} }, state: InFlight,
 		},
 		"handed in, owed there in doubt": {
-			do: func(r *rig, no uint64) string { _, id := r.hand(no); return id },
+			do: func(r *rig, no uint64) string { _, id := r.claimAndBegin(no); return id },
 			live: func(id string) []*engine.RestoredMessage {
 				m := alive(id, failed)
 				m.DoubtAt = 1
@@ -187,33 +189,33 @@
 			}, state: Waiting, doubt: true,
 		},
 		"handed in, refused there": {
-			do: func(r *rig, no uint64) string { _, id := r.hand(no); return id },
+			do: func(r *rig, no uint64) string { _, id := r.claimAndBegin(no); return id },
 			live: func(id string) []*engine.RestoredMessage {
 				return []*engine.RestoredMessage{alive(id, &engine.PendingResult{Disposition: engine.Refused})}
 			}, state: Waiting,
 		},
 		"handed in, delivered there": {
-			do:    func(r *rig, no uint64) string { _, id := r.hand(no); return id },
+			do:    func(r *rig, no uint64) string { _, id := r.claimAndBegin(no); return id },
 			ended: func(id string) *engine.RestoredEnd { return &engine.RestoredEnd{ID: id, Disposition: engine.Delivered} }, state: Ended,
 		},
 		"handed in, failed there": {
-			do:    func(r *rig, no uint64) string { _, id := r.hand(no); return id },
+			do:    func(r *rig, no uint64) string { _, id := r.claimAndBegin(no); return id },
 			ended: func(id string) *engine.RestoredEnd { return &engine.RestoredEnd{ID: id, Disposition: engine.Failed} }, state: Waiting, doubt: true,
 		},
 		"its end here, alive there": {
 			do: func(r *rig, no uint64) string {
-				_, id := r.hand(no)
-				l := r.life(id)
+				_, id := r.claimAndBegin(no)
+				l := r.failedSubmission(id)
 				l.DoubtAt = 0
-				r.s.Over(id, l)
+				r.s.SubmissionEnded(id, l)
 				return id
 			},
-			live: func(id string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive(id, nil)} }, state: Away,
+			live: func(id string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive(id, nil)} }, state: InFlight,
 		},
 		"delivered here, alive there": {
 			do: func(r *rig, no uint64) string {
-				_, id := r.hand(no)
-				r.s.Over(id, Life{ID: id, How: EndDelivered})
+				_, id := r.claimAndBegin(no)
+				r.s.SubmissionEnded(id, Submission{ID: id, Disposition: EndDelivered})
 				return id
 			},
 			live: func(id string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive(id, nil)} }, state: Ended,
@@ -243,58 +245,58 @@
 		if ok && id != "" && slices.Contains(r.entry(no).Doubt.IDs, id) != c.doubt {
 			t.Errorf("%s: in doubt %v", name, r.entry(no).Doubt.IDs)
 		}
-		if c.state == Away { // its end comes by the keeper, once
-			if _, ok := r.s.Over(id, Life{ID: id, How: EndDelivered}); !ok || r.get(no).State != Ended || r.entry(no).Tries != 1 {
+		if c.state == InFlight { // the keeper reports its end once
+			if _, ok := r.s.SubmissionEnded(id, Submission{ID: id, Disposition: EndDelivered}); !ok || r.get(no).State != Ended || r.entry(no).Resends != 1 {
 				t.Errorf("%s: its end is not taken: %+v", name, r.entry(no))
 			}
 		}
 	}
 }
 
-// The process ends in each operation of the disk, before it, in the middle and behind it: what was written counts or does
-// not, numbers are never used twice, and what was handed in is never forgotten.
+// The process ends at each disk operation: before it, in the middle, and after it. A write must count fully or not at
+// all, numbers must never be used twice, and a submission must never be forgotten.
 func TestAProcessThatEndsAtAnyWrite(t *testing.T) {
 	t.Parallel()
-	play := func(r *rig) (did []string) {
-		defer func() { r.t.Logf("%v", did) }()
+	run := func(r *rig) (steps []string) {
+		defer func() { r.t.Logf("%v", steps) }()
 		if _, err := r.tryOpen(nil); err != nil {
-			return did
+			return steps
 		}
-		no, err := r.s.Keep(message("u", "unsafe"), Life{ID: "u", How: "failed", Cause: "tries"})
+		no, err := r.s.Keep(message("u", "unsafe"), Submission{ID: "u", Disposition: "failed", Cause: "tries"})
 		if err != nil {
-			return did
+			return steps
 		}
-		did = append(did, "kept")
-		r.s.await(1, no)
-		r.s.stored(1)
+		steps = append(steps, "kept")
+		r.s.setEndBatch(1, no)
+		r.s.batchesStored(1)
 		for range 2 {
 			e, err := r.s.Claim(no, Claim{By: "rule x"})
 			if err != nil {
-				return did
+				return steps
 			}
-			did = append(did, fmt.Sprint("claim ", e.Claim.No))
-			m, err := r.s.Hand(no, e.Claim.No)
+			steps = append(steps, fmt.Sprint("claim ", e.Claim.Number))
+			m, err := r.s.BeginSubmission(no, e.Claim.Number)
 			if err != nil {
-				return did
+				return steps
 			}
-			did = append(did, "handed "+m.ID)
+			steps = append(steps, "handed "+m.ID)
 			how := "failed"
-			if len(did) > 4 {
+			if len(steps) > 4 {
 				how = EndDelivered
 			}
-			r.s.Over(m.ID, Life{ID: m.ID, How: how})
-			if r.s.dirty[no] != nil {
-				return did
+			r.s.SubmissionEnded(m.ID, Submission{ID: m.ID, Disposition: how})
+			if r.s.unwritten[no] != nil {
+				return steps
 			}
-			did = append(did, how)
-			r.s.await(1, no)
-			r.s.stored(1)
+			steps = append(steps, how)
+			r.s.setEndBatch(1, no)
+			r.s.batchesStored(1)
 		}
-		return append(did, "all")
+		return append(steps, "all")
 	}
-	whole := newRig(t)
-	play(whole)
-	ops := whole.disk.Ops()
+	undisturbed := newRig(t)
+	run(undisturbed)
+	ops := undisturbed.disk.Ops()
 	if ops < 12 {
 		t.Fatalf("%d operations", ops)
 	}
@@ -302,18 +304,18 @@
 		for _, land := range []int{0, 7, 1 << 20} {
 			r := newRig(t)
 			r.disk.Fault = func(o memdir.Op) memdir.Fault { return memdir.Fault{Crash: o.Index == op, WrittenBytes: land} }
-			did := play(r)
-			if len(did) > 0 && did[len(did)-1] == "all" { // it ended as an old file was removed
-				did = did[:len(did)-1]
+			steps := run(r)
+			if len(steps) > 0 && steps[len(steps)-1] == "all" { // it ended while an old file was being removed
+				steps = steps[:len(steps)-1]
 			}
 			r.disk.Fault = nil
 			var live []*engine.RestoredMessage
-			if !slices.Contains(did, "kept") { // the journal has it still
+			if !slices.Contains(steps, "kept") { // the journal still has it
 				live = append(live, &engine.RestoredMessage{Message: engine.Message{ID: "u"}})
 			}
 			s := r.open(live)
-			at := fmt.Sprintf("operation %d, %d bytes landed, after %v", op, land, did)
-			if len(did) == 0 {
+			at := fmt.Sprintf("operation %d, %d bytes landed, after %v", op, land, steps)
+			if len(steps) == 0 {
 				if s.Len() != 0 {
 					t.Errorf("%s: it is in both", at)
 				}
@@ -322,26 +324,26 @@
 			if s.Len() != 1 {
 				t.Fatalf("%s: %d entries", at, s.Len())
 			}
-			no, _ := s.kept("u")
+			no, _ := s.numberOf("u")
 			e := r.entry(no)
-			last := did[len(did)-1]
+			last := steps[len(steps)-1]
 			id, handed := strings.CutPrefix(last, "handed ")
 			switch {
 			case last == EndDelivered && e.State != Ended:
 				t.Errorf("%s: %s", at, e.State)
-			case handed && e.State != Ended && !slices.Contains(e.Doubt.IDs, id) && !(e.life().ID == id && e.life().How == "failed"):
+			case handed && e.State != Ended && !slices.Contains(e.Doubt.IDs, id) && !(e.lastSubmission().ID == id && e.lastSubmission().Disposition == "failed"):
 				t.Errorf("%s: %s is forgotten: %+v", at, id, e)
 			case e.State != Waiting && e.State != Ended:
 				t.Errorf("%s: %s", at, e.State)
 			}
-			if n, err := s.number(); err != nil || slices.Contains(did, fmt.Sprint("claim ", n)) || n <= no {
+			if n, err := s.nextNumber(); err != nil || slices.Contains(steps, fmt.Sprint("claim ", n)) || n <= no {
 				t.Errorf("%s: number %d again: %v", at, n, err)
 			}
 		}
 	}
 }
 
-// A claim that can't be written is none.
+// A claim that could not be written must not count.
 func TestNothingIsClaimedUnlessThatIsWritten(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -358,23 +360,23 @@
 	}
 	r.want(no, Waiting, true)
 	r.disk.Fault = nil
-	claim, _ := r.hand(no)
+	claim, _ := r.claimAndBegin(no)
 	r.disk.Fault = func(memdir.Op) memdir.Fault { return memdir.Fault{Err: syscall.EIO} }
-	r.s.Release(no, claim, "x") // told, and tried again
+	r.s.Release(no, claim, "x") // logged and retried
 	other := r.disk.Clone()
 	r.disk.Fault = nil
-	if _, err := r.s.Hand(no, claim); err == nil {
+	if _, err := r.s.BeginSubmission(no, claim); err == nil {
 		t.Error("handed in under a claim that was given back")
 	}
-	r.s.Sweep()
+	r.s.Cleanup()
 	e, err := r.s.Claim(no, Claim{By: "x"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.disk.Fault = func(memdir.Op) memdir.Fault { return memdir.Fault{Err: syscall.EIO} }
-	r.s.Asked(no, e.Claim.No, resend.No, "")
+	r.s.RecordInquiry(no, e.Claim.Number, resend.No, "")
 	r.disk.Fault = nil
-	if _, err := r.s.Hand(no, e.Claim.No); err == nil {
+	if _, err := r.s.BeginSubmission(no, e.Claim.Number); err == nil {
 		t.Error("handed in though what was learned under the claim is not written")
 	}
 	r.disk = other
@@ -382,46 +384,46 @@
 	r.want(no, Waiting, true)
 }
 
-// A disk that takes nothing: nothing is kept or claimed, and what happened is written when it takes something again.
+// While all writes fail, nothing is kept or claimed. Events are written once the disk works again.
 func TestADiskThatFails(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.open(nil)
 	no := r.keep("u", "unsafe")
-	claim, id := r.hand(no)
+	claim, id := r.claimAndBegin(no)
 	for _, fault := range []error{syscall.ENOSPC, syscall.EIO} {
 		r.disk.Fault = func(memdir.Op) memdir.Fault { return memdir.Fault{Err: fault, WrittenBytes: 20} }
-		if _, err := r.s.Keep(message("v", "unsafe"), r.life("v")); !errors.Is(err, fault) || r.s.Counts.NotKept == 0 {
+		if _, err := r.s.Keep(message("v", "unsafe"), r.failedSubmission("v")); !errors.Is(err, fault) || r.s.Counts.NotKept == 0 {
 			t.Errorf("kept on a disk that fails: %v", err)
 		}
 	}
-	r.s.Over(id, r.life(id))
+	r.s.SubmissionEnded(id, r.failedSubmission(id))
 	r.want(no, Waiting, true)
-	r.s.await(2, no)
-	r.s.stored(2)
+	r.s.setEndBatch(2, no)
+	r.s.batchesStored(2)
 	if _, err := r.s.Claim(no, Claim{By: "x"}); err == nil {
 		t.Error("claimed on a disk that fails")
 	}
-	if e := r.entry(no); e.Claim != nil || e.life().ID != id {
+	if e := r.entry(no); e.Claim != nil || e.lastSubmission().ID != id {
 		t.Errorf("%+v", e)
 	}
-	c := r.disk.Clone() // killed now, its end is not known
+	c := r.disk.Clone() // the state after a kill at this moment: the end is unknown
 	r.disk.Fault = nil
-	r.s.Sweep()
-	if len(r.s.dirty) > 0 {
+	r.s.Cleanup()
+	if len(r.s.unwritten) > 0 {
 		t.Error("what happened is not written when the disk is back")
 	}
-	if e, err := r.s.Claim(no, Claim{By: "x"}); err != nil || e.Claim.No <= claim {
+	if e, err := r.s.Claim(no, Claim{By: "x"}); err != nil || e.Claim.Number <= claim {
 		t.Error(err)
 	}
 	r.open(nil)
 	r.want(no, Waiting, true)
-	if e := r.entry(no); e.life().ID != id || len(e.History) != 6 {
+	if e := r.entry(no); e.lastSubmission().ID != id || len(e.History) != 6 {
 		t.Errorf("%+v", e)
 	}
 	r.disk = c
 	r.open(nil)
-	if e := r.entry(no); e.State != Waiting || !slices.Contains(e.Doubt.IDs, id) || e.life().How != "unknown" {
+	if e := r.entry(no); e.State != Waiting || !slices.Contains(e.Doubt.IDs, id) || e.lastSubmission().Disposition != "unknown" {
 		t.Errorf("killed before its end was written: %+v", e)
 	}
 }
@@ -430,28 +432,28 @@
 	t.Parallel()
 	for _, least := range []bool{false, true} {
 		r := newRig(t)
-		r.set.Disk, r.set.LeastWorth, r.set.Refused = LeastDisk, least, 0
+		r.set.MaxDiskBytes, r.set.EvictLeastWorth, r.set.RefusedSlots = MinDiskBytes, least, 0
 		r.open(nil)
 		away := r.keep("away", "free")
-		r.hand(away)
+		r.claimAndBegin(away)
 		classes := []string{"free", "unsafe", "keyed"}
 		for i := range 300 {
 			id := fmt.Sprint("m", i)
 			m := message(id, classes[i%3])
-			if no, err := r.s.Keep(m, r.life(id)); err == nil {
-				r.s.await(1, no)
-				r.s.stored(1)
-			} else if !errors.Is(err, ErrNoRoom) {
+			if no, err := r.s.Keep(m, r.failedSubmission(id)); err == nil {
+				r.s.setEndBatch(1, no)
+				r.s.batchesStored(1)
+			} else if !errors.Is(err, ErrNoSpace) {
 				t.Fatal(err)
 			}
-			if u := r.s.Used(); u > r.set.Disk || u < r.disk.Used()-block {
-				t.Fatalf("%d used as counted, %d in truth, of %d", u, r.disk.Used(), r.set.Disk)
+			if u := r.s.DiskBytes(); u > r.set.MaxDiskBytes || u < r.disk.Used()-blockSize {
+				t.Fatalf("%d used as counted, %d in truth, of %d", u, r.disk.Used(), r.set.MaxDiskBytes)
 			}
 		}
 		if r.s.Counts.Evicted == 0 {
 			t.Fatal("nothing had to go")
 		}
-		r.want(away, Away, true)
+		r.want(away, InFlight, true)
 		count := map[string]int{}
 		oldest := uint64(1 << 60)
 		r.s.Each(0, func(s Summary) bool {
@@ -464,10 +466,10 @@
 		if least && (count["keyed"] != 0 || count["unsafe"] < 40) || !least && (count["keyed"] < 10 || oldest < 200) {
 			t.Errorf("least worth first %v: %v are left, the oldest %d", least, count, oldest)
 		}
-		// What was claimed has room for what happens to it.
-		id := r.s.Claimant(away).ID
-		r.s.Over(id, r.life(id))
-		if len(r.s.dirty) > 0 {
+		// The reserved part of the disk share has room for events of claimed entries.
+		id := r.s.ActiveClaim(away).SubmittedID
+		r.s.SubmissionEnded(id, r.failedSubmission(id))
+		if len(r.s.unwritten) > 0 {
 			t.Error("the end of one that was away found no room")
 		}
 	}
@@ -478,14 +480,14 @@
 	r := newRig(t)
 	r.open(nil)
 	unsafe, keyed, away, ended := r.keep("u", "unsafe"), r.keep("k", "keyed"), r.keep("a", "keyed"), r.keep("e", "unsafe")
-	r.hand(away)
+	r.claimAndBegin(away)
 	r.s.End(ended, EndDropped, "ana", "old", "t")
 	if e := r.entry(ended); len(e.Body) > 0 || e.Bytes == 0 || e.History[1].By != "ana" {
 		t.Errorf("dropped: %+v", e)
 	}
 	there := func(want ...uint64) {
 		t.Helper()
-		r.s.Sweep()
+		r.s.Cleanup()
 		var got []uint64
 		r.s.Each(0, func(s Summary) bool { got = append(got, s.Number); return true })
 		if !slices.Equal(got, want) {
@@ -493,15 +495,15 @@
 		}
 	}
 	there(unsafe, keyed, away, ended)
-	r.pass(51 * time.Second)
+	r.advance(51 * time.Second)
 	there(unsafe, away, ended)
-	r.pass(50 * time.Second)
+	r.advance(50 * time.Second)
 	there(unsafe, away)
-	r.pass(900 * time.Second)
+	r.advance(900 * time.Second)
 	there(away)
 }
 
-// slowDir takes its time to be read.
+// slowDir is a folder whose listing takes time.
 type slowDir struct {
 	journal.Dir
 	wait func()
@@ -512,23 +514,24 @@
 	return d.Dir.List()
 }
 
-// A start that takes long is no step of a clock: neither it nor the next one takes ages for unknown.
+// A slow start must not be taken for a step of the clock, neither by that start nor by the next. Otherwise the ages of
+// doubts would count as unknown.
 func TestAStartThatTakesLong(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.open(nil)
 	no := r.keep("u", "unsafe")
 	for _, takes := range []time.Duration{5 * time.Second, 0, 5 * time.Second} {
-		r.pass(time.Second)
+		r.advance(time.Second)
 		r.disk.Crash()
-		s, err := Open(slowDir{r.disk.Dir(), func() { r.pass(takes) }}, r.set)
+		s, err := Open(slowDir{r.disk.Dir(), func() { r.advance(takes) }}, r.set)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.Reconcile(nil, nil)
 		r.s = s
 		before := s.Now()
-		claim, _ := r.hand(no)
+		claim, _ := r.claimAndBegin(no)
 		s.Release(no, claim, "x")
 		if sum := r.get(no); sum.Doubt.AgeUnknown || s.Now() != before {
 			t.Fatalf("age known %v", !sum.Doubt.AgeUnknown)
@@ -539,11 +542,11 @@
 	}
 }
 
-// No step of a clock makes a doubt look younger than it is.
+// A step of the wall clock must never make a doubt look younger than it is.
 func TestAClockThatIsSet(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		run, step, down, skew time.Duration // run, then stepped while it runs, then down, with a step while it is
+		run, step, down, skew time.Duration // run time, step while running, down time, step while down
 		ageless               bool
 	}{
 		"as it should be":                     {run: time.Minute, down: time.Minute},
@@ -557,13 +560,13 @@
 		r := newRig(t)
 		r.open(nil)
 		no := r.keep("u", "unsafe")
-		r.pass(c.run)
+		r.advance(c.run)
 		r.s.Tick()
 		r.wall = r.wall.Add(c.step)
 		r.s.Tick()
-		r.pass(c.run)
-		if c.step == 0 { // a step is written at once
-			r.s.Sweep()
+		r.advance(c.run)
+		if c.step == 0 { // otherwise the step itself makes Tick write the times
+			r.s.Cleanup()
 		}
 		r.now, r.wall = r.now.Add(c.down), r.wall.Add(c.down+c.skew)
 		r.open(nil)
@@ -591,28 +594,31 @@
 		return m
 	}
 	for name, c := range map[string]struct {
-		key     string // of the kept one
+		key     string // of the kept message
 		doubt   bool
 		do      func(r *rig, no uint64)
 		again   *engine.Message
 		verdict engine.VerdictKind
 		held    bool
 	}{
-		"same id":                         {again: with("u", ""), verdict: engine.AlreadyEnded},
-		"same id, away":                   {do: func(r *rig, no uint64) { r.hand(no) }, again: with("u", ""), verdict: engine.AlreadyEnded},
-		"same key, in doubt":              {key: "k", doubt: true, again: with("v", "k"), verdict: engine.AlreadyEnded},
-		"same key, never ran":             {key: "k", again: with("v", "k"), verdict: engine.Accepted, held: true},
-		"same key, away":                  {key: "k", do: func(r *rig, no uint64) { r.hand(no) }, again: with("v", "k"), verdict: engine.Busy},
-		"another key":                     {key: "k", doubt: true, again: with("v", "l"), verdict: engine.Accepted},
-		"same content without a key":      {doubt: true, again: with("v", ""), verdict: engine.Accepted, held: true},
-		"another content without a key":   {doubt: true, again: message("v", "unsafe"), verdict: engine.Accepted},
-		"the id of a new life":            {again: with(lifeID(0x9E3779B97F4A7C15, 1, 2), ""), verdict: engine.AlreadyEnded},
-		"same key, took effect from here": {key: "k", do: func(r *rig, no uint64) { _, id := r.hand(no); r.s.Over(id, Life{ID: id, How: EndDelivered}) }, again: with("v", "k"), verdict: engine.AlreadyEnded},
-		"same key, dropped":               {key: "k", doubt: true, do: func(r *rig, no uint64) { r.s.End(no, EndDropped, "ana", "x", "") }, again: with("v", "k"), verdict: engine.Accepted},
+		"same id":                       {again: with("u", ""), verdict: engine.AlreadyEnded},
+		"same id, away":                 {do: func(r *rig, no uint64) { r.claimAndBegin(no) }, again: with("u", ""), verdict: engine.AlreadyEnded},
+		"same key, in doubt":            {key: "k", doubt: true, again: with("v", "k"), verdict: engine.AlreadyEnded},
+		"same key, never ran":           {key: "k", again: with("v", "k"), verdict: engine.Accepted, held: true},
+		"same key, away":                {key: "k", do: func(r *rig, no uint64) { r.claimAndBegin(no) }, again: with("v", "k"), verdict: engine.Busy},
+		"another key":                   {key: "k", doubt: true, again: with("v", "l"), verdict: engine.Accepted},
+		"same content without a key":    {doubt: true, again: with("v", ""), verdict: engine.Accepted, held: true},
+		"another content without a key": {doubt: true, again: message("v", "unsafe"), verdict: engine.Accepted},
+		"the id of a new life":          {again: with(resentID(0x9E3779B97F4A7C15, 1, 2), ""), verdict: engine.AlreadyEnded},
+		"same key, took effect from here": {key: "k", do: func(r *rig, no uint64) {
+			_, id := r.claimAndBegin(no)
+			r.s.SubmissionEnded(id, Submission{ID: id, Disposition: EndDelivered})
+		}, again: with("v", "k"), verdict: engine.AlreadyEnded},
+		"same key, dropped": {key: "k", doubt: true, do: func(r *rig, no uint64) { r.s.End(no, EndDropped, "ana", "x", "") }, again: with("v", "k"), verdict: engine.Accepted},
 	} {
 		r := newRig(t)
 		r.open(nil)
-		l := r.life("u")
+		l := r.failedSubmission("u")
 		if !c.doubt {
 			l.DoubtAt = 0
 		}
@@ -620,8 +626,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.s.await(1, no)
-		r.s.stored(1)
+		r.s.setEndBatch(1, no)
+		r.s.batchesStored(1)
 		if c.do != nil {
 			c.do(r, no)
 		}
@@ -632,24 +638,24 @@
 				}
 				r.open(nil)
 			}
-			if kind, why := r.s.Again(c.again); kind != c.verdict {
+			if kind, why := r.s.CheckDuplicate(c.again); kind != c.verdict {
 				t.Errorf("%s, %s: %v %s", name, when, kind, why)
 			}
 		}
 		if c.verdict == engine.Accepted {
-			r.s.Taken(c.again)
+			r.s.HoldDuplicates(c.again)
 		}
 		if s := r.get(no); (s.HoldReason != "") != c.held {
 			t.Errorf("%s: held %q", name, s.HoldReason)
 		}
 	}
-	// Harmless ones, and the keys of a class in order, are not looked at.
+	// Messages that are harmless to repeat and keys of ordered classes are not checked.
 	r := newRig(t)
 	r.open(nil)
 	r.keep("f", "free")
 	m := message("o", "ordered")
 	m.Key = "k"
-	if _, err := r.s.Keep(m, r.life("o")); err != nil {
+	if _, err := r.s.Keep(m, r.failedSubmission("o")); err != nil {
 		t.Fatal(err)
 	}
 	other := message("p", "ordered")
@@ -657,10 +663,10 @@
 	again := message("g", "free")
 	again.Body = []byte("body of f")
 	for _, m := range []*engine.Message{other, again} {
-		if kind, why := r.s.Again(m); kind != engine.Accepted {
+		if kind, why := r.s.CheckDuplicate(m); kind != engine.Accepted {
 			t.Errorf("%s: %s", m.ID, why)
 		}
-		r.s.Taken(m)
+		r.s.HoldDuplicates(m)
 	}
 	r.s.Each(0, func(s Summary) bool {
 		if s.HoldReason != "" {
@@ -675,17 +681,17 @@
 	r := newRig(t)
 	r.open(nil)
 	for i := range 20 {
-		r.s.Refuse(Handed{ID: fmt.Sprint("m", i), Class: "unsafe", Cause: "crowds", Dest: i})
+		r.s.RecordRefused(RefusedMessage{ID: fmt.Sprint("m", i), Class: "unsafe", Cause: "crowds", Destination: i})
 		if i == 10 {
 			r.open(nil)
 		}
 	}
-	r.s.Refuse(Handed{ID: strings.Repeat("\x00", 100), Class: "x"})
+	r.s.RecordRefused(RefusedMessage{ID: strings.Repeat("\x00", 100), Class: "x"})
 	list, err := ReadRefused(r.dir())
-	if err != nil || len(list) != 8 || list[0].ID != "m13" || list[6].ID != "m19" || list[6].Dest != 19 {
+	if err != nil || len(list) != 8 || list[0].ID != "m13" || list[6].ID != "m19" || list[6].Destination != 19 {
 		t.Errorf("%v %+v", err, list)
 	}
-	if size := len(r.disk.Read(refusedName)); size > 8*refusedSlot {
+	if size := len(r.disk.Read(refusedName)); size > 8*refusedSlotSize {
 		t.Errorf("%d bytes", size)
 	}
 	if r.s.Len() != 0 {
@@ -698,15 +704,15 @@
 	r := newRig(t)
 	r.open(nil)
 	no := r.keep("u", "unsafe")
-	for range mostHistory {
+	for range maxHistoryEvents {
 		e, err := r.s.Claim(no, Claim{By: "rule x"})
 		if err != nil {
-			if n := len(r.entry(no).History); n < mostHistory {
+			if n := len(r.entry(no).History); n < maxHistoryEvents {
 				t.Errorf("after %d events: %v", n, err)
 			}
 			return
 		}
-		r.s.Release(no, e.Claim.No, "x")
+		r.s.Release(no, e.Claim.Number, "x")
 	}
 	t.Error("its history grows without end")
 }
