--- a/internal/front/http/client.go
+++ b/internal/front/http/client.go
@@ -167,7 +167,7 @@
 	case fault != nil && !errors.Is(fault, io.EOF), !errors.As(err, &bad): // half a head, and then silence or a reset
 		return nil
 	}
-	return &refusal{bad.Status, bad.Why, true}
+	return &refusal{bad.Status, bad.Reason, true}
 }
 
 // answer writes an answer and tells whether that went well. With last it says that the connection ends.
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -19,19 +19,19 @@
 
 // Errors of Conn.Read. After each of them the connection must be closed.
 var (
-	// ErrEnded says that the connection ended, or was closed here, before an answer began.
-	ErrEnded = errors.New("the connection ended before an answer began")
+	// ErrNoResponse says that the connection ended, or was closed here, before an answer began.
+	ErrNoResponse = errors.New("the connection ended before an answer began")
 
-	// ErrLate says that the time was up (Limits.Until) before the answer was whole.
-	ErrLate = errors.New("no whole answer in time")
+	// ErrTimeout says that the time was up (Limits.Until) before the answer was whole.
+	ErrTimeout = errors.New("no whole answer in time")
 
-	// ErrSpoilt says that an answer began and can't be read: it is no HTTP/1, too long, cut short, or took longer than
+	// ErrInvalidResponse says that an answer began and can't be read: it is no HTTP/1, too long, cut short, or took longer than
 	// Limits.Span. Nothing that it says should be believed but a first line that Progress was told.
-	ErrSpoilt = errors.New("the answer can't be read")
+	ErrInvalidResponse = errors.New("the answer can't be read")
 
-	// ErrSurplus says that what came was sent before the request can have reached the far side, such as a second copy of the
-	// answer before. What becomes of the request is not known. It is also ErrSpoilt.
-	ErrSurplus = fmt.Errorf("%w: it is the answer to nothing", ErrSpoilt)
+	// ErrUnsolicited says that what came was sent before the request can have reached the far side, such as a second copy of the
+	// answer before. What becomes of the request is not known. It is also ErrInvalidResponse.
+	ErrUnsolicited = fmt.Errorf("%w: it is the answer to nothing", ErrInvalidResponse)
 )
 
 const (
@@ -44,29 +44,29 @@
 
 // Limits bound the reading of one answer. Heads may hold 32 KiB and be led by 8 answers of the 1xx kind.
 type Limits struct {
-	Until    time.Time     // the answer is waited for no longer; zero: for ever
-	Span     time.Duration // an answer that has begun must end within this; 0: Until alone counts
-	Body     int           // bytes that the body may hold
-	Discard  bool          // the body is read, but not kept
-	Progress Progress      // told how the reading goes on; nil: nobody
+	Deadline        time.Time     // the answer is waited for no longer; zero: for ever
+	ResponseTimeout time.Duration // an answer that has begun must end within this; 0: Until alone counts
+	MaxBody         int           // bytes that the body may hold
+	DiscardBody     bool          // the body is read, but not kept
+	Progress        Progress      // told how the reading goes on; nil: nobody
 }
 
 // Progress is told how the reading of an answer goes on, on the goroutine that is in Conn.Read.
 type Progress interface {
-	// FirstLine tells that the first line of an answer has come, also of each 1xx answer ahead. The rest may still turn
+	// StatusLine tells that the first line of an answer has come, also of each 1xx answer ahead. The rest may still turn
 	// out to be spoilt.
-	FirstLine(status int)
+	StatusLine(status int)
 
-	// Late is called when Limits.Until has come. It returns until when to wait on, or the zero time to give up.
-	Late() time.Time
+	// DeadlineReached is called when Limits.Until has come. It returns until when to wait on, or the zero time to give up.
+	DeadlineReached() time.Time
 }
 
-// Answer is an answer that was read whole.
-type Answer struct {
-	Status int
-	Body   []byte // nil if it was discarded
-	Keep   bool   // the connection goes on, and nothing came behind the answer: it may carry another request
-	More   bool   // something came behind it
+// Response is an answer that was read whole.
+type Response struct {
+	Status    int
+	Body      []byte // nil if it was discarded
+	Reusable  bool   // the connection goes on, and nothing came behind the answer: it may carry another request
+	ExtraData bool   // something came behind it
 
 	plain  string      // the head's fields, if they were read by hand,
 	header http.Header // else here
@@ -103,13 +103,13 @@
 // Close closes the connection.
 func (c *Conn) Close() error { return c.nc.Close() }
 
-// Clean tells that nothing has come on a connection between two requests, neither bytes nor its end: whatever does
+// IsIdle tells that nothing has come on a connection between two requests, neither bytes nor its end: whatever does
 // can't be told from an answer. It does not block.
-func (c *Conn) Clean() bool { return c.br.Buffered() == 0 && !host.Readable(c.nc) }
+func (c *Conn) IsIdle() bool { return c.br.Buffered() == 0 && !host.Readable(c.nc) }
 
-// Bytes tells, of a connection that is not clean, whether bytes have come on it, rather than its end alone. It may read
+// HasData tells, of a connection that is not clean, whether bytes have come on it, rather than its end alone. It may read
 // them, but does not wait for any.
-func (c *Conn) Bytes() bool {
+func (c *Conn) HasData() bool {
 	if c.br.Buffered() > 0 {
 		return true
 	}
@@ -133,38 +133,38 @@
 }
 
 // Read reads the answer to a request that was written. It blocks until the answer is whole or one of its errors is known.
-func (c *Conn) Read(l Limits) (Answer, error) {
-	c.left, c.until, c.end, c.progress, c.late = headMost, l.Until, time.Time{}, l.Progress, false
+func (c *Conn) Read(l Limits) (Response, error) {
+	c.left, c.until, c.end, c.progress, c.late = headMost, l.Deadline, time.Time{}, l.Progress, false
 	for early := 0; early <= earlyMost; early++ {
 		if _, err := c.br.Peek(1); err != nil {
-			return c.failed(ErrEnded, err)
+			return c.failed(ErrNoResponse, err)
 		}
 		if early == 0 && c.tooSoon() {
-			return c.failed(ErrSurplus, errors.New("it came before the request can have been read"))
+			return c.failed(ErrUnsolicited, errors.New("it came before the request can have been read"))
 		}
-		if l.Span > 0 {
-			c.end = c.host.Now().Add(l.Span)
+		if l.ResponseTimeout > 0 {
+			c.end = c.host.Now().Add(l.ResponseTimeout)
 		}
 		status := c.firstLine()
 		if status >= 100 && l.Progress != nil {
-			l.Progress.FirstLine(status)
+			l.Progress.StatusLine(status)
 		}
 		if status < 100 || status == http.StatusSwitchingProtocols {
-			return c.failed(ErrSpoilt, errors.New("no first line of an answer"))
+			return c.failed(ErrInvalidResponse, errors.New("no first line of an answer"))
 		}
 		if head, ok := c.plainHead(); ok {
 			return c.plainRest(head, &l)
 		}
 		res, err := http.ReadResponse(c.br, nil)
 		if err != nil {
-			return c.failed(ErrSpoilt, err)
+			return c.failed(ErrInvalidResponse, err)
 		}
 		if status >= 200 {
 			return c.rest(res, &l)
 		}
 		c.end = time.Time{} // the answer proper may take its time
 	}
-	return c.failed(ErrSpoilt, errors.New("too many answers ahead"))
+	return c.failed(ErrInvalidResponse, errors.New("too many answers ahead"))
 }
 
 // tooSoon tells that what has come was sent before the newest request can have been there.
@@ -176,50 +176,50 @@
 	return since < c.trip // where it is not known nothing is too soon
 }
 
-func (c *Conn) failed(kind, err error) (Answer, error) {
+func (c *Conn) failed(kind, err error) (Response, error) {
 	switch {
 	case c.late:
-		return Answer{}, ErrLate
+		return Response{}, ErrTimeout
 	case errors.Is(err, errLong):
-		kind = ErrSpoilt
+		kind = ErrInvalidResponse
 	}
-	return Answer{}, fmt.Errorf("%w: %w", kind, err)
+	return Response{}, fmt.Errorf("%w: %w", kind, err)
 }
 
 // rest reads what belongs to an answer behind its head.
-func (c *Conn) rest(res *http.Response, l *Limits) (Answer, error) {
-	c.left = l.Body + headMost // chunks have heads, too
-	if res.ContentLength > int64(l.Body) {
-		return c.failed(ErrSpoilt, errLong)
+func (c *Conn) rest(res *http.Response, l *Limits) (Response, error) {
+	c.left = l.MaxBody + headMost // chunks have heads, too
+	if res.ContentLength > int64(l.MaxBody) {
+		return c.failed(ErrInvalidResponse, errLong)
 	}
-	a := Answer{Status: res.StatusCode, header: res.Header}
+	a := Response{Status: res.StatusCode, header: res.Header}
 	into := io.Discard
 	var body bytes.Buffer
-	if !l.Discard {
+	if !l.DiscardBody {
 		into = &body
 	}
-	n, err := io.Copy(into, io.LimitReader(res.Body, int64(l.Body)+1))
+	n, err := io.Copy(into, io.LimitReader(res.Body, int64(l.MaxBody)+1))
 	switch {
 	case err != nil:
-		return c.failed(ErrSpoilt, err)
-	case n > int64(l.Body):
-		return c.failed(ErrSpoilt, errLong)
+		return c.failed(ErrInvalidResponse, err)
+	case n > int64(l.MaxBody):
+		return c.failed(ErrInvalidResponse, errLong)
 	}
 	a.Body = body.Bytes()
-	a.More = c.br.Buffered() > 0
-	a.Keep = !res.Close && !a.More
+	a.ExtraData = c.br.Buffered() > 0
+	a.Reusable = !res.Close && !a.ExtraData
 	return a, nil
 }
 
 // plainRest is rest behind a plain head.
-func (c *Conn) plainRest(h plainHead, l *Limits) (Answer, error) {
-	c.left = l.Body + headMost
-	if h.length > l.Body {
-		return c.failed(ErrSpoilt, errLong)
+func (c *Conn) plainRest(h plainHead, l *Limits) (Response, error) {
+	c.left = l.MaxBody + headMost
+	if h.length > l.MaxBody {
+		return c.failed(ErrInvalidResponse, errLong)
 	}
-	a := Answer{Status: h.status, plain: h.fields}
+	a := Response{Status: h.status, plain: h.fields}
 	var err error
-	if l.Discard {
+	if l.DiscardBody {
 		_, err = c.br.Discard(h.length)
 	} else {
 		var body bytes.Buffer
@@ -228,10 +228,10 @@
 		a.Body = body.Bytes()
 	}
 	if err != nil {
-		return c.failed(ErrSpoilt, err)
+		return c.failed(ErrInvalidResponse, err)
 	}
-	a.More = c.br.Buffered() > 0
-	a.Keep = !h.close && !a.More
+	a.ExtraData = c.br.Buffered() > 0
+	a.Reusable = !h.close && !a.ExtraData
 	return a, nil
 }
 
@@ -264,7 +264,7 @@
 			return 0, errSlow
 		}
 		if s.until = (time.Time{}); s.progress != nil {
-			s.until = s.progress.Late()
+			s.until = s.progress.DeadlineReached()
 		}
 		s.late = s.until.IsZero()
 	}
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -186,7 +186,7 @@
 }
 
 // Get returns the first value of a header field, "" if there is none. The case of the name does not matter.
-func (a *Answer) Get(name string) string {
+func (a *Response) Get(name string) string {
 	if a.header != nil {
 		return a.header.Get(name)
 	}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -40,7 +40,7 @@
 }
 
 func usual() Limits {
-	return Limits{Until: time.Now().Add(generous), Span: generous, Body: 1000}
+	return Limits{Deadline: time.Now().Add(generous), ResponseTimeout: generous, MaxBody: 1000}
 }
 
 // told keeps what Progress is told.
@@ -49,14 +49,14 @@
 	late  func() time.Time
 }
 
-func (p *told) FirstLine(status int) { p.lines = append(p.lines, status) }
-func (p *told) Late() time.Time      { return p.late() }
+func (p *told) StatusLine(status int)      { p.lines = append(p.lines, status) }
+func (p *told) DeadlineReached() time.Time { return p.late() }
 
 func TestARequestIsReadAsItWasMeant(t *testing.T) {
 	t.Parallel()
 	b := AppendRequest(nil, "POST", "a.example:80", "/x?y=1")
 	b = AppendField(b, "X-Id", "a\r\nX-Evil: 1\nb")
-	b = AppendInt(b, "X-Num", -7)
+	b = AppendIntField(b, "X-Num", -7)
 	b = AppendBody(b, []byte("hello"))
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(b)))
 	must(t, err)
@@ -80,16 +80,16 @@
 		_, err := io.WriteString(far, a)
 		must(t, err)
 		got, err := c.Read(usual())
-		if err != nil || got.Status != 200 || string(got.Body) != "body" || got.Get("x-a") != "1" || got.Get("X-B") != "" || !got.Keep {
+		if err != nil || got.Status != 200 || string(got.Body) != "body" || got.Get("x-a") != "1" || got.Get("X-B") != "" || !got.Reusable {
 			t.Errorf("%q: %+v, %v", a, got, err)
 		}
 		must(t, c.Write([]byte("more"), time.Now().Add(generous)))
 	}
 	l := usual()
-	l.Discard = true
+	l.DiscardBody = true
 	_, err := io.WriteString(far, "HTTP/1.1 204 No Content\r\n\r\n")
 	must(t, err)
-	if got, err := c.Read(l); err != nil || got.Status != 204 || got.Body != nil || !got.Keep {
+	if got, err := c.Read(l); err != nil || got.Status != 204 || got.Body != nil || !got.Reusable {
 		t.Errorf("without a body: %+v, %v", got, err)
 	}
 }
@@ -107,7 +107,7 @@
 		_, err := io.WriteString(far, a)
 		must(t, err)
 		must(t, far.Close())
-		if got, err := c.Read(usual()); err != nil || got.Keep || string(got.Body) != "x" {
+		if got, err := c.Read(usual()); err != nil || got.Reusable || string(got.Body) != "x" {
 			t.Errorf("%q: %+v, %v", a, got, err)
 		}
 	}
@@ -117,16 +117,16 @@
 	t.Parallel()
 	long := strings.Repeat("x", 1001)
 	for a, want := range map[string]error{
-		"":          ErrEnded,
-		"noise\r\n": ErrSpoilt,
-		"HTTP/1.1 200 OK\r\nContent-Length: 1001\r\n\r\n" + long:                                     ErrSpoilt,
-		"HTTP/1.1 200 OK\r\n\r\n" + long:                                                             ErrSpoilt,
-		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nx":                                              ErrSpoilt,
-		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nxx":                        ErrSpoilt,
-		"HTTP/1.1 101 x\r\n\r\n":                                                                     ErrSpoilt,
-		"HTTP/1.1 100 x\r\n\r\n":                                                                     ErrEnded,
-		strings.Repeat("HTTP/1.1 100 x\r\n\r\n", 9) + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n": ErrSpoilt,
-		"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: aaaaaaaa\r\n", 32<<10/15+1) + "\r\n":            ErrSpoilt,
+		"":          ErrNoResponse,
+		"noise\r\n": ErrInvalidResponse,
+		"HTTP/1.1 200 OK\r\nContent-Length: 1001\r\n\r\n" + long:                                     ErrInvalidResponse,
+		"HTTP/1.1 200 OK\r\n\r\n" + long:                                                             ErrInvalidResponse,
+		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nx":                                              ErrInvalidResponse,
+		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nxx":                        ErrInvalidResponse,
+		"HTTP/1.1 101 x\r\n\r\n":                                                                     ErrInvalidResponse,
+		"HTTP/1.1 100 x\r\n\r\n":                                                                     ErrNoResponse,
+		strings.Repeat("HTTP/1.1 100 x\r\n\r\n", 9) + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n": ErrInvalidResponse,
+		"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: aaaaaaaa\r\n", 32<<10/15+1) + "\r\n":            ErrInvalidResponse,
 	} {
 		c, far := pair(t)
 		go func() {
@@ -146,8 +146,8 @@
 	must(t, err)
 	p := &told{}
 	l := usual()
-	l.Span, l.Progress = 20*time.Millisecond, p
-	if _, err := c.Read(l); !errors.Is(err, ErrSpoilt) || fmt.Sprint(p.lines) != "[200]" {
+	l.ResponseTimeout, l.Progress = 20*time.Millisecond, p
+	if _, err := c.Read(l); !errors.Is(err, ErrInvalidResponse) || fmt.Sprint(p.lines) != "[200]" {
 		t.Errorf("%v, told %v", err, p.lines)
 	}
 }
@@ -166,16 +166,16 @@
 			return time.Now().Add(time.Millisecond)
 		}}
 		l := usual()
-		l.Until, l.Progress = time.Now().Add(time.Millisecond), p
-		if _, err := c.Read(l); !errors.Is(err, ErrLate) || asked != 3 {
+		l.Deadline, l.Progress = time.Now().Add(time.Millisecond), p
+		if _, err := c.Read(l); !errors.Is(err, ErrTimeout) || asked != 3 {
 			t.Errorf("begun %q: %v, asked %d times", begun, err, asked)
 		}
 	}
 	// Nobody to ask: the time is up.
 	c, _ := pair(t)
 	l := usual()
-	l.Until = time.Now().Add(time.Millisecond)
-	if _, err := c.Read(l); !errors.Is(err, ErrLate) {
+	l.Deadline = time.Now().Add(time.Millisecond)
+	if _, err := c.Read(l); !errors.Is(err, ErrTimeout) {
 		t.Errorf("without Progress: %v", err)
 	}
 	// What comes while Late waits on is read whole.
@@ -184,7 +184,7 @@
 		io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return time.Now().Add(generous)
 	}}
-	l.Until, l.Progress = time.Now().Add(time.Millisecond), p
+	l.Deadline, l.Progress = time.Now().Add(time.Millisecond), p
 	if a, err := c.Read(l); err != nil || a.Status != 200 {
 		t.Errorf("after waiting on: %+v, %v", a, err)
 	}
@@ -199,7 +199,7 @@
 		back <- err
 	}()
 	must(t, c.Close())
-	if err := <-back; !errors.Is(err, ErrEnded) || !errors.Is(err, net.ErrClosed) {
+	if err := <-back; !errors.Is(err, ErrNoResponse) || !errors.Is(err, net.ErrClosed) {
 		t.Error(err)
 	}
 }
@@ -229,11 +229,11 @@
 	f.Fuzz(func(t *testing.T, b []byte, discard bool) {
 		p := &told{}
 		c := NewConn(host.System{}, text{r: bytes.NewReader(b)})
-		a, err := c.Read(Limits{Body: 100, Discard: discard, Progress: p})
+		a, err := c.Read(Limits{MaxBody: 100, DiscardBody: discard, Progress: p})
 		switch {
-		case err != nil && !errors.Is(err, ErrEnded) && !errors.Is(err, ErrSpoilt):
+		case err != nil && !errors.Is(err, ErrNoResponse) && !errors.Is(err, ErrInvalidResponse):
 			t.Errorf("error %v", err)
-		case err != nil && (a.Status != 0 || a.Body != nil || a.Keep || a.Get("Retry-After") != ""):
+		case err != nil && (a.Status != 0 || a.Body != nil || a.Reusable || a.Get("Retry-After") != ""):
 			t.Errorf("believed of no answer: %+v", a)
 		case len(a.Body) > 100 || discard && a.Body != nil:
 			t.Errorf("kept %d bytes", len(a.Body))
@@ -250,7 +250,7 @@
 		if err != nil {
 			t.Fatalf("by hand %+v, by net/http %v", h, err)
 		}
-		hand := Answer{plain: h.fields}
+		hand := Response{plain: h.fields}
 		if res.StatusCode != h.status || res.ContentLength != int64(h.length) || res.Close != h.close || len(res.TransferEncoding) > 0 {
 			t.Errorf("by hand %+v, by net/http %+v", h, res)
 		}
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -23,14 +23,14 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendInt adds a header field that holds a number.
-func AppendInt(b []byte, name string, value int64) []byte {
+// AppendIntField adds a header field that holds a number.
+func AppendIntField(b []byte, name string, value int64) []byte {
 	b = append(append(b, name...), ": "...)
 	return append(strconv.AppendInt(b, value, 10), "\r\n"...)
 }
 
 // AppendBody ends a request: its length, the end of the head, and the body, which may be empty.
 func AppendBody(b, body []byte) []byte {
-	b = AppendInt(b, "Content-Length", int64(len(body)))
+	b = AppendIntField(b, "Content-Length", int64(len(body)))
 	return append(append(b, "\r\n"...), body...)
 }
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -31,10 +31,10 @@
 // be trusted.
 type RequestError struct {
 	Status int    // 400, 417, 501 or 505
-	Why    string // at most some hundred bytes
+	Reason string // at most some hundred bytes
 }
 
-func (e *RequestError) Error() string { return e.Why }
+func (e *RequestError) Error() string { return e.Reason }
 
 const whyMost = 200 // bytes of a parser's own words that are passed on, which may hold the client's
 
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -64,7 +64,7 @@
 	} {
 		_, err := ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		bad, ok := errors.AsType[*RequestError](err)
-		if !ok || bad.Status != want || bad.Why == "" || len(bad.Why) > 2*whyMost {
+		if !ok || bad.Status != want || bad.Reason == "" || len(bad.Reason) > 2*whyMost {
 			t.Errorf("%.80q: %v, want %d", text, err, want)
 		}
 	}
--- a/internal/http1/surplus_test.go
+++ b/internal/http1/surplus_test.go
@@ -19,8 +19,8 @@
 		delay time.Duration // of the copy behind the answer
 		want  error
 	}{
-		{"just behind", 600 * time.Microsecond, ErrSurplus},
-		{"just before the request is there", 2*latency - 100*time.Microsecond, ErrSurplus},
+		{"just behind", 600 * time.Microsecond, ErrUnsolicited},
+		{"just before the request is there", 2*latency - 100*time.Microsecond, ErrUnsolicited},
 		{"none", 0, nil},
 	} {
 		w := vnet.New(1, vnet.Options{Path: vnet.Quality{Latency: latency}})
@@ -53,11 +53,11 @@
 				if err := conn.Write([]byte("GET / HTTP/1.1\r\n\r\n"), time.Time{}); err != nil {
 					t.Error(err)
 				}
-				a, err := conn.Read(Limits{Until: h.Now().Add(time.Second), Body: 10})
+				a, err := conn.Read(Limits{Deadline: h.Now().Add(time.Second), MaxBody: 10})
 				switch {
-				case n == 0 && (err != nil || !a.Keep):
+				case n == 0 && (err != nil || !a.Reusable):
 					t.Errorf("%s: the first answer: %+v, %v", c.name, a, err)
-				case n == 1 && (!errors.Is(err, c.want) || c.want != nil && !errors.Is(err, ErrSpoilt)):
+				case n == 1 && (!errors.Is(err, c.want) || c.want != nil && !errors.Is(err, ErrInvalidResponse)):
 					t.Errorf("%s: %v, want %v", c.name, err, c.want)
 				}
 			}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -174,8 +174,8 @@
 		n.driver.OnBreach = cfg.Ledger.Breach
 	}
 	n.transport = httptransport.New(n.host, n.clock, httptransport.Settings{
-		ConnectTimeout: engine.Duration(cfg.Settings.ConnectTimeout), ConnIdle: engine.Duration(cfg.Settings.ConnIdle),
-		MostIdle: share.idle, Reports: cfg.Reports, DialBurst: dialBurst, DialGap: dialGap,
+		ConnectTimeout: engine.Duration(cfg.Settings.ConnectTimeout), EndpointIdleTimeout: engine.Duration(cfg.Settings.ConnIdle),
+		MaxIdle: share.idle, ReportFields: cfg.Reports, DialBurst: dialBurst, DialInterval: dialGap,
 	})
 	n.watch = partnerlist.NewWatch(n.host, cfg.Discovery, n.log)
 	n.watch.Random = rand.New(rand.NewPCG(cfg.Seed, 1)).Float64
--- a/internal/redeliver/inquiry.go
+++ b/internal/redeliver/inquiry.go
@@ -104,7 +104,7 @@
 	if err := c.Write(http1.AppendBody(b, body), until); err != nil {
 		return resend.Unanswered, err.Error()
 	}
-	ans, err := c.Read(http1.Limits{Until: until, Body: answerMost})
+	ans, err := c.Read(http1.Limits{Deadline: until, MaxBody: answerMost})
 	if err != nil {
 		return resend.Unanswered, err.Error()
 	}
--- a/internal/transport/http/answer.go
+++ b/internal/transport/http/answer.go
@@ -15,9 +15,9 @@
 )
 
 // answered turns an answer into the outcomes of the items left.
-func (k *call) answered(a *http1.Answer) {
+func (k *call) answered(a *http1.Response) {
 	o := engine.Outcome{
-		RetryAfter: retryAfter(a.Get("Retry-After")), LoadReport: loadReport(a.Get("Endpoint-Load-Metrics"), k.t.set.Reports),
+		RetryAfter: retryAfter(a.Get("Retry-After")), LoadReport: loadReport(a.Get("Endpoint-Load-Metrics"), k.t.set.ReportFields),
 	}
 	switch {
 	case a.Status == http.StatusOK && k.batch:
--- a/internal/transport/http/bench_test.go
+++ b/internal/transport/http/bench_test.go
@@ -44,7 +44,7 @@
 		}
 	}()
 	clock := engine.Clock{Start: time.Now()}
-	t := New(host.System{}, clock, Settings{ConnectTimeout: time.Second, ConnIdle: 5 * time.Second, MostIdle: 8})
+	t := New(host.System{}, clock, Settings{ConnectTimeout: time.Second, EndpointIdleTimeout: 5 * time.Second, MaxIdle: 8})
 	defer t.Close(generous)
 	o := &one{make(chan control.Result)}
 	items := []engine.Item{{ID: "9b1f03aa5c7e2d41", Key: "k-a", Body: []byte("body a"), Deadline: clock.At(time.Now().Add(time.Hour))}}
--- a/internal/transport/http/call.go
+++ b/internal/transport/http/call.go
@@ -122,8 +122,8 @@
 			c.buf = request
 		}
 		switch {
-		case !fresh && !c.Clean():
-			if c.Bytes() {
+		case !fresh && !c.IsIdle():
+			if c.HasData() {
 				k.t.distrust(k.peer)
 			}
 			c.Close()
@@ -168,16 +168,16 @@
 // await waits for the answer to a call that has been written.
 func (k *call) await(c *conn) {
 	a, err := c.Read(http1.Limits{
-		Until: k.t.clock.Time(k.due()), Span: answerSpan, Body: answerBody, Discard: !k.batch, Progress: k,
+		Deadline: k.t.clock.Time(k.due()), ResponseTimeout: answerSpan, MaxBody: answerBody, DiscardBody: !k.batch, Progress: k,
 	})
 	k.abort.On(nil)
 	called := k.abort.Completed() // then its connection is closed, or is about to be
 	switch {
 	case err == nil:
-		if a.More {
+		if a.ExtraData {
 			k.t.distrust(k.peer)
 		}
-		if a.Keep && !called {
+		if a.Reusable && !called {
 			k.t.put(c)
 		} else {
 			c.Close()
@@ -186,14 +186,14 @@
 	case called:
 		k.t.silent(c)
 		k.end(control.Cancelled)
-	case errors.Is(err, http1.ErrLate):
+	case errors.Is(err, http1.ErrTimeout):
 		k.t.silent(c)
 		k.end(control.TimedOut)
-	case errors.Is(err, http1.ErrSurplus): // the call is under way, and nobody will hear of its end
+	case errors.Is(err, http1.ErrUnsolicited): // the call is under way, and nobody will hear of its end
 		c.Close()
 		k.t.distrust(k.peer)
 		k.end(control.Reset)
-	case errors.Is(err, http1.ErrSpoilt): // the endpoint is there and has run the call, or may have
+	case errors.Is(err, http1.ErrInvalidResponse): // the endpoint is there and has run the call, or may have
 		c.Close()
 		k.end(control.Errored)
 	default:
@@ -203,7 +203,7 @@
 }
 
 // FirstLine hears that an answer has begun (http1.Progress).
-func (k *call) FirstLine(status int) {
+func (k *call) StatusLine(status int) {
 	if status == http.StatusOK && !k.batch {
 		k.line = k.t.clock.At(k.t.host.Now())
 		if len(k.Items) == 1 { // else it would not say which of them
@@ -214,7 +214,7 @@
 
 // Late hears that the time of the next item is up (http1.Progress). A call with several items ends then for all of them:
 // it has one fate at its endpoint, and an answer that comes after the time of one item counts for none.
-func (k *call) Late() time.Time {
+func (k *call) DeadlineReached() time.Time {
 	if k.line != 0 { // delivered: its time no longer counts, and the answer ends by its span
 		return k.t.host.Now().Add(2 * answerSpan)
 	}
--- a/internal/transport/http/call_test.go
+++ b/internal/transport/http/call_test.go
@@ -556,7 +556,7 @@
 			there.Write(text)
 			there.Close()
 		}()
-		tr := New(host.System{}, engine.Clock{Start: time.Now()}, Settings{MostIdle: 1})
+		tr := New(host.System{}, engine.Clock{Start: time.Now()}, Settings{MaxIdle: 1})
 		defer tr.Close(generous)
 		due := engine.Epoch + 60*control.Second
 		spec := &engine.Call{Items: []engine.Item{{ID: "a", Deadline: due}, {ID: "b", Deadline: due}}}
--- a/internal/transport/http/dial.go
+++ b/internal/transport/http/dial.go
@@ -25,7 +25,7 @@
 // have become idle, or the call is over.
 func (k *call) awaitTurn() (again bool) {
 	t := k.t
-	if t.set.DialGap <= 0 {
+	if t.set.DialInterval <= 0 {
 		return false
 	}
 	t.mu.Lock()
@@ -69,10 +69,10 @@
 // mayDial tells whether a dial may begin now, and counts it; the lock is held.
 func (t *Transport) mayDial() bool {
 	now := t.host.Now()
-	if free := now.Add(-time.Duration(t.set.DialBurst) * t.set.DialGap); t.turns.at.Before(free) {
+	if free := now.Add(-time.Duration(t.set.DialBurst) * t.set.DialInterval); t.turns.at.Before(free) {
 		t.turns.at = free
 	}
-	next := t.turns.at.Add(t.set.DialGap)
+	next := t.turns.at.Add(t.set.DialInterval)
 	if next.After(now) {
 		return false
 	}
@@ -85,7 +85,7 @@
 	if t.turns.timer != nil || len(t.turns.waiting) == 0 || t.closed {
 		return
 	}
-	wait := t.turns.at.Add(t.set.DialGap).Sub(t.host.Now())
+	wait := t.turns.at.Add(t.set.DialInterval).Sub(t.host.Now())
 	t.turns.timer = t.host.AfterFunc(max(wait, grantGap), t.grant)
 }
 
--- a/internal/transport/http/dial_test.go
+++ b/internal/transport/http/dial_test.go
@@ -42,7 +42,7 @@
 	const burst, all = 4, 12
 	release := make(chan string)
 	s := newScript(t, func(net.Conn, *seen) string { return <-release })
-	b := newBenchWith(t, Settings{MostIdle: 64, DialBurst: burst, DialGap: time.Hour})
+	b := newBenchWith(t, Settings{MaxIdle: 64, DialBurst: burst, DialInterval: time.Hour})
 	d := watched(b)
 	var outs []*out
 	for i := range all {
@@ -81,7 +81,7 @@
 	t.Parallel()
 	release := make(chan string)
 	s := newScript(t, func(net.Conn, *seen) string { return <-release })
-	b := newBenchWith(t, Settings{MostIdle: 8, DialBurst: 1, DialGap: time.Hour})
+	b := newBenchWith(t, Settings{MaxIdle: 8, DialBurst: 1, DialInterval: time.Hour})
 	first := b.start(s.addr, nil, b.items("first")...)
 	within(t, s.seen)
 	second := b.start(s.addr, func() []bool { return []bool{false} }, b.items("second")...)
@@ -107,7 +107,7 @@
 		"time":  func(b *bench, _ *out) {},
 	} {
 		s := newScript(t, always(ok200))
-		b := newBenchWith(t, Settings{DialBurst: 1, DialGap: time.Hour})
+		b := newBenchWith(t, Settings{DialBurst: 1, DialInterval: time.Hour})
 		d := watched(b)
 		b.run(s.addr, b.items("first")...) // its connection is not kept
 		items := b.items("second")
@@ -137,7 +137,7 @@
 	release := make(chan string)
 	s := newScript(t, func(net.Conn, *seen) string { return <-release })
 	other := newScript(t, func(net.Conn, *seen) string { return <-release })
-	b := newBenchWith(t, Settings{MostIdle: most})
+	b := newBenchWith(t, Settings{MaxIdle: most})
 	burst := func(s *script, n int) {
 		var outs []*out
 		for i := range n {
--- a/internal/transport/http/pool.go
+++ b/internal/transport/http/pool.go
@@ -105,8 +105,8 @@
 	}
 	longest := t.idle.first
 	switch {
-	case t.idle.count > t.set.MostIdle:
-	case len(c.peer.idle) > max(t.set.MostIdle/2, fewIdle): // the others keep theirs
+	case t.idle.count > t.set.MaxIdle:
+	case len(c.peer.idle) > max(t.set.MaxIdle/2, fewIdle): // the others keep theirs
 		longest = c.peer.idle[0]
 	default:
 		return nil
--- a/internal/transport/http/pool_test.go
+++ b/internal/transport/http/pool_test.go
@@ -28,7 +28,7 @@
 		})
 		b.run(s.addr, b.items("a")...)
 		idle := b.idleAt(1, s.addr)
-		waitFor(t, func() bool { return !slices.ContainsFunc(idle, func(c *conn) bool { return c.Clean() }) })
+		waitFor(t, func() bool { return !slices.ContainsFunc(idle, func(c *conn) bool { return c.IsIdle() }) })
 		if o := b.run(s.addr, b.items("b")...)[0]; o.Result != control.OK || s.dials.Load() != 2 {
 			t.Errorf("%s: outcome %v over %d connections", name, o.Result, s.dials.Load())
 		}
@@ -69,7 +69,7 @@
 		}
 		return <-release
 	})
-	b := newBenchWith(t, Settings{MostIdle: 2})
+	b := newBenchWith(t, Settings{MaxIdle: 2})
 	three := func() {
 		var outs []*out
 		for range 3 {
@@ -115,7 +115,7 @@
 // next anyway.
 func TestAFullPoolGivesUpTheConnectionIdleForLongest(t *testing.T) {
 	t.Parallel()
-	b := newBenchWith(t, Settings{MostIdle: 2})
+	b := newBenchWith(t, Settings{MaxIdle: 2})
 	var all []*script
 	for range 3 {
 		s := newScript(t, always(ok200))
@@ -181,12 +181,12 @@
 		s = newScript(t, serve)
 		b.run(s.addr, b.items("later")...)
 		idle := b.idleAt(1, s.addr)
-		if len(idle) != 1 || !idle[0].Clean() {
+		if len(idle) != 1 || !idle[0].IsIdle() {
 			t.Fatalf("%s: %d connections are kept", name, len(idle))
 		}
 		more <- true
 		<-sent
-		waitFor(t, func() bool { return !idle[0].Clean() })
+		waitFor(t, func() bool { return !idle[0].IsIdle() })
 		if o := b.run(s.addr, b.items("a")...)[0]; o.Result != control.OK || s.dials.Load() != 2 {
 			t.Errorf("%s, later: outcome %v over %d connections", name, o.Result, s.dials.Load())
 		}
@@ -228,7 +228,7 @@
 func TestWhichIdleConnectionIsTaken(t *testing.T) {
 	t.Parallel()
 	s := newScript(t, always(ok200))
-	b := newBenchWith(t, Settings{MostIdle: 8})
+	b := newBenchWith(t, Settings{MaxIdle: 8})
 	p := &peer{place: place{1, s.addr}}
 	var list []*conn
 	for _, age := range []time.Duration{3 * time.Hour, 2 * time.Hour, 0, 0} {
@@ -319,7 +319,7 @@
 		t.Errorf("outcomes %+v of a call that was out", o)
 	}
 	within(t, gone)
-	if len(idle) != 1 || idle[0].Clean() || b.idleCount() != 0 {
+	if len(idle) != 1 || idle[0].IsIdle() || b.idleCount() != 0 {
 		t.Error("an idle connection is left open")
 	}
 	if o := b.run(s.addr, b.items("c")...)[0]; o.Result != control.Moot || len(s.seen) > 0 {
--- a/internal/transport/http/request.go
+++ b/internal/transport/http/request.go
@@ -27,7 +27,7 @@
 	}
 	b = http1.AppendRequest(b, http.MethodPost, k.Addr, path)
 	rest := engine.Duration(k.due() - k.t.clock.At(k.t.host.Now()))
-	b = http1.AppendInt(b, "X-Expires-In-Ms", max(rest.Milliseconds(), 1))
+	b = http1.AppendIntField(b, "X-Expires-In-Ms", max(rest.Milliseconds(), 1))
 	if k.batch {
 		return http1.AppendBody(http1.AppendField(b, "Content-Type", "application/json"), list)
 	}
--- a/internal/transport/http/rig_test.go
+++ b/internal/transport/http/rig_test.go
@@ -190,7 +190,7 @@
 }
 
 func newBench(t *testing.T) *bench {
-	return newBenchWith(t, Settings{ConnectTimeout: time.Second, ConnIdle: 5 * time.Second, MostIdle: 8, Reports: []string{"x0", "x1"}})
+	return newBenchWith(t, Settings{ConnectTimeout: time.Second, EndpointIdleTimeout: 5 * time.Second, MaxIdle: 8, ReportFields: []string{"x0", "x1"}})
 }
 
 func newBenchWith(t *testing.T, s Settings) *bench {
--- a/internal/transport/http/transport.go
+++ b/internal/transport/http/transport.go
@@ -17,12 +17,12 @@
 
 // Settings are what a deployment says of calls.
 type Settings struct {
-	ConnectTimeout time.Duration // a dial takes no longer; 0: as long as the call's messages are waited for
-	ConnIdle       time.Duration // an endpoint closes a connection that has been idle so long; 0: never
-	MostIdle       int           // idle connections kept over all endpoints, half of them, or 8, to one; 0: none
-	DialBurst      int           // dials that may begin at once ...
-	DialGap        time.Duration // ... and so long after each of them the next; 0: as calls need them
-	Reports        []string      // fields of the reports that answers hold, in the order of engine.Outcome.Report
+	ConnectTimeout      time.Duration // a dial takes no longer; 0: as long as the call's messages are waited for
+	EndpointIdleTimeout time.Duration // an endpoint closes a connection that has been idle so long; 0: never
+	MaxIdle             int           // idle connections kept over all endpoints, half of them, or 8, to one; 0: none
+	DialBurst           int           // dials that may begin at once ...
+	DialInterval        time.Duration // ... and so long after each of them the next; 0: as calls need them
+	ReportFields        []string      // fields of the reports that answers hold, in the order of engine.Outcome.Report
 }
 
 // idleMargin keeps a request from crossing the endpoint's own close of an idle connection.
@@ -83,8 +83,8 @@
 // New makes a transport on a host, whose time the clock turns into the engine's.
 func New(h host.Host, clock engine.Clock, s Settings) *Transport {
 	t := &Transport{host: h, clock: clock, set: s, calls: map[engine.CallID]*call{}, peers: map[place]*peer{}}
-	if s.ConnIdle > 0 {
-		t.span = max(s.ConnIdle-idleMargin, s.ConnIdle/2)
+	if s.EndpointIdleTimeout > 0 {
+		t.span = max(s.EndpointIdleTimeout-idleMargin, s.EndpointIdleTimeout/2)
 	}
 	return t
 }
--- a/membership/partnerlist/agent.go
+++ b/membership/partnerlist/agent.go
@@ -118,23 +118,23 @@
 // ask sends a request to a place and returns the answer, within a time limit and by the place still counting. A
 // connection that was kept may have been closed from afar: then the request goes once more on a new one, since no request
 // here does harm twice.
-func (a *agent) ask(at *place, request []byte, limit time.Duration, body int) (http1.Answer, error) {
+func (a *agent) ask(at *place, request []byte, limit time.Duration, body int) (http1.Response, error) {
 	until := a.host.Now().Add(limit)
-	if a.to != at || a.conn != nil && !a.conn.Clean() {
+	if a.to != at || a.conn != nil && !a.conn.IsIdle() {
 		a.hangUp()
 	}
 	for {
 		kept := a.conn != nil
 		if !kept {
 			if err := a.dial(at, until); err != nil {
-				return http1.Answer{}, err
+				return http1.Response{}, err
 			}
 		}
-		answer, err := a.exchange(at, request, http1.Limits{Until: until, Body: body})
-		if err != nil || !answer.Keep {
+		answer, err := a.exchange(at, request, http1.Limits{Deadline: until, MaxBody: body})
+		if err != nil || !answer.Reusable {
 			a.hangUp()
 		}
-		if err != nil && kept && !errors.Is(err, http1.ErrLate) && !errors.Is(err, http1.ErrSpoilt) {
+		if err != nil && kept && !errors.Is(err, http1.ErrTimeout) && !errors.Is(err, http1.ErrInvalidResponse) {
 			continue
 		}
 		return answer, err
@@ -154,12 +154,12 @@
 	return nil
 }
 
-func (a *agent) exchange(at *place, request []byte, limits http1.Limits) (http1.Answer, error) {
+func (a *agent) exchange(at *place, request []byte, limits http1.Limits) (http1.Response, error) {
 	conn := a.conn
 	at.left.On(func() { conn.Close() })
 	defer at.left.On(nil)
-	if err := conn.Write(request, limits.Until); err != nil {
-		return http1.Answer{}, fmt.Errorf("request: %w", err)
+	if err := conn.Write(request, limits.Deadline); err != nil {
+		return http1.Response{}, fmt.Errorf("request: %w", err)
 	}
 	return conn.Read(limits)
 }
