--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -1,6 +1,6 @@
-// Package http1 is HTTP/1.1 (RFC 9112) on a connection of a host. Conn is the client's side: one request is written and
-// one answer read, within bounds of size and time. It never sends anything again by itself, keeps no pool and starts no
-// goroutine. ReadRequest is what a server needs to read the head of a request.
+// Package http1 implements HTTP/1.1 (RFC 9112) on a connection of a host. Conn is the client side: it writes one request
+// and reads one response, with limits on size and time. It never sends a request again, keeps no pool and starts no
+// goroutine. ReadRequest reads the head of a request for a server.
 package http1
 
 import (
@@ -19,110 +19,112 @@
 
 // Errors of Conn.Read. After each of them the connection must be closed.
 var (
-	// ErrNoResponse says that the connection ended, or was closed here, before an answer began.
-	ErrNoResponse = errors.New("the connection ended before an answer began")
+	// ErrNoResponse reports that the connection ended, or was closed locally, before a response began.
+	ErrNoResponse = errors.New("the connection ended before a response began")
 
-	// ErrTimeout says that the time was up (Limits.Until) before the answer was whole.
-	ErrTimeout = errors.New("no whole answer in time")
+	// ErrTimeout reports that Limits.Deadline passed before the response was complete.
+	ErrTimeout = errors.New("no complete response before the deadline")
 
-	// ErrInvalidResponse says that an answer began and can't be read: it is no HTTP/1, too long, cut short, or took longer than
-	// Limits.Span. Nothing that it says should be believed but a first line that Progress was told.
-	ErrInvalidResponse = errors.New("the answer can't be read")
+	// ErrInvalidResponse reports a response that began but can't be read: it is not HTTP/1, is too long, was cut short, or
+	// took longer than Limits.ResponseTimeout. Only a status line that was passed to Progress may be trusted.
+	ErrInvalidResponse = errors.New("invalid response")
 
-	// ErrUnsolicited says that what came was sent before the request can have reached the far side, such as a second copy of the
-	// answer before. What becomes of the request is not known. It is also ErrInvalidResponse.
-	ErrUnsolicited = fmt.Errorf("%w: it is the answer to nothing", ErrInvalidResponse)
+	// ErrUnsolicited reports data that was sent before the request can have reached the peer, for example a second copy of
+	// the previous response. The fate of the request is unknown. It wraps ErrInvalidResponse.
+	ErrUnsolicited = fmt.Errorf("%w: unsolicited data", ErrInvalidResponse)
 )
 
 const (
-	headMost   = 32 << 10              // bytes that may come ahead of a body, 1xx answers and all, and the same for the heads of chunks
-	earlyMost  = 8                     // 1xx answers ahead
-	bufferSize = 2 << 10               // holds a usual answer whole
-	atOnce     = 10 * time.Millisecond // far more than it takes to read what is there
-	growStep   = 64 << 10              // memory given to a body before its bytes have come
+	maxHeadBytes         = 32 << 10              // limit for all heads before a body, 1xx included; the same limit again for the heads of chunks
+	maxInterimResponses  = 8                     // 1xx responses before the final one
+	readBufferSize       = 2 << 10               // holds a typical response completely
+	availableDataTimeout = 10 * time.Millisecond // far more than it takes to read data that has already arrived
+	maxInitialBodyBuffer = 64 << 10              // memory reserved for a body before its bytes arrive
 )
 
-// Limits bound the reading of one answer. Heads may hold 32 KiB and be led by 8 answers of the 1xx kind.
+// Limits bounds the reading of one response. Heads may hold 32 KiB and follow up to 8 interim (1xx) responses.
 type Limits struct {
-	Deadline        time.Time     // the answer is waited for no longer; zero: for ever
-	ResponseTimeout time.Duration // an answer that has begun must end within this; 0: Until alone counts
-	MaxBody         int           // bytes that the body may hold
-	DiscardBody     bool          // the body is read, but not kept
-	Progress        Progress      // told how the reading goes on; nil: nobody
+	Deadline        time.Time     // how long to wait for the response; zero: forever
+	ResponseTimeout time.Duration // longest time from the first byte to the last; 0: only Deadline applies
+	MaxBody         int           // in bytes
+	DiscardBody     bool          // reads the body without keeping it
+	Progress        Progress      // is notified while the response is read; may be nil
 }
 
-// Progress is told how the reading of an answer goes on, on the goroutine that is in Conn.Read.
+// Progress is notified while a response is read, on the goroutine that runs Conn.Read.
 type Progress interface {
-	// StatusLine tells that the first line of an answer has come, also of each 1xx answer ahead. The rest may still turn
-	// out to be spoilt.
+	// StatusLine reports that a status line has arrived, also that of each 1xx response. The rest of the response may
+	// still be invalid.
 	StatusLine(status int)
 
-	// DeadlineReached is called when Limits.Until has come. It returns until when to wait on, or the zero time to give up.
+	// DeadlineReached is called when Limits.Deadline has passed. It returns a new deadline, or the zero time to stop
+	// waiting.
 	DeadlineReached() time.Time
 }
 
-// Response is an answer that was read whole.
+// Response is a response that was read completely.
 type Response struct {
 	Status    int
 	Body      []byte // nil if it was discarded
-	Reusable  bool   // the connection goes on, and nothing came behind the answer: it may carry another request
-	ExtraData bool   // something came behind it
+	Reusable  bool   // the connection stays open and nothing followed the response: it may carry another request
+	ExtraData bool   // more data followed the response
 
-	plain  string      // the head's fields, if they were read by hand,
-	header http.Header // else here
+	rawFields string      // fields of a head that was parsed here; unused if header is set
+	header    http.Header // fields of a head that net/http parsed
 }
 
-// Conn is a connection that carries requests one after the other. One goroutine at a time uses it, but for Close, which
-// may come from anywhere and ends what is under way.
+// Conn is a connection that carries one request after the other. Only one goroutine at a time may use it, except for
+// Close, which any goroutine may call and which ends the operation in progress.
 type Conn struct {
-	host  host.Host
-	nc    net.Conn
-	br    *bufio.Reader
-	wrote time.Time // when the write of the newest request began
+	host         host.Host
+	nc           net.Conn
+	br           *bufio.Reader
+	writeStarted time.Time // when the write of the latest request began
 
-	// The round trip as it was last asked for, if it was. It only ever becomes less, so it is asked for again only where
-	// something comes sooner.
-	trip  time.Duration
-	asked bool
+	// The round trip time as last queried. It can only decrease, so it is queried again only if data arrives sooner
+	// than the known value.
+	minRoundTrip   time.Duration
+	roundTripKnown bool
 
-	// Of the answer that is being read:
-	left     int       // bytes that may still be read
-	until    time.Time // Limits.Until, or what Late put in its place
-	end      time.Time // when it must have ended, once it has begun
-	progress Progress
-	late     bool // Until came and nobody waits on
+	// State of the response that is being read.
+	remaining        int       // bytes that may still be read
+	deadline         time.Time // Limits.Deadline, or the later one that DeadlineReached returned
+	responseDeadline time.Time // when the response must be complete; zero until it begins
+	progress         Progress
+	timedOut         bool // the deadline passed and was not extended
 }
 
-// NewConn makes a connection of the host carry requests.
+// NewConn returns a Conn that uses a connection of the host.
 func NewConn(h host.Host, nc net.Conn) *Conn {
 	c := &Conn{host: h, nc: nc}
-	c.br = bufio.NewReaderSize((*source)(c), bufferSize)
+	c.br = bufio.NewReaderSize((*limitedReader)(c), readBufferSize)
 	return c
 }
 
 // Close closes the connection.
 func (c *Conn) Close() error { return c.nc.Close() }
 
-// IsIdle tells that nothing has come on a connection between two requests, neither bytes nor its end: whatever does
-// can't be told from an answer. It does not block.
+// IsIdle reports that neither data nor the end of the connection has arrived between two requests. Data that did arrive
+// could not be told from the next response. IsIdle does not block.
 func (c *Conn) IsIdle() bool { return c.br.Buffered() == 0 && !host.Readable(c.nc) }
 
-// HasData tells, of a connection that is not clean, whether bytes have come on it, rather than its end alone. It may read
-// them, but does not wait for any.
+// HasData reports, for a connection that is not idle, whether data has arrived rather than only the end of the
+// connection. It may consume data, but does not wait for more.
 func (c *Conn) HasData() bool {
 	if c.br.Buffered() > 0 {
 		return true
 	}
-	if c.nc.SetReadDeadline(c.host.Now().Add(atOnce)) != nil {
+	if c.nc.SetReadDeadline(c.host.Now().Add(availableDataTimeout)) != nil {
 		return false
 	}
 	n, _ := c.nc.Read(make([]byte, 1))
 	return n > 0
 }
 
-// Write writes a whole request, until the time given (zero: for ever). After an error its last byte was not written.
+// Write writes a whole request before a deadline (zero: none). If it fails, the last byte of the request was not
+// written.
 func (c *Conn) Write(request []byte, until time.Time) error {
-	c.wrote = c.host.Now()
+	c.writeStarted = c.host.Now()
 	if err := c.nc.SetWriteDeadline(until); err != nil {
 		return fmt.Errorf("write: %w", err)
 	}
@@ -132,141 +134,144 @@
 	return nil
 }
 
-// Read reads the answer to a request that was written. It blocks until the answer is whole or one of its errors is known.
-func (c *Conn) Read(l Limits) (Response, error) {
-	c.left, c.until, c.end, c.progress, c.late = headMost, l.Deadline, time.Time{}, l.Progress, false
-	for early := 0; early <= earlyMost; early++ {
+// Read reads the response to a request that was written. It blocks until the response is complete or fails with one of
+// the errors above.
+func (c *Conn) Read(limits Limits) (Response, error) {
+	c.remaining, c.deadline, c.responseDeadline, c.progress, c.timedOut = maxHeadBytes, limits.Deadline, time.Time{}, limits.Progress, false
+	for early := 0; early <= maxInterimResponses; early++ {
 		if _, err := c.br.Peek(1); err != nil {
-			return c.failed(ErrNoResponse, err)
+			return c.readError(ErrNoResponse, err)
 		}
-		if early == 0 && c.tooSoon() {
-			return c.failed(ErrUnsolicited, errors.New("it came before the request can have been read"))
+		if early == 0 && c.precedesRequest() {
+			return c.readError(ErrUnsolicited, errors.New("data was sent before the request can have arrived"))
 		}
-		if l.ResponseTimeout > 0 {
-			c.end = c.host.Now().Add(l.ResponseTimeout)
+		if limits.ResponseTimeout > 0 {
+			c.responseDeadline = c.host.Now().Add(limits.ResponseTimeout)
 		}
-		status := c.firstLine()
-		if status >= 100 && l.Progress != nil {
-			l.Progress.StatusLine(status)
+		status := c.peekStatus()
+		if status >= 100 && limits.Progress != nil {
+			limits.Progress.StatusLine(status)
 		}
 		if status < 100 || status == http.StatusSwitchingProtocols {
-			return c.failed(ErrInvalidResponse, errors.New("no first line of an answer"))
+			return c.readError(ErrInvalidResponse, errors.New("no status line"))
 		}
-		if head, ok := c.plainHead(); ok {
-			return c.plainRest(head, &l)
+		if head, ok := c.readPlainHead(); ok {
+			return c.readPlainBody(head, &limits)
 		}
 		res, err := http.ReadResponse(c.br, nil)
 		if err != nil {
-			return c.failed(ErrInvalidResponse, err)
+			return c.readError(ErrInvalidResponse, err)
 		}
 		if status >= 200 {
-			return c.rest(res, &l)
+			return c.readBody(res, &limits)
 		}
-		c.end = time.Time{} // the answer proper may take its time
+		c.responseDeadline = time.Time{} // the final response may take as long as the deadline allows
 	}
-	return c.failed(ErrInvalidResponse, errors.New("too many answers ahead"))
+	return c.readError(ErrInvalidResponse, errors.New("too many interim responses"))
 }
 
-// tooSoon tells that what has come was sent before the newest request can have been there.
-func (c *Conn) tooSoon() bool {
-	since := c.host.Now().Sub(c.wrote)
-	if !c.asked || since < c.trip {
-		c.trip, c.asked = host.MinRoundTrip(c.nc), true
+// precedesRequest reports whether data was sent before the latest request can have arrived at the peer.
+func (c *Conn) precedesRequest() bool {
+	since := c.host.Now().Sub(c.writeStarted)
+	if !c.roundTripKnown || since < c.minRoundTrip {
+		c.minRoundTrip, c.roundTripKnown = host.MinRoundTrip(c.nc), true
 	}
-	return since < c.trip // where it is not known nothing is too soon
+	return since < c.minRoundTrip // an unknown round trip time is 0: no data is too early
 }
 
-func (c *Conn) failed(kind, err error) (Response, error) {
+// readError wraps the cause of a failed read in the error kind that the caller checks for.
+func (c *Conn) readError(kind, err error) (Response, error) {
 	switch {
-	case c.late:
+	case c.timedOut:
 		return Response{}, ErrTimeout
-	case errors.Is(err, errLong):
+	case errors.Is(err, errTooLong):
 		kind = ErrInvalidResponse
 	}
 	return Response{}, fmt.Errorf("%w: %w", kind, err)
 }
 
-// rest reads what belongs to an answer behind its head.
-func (c *Conn) rest(res *http.Response, l *Limits) (Response, error) {
-	c.left = l.MaxBody + headMost // chunks have heads, too
-	if res.ContentLength > int64(l.MaxBody) {
-		return c.failed(ErrInvalidResponse, errLong)
+// readBody reads the body of a response whose head net/http has parsed.
+func (c *Conn) readBody(res *http.Response, limits *Limits) (Response, error) {
+	c.remaining = limits.MaxBody + maxHeadBytes // chunks have heads, too
+	if res.ContentLength > int64(limits.MaxBody) {
+		return c.readError(ErrInvalidResponse, errTooLong)
 	}
-	a := Response{Status: res.StatusCode, header: res.Header}
+	response := Response{Status: res.StatusCode, header: res.Header}
 	into := io.Discard
 	var body bytes.Buffer
-	if !l.DiscardBody {
+	if !limits.DiscardBody {
 		into = &body
 	}
-	n, err := io.Copy(into, io.LimitReader(res.Body, int64(l.MaxBody)+1))
+	n, err := io.Copy(into, io.LimitReader(res.Body, int64(limits.MaxBody)+1))
 	switch {
 	case err != nil:
-		return c.failed(ErrInvalidResponse, err)
-	case n > int64(l.MaxBody):
-		return c.failed(ErrInvalidResponse, errLong)
+		return c.readError(ErrInvalidResponse, err)
+	case n > int64(limits.MaxBody):
+		return c.readError(ErrInvalidResponse, errTooLong)
 	}
-	a.Body = body.Bytes()
-	a.ExtraData = c.br.Buffered() > 0
-	a.Reusable = !res.Close && !a.ExtraData
-	return a, nil
+	response.Body = body.Bytes()
+	response.ExtraData = c.br.Buffered() > 0
+	response.Reusable = !res.Close && !response.ExtraData
+	return response, nil
 }
 
-// plainRest is rest behind a plain head.
-func (c *Conn) plainRest(h plainHead, l *Limits) (Response, error) {
-	c.left = l.MaxBody + headMost
-	if h.length > l.MaxBody {
-		return c.failed(ErrInvalidResponse, errLong)
+// readPlainBody reads the body of a response whose head was parsed by readPlainHead.
+func (c *Conn) readPlainBody(head plainHead, limits *Limits) (Response, error) {
+	c.remaining = limits.MaxBody + maxHeadBytes
+	if head.length > limits.MaxBody {
+		return c.readError(ErrInvalidResponse, errTooLong)
 	}
-	a := Response{Status: h.status, plain: h.fields}
+	response := Response{Status: head.status, rawFields: head.fields}
 	var err error
-	if l.DiscardBody {
-		_, err = c.br.Discard(h.length)
+	if limits.DiscardBody {
+		_, err = c.br.Discard(head.length)
 	} else {
 		var body bytes.Buffer
-		body.Grow(min(h.length, growStep) + bytes.MinRead)
-		_, err = io.CopyN(&body, c.br, int64(h.length))
-		a.Body = body.Bytes()
+		body.Grow(min(head.length, maxInitialBodyBuffer) + bytes.MinRead)
+		_, err = io.CopyN(&body, c.br, int64(head.length))
+		response.Body = body.Bytes()
 	}
 	if err != nil {
-		return c.failed(ErrInvalidResponse, err)
+		return c.readError(ErrInvalidResponse, err)
 	}
-	a.ExtraData = c.br.Buffered() > 0
-	a.Reusable = !h.close && !a.ExtraData
-	return a, nil
+	response.ExtraData = c.br.Buffered() > 0
+	response.Reusable = !head.close && !response.ExtraData
+	return response, nil
 }
 
 var (
-	errLong = errors.New("the answer is too long")
-	errSlow = errors.New("the answer takes too long")
+	errTooLong = errors.New("response is too long")
+	errTooSlow = errors.New("response takes too long")
 )
 
-// source is where the buffer reads from: it bounds the bytes, and turns the two time limits into deadlines.
-type source Conn
+// limitedReader is the source of Conn's buffer. It limits the number of bytes and applies both time limits as read
+// deadlines.
+type limitedReader Conn
 
-func (s *source) Read(b []byte) (int, error) {
-	if s.left <= 0 {
-		return 0, errLong
+func (s *limitedReader) Read(b []byte) (int, error) {
+	if s.remaining <= 0 {
+		return 0, errTooLong
 	}
-	for !s.late {
-		deadline, ends := s.until, false
-		if !s.end.IsZero() && (deadline.IsZero() || s.end.Before(deadline)) {
-			deadline, ends = s.end, true
+	for !s.timedOut {
+		deadline, ends := s.deadline, false
+		if !s.responseDeadline.IsZero() && (deadline.IsZero() || s.responseDeadline.Before(deadline)) {
+			deadline, ends = s.responseDeadline, true
 		}
 		if err := s.nc.SetReadDeadline(deadline); err != nil {
 			return 0, err
 		}
-		n, err := s.nc.Read(b[:min(len(b), s.left)])
-		s.left -= n
+		n, err := s.nc.Read(b[:min(len(b), s.remaining)])
+		s.remaining -= n
 		switch {
 		case n > 0 || !errors.Is(err, os.ErrDeadlineExceeded):
 			return n, err
 		case ends:
-			return 0, errSlow
+			return 0, errTooSlow
 		}
-		if s.until = (time.Time{}); s.progress != nil {
-			s.until = s.progress.DeadlineReached()
+		if s.deadline = (time.Time{}); s.progress != nil {
+			s.deadline = s.progress.DeadlineReached()
 		}
-		s.late = s.until.IsZero()
+		s.timedOut = s.deadline.IsZero()
 	}
 	return 0, os.ErrDeadlineExceeded
 }
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -7,8 +7,9 @@
 	"strings"
 )
 
-// firstLine returns the status in the line that comes next, which stays unread, or 0 as soon as it can't be one.
-func (c *Conn) firstLine() int {
+// peekStatus returns the status code of the next status line without consuming it. It returns 0 as soon as the data can't
+// be a status line.
+func (c *Conn) peekStatus() int {
 	const proto = "HTTP/1."
 	for n := 1; ; n++ {
 		if _, err := c.br.Peek(n); err != nil {
@@ -26,15 +27,15 @@
 		field := 0
 		for f := range bytes.FieldsSeq(b[:end]) {
 			if field++; field == 2 {
-				return threeDigits(f)
+				return parseStatusCode(f)
 			}
 		}
 		return 0
 	}
 }
 
-// threeDigits reads a status, or 0.
-func threeDigits(b []byte) (n int) {
+// parseStatusCode returns the value of a three-digit status code, or 0 for anything else.
+func parseStatusCode(b []byte) (n int) {
 	if len(b) != 3 {
 		return 0
 	}
@@ -47,12 +48,12 @@
 	return n
 }
 
-// plainLines reads a head by hand if take takes each of its lines, and returns its fields, which saves most of what
-// net/http allocates. Lines are numbered from 0, come without their ends, and an empty one is the last. Where take returns
-// false, and with lines that end in other ways or a head that the buffer does not hold, nothing is taken from br, and
-// net/http is to read it.
-func plainLines(br *bufio.Reader, take func(n int, line []byte) bool) (fields string, ok bool) {
-	begin := 0 // of the fields
+// readPlainLines reads a head if acceptLine accepts each of its lines, and returns its fields. This avoids most of the
+// allocations of net/http. Lines are numbered from 0 and passed without their line ends. The last line is empty. If
+// acceptLine returns false, a line does not end in CRLF, or the buffer can't hold the head, nothing is consumed from br
+// and net/http has to read the head.
+func readPlainLines(br *bufio.Reader, acceptLine func(n int, line []byte) bool) (fields string, ok bool) {
+	begin := 0 // offset of the first field
 	for n, at := 0, 0; ; {
 		b, err := br.Peek(br.Buffered())
 		if err != nil {
@@ -66,7 +67,7 @@
 			continue
 		}
 		line, found := bytes.CutSuffix(b[at:at+i], []byte{'\r'})
-		if !found || !take(n, line) {
+		if !found || !acceptLine(n, line) {
 			return "", false
 		}
 		if n == 0 {
@@ -80,8 +81,9 @@
 	}
 }
 
-// plainField splits a field of the common kind: a name of letters, digits and dashes, a value of printable ASCII.
-func plainField(line []byte) (name, value []byte, ok bool) {
+// parsePlainField splits a field of the common kind: the name has only letters, digits, dashes and underscores, and the
+// value only printable ASCII and tabs.
+func parsePlainField(line []byte) (name, value []byte, ok bool) {
 	colon := bytes.IndexByte(line, ':')
 	if colon <= 0 || !printable(line[colon+1:]) {
 		return nil, nil, false
@@ -95,18 +97,18 @@
 	return name, value, true
 }
 
-// framing is what the fields of a plain head say of the body's length and of the connection.
+// framing holds what the fields of a plain head say about the length of the body and the connection.
 type framing struct {
 	length int // -1: not stated
 	close  bool
 }
 
-// take takes one field, and returns false for one that may change how the body is to be read.
-func (f *framing) take(name, value []byte) bool {
+// addField applies one field. It returns false for a field that may change how the body has to be read.
+func (f *framing) addField(name, value []byte) bool {
 	switch {
-	case is(name, "transfer-encoding"), is(name, "trailer"):
+	case equalLower(name, "transfer-encoding"), equalLower(name, "trailer"):
 		return false
-	case is(name, "content-length"):
+	case equalLower(name, "content-length"):
 		if f.length >= 0 || len(value) == 0 || len(value) > 9 {
 			return false
 		}
@@ -117,45 +119,46 @@
 			}
 			f.length = 10*f.length + int(d-'0')
 		}
-	case is(name, "connection"):
-		if f.close = f.close || is(value, "close"); !is(value, "close") && !is(value, "keep-alive") {
+	case equalLower(name, "connection"):
+		if f.close = f.close || equalLower(value, "close"); !equalLower(value, "close") && !equalLower(value, "keep-alive") {
 			return false
 		}
 	}
 	return true
 }
 
-// plainHead is a head as endpoints usually send it: HTTP/1.1, and a body with one stated length.
+// plainHead is a head as endpoints usually send it: HTTP/1.1 and a body with exactly one stated length.
 type plainHead struct {
 	framing
 	status int
 	fields string
 }
 
-// plainHead reads a head by hand if it is one of the common kind. For any other it takes nothing from the connection,
-// and net/http reads it.
-func (c *Conn) plainHead() (h plainHead, ok bool) {
+// readPlainHead parses a head of the common kind without net/http. It consumes nothing of any other head, which net/http
+// then reads.
+func (c *Conn) readPlainHead() (h plainHead, ok bool) {
 	h.length = -1
-	h.fields, ok = plainLines(c.br, func(n int, line []byte) bool {
+	h.fields, ok = readPlainLines(c.br, func(n int, line []byte) bool {
 		switch {
 		case n == 0:
-			return h.firstLine(line)
+			return h.parseStatusLine(line)
 		case len(line) == 0:
 			return h.length >= 0
 		}
-		name, value, ok := plainField(line)
-		return ok && h.take(name, value)
+		name, value, ok := parsePlainField(line)
+		return ok && h.addField(name, value)
 	})
 	return h, ok
 }
 
-func (h *plainHead) firstLine(line []byte) bool {
+// parseStatusLine parses the status line and returns false if net/http has to read the head.
+func (h *plainHead) parseStatusLine(line []byte) bool {
 	const proto = "HTTP/1.1 "
 	if len(line) < len(proto)+3 || string(line[:len(proto)]) != proto {
 		return false
 	}
 	reason := line[len(proto)+3:]
-	h.status = threeDigits(line[len(proto) : len(proto)+3])
+	h.status = parseStatusCode(line[len(proto) : len(proto)+3])
 	return h.status >= 200 && h.status != http.StatusNoContent && h.status != http.StatusNotModified &&
 		(len(reason) == 0 || reason[0] == ' ') && printable(reason)
 }
@@ -169,8 +172,8 @@
 	return true
 }
 
-// is compares with a name in small letters, whatever the case of b.
-func is(b []byte, small string) bool {
+// equalLower reports whether b equals a lower-case name, ignoring the case of b.
+func equalLower(b []byte, small string) bool {
 	if len(b) != len(small) {
 		return false
 	}
@@ -185,16 +188,16 @@
 	return true
 }
 
-// Get returns the first value of a header field, "" if there is none. The case of the name does not matter.
+// Get returns the first value of a header field, or "" if there is none. The name is not case-sensitive.
 func (a *Response) Get(name string) string {
 	if a.header != nil {
 		return a.header.Get(name)
 	}
-	return plainValue(a.plain, name)
+	return rawFieldValue(a.rawFields, name)
 }
 
-// plainValue is the first value of a field of a plain head.
-func plainValue(fields, name string) string {
+// rawFieldValue returns the first value of a field of a plain head.
+func rawFieldValue(fields, name string) string {
 	for line := range strings.SplitSeq(fields, "\r\n") {
 		if len(line) > len(name) && line[len(name)] == ':' && strings.EqualFold(line[:len(name)], name) {
 			return strings.Trim(line[len(name)+1:], " \t")
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -15,7 +15,7 @@
 	"curlewmux/internal/host"
 )
 
-const generous = 20 * time.Second // what a test waits for at most
+const testTimeout = 20 * time.Second // what a test waits for at most
 
 func must(t *testing.T, err error) {
 	t.Helper()
@@ -24,8 +24,8 @@
 	}
 }
 
-// pair is a connection and its far end.
-func pair(t *testing.T) (*Conn, net.Conn) {
+// newConnPair is a connection and its far end.
+func newConnPair(t *testing.T) (*Conn, net.Conn) {
 	t.Helper()
 	h := host.System{}
 	l, err := h.Listen("127.0.0.1:0")
@@ -39,18 +39,18 @@
 	return NewConn(h, nc), far
 }
 
-func usual() Limits {
-	return Limits{Deadline: time.Now().Add(generous), ResponseTimeout: generous, MaxBody: 1000}
+func defaultLimits() Limits {
+	return Limits{Deadline: time.Now().Add(testTimeout), ResponseTimeout: testTimeout, MaxBody: 1000}
 }
 
-// told keeps what Progress is told.
-type told struct {
-	lines []int
-	late  func() time.Time
+// recordedProgress keeps what Progress is told.
+type recordedProgress struct {
+	statuses   []int
+	onDeadline func() time.Time
 }
 
-func (p *told) StatusLine(status int)      { p.lines = append(p.lines, status) }
-func (p *told) DeadlineReached() time.Time { return p.late() }
+func (p *recordedProgress) StatusLine(status int)      { p.statuses = append(p.statuses, status) }
+func (p *recordedProgress) DeadlineReached() time.Time { return p.onDeadline() }
 
 func TestARequestIsReadAsItWasMeant(t *testing.T) {
 	t.Parallel()
@@ -70,7 +70,7 @@
 
 func TestAnswersAreReadOneAfterTheOther(t *testing.T) {
 	t.Parallel()
-	c, far := pair(t)
+	c, far := newConnPair(t)
 	for _, a := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-a: 1\r\nx-A: 2\r\n\r\nbody",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX-A: 1\r\n\r\n4\r\nbody\r\n0\r\n\r\n",
@@ -79,13 +79,13 @@
 	} {
 		_, err := io.WriteString(far, a)
 		must(t, err)
-		got, err := c.Read(usual())
+		got, err := c.Read(defaultLimits())
 		if err != nil || got.Status != 200 || string(got.Body) != "body" || got.Get("x-a") != "1" || got.Get("X-B") != "" || !got.Reusable {
 			t.Errorf("%q: %+v, %v", a, got, err)
 		}
-		must(t, c.Write([]byte("more"), time.Now().Add(generous)))
+		must(t, c.Write([]byte("more"), time.Now().Add(testTimeout)))
 	}
-	l := usual()
+	l := defaultLimits()
 	l.DiscardBody = true
 	_, err := io.WriteString(far, "HTTP/1.1 204 No Content\r\n\r\n")
 	must(t, err)
@@ -103,11 +103,11 @@
 		"HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\nx",
 		"HTTP/1.1 200 OK\r\n\r\nx",
 	} {
-		c, far := pair(t)
+		c, far := newConnPair(t)
 		_, err := io.WriteString(far, a)
 		must(t, err)
 		must(t, far.Close())
-		if got, err := c.Read(usual()); err != nil || got.Reusable || string(got.Body) != "x" {
+		if got, err := c.Read(defaultLimits()); err != nil || got.Reusable || string(got.Body) != "x" {
 			t.Errorf("%q: %+v, %v", a, got, err)
 		}
 	}
@@ -128,12 +128,12 @@
 		strings.Repeat("HTTP/1.1 100 x\r\n\r\n", 9) + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n": ErrInvalidResponse,
 		"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: aaaaaaaa\r\n", 32<<10/15+1) + "\r\n":            ErrInvalidResponse,
 	} {
-		c, far := pair(t)
+		c, far := newConnPair(t)
 		go func() {
 			io.WriteString(far, a)
 			far.(*net.TCPConn).CloseWrite()
 		}()
-		if got, err := c.Read(usual()); !errors.Is(err, want) || got.Status != 0 {
+		if got, err := c.Read(defaultLimits()); !errors.Is(err, want) || got.Status != 0 {
 			t.Errorf("%.80q: %+v, %v, want %v", a, got, err, want)
 		}
 	}
@@ -141,48 +141,48 @@
 
 func TestAnAnswerThatBeganMustEndWithinItsSpan(t *testing.T) {
 	t.Parallel()
-	c, far := pair(t)
+	c, far := newConnPair(t)
 	_, err := io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Le")
 	must(t, err)
-	p := &told{}
-	l := usual()
+	p := &recordedProgress{}
+	l := defaultLimits()
 	l.ResponseTimeout, l.Progress = 20*time.Millisecond, p
-	if _, err := c.Read(l); !errors.Is(err, ErrInvalidResponse) || fmt.Sprint(p.lines) != "[200]" {
-		t.Errorf("%v, told %v", err, p.lines)
+	if _, err := c.Read(l); !errors.Is(err, ErrInvalidResponse) || fmt.Sprint(p.statuses) != "[200]" {
+		t.Errorf("%v, told %v", err, p.statuses)
 	}
 }
 
 func TestLateIsAskedUntilItGivesUp(t *testing.T) {
 	t.Parallel()
 	for _, begun := range []string{"", "HTTP/1.1 50"} {
-		c, far := pair(t)
+		c, far := newConnPair(t)
 		_, err := io.WriteString(far, begun)
 		must(t, err)
 		asked := 0
-		p := &told{late: func() time.Time {
+		p := &recordedProgress{onDeadline: func() time.Time {
 			if asked++; asked == 3 {
 				return time.Time{}
 			}
 			return time.Now().Add(time.Millisecond)
 		}}
-		l := usual()
+		l := defaultLimits()
 		l.Deadline, l.Progress = time.Now().Add(time.Millisecond), p
 		if _, err := c.Read(l); !errors.Is(err, ErrTimeout) || asked != 3 {
 			t.Errorf("begun %q: %v, asked %d times", begun, err, asked)
 		}
 	}
 	// Nobody to ask: the time is up.
-	c, _ := pair(t)
-	l := usual()
+	c, _ := newConnPair(t)
+	l := defaultLimits()
 	l.Deadline = time.Now().Add(time.Millisecond)
 	if _, err := c.Read(l); !errors.Is(err, ErrTimeout) {
 		t.Errorf("without Progress: %v", err)
 	}
 	// What comes while Late waits on is read whole.
-	c, far := pair(t)
-	p := &told{late: func() time.Time {
+	c, far := newConnPair(t)
+	p := &recordedProgress{onDeadline: func() time.Time {
 		io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-		return time.Now().Add(generous)
+		return time.Now().Add(testTimeout)
 	}}
 	l.Deadline, l.Progress = time.Now().Add(time.Millisecond), p
 	if a, err := c.Read(l); err != nil || a.Status != 200 {
@@ -192,7 +192,7 @@
 
 func TestCloseEndsARead(t *testing.T) {
 	t.Parallel()
-	c, _ := pair(t)
+	c, _ := newConnPair(t)
 	back := make(chan error)
 	go func() {
 		_, err := c.Read(Limits{})
@@ -204,14 +204,14 @@
 	}
 }
 
-// text is a connection on which a text comes, and then its end.
-type text struct {
+// textConn is a connection on which a text comes, and then its end.
+type textConn struct {
 	net.Conn
 	r io.Reader
 }
 
-func (c text) Read(b []byte) (int, error)    { return c.r.Read(b) }
-func (text) SetReadDeadline(time.Time) error { return nil }
+func (c textConn) Read(b []byte) (int, error)    { return c.r.Read(b) }
+func (textConn) SetReadDeadline(time.Time) error { return nil }
 
 var answers = []string{
 	"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 429 x\r\nRetry-After: 1\r\nContent-Length: 0\r\nconnection: CLOSE\r\n\r\n",
@@ -227,8 +227,8 @@
 		f.Add([]byte(a), true)
 	}
 	f.Fuzz(func(t *testing.T, b []byte, discard bool) {
-		p := &told{}
-		c := NewConn(host.System{}, text{r: bytes.NewReader(b)})
+		p := &recordedProgress{}
+		c := NewConn(host.System{}, textConn{r: bytes.NewReader(b)})
 		a, err := c.Read(Limits{MaxBody: 100, DiscardBody: discard, Progress: p})
 		switch {
 		case err != nil && !errors.Is(err, ErrNoResponse) && !errors.Is(err, ErrInvalidResponse):
@@ -237,12 +237,12 @@
 			t.Errorf("believed of no answer: %+v", a)
 		case len(a.Body) > 100 || discard && a.Body != nil:
 			t.Errorf("kept %d bytes", len(a.Body))
-		case err == nil && (len(p.lines) == 0 || p.lines[len(p.lines)-1] != a.Status || len(p.lines) > earlyMost+1):
-			t.Errorf("told %v of %d", p.lines, a.Status)
+		case err == nil && (len(p.statuses) == 0 || p.statuses[len(p.statuses)-1] != a.Status || len(p.statuses) > maxInterimResponses+1):
+			t.Errorf("told %v of %d", p.statuses, a.Status)
 		}
-		c = NewConn(host.System{}, text{r: bytes.NewReader(b)})
-		c.left = headMost
-		h, ok := c.plainHead()
+		c = NewConn(host.System{}, textConn{r: bytes.NewReader(b)})
+		c.remaining = maxHeadBytes
+		h, ok := c.readPlainHead()
 		if !ok {
 			return
 		}
@@ -250,7 +250,7 @@
 		if err != nil {
 			t.Fatalf("by hand %+v, by net/http %v", h, err)
 		}
-		hand := Response{plain: h.fields}
+		hand := Response{rawFields: h.fields}
 		if res.StatusCode != h.status || res.ContentLength != int64(h.length) || res.Close != h.close || len(res.TransferEncoding) > 0 {
 			t.Errorf("by hand %+v, by net/http %+v", h, res)
 		}
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -7,73 +7,74 @@
 	"strings"
 )
 
-// Request is the head of a request that was read.
+// Request is the parsed head of a request.
 type Request struct {
 	Method   string
-	Path     string // of the target, decoded
-	Length   int64  // bytes of the body that follow, -1: it has a transfer coding
-	Close    bool   // the connection ends with the answer: the client asks for it, or speaks HTTP/1.0
-	Continue bool   // the client waits for 100 before it sends the body (RFC 9110, 10.1.1)
+	Path     string // of the request target, decoded
+	Length   int64  // bytes of the body that follows; -1: it has a transfer coding
+	Close    bool   // the connection ends with the response: the client asked for that or speaks HTTP/1.0
+	Continue bool   // the client waits for status 100 before it sends the body (RFC 9110, 10.1.1)
 
-	plain  string      // the head's fields, if they were read by hand,
-	header http.Header // else here
+	rawFields string      // fields of a head that was parsed here; unused if header is set
+	header    http.Header // fields of a head that net/http parsed
 }
 
-// Get returns the first value of a header field, "" if there is none. The case of the name does not matter.
+// Get returns the first value of a header field, or "" if there is none. The name is not case-sensitive.
 func (r *Request) Get(name string) string {
 	if r.header != nil {
 		return r.header.Get(name)
 	}
-	return plainValue(r.plain, name)
+	return rawFieldValue(r.rawFields, name)
 }
 
-// RequestError says that what came is no request that can be answered otherwise than with Status. Nothing behind it can
-// be trusted.
+// RequestError reports an invalid or unsupported request, to be answered with Status. Data after it on the connection
+// can't be trusted.
 type RequestError struct {
 	Status int    // 400, 417, 501 or 505
-	Reason string // at most some hundred bytes
+	Reason string // at most a few hundred bytes
 }
 
 func (e *RequestError) Error() string { return e.Reason }
 
-const whyMost = 200 // bytes of a parser's own words that are passed on, which may hold the client's
+const maxReasonBytes = 200 // limit for the text of a net/http error, which may quote the client
 
-// ReadRequest reads the head of a request; the body, if there is one, comes next from br. It reads as far as it needs to,
-// and blocks as br's reader does; the bounds of size and time are that reader's. Any error is a *RequestError, also where
-// br's reader failed: whoever calls looks at that first.
+// ReadRequest reads the head of a request. The body, if there is one, comes next from br. It reads no further than it has
+// to and blocks as br's reader does. Limits of size and time are up to that reader. Every error is a *RequestError, also
+// if br's reader failed: the caller has to check the reader's own error first.
 func ReadRequest(br *bufio.Reader) (Request, error) {
-	if r, ok := plainRequest(br); ok {
+	if r, ok := readPlainRequest(br); ok {
 		return r, nil
 	}
-	return anyRequest(br)
+	return readAnyRequest(br)
 }
 
-// plainRequest reads the head by hand if it is one of the common kind: a POST of HTTP/1.1 to a path without escapes, one
-// host, a body with a stated length or none. For any other it takes nothing from br.
-func plainRequest(br *bufio.Reader) (r Request, ok bool) {
+// readPlainRequest parses a head of the common kind without net/http: an HTTP/1.1 POST to a path without escapes, with one
+// Host field and a body of stated length or none. It consumes nothing of any other head.
+func readPlainRequest(br *bufio.Reader) (r Request, ok bool) {
 	f, hosts := framing{length: -1}, 0
-	r.plain, ok = plainLines(br, func(n int, line []byte) bool {
+	r.rawFields, ok = readPlainLines(br, func(n int, line []byte) bool {
 		switch {
 		case n == 0:
-			return r.plainLine(line)
+			return r.parseRequestLine(line)
 		case len(line) == 0:
 			return hosts == 1
 		}
-		name, value, ok := plainField(line)
+		name, value, ok := parsePlainField(line)
 		switch {
-		case !ok || is(name, "expect"):
+		case !ok || equalLower(name, "expect"):
 			return false
-		case is(name, "host"):
+		case equalLower(name, "host"):
 			hosts++
 			return len(value) > 0 && validHost(value)
 		}
-		return f.take(name, value)
+		return f.addField(name, value)
 	})
 	r.Length, r.Close = int64(max(f.length, 0)), f.close
 	return r, ok
 }
 
-func (r *Request) plainLine(line []byte) bool {
+// parseRequestLine parses the request line and returns false if net/http has to read the head.
+func (r *Request) parseRequestLine(line []byte) bool {
 	const method, proto = "POST ", " HTTP/1.1"
 	if len(line) <= len(method)+len(proto) || string(line[:len(method)]) != method ||
 		string(line[len(line)-len(proto):]) != proto {
@@ -89,17 +90,17 @@
 	return path[0] == '/'
 }
 
-// anyRequest has net/http read the head and adds what its server checks beyond that.
-func anyRequest(br *bufio.Reader) (Request, error) {
+// readAnyRequest reads the head with net/http and adds the checks that the server of net/http makes on top.
+func readAnyRequest(br *bufio.Reader) (Request, error) {
 	q, err := http.ReadRequest(br)
 	if err != nil {
 		why := err.Error()
-		if len(why) > whyMost {
-			why = why[:whyMost]
+		if len(why) > maxReasonBytes {
+			why = why[:maxReasonBytes]
 		}
 		status := http.StatusBadRequest
 		if strings.HasPrefix(why, "unsupported transfer encoding") || strings.HasPrefix(why, "too many transfer encodings") {
-			status = http.StatusNotImplemented // net/http's type for it is its own
+			status = http.StatusNotImplemented // the error type of net/http for this is not exported
 		}
 		return Request{}, &RequestError{status, "request: " + why}
 	}
@@ -110,7 +111,7 @@
 		return Request{}, &RequestError{http.StatusBadRequest, "Host: missing or malformed"}
 	}
 	for name := range q.Header {
-		if strings.Contains(name, " ") { // one ahead of the colon, which others may overlook
+		if strings.Contains(name, " ") { // a space before the colon, which other parsers may ignore
 			return Request{}, &RequestError{http.StatusBadRequest, "request: a space in the name of a field"}
 		}
 	}
@@ -126,7 +127,7 @@
 	return r, nil
 }
 
-// validHost tells whether all bytes of a Host field may stand there (RFC 3986, 3.2.2 and 3.2.3).
+// validHost reports whether a Host field has only allowed characters (RFC 3986, 3.2.2 and 3.2.3).
 func validHost[T string | []byte](host T) bool {
 	for i := range len(host) {
 		b := host[i]
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -16,17 +16,17 @@
 	t.Parallel()
 	for text, plain := range map[string]bool{
 		plainHeadText: true,
-		strings.Replace(plainHeadText, "Content-Length: 3\r\n", "Connection: Close\r\n", 1):            true,
-		strings.Replace(plainHeadText, "/free/x", "/two%20words", 1):                                   false,
-		strings.Replace(plainHeadText, "X-Id:", "Expect: 100-continue\r\nX-Id:", 1):                    false,
-		strings.Replace(plainHeadText, "\r\n", "\n", -1):                                               false,
-		strings.Replace(plainHeadText, "X-Id:", "X-A: "+strings.Repeat("a", 2*bufferSize)+"\r\nX:", 1): false,
+		strings.Replace(plainHeadText, "Content-Length: 3\r\n", "Connection: Close\r\n", 1):                true,
+		strings.Replace(plainHeadText, "/free/x", "/two%20words", 1):                                       false,
+		strings.Replace(plainHeadText, "X-Id:", "Expect: 100-continue\r\nX-Id:", 1):                        false,
+		strings.Replace(plainHeadText, "\r\n", "\n", -1):                                                   false,
+		strings.Replace(plainHeadText, "X-Id:", "X-A: "+strings.Repeat("a", 2*readBufferSize)+"\r\nX:", 1): false,
 	} {
-		br := bufio.NewReaderSize(strings.NewReader(text+"abc"), bufferSize)
-		r, ok := plainRequest(br)
+		br := bufio.NewReaderSize(strings.NewReader(text+"abc"), readBufferSize)
+		r, ok := readPlainRequest(br)
 		if !ok {
 			var err error
-			if r, err = anyRequest(br); err != nil {
+			if r, err = readAnyRequest(br); err != nil {
 				t.Errorf("%.60q: %v", text, err)
 			}
 		}
@@ -64,7 +64,7 @@
 	} {
 		_, err := ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		bad, ok := errors.AsType[*RequestError](err)
-		if !ok || bad.Status != want || bad.Reason == "" || len(bad.Reason) > 2*whyMost {
+		if !ok || bad.Status != want || bad.Reason == "" || len(bad.Reason) > 2*maxReasonBytes {
 			t.Errorf("%.80q: %v, want %d", text, err, want)
 		}
 	}
@@ -84,10 +84,10 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		reader := func() *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(string(b)), bufferSize) }
+		reader := func() *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(string(b)), readBufferSize) }
 		br, other := reader(), reader()
-		hand, plain := plainRequest(br)
-		any, err := anyRequest(other)
+		hand, plain := readPlainRequest(br)
+		any, err := readAnyRequest(other)
 		if err == nil && (any.Length < -1 || any.Method == "" || any.Continue && any.Length == 0) {
 			t.Errorf("%+v", any)
 		}
--- a/internal/transport/http/answer.go
+++ b/internal/transport/http/answer.go
@@ -14,40 +14,41 @@
 	"curlewmux/internal/http1"
 )
 
-// answered turns an answer into the outcomes of the items left.
-func (k *call) answered(a *http1.Response) {
-	o := engine.Outcome{
-		RetryAfter: retryAfter(a.Get("Retry-After")), LoadReport: loadReport(a.Get("Endpoint-Load-Metrics"), k.t.set.ReportFields),
+// handleResponse derives the outcomes of the pending items from a response.
+func (k *call) handleResponse(response *http1.Response) {
+	outcome := engine.Outcome{
+		RetryAfter: retryAfter(response.Get("Retry-After")), LoadReport: loadReport(response.Get("Endpoint-Load-Metrics"), k.t.settings.ReportFields),
 	}
 	switch {
-	case a.Status == http.StatusOK && k.batch:
-		k.states(a.Body, o)
+	case response.Status == http.StatusOK && k.batch:
+		k.handleBatchStates(response.Body, outcome)
 		return
-	case a.Status == http.StatusOK:
-		o.Result = control.OK
-	case a.Status == http.StatusTooManyRequests:
-		o.Result = control.Refused
-	case a.Status == http.StatusServiceUnavailable:
-		if o.Result = control.Refused; a.Get("Slots-Taken") == "1" {
-			o.Result = control.Moot
+	case response.Status == http.StatusOK:
+		outcome.Result = control.OK
+	case response.Status == http.StatusTooManyRequests:
+		outcome.Result = control.Refused
+	case response.Status == http.StatusServiceUnavailable:
+		if outcome.Result = control.Refused; response.Get("Slots-Taken") == "1" {
+			outcome.Result = control.Moot
 		}
-	case a.Status == http.StatusGatewayTimeout: // spent: its end is still owed
-		o.Result = control.Moot
-	case a.Status == http.StatusGone:
-		o.Result, o.Closed = control.Moot, true
-	case k.batch && (a.Status == http.StatusBadRequest || a.Status == http.StatusRequestEntityTooLarge):
-		o.Result = control.Moot // none has run
+	case response.Status == http.StatusGatewayTimeout: // the message expired; its result is still pending
+		outcome.Result = control.Moot
+	case response.Status == http.StatusGone:
+		outcome.Result, outcome.Closed = control.Moot, true
+	case k.batch && (response.Status == http.StatusBadRequest || response.Status == http.StatusRequestEntityTooLarge):
+		outcome.Result = control.Moot // none of the items has run
 	default:
-		o.Result = control.Errored // it may have run
+		outcome.Result = control.Errored // it may have run
 	}
-	for i := range k.left {
-		k.add(i, o)
+	for i := range k.pending {
+		k.addOutcome(i, outcome)
 	}
-	k.tell()
+	k.notify()
 }
 
-// states reads the states in an answer to several messages; one that is not told may have run.
-func (k *call) states(body []byte, o engine.Outcome) {
+// handleBatchStates reads the state of each item from the response to a batch. An item without a known state may have
+// run.
+func (k *call) handleBatchStates(body []byte, common engine.Outcome) {
 	var list []struct{ ID, State string }
 	states := map[string]string{}
 	if json.Unmarshal(body, &list) == nil {
@@ -55,44 +56,46 @@
 			states[l.ID] = l.State
 		}
 	}
-	for i := range k.left {
-		one := o
+	for i := range k.pending {
+		outcome := common
 		switch states[k.Items[i].ID] {
 		case "delivered":
-			one.Result = control.OK
+			outcome.Result = control.OK
 		case "refused":
-			one.Result = control.Refused
+			outcome.Result = control.Refused
 		case "over":
-			one.Result, one.Closed = control.Moot, true
+			outcome.Result, outcome.Closed = control.Moot, true
 		case "spent":
-			one.Result = control.Moot
+			outcome.Result = control.Moot
 		default:
-			one.Result = control.Errored
+			outcome.Result = control.Errored
 		}
-		k.add(i, one)
+		k.addOutcome(i, outcome)
 	}
-	k.tell()
+	k.notify()
 }
 
-// retryAfter reads a told wait: seconds, with decimals. One that can't be read, or is over 11 days, is none.
+// retryAfter parses a Retry-After value: seconds, with decimals. It returns 0 for a value that is invalid or longer than
+// 11 days.
 func retryAfter(text string) time.Duration {
 	if text == "" {
 		return 0
 	}
-	s, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(s > 0 && s < 1e6) {
+	seconds, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(seconds > 0 && seconds < 1e6) {
 		return 0
 	}
-	return time.Duration(s * float64(time.Second))
+	return time.Duration(seconds * float64(time.Second))
 }
 
-// loadReport reads the report that an answer may carry: TEXT x0=0.4, x1=25. One that can't be read whole is none.
+// loadReport parses the load report of a response, such as "TEXT x0=0.4, x1=25". It returns nil unless the whole report is
+// valid.
 func loadReport(text string, names []string) []float32 {
 	text, ok := strings.CutPrefix(text, "TEXT ")
 	if !ok || len(names) == 0 {
 		return nil
 	}
-	out := make([]float32, len(names))
+	report := make([]float32, len(names))
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		v, err := strconv.ParseFloat(value, 32)
@@ -100,8 +103,8 @@
 			return nil
 		}
 		if i := slices.Index(names, name); i >= 0 {
-			out[i] = float32(v)
+			report[i] = float32(v)
 		}
 	}
-	return out
+	return report
 }
--- a/internal/transport/http/bench_test.go
+++ b/internal/transport/http/bench_test.go
@@ -11,12 +11,12 @@
 	"curlewmux/internal/host"
 )
 
-// one is the owner of one call at a time.
-type one struct{ done chan control.Result }
+// singleCallEvents is the owner of one call at a time.
+type singleCallEvents struct{ done chan control.Result }
 
-func (o *one) MayWrite(engine.CallID) []bool                { return []bool{true} }
-func (o *one) FirstLine(engine.CallID)                      {}
-func (o *one) Ended(_ engine.CallID, outs []engine.Outcome) { o.done <- outs[0].Result }
+func (o *singleCallEvents) MayWrite(engine.CallID) []bool                { return []bool{true} }
+func (o *singleCallEvents) FirstLine(engine.CallID)                      {}
+func (o *singleCallEvents) Ended(_ engine.CallID, outs []engine.Outcome) { o.done <- outs[0].Result }
 
 // BenchmarkCall is one call after the other over an idle connection on loopback, to an endpoint that allocates nothing.
 func BenchmarkCall(b *testing.B) {
@@ -45,8 +45,8 @@
 	}()
 	clock := engine.Clock{Start: time.Now()}
 	t := New(host.System{}, clock, Settings{ConnectTimeout: time.Second, EndpointIdleTimeout: 5 * time.Second, MaxIdle: 8})
-	defer t.Close(generous)
-	o := &one{make(chan control.Result)}
+	defer t.Close(testTimeout)
+	o := &singleCallEvents{make(chan control.Result)}
 	items := []engine.Item{{ID: "9b1f03aa5c7e2d41", Key: "k-a", Body: []byte("body a"), Deadline: clock.At(time.Now().Add(time.Hour))}}
 	addr, id := l.Addr().String(), engine.CallID(0)
 	b.ReportAllocs()
--- a/internal/transport/http/call.go
+++ b/internal/transport/http/call.go
@@ -15,93 +15,93 @@
 )
 
 const (
-	answerSpan = 400 * time.Millisecond // an answer that has begun must end within this
-	answerBody = 64 << 10               // what the protocol lets a body hold
+	responseTimeout = 400 * time.Millisecond // a response that has begun must be complete within this time
+	maxBody         = 64 << 10               // largest body that the protocol allows, in bytes
 )
 
-// call is one call out. But for abort, only its goroutine uses it.
+// call is one call in progress. Only its own goroutine uses it, except for abort.
 type call struct {
 	*engine.Call
-	t     *Transport
-	on    engine.CallEvents
-	peer  *peer
-	abort host.Abort
-	turn  host.Inbox // where it waits for its turn to dial; nil: it never did
+	t        *Transport
+	events   engine.CallEvents
+	peer     *peer
+	abort    host.Abort
+	dialTurn host.Inbox // receives its turn to dial; nil if it never had to wait for one
 
-	left  []bool           // items without an outcome
-	open  int              // their number
-	outs  []engine.Outcome // of the others, in the order in which they were told
-	told  int              // how many of them were
-	batch bool             // written with several items
-	line  engine.Time      // when the first line came that says of the only item that it is delivered
+	pending      []bool           // by item: it has no outcome yet
+	pendingCount int              // number of pending items
+	outcomes     []engine.Outcome // of the other items, in the order in which they ended
+	notified     int              // number of outcomes that were passed to events
+	batch        bool             // the request holds several items
+	deliveredAt  engine.Time      // when a status line with 200 arrived for a request with one item; 0: none has
 
-	oneLeft [1]bool // room for the usual call
-	oneOut  [1]engine.Outcome
+	singlePending [1]bool           // backs pending for the usual call with one item, without an allocation
+	singleOutcome [1]engine.Outcome // backs outcomes likewise
 }
 
-func newCall(t *Transport, c *engine.Call, on engine.CallEvents) *call {
-	k := &call{Call: c, t: t, on: on, open: len(c.Items)}
-	k.left, k.outs = k.oneLeft[:], k.oneOut[:0]
+func newCall(t *Transport, c *engine.Call, events engine.CallEvents) *call {
+	k := &call{Call: c, t: t, events: events, pendingCount: len(c.Items)}
+	k.pending, k.outcomes = k.singlePending[:], k.singleOutcome[:0]
 	if len(c.Items) != 1 {
-		k.left, k.outs = make([]bool, len(c.Items)), make([]engine.Outcome, 0, len(c.Items))
+		k.pending, k.outcomes = make([]bool, len(c.Items)), make([]engine.Outcome, 0, len(c.Items))
 	}
-	for i := range k.left {
-		if k.left[i] = !c.Items[i].Skip; !k.left[i] {
-			k.open--
+	for i := range k.pending {
+		if k.pending[i] = !c.Items[i].Skip; !k.pending[i] {
+			k.pendingCount--
 		}
 	}
 	return k
 }
 
-// committed takes a call off the list of those of which nothing is written; the transport's lock is held.
-func (k *call) committed() {
+// removeFromUnwritten removes a call from its peer's list of unwritten calls. The transport's lock must be held.
+func (k *call) removeFromUnwritten() {
 	if i := slices.Index(k.peer.unwritten, k); i >= 0 {
 		k.peer.unwritten = slices.Delete(k.peer.unwritten, i, i+1)
 	}
 }
 
-// run makes the call and tells the outcome of each item exactly once.
+// run makes the call and reports the outcome of each item exactly once.
 func (k *call) run() {
-	if c, request := k.board(); c != nil {
-		k.abort.On(c.stop)
-		if err := c.Write(request, k.t.clock.Time(k.last())); err == nil {
-			k.await(c)
-		} else { // the call's last byte was not written: it never ran
+	if c, request := k.prepare(); c != nil {
+		k.abort.On(c.closeFunc)
+		if err := c.Write(request, k.t.clock.Time(k.lastDeadline())); err == nil {
+			k.awaitResponse(c)
+		} else { // the last byte was not written, so the call never ran
 			c.Close()
-			k.unwritten()
+			k.endUnwritten()
 		}
 	}
 	k.t.finish(k)
 }
 
-// unwritten ends a call whose write failed: at the endpoint, or because we broke it off.
-func (k *call) unwritten() {
+// endUnwritten ends a call whose write failed, either because of the endpoint or because the call was aborted.
+func (k *call) endUnwritten() {
 	if k.abort.Completed() {
-		k.end(control.Moot)
+		k.endAll(control.Moot)
 	} else {
-		k.end(control.ConnectFailed)
+		k.endAll(control.ConnectFailed)
 	}
 }
 
-// board finds a connection on which nothing has come since its last call, and makes the request for the items that may
-// still be written. Without a connection all items have ended.
-func (k *call) board() (*conn, []byte) {
+// prepare finds a connection on which nothing has arrived since its last call, and encodes the request for the items that
+// may still be written. If it returns no connection, all items have ended.
+func (k *call) prepare() (*conn, []byte) {
 	waited := false // for a turn to dial
 	for {
 		now := k.t.clock.At(k.t.host.Now())
-		for i := range k.left {
+		for i := range k.pending {
 			if k.Items[i].Deadline <= now {
-				k.add(i, engine.Outcome{Result: control.Moot})
+				k.addOutcome(i, engine.Outcome{Result: control.Moot})
 			}
 		}
-		if k.open == 0 || k.abort.Completed() {
-			k.end(control.Moot)
+		if k.pendingCount == 0 || k.abort.Completed() {
+			k.endAll(control.Moot)
 			return nil, nil
 		}
-		c := k.t.pop(k.peer)
+		c := k.t.takeIdle(k.peer)
 		fresh := c == nil
 		if fresh {
-			if k.awaitTurn() {
+			if k.awaitDialTurn() {
 				waited = true
 				continue
 			}
@@ -110,16 +110,16 @@
 			}
 		}
 		if fresh || waited {
-			may := k.on.MayWrite(k.ID) // it may have taken long: much can have changed
-			for i := range k.left {
-				if i >= len(may) || !may[i] {
-					k.add(i, engine.Outcome{Result: control.Moot})
+			mayWrite := k.events.MayWrite(k.ID) // much may have changed during a long wait or dial
+			for i := range k.pending {
+				if i >= len(mayWrite) || !mayWrite[i] {
+					k.addOutcome(i, engine.Outcome{Result: control.Moot})
 				}
 			}
 		}
-		request := k.request(c.buf[:0])
-		if cap(request) <= bufferMost {
-			c.buf = request
+		request := k.appendRequest(c.requestBuffer[:0])
+		if cap(request) <= maxKeptBuffer {
+			c.requestBuffer = request
 		}
 		switch {
 		case !fresh && !c.IsIdle():
@@ -127,110 +127,112 @@
 				k.t.distrust(k.peer)
 			}
 			c.Close()
-		case k.open == 0 || !k.t.mayCommit(k):
-			k.t.put(c)
-			k.end(control.Moot)
+		case k.pendingCount == 0 || !k.t.commitWrite(k):
+			k.t.putIdle(c)
+			k.endAll(control.Moot)
 			return nil, nil
 		default:
-			k.tell()
+			k.notify()
 			return c, request
 		}
 	}
 }
 
-// dial makes a connection, or ends all items.
+// dial opens a connection. If that fails, it ends all items and returns nil.
 func (k *call) dial() *conn {
-	last := k.t.clock.Time(k.last())
-	limit, rest := k.t.set.ConnectTimeout, max(last.Sub(k.t.host.Now()), 1)
-	due := limit <= 0 || rest < limit
-	if due {
-		limit = rest
+	last := k.t.clock.Time(k.lastDeadline())
+	limit, remaining := k.t.settings.ConnectTimeout, max(last.Sub(k.t.host.Now()), 1)
+	limitedByDeadline := limit <= 0 || remaining < limit
+	if limitedByDeadline {
+		limit = remaining
 	}
 	nc, err := k.t.host.Dial(k.Addr, limit, &k.abort)
 	var timeout net.Error
 	switch {
 	case err == nil:
 		return newConn(k.t.host, nc, k.peer)
-	case k.abort.Completed(), due && errors.As(err, &timeout) && timeout.Timeout(), !k.t.host.Now().Before(last), ours(err):
-		k.end(control.Moot) // it says nothing about the endpoint
+	case k.abort.Completed(), limitedByDeadline && errors.As(err, &timeout) && timeout.Timeout(), !k.t.host.Now().Before(last), isLocalShortage(err):
+		k.endAll(control.Moot) // this failure says nothing about the endpoint
 	default:
-		k.end(control.ConnectFailed)
+		k.endAll(control.ConnectFailed)
 	}
 	return nil
 }
 
-// ours tells that a dial failed for want of something on this side.
-func ours(err error) bool {
+// isLocalShortage reports whether a dial failed because this machine lacks a resource, such as file descriptors.
+func isLocalShortage(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ENOBUFS) ||
 		errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.EADDRNOTAVAIL)
 }
 
-// await waits for the answer to a call that has been written.
-func (k *call) await(c *conn) {
-	a, err := c.Read(http1.Limits{
-		Deadline: k.t.clock.Time(k.due()), ResponseTimeout: answerSpan, MaxBody: answerBody, DiscardBody: !k.batch, Progress: k,
+// awaitResponse waits for the response to a request that was written.
+func (k *call) awaitResponse(c *conn) {
+	response, err := c.Read(http1.Limits{
+		Deadline: k.t.clock.Time(k.firstDeadline()), ResponseTimeout: responseTimeout, MaxBody: maxBody, DiscardBody: !k.batch, Progress: k,
 	})
 	k.abort.On(nil)
-	called := k.abort.Completed() // then its connection is closed, or is about to be
+	aborted := k.abort.Completed() // if so, the connection is closed or about to be
 	switch {
 	case err == nil:
-		if a.ExtraData {
+		if response.ExtraData {
 			k.t.distrust(k.peer)
 		}
-		if a.Reusable && !called {
-			k.t.put(c)
+		if response.Reusable && !aborted {
+			k.t.putIdle(c)
 		} else {
 			c.Close()
 		}
-		k.answered(&a)
-	case called:
-		k.t.silent(c)
-		k.end(control.Cancelled)
+		k.handleResponse(&response)
+	case aborted:
+		k.t.closeUnresponsive(c)
+		k.endAll(control.Cancelled)
 	case errors.Is(err, http1.ErrTimeout):
-		k.t.silent(c)
-		k.end(control.TimedOut)
-	case errors.Is(err, http1.ErrUnsolicited): // the call is under way, and nobody will hear of its end
+		k.t.closeUnresponsive(c)
+		k.endAll(control.TimedOut)
+	case errors.Is(err, http1.ErrUnsolicited): // the call may be running, but its response can no longer be recognised
 		c.Close()
 		k.t.distrust(k.peer)
-		k.end(control.Reset)
-	case errors.Is(err, http1.ErrInvalidResponse): // the endpoint is there and has run the call, or may have
+		k.endAll(control.Reset)
+	case errors.Is(err, http1.ErrInvalidResponse): // the endpoint is reachable and may have run the call
 		c.Close()
-		k.end(control.Errored)
+		k.endAll(control.Errored)
 	default:
 		c.Close()
-		k.end(control.Reset)
+		k.endAll(control.Reset)
 	}
 }
 
-// FirstLine hears that an answer has begun (http1.Progress).
+// StatusLine implements http1.Progress. A status line with 200 means that a single item is delivered.
 func (k *call) StatusLine(status int) {
 	if status == http.StatusOK && !k.batch {
-		k.line = k.t.clock.At(k.t.host.Now())
-		if len(k.Items) == 1 { // else it would not say which of them
-			k.on.FirstLine(k.ID)
+		k.deliveredAt = k.t.clock.At(k.t.host.Now())
+		if len(k.Items) == 1 { // with more items the event would not say which of them was delivered
+			k.events.FirstLine(k.ID)
 		}
 	}
 }
 
-// Late hears that the time of the next item is up (http1.Progress). A call with several items ends then for all of them:
-// it has one fate at its endpoint, and an answer that comes after the time of one item counts for none.
+// DeadlineReached implements http1.Progress. It is called when the deadline of the first pending item has passed. This
+// ends a batch for all of its items: the endpoint handles the batch as a whole, and a response after the deadline of one
+// item counts for none of them.
 func (k *call) DeadlineReached() time.Time {
-	if k.line != 0 { // delivered: its time no longer counts, and the answer ends by its span
-		return k.t.host.Now().Add(2 * answerSpan)
+	if k.deliveredAt != 0 { // delivered: the deadline no longer applies, only the time limit for the response
+		return k.t.host.Now().Add(2 * responseTimeout)
 	}
 	return time.Time{}
 }
 
-// silent closes a connection that gave no answer, and the idle ones beside it: if the machine has vanished they are
-// as dead, and a request written to one of them would end in doubt when it is back.
-func (t *Transport) silent(c *conn) {
+// closeUnresponsive closes a connection that gave no response, and the idle connections to the same endpoint. If the
+// machine has vanished, those are dead as well, and a request written to one of them would end in doubt when the machine
+// is back.
+func (t *Transport) closeUnresponsive(c *conn) {
 	c.Close()
 	t.closeIdle(c.peer)
 }
 
-// due is when the next item is given up, last when the last is.
-func (k *call) due() (at engine.Time) {
-	for i, l := range k.left {
+// firstDeadline returns the earliest deadline of the pending items.
+func (k *call) firstDeadline() (at engine.Time) {
+	for i, l := range k.pending {
 		if l && (at == 0 || k.Items[i].Deadline < at) {
 			at = k.Items[i].Deadline
 		}
@@ -238,8 +240,9 @@
 	return at
 }
 
-func (k *call) last() (at engine.Time) {
-	for i, l := range k.left {
+// lastDeadline returns the latest deadline of the pending items.
+func (k *call) lastDeadline() (at engine.Time) {
+	for i, l := range k.pending {
 		if l {
 			at = max(at, k.Items[i].Deadline)
 		}
@@ -247,33 +250,33 @@
 	return at
 }
 
-// add notes an item's outcome, if it has none yet. What a first line said of an only item stays true, whatever came
-// of the rest.
-func (k *call) add(i int, o engine.Outcome) {
-	if !k.left[i] {
+// addOutcome records the outcome of an item that has none yet. An item that a status line has reported as delivered stays
+// delivered, whatever happens to the rest of the response.
+func (k *call) addOutcome(i int, outcome engine.Outcome) {
+	if !k.pending[i] {
 		return
 	}
-	if k.line != 0 {
-		o.Result, o.At = control.OK, k.line
+	if k.deliveredAt != 0 {
+		outcome.Result, outcome.At = control.OK, k.deliveredAt
 	}
-	o.Item = i
-	k.left[i] = false
-	k.open--
-	k.outs = append(k.outs, o)
+	outcome.Item = i
+	k.pending[i] = false
+	k.pendingCount--
+	k.outcomes = append(k.outcomes, outcome)
 }
 
-// tell tells the outcomes that were noted since it last did.
-func (k *call) tell() {
-	if outs := k.outs[k.told:len(k.outs):len(k.outs)]; len(outs) > 0 {
-		k.told = len(k.outs)
-		k.on.Ended(k.ID, outs)
+// notify reports the outcomes that were added since the last notification.
+func (k *call) notify() {
+	if outs := k.outcomes[k.notified:len(k.outcomes):len(k.outcomes)]; len(outs) > 0 {
+		k.notified = len(k.outcomes)
+		k.events.Ended(k.ID, outs)
 	}
 }
 
-// end gives all items left the same result.
-func (k *call) end(r control.Result) {
-	for i := range k.left {
-		k.add(i, engine.Outcome{Result: r})
+// endAll ends all pending items with the same result.
+func (k *call) endAll(result control.Result) {
+	for i := range k.pending {
+		k.addOutcome(i, engine.Outcome{Result: result})
 	}
-	k.tell()
+	k.notify()
 }
--- a/internal/transport/http/call_test.go
+++ b/internal/transport/http/call_test.go
@@ -20,7 +20,7 @@
 
 func TestCallGoesOutAsTheProtocolSays(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, always(ok200))
+	s := newTestEndpoint(t, always(ok200))
 	b := newBench(t)
 	out := b.run(s.addr, b.items("a")...)[0]
 	r := within(t, s.seen)
@@ -64,7 +64,7 @@
 		{"garbage\r\n\r\n", engine.Outcome{Result: control.Errored}},
 		{"HTTP/1.1 200 OK\r\nContent-Le", engine.Outcome{Result: control.OK}},
 	} {
-		s := newScript(t, func(conn net.Conn, _ *seen) string {
+		s := newTestEndpoint(t, func(conn net.Conn, _ *seen) string {
 			if strings.HasSuffix(c.answer, "\n") || c.answer == ok200 {
 				return c.answer
 			}
@@ -100,7 +100,7 @@
 		if answer == "" {
 			answer = "HTTP/1.1 200 OK\r\nRetry-After: 1.5\r\nConnection: close\r\n\r\n" + body
 		}
-		s := newScript(t, func(conn net.Conn, _ *seen) string {
+		s := newTestEndpoint(t, func(conn net.Conn, _ *seen) string {
 			io.WriteString(conn, answer)
 			return ""
 		})
@@ -133,7 +133,7 @@
 // copy that the module knows nothing of.
 func TestABrokenCallIsNotSentAgain(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, func(_ net.Conn, r *seen) string {
+	s := newTestEndpoint(t, func(_ net.Conn, r *seen) string {
 		if r.Header.Get("X-Trace-Id") == "warm" {
 			return ok200
 		}
@@ -169,7 +169,7 @@
 	b := newBench(t)
 	b.dial = func(addr string, limit time.Duration, abort *host.Abort) (net.Conn, error) {
 		dialling <- true
-		return b.stuck(addr, limit, abort)
+		return b.dialUnreachable(addr, limit, abort)
 	}
 	call := func(due time.Duration, end func(o *out)) control.Result {
 		its := b.items("a")
@@ -182,7 +182,7 @@
 	pass := func(*out) { // the limit is set some time after the dial has begun
 		go func() {
 			for range 100 {
-				b.pass(50 * time.Millisecond)
+				b.advance(50 * time.Millisecond)
 				time.Sleep(time.Millisecond)
 			}
 		}()
@@ -215,7 +215,7 @@
 // What was dialled for a call that nobody wants any more serves the next one.
 func TestAnAbortWhileTheDriverIsAskedIsMoot(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, always(ok200))
+	s := newTestEndpoint(t, always(ok200))
 	b := newBench(t)
 	asked, answer := make(chan bool), make(chan bool)
 	o := b.start(s.addr, func() []bool { asked <- true; <-answer; return []bool{true} }, b.items("a")...)
@@ -230,7 +230,7 @@
 // A dial may take long. What changed meanwhile must stop the send: an end, a drain, a wait.
 func TestNothingIsWrittenWhenTheMessageIsNotWantedAfterADial(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, always(ok200))
+	s := newTestEndpoint(t, always(ok200))
 	b := newBench(t)
 	for _, no := range [][]bool{{false}, nil} {
 		if o := b.start(s.addr, func() []bool { return no }, b.items("a")...).wait()[0]; o.Result != control.Moot {
@@ -256,11 +256,11 @@
 
 func TestTimeOutAndCancelCloseTheConnection(t *testing.T) {
 	t.Parallel()
-	s, _, gone := held(t)
+	s, _, gone := newBlockingEndpoint(t)
 	b := newBench(t)
 	o := b.start(s.addr, nil, b.items("a")...)
 	within(t, s.seen)
-	b.pass(time.Hour)
+	b.advance(time.Hour)
 	if u := o.wait()[0]; u.Result != control.TimedOut || u.CallOpen {
 		t.Errorf("outcome %+v, want timed out", u)
 	}
@@ -279,7 +279,7 @@
 // the time of the first counts for none of them, so nobody may go on listening and take the others for delivered.
 func TestTheFirstOfABatchToTimeOutEndsTheCallForAll(t *testing.T) {
 	t.Parallel()
-	s, _, gone := held(t)
+	s, _, gone := newBlockingEndpoint(t)
 	b := newBench(t)
 	its := b.items("a", "b", "c")
 	its[1].Deadline = b.in(time.Minute)
@@ -288,7 +288,7 @@
 	if ms, err := strconv.Atoi(r.Header.Get("X-Expires-In-Ms")); err != nil || ms > 60_000 {
 		t.Errorf("the endpoint is told %d ms (%v), and the first time is up in a minute", ms, err)
 	}
-	b.pass(time.Minute)
+	b.advance(time.Minute)
 	within(t, gone)
 	for i, out := range o.wait() {
 		if out.Result != control.TimedOut || out.CallOpen {
@@ -300,7 +300,7 @@
 // A request that crosses the end of its own time would be in doubt for nothing.
 func TestAnItemPastItsTimeIsNotWritten(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, always(ok200))
+	s := newTestEndpoint(t, always(ok200))
 	b := newBench(t)
 	its := b.items("a", "b")
 	its[0].Deadline = b.in(-time.Second)
@@ -322,7 +322,7 @@
 	b := newBench(t)
 	for want, end := range map[control.Result]func(o *out){
 		control.Moot:          func(o *out) { b.Abort(o.ID) },
-		control.ConnectFailed: func(o *out) { b.pass(time.Hour) },
+		control.ConnectFailed: func(o *out) { b.advance(time.Hour) },
 	} {
 		its := b.items("a")
 		its[0].Body = make([]byte, 16<<20) // more than the sockets' buffers hold
@@ -343,7 +343,7 @@
 // The protocol lets a body hold 64 KiB: an endpoint would not read more.
 func TestABatchIsBoundedAndSendsWhatFits(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, always(status("500 x")))
+	s := newTestEndpoint(t, always(status("500 x")))
 	b := newBench(t)
 	for _, c := range []struct {
 		sizes []int // of bodies; in Base64 they take a third more
@@ -408,7 +408,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			gone := make(chan bool, 2)
-			s := newScript(t, func(conn net.Conn, _ *seen) string {
+			s := newTestEndpoint(t, func(conn net.Conn, _ *seen) string {
 				if io.WriteString(conn, c.head); c.piece != "" {
 					endless(conn, "", c.piece)
 				} else {
@@ -440,7 +440,7 @@
 func TestTheFirstLineIsToldAtOnce(t *testing.T) {
 	t.Parallel()
 	told := make(chan bool)
-	s := newScript(t, func(c net.Conn, _ *seen) string {
+	s := newTestEndpoint(t, func(c net.Conn, _ *seen) string {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 		<-told
 		return "Retry-After: 1.5\r\nContent-Length: 0\r\n\r\n"
@@ -459,14 +459,14 @@
 // What is delivered stays so when its time comes, or its end is asked for, before the rest of the answer.
 func TestADeliveredMessageStaysDelivered(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, func(c net.Conn, _ *seen) string {
+	s := newTestEndpoint(t, func(c net.Conn, _ *seen) string {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-")
 		c.Read(make([]byte, 1))
 		return ""
 	})
 	b := newBench(t)
 	for name, end := range map[string]func(o *out){
-		"time": func(*out) { b.pass(time.Hour) }, "abort": func(o *out) { b.Abort(o.ID) },
+		"time": func(*out) { b.advance(time.Hour) }, "abort": func(o *out) { b.Abort(o.ID) },
 	} {
 		o := b.start(s.addr, nil, b.items("a")...)
 		within(t, o.lines)
@@ -481,7 +481,7 @@
 func TestTheRestOfADeliveredAnswerIsReadPastTheMessagesTime(t *testing.T) {
 	t.Parallel()
 	first, rest := make(chan bool), make(chan bool)
-	s := newScript(t, func(c net.Conn, _ *seen) string {
+	s := newTestEndpoint(t, func(c net.Conn, _ *seen) string {
 		<-first
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 		<-rest
@@ -491,10 +491,10 @@
 	b.speed = 0
 	o := b.start(s.addr, nil, b.items("a")...)
 	within(t, s.seen)
-	b.pass(time.Hour - 100*time.Millisecond)
+	b.advance(time.Hour - 100*time.Millisecond)
 	first <- true
 	within(t, o.lines)
-	b.pass(200 * time.Millisecond)
+	b.advance(200 * time.Millisecond)
 	time.Sleep(5 * time.Millisecond) // lets a call that gives up do so; one that does not needs no time
 	rest <- true
 	if u := o.wait()[0]; u.Result != control.OK || u.RetryAfter != 1500*time.Millisecond || b.idleCount() != 1 {
@@ -506,7 +506,7 @@
 func TestGoodAnswersWithMore(t *testing.T) {
 	t.Parallel()
 	early := strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n", 3)
-	s := newScript(t, always(early+status("429 x", "Retry-After: 0.25", "Endpoint-Load-Metrics: TEXT x0=NaN, x1=7")))
+	s := newTestEndpoint(t, always(early+status("429 x", "Retry-After: 0.25", "Endpoint-Load-Metrics: TEXT x0=NaN, x1=7")))
 	b := newBench(t)
 	for range 2 {
 		if o := b.run(s.addr, b.items("a")...)[0]; o.Result != control.Refused || o.RetryAfter != 250*time.Millisecond || o.LoadReport != nil {
@@ -531,15 +531,17 @@
 	}
 }
 
-// ear takes what a call tells.
-type ear struct {
+// recordedEvents takes what a call tells.
+type recordedEvents struct {
 	lines int
 	outs  []engine.Outcome
 }
 
-func (*ear) MayWrite(engine.CallID) []bool                  { return nil }
-func (e *ear) FirstLine(engine.CallID)                      { e.lines++ }
-func (e *ear) Ended(_ engine.CallID, outs []engine.Outcome) { e.outs = append(e.outs, outs...) }
+func (*recordedEvents) MayWrite(engine.CallID) []bool { return nil }
+func (e *recordedEvents) FirstLine(engine.CallID)     { e.lines++ }
+func (e *recordedEvents) Ended(_ engine.CallID, outs []engine.Outcome) {
+	e.outs = append(e.outs, outs...)
+}
 
 // FuzzAnswer: whatever an endpoint writes, a call ends with one outcome for each item and tells no more than it may.
 func FuzzAnswer(f *testing.F) {
@@ -557,16 +559,16 @@
 			there.Close()
 		}()
 		tr := New(host.System{}, engine.Clock{Start: time.Now()}, Settings{MaxIdle: 1})
-		defer tr.Close(generous)
+		defer tr.Close(testTimeout)
 		due := engine.Epoch + 60*control.Second
 		spec := &engine.Call{Items: []engine.Item{{ID: "a", Deadline: due}, {ID: "b", Deadline: due}}}
 		if !batch {
 			spec.Items = spec.Items[:1]
 		}
-		e := &ear{}
+		e := &recordedEvents{}
 		k := newCall(tr, spec, e)
 		k.peer, k.batch = &peer{}, batch
-		k.await(&conn{Conn: http1.NewConn(tr.host, here), peer: k.peer})
+		k.awaitResponse(&conn{Conn: http1.NewConn(tr.host, here), peer: k.peer})
 		if len(e.outs) != len(spec.Items) || e.lines > 1 || e.lines > 0 && batch {
 			t.Fatalf("told %d times that it is delivered, outcomes %+v", e.lines, e.outs)
 		}
@@ -576,7 +578,7 @@
 				t.Errorf("outcomes %+v", e.outs)
 			case !batch && (o.Result == control.OK) != (e.lines > 0):
 				t.Error("delivered without being told at the first line, or the other way round")
-			case (o.Result == control.Reset || o.Result == control.Errored && k.open > 0) && (o.RetryAfter != 0 || o.Closed):
+			case (o.Result == control.Reset || o.Result == control.Errored && k.pendingCount > 0) && (o.RetryAfter != 0 || o.Closed):
 				t.Errorf("believed of no answer: %+v", o)
 			case o.Result == control.TimedOut || o.Result == control.Cancelled || o.Result == control.ConnectFailed:
 				t.Errorf("result %v of an answer or a reset", o.Result)
@@ -591,11 +593,11 @@
 		f.Add([]byte(b))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		e := &ear{}
+		e := &recordedEvents{}
 		tr := New(host.System{}, engine.Clock{}, Settings{})
 		k := newCall(tr, &engine.Call{Items: []engine.Item{{ID: "a"}, {ID: "b"}, {ID: "c"}}}, e)
 		k.batch = true
-		k.states(body, engine.Outcome{})
+		k.handleBatchStates(body, engine.Outcome{})
 		if len(e.outs) != 3 || !json.Valid(body) && slices.ContainsFunc(e.outs, func(o engine.Outcome) bool { return o.Result != control.Errored }) {
 			t.Fatalf("%q: %+v", body, e.outs)
 		}
--- a/internal/transport/http/dial.go
+++ b/internal/transport/http/dial.go
@@ -7,117 +7,118 @@
 	"curlewmux/internal/host"
 )
 
-// Dials are paced. After a restart, or when a list of new endpoints comes, each call needs a connection of its own: so
-// many dials begin at once, and the others at their pace, in the order of the calls. A call that waits for its turn takes
-// a connection to its endpoint that becomes idle meanwhile.
+// Dials are rate limited. After a restart, or when a list of new endpoints arrives, each call needs a new connection.
+// Settings.DialBurst dials may begin at once. The others follow at intervals of Settings.DialInterval, in the order of the
+// calls. A call that waits for its turn uses a connection to its endpoint that becomes idle in the meantime.
 
-// grantGap is how long the timer for the next turns is set at least.
-const grantGap = 2 * time.Millisecond
+// minGrantDelay is the shortest delay of the timer that grants dial turns.
+const minGrantDelay = 2 * time.Millisecond
 
-// turns are the calls that wait to dial, over all endpoints, oldest first; the transport's lock guards them.
-type turns struct {
-	at      time.Time // when the last dial that has begun was due
-	waiting []*call   // nil: one that has left
-	timer   host.Timer
+// dialQueue holds the calls that wait to dial, over all endpoints, oldest first. The transport's lock guards it.
+type dialQueue struct {
+	lastDialDue time.Time // when the latest dial was due by the rate limit, which may be before it began
+	waiting     []*call   // nil entries are calls that no longer wait
+	timer       host.Timer
 }
 
-// awaitTurn waits for the call's turn to dial, and tells whether to look again first: a connection to its endpoint may
-// have become idle, or the call is over.
-func (k *call) awaitTurn() (again bool) {
+// awaitDialTurn waits for the call's turn to dial. It returns true if the caller has to start over before it dials: a
+// connection to the endpoint may have become idle, or the call may have ended.
+func (k *call) awaitDialTurn() (again bool) {
 	t := k.t
-	if t.set.DialInterval <= 0 {
+	if t.settings.DialInterval <= 0 {
 		return false
 	}
 	t.mu.Lock()
-	if len(t.turns.waiting) == 0 && t.mayDial() {
+	if len(t.dialQueue.waiting) == 0 && t.mayDial() {
 		t.mu.Unlock()
 		return false
 	}
-	if t.usable(k.peer, t.settled(k.peer)) || k.peer.gone || t.closed {
+	if t.hasUsableIdle(k.peer, t.settledCount(k.peer)) || k.peer.removed || t.closed {
 		t.mu.Unlock()
-		return true // where there is nothing to wait for, its abort is done and tells the rest
+		return true // if the endpoint or the transport is gone, the call is aborted and the caller ends it
 	}
-	if k.turn == nil {
-		k.turn = t.host.NewInbox()
+	if k.dialTurn == nil {
+		k.dialTurn = t.host.NewInbox()
 	}
-	k.peer.waiting = append(k.peer.waiting, k)
-	t.turns.waiting = append(t.turns.waiting, k)
-	t.arm()
+	k.peer.waitingToDial = append(k.peer.waitingToDial, k)
+	t.dialQueue.waiting = append(t.dialQueue.waiting, k)
+	t.armDialTimer()
 	t.mu.Unlock()
-	k.abort.On(func() { k.turn.Put(false) })
-	got := k.turn.Take(nil, t.clock.Time(k.last()))
+	k.abort.On(func() { k.dialTurn.Put(false) })
+	got := k.dialTurn.Take(nil, t.clock.Time(k.lastDeadline()))
 	k.abort.On(nil)
 	if slices.Contains(got, any(true)) {
 		return false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k.leaveTurns()
+	k.leaveDialQueue()
 	return true
 }
 
-// leaveTurns takes a call off those that wait; the lock is held.
-func (k *call) leaveTurns() {
-	if i := slices.Index(k.peer.waiting, k); i >= 0 {
-		k.peer.waiting = slices.Delete(k.peer.waiting, i, i+1)
+// leaveDialQueue removes a call from the calls that wait to dial. The lock must be held.
+func (k *call) leaveDialQueue() {
+	if i := slices.Index(k.peer.waitingToDial, k); i >= 0 {
+		k.peer.waitingToDial = slices.Delete(k.peer.waitingToDial, i, i+1)
 	}
-	if i := slices.Index(k.t.turns.waiting, k); i >= 0 {
-		k.t.turns.waiting[i] = nil
+	if i := slices.Index(k.t.dialQueue.waiting, k); i >= 0 {
+		k.t.dialQueue.waiting[i] = nil
 	}
 }
 
-// mayDial tells whether a dial may begin now, and counts it; the lock is held.
+// mayDial reports whether a dial may begin now, and counts it if so. The lock must be held.
 func (t *Transport) mayDial() bool {
 	now := t.host.Now()
-	if free := now.Add(-time.Duration(t.set.DialBurst) * t.set.DialInterval); t.turns.at.Before(free) {
-		t.turns.at = free
+	if free := now.Add(-time.Duration(t.settings.DialBurst) * t.settings.DialInterval); t.dialQueue.lastDialDue.Before(free) {
+		t.dialQueue.lastDialDue = free
 	}
-	next := t.turns.at.Add(t.set.DialInterval)
+	next := t.dialQueue.lastDialDue.Add(t.settings.DialInterval)
 	if next.After(now) {
 		return false
 	}
-	t.turns.at = next
+	t.dialQueue.lastDialDue = next
 	return true
 }
 
-// arm sets the timer for the next turn, if anybody waits; the lock is held.
-func (t *Transport) arm() {
-	if t.turns.timer != nil || len(t.turns.waiting) == 0 || t.closed {
+// armDialTimer sets the timer for the next turn if any call waits. The lock must be held.
+func (t *Transport) armDialTimer() {
+	if t.dialQueue.timer != nil || len(t.dialQueue.waiting) == 0 || t.closed {
 		return
 	}
-	wait := t.turns.at.Add(t.set.DialInterval).Sub(t.host.Now())
-	t.turns.timer = t.host.AfterFunc(max(wait, grantGap), t.grant)
+	wait := t.dialQueue.lastDialDue.Add(t.settings.DialInterval).Sub(t.host.Now())
+	t.dialQueue.timer = t.host.AfterFunc(max(wait, minGrantDelay), t.grantDialTurns)
 }
 
-// grant gives those their turn whose it is.
-func (t *Transport) grant() {
+// grantDialTurns lets as many waiting calls dial as the rate limit allows.
+func (t *Transport) grantDialTurns() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.turns.timer = nil
+	t.dialQueue.timer = nil
 	n := 0
-	for ; n < len(t.turns.waiting); n++ {
-		k := t.turns.waiting[n]
+	for ; n < len(t.dialQueue.waiting); n++ {
+		k := t.dialQueue.waiting[n]
 		if k == nil {
 			continue
 		}
 		if !t.mayDial() {
 			break
 		}
-		t.turns.waiting[n] = nil
-		k.peer.waiting = slices.DeleteFunc(k.peer.waiting, func(o *call) bool { return o == k })
-		k.turn.Put(true)
+		t.dialQueue.waiting[n] = nil
+		k.peer.waitingToDial = slices.DeleteFunc(k.peer.waitingToDial, func(o *call) bool { return o == k })
+		k.dialTurn.Put(true)
 	}
-	if t.turns.waiting = t.turns.waiting[n:]; len(t.turns.waiting) == 0 {
-		t.turns.waiting = nil
+	if t.dialQueue.waiting = t.dialQueue.waiting[n:]; len(t.dialQueue.waiting) == 0 {
+		t.dialQueue.waiting = nil
 	}
-	t.arm()
+	t.armDialTimer()
 }
 
-// lend tells a call that waits to dial to a peer that a connection there is idle; the lock is held.
-func (t *Transport) lend(p *peer) {
-	if len(p.waiting) > 0 {
-		k := p.waiting[0]
-		k.leaveTurns()
-		k.turn.Put(false)
+// offerIdle wakes the oldest call that waits to dial to a peer, because a connection to that peer is idle. The lock must
+// be held.
+func (t *Transport) offerIdle(p *peer) {
+	if len(p.waitingToDial) > 0 {
+		k := p.waitingToDial[0]
+		k.leaveDialQueue()
+		k.dialTurn.Put(false)
 	}
 }
--- a/internal/transport/http/dial_test.go
+++ b/internal/transport/http/dial_test.go
@@ -12,21 +12,21 @@
 	"curlewmux/internal/host"
 )
 
-// dials counts those that begin.
-type dials struct {
+// dialCounter counts those that begin.
+type dialCounter struct {
 	mu sync.Mutex
 	n  int
 }
 
-func (d *dials) count() int {
+func (d *dialCounter) count() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.n
 }
 
-// watched makes the rig's dials counted.
-func watched(b *bench) *dials {
-	d := &dials{}
+// countDials makes the rig's dials counted.
+func countDials(b *bench) *dialCounter {
+	d := &dialCounter{}
 	b.dial = func(addr string, limit time.Duration, abort *host.Abort) (net.Conn, error) {
 		d.mu.Lock()
 		d.n++
@@ -41,9 +41,9 @@
 	t.Parallel()
 	const burst, all = 4, 12
 	release := make(chan string)
-	s := newScript(t, func(net.Conn, *seen) string { return <-release })
+	s := newTestEndpoint(t, func(net.Conn, *seen) string { return <-release })
 	b := newBenchWith(t, Settings{MaxIdle: 64, DialBurst: burst, DialInterval: time.Hour})
-	d := watched(b)
+	d := countDials(b)
 	var outs []*out
 	for i := range all {
 		items := b.items(fmt.Sprint(i))
@@ -56,7 +56,7 @@
 	waitFor(t, func() bool { // the others wait for their turn
 		b.Transport.mu.Lock()
 		defer b.Transport.mu.Unlock()
-		return len(b.peers[place{1, s.addr}].waiting) == all-burst
+		return len(b.peers[endpointAddress{1, s.addr}].waitingToDial) == all-burst
 	})
 	if n := d.count(); n != burst {
 		t.Errorf("%d dials at once, want %d", n, burst)
@@ -80,7 +80,7 @@
 func TestACallThatWaitedAsksBeforeItTakesAnIdleConnection(t *testing.T) {
 	t.Parallel()
 	release := make(chan string)
-	s := newScript(t, func(net.Conn, *seen) string { return <-release })
+	s := newTestEndpoint(t, func(net.Conn, *seen) string { return <-release })
 	b := newBenchWith(t, Settings{MaxIdle: 8, DialBurst: 1, DialInterval: time.Hour})
 	first := b.start(s.addr, nil, b.items("first")...)
 	within(t, s.seen)
@@ -88,7 +88,7 @@
 	waitFor(t, func() bool {
 		b.Transport.mu.Lock()
 		defer b.Transport.mu.Unlock()
-		return len(b.peers[place{1, s.addr}].waiting) == 1
+		return len(b.peers[endpointAddress{1, s.addr}].waitingToDial) == 1
 	})
 	release <- ok200
 	first.wait()
@@ -106,9 +106,9 @@
 		"leave": func(b *bench, o *out) { b.RemoveEndpoint(&engine.RemoveEndpoint{Endpoint: 1, Addr: o.Addr}) },
 		"time":  func(b *bench, _ *out) {},
 	} {
-		s := newScript(t, always(ok200))
+		s := newTestEndpoint(t, always(ok200))
 		b := newBenchWith(t, Settings{DialBurst: 1, DialInterval: time.Hour})
-		d := watched(b)
+		d := countDials(b)
 		b.run(s.addr, b.items("first")...) // its connection is not kept
 		items := b.items("second")
 		if name == "time" {
@@ -119,8 +119,8 @@
 			waitFor(t, func() bool {
 				b.Transport.mu.Lock()
 				defer b.Transport.mu.Unlock()
-				p := b.peers[place{1, s.addr}]
-				return p != nil && len(p.waiting) == 1
+				p := b.peers[endpointAddress{1, s.addr}]
+				return p != nil && len(p.waitingToDial) == 1
 			})
 		}
 		end(b, o)
@@ -135,10 +135,10 @@
 	t.Parallel()
 	const most = 24
 	release := make(chan string)
-	s := newScript(t, func(net.Conn, *seen) string { return <-release })
-	other := newScript(t, func(net.Conn, *seen) string { return <-release })
+	s := newTestEndpoint(t, func(net.Conn, *seen) string { return <-release })
+	other := newTestEndpoint(t, func(net.Conn, *seen) string { return <-release })
 	b := newBenchWith(t, Settings{MaxIdle: most})
-	burst := func(s *script, n int) {
+	burst := func(s *testEndpoint, n int) {
 		var outs []*out
 		for i := range n {
 			outs = append(outs, b.start(s.addr, nil, b.items(fmt.Sprint(i))...))
@@ -157,10 +157,10 @@
 	burst(s, most)
 	b.Transport.mu.Lock()
 	defer b.Transport.mu.Unlock()
-	if n := len(b.peers[place{1, s.addr}].idle); n != most/2 {
+	if n := len(b.peers[endpointAddress{1, s.addr}].idle); n != most/2 {
 		t.Errorf("one endpoint has %d idle connections, want %d", n, most/2)
 	}
-	if n := len(b.peers[place{1, other.addr}].idle); n != 6 {
+	if n := len(b.peers[endpointAddress{1, other.addr}].idle); n != 6 {
 		t.Errorf("the other has %d of its 6 left", n)
 	}
 }
--- a/internal/transport/http/pool.go
+++ b/internal/transport/http/pool.go
@@ -10,58 +10,64 @@
 )
 
 const (
-	settled    = 100 * time.Millisecond // after so long an answer's connection is not about to be closed any more
-	fewIdle    = 8                      // idle connections that one endpoint may always have, if all may have as many
-	rested     = 300 * time.Millisecond // the same at an endpoint that is not trusted: a lost packet comes again in less
-	bufferMost = 4 << 10                // bytes of a request's buffer that a connection keeps for its next one
+	// An endpoint that closes a connection right after a response has done so within this time.
+	settleTime = 100 * time.Millisecond
+	// Idle connections that each endpoint may have, within the limit for all endpoints.
+	minIdlePerEndpoint = 8
+	// Replaces settleTime for a distrusted endpoint. A lost packet is retransmitted in less time.
+	distrustedSettleTime = 300 * time.Millisecond
+	// Largest request buffer that a connection keeps for its next request, in bytes.
+	maxKeptBuffer = 4 << 10
 )
 
 // conn is a connection to an endpoint.
 type conn struct {
 	*http1.Conn
-	peer *peer
-	stop func()    // closes it; made once
-	buf  []byte    // for requests
-	used time.Time // when it became idle
+	peer          *peer
+	closeFunc     func()    // closes the connection; created once to avoid an allocation for each call
+	requestBuffer []byte    // reused for requests
+	idleSince     time.Time // when it became idle
 
 	prev, next *conn // in the idleList
 }
 
 func newConn(h host.Host, nc net.Conn, p *peer) *conn {
 	c := &conn{Conn: http1.NewConn(h, nc), peer: p}
-	c.stop = func() { c.Close() }
+	c.closeFunc = func() { c.Close() }
 	return c
 }
 
-// idleList holds the idle connections to all endpoints, those idle for longest ahead. The transport's lock guards it.
+// idleList holds the idle connections to all endpoints, longest idle first. The transport's lock guards it.
 type idleList struct {
 	first, last *conn
 	count       int
 }
 
-// pop takes the idle connection that was used last, so that those not needed run out, but for those used a moment ago:
-// some endpoints close a connection right after an answer, and that may still be under way. Of these it takes the oldest,
-// or none at an endpoint that is not trusted: there more may be under way than an end.
-func (t *Transport) pop(p *peer) *conn {
+// takeIdle removes and returns an idle connection to a peer, or returns nil. It prefers the one that was used last, so that
+// surplus connections expire. It avoids connections that became idle only a moment ago: some endpoints close a connection
+// right after a response, and that close may still be in transit. If there are only such connections, it takes the oldest,
+// or none if the endpoint is distrusted, since surplus data may be in transit as well.
+func (t *Transport) takeIdle(p *peer) *conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	n := t.settled(p)
-	if !t.usable(p, n) {
+	n := t.settledCount(p)
+	if !t.hasUsableIdle(p, n) {
 		return nil
 	}
 	c := p.idle[max(n-1, 0)]
-	t.remove(c)
+	t.removeIdle(c)
 	return c
 }
 
-// settled is how many of the idle connections to a peer were not used a moment ago; the lock is held.
-func (t *Transport) settled(p *peer) int {
-	since := t.host.Now().Add(-settled)
-	if p.untidy.After(t.host.Now()) {
-		since = since.Add(settled - rested)
+// settledCount returns how many idle connections to a peer have been idle for at least the settle time. The lock must be
+// held.
+func (t *Transport) settledCount(p *peer) int {
+	since := t.host.Now().Add(-settleTime)
+	if p.distrustedUntil.After(t.host.Now()) {
+		since = since.Add(settleTime - distrustedSettleTime)
 	}
 	n, _ := slices.BinarySearchFunc(p.idle, since, func(c *conn, since time.Time) int {
-		if c.used.After(since) {
+		if c.idleSince.After(since) {
 			return 1
 		}
 		return -1
@@ -69,29 +75,31 @@
 	return n
 }
 
-// usable tells whether a call may take an idle connection to a peer, of which so many are settled; the lock is held.
-func (t *Transport) usable(p *peer, settled int) bool {
-	return settled > 0 || len(p.idle) > 0 && !p.untidy.After(t.host.Now())
+// hasUsableIdle reports whether a call may take an idle connection to a peer, given the number of settled ones. The lock
+// must be held.
+func (t *Transport) hasUsableIdle(p *peer, settled int) bool {
+	return settled > 0 || len(p.idle) > 0 && !p.distrustedUntil.After(t.host.Now())
 }
 
-// put makes a connection idle, in place of the one idle for longest if there are too many.
-func (t *Transport) put(c *conn) {
-	if surplus := t.keep(c); surplus != nil {
+// putIdle makes a connection idle. If there are too many, it closes the one that was idle for longest.
+func (t *Transport) putIdle(c *conn) {
+	if surplus := t.addIdle(c); surplus != nil {
 		surplus.Close()
 	}
 }
 
-// keep puts a connection with the idle ones and returns one that must close for it, perhaps c itself.
-func (t *Transport) keep(c *conn) *conn {
+// addIdle adds a connection to the idle ones. It returns a connection that has to be closed because of a limit, which may
+// be c itself, or nil.
+func (t *Transport) addIdle(c *conn) *conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if c.peer.gone || t.closed {
+	if c.peer.removed || t.closed {
 		return c
 	}
-	c.used = t.host.Now()
+	c.idleSince = t.host.Now()
 	c.peer.idle = append(c.peer.idle, c)
-	if t.usable(c.peer, 0) {
-		t.lend(c.peer)
+	if t.hasUsableIdle(c.peer, 0) {
+		t.offerIdle(c.peer)
 	}
 	if c.prev = t.idle.last; c.prev != nil {
 		c.prev.next = c
@@ -100,27 +108,27 @@
 	}
 	t.idle.last = c
 	t.idle.count++
-	if t.span > 0 && t.timer == nil {
-		t.timer = t.host.AfterFunc(t.span, t.expire)
+	if t.maxIdleTime > 0 && t.idleTimer == nil {
+		t.idleTimer = t.host.AfterFunc(t.maxIdleTime, t.closeExpired)
 	}
 	longest := t.idle.first
 	switch {
-	case t.idle.count > t.set.MaxIdle:
-	case len(c.peer.idle) > max(t.set.MaxIdle/2, fewIdle): // the others keep theirs
+	case t.idle.count > t.settings.MaxIdle:
+	case len(c.peer.idle) > max(t.settings.MaxIdle/2, minIdlePerEndpoint): // other endpoints keep theirs
 		longest = c.peer.idle[0]
 	default:
 		return nil
 	}
-	t.remove(longest)
-	t.tidy(longest.peer)
+	t.removeIdle(longest)
+	t.forgetUnused(longest.peer)
 	return longest
 }
 
-// remove takes an idle connection out; the lock is held.
-func (t *Transport) remove(c *conn) {
+// removeIdle removes a connection from the idle ones. The lock must be held.
+func (t *Transport) removeIdle(c *conn) {
 	p := c.peer
-	i, _ := slices.BinarySearchFunc(p.idle, c, func(o, c *conn) int { return o.used.Compare(c.used) })
-	for p.idle[i] != c { // some became idle at the same moment
+	i, _ := slices.BinarySearchFunc(p.idle, c, func(o, c *conn) int { return o.idleSince.Compare(c.idleSince) })
+	for p.idle[i] != c { // several may have become idle at the same time
 		i++
 	}
 	p.idle = slices.Delete(p.idle, i, i+1)
@@ -138,19 +146,19 @@
 	t.idle.count--
 }
 
-// expire closes the connections whose time to be idle is up, and comes again for the next.
-func (t *Transport) expire() {
+// closeExpired closes the connections that have been idle for too long, and sets the timer for the next one.
+func (t *Transport) closeExpired() {
 	var over []*conn
 	t.mu.Lock()
-	t.timer = nil
+	t.idleTimer = nil
 	now := t.host.Now()
 	for c := t.idle.first; c != nil; c = t.idle.first {
-		if rest := t.span - now.Sub(c.used); rest > 0 {
-			t.timer = t.host.AfterFunc(rest, t.expire)
+		if rest := t.maxIdleTime - now.Sub(c.idleSince); rest > 0 {
+			t.idleTimer = t.host.AfterFunc(rest, t.closeExpired)
 			break
 		}
-		t.remove(c)
-		t.tidy(c.peer)
+		t.removeIdle(c)
+		t.forgetUnused(c.peer)
 		over = append(over, c)
 	}
 	t.mu.Unlock()
@@ -161,10 +169,10 @@
 
 // closeIdle closes the idle connections to an endpoint.
 func (t *Transport) closeIdle(p *peer) {
-	for c := t.pop(p); c != nil; c = t.pop(p) {
+	for c := t.takeIdle(p); c != nil; c = t.takeIdle(p) {
 		c.Close()
 	}
 	t.mu.Lock()
-	t.tidy(p)
+	t.forgetUnused(p)
 	t.mu.Unlock()
 }
--- a/internal/transport/http/pool_test.go
+++ b/internal/transport/http/pool_test.go
@@ -22,7 +22,7 @@
 		"just closed":    ok200,
 		"talks unbidden": ok200 + ok200,
 	} {
-		s := newScript(t, func(c net.Conn, _ *seen) string {
+		s := newTestEndpoint(t, func(c net.Conn, _ *seen) string {
 			io.WriteString(c, answer)
 			return ""
 		})
@@ -37,18 +37,18 @@
 
 func TestIdleConnectionsAreGivenUpBeforeTheEndpointDoes(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, always(ok200))
+	s := newTestEndpoint(t, always(ok200))
 	b := newBench(t)
 	for range 2 {
 		b.run(s.addr, b.items("a")...)
-		b.pass(3 * time.Second)
+		b.advance(3 * time.Second)
 	}
 	if n := b.idleCount(); n != 1 {
 		t.Errorf("%d idle connections after 3 of 5 s, want one", n)
 	}
-	b.pass(1800 * time.Millisecond) // 4.8 s in all
+	b.advance(1800 * time.Millisecond) // 4.8 s in all
 	waitFor(t, func() bool { return b.idleCount() == 0 })
-	if d := b.span; d >= 5*time.Second || d < 4*time.Second {
+	if d := b.maxIdleTime; d >= 5*time.Second || d < 4*time.Second {
 		t.Errorf("idle for %v where the endpoint closes after 5 s", d)
 	}
 	waitFor(t, func() bool {
@@ -62,7 +62,7 @@
 func TestIdleConnectionsEnd(t *testing.T) {
 	t.Parallel()
 	release := make(chan string)
-	s := newScript(t, func(c net.Conn, r *seen) string {
+	s := newTestEndpoint(t, func(c net.Conn, r *seen) string {
 		if r.Header.Get("X-Trace-Id") == "silent" {
 			c.Read(make([]byte, 1))
 			return ""
@@ -90,7 +90,7 @@
 		t.Errorf("%d idle connections, want the two that fit", n)
 	}
 	for name, end := range map[string]func(o *out){
-		"time": func(*out) { b.pass(time.Hour) }, "abort": func(o *out) { b.Abort(o.ID) },
+		"time": func(*out) { b.advance(time.Hour) }, "abort": func(o *out) { b.Abort(o.ID) },
 	} {
 		o := b.start(s.addr, nil, b.items("silent")...)
 		within(t, s.seen)
@@ -116,9 +116,9 @@
 func TestAFullPoolGivesUpTheConnectionIdleForLongest(t *testing.T) {
 	t.Parallel()
 	b := newBenchWith(t, Settings{MaxIdle: 2})
-	var all []*script
+	var all []*testEndpoint
 	for range 3 {
-		s := newScript(t, always(ok200))
+		s := newTestEndpoint(t, always(ok200))
 		all = append(all, s)
 		b.run(s.addr, b.items("a")...)
 	}
@@ -158,7 +158,7 @@
 			}
 			return ok200
 		}
-		s := newScript(t, serve)
+		s := newTestEndpoint(t, serve)
 		b.run(s.addr, b.items("at once")...)
 		if o := b.run(s.addr, b.items("a")...)[0]; o.Result != control.OK || s.dials.Load() != 2 {
 			t.Errorf("%s: outcome %v over %d connections", name, o.Result, s.dials.Load())
@@ -166,19 +166,19 @@
 		// For a while a connection rests between two calls, and then it is used again.
 		begun := time.Now()
 		o := b.run(s.addr, b.items("a")...)[0]
-		if o.Result != control.OK || s.dials.Load() != 3 && time.Since(begun) < rested/2 {
+		if o.Result != control.OK || s.dials.Load() != 3 && time.Since(begun) < distrustedSettleTime/2 {
 			t.Errorf("%s, right behind: outcome %v over %d connections", name, o.Result, s.dials.Load())
 		}
 		dials := s.dials.Load()
 		b.Transport.mu.Lock()
-		for _, c := range b.peers[place{1, s.addr}].idle {
-			c.used = c.used.Add(-rested)
+		for _, c := range b.peers[endpointAddress{1, s.addr}].idle {
+			c.idleSince = c.idleSince.Add(-distrustedSettleTime)
 		}
 		b.Transport.mu.Unlock()
 		if o := b.run(s.addr, b.items("a")...)[0]; o.Result != control.OK || s.dials.Load() != dials {
 			t.Errorf("%s, after a rest: outcome %v over %d connections", name, o.Result, s.dials.Load())
 		}
-		s = newScript(t, serve)
+		s = newTestEndpoint(t, serve)
 		b.run(s.addr, b.items("later")...)
 		idle := b.idleAt(1, s.addr)
 		if len(idle) != 1 || !idle[0].IsIdle() {
@@ -196,7 +196,7 @@
 // An endpoint that has gone keeps no connection, and another one at its address has its own.
 func TestConnectionsBelongToTheirEndpoint(t *testing.T) {
 	t.Parallel()
-	s, release, _ := held(t)
+	s, release, _ := newBlockingEndpoint(t)
 	b := newBench(t)
 	call := func(ep control.Endpoint) *out {
 		o := b.startTo(ep, s.addr, nil, b.items("a")...)
@@ -227,20 +227,20 @@
 // The connection used last goes first, but not before it is known to have outlived its answer.
 func TestWhichIdleConnectionIsTaken(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, always(ok200))
+	s := newTestEndpoint(t, always(ok200))
 	b := newBenchWith(t, Settings{MaxIdle: 8})
-	p := &peer{place: place{1, s.addr}}
+	p := &peer{endpointAddress: endpointAddress{1, s.addr}}
 	var list []*conn
 	for _, age := range []time.Duration{3 * time.Hour, 2 * time.Hour, 0, 0} {
 		nc, err := b.Dial(s.addr, time.Second, &host.Abort{})
 		must(t, err)
 		c := newConn(b, nc, p)
-		b.put(c)
-		c.used = b.Now().Add(time.Hour - age) // the last two are never settled while the test runs
+		b.putIdle(c)
+		c.idleSince = b.Now().Add(time.Hour - age) // the last two are never settled while the test runs
 		list = append(list, c)
 	}
 	for i, want := range []int{1, 0, 2, 3} {
-		c := b.pop(p)
+		c := b.takeIdle(p)
 		if c != list[want] {
 			t.Fatalf("taken as number %d is not connection %d", i, want)
 		}
@@ -251,7 +251,7 @@
 // A dial that comes up late may reach whoever has the address now.
 func TestALateDialToAnAddressThatWasLeftIsNotWritten(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, always(ok200))
+	s := newTestEndpoint(t, always(ok200))
 	for _, when := range []string{"dialling", "asking"} {
 		b := newBench(t)
 		dialling, up, asking, answer := make(chan bool, 1), make(chan bool), make(chan bool, 1), make(chan bool)
@@ -287,7 +287,7 @@
 	dialling := make(chan bool, 2)
 	b.dial = func(addr string, limit time.Duration, abort *host.Abort) (net.Conn, error) {
 		dialling <- true
-		return b.stuck(addr, 0, abort)
+		return b.dialUnreachable(addr, 0, abort)
 	}
 	leaves, stays := b.startTo(1, "cut.off:1", nil, b.items("a")...), b.startTo(2, "cut.off:1", nil, b.items("b")...)
 	within(t, dialling)
@@ -305,7 +305,7 @@
 
 func TestCloseEndsEveryCallAndConnection(t *testing.T) {
 	t.Parallel()
-	s, release, gone := held(t)
+	s, release, gone := newBlockingEndpoint(t)
 	b := newBench(t)
 	before := b.startTo(1, s.addr, nil, b.items("a")...)
 	within(t, s.seen)
@@ -314,7 +314,7 @@
 	idle := b.idleAt(1, s.addr)
 	out := b.startTo(2, s.addr, nil, b.items("b")...)
 	within(t, s.seen)
-	must(t, b.Close(generous))
+	must(t, b.Close(testTimeout))
 	if o := out.order; len(o) != 1 || o[0].Result != control.Cancelled { // without waiting: all is told by now
 		t.Errorf("outcomes %+v of a call that was out", o)
 	}
@@ -325,12 +325,12 @@
 	if o := b.run(s.addr, b.items("c")...)[0]; o.Result != control.Moot || len(s.seen) > 0 {
 		t.Errorf("outcome %v of a call after Close", o.Result)
 	}
-	must(t, b.Close(generous))
+	must(t, b.Close(testTimeout))
 }
 
 func TestCloseTellsOfCallsThatDoNotEnd(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, always(ok200))
+	s := newTestEndpoint(t, always(ok200))
 	b := newBench(t)
 	asked, answer := make(chan bool), make(chan bool)
 	o := b.start(s.addr, func() []bool { asked <- true; <-answer; return nil }, b.items("a")...)
--- a/internal/transport/http/request.go
+++ b/internal/transport/http/request.go
@@ -10,28 +10,28 @@
 	"curlewmux/internal/http1"
 )
 
-// request appends the request for the items left: one message, or several in a batch. Those that find no room in the
-// body of a batch end as Moot. With none left there is no request.
-func (k *call) request(b []byte) []byte {
+// appendRequest appends the request for the pending items: one message, or a batch of several. Items that don't fit into
+// the body of a batch end as Moot. If no item is pending, it appends nothing.
+func (k *call) appendRequest(b []byte) []byte {
 	var list []byte
-	if k.open > 1 {
-		list = k.list()
+	if k.pendingCount > 1 {
+		list = k.batchBody()
 	}
-	if k.open == 0 {
+	if k.pendingCount == 0 {
 		return b
 	}
-	k.batch = k.open > 1
+	k.batch = k.pendingCount > 1
 	path := "/v1/messages"
 	if k.batch {
 		path = "/v1/messages:batch"
 	}
 	b = http1.AppendRequest(b, http.MethodPost, k.Addr, path)
-	rest := engine.Duration(k.due() - k.t.clock.At(k.t.host.Now()))
+	rest := engine.Duration(k.firstDeadline() - k.t.clock.At(k.t.host.Now()))
 	b = http1.AppendIntField(b, "X-Expires-In-Ms", max(rest.Milliseconds(), 1))
 	if k.batch {
 		return http1.AppendBody(http1.AppendField(b, "Content-Type", "application/json"), list)
 	}
-	for i, l := range k.left {
+	for i, l := range k.pending {
 		if l {
 			it := &k.Items[i]
 			b = http1.AppendField(b, "X-Trace-Id", it.ID)
@@ -44,11 +44,11 @@
 	return b
 }
 
-// list is the body of a batch, a JSON array. It never holds more than the protocol lets a body hold: what finds no room
-// ends as Moot, but the first item always stays, so that each call gets something done.
-func (k *call) list() []byte {
+// batchBody returns the body of a batch, a JSON array of at most the size that the protocol allows. Items that don't fit
+// end as Moot. The first item always stays, so that each call makes progress.
+func (k *call) batchBody() []byte {
 	b := make([]byte, 0, 1<<10)
-	for i, l := range k.left {
+	for i, l := range k.pending {
 		if !l {
 			continue
 		}
@@ -58,14 +58,15 @@
 		} else {
 			b = append(b, ',')
 		}
-		if b = appendItem(b, &k.Items[i]); before > 0 && len(b)+len("]") > answerBody {
+		if b = appendItem(b, &k.Items[i]); before > 0 && len(b)+len("]") > maxBody {
 			b = b[:before]
-			k.add(i, engine.Outcome{Result: control.Moot})
+			k.addOutcome(i, engine.Outcome{Result: control.Moot})
 		}
 	}
 	return append(b, ']')
 }
 
+// appendItem appends one item of a batch as a JSON object.
 func appendItem(b []byte, it *engine.Item) []byte {
 	b = appendString(append(b, `{"id":`...), it.ID)
 	if it.Key != "" {
@@ -80,7 +81,7 @@
 	for i := range len(s) {
 		if c := s[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
 			text, err := json.Marshal(s)
-			if err != nil { // a string always has a form
+			if err != nil { // a string can always be encoded
 				panic(err)
 			}
 			return append(b, text...)
--- a/internal/transport/http/rig_test.go
+++ b/internal/transport/http/rig_test.go
@@ -20,7 +20,7 @@
 	"curlewmux/internal/host"
 )
 
-const generous = 20 * time.Second // what a test waits for at most
+const testTimeout = 20 * time.Second // what a test waits for at most
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -33,7 +33,7 @@
 
 func waitFor(t *testing.T, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(generous); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("waited in vain")
 		}
@@ -44,7 +44,7 @@
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(generous):
+	case <-time.After(testTimeout):
 		t.Fatal("waited in vain")
 	}
 	return v
@@ -57,7 +57,7 @@
 	speed time.Duration // 0: it stands still
 
 	mu     sync.Mutex
-	skip   time.Duration
+	offset time.Duration
 	timers []*rigTimer
 	conns  []*rigConn
 	dial   func(addr string, limit time.Duration, abort *host.Abort) (net.Conn, error) // instead of the system's
@@ -71,10 +71,10 @@
 	return r.now()
 }
 
-func (r *rig) now() time.Time { return r.start.Add(time.Since(r.start)*r.speed + r.skip) }
+func (r *rig) now() time.Time { return r.start.Add(time.Since(r.start)*r.speed + r.offset) }
 
-// real is the system's time at a time of the rig's.
-func (r *rig) real(at time.Time) time.Time {
+// systemTime is the system's time at a time of the rig's.
+func (r *rig) systemTime(at time.Time) time.Time {
 	if at.IsZero() {
 		return at
 	}
@@ -92,18 +92,18 @@
 	return d
 }
 
-// pass lets time pass, so that what was due in it comes.
-func (r *rig) pass(d time.Duration) {
+// advance lets time pass, so that what was due in it comes.
+func (r *rig) advance(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.skip += d
+	r.offset += d
 	for _, c := range r.conns {
-		c.Conn.SetReadDeadline(r.real(c.read))
-		c.Conn.SetWriteDeadline(r.real(c.write))
+		c.Conn.SetReadDeadline(r.systemTime(c.read))
+		c.Conn.SetWriteDeadline(r.systemTime(c.write))
 	}
 	for _, t := range r.timers {
 		if t.Stop() {
-			t.Reset(time.Until(r.real(t.at)))
+			t.Reset(time.Until(r.systemTime(t.at)))
 		}
 	}
 }
@@ -137,8 +137,8 @@
 	return c, nil
 }
 
-// stuck is a dial to a machine that is cut off: no connection ever comes up.
-func (r *rig) stuck(_ string, limit time.Duration, abort *host.Abort) (net.Conn, error) {
+// dialUnreachable is a dial to a machine that is cut off: no connection ever comes up.
+func (r *rig) dialUnreachable(_ string, limit time.Duration, abort *host.Abort) (net.Conn, error) {
 	aborted, over := make(chan bool), make(chan bool)
 	abort.On(func() { close(aborted) })
 	defer abort.On(nil)
@@ -171,14 +171,14 @@
 	c.rig.mu.Lock()
 	defer c.rig.mu.Unlock()
 	c.read = at
-	return c.Conn.SetReadDeadline(c.rig.real(at))
+	return c.Conn.SetReadDeadline(c.rig.systemTime(at))
 }
 
 func (c *rigConn) SetWriteDeadline(at time.Time) error {
 	c.rig.mu.Lock()
 	defer c.rig.mu.Unlock()
 	c.write = at
-	return c.Conn.SetWriteDeadline(c.rig.real(at))
+	return c.Conn.SetWriteDeadline(c.rig.systemTime(at))
 }
 
 // bench is a transport on a rig, and what calls it.
@@ -197,7 +197,7 @@
 	r := newRig()
 	b := &bench{rig: r, Transport: New(r, engine.Clock{Start: r.start}, s), t: t}
 	t.Cleanup(func() {
-		if err := b.Close(generous); err != nil {
+		if err := b.Close(testTimeout); err != nil {
 			t.Error(err)
 		}
 	})
@@ -283,7 +283,7 @@
 func (b *bench) idleAt(ep control.Endpoint, addr string) []*conn {
 	b.Transport.mu.Lock()
 	defer b.Transport.mu.Unlock()
-	if p := b.peers[place{ep, addr}]; p != nil {
+	if p := b.peers[endpointAddress{ep, addr}]; p != nil {
 		return slices.Clone(p.idle)
 	}
 	return nil
@@ -295,8 +295,8 @@
 	return b.idle.count
 }
 
-// script is an endpoint on a loopback socket that does as it is told with each request it reads.
-type script struct {
+// testEndpoint is an endpoint on a loopback socket that does as it is told with each request it reads.
+type testEndpoint struct {
 	addr  string
 	dials atomic.Int32
 	seen  chan *seen
@@ -307,12 +307,12 @@
 	body string
 }
 
-// newScript answers with what do returns; an empty answer ends the connection.
-func newScript(t testing.TB, do func(conn net.Conn, r *seen) string) *script {
+// newTestEndpoint answers with what do returns; an empty answer ends the connection.
+func newTestEndpoint(t testing.TB, do func(conn net.Conn, r *seen) string) *testEndpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
-	s := &script{addr: l.Addr().String(), seen: make(chan *seen, 100)}
+	s := &testEndpoint{addr: l.Addr().String(), seen: make(chan *seen, 100)}
 	var mu sync.Mutex
 	var conns []net.Conn
 	t.Cleanup(func() {
@@ -339,7 +339,7 @@
 	return s
 }
 
-func (s *script) serve(c net.Conn, do func(conn net.Conn, r *seen) string) {
+func (s *testEndpoint) serve(c net.Conn, do func(conn net.Conn, r *seen) string) {
 	defer c.Close()
 	br := bufio.NewReader(c)
 	for {
@@ -370,10 +370,10 @@
 	return "HTTP/1.1 " + line + "\r\nContent-Length: 0\r\n" + strings.Join(append(headers, "\r\n"), "\r\n")
 }
 
-// held is an endpoint that keeps its calls until it is told; gone tells when a connection was ended by the caller.
-func held(t *testing.T) (s *script, release chan string, gone chan bool) {
+// newBlockingEndpoint is an endpoint that keeps its calls until it is told; gone tells when a connection was ended by the caller.
+func newBlockingEndpoint(t *testing.T) (s *testEndpoint, release chan string, gone chan bool) {
 	release, gone = make(chan string), make(chan bool, 100)
-	s = newScript(t, func(c net.Conn, _ *seen) string {
+	s = newTestEndpoint(t, func(c net.Conn, _ *seen) string {
 		end := make(chan bool)
 		go func() {
 			if _, err := c.Read(make([]byte, 1)); err != nil {
--- a/internal/transport/http/transport.go
+++ b/internal/transport/http/transport.go
@@ -1,6 +1,5 @@
-// Package httptransport makes the engine's calls over HTTP/1.1, as the protocol's page has it under "Dispatchers to
-// endpoints". It sends a request once and never again by itself, waits on one goroutine for each call, and runs on any
-// host.Host.
+// Package httptransport makes the engine's calls over HTTP/1.1, as the section "Dispatchers to endpoints" of the protocol
+// page specifies. It never sends a request again by itself, uses one goroutine for each call, and runs on any host.Host.
 package httptransport
 
 import (
@@ -15,87 +14,90 @@
 	"curlewmux/internal/host"
 )
 
-// Settings are what a deployment says of calls.
+// Settings configure a transport.
 type Settings struct {
-	ConnectTimeout      time.Duration // a dial takes no longer; 0: as long as the call's messages are waited for
-	EndpointIdleTimeout time.Duration // an endpoint closes a connection that has been idle so long; 0: never
-	MaxIdle             int           // idle connections kept over all endpoints, half of them, or 8, to one; 0: none
-	DialBurst           int           // dials that may begin at once ...
-	DialInterval        time.Duration // ... and so long after each of them the next; 0: as calls need them
-	ReportFields        []string      // fields of the reports that answers hold, in the order of engine.Outcome.Report
+	ConnectTimeout      time.Duration // limit for a dial; 0: only the deadlines of the messages apply
+	EndpointIdleTimeout time.Duration // endpoints close a connection that has been idle this long; 0: never
+	// Limit for idle connections over all endpoints; 0: none are kept. One endpoint may have half of them, or 8 if that
+	// is more.
+	MaxIdle      int
+	DialBurst    int           // dials that may begin at once
+	DialInterval time.Duration // time between the dials after a burst; 0: dials are not limited
+	ReportFields []string      // names of the load report fields, in the order of engine.Outcome.LoadReport
 }
 
-// idleMargin keeps a request from crossing the endpoint's own close of an idle connection.
+// idleMargin is how much earlier than the endpoint the transport closes an idle connection, so that no request crosses the
+// endpoint's close.
 const idleMargin = 300 * time.Millisecond
 
-// Transport makes calls. It is an engine.Transport; New makes one.
+// Transport makes calls. It implements engine.Transport. Use New to create one.
 type Transport struct {
-	host  host.Host
-	clock engine.Clock
-	set   Settings
-	span  time.Duration // a connection is idle no longer; 0: for ever
-
-	mu     sync.Mutex
-	calls  map[engine.CallID]*call
-	peers  map[place]*peer
-	idle   idleList
-	timer  host.Timer // closes idle connections as their time comes; nil: none is set
-	turns  turns      // to dial
-	closed bool
-	ended  host.Inbox // gets a value once no call is out, from Close on
+	host        host.Host
+	clock       engine.Clock
+	settings    Settings
+	maxIdleTime time.Duration // how long a connection may be idle; 0: no limit
+
+	mu         sync.Mutex
+	calls      map[engine.CallID]*call
+	peers      map[endpointAddress]*peer
+	idle       idleList
+	idleTimer  host.Timer // runs closeExpired; nil if not set
+	dialQueue  dialQueue  // calls that wait to dial
+	closed     bool
+	callsEnded host.Inbox // created by Close; receives a value when the last call has ended
 }
 
 var _ engine.Transport = (*Transport)(nil)
 
-// place is where an endpoint is. Another endpoint may take over its address when it has gone.
-type place struct {
+// endpointAddress identifies an endpoint at an address. Another endpoint may use the address after it is removed.
+type endpointAddress struct {
 	endpoint control.Endpoint
 	addr     string
 }
 
-// peer is an endpoint at an address, for as long as it has calls or connections. All but its place is under the
-// transport's lock.
+// peer is an endpoint at an address, for as long as it has calls or connections. The transport's lock guards all of its
+// fields but endpointAddress.
 type peer struct {
-	place
-	gone      bool    // its connections close as their calls end
-	calls     int     // out
-	unwritten []*call // those of which nothing is written yet
-	idle      []*conn // without a call, those that became idle first ahead
-	waiting   []*call // for their turn to dial, oldest first
-
-	// Until then a connection rests before it is used again: the endpoint has sent more than its answers, and what comes
-	// late can't be told from the answer to the next call.
-	untidy time.Time
+	endpointAddress
+	removed       bool    // the endpoint was removed: connections close when their calls end
+	calls         int     // number of calls in progress
+	unwritten     []*call // calls of which nothing is written yet
+	idle          []*conn // connections without a call, longest idle first
+	waitingToDial []*call // calls that wait for their turn to dial, oldest first
+
+	// Until this time a connection must stay idle for distrustedSettleTime before it is used again. The endpoint has
+	// sent more than its responses, and late surplus data can't be told from the response to the next call.
+	distrustedUntil time.Time
 }
 
-// untidySpan is how long an endpoint that has sent more than its answers is not trusted to be over with a call.
-const untidySpan = 10 * time.Second
+// distrustTime is how long an endpoint is distrusted after it has sent more than its responses.
+const distrustTime = 10 * time.Second
 
-// distrust has connections to an endpoint rest between two calls for a while: what came behind an answer by then shows.
-// A connection for each call would be safer against what is later still, but costs the endpoint a handshake a call, and
-// endpoints that send too much seldom would pay it all day.
+// distrust makes connections to an endpoint stay idle for a while between two calls, so that surplus data behind a response
+// shows up before the next request. A new connection for each call would also protect against later data, but would cost
+// the endpoint a handshake for each call, all day even if it sends surplus data only rarely.
 func (t *Transport) distrust(p *peer) {
 	t.mu.Lock()
-	p.untidy = t.host.Now().Add(untidySpan)
+	p.distrustedUntil = t.host.Now().Add(distrustTime)
 	t.mu.Unlock()
 }
 
-// New makes a transport on a host, whose time the clock turns into the engine's.
+// New returns a transport on a host. The clock converts the host's time to the engine's.
 func New(h host.Host, clock engine.Clock, s Settings) *Transport {
-	t := &Transport{host: h, clock: clock, set: s, calls: map[engine.CallID]*call{}, peers: map[place]*peer{}}
+	t := &Transport{host: h, clock: clock, settings: s, calls: map[engine.CallID]*call{}, peers: map[endpointAddress]*peer{}}
 	if s.EndpointIdleTimeout > 0 {
-		t.span = max(s.EndpointIdleTimeout-idleMargin, s.EndpointIdleTimeout/2)
+		t.maxIdleTime = max(s.EndpointIdleTimeout-idleMargin, s.EndpointIdleTimeout/2)
 	}
 	return t
 }
 
-// Start starts a call on a goroutine of its own. After Close all its items end as Moot.
+// Start starts a call on its own goroutine. After Close, all items of the call end as Moot.
 func (t *Transport) Start(c *engine.Call, on engine.CallEvents) {
 	k := newCall(t, c, on)
-	at := place{c.Endpoint, c.Addr}
+	at := endpointAddress{c.Endpoint, c.Addr}
 	t.mu.Lock()
 	if k.peer = t.peers[at]; k.peer == nil {
-		k.peer = &peer{place: at}
+		k.peer = &peer{endpointAddress: at}
 		t.peers[at] = k.peer
 	}
 	k.peer.calls++
@@ -109,39 +111,39 @@
 	t.host.Go(k.run)
 }
 
-// mayCommit tells, just before the first byte of a call is written, that neither its endpoint has left nor anybody called
-// it off. From then on Leave lets it finish.
-func (t *Transport) mayCommit(k *call) bool {
+// commitWrite is called just before the first byte of a call is written. It reports whether the call may be written, which
+// it may not once it was aborted or its endpoint removed. After it returns true, RemoveEndpoint lets the call finish.
+func (t *Transport) commitWrite(k *call) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if k.abort.Completed() {
 		return false
 	}
-	k.committed()
+	k.removeFromUnwritten()
 	return true
 }
 
-// finish forgets a call whose items have all ended.
+// finish removes a call whose items have all ended.
 func (t *Transport) finish(k *call) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k.committed()
+	k.removeFromUnwritten()
 	k.peer.calls--
-	t.tidy(k.peer)
+	t.forgetUnused(k.peer)
 	delete(t.calls, k.ID)
 	if t.closed && len(t.calls) == 0 {
-		t.ended.Put(nil)
+		t.callsEnded.Put(nil)
 	}
 }
 
-// tidy forgets a peer that has neither calls nor connections; the lock is held.
-func (t *Transport) tidy(p *peer) {
-	if p.calls == 0 && len(p.idle) == 0 && t.peers[p.place] == p && !p.untidy.After(t.host.Now()) {
-		delete(t.peers, p.place)
+// forgetUnused removes a peer that has neither calls nor connections and is not distrusted. The lock must be held.
+func (t *Transport) forgetUnused(p *peer) {
+	if p.calls == 0 && len(p.idle) == 0 && t.peers[p.endpointAddress] == p && !p.distrustedUntil.After(t.host.Now()) {
+		delete(t.peers, p.endpointAddress)
 	}
 }
 
-// Abort stops waiting for a call: its connection closes before Abort returns.
+// Abort stops waiting for a call. The connection is closed before Abort returns.
 func (t *Transport) Abort(id engine.CallID) {
 	t.mu.Lock()
 	k := t.calls[id]
@@ -154,52 +156,52 @@
 // CloseIdle closes the idle connections to an endpoint.
 func (t *Transport) CloseIdle(c *engine.CloseIdle) {
 	t.mu.Lock()
-	p := t.peers[place{c.Endpoint, c.Addr}]
+	p := t.peers[endpointAddress{c.Endpoint, c.Addr}]
 	t.mu.Unlock()
 	if p != nil {
 		t.closeIdle(p)
 	}
 }
 
-// Leave forgets an endpoint at an address: its idle connections close, calls of which nothing is written yet end as
-// Moot, and the others go on until they end. A later call there begins anew.
+// RemoveEndpoint forgets an endpoint at an address. Its idle connections close, calls of which nothing is written yet end
+// as Moot, and the other calls continue until they end. A later call to it starts with no state.
 func (t *Transport) RemoveEndpoint(l *engine.RemoveEndpoint) {
-	at := place{l.Endpoint, l.Addr}
+	at := endpointAddress{l.Endpoint, l.Addr}
 	t.mu.Lock()
 	p := t.peers[at]
 	if p == nil {
 		t.mu.Unlock()
 		return
 	}
-	p.gone = true
+	p.removed = true
 	delete(t.peers, at)
-	for _, k := range p.unwritten { // under the lock, so that mayCommit is asked either before or behind it
+	for _, k := range p.unwritten { // under the lock, so that each commitWrite comes entirely before or after the aborts
 		k.abort.Do()
 	}
 	t.mu.Unlock()
 	t.closeIdle(p)
 }
 
-// Close aborts all calls, closes the idle connections and waits until the calls have ended, no longer than limit. An
-// error says how many have not. Meanwhile MayWrite, FirstLine and Ended must be answered.
+// Close aborts all calls, closes the idle connections and waits up to limit for the calls to end. The error says how many
+// have not ended. MayWrite, FirstLine and Ended must not block in the meantime.
 func (t *Transport) Close(limit time.Duration) error {
 	until := t.host.Now().Add(limit)
 	t.mu.Lock()
 	if !t.closed {
-		t.closed, t.ended = true, t.host.NewInbox()
+		t.closed, t.callsEnded = true, t.host.NewInbox()
 	}
-	if t.timer != nil {
-		t.timer.Stop()
-		t.timer = nil
+	if t.idleTimer != nil {
+		t.idleTimer.Stop()
+		t.idleTimer = nil
 	}
-	if t.turns.timer != nil {
-		t.turns.timer.Stop()
-		t.turns.timer = nil
+	if t.dialQueue.timer != nil {
+		t.dialQueue.timer.Stop()
+		t.dialQueue.timer = nil
 	}
 	ids := slices.Sorted(maps.Keys(t.calls))
 	var idle []*conn
 	for c := t.idle.first; c != nil; c = t.idle.first {
-		t.remove(c)
+		t.removeIdle(c)
 		idle = append(idle, c)
 	}
 	t.mu.Unlock()
@@ -219,6 +221,6 @@
 		case !t.host.Now().Before(until):
 			return fmt.Errorf("%d calls have not ended within %v", n, limit)
 		}
-		t.ended.Take(nil, until)
+		t.callsEnded.Take(nil, until)
 	}
 }
