--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -15,7 +15,7 @@
 	"curlewmux/internal/host"
 )
 
-const testTimeout = 20 * time.Second // what a test waits for at most
+const testTimeout = 20 * time.Second
 
 func must(t *testing.T, err error) {
 	t.Helper()
@@ -24,7 +24,7 @@
 	}
 }
 
-// newConnPair is a connection and its far end.
+// newConnPair returns a Conn and the other end of its connection.
 func newConnPair(t *testing.T) (*Conn, net.Conn) {
 	t.Helper()
 	h := host.System{}
@@ -43,7 +43,7 @@
 	return Limits{Deadline: time.Now().Add(testTimeout), ResponseTimeout: testTimeout, MaxBody: 1000}
 }
 
-// recordedProgress keeps what Progress is told.
+// recordedProgress records the status lines that Progress receives.
 type recordedProgress struct {
 	statuses   []int
 	onDeadline func() time.Time
@@ -171,14 +171,14 @@
 			t.Errorf("begun %q: %v, asked %d times", begun, err, asked)
 		}
 	}
-	// Nobody to ask: the time is up.
+	// Without Progress, the deadline ends the read.
 	c, _ := newConnPair(t)
 	l := defaultLimits()
 	l.Deadline = time.Now().Add(time.Millisecond)
 	if _, err := c.Read(l); !errors.Is(err, ErrTimeout) {
 		t.Errorf("without Progress: %v", err)
 	}
-	// What comes while Late waits on is read whole.
+	// A response that arrives after the deadline was extended is read completely.
 	c, far := newConnPair(t)
 	p := &recordedProgress{onDeadline: func() time.Time {
 		io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -204,7 +204,7 @@
 	}
 }
 
-// textConn is a connection on which a text comes, and then its end.
+// textConn is a connection that delivers a text and then ends.
 type textConn struct {
 	net.Conn
 	r io.Reader
@@ -220,7 +220,7 @@
 	"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxx", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\nxHTTP/1.1",
 }
 
-// FuzzAnswer: whatever comes, reading it ends within its bounds; and a head that is read by hand is what net/http reads.
+// FuzzAnswer checks that reading any input stays within its limits, and that a head parsed here equals what net/http parses.
 func FuzzAnswer(f *testing.F) {
 	for _, a := range answers {
 		f.Add([]byte(a), false)
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// FuzzRequest: a head that is read by hand is what net/http reads, and as much is left behind it; whatever comes, what is
-// taken for a request can be told from what follows.
+// FuzzRequest checks that a head parsed here equals what net/http parses and that the same data is left behind it. For any
+// input, an accepted request must have a body of known extent.
 func FuzzRequest(f *testing.F) {
 	for _, s := range []string{
 		plainHeadText + "abc", strings.Replace(plainHeadText, "3", "03", 1), strings.Replace(plainHeadText, "Id:", "Id :", 1),
--- a/internal/http1/surplus_test.go
+++ b/internal/http1/surplus_test.go
@@ -9,14 +9,14 @@
 	"curlewmux/internal/vnet"
 )
 
-// What comes sooner than a round trip behind a request was sent before that can have been read: a second copy of the
-// answer before, in a packet of its own, is not taken for the next one.
+// Guards against a late duplicate of a response, in a packet of its own, that is taken for the response to the next
+// request. Data that arrives sooner than one round trip after a request was sent before the peer had read it.
 func TestASecondCopyOnItsWayIsNotTheNextAnswer(t *testing.T) {
 	t.Parallel()
 	const latency = 2 * time.Millisecond
 	for _, c := range []struct {
 		name  string
-		delay time.Duration // of the copy behind the answer
+		delay time.Duration // between the response and its copy
 		want  error
 	}{
 		{"just behind", 600 * time.Microsecond, ErrUnsolicited},
@@ -32,7 +32,7 @@
 			nc.Handle(vnet.Events{Data: func() {
 				nc.Discard(len(nc.Unread()))
 				if asked++; asked > 1 && c.delay > 0 {
-					return // what it has to say comes too late to matter
+					return // the second request is never answered
 				}
 				nc.Send([]byte(ok))
 				if c.delay > 0 {
--- a/internal/transport/http/bench_test.go
+++ b/internal/transport/http/bench_test.go
@@ -11,14 +11,14 @@
 	"curlewmux/internal/host"
 )
 
-// singleCallEvents is the owner of one call at a time.
+// singleCallEvents receives the events of one call at a time.
 type singleCallEvents struct{ done chan control.Result }
 
 func (o *singleCallEvents) MayWrite(engine.CallID) []bool                { return []bool{true} }
 func (o *singleCallEvents) FirstLine(engine.CallID)                      {}
 func (o *singleCallEvents) Ended(_ engine.CallID, outs []engine.Outcome) { o.done <- outs[0].Result }
 
-// BenchmarkCall is one call after the other over an idle connection on loopback, to an endpoint that allocates nothing.
+// BenchmarkCall makes one call after the other over an idle loopback connection to an endpoint that doesn't allocate.
 func BenchmarkCall(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(b, err)
--- a/internal/transport/http/call_test.go
+++ b/internal/transport/http/call_test.go
@@ -105,7 +105,7 @@
 			return ""
 		})
 		b := newBench(t)
-		b.speed = 0 // the 400 ms that an answer may take don't pass while a busy machine reads it
+		b.speed = 0 // so that the limit of 400 ms for a response does not pass on a busy machine
 		its := b.items("a", "b", "c", "d", "e", "f")
 		its[2].Key = `"odd\ kéy`
 		outs := b.run(s.addr, its...)
@@ -129,8 +129,8 @@
 	}
 }
 
-// A library that sends a request again by itself, as http.Transport does with an Idempotency-Key, makes a second
-// copy that the module knows nothing of.
+// Guards against a client library that sends a request again by itself, as http.Transport does for requests with an
+// Idempotency-Key. The decision module would not know of the second copy.
 func TestABrokenCallIsNotSentAgain(t *testing.T) {
 	t.Parallel()
 	s := newTestEndpoint(t, func(_ net.Conn, r *seen) string {
@@ -146,7 +146,7 @@
 		t.Errorf("outcome %v, want a reset", o.Result)
 	}
 	within(t, s.seen)
-	b.run(s.addr, b.items("warm")...) // all that was sent before has been read by now
+	b.run(s.addr, b.items("warm")...) // any repeated request has been read before this one
 	if r := within(t, s.seen); r.Header.Get("X-Trace-Id") != "warm" {
 		t.Error("the call was sent twice")
 	}
@@ -179,7 +179,7 @@
 		end(o)
 		return o.wait()[0].Result
 	}
-	pass := func(*out) { // the limit is set some time after the dial has begun
+	pass := func(*out) { // repeatedly, because the dial sets its limit some time after it has begun
 		go func() {
 			for range 100 {
 				b.advance(50 * time.Millisecond)
@@ -190,14 +190,14 @@
 	if r := call(time.Hour, pass); r != control.ConnectFailed {
 		t.Errorf("outcome %v, want connect failed after its time-out", r)
 	}
-	// Called off by us, or ended by the message's own time, it says nothing of the endpoint, and it never ran.
+	// A dial that was aborted, or ended by the message's deadline, says nothing about the endpoint, and the call never ran.
 	if r := call(time.Hour, func(o *out) { b.Abort(o.ID) }); r != control.Moot {
 		t.Errorf("outcome %v, want moot", r)
 	}
 	if r := call(900*time.Millisecond, pass); r != control.Moot {
 		t.Errorf("outcome %v of a message that ran out of time, want moot", r)
 	}
-	// A dialler may come back a moment before its limit.
+	// A dial may return slightly before its limit.
 	b.dial = func(string, time.Duration, *host.Abort) (net.Conn, error) {
 		dialling <- true
 		return nil, &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
@@ -212,7 +212,7 @@
 	}
 }
 
-// What was dialled for a call that nobody wants any more serves the next one.
+// A connection that was dialled for a call that has been aborted since is kept for the next call.
 func TestAnAbortWhileTheDriverIsAskedIsMoot(t *testing.T) {
 	t.Parallel()
 	s := newTestEndpoint(t, always(ok200))
@@ -227,7 +227,8 @@
 	}
 }
 
-// A dial may take long. What changed meanwhile must stop the send: an end, a drain, a wait.
+// Guards against a message that is sent although it is no longer wanted. During a long dial the message may end, its
+// endpoint may start to drain, or the destination may ask to wait.
 func TestNothingIsWrittenWhenTheMessageIsNotWantedAfterADial(t *testing.T) {
 	t.Parallel()
 	s := newTestEndpoint(t, always(ok200))
@@ -249,7 +250,7 @@
 	if r := within(t, s.seen); outs[0].Result != control.Moot || outs[1].Result != control.OK || r.Header.Get("X-Trace-Id") != "c" {
 		t.Errorf("of two one was wanted: %v, sent %v", outs, r.Header)
 	}
-	if len(o.lines) > 0 { // it would say of the call's first item that it is delivered
+	if len(o.lines) > 0 { // the event would mark the first item of the call as delivered
 		t.Error("a first line is told of a call with two items")
 	}
 }
@@ -272,11 +273,11 @@
 		t.Errorf("outcome %v, want cancelled", u.Result)
 	}
 	within(t, gone)
-	b.Abort(o.ID) // one that has ended is left as it is
+	b.Abort(o.ID) // aborting a call that has ended has no effect
 }
 
-// A call with several messages has one fate at its endpoint, which is told how long it is waited for: what it says after
-// the time of the first counts for none of them, so nobody may go on listening and take the others for delivered.
+// An endpoint handles a batch as a whole and is given the deadline of the first message to expire. A response after that
+// deadline counts for none of the messages. Guards against waiting on and taking the others for delivered.
 func TestTheFirstOfABatchToTimeOutEndsTheCallForAll(t *testing.T) {
 	t.Parallel()
 	s, _, gone := newBlockingEndpoint(t)
@@ -297,7 +298,7 @@
 	}
 }
 
-// A request that crosses the end of its own time would be in doubt for nothing.
+// Guards against a request that is sent after the message's deadline, which would be in doubt for no benefit.
 func TestAnItemPastItsTimeIsNotWritten(t *testing.T) {
 	t.Parallel()
 	s := newTestEndpoint(t, always(ok200))
@@ -313,10 +314,11 @@
 	}
 }
 
-// To break a write off says nothing of the endpoint; one that does not read until the time is up is no connection.
+// Aborting a write says nothing about the endpoint. An endpoint that does not read until the deadline counts as a failed
+// connection.
 func TestAnAbortDuringABlockedWriteIsMoot(t *testing.T) {
 	t.Parallel()
-	l, err := net.Listen("tcp", "127.0.0.1:0") // nobody reads what comes
+	l, err := net.Listen("tcp", "127.0.0.1:0") // never read from
 	must(t, err)
 	t.Cleanup(func() { l.Close() })
 	b := newBench(t)
@@ -340,13 +342,13 @@
 	}
 }
 
-// The protocol lets a body hold 64 KiB: an endpoint would not read more.
+// The protocol limits a body to 64 KiB. Endpoints do not read more.
 func TestABatchIsBoundedAndSendsWhatFits(t *testing.T) {
 	t.Parallel()
 	s := newTestEndpoint(t, always(status("500 x")))
 	b := newBench(t)
 	for _, c := range []struct {
-		sizes []int // of bodies; in Base64 they take a third more
+		sizes []int // of the bodies before Base64, which adds a third
 		path  string
 		sent  []bool
 	}{
@@ -371,8 +373,8 @@
 	}
 }
 
-// A spoilt answer is an attempt that may have run, and nothing that it says is believed, except a first line with 200
-// to a call with one message: that one is delivered, whatever follows. Either way the connection ends soon.
+// An invalid response means that the attempt may have run. Nothing in it is trusted, except a status line with 200 to a
+// call with one message: that message is delivered, whatever follows. In both cases the connection closes soon.
 func TestSpoiltAnswers(t *testing.T) {
 	t.Parallel()
 	endless := func(c net.Conn, head, piece string) {
@@ -385,7 +387,7 @@
 	}
 	wait := "Retry-After: 5\r\nSlots-Taken: 1\r\nEndpoint-Load-Metrics: TEXT x0=0.5, x1=3\r\n"
 	for name, c := range map[string]struct {
-		head, piece string // piece is sent for ever; without one the connection stays open and silent
+		head, piece string // piece is sent repeatedly; if empty, the connection stays open and silent
 		single      control.Result
 	}{
 		"noise":                 {"\x7f\x00\x01\x02", "", control.Errored},
@@ -412,7 +414,7 @@
 				if io.WriteString(conn, c.head); c.piece != "" {
 					endless(conn, "", c.piece)
 				} else {
-					conn.Read(make([]byte, 1)) // until the caller ends it
+					conn.Read(make([]byte, 1)) // blocks until the caller closes the connection
 				}
 				gone <- true
 				return ""
@@ -436,7 +438,7 @@
 	}
 }
 
-// The first line is told at once: what was delivered must be so in the journal before the rest has come.
+// A status line must be reported at once, so that the delivery can be stored before the rest of the response arrives.
 func TestTheFirstLineIsToldAtOnce(t *testing.T) {
 	t.Parallel()
 	told := make(chan bool)
@@ -456,7 +458,7 @@
 	}
 }
 
-// What is delivered stays so when its time comes, or its end is asked for, before the rest of the answer.
+// A delivered message stays delivered if its deadline passes or its call is aborted before the response is complete.
 func TestADeliveredMessageStaysDelivered(t *testing.T) {
 	t.Parallel()
 	s := newTestEndpoint(t, func(c net.Conn, _ *seen) string {
@@ -477,7 +479,7 @@
 	}
 }
 
-// The wait that stands in the rest of its answer binds, too.
+// A Retry-After in the rest of the response of a delivered message counts, too.
 func TestTheRestOfADeliveredAnswerIsReadPastTheMessagesTime(t *testing.T) {
 	t.Parallel()
 	first, rest := make(chan bool), make(chan bool)
@@ -495,14 +497,14 @@
 	first <- true
 	within(t, o.lines)
 	b.advance(200 * time.Millisecond)
-	time.Sleep(5 * time.Millisecond) // lets a call that gives up do so; one that does not needs no time
+	time.Sleep(5 * time.Millisecond) // gives a faulty call time to stop waiting
 	rest <- true
 	if u := o.wait()[0]; u.Result != control.OK || u.RetryAfter != 1500*time.Millisecond || b.idleCount() != 1 {
 		t.Errorf("%+v, %d connections kept", u, b.idleCount())
 	}
 }
 
-// Good answers may bring 1xx answers ahead and reports that can't be read.
+// Valid responses may follow 1xx responses and may carry load reports that can't be parsed.
 func TestGoodAnswersWithMore(t *testing.T) {
 	t.Parallel()
 	early := strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n", 3)
@@ -531,7 +533,7 @@
 	}
 }
 
-// recordedEvents takes what a call tells.
+// recordedEvents records the events of a call.
 type recordedEvents struct {
 	lines int
 	outs  []engine.Outcome
@@ -543,7 +545,7 @@
 	e.outs = append(e.outs, outs...)
 }
 
-// FuzzAnswer: whatever an endpoint writes, a call ends with one outcome for each item and tells no more than it may.
+// FuzzAnswer checks that, whatever an endpoint writes, a call ends with one outcome for each item and no forbidden events.
 func FuzzAnswer(f *testing.F) {
 	for _, a := range []string{ok200, status("429 x", "Retry-After: 1"), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
 		"HTTP/1.1 100 x\r\n\r\n" + ok200, ok200 + ok200, "noise", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxx",
@@ -587,7 +589,7 @@
 	})
 }
 
-// FuzzStates: whatever stands in an answer to several messages, an item is delivered only if it is told so by its id.
+// FuzzStates checks that an item of a batch counts as delivered only if the response says so for its id.
 func FuzzStates(f *testing.F) {
 	for _, b := range []string{`[{"id":"a","state":"delivered"},{"id":"b","state":"over"}]`, `[{"ID":"a","State":"spent"}]`, `[]`, `null`, `{`, ""} {
 		f.Add([]byte(b))
--- a/internal/transport/http/dial_test.go
+++ b/internal/transport/http/dial_test.go
@@ -12,7 +12,7 @@
 	"curlewmux/internal/host"
 )
 
-// dialCounter counts those that begin.
+// dialCounter counts the dials that begin.
 type dialCounter struct {
 	mu sync.Mutex
 	n  int
@@ -24,7 +24,7 @@
 	return d.n
 }
 
-// countDials makes the rig's dials counted.
+// countDials makes the host of a bench count its dials.
 func countDials(b *bench) *dialCounter {
 	d := &dialCounter{}
 	b.dial = func(addr string, limit time.Duration, abort *host.Abort) (net.Conn, error) {
@@ -36,7 +36,8 @@
 	return d
 }
 
-// After a restart every call needs a connection: so many are dialled at once, and the rest at their pace.
+// After a restart every call needs a connection. Guards against dialling all of them at once: only the burst begins
+// immediately.
 func TestDialsArePaced(t *testing.T) {
 	t.Parallel()
 	const burst, all = 4, 12
@@ -61,7 +62,7 @@
 	if n := d.count(); n != burst {
 		t.Errorf("%d dials at once, want %d", n, burst)
 	}
-	// A connection that is idle again is used before anybody's turn has come.
+	// Waiting calls use connections that become idle before their turn to dial.
 	for range all {
 		release <- ok200
 	}
@@ -75,8 +76,8 @@
 	}
 }
 
-// What a call waited with its turn may have changed all: on a connection that becomes idle meanwhile, too, it asks whether
-// it may still be written.
+// Much may change while a call waits for its turn to dial. It must ask whether it may still be written, also if it then
+// uses a connection that became idle.
 func TestACallThatWaitedAsksBeforeItTakesAnIdleConnection(t *testing.T) {
 	t.Parallel()
 	release := make(chan string)
@@ -97,8 +98,8 @@
 	}
 }
 
-// A call that waits for its turn ends like one that dials: when it is called off, when its endpoint leaves, and when its
-// time is up.
+// A call that waits for its turn to dial ends like one that dials: when it is aborted, when its endpoint is removed, and
+// when its deadline passes.
 func TestACallThatWaitsToDialEnds(t *testing.T) {
 	t.Parallel()
 	for name, end := range map[string]func(b *bench, o *out){
@@ -130,7 +131,7 @@
 	}
 }
 
-// One endpoint's burst leaves the others their idle connections.
+// A burst of calls to one endpoint must not displace the idle connections of the others.
 func TestOneEndpointKeepsNoMoreThanItsPart(t *testing.T) {
 	t.Parallel()
 	const most = 24
--- a/internal/transport/http/pool_test.go
+++ b/internal/transport/http/pool_test.go
@@ -58,7 +58,8 @@
 	})
 }
 
-// The module's Close, and silence on a connection beside them, end the idle ones; the pool holds only so many.
+// CloseIdle, and a call without a response to the same endpoint, close idle connections. The pool holds a limited
+// number.
 func TestIdleConnectionsEnd(t *testing.T) {
 	t.Parallel()
 	release := make(chan string)
@@ -111,8 +112,8 @@
 	}
 }
 
-// The newest connection is the one that is in use; the one that was idle for longest would be closed by its endpoint
-// next anyway.
+// A full pool closes the connection that was idle for longest: its endpoint would close that one next anyway, while the
+// newest is in use.
 func TestAFullPoolGivesUpTheConnectionIdleForLongest(t *testing.T) {
 	t.Parallel()
 	b := newBenchWith(t, Settings{MaxIdle: 2})
@@ -139,7 +140,8 @@
 	}
 }
 
-// What comes behind an answer, before the next call or just before its first byte, is never taken for the next answer.
+// Guards against surplus data behind a response that is taken for the next response. The data may arrive before the next
+// call or just before its first byte.
 func TestASecondCopyIsNotTheNextAnswer(t *testing.T) {
 	t.Parallel()
 	for name, extra := range map[string]string{"a copy": status("500 x"), "noise": "\x00\x01noise", "half a line": "HTTP/1.1 5"} {
@@ -163,7 +165,7 @@
 		if o := b.run(s.addr, b.items("a")...)[0]; o.Result != control.OK || s.dials.Load() != 2 {
 			t.Errorf("%s: outcome %v over %d connections", name, o.Result, s.dials.Load())
 		}
-		// For a while a connection rests between two calls, and then it is used again.
+		// For a while a connection must stay idle between two calls. Then it is used again.
 		begun := time.Now()
 		o := b.run(s.addr, b.items("a")...)[0]
 		if o.Result != control.OK || s.dials.Load() != 3 && time.Since(begun) < distrustedSettleTime/2 {
@@ -193,7 +195,7 @@
 	}
 }
 
-// An endpoint that has gone keeps no connection, and another one at its address has its own.
+// A removed endpoint keeps no connection, and another endpoint at its address gets its own.
 func TestConnectionsBelongToTheirEndpoint(t *testing.T) {
 	t.Parallel()
 	s, release, _ := newBlockingEndpoint(t)
@@ -215,7 +217,7 @@
 	late := call(3)
 	b.RemoveEndpoint(&engine.RemoveEndpoint{Endpoint: 1, Addr: s.addr})
 	b.RemoveEndpoint(&engine.RemoveEndpoint{Endpoint: 3, Addr: s.addr})
-	release <- ok200 // a call that is out goes on; its connection closes behind it
+	release <- ok200 // the call in progress continues, and its connection closes after it
 	if o := late.wait()[0]; o.Result != control.OK {
 		t.Errorf("a call that was out when its endpoint left: %v", o.Result)
 	}
@@ -224,7 +226,7 @@
 	}
 }
 
-// The connection used last goes first, but not before it is known to have outlived its answer.
+// The connection used last is taken first, unless it became idle only a moment ago and may be about to close.
 func TestWhichIdleConnectionIsTaken(t *testing.T) {
 	t.Parallel()
 	s := newTestEndpoint(t, always(ok200))
@@ -248,14 +250,14 @@
 	}
 }
 
-// A dial that comes up late may reach whoever has the address now.
+// A dial that completes after its endpoint was removed may reach another endpoint that now has the address.
 func TestALateDialToAnAddressThatWasLeftIsNotWritten(t *testing.T) {
 	t.Parallel()
 	s := newTestEndpoint(t, always(ok200))
 	for _, when := range []string{"dialling", "asking"} {
 		b := newBench(t)
 		dialling, up, asking, answer := make(chan bool, 1), make(chan bool), make(chan bool, 1), make(chan bool)
-		b.dial = func(addr string, limit time.Duration, _ *host.Abort) (net.Conn, error) { // the abort comes too late
+		b.dial = func(addr string, limit time.Duration, _ *host.Abort) (net.Conn, error) { // ignores the abort, as if it came too late
 			dialling <- true
 			<-up
 			return b.System.Dial(addr, limit, &host.Abort{})
@@ -315,7 +317,7 @@
 	out := b.startTo(2, s.addr, nil, b.items("b")...)
 	within(t, s.seen)
 	must(t, b.Close(testTimeout))
-	if o := out.order; len(o) != 1 || o[0].Result != control.Cancelled { // without waiting: all is told by now
+	if o := out.order; len(o) != 1 || o[0].Result != control.Cancelled { // no waiting: Close returns after all outcomes were reported
 		t.Errorf("outcomes %+v of a call that was out", o)
 	}
 	within(t, gone)
--- a/internal/transport/http/rig_test.go
+++ b/internal/transport/http/rig_test.go
@@ -20,7 +20,7 @@
 	"curlewmux/internal/host"
 )
 
-const testTimeout = 20 * time.Second // what a test waits for at most
+const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -50,17 +50,17 @@
 	return v
 }
 
-// rig is a host with real sockets whose clock a test moves forward, and may let run faster.
+// rig is a host with real sockets and a clock that a test can advance, speed up or stop.
 type rig struct {
 	host.System
 	start time.Time
-	speed time.Duration // 0: it stands still
+	speed time.Duration // factor to the real time; 0: the clock stands still
 
 	mu     sync.Mutex
 	offset time.Duration
 	timers []*rigTimer
 	conns  []*rigConn
-	dial   func(addr string, limit time.Duration, abort *host.Abort) (net.Conn, error) // instead of the system's
+	dial   func(addr string, limit time.Duration, abort *host.Abort) (net.Conn, error) // replaces the dial of host.System if set
 }
 
 func newRig() *rig { return &rig{start: time.Now(), speed: 1} }
@@ -73,7 +73,7 @@
 
 func (r *rig) now() time.Time { return r.start.Add(time.Since(r.start)*r.speed + r.offset) }
 
-// systemTime is the system's time at a time of the rig's.
+// systemTime converts a time of the rig's clock to the system's.
 func (r *rig) systemTime(at time.Time) time.Time {
 	if at.IsZero() {
 		return at
@@ -81,7 +81,7 @@
 	return time.Now().Add(r.wait(at.Sub(r.now())))
 }
 
-// wait is how long a span of the rig's time takes.
+// wait converts a duration on the rig's clock to real time.
 func (r *rig) wait(d time.Duration) time.Duration {
 	switch {
 	case r.speed > 0:
@@ -92,7 +92,7 @@
 	return d
 }
 
-// advance lets time pass, so that what was due in it comes.
+// advance moves the clock forward and runs what falls due.
 func (r *rig) advance(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,7 +137,7 @@
 	return c, nil
 }
 
-// dialUnreachable is a dial to a machine that is cut off: no connection ever comes up.
+// dialUnreachable simulates a dial to an unreachable machine: it blocks until its limit or an abort.
 func (r *rig) dialUnreachable(_ string, limit time.Duration, abort *host.Abort) (net.Conn, error) {
 	aborted, over := make(chan bool), make(chan bool)
 	abort.On(func() { close(aborted) })
@@ -181,7 +181,7 @@
 	return c.Conn.SetWriteDeadline(c.rig.systemTime(at))
 }
 
-// bench is a transport on a rig, and what calls it.
+// bench is a transport on a rig, with helpers that make calls.
 type bench struct {
 	*rig
 	*Transport
@@ -204,7 +204,7 @@
 	return b
 }
 
-// items are messages that may take an hour.
+// items returns messages with a deadline in one hour.
 func (b *bench) items(ids ...string) (out []engine.Item) {
 	for _, id := range ids {
 		out = append(out, engine.Item{ID: id, Key: "k-" + id, Body: []byte("body " + id), Deadline: b.in(time.Hour)})
@@ -214,16 +214,16 @@
 
 func (b *bench) in(d time.Duration) engine.Time { return b.clock.At(b.Now().Add(d)) }
 
-// out is a call under way.
+// out is a call in progress and records its events.
 type out struct {
 	*engine.Call
 	t     *testing.T
-	may   func() []bool // nil: all
-	lines chan bool     // first lines
+	may   func() []bool // answer to MayWrite; nil: all items
+	lines chan bool     // one value for each FirstLine event: whether it was for this call
 	ends  chan []engine.Outcome
 	mu    sync.Mutex
 	order []engine.Outcome
-	done  chan bool // closed once all have ended
+	done  chan bool // closed when all items have ended
 }
 
 func (o *out) MayWrite(engine.CallID) []bool {
@@ -264,7 +264,7 @@
 	return o
 }
 
-// wait returns the outcomes by item once all have ended.
+// wait waits until all items have ended and returns their outcomes, ordered by item.
 func (o *out) wait() []engine.Outcome {
 	o.t.Helper()
 	within(o.t, o.done)
@@ -279,7 +279,7 @@
 	return b.start(addr, nil, items...).wait()
 }
 
-// idleAt lists the idle connections to an endpoint.
+// idleAt returns the idle connections to an endpoint.
 func (b *bench) idleAt(ep control.Endpoint, addr string) []*conn {
 	b.Transport.mu.Lock()
 	defer b.Transport.mu.Unlock()
@@ -295,7 +295,7 @@
 	return b.idle.count
 }
 
-// testEndpoint is an endpoint on a loopback socket that does as it is told with each request it reads.
+// testEndpoint is an endpoint on a loopback socket that records requests and responds as its test says.
 type testEndpoint struct {
 	addr  string
 	dials atomic.Int32
@@ -307,7 +307,7 @@
 	body string
 }
 
-// newTestEndpoint answers with what do returns; an empty answer ends the connection.
+// newTestEndpoint starts an endpoint that responds with the result of do. An empty result closes the connection.
 func newTestEndpoint(t testing.TB, do func(conn net.Conn, r *seen) string) *testEndpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -370,7 +370,8 @@
 	return "HTTP/1.1 " + line + "\r\nContent-Length: 0\r\n" + strings.Join(append(headers, "\r\n"), "\r\n")
 }
 
-// newBlockingEndpoint is an endpoint that keeps its calls until it is told; gone tells when a connection was ended by the caller.
+// newBlockingEndpoint starts an endpoint that responds to a call with the next text sent to release. gone receives a value
+// when the caller closes a connection.
 func newBlockingEndpoint(t *testing.T) (s *testEndpoint, release chan string, gone chan bool) {
 	release, gone = make(chan string), make(chan bool, 100)
 	s = newTestEndpoint(t, func(c net.Conn, _ *seen) string {
