--- a/cmd/curlewctl/main.go
+++ b/cmd/curlewctl/main.go
@@ -44,7 +44,7 @@
 	if err := r.Print(os.Stdout, messages); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	if !r.Found.OK() {
+	if !r.Findings.OK() {
 		return fmt.Errorf("%s: the journal is damaged", folder)
 	}
 	return nil
--- a/cmd/curlewctl/undelivered.go
+++ b/cmd/curlewctl/undelivered.go
@@ -52,8 +52,8 @@
 
 func (w *which) filter() redeliver.Filter {
 	f := redeliver.Filter{
-		Numbers: w.Numbers, IDs: w.ID, Classes: w.Class, Tenants: w.Tenant, Dests: w.Dest, Causes: w.Cause, Doubt: w.Doubt,
-		Older: int64(w.Older.Seconds()), Younger: int64(w.Younger.Seconds()), Limit: w.Limit, All: w.All,
+		Numbers: w.Numbers, IDs: w.ID, Classes: w.Class, Tenants: w.Tenant, Destinations: w.Dest, Causes: w.Cause, Doubt: w.Doubt,
+		OlderSeconds: int64(w.Older.Seconds()), YoungerSeconds: int64(w.Younger.Seconds()), Limit: w.Limit, All: w.All,
 	}
 	for _, s := range w.State {
 		f.States = append(f.States, undelivered.State(s))
@@ -120,7 +120,7 @@
 	if info, statErr := os.Stat(w.Folder); statErr != nil || !info.IsDir() {
 		return errors.Join(fmt.Errorf("%s is no folder", w.Folder), statErr)
 	}
-	return redeliver.TellFolder(journal.OSDir(w.Folder), r, line)
+	return redeliver.ReplyFromFolder(journal.OSDir(w.Folder), r, line)
 }
 
 // asJSON prints each line as it is.
@@ -146,15 +146,15 @@
 				doubt = "may have run"
 			}
 			look := e.Outlook
-			if e.End != "" {
-				look = e.End
+			if e.Disposition != "" {
+				look = e.Disposition
 			}
-			fmt.Fprintf(t, "%d\t%s\t%s\t%q\t%q\t%d\t%d\t%d\t%s\t%s\t%q\t%s\n", e.No, e.KeptAt.UTC().Format(time.DateTime), e.State, e.Class,
-				e.Tenant, e.Dest, e.Bytes, e.Tries, e.Cause, doubt, e.ID, look)
+			fmt.Fprintf(t, "%d\t%s\t%s\t%q\t%q\t%d\t%d\t%d\t%s\t%s\t%q\t%s\n", e.Number, e.KeptAt.UTC().Format(time.DateTime), e.State, e.Class,
+				e.Tenant, e.Destination, e.Bytes, e.Resends, e.Cause, doubt, e.ID, look)
 		case l.Refused != nil:
 			h := l.Refused
 			fmt.Fprintf(t, "-\t%s\trefused\t%q\t%q\t%d\t-\t%d\t%s\t-\t%q\tits client may hand it in again\n", h.At.UTC().Format(time.DateTime),
-				h.Class, h.Tenant, h.Dest, h.Tries, h.Cause, h.ID)
+				h.Class, h.Tenant, h.Destination, h.Attempts, h.Cause, h.ID)
 		case l.Summary != nil:
 			sum = l
 		}
@@ -195,15 +195,15 @@
 	enc := json.NewEncoder(os.Stdout)
 	enc.SetIndent("", "  ")
 	return c.ask(&redeliver.Request{Command: "show", Filter: c.filter()}, func(l *redeliver.Reply) error {
-		if l.Full != nil {
-			return enc.Encode(l.Full)
+		if l.Details != nil {
+			return enc.Encode(l.Details)
 		}
 		return nil
 	})
 }
 
 func (c *keptResend) Run() error {
-	r := &redeliver.Request{Command: "resend", Filter: c.filter(), Vouch: c.Vouch, Wait: c.Wait}
+	r := &redeliver.Request{Command: "resend", Filter: c.filter(), ConfirmedNoEffect: c.Vouch, Wait: c.Wait}
 	return c.who.order(&c.where, r, c.JSON)
 }
 
@@ -230,9 +230,9 @@
 	left := 0
 	print := asJSON(os.Stdout)
 	err := at.ask(r, func(l *redeliver.Reply) error {
-		if o := l.Outcome; o != nil {
-			switch o.Did {
-			case redeliver.DidLose, redeliver.DidRefuse, redeliver.DidNothing, redeliver.DidMiss:
+		if o := l.Result; o != nil {
+			switch o.Status {
+			case redeliver.StatusClaimedByOther, redeliver.StatusRefused, redeliver.StatusAlreadyEnded, redeliver.StatusNotFound:
 				left++
 			}
 		}
@@ -240,20 +240,20 @@
 			return print(l)
 		}
 		switch {
-		case l.Outcome != nil:
-			o := l.Outcome
-			fmt.Printf("%d: %s", o.No, o.Did)
+		case l.Result != nil:
+			o := l.Result
+			fmt.Printf("%d: %s", o.Number, o.Status)
 			if o.Claim != 0 {
 				fmt.Printf(", claim %d", o.Claim)
 			}
-			if o.Why != "" {
-				fmt.Printf(": %s", o.Why)
+			if o.Reason != "" {
+				fmt.Printf(": %s", o.Reason)
 			}
 			fmt.Println()
-		case l.Progress != nil && l.Progress.Left > 0:
-			fmt.Fprintf(os.Stderr, "%d of %d are through\n", l.Progress.Done, l.Progress.Of)
-		case l.Progress != nil && l.Progress.Of > 1:
-			fmt.Fprintf(os.Stderr, "%d of %d\n", l.Progress.Done, l.Progress.Of)
+		case l.Progress != nil && l.Progress.InFlight > 0:
+			fmt.Fprintf(os.Stderr, "%d of %d are through\n", l.Progress.Done, l.Progress.Total)
+		case l.Progress != nil && l.Progress.Total > 1:
+			fmt.Fprintf(os.Stderr, "%d of %d\n", l.Progress.Done, l.Progress.Total)
 		}
 		return summary(os.Stdout, &redeliver.Reply{Summary: l.Summary})
 	})
@@ -277,11 +277,11 @@
 	}
 	enc, n := json.NewEncoder(out), 0
 	err := c.ask(&redeliver.Request{Command: "export", Filter: c.filter()}, func(l *redeliver.Reply) error {
-		if l.Full == nil {
+		if l.Details == nil {
 			return nil
 		}
 		n++
-		return enc.Encode(l.Full)
+		return enc.Encode(l.Details)
 	})
 	if c.Output != "" {
 		err = errors.Join(err, out.Close())
--- a/cmd/curlewmux/check_test.go
+++ b/cmd/curlewmux/check_test.go
@@ -95,10 +95,10 @@
 		{Name: "journal.sync", Value: "interval", From: node.FromOperator}, {Name: "journal.every_ms", Value: 100.0, From: node.FromDefault},
 		{Name: "log.format", Value: "json", From: node.FromOperator}, {Name: "log.level", Value: "info", From: node.FromDefault},
 		{Name: "mail.partner[0].protocol", Value: "lmtp", From: node.FromOperator}, {Name: "mail.partner[0].per_connection", Value: 100.0, From: node.FromDefault},
-		{Name: "mail.front.connections", Value: 50.0, From: node.FromRest}, {Name: "mail.route[0].dest", Value: 0.0, From: node.FromOperator},
+		{Name: "mail.front.connections", Value: 50.0, From: node.FromComputed}, {Name: "mail.route[0].dest", Value: 0.0, From: node.FromOperator},
 		{Name: "undelivered.disk_share", Value: 0.25, From: node.FromOperator}, {Name: "undelivered.retain_class.free", Value: 60.0, From: node.FromOperator},
 		{Name: "undelivered.rule[0].tries", Value: 8.0, From: node.FromDefault}, {Name: "undelivered.partner", Value: nil, From: node.FromDefault},
-		{Name: "disk.undelivered_bytes", Value: 750000.0, From: node.FromRest}, {Name: "slots", Value: 28.0, From: node.FromRest},
+		{Name: "disk.undelivered_bytes", Value: 750000.0, From: node.FromComputed}, {Name: "slots", Value: 28.0, From: node.FromComputed},
 	} {
 		if got[want.Name] != want {
 			t.Errorf("%+v, want %+v", got[want.Name], want)
--- a/cmd/curlewmux/main.go
+++ b/cmd/curlewmux/main.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("--operator: %w", err)
 	}
-	return next, next.OperateAnew(file)
+	return next, next.ReapplyOperatorFile(file)
 }
 
 // start reads the operator's file and runs a dispatcher; settings is the file's name, "" for none.
@@ -106,7 +106,7 @@
 	signal.Notify(hups, syscall.SIGHUP)
 	cfg, err := node.ReadConfig(os.Getenv)
 	if err == nil {
-		err = cfg.Operate(file)
+		err = cfg.ApplyOperatorFile(file)
 	}
 	if err != nil {
 		log.Error("can't start", "error", err)
--- a/internal/bench/journal/journal.go
+++ b/internal/bench/journal/journal.go
@@ -299,8 +299,8 @@
 	stored := make(chan engine.Batch, 1<<16)
 	j, _, err := store.Open(store.OSDir(dir), store.Settings{
 		Disk: 4 << 30, Random: rand.New(rand.NewPCG(1, 2)).Uint64, Sync: store.SyncAlways,
-		Go:     func(f func()) { go f() },
-		Stored: func(b engine.Batch) { stored <- b },
+		Go:       func(f func()) { go f() },
+		OnStored: func(b engine.Batch) { stored <- b },
 	})
 	if err != nil {
 		return 0, err
--- a/internal/bench/ledger/engine.go
+++ b/internal/bench/ledger/engine.go
@@ -180,7 +180,7 @@
 
 func open(dir string, on bool) (*journal.Journal, *journal.State, error) {
 	return journal.Open(journal.OSDir(dir), journal.Settings{
-		Disk: disk, Owner: "n0", Random: rand.New(rand.NewPCG(1, 2)).Uint64, Leaves: on,
+		Disk: disk, Owner: "n0", Random: rand.New(rand.NewPCG(1, 2)).Uint64, KeepLeaves: on,
 	})
 }
 
--- a/internal/bench/undelivered/fresh.go
+++ b/internal/bench/undelivered/fresh.go
@@ -182,7 +182,7 @@
 	}
 	s.Reconcile(nil, nil)
 	for i := range n {
-		if _, err := s.Keep(message(i), store.Life{ID: message(i).ID, How: "failed", Cause: "time", Tries: 1}); err != nil {
+		if _, err := s.Keep(message(i), store.Submission{ID: message(i).ID, Disposition: "failed", Cause: "time", AttemptCount: 1}); err != nil {
 			return err
 		}
 	}
--- a/internal/bench/undelivered/undelivered.go
+++ b/internal/bench/undelivered/undelivered.go
@@ -84,7 +84,7 @@
 
 func settings() store.Settings {
 	return store.Settings{
-		Disk: 4 << 30, Refused: 100, Now: time.Now, Wall: time.Now, Random: rand.New(rand.NewPCG(1, 2)).Uint64,
+		MaxDiskBytes: 4 << 30, RefusedSlots: 100, Now: time.Now, Wall: time.Now, Random: rand.New(rand.NewPCG(1, 2)).Uint64,
 		Classes: []resend.Class{{Name: "unsafe", Effect: control.SingleShot, Deadline: 60 * control.Second, Worth: 5}},
 	}
 }
@@ -151,7 +151,7 @@
 		}
 	}
 	slices.Sort(c.keep)
-	c.disk = float64(s.Used()) / float64(kept)
+	c.disk = float64(s.DiskBytes()) / float64(kept)
 	if err := s.Close(); err != nil {
 		return c, err
 	}
@@ -166,7 +166,7 @@
 	d.Start()
 	c.start = time.Since(begun)
 	c.memory = (float64(heap()) - float64(before)) / float64(kept)
-	service := &redeliver.Service{Desk: d, Dir: journal.OSDir(dir), Do: func(f func()) bool { f(); return true }}
+	service := &redeliver.Service{Resender: d, Dir: journal.OSDir(dir), RunOnDriver: func(f func()) bool { f(); return true }}
 	begun, lines := time.Now(), 0
 	err = service.Handle(ctx, &redeliver.Request{Command: "list"}, func(r *redeliver.Reply) error {
 		if r.Entry != nil {
@@ -188,7 +188,7 @@
 	for i := range timed {
 		no := numbers[i*len(numbers)/timed]
 		begun := time.Now()
-		if _, err := s.Claim(no, store.Claim{By: "bench", Why: "to see how long it takes", Hand: true}); err != nil {
+		if _, err := s.Claim(no, store.Claim{By: "bench", Why: "to see how long it takes", Manual: true}); err != nil {
 			return c, err
 		}
 		c.claim = append(c.claim, float64(time.Since(begun).Nanoseconds())/1000)
@@ -198,12 +198,12 @@
 }
 
 // desk works on a store, with a rule that fits all, and sends nothing.
-func desk(s *store.Store) *redeliver.Desk {
-	d := redeliver.New(redeliver.Settings{Slots: 1, Share: 0.2, Trial: control.Second, Rules: resend.Settings{
+func desk(s *store.Store) *redeliver.Resender {
+	d := redeliver.New(redeliver.Settings{MaxInFlight: 1, RateShare: 0.2, TrialInterval: control.Second, Rules: resend.Settings{
 		Classes: settings().Classes, Rules: []resend.Rule{{Name: "all", MaxResends: 5, FirstDelay: 60 * control.Second, MaxDelay: 3600 * control.Second}},
 	}}, s, slog.New(slog.DiscardHandler))
-	d.Ports = redeliver.Ports{
-		Wake:      func(redeliver.Time) {},
+	d.Callbacks = redeliver.Callbacks{
+		WakeAt:    func(redeliver.Time) {},
 		Condition: func(int) (control.Condition, float64) { return control.Busy, 0 },
 	}
 	return d
--- a/internal/figures/rest_test.go
+++ b/internal/figures/rest_test.go
@@ -15,7 +15,7 @@
 	t.Parallel()
 	for live, breaches := range []int{1, 1, 0, 1} { // 2 are open in the books
 		dir := journal.OSDir(t.TempDir())
-		j, _, err := journal.Open(dir, journal.Settings{Disk: 1 << 20, Owner: "n0", Leaves: true, Random: func() uint64 { return 7 }})
+		j, _, err := journal.Open(dir, journal.Settings{Disk: 1 << 20, Owner: "n0", KeepLeaves: true, Random: func() uint64 { return 7 }})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -103,7 +103,7 @@
 }
 
 // Done tells whether Do was called.
-func (a *Abort) Completed() bool {
+func (a *Abort) Done() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.done
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -77,8 +77,8 @@
 	a.Do()
 	a.Do()
 	a.On(func() { late++ })
-	if first != 0 || second != 1 || late != 1 || !a.Completed() {
-		t.Errorf("first %d, second %d, late %d, done %v", first, second, late, a.Completed())
+	if first != 0 || second != 1 || late != 1 || !a.Done() {
+		t.Errorf("first %d, second %d, late %d, done %v", first, second, late, a.Done())
 	}
 }
 
--- a/internal/host/system.go
+++ b/internal/host/system.go
@@ -34,7 +34,7 @@
 	defer abort.On(nil)
 	c, err := (&net.Dialer{Timeout: limit}).DialContext(ctx, "tcp", addr)
 	switch {
-	case abort.Completed():
+	case abort.Done():
 		if c != nil {
 			c.Close()
 		}
--- a/internal/journal/check.go
+++ b/internal/journal/check.go
@@ -14,22 +14,22 @@
 // Report is what a folder holds, for people.
 type Report struct {
 	State
-	Format   int // of the records, 0 if there are none
-	Owner    string
-	Segments []Segment
-	Void     []string // files that count no more
-	Bytes    int64    // of all that is the journal's, in whole blocks
+	Format        int // of the records, 0 if there are none
+	Owner         string
+	Segments      []Segment
+	ObsoleteFiles []string // files that count no more
+	Bytes         int64    // of all that is the journal's, in whole blocks
 }
 
 // Segment is one file that counts.
 type Segment struct {
-	Name  string
-	Bytes int64 // of the file
-	Good  int64 // up to where it counts
+	Name       string
+	Bytes      int64 // of the file
+	ValidBytes int64 // up to where it counts
 }
 
 // Check reads a folder without changing it, also while a process writes there: then it is as it was a moment ago. An error
-// says that the folder can't be read, ErrNewer that a newer program wrote it.
+// says that the folder can't be read, ErrNewerFormat that a newer program wrote it.
 func Check(dir Dir) (*Report, error) {
 	for try := 0; ; try++ {
 		r, err := check(dir)
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	rep := &Report{State: *r.list(r.found), Owner: r.owner, Void: r.useless, Bytes: r.oldBytes}
+	rep := &Report{State: *r.list(r.found), Owner: r.owner, ObsoleteFiles: r.useless, Bytes: r.oldBytes}
 	for _, s := range r.segs {
 		rep.Segments = append(rep.Segments, Segment{s.name, s.disk, s.size})
 		rep.Bytes += blocks(s.disk)
@@ -101,12 +101,12 @@
 		}
 	}
 	for _, s := range r.Segments {
-		fmt.Fprintf(t, "segment\t%s\t%d bytes\t%d count\n", s.Name, s.Bytes, s.Good)
+		fmt.Fprintf(t, "segment\t%s\t%d bytes\t%d count\n", s.Name, s.Bytes, s.ValidBytes)
 	}
-	for _, name := range r.Void {
+	for _, name := range r.ObsoleteFiles {
 		fmt.Fprintf(t, "void\t%s\n", name)
 	}
-	for _, name := range r.Found.Foreign {
+	for _, name := range r.Findings.ForeignFiles {
 		fmt.Fprintf(t, "foreign\t%s\n", name)
 	}
 	fmt.Fprintf(t, "format\t%d\nowner\t%q\n", r.Format, r.Owner)
@@ -125,12 +125,12 @@
 		fmt.Fprintf(t, "written\t%s\n", at(now))
 	}
 	fmt.Fprintf(t, "disk\t%d bytes\n", r.Bytes)
-	f := &r.Found
-	fmt.Fprintf(t, "unfinished\t%d bytes\n", f.Cut)
+	f := &r.Findings
+	fmt.Fprintf(t, "unfinished\t%d bytes\n", f.UnfinishedBytes)
 	if !f.OK() {
-		fmt.Fprintf(t, "DAMAGED\t%d bytes, %d segments missing\n", f.Damaged, f.Missing)
-		fmt.Fprintf(t, "lost\t%d messages at most\t%d records about messages, and %d found a second time\n", f.Messages, f.Facts, f.Again)
-		fmt.Fprintf(t, "doubtful\t%d messages will not be sent again\n", f.Doubtful)
+		fmt.Fprintf(t, "DAMAGED\t%d bytes, %d segments missing\n", f.DamagedBytes, f.MissingSegments)
+		fmt.Fprintf(t, "lost\t%d messages at most\t%d records about messages, and %d found a second time\n", f.LostMessages, f.LostFacts, f.RecoveredFacts)
+		fmt.Fprintf(t, "doubtful\t%d messages will not be sent again\n", f.DoubtfulMessages)
 	}
 	return t.Flush()
 }
--- a/internal/journal/check_test.go
+++ b/internal/journal/check_test.go
@@ -26,8 +26,8 @@
 		if why := w.sure.differs(&store{State: &r.State}); why != "" {
 			t.Fatal(why)
 		}
-		if !r.Found.OK() || r.Owner != "first" || r.Format != 2 || r.Bytes != w.disk.Used() || w.disk.Ops() != ops {
-			t.Fatalf("owner %q, format %d, found %+v, %d bytes of %d", r.Owner, r.Format, r.Found, r.Bytes, w.disk.Used())
+		if !r.Findings.OK() || r.Owner != "first" || r.Format != 2 || r.Bytes != w.disk.Used() || w.disk.Ops() != ops {
+			t.Fatalf("owner %q, format %d, found %+v, %d bytes of %d", r.Owner, r.Format, r.Findings, r.Bytes, w.disk.Used())
 		}
 	}
 	id := w.sure.order[0]
@@ -46,7 +46,7 @@
 			t.Errorf("no %s in\n%s", want, text.String())
 		}
 	}
-	if r.Found.OK() {
+	if r.Findings.OK() {
 		t.Error("the damage is not found")
 	}
 }
@@ -63,7 +63,7 @@
 		t.Errorf("%+v", r)
 	}
 	d.Put("journal-00000001.seg", journal.NewerSegment())
-	if _, err := journal.Check(d.Dir()); !errors.Is(err, journal.ErrNewer) {
+	if _, err := journal.Check(d.Dir()); !errors.Is(err, journal.ErrNewerFormat) {
 		t.Errorf("error %v", err)
 	}
 }
@@ -93,8 +93,8 @@
 	for range 100 {
 		r, err := journal.Check(dir)
 		must(t, err)
-		if !r.Found.OK() || len(r.Live) > 1 {
-			t.Errorf("%d live, found %+v", len(r.Live), r.Found)
+		if !r.Findings.OK() || len(r.Live) > 1 {
+			t.Errorf("%d live, found %+v", len(r.Live), r.Findings)
 		}
 	}
 	close(stop)
--- a/internal/journal/crash_test.go
+++ b/internal/journal/crash_test.go
@@ -49,10 +49,10 @@
 func newWorld(seed uint64, sync journal.Sync, disk int64) *world {
 	w := &world{disk: memdir.New(), rnd: rand.New(rand.NewPCG(seed, 7)), now: now, sure: newModel(), all: map[string]bool{}}
 	w.set = journal.Settings{
-		Disk: disk, Sync: sync, Leaves: true, Every: time.Second, Random: rand.New(rand.NewPCG(seed, 8)).Uint64,
-		Go:     func(f func()) { w.sync = append(w.sync, f) },
-		After:  func(_ time.Duration, f func()) { w.sync = append(w.sync, f) },
-		Stored: w.stored,
+		Disk: disk, Sync: sync, KeepLeaves: true, SyncEvery: time.Second, Random: rand.New(rand.NewPCG(seed, 8)).Uint64,
+		Go:       func(f func()) { w.sync = append(w.sync, f) },
+		After:    func(_ time.Duration, f func()) { w.sync = append(w.sync, f) },
+		OnStored: w.stored,
 	}
 	return w
 }
@@ -92,7 +92,7 @@
 		v := *r
 		w.sure.order = append(w.sure.order, r.Message.ID)
 		w.sure.live[r.Message.ID] = &v
-		w.sure.newest[r.Message.ID] = j.Newest(r.Message.ID)
+		w.sure.newest[r.Message.ID] = j.DoubtIsNewestAttempt(r.Message.ID)
 	}
 	for _, e := range j.Ended {
 		v := *e
@@ -108,8 +108,8 @@
 // check compares what the journal holds with what is known: strictly, it is what was sure with the first so many of the
 // open batches; else each open batch may be there or not.
 func (w *world) check(strict bool) string {
-	if !w.j.Found.OK() {
-		return fmt.Sprintf("damage is told where there is none: %+v", w.j.Found)
+	if !w.j.Findings.OK() {
+		return fmt.Sprintf("damage is told where there is none: %+v", w.j.Findings)
 	}
 	maybe := append(w.limbo, w.open)
 	if strict {
@@ -335,7 +335,7 @@
 	return restart()
 }
 
-const crashDisk = journal.LeastDisk
+const crashDisk = journal.MinDisk
 
 // fork is the world as it goes on from a copy of its disk.
 func (w *world) fork(d *memdir.Disk) *world {
@@ -361,17 +361,17 @@
 				continue
 			}
 			kinds[op.Kind]++
-			c := w.fork(op.Crashed(land))
+			c := w.fork(op.DiskAfterCrash(land))
 			if how == 1 {
 				c.disk.Fault = func(again memdir.Op) memdir.Fault {
-					return memdir.Fault{Crash: again.N < op.N%3+1, Land: again.Size / 3}
+					return memdir.Fault{Crash: again.Index < op.Index%3+1, WrittenBytes: again.Size / 3}
 				}
 			}
 			if power {
 				c.disk.PowerFail(c.rnd.IntN)
 			}
 			if err := c.play(5, power); err != nil {
-				t.Fatalf("seed %d, crash in operation %d (%s %s), case %d: %v", seed, op.N, op.Kind, op.Name, how, err)
+				t.Fatalf("seed %d, crash in operation %d (%s %s), case %d: %v", seed, op.Index, op.Kind, op.Name, how, err)
 			}
 		}
 		return memdir.Fault{}
@@ -420,7 +420,7 @@
 		case n == 1:
 			bad = 1 + rnd.IntN(3)
 		case n == 2 && w.rounds > 5 && rnd.IntN(4) == 0:
-			return memdir.Fault{Crash: true, Land: rnd.IntN(op.Size + 1)}
+			return memdir.Fault{Crash: true, WrittenBytes: rnd.IntN(op.Size + 1)}
 		}
 		err := syscall.ENOSPC
 		switch {
@@ -433,7 +433,7 @@
 		default:
 			return memdir.Fault{}
 		}
-		return memdir.Fault{Err: err, Land: rnd.IntN(op.Size + 1)}
+		return memdir.Fault{Err: err, WrittenBytes: rnd.IntN(op.Size + 1)}
 	}
 }
 
--- a/internal/journal/damage_test.go
+++ b/internal/journal/damage_test.go
@@ -75,12 +75,12 @@
 			bad.Put(name, b)
 			s := open(t, bad.Dir(), 128<<10)
 			if why := harmless(s, m); why != "" {
-				t.Fatalf("%s, byte %d: %s; found %+v", name, at, why, s.Found)
+				t.Fatalf("%s, byte %d: %s; found %+v", name, at, why, s.Findings)
 			}
-			if n := len(m.order) - len(s.Live); n > int(s.Found.Messages) {
-				t.Fatalf("%s, byte %d: %d messages are lost, told are %+v", name, at, n, s.Found)
+			if n := len(m.order) - len(s.Live); n > int(s.Findings.LostMessages) {
+				t.Fatalf("%s, byte %d: %d messages are lost, told are %+v", name, at, n, s.Findings)
 			}
-			if !s.Found.OK() {
+			if !s.Findings.OK() {
 				told++
 			}
 			must(t, s.put(taken("new"))) // and it goes on
@@ -116,13 +116,13 @@
 				bad.Put(name, b)
 				s := open(t, bad.Dir(), disk)
 				if why := harmless(s, m); why != "" {
-					t.Errorf("%s, block at %d: %s; found %+v", name, at, why, s.Found)
+					t.Errorf("%s, block at %d: %s; found %+v", name, at, why, s.Findings)
 				}
-				if n := len(m.order) - len(s.Live); n > int(s.Found.Messages) {
-					t.Errorf("%s, block at %d: %d messages are lost, told are %+v", name, at, n, s.Found)
+				if n := len(m.order) - len(s.Live); n > int(s.Findings.LostMessages) {
+					t.Errorf("%s, block at %d: %d messages are lost, told are %+v", name, at, n, s.Findings)
 				}
-				if s.Found.Facts > 0 {
-					t.Errorf("%s, block at %d: facts are lost with their echo: %+v", name, at, s.Found)
+				if s.Findings.LostFacts > 0 {
+					t.Errorf("%s, block at %d: facts are lost with their echo: %+v", name, at, s.Findings)
 				}
 			}
 		}
@@ -139,15 +139,15 @@
 		bad.Put(name, nil)
 		s := open(t, bad.Dir(), 128<<10)
 		if why := harmless(s, m); why != "" {
-			t.Errorf("%s: %s; found %+v", name, why, s.Found)
+			t.Errorf("%s: %s; found %+v", name, why, s.Findings)
 		}
-		if s.Found.Missing != 1 && name != names[0] {
-			t.Errorf("%s: found %+v", name, s.Found)
+		if s.Findings.MissingSegments != 1 && name != names[0] {
+			t.Errorf("%s: found %+v", name, s.Findings)
 		}
 		must(t, s.put(taken("new")))
 		turnOver(t, s, bad)
-		if s = reopen(t, bad, 128<<10); !s.Found.OK() {
-			t.Errorf("%s: the damage is told for ever: %+v", name, s.Found)
+		if s = reopen(t, bad, 128<<10); !s.Findings.OK() {
+			t.Errorf("%s: the damage is told for ever: %+v", name, s.Findings)
 		}
 	}
 }
@@ -162,8 +162,8 @@
 		text := bad.Read(name)
 		bad.Put(name, text[:len(text)*2/3])
 		s := open(t, bad.Dir(), 64<<10)
-		if why := harmless(s, m); why != "" || s.Found.OK() {
-			t.Errorf("%s: %s; found %+v", name, why, s.Found)
+		if why := harmless(s, m); why != "" || s.Findings.OK() {
+			t.Errorf("%s: %s; found %+v", name, why, s.Findings)
 		}
 	}
 }
@@ -205,8 +205,8 @@
 		if why := m.differs(j); why != "" {
 			t.Errorf("case %d: %s", i, why)
 		}
-		if c.told != (len(j.Found.Foreign) == 1) || c.told != (s.Read(c.name) != nil) {
-			t.Errorf("case %d: found %+v, files %v", i, j.Found, s.Names())
+		if c.told != (len(j.Findings.ForeignFiles) == 1) || c.told != (s.Read(c.name) != nil) {
+			t.Errorf("case %d: found %+v, files %v", i, j.Findings, s.Names())
 		}
 		must(t, j.put(taken("new")))
 		if j = reopen(t, s, 128<<10); j.of("new") == nil || len(j.Live) != len(m.order)+1 {
@@ -253,10 +253,10 @@
 			bad.Put(name, slices.Concat(to[:at], from[at:]))
 			s := open(t, bad.Dir(), 128<<10)
 			if why := harmless(s, m); why != "" {
-				t.Fatalf("%s from byte %d: %s; found %+v", name, at, why, s.Found)
+				t.Fatalf("%s from byte %d: %s; found %+v", name, at, why, s.Findings)
 			}
 			for _, r := range s.Live {
-				if w := m.live[r.Message.ID]; w != nil && s.Found.Doubtful == 0 && r.Tries > w.Tries {
+				if w := m.live[r.Message.ID]; w != nil && s.Findings.DoubtfulMessages == 0 && r.Tries > w.Tries {
 					t.Fatalf("%s from byte %d: %s was tried %d times, told are %d", name, at, r.Message.ID, w.Tries, r.Tries)
 				}
 			}
@@ -292,8 +292,8 @@
 		if r := s.of("after"); r == nil || r.Pending != nil || r.DoubtAt != 0 {
 			t.Errorf("after: %+v", r)
 		}
-		if s.Found.Facts != 2 || s.Found.Doubtful != 4 {
-			t.Errorf("found %+v", s.Found)
+		if s.Findings.LostFacts != 2 || s.Findings.DoubtfulMessages != 4 {
+			t.Errorf("found %+v", s.Findings)
 		}
 	}
 }
--- a/internal/journal/export_test.go
+++ b/internal/journal/export_test.go
@@ -15,8 +15,8 @@
 // Body is the body that the table keeps of a message.
 func (j *Journal) Body(id string) []byte { return j.live[id].life.msg.Body }
 
-// Newest tells whether the doubt about a message is of its newest attempt alone.
-func (j *Journal) Newest(id string) bool { return j.live[id].life.doubt.newest }
+// DoubtIsNewestAttempt tells whether the doubt about a message is of its newest attempt alone.
+func (j *Journal) DoubtIsNewestAttempt(id string) bool { return j.live[id].life.doubt.newest }
 
 // LastFrame is where the last frame of a segment begins.
 func LastFrame(text []byte) (last int64) {
@@ -42,8 +42,8 @@
 	return b
 }
 
-// Table says what is wrong with the accounts of the table, "" if nothing.
-func (j *Journal) Table() string {
+// CheckTable says what is wrong with the accounts of the table, "" if nothing.
+func (j *Journal) CheckTable() string {
 	var sum int64
 	count, live := 0, 0
 	for n := j.root.next; n != &j.root; n = n.next {
--- a/internal/journal/fuzz_test.go
+++ b/internal/journal/fuzz_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return
 	}
-	if why := j.Table(); why != "" {
+	if why := j.CheckTable(); why != "" {
 		t.Fatal(why)
 	}
 	before := j.ids()
@@ -28,7 +28,7 @@
 		return // more than the disk was there
 	}
 	k := reopen(t, d, 1<<20)
-	if why := k.Table(); why != "" {
+	if why := k.CheckTable(); why != "" {
 		t.Fatal(why)
 	}
 	if k.ids() != before {
@@ -84,7 +84,7 @@
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		d := memdir.New()
-		disk := rapid.Int64Range(journal.LeastDisk, 200<<10).Draw(t, "disk")
+		disk := rapid.Int64Range(journal.MinDisk, 200<<10).Draw(t, "disk")
 		j, err := tryOpen(d.Dir(), settings(disk))
 		if err != nil {
 			t.Fatal(err)
@@ -138,7 +138,7 @@
 					t.Fatal(err)
 				}
 				for id := range m.live {
-					m.newest[id] = j.Newest(id)
+					m.newest[id] = j.DoubtIsNewestAttempt(id)
 				}
 				if why := m.differs(j); why != "" {
 					t.Fatal(why)
@@ -150,7 +150,7 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				if why := j.Table(); why != "" {
+				if why := j.CheckTable(); why != "" {
 					t.Fatal(why)
 				}
 				if n := d.Used(); n > disk {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -20,16 +20,16 @@
 
 // Settings of a journal. All but Disk may be left zero.
 type Settings struct {
-	Disk  int64  // bytes that the journal's files may take, each counted in whole blocks of 512; LeastDisk at least
+	Disk  int64  // bytes that the journal's files may take, each counted in whole blocks of 512; MinDisk at least
 	Owner string // the dispatcher's name: segments of another one are not used; 200 bytes at most
 
-	Sync   Sync
-	Every  time.Duration                   // between two syncs, for SyncInterval: more than 0
-	Go     func(func())                    // runs a function on a goroutine of its own; needed to sync
-	After  func(d time.Duration, f func()) // the same after a time; needed for SyncInterval
-	Stored func(upTo engine.Batch)         // see SyncAlways; called on the syncing goroutine
+	Sync      Sync
+	SyncEvery time.Duration                   // between two syncs, for SyncInterval: more than 0
+	Go        func(func())                    // runs a function on a goroutine of its own; needed to sync
+	After     func(d time.Duration, f func()) // the same after a time; needed for SyncInterval
+	OnStored  func(upTo engine.Batch)         // see SyncAlways; called on the syncing goroutine
 
-	Leaves bool // leaves of the books are kept; else those in the folder go
+	KeepLeaves bool // leaves of the books are kept; else those in the folder go
 
 	Random func() uint64 // marks segments, so that none is taken for another; needed
 	Log    *slog.Logger
@@ -51,8 +51,8 @@
 	SyncAlways
 )
 
-// LeastDisk is the least disk that a journal works with.
-const LeastDisk = 48 << 10
+// MinDisk is the least disk that a journal works with.
+const MinDisk = 48 << 10
 
 const (
 	block      = 512 // the disk is counted in these
@@ -144,28 +144,28 @@
 
 // State is what a journal held when it was opened.
 type State struct {
-	Live   []*engine.RestoredMessage // in the order in which they were taken
-	Ended  []*engine.RestoredEnd
-	Leaves []ledger.Leaf // by number
-	Last   engine.RestoreComplete
-	Found  Found
+	Live     []*engine.RestoredMessage // in the order in which they were taken
+	Ended    []*engine.RestoredEnd
+	Leaves   []ledger.Leaf // by number
+	Last     engine.RestoreComplete
+	Findings Findings
 }
 
 func blocks(n int64) int64 { return (n + block - 1) / block * block }
 
 func (s *Settings) check() error {
 	switch {
-	case s.Disk < LeastDisk:
-		return fmt.Errorf("disk of %d bytes: it needs %d", s.Disk, int64(LeastDisk))
+	case s.Disk < MinDisk:
+		return fmt.Errorf("disk of %d bytes: it needs %d", s.Disk, int64(MinDisk))
 	case len(s.Owner) > ownerMax:
 		return fmt.Errorf("owner's name of %d bytes: %d are allowed", len(s.Owner), ownerMax)
 	case s.Random == nil:
 		return errors.New("Random is needed")
 	case s.Sync != SyncNone && s.Go == nil:
 		return errors.New("Go is needed to sync")
-	case s.Sync == SyncAlways && s.Stored == nil:
+	case s.Sync == SyncAlways && s.OnStored == nil:
 		return errors.New("Stored is needed to sync always")
-	case s.Sync == SyncInterval && (s.After == nil || s.Every <= 0):
+	case s.Sync == SyncInterval && (s.After == nil || s.SyncEvery <= 0):
 		return errors.New("After, and Every of more than 0, are needed to sync every so often")
 	}
 	return nil
@@ -181,7 +181,7 @@
 func segmentSize(disk int64) int64 { return min(max(disk/32, leastSize), mostSize) }
 
 // Open takes the folder over, reads it and makes it ready for more. It fails with ErrLocked where the folder is in use,
-// with ErrNewer where a newer program wrote it, with ErrOther where another dispatcher did, and where it can't be read; in
+// with ErrNewerFormat where a newer program wrote it, with ErrOtherOwner where another dispatcher did, and where it can't be read; in
 // these cases it is left as it is. Damage is no error, nor is a full disk. What is in the folder stays but for files that
 // count no more, unless it is of the first format: that is written anew.
 func Open(dir Dir, set Settings) (_ *Journal, _ *State, err error) {
@@ -220,7 +220,7 @@
 		j.grace = u
 	}
 	j.fillSpare()
-	if !set.Leaves {
+	if !set.KeepLeaves {
 		for _, l := range j.leaves() {
 			j.forget(j.pages[l.Number])
 		}
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -105,12 +105,12 @@
 		cut := memdir.New()
 		cut.Put(name, text[:n])
 		k := open(t, cut.Dir(), 1e6)
-		if k.ids() != "a" || !k.Found.OK() || k.Found.Cut != int64(n-whole) {
-			t.Fatalf("cut at %d: live %s, found %+v", n, k.ids(), k.Found)
+		if k.ids() != "a" || !k.Findings.OK() || k.Findings.UnfinishedBytes != int64(n-whole) {
+			t.Fatalf("cut at %d: live %s, found %+v", n, k.ids(), k.Findings)
 		}
 		must(t, k.put(taken("c")))
-		if k = reopen(t, cut, 1e6); k.ids() != "a c" || !k.Found.OK() {
-			t.Fatalf("cut at %d: live %s, found %+v", n, k.ids(), k.Found)
+		if k = reopen(t, cut, 1e6); k.ids() != "a c" || !k.Findings.OK() {
+			t.Fatalf("cut at %d: live %s, found %+v", n, k.ids(), k.Findings)
 		}
 	}
 }
@@ -133,8 +133,8 @@
 		damaged := memdir.New()
 		damaged.Put(name, bad)
 		k := open(t, damaged.Dir(), 1e6)
-		if k.ids() != "a c" || k.Found.Messages != 1 || k.Found.Damaged != int64(ends[1]-ends[0]) {
-			t.Fatalf("byte %d damaged: live %s, found %+v", at, k.ids(), k.Found)
+		if k.ids() != "a c" || k.Findings.LostMessages != 1 || k.Findings.DamagedBytes != int64(ends[1]-ends[0]) {
+			t.Fatalf("byte %d damaged: live %s, found %+v", at, k.ids(), k.Findings)
 		}
 	}
 }
@@ -156,7 +156,9 @@
 	for n := range d.Ops() {
 		for land := range 2 {
 			d := begin()
-			d.Fault = func(op memdir.Op) memdir.Fault { return memdir.Fault{Crash: op.N == n, Land: land * op.Size / 2} }
+			d.Fault = func(op memdir.Op) memdir.Fault {
+				return memdir.Fault{Crash: op.Index == n, WrittenBytes: land * op.Size / 2}
+			}
 			tryOpen(d.Dir(), settings(1e6))
 			d.Crash()
 			d.Fault = nil
@@ -226,7 +228,7 @@
 					if op.Kind == memdir.Truncate && cut {
 						return memdir.Fault{}
 					}
-					return memdir.Fault{Err: err, Land: land}
+					return memdir.Fault{Err: err, WrittenBytes: land}
 				}
 				if e := j.put(taken("b")); !errors.Is(e, err) {
 					t.Fatalf("taken on though nothing was written: %v", e)
@@ -234,8 +236,8 @@
 				d.Fault = nil
 				must(t, j.soon(taken("c"))) // in a new segment, if what landed could not be cut off
 				must(t, j.put(taken("b")))
-				if j = reopen(t, d, 1e6); j.ids() != "a c b" || !j.Found.OK() {
-					t.Fatalf("%v after %d bytes: live %s, found %+v", err, land, j.ids(), j.Found)
+				if j = reopen(t, d, 1e6); j.ids() != "a c b" || !j.Findings.OK() {
+					t.Fatalf("%v after %d bytes: live %s, found %+v", err, land, j.ids(), j.Findings)
 				}
 			}
 		}
@@ -397,7 +399,7 @@
 	d.Put("journal-00000001.seg", journal.NewerSegment())
 	d.Put("journal-00000002.seg", []byte("unreadable"))
 	d.Put("journal-4.tmp", []byte("left"))
-	if _, err := tryOpen(d.Dir(), settings(1e6)); !errors.Is(err, journal.ErrNewer) {
+	if _, err := tryOpen(d.Dir(), settings(1e6)); !errors.Is(err, journal.ErrNewerFormat) {
 		t.Fatalf("error %v", err)
 	}
 	if d.Ops() != 0 {
@@ -416,7 +418,7 @@
 	d.Crash()
 	ops := d.Ops()
 	set.Owner = "second"
-	if _, err := tryOpen(d.Dir(), set); !errors.Is(err, journal.ErrOther) || !strings.Contains(err.Error(), `"first"`) {
+	if _, err := tryOpen(d.Dir(), set); !errors.Is(err, journal.ErrOtherOwner) || !strings.Contains(err.Error(), `"first"`) {
 		t.Fatalf("error %v", err)
 	}
 	if d.Ops() != ops {
@@ -430,7 +432,7 @@
 
 func TestCapacityIsHeld(t *testing.T) {
 	t.Parallel()
-	for _, disk := range []int64{journal.LeastDisk, 256 << 10, 3e6} {
+	for _, disk := range []int64{journal.MinDisk, 256 << 10, 3e6} {
 		j := open(t, memdir.New().Dir(), disk)
 		n := 0
 		for ; ; n++ {
--- a/internal/journal/leaf_test.go
+++ b/internal/journal/leaf_test.go
@@ -46,7 +46,7 @@
 	must(t, open(t, d.Dir(), 64<<10).put(&engine.RecLedgerLeaf{Number: 1, Text: []byte("figures")}))
 	d.Crash()
 	set := settings(64 << 10)
-	set.Leaves = false
+	set.KeepLeaves = false
 	j, err := tryOpen(d.Dir(), set)
 	must(t, err)
 	if len(j.Leaves) > 0 || j.Leaf(1) != nil {
--- a/internal/journal/load_test.go
+++ b/internal/journal/load_test.go
@@ -71,7 +71,7 @@
 		messages   int // a round
 	}{
 		{1e6, 200, 700, 700, 1}, {3e6, 200, 2500, 500, 8}, {3e6, 200, 1 << 20, 500, 3}, {3e6, 4000, 200, 200, 2},
-		{3e6, 1, 3, 3000, 5}, {256 << 10, 600, 100, 100, 2}, {journal.LeastDisk, 30, 20, 20, 1}, {4e6, 200, 4000, 1000, 10},
+		{3e6, 1, 3, 3000, 5}, {256 << 10, 600, 100, 100, 2}, {journal.MinDisk, 30, 20, 20, 1}, {4e6, 200, 4000, 1000, 10},
 	} {
 		d := memdir.New()
 		s := &stream{store: open(t, d.Dir(), c.disk), body: c.body, life: c.life, keep: c.keep}
@@ -99,7 +99,7 @@
 				t.Fatalf("%+v, round %d: %d bytes on disk", c, i, peak)
 			}
 			if removed > 0 && i%50 == 0 {
-				if why := s.Table(); why != "" {
+				if why := s.CheckTable(); why != "" {
 					t.Fatalf("%+v, round %d: %s", c, i, why)
 				}
 			}
@@ -148,7 +148,7 @@
 func TestWhatDoesNotFitIsRefusedAndTheRestIsStored(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
-	j := open(t, d.Dir(), journal.LeastDisk)
+	j := open(t, d.Dir(), journal.MinDisk)
 	must(t, j.put(taken("a")))
 	large := &engine.RecAttempts{At: now}
 	for range 30_000 {
@@ -176,11 +176,11 @@
 		if b, err := j.Flush(); err != nil || b != j.batch {
 			t.Fatalf("round %d: stored up to %d of %d: %v", round, b, j.batch, err)
 		}
-		if n := d.Used(); n > journal.LeastDisk || refused == 0 || refused == 30 && round == 0 {
+		if n := d.Used(); n > journal.MinDisk || refused == 0 || refused == 30 && round == 0 {
 			t.Fatalf("round %d: %d refused, %d bytes on disk", round, refused, n)
 		}
 	}
-	if j = reopen(t, d, journal.LeastDisk); j.ids() != "a" || j.of("a").Tries != 40*30 {
+	if j = reopen(t, d, journal.MinDisk); j.ids() != "a" || j.of("a").Tries != 40*30 {
 		t.Errorf("live %s, %+v", j.ids(), j.of("a"))
 	}
 }
@@ -266,14 +266,14 @@
 
 func TestSettingsAreChecked(t *testing.T) {
 	t.Parallel()
-	good := settings(journal.LeastDisk)
-	good.Go, good.Stored = func(func()) {}, func(engine.Batch) {}
+	good := settings(journal.MinDisk)
+	good.Go, good.OnStored = func(func()) {}, func(engine.Batch) {}
 	for want, change := range map[string]func(*journal.Settings){
-		"disk":   func(s *journal.Settings) { s.Disk = journal.LeastDisk - 1 },
+		"disk":   func(s *journal.Settings) { s.Disk = journal.MinDisk - 1 },
 		"owner":  func(s *journal.Settings) { s.Owner = strings.Repeat("x", 201) },
 		"Random": func(s *journal.Settings) { s.Random = nil },
 		"Go":     func(s *journal.Settings) { s.Go, s.Sync = nil, journal.SyncAlways },
-		"Stored": func(s *journal.Settings) { s.Stored, s.Sync = nil, journal.SyncAlways },
+		"Stored": func(s *journal.Settings) { s.OnStored, s.Sync = nil, journal.SyncAlways },
 		"Every":  func(s *journal.Settings) { s.Sync = journal.SyncInterval },
 	} {
 		s := good
--- a/internal/journal/memdir/memdir.go
+++ b/internal/journal/memdir/memdir.go
@@ -41,19 +41,19 @@
 
 // Op is one operation that changes the disk.
 type Op struct {
-	N    int // 0 for the first since the disk was made
-	Kind OpKind
-	Name string // of the file, "" for the folder
-	Size int    // bytes to be written
+	Index int // 0 for the first since the disk was made
+	Kind  OpKind
+	Name  string // of the file, "" for the folder
+	Size  int    // bytes to be written
 
 	d    *Disk
 	data []byte
 	off  int64 // of data, or the size to truncate to
 }
 
-// Crashed is a copy of the disk as the operation leaves it if the process crashes in it: a write lands up to so many
+// DiskAfterCrash is a copy of the disk as the operation leaves it if the process crashes in it: a write lands up to so many
 // bytes, any other operation is done unless land is 0. Only Disk.Fault may call it.
-func (op Op) Crashed(land int) *Disk {
+func (op Op) DiskAfterCrash(land int) *Disk {
 	c := op.d.clone()
 	f := c.files[op.Name]
 	switch {
@@ -84,9 +84,9 @@
 
 // Fault is what happens instead of an operation. Its zero value is that it succeeds.
 type Fault struct {
-	Err   error // returned
-	Land  int   // of a write: bytes that land all the same
-	Crash bool  // the process crashes in it, after Land bytes
+	Err          error // returned
+	WrittenBytes int   // of a write: bytes that land all the same
+	Crash        bool  // the process crashes in it, after Land bytes
 }
 
 // Disk is the disk below a folder. Its methods may be called from any goroutine.
@@ -134,9 +134,9 @@
 	return d.ops
 }
 
-// SetRoom sets how many bytes files may take, each counted in whole blocks; 0 sets no limit. Writes that take more fail
+// SetCapacity sets how many bytes files may take, each counted in whole blocks; 0 sets no limit. Writes that take more fail
 // with ENOSPC once they have filled it.
-func (d *Disk) SetRoom(n int64) {
+func (d *Disk) SetCapacity(n int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.room = n
@@ -292,7 +292,7 @@
 	if boot != d.boot {
 		return Fault{}, ErrCrashed
 	}
-	op.N, op.d = d.ops, d
+	op.Index, op.d = d.ops, d
 	d.ops++
 	if d.Fault == nil {
 		return Fault{}, nil
@@ -313,7 +313,7 @@
 	case err != nil:
 		return err
 	case f.Crash:
-		if f.Land > 0 {
+		if f.WrittenBytes > 0 {
 			do()
 		}
 		d.crash()
@@ -460,7 +460,7 @@
 	}
 	n := len(p)
 	if fault.Err != nil || fault.Crash {
-		n = min(fault.Land, n)
+		n = min(fault.WrittenBytes, n)
 	}
 	err = fault.Err
 	if room := f.d.room; room > 0 {
--- a/internal/journal/recover.go
+++ b/internal/journal/recover.go
@@ -11,43 +11,43 @@
 	"curlewmux/engine"
 )
 
-// Found is what was wrong with a folder. All of it but Cut is damage.
-type Found struct {
-	Cut      int64    // bytes of unfinished writes at the end, which never counted
-	Damaged  int64    // bytes that can't be read, before the end
-	Missing  int      // segments that are not there, or of which nothing can be read
-	Messages uint64   // whole records of messages lost with these, at most; some may have ended
-	Facts    uint64   // records about messages lost with these, and not found a second time
-	Again    uint64   // the same, found a second time
-	Doubtful int      // live messages that these may have been about: whether they ran, or even ended, is not known
-	Foreign  []string // segments of other journals, left as they are
+// Findings is what was wrong with a folder. All of it but Cut is damage.
+type Findings struct {
+	UnfinishedBytes  int64    // bytes of unfinished writes at the end, which never counted
+	DamagedBytes     int64    // bytes that can't be read, before the end
+	MissingSegments  int      // segments that are not there, or of which nothing can be read
+	LostMessages     uint64   // whole records of messages lost with these, at most; some may have ended
+	LostFacts        uint64   // records about messages lost with these, and not found a second time
+	RecoveredFacts   uint64   // the same, found a second time
+	DoubtfulMessages int      // live messages that these may have been about: whether they ran, or even ended, is not known
+	ForeignFiles     []string // segments of other journals, left as they are
 }
 
 // OK tells that nothing is wrong.
-func (f *Found) OK() bool { return !f.damaged() && len(f.Foreign) == 0 }
+func (f *Findings) OK() bool { return !f.damaged() && len(f.ForeignFiles) == 0 }
 
-func (f *Found) damaged() bool {
-	return f.Damaged > 0 || f.Missing > 0 || f.Messages > 0 || f.Facts > 0 || f.Again > 0
+func (f *Findings) damaged() bool {
+	return f.DamagedBytes > 0 || f.MissingSegments > 0 || f.LostMessages > 0 || f.LostFacts > 0 || f.RecoveredFacts > 0
 }
 
-// Damage tells that something of what counted may be lost: not where only foreign files were found, or an unfinished
+// HasDamage tells that something of what counted may be lost: not where only foreign files were found, or an unfinished
 // write.
-func (f *Found) Damage() bool { return f.damaged() }
+func (f *Findings) HasDamage() bool { return f.damaged() }
 
-func (f *Found) log(log *slog.Logger) {
-	if f.Cut > 0 {
-		log.Warn("journal: it ends in an unfinished write, which does not count", "bytes", f.Cut)
+func (f *Findings) log(log *slog.Logger) {
+	if f.UnfinishedBytes > 0 {
+		log.Warn("journal: it ends in an unfinished write, which does not count", "bytes", f.UnfinishedBytes)
 	}
 	if !f.OK() {
-		log.Error("journal: the folder is damaged; the rest of it is used", "bytes", f.Damaged, "segments", f.Missing,
-			"messages", f.Messages, "records", f.Facts, "saved", f.Again, "doubtful", f.Doubtful, "foreign", f.Foreign)
+		log.Error("journal: the folder is damaged; the rest of it is used", "bytes", f.DamagedBytes, "segments", f.MissingSegments,
+			"messages", f.LostMessages, "records", f.LostFacts, "saved", f.RecoveredFacts, "doubtful", f.DoubtfulMessages, "foreign", f.ForeignFiles)
 	}
 }
 
 // reading is a folder as it was read.
 type reading struct {
 	*table
-	found    Found
+	found    Findings
 	owner    string
 	anyone   bool   // owner is that of the journal that is found
 	identity uint64 // 0 if there is no segment
@@ -133,7 +133,7 @@
 	if len(chain) == 0 {
 		for _, c := range list {
 			if c.err == nil {
-				return nil, fmt.Errorf("%w: that of %q", ErrOther, c.head.owner)
+				return nil, fmt.Errorf("%w: that of %q", ErrOtherOwner, c.head.owner)
 			}
 		}
 	}
@@ -155,7 +155,7 @@
 		}
 		chain = left
 		r.reset()
-		r.useless, r.found.Cut, r.again = useless, r.cut, true
+		r.useless, r.found.UnfinishedBytes, r.again = useless, r.cut, true
 		if err := r.replay(dir, chain); err != nil {
 			return nil, err
 		}
@@ -186,7 +186,7 @@
 	r.table, r.byNum = newTable(), map[uint64]known{}
 	r.final, r.bulk = true, true
 	r.frame, r.fact, r.whole, r.first, r.floor, r.started, r.began = 0, 0, 0, 0, 0, false, false
-	r.gaps, r.hole, r.ended, r.losses, r.missing, r.segs, r.found = 0, 0, false, nil, nil, nil, Found{Foreign: r.found.Foreign}
+	r.gaps, r.hole, r.ended, r.losses, r.missing, r.segs, r.found = 0, 0, false, nil, nil, nil, Findings{ForeignFiles: r.found.ForeignFiles}
 }
 
 func (c *candidate) gone() bool { return c.name == "" }
@@ -207,7 +207,7 @@
 		return nil, err
 	}
 	c.head, c.frames, c.err = readHeader(text)
-	if errors.Is(c.err, ErrNewer) {
+	if errors.Is(c.err, ErrNewerFormat) {
 		return nil, c.err
 	}
 	return c, nil
@@ -245,7 +245,7 @@
 			nameless = append(nameless, c)
 		case c.head.identity != r.identity || c.head.owner != r.owner:
 			r.alien += blocks(c.size)
-			r.found.Foreign = append(r.found.Foreign, c.name)
+			r.found.ForeignFiles = append(r.found.ForeignFiles, c.name)
 		case bySeq[c.head.seq] == nil:
 			bySeq[c.head.seq] = c
 		default: // the same segment twice: the one in its place counts
@@ -299,14 +299,14 @@
 	}
 	for _, c := range nameless {
 		r.useless = append(r.useless, c.name)
-		r.found.Cut += c.size
+		r.found.UnfinishedBytes += c.size
 	}
 	return chain
 }
 
 // replay applies the segments of a chain, up to the first hole in what was never confirmed: that is where the log ends.
 func (r *reading) replay(dir Dir, chain []*candidate) error {
-	r.unread, r.cut = len(r.useless), r.found.Cut
+	r.unread, r.cut = len(r.useless), r.found.UnfinishedBytes
 	var missing, lost []uint64
 	for i, c := range chain {
 		if c.gone() {
@@ -331,7 +331,7 @@
 				return
 			}
 			if !r.apply(payload, s.seq) {
-				r.found.Damaged += int64(len(payload))
+				r.found.DamagedBytes += int64(len(payload))
 			}
 			if !r.ended {
 				s.size = at + frameHead + int64(len(payload))
@@ -345,7 +345,7 @@
 			r.useless = append(r.useless, c.name)
 			continue
 		case r.ended || i == len(chain)-1:
-			r.found.Cut += disk - s.size
+			r.found.UnfinishedBytes += disk - s.size
 		default:
 			r.hole += max(c.size-s.size, 0)
 		}
@@ -354,15 +354,15 @@
 	}
 	for _, seq := range lost { // between segments that count
 		if seq >= r.first {
-			r.found.Missing++
+			r.found.MissingSegments++
 		}
 	}
 	for _, l := range r.losses {
 		if l.place > 2*r.first { // at the begin of a segment it is of the one before
-			r.found.Damaged += l.bytes
-			r.found.Messages += l.messages
-			r.found.Facts += l.facts
-			r.found.Again += l.again
+			r.found.DamagedBytes += l.bytes
+			r.found.LostMessages += l.messages
+			r.found.LostFacts += l.facts
+			r.found.RecoveredFacts += l.again
 		}
 	}
 	for len(r.segs) > 0 && r.segs[0].seq < r.first {
@@ -410,7 +410,7 @@
 			n.frame, n.fact, n.whole = max(r.frame, r.sureFrame), max(r.fact, min(n.fact, r.sureFact)), r.whole
 		}
 		if n.frame == r.frame {
-			r.found.Cut += r.hole
+			r.found.UnfinishedBytes += r.hole
 		} else {
 			r.gap(n, place)
 		}
@@ -527,7 +527,7 @@
 		if n.life == nil || k.whole == r.gaps {
 			continue
 		}
-		r.found.Doubtful++
+		r.found.DoubtfulMessages++
 		r.state(n, n.life.tries+1, doubt{at: 1}) // out of the time that any key is remembered
 		if k.alive < r.gaps && n.life.owed == nil {
 			r.owe(n, &engine.PendingResult{Disposition: engine.Failed, Fingerprint: n.life.msg.Fingerprint()})
@@ -634,11 +634,11 @@
 			return fmt.Errorf("%s: %w", name, err)
 		}
 		good, bad := oldReplay(text, r.applyOld)
-		r.found.Damaged += int64(bad)
+		r.found.DamagedBytes += int64(bad)
 		if i == len(names)-1 {
-			r.found.Cut += int64(len(text) - good)
+			r.found.UnfinishedBytes += int64(len(text) - good)
 		} else {
-			r.found.Damaged += int64(len(text) - good)
+			r.found.DamagedBytes += int64(len(text) - good)
 		}
 		r.old = append(r.old, name)
 		r.oldBytes += blocks(size)
@@ -647,8 +647,8 @@
 }
 
 // list is the table as the engine is told of it.
-func (t *table) list(f Found) *State {
-	s := &State{Last: engine.RestoreComplete{LatestTimestamp: t.real(t.last)}, Found: f, Leaves: t.leaves()}
+func (t *table) list(f Findings) *State {
+	s := &State{Last: engine.RestoreComplete{LatestTimestamp: t.real(t.last)}, Findings: f, Leaves: t.leaves()}
 	var live, ended []*node
 	newest := map[string]*node{}
 	for n := t.root.next; n != &t.root; n = n.next {
--- a/internal/journal/rig_test.go
+++ b/internal/journal/rig_test.go
@@ -23,7 +23,7 @@
 
 func settings(disk int64) journal.Settings {
 	r := rand.New(rand.NewPCG(1, 2))
-	return journal.Settings{Disk: disk, Random: r.Uint64, Leaves: true}
+	return journal.Settings{Disk: disk, Random: r.Uint64, KeepLeaves: true}
 }
 
 func open(t testing.TB, dir journal.Dir, disk int64) *store {
--- a/internal/journal/segment.go
+++ b/internal/journal/segment.go
@@ -20,11 +20,11 @@
 	ownerMax   = 200 // bytes of the owner's name
 )
 
-// ErrNewer is what Open returns for a folder that a newer program wrote. The folder is left as it is.
-var ErrNewer = errors.New("the journal is of a newer format than this program knows")
+// ErrNewerFormat is what Open returns for a folder that a newer program wrote. The folder is left as it is.
+var ErrNewerFormat = errors.New("the journal is of a newer format than this program knows")
 
-// ErrOther is what Open returns for a folder in which there are segments and none is of its owner's.
-var ErrOther = errors.New("the journal is another dispatcher's")
+// ErrOtherOwner is what Open returns for a folder in which there are segments and none is of its owner's.
+var ErrOtherOwner = errors.New("the journal is another dispatcher's")
 
 var errHeader = errors.New("segment has no good header")
 
@@ -77,7 +77,7 @@
 	return b
 }
 
-// readHeader reads the header of a segment and says where the frames start. ErrNewer is certain; errHeader may be damage
+// readHeader reads the header of a segment and says where the frames start. ErrNewerFormat is certain; errHeader may be damage
 // or a segment that was not finished.
 func readHeader(text []byte) (h header, frames int64, err error) {
 	for _, at := range []int{0, headerCopy} {
@@ -89,7 +89,7 @@
 			// Both are of one length; where the second starts is known.
 			return h, int64(headerCopy + n), nil
 		}
-		if errors.Is(e, ErrNewer) {
+		if errors.Is(e, ErrNewerFormat) {
 			return header{}, 0, e
 		}
 	}
@@ -102,7 +102,7 @@
 		return h, 0, errHeader
 	}
 	if v := binary.LittleEndian.Uint32(b[len(magic):]); v != format {
-		return h, 0, fmt.Errorf("%w: format %d, known is %d", ErrNewer, v, format)
+		return h, 0, fmt.Errorf("%w: format %d, known is %d", ErrNewerFormat, v, format)
 	}
 	size := int(binary.LittleEndian.Uint32(b[fixed:]))
 	if size > headerMax || size > len(b)-fixed-8 {
--- a/internal/journal/sync.go
+++ b/internal/journal/sync.go
@@ -47,7 +47,7 @@
 
 func (j *Journal) startSync() {
 	if j.set.Sync == SyncInterval {
-		j.set.After(j.set.Every, j.runSync)
+		j.set.After(j.set.SyncEvery, j.runSync)
 	} else {
 		j.set.Go(j.runSync)
 	}
@@ -77,7 +77,7 @@
 		if j.set.Sync == SyncAlways {
 			tell := s.stored
 			s.mu.Unlock()
-			j.set.Stored(tell)
+			j.set.OnStored(tell)
 			s.mu.Lock()
 		} else if s.failed == nil && s.wrote > s.done {
 			j.startSync()
--- a/internal/journal/sync_test.go
+++ b/internal/journal/sync_test.go
@@ -30,10 +30,10 @@
 	var work []func()
 	list = &[]engine.Batch{}
 	set := settings(disk)
-	set.Sync, set.Every = sync, time.Second
+	set.Sync, set.SyncEvery = sync, time.Second
 	set.Go = func(f func()) { work = append(work, f) }
 	set.After = func(_ time.Duration, f func()) { work = append(work, f) }
-	set.Stored = func(b engine.Batch) { *list = append(*list, b) }
+	set.OnStored = func(b engine.Batch) { *list = append(*list, b) }
 	j, err := tryOpen(d.Dir(), set)
 	must(t, err)
 	return j, list, func() {
@@ -126,7 +126,7 @@
 	if last := (*list)[len(*list)-1]; last != 6 {
 		t.Errorf("told %v", *list)
 	}
-	if why := j.Table(); why != "" {
+	if why := j.CheckTable(); why != "" {
 		t.Error(why)
 	}
 	for _, power := range []bool{false, true} {
@@ -152,7 +152,7 @@
 	run()
 	must(t, j.Append(2, []engine.Record{taken("b"), ended("a")}))
 	j.Flush()
-	d.Fault = func(memdir.Op) memdir.Fault { return memdir.Fault{Err: syscall.EIO, Land: 1 << 20} }
+	d.Fault = func(memdir.Op) memdir.Fault { return memdir.Fault{Err: syscall.EIO, WrittenBytes: 1 << 20} }
 	must(t, j.Append(3, []engine.Record{taken("c")}))
 	if b, err := j.Flush(); b != 1 || !errors.Is(err, syscall.EIO) {
 		t.Fatalf("stored up to %d, %v", b, err)
@@ -167,8 +167,8 @@
 	if b, err := j.Flush(); b != 4 || err != nil {
 		t.Errorf("stored up to %d, %v", b, err)
 	}
-	if k := reopen(t, d, 1e6); k.ids() != "a d" || !k.Found.OK() {
-		t.Errorf("live %s, found %+v", k.ids(), k.Found)
+	if k := reopen(t, d, 1e6); k.ids() != "a d" || !k.Findings.OK() {
+		t.Errorf("live %s, found %+v", k.ids(), k.Findings)
 	}
 }
 
@@ -205,7 +205,7 @@
 	var list []engine.Batch
 	set := settings(1e6)
 	set.Sync, set.Go = journal.SyncAlways, func(f func()) { work = append(work, f) }
-	set.Stored = func(b engine.Batch) { list = append(list, b) }
+	set.OnStored = func(b engine.Batch) { list = append(list, b) }
 	j, err := tryOpen(dir, set)
 	must(t, err)
 	must(t, j.Append(1, []engine.Record{taken("a")}))
@@ -304,7 +304,7 @@
 				c := d.Clone()
 				c.PowerFail(rand.New(rand.NewPCG(seed, uint64(n))).IntN)
 				if k := open(t, c.Dir(), 1e6); k.of("old") == nil {
-					t.Fatalf("sync %d, %d rounds: live %s, found %+v", sync, n, k.ids(), k.Found)
+					t.Fatalf("sync %d, %d rounds: live %s, found %+v", sync, n, k.ids(), k.Findings)
 				}
 			}
 		}
@@ -320,7 +320,7 @@
 	more := make(chan struct{}, 1)
 	set := settings(1e6)
 	set.Sync, set.Go = journal.SyncAlways, func(f func()) { go f() }
-	set.Stored = func(b engine.Batch) {
+	set.OnStored = func(b engine.Batch) {
 		mu.Lock()
 		last = max(last, b)
 		mu.Unlock()
@@ -504,7 +504,7 @@
 	for i := range n {
 		must(t, j.put(sized(fmt.Sprint("m", i), 300)))
 	}
-	d.SetRoom(d.Used()) // not one block is left
+	d.SetCapacity(d.Used()) // not one block is left
 	for i := range n {
 		id := fmt.Sprint("m", i)
 		must(t, j.put(attempt(now, id, 1)))
@@ -516,7 +516,7 @@
 			}
 		}
 	}
-	d.SetRoom(0)
+	d.SetCapacity(0)
 	must(t, j.soon(taken("new")))
 	if j = reopen(t, d, 1e6); j.ids() != "new" || len(j.Ended) != n {
 		t.Errorf("live %s, %d ended", j.ids(), len(j.Ended))
@@ -539,15 +539,15 @@
 	d := memdir.New() // a full disk
 	j := open(t, d.Dir(), 1e6)
 	must(t, j.put(taken("a")))
-	d.SetRoom(d.Used())
+	d.SetCapacity(d.Used())
 	for i := range 60 {
 		must(t, j.put(attempt(now, "a", i)))
 	}
-	d.SetRoom(d.Used()) // others took what the spare file had
+	d.SetCapacity(d.Used()) // others took what the spare file had
 	if err := again(j); err == nil {
 		t.Fatal("taken on while the disk is full")
 	}
-	d.SetRoom(0)
+	d.SetCapacity(0)
 	must(t, again(j))
 
 	d = memdir.New() // a journal full of what has ended
@@ -594,7 +594,7 @@
 		}
 		d.Fault = func(op memdir.Op) memdir.Fault {
 			if rng.IntN(10) < 3 {
-				return memdir.Fault{Err: syscall.EIO, Land: rng.IntN(op.Size + 1)}
+				return memdir.Fault{Err: syscall.EIO, WrittenBytes: rng.IntN(op.Size + 1)}
 			}
 			return memdir.Fault{}
 		}
@@ -615,7 +615,7 @@
 		if good < 200 {
 			t.Errorf("seed %d: %d of 300 messages are taken once all is well", seed, good)
 		}
-		if why := j.Table(); why != "" {
+		if why := j.CheckTable(); why != "" {
 			t.Error(why)
 		}
 	}
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -34,7 +34,7 @@
 	must(w.t, err)
 	file, err := operator.Parse(text)
 	must(w.t, err)
-	must(w.t, cfg.Operate(file))
+	must(w.t, cfg.ApplyOperatorFile(file))
 	return w.runWith(cfg)
 }
 
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -34,7 +34,7 @@
 	FromOperator    = "operator's file" // --operator
 	FromEnvironment = "environment "
 	FromAgent       = "operator's file, for curlewmux-agent" // a dispatcher does not read it
-	FromRest        = "computed"                             // from other settings
+	FromComputed    = "computed"                             // from other settings
 )
 
 // Check reads the configuration and, unless its name is "", the operator's file, as a start does, and tells what would be
@@ -53,7 +53,7 @@
 		return nil, err
 	}
 	disk, open := c.Disk, c.Settings.MaxOpen
-	if err := c.Operate(file); err != nil {
+	if err := c.ApplyOperatorFile(file); err != nil {
 		return nil, err
 	}
 	share := c.share()
@@ -81,15 +81,15 @@
 	r.site(c)
 	r.operator(c, file, text)
 	// What follows from these, where it is less than what is asked for, or is asked for nowhere.
-	r.add("memory.aim_bytes", c.Memory*6/10, FromRest)
-	r.add("slots", c.Settings.Slots, FromRest)
-	r.add("connections.clients", share.clients, FromRest)
-	r.add("connections.idle", share.idle, FromRest)
+	r.add("memory.aim_bytes", c.Memory*6/10, FromComputed)
+	r.add("slots", c.Settings.Slots, FromComputed)
+	r.add("connections.clients", share.clients, FromComputed)
+	r.add("connections.idle", share.idle, FromComputed)
 	if c.Disk != disk {
-		r.add("disk.journal_bytes", c.Disk, FromRest)
-		r.add("disk.undelivered_bytes", disk-c.Disk, FromRest)
+		r.add("disk.journal_bytes", c.Disk, FromComputed)
+		r.add("disk.undelivered_bytes", disk-c.Disk, FromComputed)
 	}
-	r.add("messages.open", open, FromRest)
+	r.add("messages.open", open, FromComputed)
 	return r, nil
 }
 
@@ -102,7 +102,7 @@
 	first := len(r.Settings)
 	for line := range strings.Lines(c.flat) {
 		name, value, _ := strings.Cut(strings.TrimSpace(line), "=")
-		if c.Fleet && name == "instances" {
+		if c.OperatorSetsInstances && name == "instances" {
 			continue // the operator's file wins
 		}
 		r.add("settings."+name, value, FromFile)
@@ -111,7 +111,7 @@
 	for name, value := range presets {
 		r.add("settings."+name, value, FromDefault)
 	}
-	if c.Fleet {
+	if c.OperatorSetsInstances {
 		r.add("settings.instances", fmt.Sprint(c.Settings.Instances), FromOperator+": fleet.instances")
 	}
 	slices.SortStableFunc(r.Settings[first:], func(a, b Setting) int { return cmp.Compare(a.Name, b.Name) })
@@ -138,7 +138,7 @@
 			}
 		}
 		if s.Name == "mail.front.connections" && !s.Given {
-			s.Value, from = c.Mail.front.Conns, FromRest
+			s.Value, from = c.Mail.front.Conns, FromComputed
 		}
 		r.add(s.Name, s.Value, from)
 	}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -27,13 +27,13 @@
 	Memory, Disk                   int64 // bytes
 	Sockets                        int
 	Cores                          float64
-	Known                          *partnerlist.List // the endpoint list as last had, nil if none
+	CachedList                     *partnerlist.List // the endpoint list as last had, nil if none
 	Dir                            journal.Dir       // in place of the folder State, where that is no folder of this machine
-	Parts                          Parts
+	Interceptors                   Interceptors
 	Sync                           journal.Sync  // when what the journal has is made to outlast a power failure
-	SyncEvery                      time.Duration // of journal.SyncInterval
+	SyncInterval                   time.Duration // of journal.SyncInterval
 	Mail                           *Mail         // nil: neither spoken nor taken
-	Fleet                          bool          // the operator's file says how many dispatchers there are
+	OperatorSetsInstances          bool          // the operator's file says how many dispatchers there are
 	Undelivered                    *Undelivered  // nil: what can't be delivered is not kept
 	Ledger                         *Ledger       // nil: no books are kept
 	Settings                       control.Settings
@@ -75,14 +75,14 @@
 	})
 }
 
-// Operate takes what the operator's file sets for the daemon. Its error names the setting that does not fit the
+// ApplyOperatorFile takes what the operator's file sets for the daemon. Its error names the setting that does not fit the
 // configuration.
-func (c *Config) Operate(f *operator.File) (err error) {
+func (c *Config) ApplyOperatorFile(f *operator.File) (err error) {
 	if f.Journal != nil {
 		c.Sync = map[string]journal.Sync{
 			"none": journal.SyncNone, "interval": journal.SyncInterval, "always": journal.SyncAlways,
 		}[f.Journal.Sync]
-		c.SyncEvery = f.Journal.Every()
+		c.SyncInterval = f.Journal.Every()
 	}
 	c.Ledger = ReadLedger(f.Ledger)
 	if f.Mail != nil {
@@ -104,13 +104,13 @@
 	if instances <= c.Settings.Me {
 		return fmt.Errorf("fleet.instances: %d dispatchers, and this one has number %d, counted from 0", instances, c.Settings.Me)
 	}
-	c.Settings.Instances, c.Fleet = instances, true
+	c.Settings.Instances, c.OperatorSetsInstances = instances, true
 	return nil
 }
 
-// OperateAnew takes from the operator's file, read anew, what may change while running: how many dispatchers there are.
+// ReapplyOperatorFile takes from the operator's file, read anew, what may change while running: how many dispatchers there are.
 // Its error names the setting.
-func (c *Config) OperateAnew(f *operator.File) error {
+func (c *Config) ReapplyOperatorFile(f *operator.File) error {
 	if f.Fleet == nil {
 		return nil
 	}
@@ -196,7 +196,7 @@
 	}
 	c := &Config{
 		stop: plannedStop(), limits: file.Limits, flat: wire.Flatten(file.Settings),
-		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, State: env("EDGE_STATE"), Known: file.Known,
+		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, State: env("EDGE_STATE"), CachedList: file.Known,
 		Cores: file.Limits.Cores, Sockets: file.Limits.Sockets, Memory: file.Limits.MemoryMB << 20, Disk: int64(file.Limits.DiskMB * 1e6),
 	}
 	for _, v := range []struct {
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -41,7 +41,7 @@
 		if instances > 0 {
 			f.Fleet = &operator.Fleet{Instances: instances}
 		}
-		must(t, cfg.OperateAnew(f))
+		must(t, cfg.ReapplyOperatorFile(f))
 		return cfg
 	}
 	log, reloads := &lines{}, make(chan *Config)
@@ -74,12 +74,12 @@
 	cfg := &Config{}
 	cfg.Settings.Me = 3
 	for instances, ok := range map[int]bool{3: false, 4: true} {
-		err := cfg.Operate(&operator.File{Fleet: &operator.Fleet{Instances: instances}})
+		err := cfg.ApplyOperatorFile(&operator.File{Fleet: &operator.Fleet{Instances: instances}})
 		if (err == nil) != ok || err != nil && !strings.Contains(err.Error(), "fleet.instances") {
 			t.Errorf("%d dispatchers: %v", instances, err)
 		}
 	}
-	if !cfg.Fleet || cfg.Settings.Instances != 4 {
+	if !cfg.OperatorSetsInstances || cfg.Settings.Instances != 4 {
 		t.Errorf("%+v", cfg.Settings)
 	}
 }
--- a/internal/node/ledger.go
+++ b/internal/node/ledger.go
@@ -15,14 +15,14 @@
 
 // Ledger has a dispatcher keep figures that add up. ReadLedger makes it.
 type Ledger struct {
-	Most  int           // accounts, 0 for as many as usual; the journal's disk bounds them, too
-	Part  int           // messages that a part of a sweep counts, 0 for as many as usual
-	Every time.Duration // between two sweeps, 0 for the usual time
-	HTTP  bool          // shown at the front's port as well
-	Boot  string        // names the time that the machine runs, "" if that is not known
+	MaxAccounts   int           // accounts, 0 for as many as usual; the journal's disk bounds them, too
+	AuditPart     int           // messages that a part of a sweep counts, 0 for as many as usual
+	AuditInterval time.Duration // between two sweeps, 0 for the usual time
+	HTTP          bool          // shown at the front's port as well
+	BootID        string        // names the time that the machine runs, "" if that is not known
 
-	Post   func(ledger.Posting) []ledger.Posting // for rigs: see ledger.Settings
-	Breach func(ledger.Breach)                   // the same: see driver.Driver.OnBreach
+	InterceptPost func(ledger.Posting) []ledger.Posting // for rigs: see ledger.Settings
+	OnBreach      func(ledger.Breach)                   // the same: see driver.Driver.OnBreach
 }
 
 const (
@@ -36,9 +36,9 @@
 	if f == nil || !*f.Enabled {
 		return nil
 	}
-	l := &Ledger{Most: f.MostAccounts, Part: f.SweepPart, Every: time.Duration(f.SweepEveryMS) * time.Millisecond, HTTP: f.HTTP}
+	l := &Ledger{MaxAccounts: f.MostAccounts, AuditPart: f.SweepPart, AuditInterval: time.Duration(f.SweepEveryMS) * time.Millisecond, HTTP: f.HTTP}
 	if text, err := os.ReadFile(bootFile); err == nil { // else no power failure is told from another restart
-		l.Boot = strings.TrimSpace(string(text))
+		l.BootID = strings.TrimSpace(string(text))
 	}
 	return l
 }
@@ -51,17 +51,17 @@
 	}
 	wall := n.host.Wall().UnixMicro()
 	random := rand.New(rand.NewPCG(n.cfg.Seed^0x6c6564676572, uint64(wall)))
-	most := l.Most
+	most := l.MaxAccounts
 	if most == 0 {
 		most = ledger.DefaultMaxAccounts
 	}
 	set.Ledger = &engine.LedgerSettings{
 		Settings: ledger.Settings{
-			Instance: n.cfg.Name, MaxAccounts: max(1, min(most, int(n.cfg.Disk/leafShare/accountDisk))), BootID: l.Boot,
-			Durable: n.cfg.Sync == journal.SyncAlways, InterceptPost: l.Post,
+			Instance: n.cfg.Name, MaxAccounts: max(1, min(most, int(n.cfg.Disk/leafShare/accountDisk))), BootID: l.BootID,
+			Durable: n.cfg.Sync == journal.SyncAlways, InterceptPost: l.InterceptPost,
 		},
 		Epoch:     ledger.NewEpoch(random.Uint64(), wall, ledger.ReasonNoLedger, ""),
-		AuditPart: l.Part, AuditInterval: engine.Time(l.Every.Microseconds()),
+		AuditPart: l.AuditPart, AuditInterval: engine.Time(l.AuditInterval.Microseconds()),
 		StoredLeaf: func(number uint64) []byte { return n.journal.Leaf(number) },
 	}
 }
@@ -72,7 +72,7 @@
 		return
 	}
 	r := &engine.RestoredLedger{Leaves: s.Leaves}
-	if s.Found.Damage() {
+	if s.Findings.HasDamage() {
 		r.ResetReason = ledger.ReasonDamage
 	}
 	n.driver.Post(r)
@@ -90,7 +90,7 @@
 	return nil, ErrNoLedger
 }
 
-// AskLedger is Ledger for those who can't wait: see driver.Driver.AskLedger.
-func (n *Node) AskLedger(told func(*ledger.Snapshot)) bool {
+// LedgerAsync is Ledger for those who can't wait: see driver.Driver.LedgerAsync.
+func (n *Node) LedgerAsync(told func(*ledger.Snapshot)) bool {
 	return n.driver != nil && n.driver.LedgerAsync(told)
 }
--- a/internal/node/ledger_test.go
+++ b/internal/node/ledger_test.go
@@ -27,7 +27,7 @@
 
 // boots has a process that is about to begin keep books, and looks at them.
 func (b *bookWatch) boots(cfg *Config) {
-	cfg.Ledger = &Ledger{Boot: fmt.Sprint("boot ", b.losses), Most: 1 + len(b.name)%4, Breach: func(f ledger.Breach) {
+	cfg.Ledger = &Ledger{BootID: fmt.Sprint("boot ", b.losses), MaxAccounts: 1 + len(b.name)%4, OnBreach: func(f ledger.Breach) {
 		b.t.Errorf("%s: at %v: %+v", b.name, b.w.Now(), f)
 	}}
 	b.w.After(time.Millisecond, func() { b.look(b.mux.Process()) })
@@ -38,7 +38,7 @@
 		return
 	}
 	if n := b.node(); n != nil {
-		n.AskLedger(b.shown)
+		n.LedgerAsync(b.shown)
 	}
 	b.w.After(170*time.Millisecond, func() { b.look(p) })
 }
@@ -129,7 +129,7 @@
 	for text, on := range map[string]bool{"": false, "[ledger]\nenabled = false": false, "[ledger]\nmost_accounts = 7": true} {
 		f, err := operator.Parse(text)
 		must(t, err)
-		if l := ReadLedger(f.Ledger); (l != nil) != on || on && (l.Most != 7 || l.Part != 1000 || l.Every != 300*time.Millisecond) {
+		if l := ReadLedger(f.Ledger); (l != nil) != on || on && (l.MaxAccounts != 7 || l.AuditPart != 1000 || l.AuditInterval != 300*time.Millisecond) {
 			t.Errorf("%q: %+v", text, l)
 		}
 	}
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -271,7 +271,7 @@
 	w.set(func() { w.mute = true })
 	cfg, err := ParseConfig(w.config(), w.env)
 	must(t, err)
-	cfg.Known = &partnerlist.List{Revision: 1, Complete: true, Entries: partnerlist.Entries{m}}
+	cfg.CachedList = &partnerlist.List{Revision: 1, Complete: true, Entries: partnerlist.Entries{m}}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go Run(ctx, cfg, nil, quiet())
--- a/internal/node/mail_sim_test.go
+++ b/internal/node/mail_sim_test.go
@@ -95,7 +95,7 @@
 	w := mailWorld{smtp: "mux:9025", lmtp: "mux:9024"}
 	f, err := operator.Parse(w.operator())
 	must(s.t, err)
-	must(s.t, cfg.Operate(f))
+	must(s.t, cfg.ApplyOperatorFile(f))
 	s.books.boots(cfg)
 	s.mux.Boot(func(h host.Host) {
 		cfg.Dir = s.mux.Process().Folder()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -62,11 +62,11 @@
 	admin     *admin.Server // nil: operators have nothing to ask
 }
 
-// Parts lets a rig, such as a simulation, stand between the parts of a node. What is nil stays as it is.
-type Parts struct {
-	Intake  func(engine.Intake) engine.Intake                         // what the front hands messages to
-	Listing func(engine.MembershipReceiver) engine.MembershipReceiver // what the watch tells
-	Seams   func(driver.Components) driver.Components                 // what the driver goes by
+// Interceptors lets a rig, such as a simulation, stand between the parts of a node. What is nil stays as it is.
+type Interceptors struct {
+	Intake     func(engine.Intake) engine.Intake                         // what the front hands messages to
+	Membership func(engine.MembershipReceiver) engine.MembershipReceiver // what the watch tells
+	Components func(driver.Components) driver.Components                 // what the driver goes by
 }
 
 type (
@@ -128,7 +128,7 @@
 		done.Put(nil)
 	})
 	var listing engine.MembershipReceiver = n
-	if wrap := n.cfg.Parts.Listing; wrap != nil {
+	if wrap := n.cfg.Interceptors.Membership; wrap != nil {
 		listing = wrap(n)
 	}
 	n.watch.Start(partnerlist.ListingCallback(listing, n.cfg.names(), n.host, n.log))
@@ -171,7 +171,7 @@
 	}
 	n.driver = driver.New(n.host, n.clock, e, n.log)
 	if cfg.Ledger != nil {
-		n.driver.OnBreach = cfg.Ledger.Breach
+		n.driver.OnBreach = cfg.Ledger.OnBreach
 	}
 	n.transport = httptransport.New(n.host, n.clock, httptransport.Settings{
 		ConnectTimeout: engine.Duration(cfg.Settings.ConnectTimeout), EndpointIdleTimeout: engine.Duration(cfg.Settings.ConnIdle),
@@ -181,7 +181,7 @@
 	n.watch.Random = rand.New(rand.NewPCG(cfg.Seed, 1)).Float64
 	n.notices = partnerlist.NewNotices(n.host, cfg.Discovery, n.log)
 	var intake engine.Intake = n.driver
-	if wrap := cfg.Parts.Intake; wrap != nil {
+	if wrap := cfg.Interceptors.Intake; wrap != nil {
 		intake = wrap(intake)
 	}
 	front := httpfront.Settings{
@@ -199,9 +199,9 @@
 	seeded := rand.New(rand.NewPCG(n.cfg.Seed, uint64(n.host.Wall().UnixMicro())))
 	n.journal, state, err = journal.Open(n.dir(), journal.Settings{
 		Disk: n.cfg.Disk, Owner: n.cfg.Name, Random: seeded.Uint64, Log: n.log,
-		Leaves: n.cfg.Ledger != nil, Sync: n.cfg.Sync, Every: n.cfg.SyncEvery, Go: n.host.Go,
+		KeepLeaves: n.cfg.Ledger != nil, Sync: n.cfg.Sync, SyncEvery: n.cfg.SyncInterval, Go: n.host.Go,
 		After: func(d time.Duration, f func()) { n.host.AfterFunc(d, f) },
-		Stored: func(b engine.Batch) {
+		OnStored: func(b engine.Batch) {
 			n.storedKept(b)
 			n.driver.Stored(b, nil)
 		},
@@ -219,11 +219,11 @@
 		}
 		return nil, errors.Join(fmt.Errorf("EDGE_STATE: %s: %w", n.cfg.State, err), n.journal.Close())
 	}
-	if wrap := n.cfg.Parts.Seams; wrap != nil {
+	if wrap := n.cfg.Interceptors.Components; wrap != nil {
 		n.driver.Components = wrap(n.driver.Components)
 	}
-	if n.cfg.Known != nil {
-		n.driver.Handle(n.cfg.Known.CachedMembers(n.cfg.names()))
+	if n.cfg.CachedList != nil {
+		n.driver.Handle(n.cfg.CachedList.CachedMembers(n.cfg.names()))
 	}
 	return state, nil
 }
@@ -365,7 +365,7 @@
 			n.log.Warn("a changed setting counts from the next start on", "setting", s.name)
 		}
 	}
-	if now := next.Settings.Instances; next.Fleet && now != n.cfg.Settings.Instances {
+	if now := next.Settings.Instances; next.OperatorSetsInstances && now != n.cfg.Settings.Instances {
 		n.log.Info("the number of dispatchers has changed", "was", n.cfg.Settings.Instances, "is", now)
 		n.cfg.Settings.Instances = now
 		n.driver.Post(&engine.Fleet{Instances: now})
--- a/internal/node/store_test.go
+++ b/internal/node/store_test.go
@@ -161,7 +161,7 @@
 	cfg, err := ParseConfig(w.config(), w.env)
 	must(t, err)
 	cfg.stop, cfg.Dir = stopTimes{}, disk.Dir()
-	cfg.Operate(&operator.File{Journal: &operator.Journal{Sync: "always"}})
+	cfg.ApplyOperatorFile(&operator.File{Journal: &operator.Journal{Sync: "always"}})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- Run(ctx, cfg, nil, quiet()) }()
--- a/internal/node/undelivered.go
+++ b/internal/node/undelivered.go
@@ -23,7 +23,7 @@
 type Undelivered struct {
 	store     undelivered.Settings
 	desk      redeliver.Settings
-	inquiries map[int]redeliver.Inquiry
+	inquiries map[int]redeliver.InquiryEndpoint
 	socket    string // name of the socket in the state folder, "" for none
 }
 
@@ -33,22 +33,22 @@
 // share off the configuration's disk. Its errors name the setting.
 func ReadUndelivered(u *operator.Undelivered, c *Config) (*Undelivered, error) {
 	share := int64(u.Share * float64(c.Disk))
-	if share < undelivered.LeastDisk || c.Disk-share < journal.LeastDisk {
+	if share < undelivered.MinDiskBytes || c.Disk-share < journal.MinDisk {
 		return nil, fmt.Errorf("undelivered.disk_share: %g of %d bytes leave too little: %d for the store and %d for the journal are the least",
-			u.Share, c.Disk, int64(undelivered.LeastDisk), int64(journal.LeastDisk))
+			u.Share, c.Disk, int64(undelivered.MinDiskBytes), int64(journal.MinDisk))
 	}
 	if ring := int64(*u.Refused) * 256; ring > share/4 {
 		return nil, fmt.Errorf("undelivered.refused: %d take %d bytes, over a quarter of the store's share of %d", *u.Refused, ring, share)
 	}
 	out := &Undelivered{
 		store: undelivered.Settings{
-			Disk: share, LeastWorth: u.WhenFull == "least-worth", Retain: span(u.Retain), RetainEnd: span(u.RetainEnded),
-			Refused: *u.Refused, ClassKeep: map[string]undelivered.Time{},
+			MaxDiskBytes: share, EvictLeastWorth: u.WhenFull == "least-worth", Retention: span(u.Retain), EndedRetention: span(u.RetainEnded),
+			RefusedSlots: *u.Refused, ClassRetention: map[string]undelivered.Time{},
 		},
 		desk: redeliver.Settings{
-			Slots: max(1, int(u.Slots*float64(c.Settings.Slots))), Share: u.Rate, Trial: span(u.Trial), Hand: span(u.Claim),
+			MaxInFlight: max(1, int(u.Slots*float64(c.Settings.Slots))), RateShare: u.Rate, TrialInterval: span(u.Trial), ManualClaimDuration: span(u.Claim),
 		},
-		inquiries: map[int]redeliver.Inquiry{}, socket: *u.Socket,
+		inquiries: map[int]redeliver.InquiryEndpoint{}, socket: *u.Socket,
 	}
 	rules := &out.desk.Rules
 	rules.MaxBody = mostBody
@@ -66,7 +66,7 @@
 		return slices.ContainsFunc(rules.Classes, func(k resend.Class) bool { return k.Name == wire.Plain(name) })
 	}
 	for name, v := range u.RetainClass { // of a class that is gone it goes on to hold
-		out.store.ClassKeep[wire.Plain(name)] = span(v)
+		out.store.ClassRetention[wire.Plain(name)] = span(v)
 	}
 	for _, p := range u.Partners {
 		out.desk.Rules.Partners = append(out.desk.Rules.Partners, resend.Partner{
@@ -74,7 +74,7 @@
 			Proof: map[string]resend.Proof{"none": resend.NoProof, "key": resend.ByKey, "inquiry": resend.ByInquiry}[p.Proof],
 		})
 		if p.Proof == "inquiry" {
-			out.inquiries[*p.Dest] = redeliver.Inquiry{Addr: p.Address, Path: p.Path, Limit: p.Timeout.Duration()}
+			out.inquiries[*p.Dest] = redeliver.InquiryEndpoint{Addr: p.Address, Path: p.Path, Timeout: p.Timeout.Duration()}
 		}
 	}
 	for i, r := range u.Rules {
@@ -109,7 +109,7 @@
 	set    *Undelivered
 	store  *undelivered.Store
 	keeper *undelivered.Keeper
-	desk   *redeliver.Desk
+	desk   *redeliver.Resender
 	ask    *redeliver.Inquirer
 	timer  host.Timer // of the driver's goroutine
 }
@@ -120,7 +120,7 @@
 		return
 	}
 	n.kept = &keptParts{set: n.cfg.Undelivered}
-	set.CheckUndelivered = func(m *engine.Message) (engine.VerdictKind, string) { return n.kept.store.Again(m) }
+	set.CheckUndelivered = func(m *engine.Message) (engine.VerdictKind, string) { return n.kept.store.CheckDuplicate(m) }
 }
 
 // openKept opens the store, once the journal has been read, and puts it in the journal's place.
@@ -138,15 +138,15 @@
 	k.store.Reconcile(state.Live, state.Ended)
 	k.desk = redeliver.New(k.set.desk, k.store, n.log)
 	k.ask = redeliver.NewInquirer(n.host, k.set.inquiries, func(q *redeliver.Question, a resend.Answer, why string) {
-		n.driver.Do(func() { k.desk.Answered(q, a, why) })
+		n.driver.Do(func() { k.desk.InquiryAnswered(q, a, why) })
 	})
-	k.desk.Ports = redeliver.Ports{
-		Resend: func(in *engine.Submit, life redeliver.Time, told func(engine.Verdict)) {
+	k.desk.Callbacks = redeliver.Callbacks{
+		Submit: func(in *engine.Submit, life redeliver.Time, told func(engine.Verdict)) {
 			n.driver.Resend(in, n.host.Now().Add(engine.Duration(life)), told)
 		},
 		Condition: n.driver.Engine().Condition,
-		Ask:       k.ask.Ask,
-		Wake:      n.wakeKept,
+		Inquire:   k.ask.Ask,
+		WakeAt:    n.wakeKept,
 	}
 	k.keeper = undelivered.NewKeeper(n.driver.Components.Store, k.store, n.clock, k.desk)
 	n.driver.Components.Store = k.keeper
@@ -190,7 +190,7 @@
 }
 
 func (n *Node) service() *redeliver.Service {
-	return &redeliver.Service{Desk: n.kept.desk, Dir: n.dir(), Do: n.driver.Do, Wait: func(d time.Duration) {
+	return &redeliver.Service{Resender: n.kept.desk, Dir: n.dir(), RunOnDriver: n.driver.Do, Sleep: func(d time.Duration) {
 		n.host.NewInbox().Take(nil, n.host.Now().Add(d))
 	}}
 }
@@ -224,7 +224,7 @@
 
 func (s *keptSink) Completed(d *engine.Done) {
 	switch {
-	case !s.n.kept.store.Owns(d.ID):
+	case !s.n.kept.store.IsResentID(d.ID):
 		s.Sink.Completed(d)
 	case d.Disposition == engine.Refused || d.Disposition == engine.Failed:
 		s.n.driver.Notified([]string{d.ID})
--- a/internal/node/undelivered_hard_test.go
+++ b/internal/node/undelivered_hard_test.go
@@ -47,14 +47,14 @@
 func (s *keptSim) pass(d time.Duration) { s.Run(s.Now()+d, nil) }
 
 // order has something done on the driver's goroutine, and waits for it.
-func (s *keptSim) order(f func(d *redeliver.Desk)) {
+func (s *keptSim) order(f func(d *redeliver.Resender)) {
 	s.t.Helper()
 	done := false
 	n := s.node
 	s.mux.Process().Go(func() {
 		n.driver.Do(func() {
 			f(n.kept.desk)
-			n.kept.desk.Settle()
+			n.kept.desk.ScheduleWake()
 			done = true
 		})
 	})
@@ -74,8 +74,8 @@
 	s.boot()
 	s.hand(u, "u")
 	s.awaitEntry(undelivered.Ended)
-	if n := s.archive.Effect(u.body); n != 1 || s.entry().End != undelivered.EndTook {
-		t.Errorf("%d effects, end %q", n, s.entry().End)
+	if n := s.archive.Effect(u.body); n != 1 || s.entry().Disposition != undelivered.EndTookEffect {
+		t.Errorf("%d effects, end %q", n, s.entry().Disposition)
 	}
 	if len(asked) != 1 || asked[0] < 5500*time.Millisecond {
 		t.Errorf("asked at %v", asked)
@@ -96,8 +96,8 @@
 	s.pass(100 * time.Millisecond)
 	s.boot()
 	s.awaitEntry(undelivered.Ended)
-	if n := s.archive.Effect(u.body); n != 1 || s.entry().End != undelivered.EndTook {
-		t.Errorf("%d effects, end %q", n, s.entry().End)
+	if n := s.archive.Effect(u.body); n != 1 || s.entry().Disposition != undelivered.EndTookEffect {
+		t.Errorf("%d effects, end %q", n, s.entry().Disposition)
 	}
 }
 
@@ -139,9 +139,9 @@
 	s := newKeptSim(t, 1)
 	defer s.Close()
 	s.unsafeOrder = true
-	s.fill(1, func(_ int, m *engine.Message, l *undelivered.Life) {
+	s.fill(1, func(_ int, m *engine.Message, l *undelivered.Submission) {
 		m.Class, m.Key = "ordered", "k"
-		l.DoubtAt, l.Quiet = 1000*control.Second, 1000*control.Second
+		l.DoubtAt, l.QuietFrom = 1000*control.Second, 1000*control.Second
 	})
 	var keys []string
 	s.archive.Answers = func(_ []string, key string) archive.Lie {
@@ -150,7 +150,7 @@
 	}
 	s.boot()
 	s.pass(20 * time.Second)
-	s.order(func(d *redeliver.Desk) { d.SendByHand(1, redeliver.Order{By: "ana", Why: "x"}) })
+	s.order(func(d *redeliver.Resender) { d.ResendManually(1, redeliver.ManualAction{Operator: "ana", Reason: "x"}) })
 	s.awaitEntry(undelivered.Ended)
 	if !slices.Equal(keys, []string{""}) {
 		t.Errorf("asked about keys %q", keys)
@@ -173,11 +173,11 @@
 	}
 	s.boot()
 	s.hand(u, "u")
-	s.awaitEntry(undelivered.Away)
+	s.awaitEntry(undelivered.InFlight)
 	s.awaitEntry(undelivered.Ended)
 	e := s.entry()
-	if n := s.archive.Effect(u.body); n != 1 || e.End != undelivered.EndTook || e.Tries != 1 {
-		t.Errorf("%d effects, end %q after %d tries", n, e.End, e.Tries)
+	if n := s.archive.Effect(u.body); n != 1 || e.Disposition != undelivered.EndTookEffect || e.Resends != 1 {
+		t.Errorf("%d effects, end %q after %d tries", n, e.Disposition, e.Resends)
 	}
 }
 
@@ -207,17 +207,19 @@
 		if e := s.entry(); calls != 1 || s.archive.Effect(u.body) != 1 || e.State == undelivered.Ended {
 			t.Errorf("%d calls, %d effects, entry %s", calls, s.archive.Effect(u.body), e.State)
 		}
-		var out redeliver.Outcome
-		s.order(func(d *redeliver.Desk) { out = d.SendByHand(s.entry().No, redeliver.Order{By: "ana", Why: "x"}) })
-		if out.Did != redeliver.DidRefuse || !strings.Contains(out.Why, "forgotten") {
+		var out redeliver.ActionResult
+		s.order(func(d *redeliver.Resender) {
+			out = d.ResendManually(s.entry().Number, redeliver.ManualAction{Operator: "ana", Reason: "x"})
+		})
+		if out.Status != redeliver.StatusRefused || !strings.Contains(out.Reason, "forgotten") {
 			t.Errorf("by hand, nobody vouching: %+v", out)
 		}
-		s.order(func(d *redeliver.Desk) {
-			out = d.SendByHand(s.entry().No, redeliver.Order{By: "ana", Why: "looked into the archive", Vouch: true})
+		s.order(func(d *redeliver.Resender) {
+			out = d.ResendManually(s.entry().Number, redeliver.ManualAction{Operator: "ana", Reason: "looked into the archive", ConfirmedNoEffect: true})
 		})
 		s.awaitEntry(undelivered.Ended)
 		e := s.entry()
-		at := slices.IndexFunc(e.History, func(ev undelivered.Event) bool { return ev.Kind == undelivered.WasCleared })
+		at := slices.IndexFunc(e.History, func(ev undelivered.Event) bool { return ev.Kind == undelivered.EventDoubtCleared })
 		if at < 0 || e.History[at].By != "ana" || e.History[at].Why != "looked into the archive" {
 			t.Errorf("who vouched is not kept: %+v", e.History)
 		}
@@ -236,26 +238,26 @@
 	s.hand(u, "u")
 	s.awaitEntry(undelivered.Waiting)
 	s.pass(20 * time.Second)
-	no := s.entry().No
-	ana := redeliver.Order{By: "ana", Why: "it is urgent", Token: "t1"}
-	ben := redeliver.Order{By: "ben", Why: "it is old", Token: "t2"}
-	var outs []redeliver.Outcome
-	s.order(func(d *redeliver.Desk) {
-		outs = append(outs, d.SendByHand(no, ana), d.SendByHand(no, ben), d.Drop(no, ben), d.SendByHand(no, ana))
+	no := s.entry().Number
+	ana := redeliver.ManualAction{Operator: "ana", Reason: "it is urgent", Token: "t1"}
+	ben := redeliver.ManualAction{Operator: "ben", Reason: "it is old", Token: "t2"}
+	var outs []redeliver.ActionResult
+	s.order(func(d *redeliver.Resender) {
+		outs = append(outs, d.ResendManually(no, ana), d.ResendManually(no, ben), d.Drop(no, ben), d.ResendManually(no, ana))
 	})
-	if outs[0].Did != redeliver.DidClaim || outs[3].Did != redeliver.DidAgain || outs[3].Claim != outs[0].Claim {
+	if outs[0].Status != redeliver.StatusClaimed || outs[3].Status != redeliver.StatusDoneBefore || outs[3].Claim != outs[0].Claim {
 		t.Errorf("ana: %+v, given again %+v", outs[0], outs[3])
 	}
 	for _, o := range outs[1:3] {
-		if o.Did != redeliver.DidLose || o.Won == nil || o.Won.By != "ana" || o.Won.No != outs[0].Claim {
+		if o.Status != redeliver.StatusClaimedByOther || o.OtherClaim == nil || o.OtherClaim.By != "ana" || o.OtherClaim.Number != outs[0].Claim {
 			t.Errorf("ben: %+v", o)
 		}
 	}
 	s.awaitEntry(undelivered.Ended)
-	s.order(func(d *redeliver.Desk) {
-		outs = []redeliver.Outcome{d.SendByHand(no, ana), d.SendByHand(no, ben), d.Drop(no, ben), d.Drop(999, ben)}
+	s.order(func(d *redeliver.Resender) {
+		outs = []redeliver.ActionResult{d.ResendManually(no, ana), d.ResendManually(no, ben), d.Drop(no, ben), d.Drop(999, ben)}
 	})
-	if outs[0].Did != redeliver.DidAgain || outs[1].Did != redeliver.DidNothing || outs[2].Did != redeliver.DidNothing || outs[3].Did != redeliver.DidMiss {
+	if outs[0].Status != redeliver.StatusDoneBefore || outs[1].Status != redeliver.StatusAlreadyEnded || outs[2].Status != redeliver.StatusAlreadyEnded || outs[3].Status != redeliver.StatusNotFound {
 		t.Errorf("afterwards: %+v", outs)
 	}
 	if n := s.archive.Effect(u.body); n != 1 {
@@ -275,13 +277,13 @@
 	}
 	s.boot()
 	s.hand(u, "u")
-	s.awaitEntry(undelivered.Away)
+	s.awaitEntry(undelivered.InFlight)
 	e := s.entry()
-	var outs []redeliver.Outcome
-	o := redeliver.Order{By: "ana", Why: "x", Vouch: true}
-	s.order(func(d *redeliver.Desk) { outs = append(outs, d.SendByHand(e.No, o), d.Drop(e.No, o)) })
+	var outs []redeliver.ActionResult
+	o := redeliver.ManualAction{Operator: "ana", Reason: "x", ConfirmedNoEffect: true}
+	s.order(func(d *redeliver.Resender) { outs = append(outs, d.ResendManually(e.Number, o), d.Drop(e.Number, o)) })
 	for _, out := range outs {
-		if out.Did != redeliver.DidLose || out.Won == nil || out.Won.By != "rule all" || out.Won.ID != e.Claim.ID || !strings.Contains(out.Why, e.Claim.ID) {
+		if out.Status != redeliver.StatusClaimedByOther || out.OtherClaim == nil || out.OtherClaim.By != "rule all" || out.OtherClaim.SubmittedID != e.Claim.SubmittedID || !strings.Contains(out.Reason, e.Claim.SubmittedID) {
 			t.Errorf("%+v", out)
 		}
 	}
@@ -313,7 +315,7 @@
 		s.boot()
 		s.hand(u, "u")
 		s.until(time.Minute, "its client is told", func() bool { return u.done }) // until then the same request again is answered 202
-		s.awaitEntry(map[bool]undelivered.State{false: undelivered.Waiting, true: undelivered.Away}[c.away])
+		s.awaitEntry(map[bool]undelivered.State{false: undelivered.Waiting, true: undelivered.InFlight}[c.away])
 		code := -1
 		s.clients.Go(func() { code = s.post(u.class, c.id, c.key, u.body, time.Second) })
 		s.until(time.Minute, "an answer", func() bool { return code >= 0 })
@@ -342,10 +344,10 @@
 		s.hand(u, "u")
 		crashed := false
 		s.mux.Disk().Fault = func(o memdir.Op) memdir.Fault {
-			ops = o.N + 1
-			if o.N == crash {
+			ops = o.Index + 1
+			if o.Index == crash {
 				crashed = true
-				return memdir.Fault{Crash: true, Land: land}
+				return memdir.Fault{Crash: true, WrittenBytes: land}
 			}
 			return memdir.Fault{}
 		}
@@ -409,10 +411,10 @@
 		}
 		s.After(time.Duration(500+dice.IntN(3000))*time.Millisecond, func() {
 			if !small {
-				s.mux.Disk().SetRoom(s.mux.Disk().Used() + int64(dice.IntN(8000)))
+				s.mux.Disk().SetCapacity(s.mux.Disk().Used() + int64(dice.IntN(8000)))
 			}
 		})
-		s.After(9*time.Second, func() { s.mux.Disk().SetRoom(0) })
+		s.After(9*time.Second, func() { s.mux.Disk().SetCapacity(0) })
 		s.After(10*time.Second, func() {
 			calm = true
 			s.fresh(2, 30*time.Second) // a destination that failed is tried with harmless ones first
@@ -463,7 +465,7 @@
 	s.archive.Script = func([]archive.Item, bool) archive.Act { return archive.Act{Status: 500, NoEffect: true} }
 	s.boot()
 	s.hand(&upload{class: "unsafe", body: "poison", expires: time.Second}, "p")
-	s.until(time.Hour, "it had its tries", func() bool { return s.entry().Tries == 3 && s.entry().State == undelivered.Waiting })
+	s.until(time.Hour, "it had its tries", func() bool { return s.entry().Resends == 3 && s.entry().State == undelivered.Waiting })
 	calls, asked := s.archive.Counts()
 	size := s.mux.Disk().Used()
 	s.pass(6 * time.Hour)
@@ -471,12 +473,12 @@
 		t.Errorf("six hours later: %d calls and %d inquiries more, %d bytes more", c-calls, a-asked, s.mux.Disk().Used()-size)
 	}
 	e := s.entry()
-	if len(e.Lives) != 4 || len(e.Lives[3].Attempts) == 0 || e.Lives[3].Attempts[0].How != "error" || e.State != undelivered.Waiting {
+	if len(e.Submissions) != 4 || len(e.Submissions[3].Attempts) == 0 || e.Submissions[3].Attempts[0].Result != "error" || e.State != undelivered.Waiting {
 		t.Errorf("%+v", e)
 	}
 	var look string
-	s.order(func(d *redeliver.Desk) {
-		sum, _ := s.node.kept.store.Get(e.No)
+	s.order(func(d *redeliver.Resender) {
+		sum, _ := s.node.kept.store.Get(e.Number)
 		look = d.Outlook(&sum)
 	})
 	if !strings.Contains(look, "all 3 tries") {
@@ -490,7 +492,7 @@
 	t.Parallel()
 	s := newKeptSim(t, 1)
 	defer s.Close()
-	s.fill(5, func(n int, m *engine.Message, l *undelivered.Life) {
+	s.fill(5, func(n int, m *engine.Message, l *undelivered.Submission) {
 		switch n {
 		case 0:
 			m.Class = "gone"
@@ -501,7 +503,7 @@
 		case 3:
 			m.Body = make([]byte, 70_000)
 		case 4:
-			l.DoubtAt, l.Quiet = 1000*control.Second, 1000*control.Second
+			l.DoubtAt, l.QuietFrom = 1000*control.Second, 1000*control.Second
 		}
 	})
 	s.mux.StepWall(-time.Hour)
@@ -516,7 +518,7 @@
 	}
 	for n, want := range []string{`class "gone"`, `tenant "nobody"`, "as soon as", "over today's limit", "forgotten"} {
 		var look string
-		s.order(func(d *redeliver.Desk) {
+		s.order(func(d *redeliver.Resender) {
 			sum, _ := s.node.kept.store.Get(uint64(n) + 1)
 			look = d.Outlook(&sum)
 		})
@@ -527,7 +529,7 @@
 }
 
 // fill puts messages into the store that never ran, as an earlier process would have.
-func (s *keptSim) fill(n int, change func(n int, m *engine.Message, l *undelivered.Life)) {
+func (s *keptSim) fill(n int, change func(n int, m *engine.Message, l *undelivered.Submission)) {
 	cfg := s.config()
 	set := cfg.Undelivered.store
 	h := s.clients
@@ -538,7 +540,7 @@
 	for i := range n {
 		id := fmt.Sprintf("night-%d", i)
 		m := &engine.Message{ID: id, Class: "unsafe", Tenant: "core", Destination: 1, Body: []byte("body of " + id)}
-		l := undelivered.Life{ID: id, How: "failed", Cause: "time"}
+		l := undelivered.Submission{ID: id, Disposition: "failed", Cause: "time"}
 		if change != nil {
 			change(i, m, &l)
 		}
--- a/internal/node/undelivered_sim_test.go
+++ b/internal/node/undelivered_sim_test.go
@@ -146,12 +146,12 @@
 						return false
 					})
 					for range 1 + dice.IntN(2) { // two operators at once
-						out := n.kept.desk.SendByHand(no, redeliver.Order{By: "ana", Why: "seen", Token: fmt.Sprint(dice.IntN(50))})
-						if out.Did == redeliver.DidLose {
+						out := n.kept.desk.ResendManually(no, redeliver.ManualAction{Operator: "ana", Reason: "seen", Token: fmt.Sprint(dice.IntN(50))})
+						if out.Status == redeliver.StatusClaimedByOther {
 							sum.lost++
 						}
 					}
-					n.kept.desk.Settle()
+					n.kept.desk.ScheduleWake()
 				})
 			}
 			s.After(time.Duration(dice.IntN(2500))*time.Millisecond, operator)
@@ -201,19 +201,19 @@
 		}
 		for _, e := range s.entries() {
 			sum.kept++
-			if e.End == undelivered.EndTook {
+			if e.Disposition == undelivered.EndTookEffect {
 				sum.took++
 			}
 			for _, ev := range e.History {
 				switch {
 				case ev.Claim == nil:
-				case ev.Claim.Hand:
+				case ev.Claim.Manual:
 					sum.handed++
 				default:
 					sum.ruled++
 				}
 			}
-			for _, l := range e.Lives {
+			for _, l := range e.Submissions {
 				if l.DoubtAt != 0 {
 					sum.doubted++
 				}
--- a/internal/node/undelivered_test.go
+++ b/internal/node/undelivered_test.go
@@ -158,7 +158,7 @@
 	must(s.t, err)
 	f, err := operator.Parse(fmt.Sprintf(keptOperator, s.sync, s.remembers, s.first, s.tries))
 	must(s.t, err)
-	must(s.t, cfg.Operate(f))
+	must(s.t, cfg.ApplyOperatorFile(f))
 	return cfg
 }
 
@@ -265,7 +265,7 @@
 func (s *keptSim) states() string {
 	var b strings.Builder
 	for _, e := range s.entries() {
-		fmt.Fprintf(&b, " %d:%s:%s tries %d doubt %v held %q end %q;", e.No, e.ID, e.State, e.Tries, e.Doubt.At != 0, e.Held, e.End)
+		fmt.Fprintf(&b, " %d:%s:%s tries %d doubt %v held %q end %q;", e.Number, e.ID, e.State, e.Resends, e.Doubt.FirstSent != 0, e.HoldReason, e.Disposition)
 	}
 	return b.String()
 }
@@ -289,11 +289,11 @@
 		calls, asked := s.archive.Counts()
 		want := undelivered.EndDelivered
 		if took {
-			want = undelivered.EndTook
+			want = undelivered.EndTookEffect
 		}
 		e := s.entries()[0]
-		if s.archive.Effect("upload 1") != 1 || e.End != want || asked == 0 || took && calls != 1 {
-			t.Errorf("took %v: %d effects, end %q, %d calls, %d inquiries", took, s.archive.Effect("upload 1"), e.End, calls, asked)
+		if s.archive.Effect("upload 1") != 1 || e.Disposition != want || asked == 0 || took && calls != 1 {
+			t.Errorf("took %v: %d effects, end %q, %d calls, %d inquiries", took, s.archive.Effect("upload 1"), e.Disposition, calls, asked)
 		}
 		s.Close()
 	}
--- a/internal/redeliver/byhand.go
+++ b/internal/redeliver/byhand.go
@@ -9,47 +9,47 @@
 	"curlewmux/undelivered"
 )
 
-// Order is what an operator wants done with an entry.
-type Order struct {
-	By     string
-	Why    string
-	Token  string // of the command: given again it changes nothing more
-	Vouch  bool   // the operator says that the message took no effect
-	DryRun bool
+// ManualAction is what an operator wants done with an entry.
+type ManualAction struct {
+	Operator          string
+	Reason            string
+	Token             string // of the command: given again it changes nothing more
+	ConfirmedNoEffect bool   // the operator says that the message took no effect
+	DryRun            bool
 }
 
-// Outcome is what became of an Order.
-type Outcome struct {
-	No    uint64             `json:"number"`
-	Did   Did                `json:"did"`
-	Claim uint64             `json:"claim,omitempty"` // the order's own
-	ID    string             `json:"new_id,omitempty"`
-	Why   string             `json:"why,omitempty"`
-	Won   *undelivered.Claim `json:"won,omitempty"` // who has it, where the order lost
+// Result is what became of an Order.
+type ActionResult struct {
+	Number     uint64             `json:"number"`
+	Status     ActionStatus       `json:"did"`
+	Claim      uint64             `json:"claim,omitempty"` // the order's own
+	NewID      string             `json:"new_id,omitempty"`
+	Reason     string             `json:"why,omitempty"`
+	OtherClaim *undelivered.Claim `json:"won,omitempty"` // who has it, where the order lost
 }
 
-// Did is what was done.
-type Did string
+// ActionStatus is what was done.
+type ActionStatus string
 
 // What may have been done.
 const (
-	DidClaim   Did = "claimed" // it is sent as soon as its destination takes it
-	DidDrop    Did = "dropped"
-	DidAgain   Did = "done before" // by the same command
-	DidLose    Did = "lost"        // somebody else has it: see Won
-	DidRefuse  Did = "refused"     // see Why
-	DidNothing Did = "ended"       // it had ended
-	DidMiss    Did = "none"        // there is no such entry
-	WouldClaim Did = "would claim"
-	WouldDrop  Did = "would drop"
+	StatusClaimed        ActionStatus = "claimed" // it is sent as soon as its destination takes it
+	StatusDropped        ActionStatus = "dropped"
+	StatusDoneBefore     ActionStatus = "done before" // by the same command
+	StatusClaimedByOther ActionStatus = "lost"        // somebody else has it: see Won
+	StatusRefused        ActionStatus = "refused"     // see Why
+	StatusAlreadyEnded   ActionStatus = "ended"       // it had ended
+	StatusNotFound       ActionStatus = "none"        // there is no such entry
+	StatusWouldClaim     ActionStatus = "would claim"
+	StatusWouldDrop      ActionStatus = "would drop"
 )
 
 // look finds an entry and what speaks against any order about it.
-func (d *Desk) look(no uint64, o Order) (s undelivered.Summary, out Outcome, ok bool) {
-	out.No = no
+func (d *Resender) look(no uint64, o ManualAction) (s undelivered.Summary, out ActionResult, ok bool) {
+	out.Number = no
 	s, known := d.store.Get(no)
 	if !known {
-		out.Did = DidMiss
+		out.Status = StatusNotFound
 		return s, out, false
 	}
 	if s.State == undelivered.Damaged {
@@ -57,15 +57,15 @@
 	}
 	e, err := d.store.Entry(no)
 	if err != nil {
-		out.Did, out.Why = DidRefuse, err.Error()
+		out.Status, out.Reason = StatusRefused, err.Error()
 		return s, out, false
 	}
 	if o.Token != "" {
 		for i := len(e.History) - 1; i >= 0; i-- {
 			if ev := &e.History[i]; ev.Token == o.Token {
-				out.Did, out.Why = DidAgain, "the same command did it at "+ev.Wall.Format(time.RFC3339)
+				out.Status, out.Reason = StatusDoneBefore, "the same command did it at "+ev.WallTime.Format(time.RFC3339)
 				if ev.Claim != nil {
-					out.Claim = ev.Claim.No
+					out.Claim = ev.Claim.Number
 				}
 				return s, out, false
 			}
@@ -73,82 +73,82 @@
 	}
 	switch {
 	case s.State == undelivered.Ended:
-		out.Did, out.Why = DidNothing, e.End
+		out.Status, out.Reason = StatusAlreadyEnded, e.Disposition
 	case e.Claim != nil:
-		out.Did, out.Won = DidLose, e.Claim
-		out.Why = (&undelivered.ClaimedError{Claim: *e.Claim}).Error()
-	case d.store.Early(no):
-		out.Did, out.Why = DidRefuse, "its end is not in the journal yet; give the command again in a moment"
+		out.Status, out.OtherClaim = StatusClaimedByOther, e.Claim
+		out.Reason = (&undelivered.ClaimedError{Claim: *e.Claim}).Error()
+	case d.store.EndNotStored(no):
+		out.Status, out.Reason = StatusRefused, "its end is not in the journal yet; give the command again in a moment"
 	default:
 		return s, out, true
 	}
 	return s, out, false
 }
 
-// SendByHand has an entry sent in an operator's name. Settle follows after a series of orders.
-func (d *Desk) SendByHand(no uint64, o Order) Outcome {
+// ResendManually has an entry sent in an operator's name. Settle follows after a series of orders.
+func (d *Resender) ResendManually(no uint64, o ManualAction) ActionResult {
 	s, out, ok := d.look(no, o)
 	if !ok {
 		return out
 	}
 	if s.State == undelivered.Damaged {
-		out.Did, out.Why = DidRefuse, undelivered.ErrDamaged.Error()
+		out.Status, out.Reason = StatusRefused, undelivered.ErrDamaged.Error()
 		return out
 	}
 	now, due := d.store.Now(), Time(0)
-	v := d.set.Rules.DecideManual(&s.Item, now, o.Vouch)
+	v := d.set.Rules.DecideManual(&s.Item, now, o.ConfirmedNoEffect)
 	switch {
 	case v.Action == resend.Leave:
-		out.Did, out.Why = DidRefuse, v.Reason
+		out.Status, out.Reason = StatusRefused, v.Reason
 		return out
-	case v.Action == resend.Wait && v.At >= now+d.set.Hand:
-		out.Did, out.Why = DidRefuse, fmt.Sprintf("%s, until %s", v.Reason, d.store.Wall(v.At).Format(time.RFC3339))
+	case v.Action == resend.Wait && v.At >= now+d.set.ManualClaimDuration:
+		out.Status, out.Reason = StatusRefused, fmt.Sprintf("%s, until %s", v.Reason, d.store.WallTime(v.At).Format(time.RFC3339))
 		return out
 	case v.Action == resend.Wait:
-		due, out.Why = v.At, fmt.Sprintf("%s, until %s", v.Reason, d.store.Wall(v.At).Format(time.RFC3339))
+		due, out.Reason = v.At, fmt.Sprintf("%s, until %s", v.Reason, d.store.WallTime(v.At).Format(time.RFC3339))
 	}
 	if o.DryRun {
-		out.Did = WouldClaim
+		out.Status = StatusWouldClaim
 		return out
 	}
 	e, err := d.store.Claim(no, undelivered.Claim{
-		By: o.By, Why: o.Why, Token: o.Token, Vouch: o.Vouch, Hand: true, Until: now + d.set.Hand,
+		By: o.Operator, Why: o.Reason, Token: o.Token, ConfirmedNoEffect: o.ConfirmedNoEffect, Manual: true, ExpiresAt: now + d.set.ManualClaimDuration,
 	})
 	var lost *undelivered.ClaimedError
 	switch {
 	case errors.As(err, &lost):
-		out.Did, out.Won, out.Why = DidLose, &lost.Claim, lost.Error()
+		out.Status, out.OtherClaim, out.Reason = StatusClaimedByOther, &lost.Claim, lost.Error()
 	case err != nil:
-		out.Did, out.Why = DidRefuse, err.Error()
+		out.Status, out.Reason = StatusRefused, err.Error()
 	default:
-		out.Did, out.Claim = DidClaim, e.Claim.No
+		out.Status, out.Claim = StatusClaimed, e.Claim.Number
 		d.plan.Schedule(s.Node(), due)
 	}
 	return out
 }
 
 // Drop ends an entry in an operator's name.
-func (d *Desk) Drop(no uint64, o Order) Outcome {
+func (d *Resender) Drop(no uint64, o ManualAction) ActionResult {
 	_, out, ok := d.look(no, o)
 	switch {
 	case !ok:
 	case o.DryRun:
-		out.Did = WouldDrop
+		out.Status = StatusWouldDrop
 	default:
-		out.Did = DidDrop
-		if err := d.store.End(no, undelivered.EndDropped, o.By, o.Why, o.Token); err != nil {
-			out.Why = "dropped, but that can't be written yet: " + err.Error()
+		out.Status = StatusDropped
+		if err := d.store.End(no, undelivered.EndDropped, o.Operator, o.Reason, o.Token); err != nil {
+			out.Reason = "dropped, but that can't be written yet: " + err.Error()
 		}
 	}
 	return out
 }
 
-// Settle follows a series of orders.
-func (d *Desk) Settle() { d.arm() }
+// ScheduleWake follows a series of orders.
+func (d *Resender) ScheduleWake() { d.arm() }
 
 // Outlook is what will become of an entry by itself, for people; "" for one that somebody has, or that has ended. It reads
 // no file.
-func (d *Desk) Outlook(s *undelivered.Summary) string {
+func (d *Resender) Outlook(s *undelivered.Summary) string {
 	if s.State != undelivered.Waiting && s.State != undelivered.Held {
 		return ""
 	}
@@ -156,7 +156,7 @@
 	case resend.Leave:
 		return "operators: " + v.Reason
 	case resend.Wait:
-		return fmt.Sprintf("rule %s, from %s: %s", v.Rule, d.store.Wall(v.At).Format(time.RFC3339), v.Reason)
+		return fmt.Sprintf("rule %s, from %s: %s", v.Rule, d.store.WallTime(v.At).Format(time.RFC3339), v.Reason)
 	case resend.Ask:
 		return "rule " + v.Rule + ": asks the partner first"
 	default:
--- a/internal/redeliver/desk.go
+++ b/internal/redeliver/desk.go
@@ -20,46 +20,46 @@
 
 // Settings of a desk.
 type Settings struct {
-	Rules resend.Settings
-	Slots int     // messages that are being sent again at a time, at most
-	Share float64 // of the rates listed for destinations
-	Trial Time    // between two messages to a destination that ails
-	Hand  Time    // how long an operator's claim lasts where nothing can be handed in
+	Rules               resend.Settings
+	MaxInFlight         int     // messages that are being sent again at a time, at most
+	RateShare           float64 // of the rates listed for destinations
+	TrialInterval       Time    // between two messages to a destination that ails
+	ManualClaimDuration Time    // how long an operator's claim lasts where nothing can be handed in
 }
 
-// Ports are what a desk goes by. It calls them on the driver's goroutine, and none may block.
-type Ports struct {
-	// Resend hands a message in that may be delivered for so long; told is called with the verdict, on the driver's
+// Callbacks are what a desk goes by. It calls them on the driver's goroutine, and none may block.
+type Callbacks struct {
+	// Submit hands a message in that may be delivered for so long; told is called with the verdict, on the driver's
 	// goroutine, or never if the driver stops.
-	Resend func(in *engine.Submit, life Time, told func(engine.Verdict))
+	Submit func(in *engine.Submit, life Time, told func(engine.Verdict))
 
 	// Condition tells how a destination does, and its listed rate.
 	Condition func(dest int) (control.Condition, float64)
 
-	// Ask asks a partner. Desk.Answered follows, on the driver's goroutine, or never if the driver stops.
-	Ask func(q *Question)
+	// Inquire asks a partner. Desk.Answered follows, on the driver's goroutine, or never if the driver stops.
+	Inquire func(q *Question)
 
-	// Wake has Step called at that time of the store's, in place of what was asked for before.
-	Wake func(at Time)
+	// WakeAt has Step called at that time of the store's, in place of what was asked for before.
+	WakeAt func(at Time)
 }
 
 // Question is an inquiry.
 type Question struct {
-	No, Claim uint64
-	Dest      int
-	Asked     Time
-	IDs       []string // took any of these effect,
-	Key       string   // or this?
+	Number, ClaimNumber uint64
+	Destination         int
+	AskedAt             Time
+	IDs                 []string // took any of these effect,
+	Key                 string   // or this?
 }
 
-// Desk is where undelivered messages are worked on. All its methods are called on the driver's goroutine, so that one
+// Resender is where undelivered messages are worked on. All its methods are called on the driver's goroutine, so that one
 // thing happens after the other: a claim, an end, a command.
-type Desk struct {
+type Resender struct {
 	set   Settings
 	store *undelivered.Store
 	plan  *resend.Planner
 	log   *slog.Logger
-	Ports
+	Callbacks
 
 	sending map[uint64]int // entries that were picked, with their destinations
 	swept   Time
@@ -74,20 +74,20 @@
 )
 
 // New makes a desk. Start follows when the journal has been read.
-func New(set Settings, store *undelivered.Store, log *slog.Logger) *Desk {
-	d := &Desk{
-		set: set, store: store, plan: resend.NewPlanner(set.Slots, set.Share, set.Trial), log: log, sending: map[uint64]int{},
+func New(set Settings, store *undelivered.Store, log *slog.Logger) *Resender {
+	d := &Resender{
+		set: set, store: store, plan: resend.NewPlanner(set.MaxInFlight, set.RateShare, set.TrialInterval), log: log, sending: map[uint64]int{},
 	}
-	store.OnDrop(d.plan.Remove)
+	store.OnRemove(d.plan.Remove)
 	return d
 }
 
 // Start takes up what lies there.
-func (d *Desk) Start() {
+func (d *Resender) Start() {
 	counts := map[undelivered.State]int{}
 	d.store.Each(0, func(s undelivered.Summary) bool {
 		counts[s.State]++
-		if s.State == undelivered.Away {
+		if s.State == undelivered.InFlight {
 			d.plan.AddInFlight(s.Destination)
 			d.sending[s.Number] = s.Destination
 		} else {
@@ -97,13 +97,13 @@
 	})
 	d.swept, d.started = d.store.Now(), true
 	if d.store.Len() > 0 {
-		d.log.Info("undelivered messages are kept", "states", fmt.Sprint(counts), "bytes", d.store.Used())
+		d.log.Info("undelivered messages are kept", "states", fmt.Sprint(counts), "bytes", d.store.DiskBytes())
 	}
 	d.arm()
 }
 
 // consider puts an entry where it belongs: into the planner, if a rule or an operator sends it.
-func (d *Desk) consider(no uint64) {
+func (d *Resender) consider(no uint64) {
 	s, ok := d.store.Get(no)
 	if !ok {
 		return
@@ -113,12 +113,12 @@
 	}
 	switch s.State {
 	case undelivered.Claimed:
-		if c := d.store.Claimant(no); c != nil && c.Hand {
+		if c := d.store.ActiveClaim(no); c != nil && c.Manual {
 			d.plan.Schedule(s.Node(), 0)
 			return
 		}
 	case undelivered.Waiting:
-		if d.store.Early(no) {
+		if d.store.EndNotStored(no) {
 			break
 		}
 		switch v := d.set.Rules.Decide(&s.Item, d.store.Now()); v.Action {
@@ -134,7 +134,7 @@
 }
 
 // arm asks to be woken when something is due.
-func (d *Desk) arm() {
+func (d *Resender) arm() {
 	if !d.started {
 		return
 	}
@@ -147,17 +147,17 @@
 	}
 	if d.armed == 0 || at < d.armed {
 		d.armed = at
-		d.Wake(at)
+		d.WakeAt(at)
 	}
 }
 
 // Step does what is due.
-func (d *Desk) Step() {
+func (d *Resender) Step() {
 	d.armed = 0
 	now := d.store.Now()
 	if now-d.swept >= sweepEvery {
 		d.swept = now
-		released, more := d.store.Sweep()
+		released, more := d.store.Cleanup()
 		for _, no := range released {
 			d.consider(no)
 		}
@@ -173,7 +173,7 @@
 }
 
 // work goes on with an entry that was picked.
-func (d *Desk) work(no uint64) {
+func (d *Resender) work(no uint64) {
 	s, ok := d.store.Get(no)
 	if !ok {
 		d.done(no, resend.Inconclusive)
@@ -182,11 +182,11 @@
 	now := d.store.Now()
 	var v resend.Decision
 	claim, by := uint64(0), ""
-	c := d.store.Claimant(no)
+	c := d.store.ActiveClaim(no)
 	switch {
-	case c != nil && c.Hand && c.ID == "":
-		claim, by = c.No, c.By
-		v = d.set.Rules.DecideManual(&s.Item, now, c.Vouch)
+	case c != nil && c.Manual && c.SubmittedID == "":
+		claim, by = c.Number, c.By
+		v = d.set.Rules.DecideManual(&s.Item, now, c.ConfirmedNoEffect)
 	case c == nil && s.State == undelivered.Waiting:
 		v = d.set.Rules.Decide(&s.Item, now)
 	default: // it has ended, or somebody else has it
@@ -213,13 +213,13 @@
 			d.unclaimed(&s, err)
 			return
 		}
-		claim = e.Claim.No
+		claim = e.Claim.Number
 	}
 	switch v.Action {
 	case resend.Ask:
 		d.ask(no, claim, s.Destination)
 	case resend.ClearDoubt:
-		if d.store.Clear(no, claim, by, c.Why) != nil {
+		if d.store.ClearDoubt(no, claim, by, c.Why) != nil {
 			d.giveBack(no, claim, "what its operator says can't be written")
 			return
 		}
@@ -230,7 +230,7 @@
 }
 
 // done says that an entry is not being sent any more.
-func (d *Desk) done(no uint64, f resend.SendResult) {
+func (d *Resender) done(no uint64, f resend.SendResult) {
 	if dest, ok := d.sending[no]; ok {
 		delete(d.sending, no)
 		d.plan.Completed(dest, d.store.Now(), f)
@@ -238,7 +238,7 @@
 }
 
 // giveBack releases a claim under which nothing went out, and tries again later.
-func (d *Desk) giveBack(no, claim uint64, why string) {
+func (d *Resender) giveBack(no, claim uint64, why string) {
 	d.store.Release(no, claim, why)
 	d.done(no, resend.Inconclusive)
 	if s, ok := d.store.Get(no); ok && s.State == undelivered.Waiting {
@@ -248,68 +248,68 @@
 
 // ---- doubt ----
 
-func (d *Desk) ask(no, claim uint64, dest int) {
+func (d *Resender) ask(no, claim uint64, dest int) {
 	e, err := d.store.Entry(no)
 	if err != nil {
 		d.giveBack(no, claim, "its file can't be read")
 		return
 	}
-	q := &Question{No: no, Claim: claim, Dest: dest, Asked: d.store.Now(), IDs: e.Doubt.IDs, Key: e.Key}
+	q := &Question{Number: no, ClaimNumber: claim, Destination: dest, AskedAt: d.store.Now(), IDs: e.Doubt.IDs, Key: e.Key}
 	if c := d.class(e.Class); c == nil || c.Ordered { // there others have the same key
 		q.Key = ""
 	}
-	d.Ask(q)
+	d.Inquire(q)
 }
 
-func (d *Desk) class(name string) *resend.Class {
+func (d *Resender) class(name string) *resend.Class {
 	if i := slices.IndexFunc(d.set.Rules.Classes, func(c resend.Class) bool { return c.Name == name }); i >= 0 {
 		return &d.set.Rules.Classes[i]
 	}
 	return nil
 }
 
-// Answered takes a partner's answer up; why is what it said, for people.
-func (d *Desk) Answered(q *Question, a resend.Answer, why string) {
+// InquiryAnswered takes a partner's answer up; why is what it said, for people.
+func (d *Resender) InquiryAnswered(q *Question, a resend.Answer, why string) {
 	defer d.arm()
-	c := d.store.Claimant(q.No)
-	s, ok := d.store.Get(q.No)
-	if !ok || c == nil || c.No != q.Claim || c.ID != "" { // its claim's time was over meanwhile
-		d.done(q.No, resend.Inconclusive)
-		d.consider(q.No)
+	c := d.store.ActiveClaim(q.Number)
+	s, ok := d.store.Get(q.Number)
+	if !ok || c == nil || c.Number != q.ClaimNumber || c.SubmittedID != "" { // its claim's time was over meanwhile
+		d.done(q.Number, resend.Inconclusive)
+		d.consider(q.Number)
 		return
 	}
-	d.store.Asked(q.No, q.Claim, a, why)
-	switch v := d.set.Rules.DecideInquiry(&s.Item, q.Asked, d.store.Now(), a); v.Action {
+	d.store.RecordInquiry(q.Number, q.ClaimNumber, a, why)
+	switch v := d.set.Rules.DecideInquiry(&s.Item, q.AskedAt, d.store.Now(), a); v.Action {
 	case resend.MarkDelivered:
-		d.store.End(q.No, undelivered.EndTook, "inquiry", why, "")
-		d.done(q.No, resend.Success)
+		d.store.End(q.Number, undelivered.EndTookEffect, "inquiry", why, "")
+		d.done(q.Number, resend.Success)
 	case resend.ClearDoubt:
-		if d.store.Clear(q.No, q.Claim, "inquiry", why) != nil {
-			d.giveBack(q.No, q.Claim, "the answer can't be written")
+		if d.store.ClearDoubt(q.Number, q.ClaimNumber, "inquiry", why) != nil {
+			d.giveBack(q.Number, q.ClaimNumber, "the answer can't be written")
 			return
 		}
-		d.hand(q.No, q.Claim, false)
+		d.hand(q.Number, q.ClaimNumber, false)
 	case resend.Wait:
-		d.done(q.No, resend.Inconclusive)
-		if !c.Hand { // an operator's claim stays: it is tried again as long as that lasts
-			d.store.Release(q.No, q.Claim, v.Reason)
+		d.done(q.Number, resend.Inconclusive)
+		if !c.Manual { // an operator's claim stays: it is tried again as long as that lasts
+			d.store.Release(q.Number, q.ClaimNumber, v.Reason)
 		}
-		if s, ok = d.store.Get(q.No); ok {
+		if s, ok = d.store.Get(q.Number); ok {
 			d.plan.Schedule(s.Node(), v.At)
 		}
 	default:
-		d.store.Hold(q.No, "inquiry", v.Reason)
-		d.store.Release(q.No, q.Claim, v.Reason)
-		d.done(q.No, resend.Inconclusive)
+		d.store.Hold(q.Number, "inquiry", v.Reason)
+		d.store.Release(q.Number, q.ClaimNumber, v.Reason)
+		d.done(q.Number, resend.Inconclusive)
 	}
 }
 
 // ---- a new life ----
 
 // hand hands an entry in that its claim allows to be sent.
-func (d *Desk) hand(no, claim uint64, doubted bool) {
+func (d *Resender) hand(no, claim uint64, doubted bool) {
 	s, _ := d.store.Get(no)
-	m, err := d.store.Hand(no, claim)
+	m, err := d.store.BeginSubmission(no, claim)
 	if err != nil {
 		d.giveBack(no, claim, err.Error())
 		return
@@ -318,8 +318,8 @@
 }
 
 // claimAndHand is what a rule does with an entry that needs no inquiry.
-func (d *Desk) claimAndHand(s *undelivered.Summary, by string, doubted bool) {
-	claim, m, err := d.store.ClaimAndHand(s.Number, undelivered.Claim{By: by})
+func (d *Resender) claimAndHand(s *undelivered.Summary, by string, doubted bool) {
+	claim, m, err := d.store.ClaimAndBeginSubmission(s.Number, undelivered.Claim{By: by})
 	if err != nil {
 		d.unclaimed(s, err)
 		return
@@ -328,15 +328,15 @@
 }
 
 // unclaimed says that a claim came to nothing.
-func (d *Desk) unclaimed(s *undelivered.Summary, err error) {
+func (d *Resender) unclaimed(s *undelivered.Summary, err error) {
 	d.done(s.Number, resend.Inconclusive)
-	if !errors.Is(err, undelivered.ErrNone) && !errors.Is(err, undelivered.ErrEnded) {
+	if !errors.Is(err, undelivered.ErrNotFound) && !errors.Is(err, undelivered.ErrEnded) {
 		d.plan.Schedule(s.Node(), d.store.Now()+sweepEvery)
 	}
 }
 
 // send hands a message in that the store says is away.
-func (d *Desk) send(s *undelivered.Summary, claim uint64, m engine.Message, doubted bool) {
+func (d *Resender) send(s *undelivered.Summary, claim uint64, m engine.Message, doubted bool) {
 	in := &engine.Submit{Message: m, Resent: true, ResentFrom: &ledger.Key{Class: s.Class, Destination: s.Destination, Tenant: s.Tenant}}
 	if doubted {
 		in.DoubtAge, in.DoubtZone = max(d.store.Now()-s.Doubt.FirstSent, 1), s.Doubt.Zone
@@ -346,11 +346,11 @@
 	if c := d.class(m.Class); c != nil {
 		life = c.Deadline
 	}
-	d.Resend(in, life, func(v engine.Verdict) { d.told(no, claim, v) })
+	d.Submit(in, life, func(v engine.Verdict) { d.told(no, claim, v) })
 }
 
 // told takes up what became of a hand-in.
-func (d *Desk) told(no, claim uint64, v engine.Verdict) {
+func (d *Resender) told(no, claim uint64, v engine.Verdict) {
 	defer d.arm()
 	switch v.Kind {
 	case engine.Accepted:
@@ -366,7 +366,7 @@
 }
 
 // Over is undelivered.Events': the new life of an entry ended.
-func (d *Desk) Over(no uint64, how string, tried bool) {
+func (d *Resender) SubmissionEnded(no uint64, how string, tried bool) {
 	switch {
 	case how == undelivered.EndDelivered:
 		d.done(no, resend.Success)
@@ -379,7 +379,7 @@
 }
 
 // Free is undelivered.Events': an entry may be claimed from now on.
-func (d *Desk) Free(no uint64) {
+func (d *Resender) Claimable(no uint64) {
 	d.consider(no)
 	d.arm()
 }
--- a/internal/redeliver/inquiry.go
+++ b/internal/redeliver/inquiry.go
@@ -16,12 +16,12 @@
 	"curlewmux/resend"
 )
 
-// Inquiry is where a partner can be asked whether messages took effect: POST Path with {"ids":[...],"key":"..."} is
+// InquiryEndpoint is where a partner can be asked whether messages took effect: POST Path with {"ids":[...],"key":"..."} is
 // answered 200 with {"effect":"yes"}, "no" or "unknown". All else is no answer.
-type Inquiry struct {
-	Addr  string // host:port
-	Path  string
-	Limit time.Duration // from the dial to the last byte of the answer
+type InquiryEndpoint struct {
+	Addr    string // host:port
+	Path    string
+	Timeout time.Duration // from the dial to the last byte of the answer
 }
 
 const (
@@ -32,7 +32,7 @@
 // Inquirer asks partners. Its methods may be called from any goroutine.
 type Inquirer struct {
 	host  host.Host
-	where map[int]Inquiry
+	where map[int]InquiryEndpoint
 	told  func(q *Question, a resend.Answer, why string) // from any goroutine; it must not block
 
 	mu     sync.Mutex
@@ -43,11 +43,11 @@
 }
 
 // NewInquirer makes an inquirer for these destinations.
-func NewInquirer(h host.Host, where map[int]Inquiry, told func(*Question, resend.Answer, string)) *Inquirer {
+func NewInquirer(h host.Host, where map[int]InquiryEndpoint, told func(*Question, resend.Answer, string)) *Inquirer {
 	return &Inquirer{host: h, where: where, told: told, out: map[*Question]*host.Abort{}, waits: map[int]time.Time{}, idle: h.NewInbox()}
 }
 
-// Ask asks, on a goroutine of its own.
+// Inquire asks, on a goroutine of its own.
 func (i *Inquirer) Ask(q *Question) {
 	abort := &host.Abort{}
 	i.mu.Lock()
@@ -71,19 +71,19 @@
 }
 
 func (i *Inquirer) ask(q *Question, abort *host.Abort) (resend.Answer, string) {
-	at, ok := i.where[q.Dest]
+	at, ok := i.where[q.Destination]
 	if !ok {
 		return resend.Unanswered, "nobody can be asked"
 	}
 	now := i.host.Now()
 	i.mu.Lock()
-	wait := i.waits[q.Dest]
+	wait := i.waits[q.Destination]
 	i.mu.Unlock()
 	if now.Before(wait) {
 		return resend.Unanswered, "the partner told to wait"
 	}
-	until := now.Add(at.Limit)
-	nc, err := i.host.Dial(at.Addr, at.Limit, abort)
+	until := now.Add(at.Timeout)
+	nc, err := i.host.Dial(at.Addr, at.Timeout, abort)
 	if err != nil {
 		return resend.Unanswered, err.Error()
 	}
@@ -110,7 +110,7 @@
 	}
 	if s, err := strconv.ParseFloat(ans.Get("Retry-After"), 64); err == nil && s > 0 {
 		i.mu.Lock()
-		i.waits[q.Dest] = i.host.Now().Add(min(time.Duration(min(s, 1e6)*float64(time.Second)), waitMost))
+		i.waits[q.Destination] = i.host.Now().Add(min(time.Duration(min(s, 1e6)*float64(time.Second)), waitMost))
 		i.mu.Unlock()
 	}
 	return readAnswer(ans.Status, ans.Body)
@@ -146,7 +146,7 @@
 func (i *Inquirer) Close() {
 	i.mu.Lock()
 	i.closed = true
-	list := slices.SortedFunc(maps.Keys(i.out), func(a, b *Question) int { return cmp.Compare(a.No, b.No) })
+	list := slices.SortedFunc(maps.Keys(i.out), func(a, b *Question) int { return cmp.Compare(a.Number, b.Number) })
 	aborts := make([]*host.Abort, len(list))
 	for n, q := range list {
 		aborts[n] = i.out[q]
--- a/internal/redeliver/service.go
+++ b/internal/redeliver/service.go
@@ -16,72 +16,72 @@
 
 // Request is a command of an operator's.
 type Request struct {
-	Command string `json:"command"` // list, show, resend, drop or export
-	Filter  Filter `json:"filter"`
-	By      string `json:"by,omitempty"` // resend, drop; so are the next five
-	Why     string `json:"why,omitempty"`
-	Token   string `json:"token,omitempty"`
-	Vouch   bool   `json:"vouch,omitempty"`
-	DryRun  bool   `json:"dry_run,omitempty"`
-	Wait    bool   `json:"wait,omitempty"` // until what was claimed is no longer being sent
+	Command           string `json:"command"` // list, show, resend, drop or export
+	Filter            Filter `json:"filter"`
+	By                string `json:"by,omitempty"` // resend, drop; so are the next five
+	Why               string `json:"why,omitempty"`
+	Token             string `json:"token,omitempty"`
+	ConfirmedNoEffect bool   `json:"vouch,omitempty"`
+	DryRun            bool   `json:"dry_run,omitempty"`
+	Wait              bool   `json:"wait,omitempty"` // until what was claimed is no longer being sent
 }
 
 // Filter says which entries are meant: those that all of its fields fit. Empty fields fit all.
 type Filter struct {
-	All     bool                `json:"all,omitempty"` // needed by resend and drop where nothing else is set
-	Numbers []uint64            `json:"numbers,omitempty"`
-	IDs     []string            `json:"ids,omitempty"`
-	Classes []string            `json:"classes,omitempty"`
-	Tenants []string            `json:"tenants,omitempty"`
-	Dests   []int               `json:"dests,omitempty"`
-	Causes  []string            `json:"causes,omitempty"`
-	States  []undelivered.State `json:"states,omitempty"` // none: all but those that have ended
-	Doubt   string              `json:"doubt,omitempty"`  // only or none
-	Older   int64               `json:"older_s,omitempty"`
-	Younger int64               `json:"younger_s,omitempty"`
-	Limit   int                 `json:"limit,omitempty"`
+	All            bool                `json:"all,omitempty"` // needed by resend and drop where nothing else is set
+	Numbers        []uint64            `json:"numbers,omitempty"`
+	IDs            []string            `json:"ids,omitempty"`
+	Classes        []string            `json:"classes,omitempty"`
+	Tenants        []string            `json:"tenants,omitempty"`
+	Destinations   []int               `json:"dests,omitempty"`
+	Causes         []string            `json:"causes,omitempty"`
+	States         []undelivered.State `json:"states,omitempty"` // none: all but those that have ended
+	Doubt          string              `json:"doubt,omitempty"`  // only or none
+	OlderSeconds   int64               `json:"older_s,omitempty"`
+	YoungerSeconds int64               `json:"younger_s,omitempty"`
+	Limit          int                 `json:"limit,omitempty"`
 }
 
 // Reply is one line of the answer to a Request; one of its fields is set.
 type Reply struct {
-	Entry    *Line             `json:"entry,omitempty"`
-	Full     *Full             `json:"full,omitempty"`
+	Entry    *EntryLine        `json:"entry,omitempty"`
+	Details  *EntryDetails     `json:"full,omitempty"`
 	Refused  *Refusal          `json:"refused,omitempty"`
-	Outcome  *Outcome          `json:"outcome,omitempty"`
+	Result   *ActionResult     `json:"outcome,omitempty"`
 	Progress *Progress         `json:"progress,omitempty"`
 	Summary  map[string]int    `json:"summary,omitempty"` // the last line
 	Counts   map[string]string `json:"counts,omitempty"`
 }
 
 // Refusal is a message that was handed back to its client.
-type Refusal = undelivered.Handed
+type Refusal = undelivered.RefusedMessage
 
 // Progress says how far long work is.
 type Progress struct {
-	Done int `json:"done"`
-	Of   int `json:"of,omitempty"`   // 0: not known yet
-	Left int `json:"left,omitempty"` // being sent
+	Done     int `json:"done"`
+	Total    int `json:"of,omitempty"`   // 0: not known yet
+	InFlight int `json:"left,omitempty"` // being sent
 }
 
-// Line is an entry in a list.
-type Line struct {
-	No      uint64            `json:"number"`
-	ID      string            `json:"id"`
-	State   undelivered.State `json:"state"`
-	Class   string            `json:"class"`
-	Tenant  string            `json:"tenant,omitempty"`
-	Dest    int               `json:"dest"`
-	Bytes   int               `json:"bytes"`
-	KeptAt  time.Time         `json:"kept_at"`
-	Tries   int               `json:"tries"`
-	Cause   string            `json:"cause"`
-	Doubt   bool              `json:"doubt"` // it may have taken effect
-	End     string            `json:"end,omitempty"`
-	Outlook string            `json:"outlook,omitempty"`
+// EntryLine is an entry in a list.
+type EntryLine struct {
+	Number      uint64            `json:"number"`
+	ID          string            `json:"id"`
+	State       undelivered.State `json:"state"`
+	Class       string            `json:"class"`
+	Tenant      string            `json:"tenant,omitempty"`
+	Destination int               `json:"dest"`
+	Bytes       int               `json:"bytes"`
+	KeptAt      time.Time         `json:"kept_at"`
+	Resends     int               `json:"tries"`
+	Cause       string            `json:"cause"`
+	Doubt       bool              `json:"doubt"` // it may have taken effect
+	Disposition string            `json:"end,omitempty"`
+	Outlook     string            `json:"outlook,omitempty"`
 }
 
-// Full is all of an entry; Body only where it was asked for.
-type Full struct {
+// EntryDetails is all of an entry; Body only where it was asked for.
+type EntryDetails struct {
 	*undelivered.Entry
 	Body    []byte `json:"body,omitempty"`
 	Outlook string `json:"outlook,omitempty"`
@@ -104,7 +104,7 @@
 		return fmt.Errorf("%w: command %.40q is unknown", ErrRequest, r.Command)
 	case f.Doubt != "" && f.Doubt != "only" && f.Doubt != "none":
 		return fmt.Errorf("%w: doubt %.40q is neither only nor none", ErrRequest, f.Doubt)
-	case f.Older < 0 || f.Younger < 0 || f.Limit < 0:
+	case f.OlderSeconds < 0 || f.YoungerSeconds < 0 || f.Limit < 0:
 		return fmt.Errorf("%w: a negative number", ErrRequest)
 	}
 	if r.Command != "resend" && r.Command != "drop" {
@@ -115,8 +115,8 @@
 		return fmt.Errorf("%w: by: who wants it is missing, or over 100 bytes", ErrRequest)
 	case r.Why == "" || len(r.Why) > 500:
 		return fmt.Errorf("%w: why: the reason is missing, or over 500 bytes", ErrRequest)
-	case !f.All && len(f.Numbers)+len(f.IDs)+len(f.Classes)+len(f.Tenants)+len(f.Dests)+len(f.Causes)+len(f.States) == 0 &&
-		f.Doubt == "" && f.Older == 0 && f.Younger == 0:
+	case !f.All && len(f.Numbers)+len(f.IDs)+len(f.Classes)+len(f.Tenants)+len(f.Destinations)+len(f.Causes)+len(f.States) == 0 &&
+		f.Doubt == "" && f.OlderSeconds == 0 && f.YoungerSeconds == 0:
 		return fmt.Errorf("%w: neither numbers nor a filter: say all if that is meant", ErrRequest)
 	case len(r.Token) > 100:
 		return fmt.Errorf("%w: token: over 100 bytes", ErrRequest)
@@ -131,10 +131,10 @@
 	case len(f.Numbers) > 0 && !slices.Contains(f.Numbers, s.Number),
 		len(f.Classes) > 0 && !slices.Contains(f.Classes, s.Class),
 		len(f.Tenants) > 0 && !slices.Contains(f.Tenants, s.Tenant),
-		len(f.Dests) > 0 && !slices.Contains(f.Dests, s.Destination),
+		len(f.Destinations) > 0 && !slices.Contains(f.Destinations, s.Destination),
 		len(f.Causes) > 0 && !slices.Contains(f.Causes, s.Cause),
 		f.Doubt != "" && (f.Doubt == "only") != (s.Doubt.FirstSent != 0),
-		f.Older > 0 && age < f.Older, f.Younger > 0 && age >= f.Younger:
+		f.OlderSeconds > 0 && age < f.OlderSeconds, f.YoungerSeconds > 0 && age >= f.YoungerSeconds:
 		return false
 	case len(f.States) > 0:
 		return slices.Contains(f.States, s.State)
@@ -144,10 +144,10 @@
 
 // Service answers commands.
 type Service struct {
-	Desk *Desk
-	Dir  journal.Dir         // may be read from any goroutine
-	Do   func(f func()) bool // runs f on the driver's goroutine; false if that has stopped
-	Wait func(time.Duration) // pauses
+	Resender    *Resender
+	Dir         journal.Dir         // may be read from any goroutine
+	RunOnDriver func(f func()) bool // runs f on the driver's goroutine; false if that has stopped
+	Sleep       func(time.Duration) // pauses
 }
 
 var errStopped = errors.New("the dispatcher is stopping")
@@ -155,7 +155,7 @@
 // do runs f on the driver's goroutine and waits for it.
 func (s *Service) do(ctx context.Context, f func()) error {
 	done := make(chan struct{})
-	if !s.Do(func() { f(); close(done) }) {
+	if !s.RunOnDriver(func() { f(); close(done) }) {
 		return errStopped
 	}
 	select {
@@ -191,7 +191,7 @@
 	if len(f.IDs) > 0 {
 		err := s.do(ctx, func() {
 			for _, id := range f.IDs {
-				for _, no := range s.Desk.store.Find(id) {
+				for _, no := range s.Resender.store.FindByID(id) {
 					numbers[no] = true
 				}
 			}
@@ -205,17 +205,17 @@
 		var list []pick
 		more = false
 		err := s.do(ctx, func() {
-			now, rows := s.Desk.store.Now(), 0
-			s.Desk.store.Each(next, func(e undelivered.Summary) bool {
+			now, rows := s.Resender.store.Now(), 0
+			s.Resender.store.Each(next, func(e undelivered.Summary) bool {
 				if rows++; rows > chunkRows {
 					more = true
 					return false
 				}
 				next = e.Number + 1
 				if f.fits(&e, now) && (len(f.IDs) == 0 || numbers[e.Number]) {
-					one := pick{Summary: e, file: s.Desk.store.FileName(e.Number)}
+					one := pick{Summary: e, file: s.Resender.store.FileName(e.Number)}
 					if outlook {
-						one.outlook = s.Desk.Outlook(&e)
+						one.outlook = s.Resender.Outlook(&e)
 					}
 					list = append(list, one)
 					if found++; f.Limit > 0 && found >= f.Limit {
@@ -242,7 +242,7 @@
 func (s *Service) tell(ctx context.Context, r *Request, reply func(*Reply) error) error {
 	sum := map[string]int{}
 	if slices.Contains(r.Filter.States, undelivered.Refused) {
-		if err := TellRefused(s.Dir, &r.Filter, sum, reply); err != nil {
+		if err := ReplyRefused(s.Dir, &r.Filter, sum, reply); err != nil {
 			return err
 		}
 	}
@@ -252,17 +252,17 @@
 			sum[string(p.State)]++
 			e, err := undelivered.Read(s.Dir, p.file)
 			if errors.Is(err, fs.ErrNotExist) { // it was written anew, or went
-				if s.do(ctx, func() { e, err = s.Desk.store.Entry(p.Number) }) != nil || err != nil {
+				if s.do(ctx, func() { e, err = s.Resender.store.Entry(p.Number) }) != nil || err != nil {
 					continue
 				}
 			}
 			if err != nil {
-				e = &undelivered.Entry{No: p.Number, State: undelivered.Damaged}
+				e = &undelivered.Entry{Number: p.Number, State: undelivered.Damaged}
 			}
 			if e.Claim != nil {
 				p.outlook = (&undelivered.ClaimedError{Claim: *e.Claim}).Error()
 			}
-			if err := TellEntry(r.Command, e, p.outlook, reply); err != nil {
+			if err := ReplyEntry(r.Command, e, p.outlook, reply); err != nil {
 				return err
 			}
 		}
@@ -273,7 +273,9 @@
 	}
 	var counts undelivered.Counts
 	used, out := int64(0), 0
-	if err := s.do(ctx, func() { counts, used, out = s.Desk.store.Counts, s.Desk.store.Used(), s.Desk.plan.InFlight() }); err != nil {
+	if err := s.do(ctx, func() {
+		counts, used, out = s.Resender.store.Counts, s.Resender.store.DiskBytes(), s.Resender.plan.InFlight()
+	}); err != nil {
 		return err
 	}
 	text, err := json.Marshal(counts)
@@ -285,34 +287,34 @@
 	}})
 }
 
-// TellEntry replies with an entry as a command wants it.
-func TellEntry(command string, e *undelivered.Entry, outlook string, reply func(*Reply) error) error {
+// ReplyEntry replies with an entry as a command wants it.
+func ReplyEntry(command string, e *undelivered.Entry, outlook string, reply func(*Reply) error) error {
 	if command == "list" {
-		l := &Line{
-			No: e.No, ID: e.ID, State: e.State, Class: e.Class, Tenant: e.Tenant, Dest: e.Dest, Bytes: e.Bytes, KeptAt: e.KeptAt,
-			Tries: e.Tries, Doubt: e.Doubt.At != 0, End: e.End, Outlook: outlook,
+		l := &EntryLine{
+			Number: e.Number, ID: e.ID, State: e.State, Class: e.Class, Tenant: e.Tenant, Destination: e.Destination, Bytes: e.Bytes, KeptAt: e.KeptAt,
+			Resends: e.Resends, Doubt: e.Doubt.FirstSent != 0, Disposition: e.Disposition, Outlook: outlook,
 		}
-		if n := len(e.Lives); n > 0 {
-			l.Cause = e.Lives[n-1].Cause
+		if n := len(e.Submissions); n > 0 {
+			l.Cause = e.Submissions[n-1].Cause
 		}
 		return reply(&Reply{Entry: l})
 	}
-	full := &Full{Entry: e, Outlook: outlook}
+	full := &EntryDetails{Entry: e, Outlook: outlook}
 	if command == "export" {
 		full.Body = e.Body
 	}
-	return reply(&Reply{Full: full})
+	return reply(&Reply{Details: full})
 }
 
-// TellRefused replies with what was handed back to clients of late.
-func TellRefused(dir journal.Dir, f *Filter, sum map[string]int, reply func(*Reply) error) error {
+// ReplyRefused replies with what was handed back to clients of late.
+func ReplyRefused(dir journal.Dir, f *Filter, sum map[string]int, reply func(*Reply) error) error {
 	list, err := undelivered.ReadRefused(dir)
 	if err != nil {
 		return err
 	}
 	for i := range list {
 		h := &list[i]
-		if len(f.Classes) > 0 && !slices.Contains(f.Classes, h.Class) || len(f.Dests) > 0 && !slices.Contains(f.Dests, h.Dest) ||
+		if len(f.Classes) > 0 && !slices.Contains(f.Classes, h.Class) || len(f.Destinations) > 0 && !slices.Contains(f.Destinations, h.Destination) ||
 			len(f.Tenants) > 0 && !slices.Contains(f.Tenants, h.Tenant) || len(f.IDs) > 0 && !slices.Contains(f.IDs, h.ID) ||
 			len(f.Causes) > 0 && !slices.Contains(f.Causes, h.Cause) {
 			continue
@@ -325,14 +327,14 @@
 	return nil
 }
 
-// TellFolder answers list, show and export from a folder that no dispatcher need have. What rules would do is not known.
-func TellFolder(dir journal.Dir, r *Request, reply func(*Reply) error) error {
+// ReplyFromFolder answers list, show and export from a folder that no dispatcher need have. What rules would do is not known.
+func ReplyFromFolder(dir journal.Dir, r *Request, reply func(*Reply) error) error {
 	if err := r.Check(); err != nil {
 		return err
 	}
 	sum := map[string]int{}
 	if slices.Contains(r.Filter.States, undelivered.Refused) {
-		if err := TellRefused(dir, &r.Filter, sum, reply); err != nil {
+		if err := ReplyRefused(dir, &r.Filter, sum, reply); err != nil {
 			return err
 		}
 	}
@@ -344,11 +346,11 @@
 	for _, e := range list {
 		one := e.Summary()
 		age := Time(time.Since(e.KeptAt).Microseconds())
-		if !r.Filter.fits(&one, one.KeptAt+age) || len(r.Filter.IDs) > 0 && !e.Was(r.Filter.IDs) {
+		if !r.Filter.fits(&one, one.KeptAt+age) || len(r.Filter.IDs) > 0 && !e.HasAnyID(r.Filter.IDs) {
 			continue
 		}
 		sum[string(e.State)]++
-		if err := TellEntry(r.Command, e, "", reply); err != nil {
+		if err := ReplyEntry(r.Command, e, "", reply); err != nil {
 			return err
 		}
 		if found++; r.Filter.Limit > 0 && found >= r.Filter.Limit {
@@ -375,35 +377,35 @@
 			list = append(list, no)
 		}
 	}
-	o := Order{By: r.By, Why: r.Why, Token: r.Token, Vouch: r.Vouch, DryRun: r.DryRun}
+	o := ManualAction{Operator: r.By, Reason: r.Why, Token: r.Token, ConfirmedNoEffect: r.ConfirmedNoEffect, DryRun: r.DryRun}
 	sum := map[string]int{}
 	var claimed []uint64
 	for from := 0; from < len(list); from += chunkOrders {
 		part := list[from:min(from+chunkOrders, len(list))]
-		var outs []Outcome
+		var outs []ActionResult
 		err := s.do(ctx, func() {
 			for _, no := range part {
 				if r.Command == "drop" {
-					outs = append(outs, s.Desk.Drop(no, o))
+					outs = append(outs, s.Resender.Drop(no, o))
 				} else {
-					outs = append(outs, s.Desk.SendByHand(no, o))
+					outs = append(outs, s.Resender.ResendManually(no, o))
 				}
 			}
-			s.Desk.Settle()
+			s.Resender.ScheduleWake()
 		})
 		if err != nil {
 			return err
 		}
 		for i := range outs {
-			sum[string(outs[i].Did)]++
-			if outs[i].Did == DidClaim || outs[i].Did == DidAgain {
-				claimed = append(claimed, outs[i].No)
+			sum[string(outs[i].Status)]++
+			if outs[i].Status == StatusClaimed || outs[i].Status == StatusDoneBefore {
+				claimed = append(claimed, outs[i].Number)
 			}
-			if err := reply(&Reply{Outcome: &outs[i]}); err != nil {
+			if err := reply(&Reply{Result: &outs[i]}); err != nil {
 				return err
 			}
 		}
-		if err := reply(&Reply{Progress: &Progress{Done: from + len(part), Of: len(list)}}); err != nil {
+		if err := reply(&Reply{Progress: &Progress{Done: from + len(part), Total: len(list)}}); err != nil {
 			return err
 		}
 	}
@@ -423,11 +425,11 @@
 		for from := 0; from < len(list); from += chunkRows {
 			err := s.do(ctx, func() {
 				for _, no := range list[from:min(from+chunkRows, len(list))] {
-					e, ok := s.Desk.store.Get(no)
+					e, ok := s.Resender.store.Get(no)
 					switch {
 					case !ok:
 						sum["now gone"]++
-					case e.State == undelivered.Claimed || e.State == undelivered.Away:
+					case e.State == undelivered.Claimed || e.State == undelivered.InFlight:
 						left = append(left, no)
 					default:
 						sum["now "+string(e.State)]++
@@ -441,10 +443,10 @@
 		if list = left; len(list) == 0 {
 			break
 		}
-		if err := reply(&Reply{Progress: &Progress{Done: all - len(list), Of: all, Left: len(list)}}); err != nil {
+		if err := reply(&Reply{Progress: &Progress{Done: all - len(list), Total: all, InFlight: len(list)}}); err != nil {
 			return err
 		}
-		s.Wait(pollGap)
+		s.Sleep(pollGap)
 		if ctx.Err() != nil {
 			return errStopped
 		}
--- a/internal/sim/dispatcher.go
+++ b/internal/sim/dispatcher.go
@@ -94,8 +94,8 @@
 	d.f.tell(judge.Listed{Dispatcher: d.name, Whole: true, Members: members(whole(d.f.first))})
 	d.agent.boots()
 	cfg := d.config()
-	cfg.Parts = d.f.parts(d)
-	cfg.Sync, cfg.SyncEvery = d.f.site.Sync, 200*ms
+	cfg.Interceptors = d.f.parts(d)
+	cfg.Sync, cfg.SyncInterval = d.f.site.Sync, 200*ms
 	cfg.Ledger = d.ledgerOf()
 	if change := d.f.opt.Break.Config; change != nil {
 		change(cfg)
--- a/internal/sim/ends.go
+++ b/internal/sim/ends.go
@@ -43,7 +43,7 @@
 // messages is up.
 func (f *Farm) folder(d *Dispatcher) {
 	j, state, err := journal.Open(d.m.Disk().Dir(), journal.Settings{
-		Disk: int64(f.site.DiskKB) << 10, Owner: d.name, Random: stream(f.seed, "folder", d.n).next, Leaves: true,
+		Disk: int64(f.site.DiskKB) << 10, Owner: d.name, Random: stream(f.seed, "folder", d.n).next, KeepLeaves: true,
 		Log: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
--- a/internal/sim/farm.go
+++ b/internal/sim/farm.go
@@ -262,9 +262,9 @@
 }
 
 // parts puts what is broken on purpose between the parts of a dispatcher.
-func (f *Farm) parts(d *Dispatcher) node.Parts {
+func (f *Farm) parts(d *Dispatcher) node.Interceptors {
 	b := &f.opt.Break
-	p := node.Parts{Intake: func(next engine.Intake) engine.Intake {
+	p := node.Interceptors{Intake: func(next engine.Intake) engine.Intake {
 		if b.Intake != nil {
 			next = b.Intake(d, next)
 		}
@@ -274,10 +274,10 @@
 		})
 	}}
 	if b.Listing != nil {
-		p.Listing = func(l engine.MembershipReceiver) engine.MembershipReceiver { return b.Listing(d, l) }
+		p.Membership = func(l engine.MembershipReceiver) engine.MembershipReceiver { return b.Listing(d, l) }
 	}
 	if b.Seams != nil {
-		p.Seams = func(s driver.Components) driver.Components { return b.Seams(d, s) }
+		p.Components = func(s driver.Components) driver.Components { return b.Seams(d, s) }
 	}
 	return p
 }
--- a/internal/sim/fault.go
+++ b/internal/sim/fault.go
@@ -868,7 +868,7 @@
 	d.mute(1)
 	return func() {
 		d.diskFault = nil
-		d.m.Disk().SetRoom(0)
+		d.m.Disk().SetCapacity(0)
 		d.mute(-1)
 	}
 }
@@ -876,7 +876,7 @@
 func doDiskFull(f *Farm, s *Step) func() {
 	d := f.dispatcherFor(s)
 	end := d.failing(func(memdir.Op) memdir.Fault { return memdir.Fault{} })
-	d.m.Disk().SetRoom(max(512, d.m.Disk().Used()-int64(s.Arg%3)*2048))
+	d.m.Disk().SetCapacity(max(512, d.m.Disk().Used()-int64(s.Arg%3)*2048))
 	return end
 }
 
@@ -892,7 +892,7 @@
 			return memdir.Fault{}
 		}
 		f.count("disk error")
-		return memdir.Fault{Err: syscall.EIO, Land: dice.n(op.Size + 1)}
+		return memdir.Fault{Err: syscall.EIO, WrittenBytes: dice.n(op.Size + 1)}
 	})
 }
 
@@ -910,7 +910,7 @@
 		}
 		f.count("torn write")
 		d.diskFault = nil
-		return memdir.Fault{Err: memdir.ErrCrashed, Crash: true, Land: s.Arg / 6 % (op.Size + 1)}
+		return memdir.Fault{Err: memdir.ErrCrashed, Crash: true, WrittenBytes: s.Arg / 6 % (op.Size + 1)}
 	}
 	d.diskFault = fault
 	return func() { d.diskFault = nil }
--- a/internal/sim/ledger.go
+++ b/internal/sim/ledger.go
@@ -26,13 +26,13 @@
 	if !d.f.script.Books || dice.chance(0.3) && b.Rule != figures {
 		return nil
 	}
-	l := &node.Ledger{Boot: fmt.Sprint("boot ", len(d.losses)), Breach: d.breached}
+	l := &node.Ledger{BootID: fmt.Sprint("boot ", len(d.losses)), OnBreach: d.breached}
 	if b.Rule != figures && dice.chance(0.3) { // else a wrong account may be the right one
-		l.Most = dice.in(1, 8)
+		l.MaxAccounts = dice.in(1, 8)
 	}
 	if b.Posting != nil {
 		post := b.Posting(stream(d.f.seed, "break", d.starts))
-		l.Post = func(p ledger.Posting) []ledger.Posting {
+		l.InterceptPost = func(p ledger.Posting) []ledger.Posting {
 			out := post(p)
 			if len(out) != 1 || out[0] != p {
 				d.injected()
@@ -185,7 +185,7 @@
 	if d.ready && !d.paused {
 		all := d.scrapes%compareEvery == 0
 		at := d.f.w.Now() - 10*ms // a cut may be as old
-		d.node.AskLedger(func(s *ledger.Snapshot) {
+		d.node.LedgerAsync(func(s *ledger.Snapshot) {
 			if d.scraped(s); all && !s.Provisional && d.f.opt.Break.Rule != figures {
 				d.compare(s, at, false)
 			}
@@ -278,7 +278,7 @@
 
 // lastCut compares what an idle dispatcher shows in the end.
 func (d *Dispatcher) lastCut() {
-	d.node.AskLedger(func(s *ledger.Snapshot) {
+	d.node.LedgerAsync(func(s *ledger.Snapshot) {
 		d.scraped(s)
 		d.final = s
 		if d.f.opt.Break.Rule != figures {
--- a/internal/suite/daemon.go
+++ b/internal/suite/daemon.go
@@ -116,12 +116,12 @@
 	if d.opt.Tick > 0 {
 		cfg.Settings.Tick = control.Time(d.opt.Tick.Microseconds())
 	}
-	cfg.Parts = node.Parts{
+	cfg.Interceptors = node.Interceptors{
 		Intake: func(in engine.Intake) engine.Intake {
 			d.withdraw = in.(interface{ Withdraw(string) }).Withdraw
 			return in
 		},
-		Seams: func(s driver.Components) driver.Components {
+		Components: func(s driver.Components) driver.Components {
 			s.Transport, s.Sink = &wrongly{s.Transport, d.opt.Wrong}, &ending{s.Sink, d}
 			return s
 		},
@@ -323,7 +323,7 @@
 
 func (c counting) Dial(addr string, limit time.Duration, abort *host.Abort) (net.Conn, error) {
 	nc, err := c.Host.Dial(addr, limit, abort)
-	if err != nil && !abort.Completed() && addr != c.d.platform.Addr(7000) {
+	if err != nil && !abort.Done() && addr != c.d.platform.Addr(7000) {
 		c.d.unmet++
 	}
 	return nc, err
--- a/internal/transport/http/call.go
+++ b/internal/transport/http/call.go
@@ -76,7 +76,7 @@
 
 // endUnwritten ends a call whose write failed, either because of the endpoint or because the call was aborted.
 func (k *call) endUnwritten() {
-	if k.abort.Completed() {
+	if k.abort.Done() {
 		k.endAll(control.Moot)
 	} else {
 		k.endAll(control.ConnectFailed)
@@ -94,7 +94,7 @@
 				k.addOutcome(i, engine.Outcome{Result: control.Moot})
 			}
 		}
-		if k.pendingCount == 0 || k.abort.Completed() {
+		if k.pendingCount == 0 || k.abort.Done() {
 			k.endAll(control.Moot)
 			return nil, nil
 		}
@@ -151,7 +151,7 @@
 	switch {
 	case err == nil:
 		return newConn(k.t.host, nc, k.peer)
-	case k.abort.Completed(), limitedByDeadline && errors.As(err, &timeout) && timeout.Timeout(), !k.t.host.Now().Before(last), isLocalShortage(err):
+	case k.abort.Done(), limitedByDeadline && errors.As(err, &timeout) && timeout.Timeout(), !k.t.host.Now().Before(last), isLocalShortage(err):
 		k.endAll(control.Moot) // this failure says nothing about the endpoint
 	default:
 		k.endAll(control.ConnectFailed)
@@ -171,7 +171,7 @@
 		Deadline: k.t.clock.Time(k.firstDeadline()), ResponseTimeout: responseTimeout, MaxBody: maxBody, DiscardBody: !k.batch, Progress: k,
 	})
 	k.abort.On(nil)
-	aborted := k.abort.Completed() // if so, the connection is closed or about to be
+	aborted := k.abort.Done() // if so, the connection is closed or about to be
 	switch {
 	case err == nil:
 		if response.ExtraData {
--- a/internal/transport/http/transport.go
+++ b/internal/transport/http/transport.go
@@ -116,7 +116,7 @@
 func (t *Transport) commitWrite(k *call) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if k.abort.Completed() {
+	if k.abort.Done() {
 		return false
 	}
 	k.removeFromUnwritten()
--- a/internal/transport/mail/call.go
+++ b/internal/transport/mail/call.go
@@ -91,7 +91,7 @@
 			k.add(i, engine.Outcome{Result: control.Moot})
 		}
 	}
-	if k.abort.Completed() {
+	if k.abort.Done() {
 		k.end(engine.Outcome{Result: control.Moot})
 	}
 	k.tell()
@@ -211,11 +211,11 @@
 func (k *call) lost(items []int, committed bool, err error) {
 	var r control.Result
 	switch {
-	case !committed && k.abort.Completed():
+	case !committed && k.abort.Done():
 		r = control.Moot
 	case !committed:
 		r = control.ConnectFailed
-	case k.abort.Completed():
+	case k.abort.Done():
 		r = control.Cancelled
 	case errors.Is(err, errSlow):
 		r = control.TimedOut
--- a/internal/transport/mail/conn.go
+++ b/internal/transport/mail/conn.go
@@ -161,7 +161,7 @@
 		}
 		k.abort.On(nil)
 		c.raw.Close()
-		if policy == TLSOpportunistic && errors.Is(err, errTLS) && !k.abort.Completed() {
+		if policy == TLSOpportunistic && errors.Is(err, errTLS) && !k.abort.Done() {
 			policy = TLSOff
 			continue
 		}
@@ -174,7 +174,7 @@
 func (k *call) unready(p *Partner, err error) {
 	var no *refused
 	switch {
-	case k.abort.Completed():
+	case k.abort.Done():
 		k.end(engine.Outcome{Result: control.Moot})
 	case errors.As(err, &no) && no.reply.Kind() == 4:
 		k.end(engine.Outcome{Result: control.Refused, RetryAfter: p.wait(no.reply.Code)})
@@ -208,7 +208,7 @@
 	switch {
 	case err == nil:
 		return nc
-	case k.abort.Completed(), due && errors.As(err, &timeout) && timeout.Timeout(), !k.t.host.Now().Before(last), ours(err):
+	case k.abort.Done(), due && errors.As(err, &timeout) && timeout.Timeout(), !k.t.host.Now().Before(last), ours(err):
 		k.end(engine.Outcome{Result: control.Moot}) // it says nothing about the endpoint
 	default:
 		k.end(engine.Outcome{Result: control.ConnectFailed})
--- a/internal/transport/mail/transaction.go
+++ b/internal/transport/mail/transaction.go
@@ -73,7 +73,7 @@
 		return false
 	case err == nil:
 		k.abort.On(nil)
-		if k.abort.Completed() {
+		if k.abort.Done() {
 			c.raw.Close()
 		} else {
 			k.t.put(c)
@@ -81,7 +81,7 @@
 		return false
 	}
 	c.raw.Close()
-	if reused && !began && gone(err) && !k.abort.Completed() { // it had ended before: nothing of this was read
+	if reused && !began && gone(err) && !k.abort.Done() { // it had ended before: nothing of this was read
 		k.anew = true
 		return false
 	}
@@ -90,9 +90,9 @@
 	case errors.Is(err, errNobody): // it says nothing about the others
 	case x.committed: // the endpoint may be ill; the module has learned what there is to learn
 		k.end(engine.Outcome{Result: control.Moot})
-	case errors.Is(err, errClosing) && !k.abort.Completed():
+	case errors.Is(err, errClosing) && !k.abort.Done():
 		k.end(engine.Outcome{Result: control.Refused, RetryAfter: k.t.set.Partners[k.Kind].BusyWait})
-	case k.abort.Completed():
+	case k.abort.Done():
 		k.end(engine.Outcome{Result: control.Moot})
 	default:
 		k.end(engine.Outcome{Result: control.ConnectFailed})
@@ -354,7 +354,7 @@
 	for len(b) > 0 {
 		n := min(len(b), blockSize)
 		if n == len(b) {
-			if x.k.abort.Completed() {
+			if x.k.abort.Done() {
 				return errClosing
 			}
 			x.committed = true
--- a/internal/transport/mail/transport.go
+++ b/internal/transport/mail/transport.go
@@ -134,7 +134,7 @@
 func (t *Transport) mayCommit(k *call) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if k.abort.Completed() || k.peer.gone {
+	if k.abort.Done() || k.peer.gone {
 		return false
 	}
 	k.committed()
--- a/internal/vnet/folder_test.go
+++ b/internal/vnet/folder_test.go
@@ -125,7 +125,7 @@
 	m := w.Machine("m")
 	once(t, w, m, func(p *Process) {
 		f := create(t, p, "a", "")
-		m.Disk().Fault = func(op memdir.Op) memdir.Fault { return memdir.Fault{Err: syscall.EIO, Land: 2} }
+		m.Disk().Fault = func(op memdir.Op) memdir.Fault { return memdir.Fault{Err: syscall.EIO, WrittenBytes: 2} }
 		if n, err := f.WriteAt([]byte("torn"), 0); n != 2 || !errors.Is(err, syscall.EIO) {
 			t.Errorf("%d, %v", n, err)
 		}
@@ -133,7 +133,7 @@
 			t.Error(err)
 		}
 		m.Disk().Fault = nil
-		m.Disk().SetRoom(512)
+		m.Disk().SetCapacity(512)
 		if n, err := f.WriteAt(make([]byte, 600), 0); n != 512 || !errors.Is(err, syscall.ENOSPC) {
 			t.Errorf("%d, %v", n, err)
 		}
@@ -150,7 +150,7 @@
 	went := false
 	p := once(t, w, m, func(p *Process) {
 		f := create(t, p, "a", "")
-		m.Disk().Fault = func(memdir.Op) memdir.Fault { return memdir.Fault{Land: 3, Crash: true} }
+		m.Disk().Fault = func(memdir.Op) memdir.Fault { return memdir.Fault{WrittenBytes: 3, Crash: true} }
 		if _, err := f.WriteAt([]byte("whole"), 0); !errors.Is(err, memdir.ErrCrashed) {
 			t.Error(err)
 			sleep(p, 0)
@@ -216,7 +216,7 @@
 					told := h.NewInbox()
 					j, state, err := journal.Open(p.Folder(), journal.Settings{
 						Disk: 1 << 20, Random: w.net.next, Sync: how, Go: h.Go,
-						Stored: func(upTo engine.Batch) { told.Put(upTo) },
+						OnStored: func(upTo engine.Batch) { told.Put(upTo) },
 					})
 					if bad(err) {
 						return
--- a/internal/vnet/listen.go
+++ b/internal/vnet/listen.go
@@ -243,7 +243,7 @@
 		}
 	}
 	switch {
-	case abort.Completed():
+	case abort.Done():
 		if !c.closed {
 			c.shut(resets)
 		}
--- a/membership/partnerlist/script_test.go
+++ b/membership/partnerlist/script_test.go
@@ -102,7 +102,7 @@
 func (s *script) NewInbox() host.Inbox                       { return &scriptInbox{script: s} }
 
 func (s *script) Dial(addr string, limit time.Duration, abort *host.Abort) (net.Conn, error) {
-	if abort.Completed() {
+	if abort.Done() {
 		return nil, host.ErrAborted
 	}
 	if limit <= 0 {
--- a/undelivered/change.go
+++ b/undelivered/change.go
@@ -34,7 +34,7 @@
 }
 
 func (s *Store) now(ev Event) Event {
-	ev.At, ev.Wall = s.Now(), s.set.Wall().UTC()
+	ev.At, ev.WallTime = s.Now(), s.set.Wall().UTC()
 	if ev.By == "" {
 		ev.By = "dispatcher"
 	}
@@ -48,8 +48,8 @@
 	delete(s.until, r.Number)
 	switch {
 	case e.Claim == nil:
-	case e.Claim.Hand && e.Claim.ID == "": // there may be many: their files have the rest
-		s.until[r.Number] = e.Claim.Until
+	case e.Claim.Manual && e.Claim.SubmittedID == "": // there may be many: their files have the rest
+		s.until[r.Number] = e.Claim.ExpiresAt
 	default:
 		e.Body = nil
 		s.open[r.Number] = e
@@ -71,13 +71,13 @@
 
 // append writes an event behind what an entry's file has.
 func (s *Store) append(r *row, e *Entry, ev *Event) (err error) {
-	b, err := frame(e.No, e.size, ev, nil)
+	b, err := frame(e.Number, e.size, ev, nil)
 	if err != nil {
 		return err
 	}
 	grown := blocks(e.size+int64(len(b))) - int64(r.size)*block
-	if grown > 0 && s.used+grown > s.set.Disk {
-		return ErrNoRoom
+	if grown > 0 && s.used+grown > s.set.MaxDiskBytes {
+		return ErrNoSpace
 	}
 	f, err := s.dir.Reopen(fileName(r.Number, r.id, int(r.gen)))
 	if err != nil {
@@ -123,8 +123,8 @@
 		}
 		e.Body = old.Body
 	}
-	if s.used+blocks(int64(len(e.Body))+8*block) > s.set.Disk {
-		return ErrNoRoom
+	if s.used+blocks(int64(len(e.Body))+8*block) > s.set.MaxDiskBytes {
+		return ErrNoSpace
 	}
 	e.gen = was + 1
 	size, err := s.create(r, e, false)
@@ -147,13 +147,13 @@
 	r := s.row(no)
 	switch {
 	case r == nil:
-		return nil, nil, 0, ErrNone
+		return nil, nil, 0, ErrNotFound
 	case states[r.state] == Damaged:
 		return nil, nil, 0, ErrDamaged
 	case states[r.state] == Ended:
 		return nil, nil, 0, ErrEnded
-	case s.Early(no):
-		return nil, nil, 0, ErrEarly
+	case s.EndNotStored(no):
+		return nil, nil, 0, ErrEndNotStored
 	}
 	e, err := s.entry(r)
 	if err != nil {
@@ -181,8 +181,8 @@
 	if err != nil {
 		return nil, err
 	}
-	c.No, c.At = claim, s.set.Wall().UTC()
-	ev := s.now(Event{Kind: WasClaimed, By: c.By, Why: c.Why, Claim: &c, Token: c.Token})
+	c.Number, c.ClaimedAt = claim, s.set.Wall().UTC()
+	ev := s.now(Event{Kind: EventClaimed, By: c.By, Why: c.Why, Claim: &c, Token: c.Token})
 	if err := s.append(r, e, &ev); err != nil {
 		return nil, err
 	}
@@ -191,8 +191,8 @@
 	return e, nil
 }
 
-// ClaimAndHand is Claim and Hand in one write.
-func (s *Store) ClaimAndHand(no uint64, c Claim) (claim uint64, m engine.Message, err error) {
+// ClaimAndBeginSubmission is Claim and Hand in one write.
+func (s *Store) ClaimAndBeginSubmission(no uint64, c Claim) (claim uint64, m engine.Message, err error) {
 	r, e, claim, err := s.claimable(no)
 	if err != nil {
 		return 0, m, err
@@ -205,8 +205,8 @@
 		e.Body = file.Body
 	}
 	m = e.Message(lifeID(s.meta.store, no, claim))
-	c.No, c.At = claim, s.set.Wall().UTC()
-	ev := s.now(Event{Kind: WasHanded, By: c.By, Why: c.Why, Claim: &c, ID: m.ID})
+	c.Number, c.ClaimedAt = claim, s.set.Wall().UTC()
+	ev := s.now(Event{Kind: EventSubmitted, By: c.By, Why: c.Why, Claim: &c, ID: m.ID})
 	if err := s.append(r, e, &ev); err != nil {
 		return 0, m, err
 	}
@@ -222,16 +222,16 @@
 		return nil, nil
 	}
 	e, err := s.entry(r)
-	if err != nil || e.Claim == nil || e.Claim.No != claim {
+	if err != nil || e.Claim == nil || e.Claim.Number != claim {
 		return nil, nil
 	}
 	return r, e
 }
 
-// Claimant is who has an entry, nil if nobody does.
-func (s *Store) Claimant(no uint64) *Claim {
+// ActiveClaim is who has an entry, nil if nobody does.
+func (s *Store) ActiveClaim(no uint64) *Claim {
 	r := s.row(no)
-	if r == nil || states[r.state] != Claimed && states[r.state] != Away {
+	if r == nil || states[r.state] != Claimed && states[r.state] != InFlight {
 		return nil
 	}
 	if e, err := s.entry(r); err == nil {
@@ -243,32 +243,32 @@
 // Release gives a claim back; what was handed in under it was not taken.
 func (s *Store) Release(no, claim uint64, why string) {
 	if r, _ := s.mine(no, claim); r != nil {
-		s.change(r, Event{Kind: WasReleased, Why: why})
+		s.change(r, Event{Kind: EventReleased, Why: why})
 	}
 }
 
-// Asked notes what a partner answered.
-func (s *Store) Asked(no, claim uint64, a resend.Answer, why string) {
+// RecordInquiry notes what a partner answered.
+func (s *Store) RecordInquiry(no, claim uint64, a resend.Answer, why string) {
 	if r, _ := s.mine(no, claim); r != nil {
-		s.change(r, Event{Kind: WasAsked, How: a.String(), Why: why})
+		s.change(r, Event{Kind: EventInquired, Result: a.String(), Why: why})
 	}
 }
 
-// Clear notes that an entry took no effect, and that no call of it can run any more.
-func (s *Store) Clear(no, claim uint64, by, why string) error {
+// ClearDoubt notes that an entry took no effect, and that no call of it can run any more.
+func (s *Store) ClearDoubt(no, claim uint64, by, why string) error {
 	r, _ := s.mine(no, claim)
 	if r == nil {
-		return ErrNone
+		return ErrNotFound
 	}
-	_, err := s.change(r, Event{Kind: WasCleared, By: by, Why: why})
+	_, err := s.change(r, Event{Kind: EventDoubtCleared, By: by, Why: why})
 	return err
 }
 
-// Hand notes that an entry is about to be handed in, and returns what is. An error says that it must not be.
-func (s *Store) Hand(no, claim uint64) (engine.Message, error) {
+// BeginSubmission notes that an entry is about to be handed in, and returns what is. An error says that it must not be.
+func (s *Store) BeginSubmission(no, claim uint64) (engine.Message, error) {
 	r, e := s.mine(no, claim)
 	if r == nil {
-		return engine.Message{}, ErrNone
+		return engine.Message{}, ErrNotFound
 	}
 	file, err := s.read(r)
 	if err != nil {
@@ -278,7 +278,7 @@
 		return engine.Message{}, errors.New("what happened to it before is not written yet")
 	}
 	id := lifeID(s.meta.store, no, claim)
-	ev := s.now(Event{Kind: WasHanded, ID: id})
+	ev := s.now(Event{Kind: EventSubmitted, ID: id})
 	if err := s.append(r, e, &ev); err != nil {
 		return engine.Message{}, err
 	}
@@ -293,37 +293,37 @@
 	if r == nil || states[r.state] == Ended || states[r.state] == Damaged || s.texts.list[r.held] != "" {
 		return
 	}
-	s.change(r, Event{Kind: WasHeld, By: by, Why: why})
+	s.change(r, Event{Kind: EventHeld, By: by, Why: why})
 }
 
-// End ends an entry for good. Its body goes, its history stays for a while.
+// Disposition ends an entry for good. Its body goes, its history stays for a while.
 func (s *Store) End(no uint64, how, by, why, token string) error {
 	r := s.row(no)
 	if r == nil {
-		return ErrNone
+		return ErrNotFound
 	}
 	if states[r.state] == Damaged { // there is nothing to write its end into
 		return s.remove(r)
 	}
-	_, err := s.change(r, Event{Kind: WasEnded, How: how, By: by, Why: why, Token: token})
+	_, err := s.change(r, Event{Kind: EventEnded, Result: how, By: by, Why: why, Token: token})
 	if s.drop != nil {
 		s.drop(&r.Node)
 	}
 	return err
 }
 
-// Over takes up how a new life ended, before the journal has that. It returns the entry's number, 0 where there is none
+// SubmissionEnded takes up how a new life ended, before the journal has that. It returns the entry's number, 0 where there is none
 // that waits for it.
-func (s *Store) Over(id string, l Life) (no uint64, taken bool) {
+func (s *Store) SubmissionEnded(id string, l Submission) (no uint64, taken bool) {
 	store, no, claim, ok := parseLife(id)
 	if !ok || store != s.meta.store {
 		return 0, false
 	}
 	r, e := s.mine(no, claim)
-	if r == nil || e.Claim.ID != id {
+	if r == nil || e.Claim.SubmittedID != id {
 		return 0, false
 	}
-	s.change(r, Event{Kind: WasOver, ID: id, How: l.How, Life: &l})
+	s.change(r, Event{Kind: EventSubmissionEnded, ID: id, Result: l.Disposition, Submission: &l})
 	if states[r.state] != Ended {
 		s.early[no] = 0
 	}
@@ -360,20 +360,20 @@
 	return list
 }
 
-// Owns tells whether an id is that of a new life from here.
-func (s *Store) Owns(id string) bool {
+// IsResentID tells whether an id is that of a new life from here.
+func (s *Store) IsResentID(id string) bool {
 	store, _, _, ok := parseLife(id)
 	return ok && store == s.meta.store
 }
 
 // ---- the same message again ----
 
-// Again says what speaks against a message that a client hands in (engine.Settings.Kept).
-func (s *Store) Again(m *engine.Message) (engine.VerdictKind, string) {
+// CheckDuplicate says what speaks against a message that a client hands in (engine.Settings.Kept).
+func (s *Store) CheckDuplicate(m *engine.Message) (engine.VerdictKind, string) {
 	if len(s.rows) == s.gone {
 		return engine.Accepted, ""
 	}
-	if s.Owns(m.ID) {
+	if s.IsResentID(m.ID) {
 		return engine.AlreadyEnded, "id: it is one of those under which undelivered messages are sent again"
 	}
 	if r := s.byID[hashID(m.ID)]; r != nil {
@@ -387,7 +387,7 @@
 		return engine.Accepted, ""
 	}
 	switch state := states[r.state]; {
-	case state == Claimed || state == Away:
+	case state == Claimed || state == InFlight:
 		return engine.Busy, fmt.Sprintf("key: its message is kept as number %d, and is being sent again", r.Number)
 	case state == Ended && r.flags&took != 0:
 		return engine.AlreadyEnded, fmt.Sprintf("key: its message was kept as number %d, and took effect", r.Number)
@@ -412,10 +412,10 @@
 	return nil
 }
 
-// Taken holds the entries whose message a client has handed in again.
-func (s *Store) Taken(m *engine.Message) {
+// HoldDuplicates holds the entries whose message a client has handed in again.
+func (s *Store) HoldDuplicates(m *engine.Message) {
 	first := s.same(m)
-	if first == nil || s.Owns(m.ID) {
+	if first == nil || s.IsResentID(m.ID) {
 		return
 	}
 	why := fmt.Sprintf("its client may have handed it in again, as %.100q", m.ID)
@@ -450,7 +450,7 @@
 	}
 	ends := map[string]*engine.RestoredEnd{}
 	for _, p := range ended {
-		if s.Owns(p.ID) {
+		if s.IsResentID(p.ID) {
 			ends[p.ID] = p
 		}
 	}
@@ -459,9 +459,9 @@
 		store, no, claim, ok := parseLife(id)
 		if r := s.row(no); ok && store == s.meta.store && r != nil && s.open[no] == nil && m.Pending == nil {
 			if e, err := s.read(r); err == nil && e.State != Ended {
-				c := Claim{No: claim, By: "dispatcher", At: s.set.Wall().UTC()}
-				s.change(r, Event{Kind: WasClaimed, Claim: &c, Why: "the journal has it"})
-				s.change(r, Event{Kind: WasHanded, ID: id})
+				c := Claim{Number: claim, By: "dispatcher", ClaimedAt: s.set.Wall().UTC()}
+				s.change(r, Event{Kind: EventClaimed, Claim: &c, Why: "the journal has it"})
+				s.change(r, Event{Kind: EventSubmitted, ID: id})
 			}
 		}
 	}
@@ -491,14 +491,14 @@
 // mend writes a damaged entry anew: what was told of it and can't be read may have been that it was sent.
 func (s *Store) mend(r *row, e *Entry) {
 	s.Counts.Damaged++
-	if e.Doubt.At == 0 {
-		e.Doubt.At = max(e.Kept, 1)
+	if e.Doubt.FirstSent == 0 {
+		e.Doubt.FirstSent = max(e.KeptStoreTime, 1)
 	}
-	e.Doubt.Ageless, e.Doubt.Quiet = true, max(e.Doubt.Quiet, s.Now())
-	if e.Claim != nil && e.Claim.ID == "" {
+	e.Doubt.AgeUnknown, e.Doubt.QuietFrom = true, max(e.Doubt.QuietFrom, s.Now())
+	if e.Claim != nil && e.Claim.SubmittedID == "" {
 		e.Claim = nil
 	}
-	if _, err := s.change(r, Event{Kind: WasHeld, By: "dispatcher", Why: "some of what was told of it is damaged: it may have been sent since"}); err == nil {
+	if _, err := s.change(r, Event{Kind: EventHeld, By: "dispatcher", Why: "some of what was told of it is damaged: it may have been sent since"}); err == nil {
 		e.damage = false
 	}
 }
@@ -510,47 +510,47 @@
 	switch {
 	case c == nil:
 		return
-	case c.ID == "" && c.Hand:
+	case c.SubmittedID == "" && c.Manual:
 		return
-	case c.ID == "":
-		s.change(r, Event{Kind: WasReleased, Why: "the dispatcher was started anew"})
+	case c.SubmittedID == "":
+		s.change(r, Event{Kind: EventReleased, Why: "the dispatcher was started anew"})
 		return
 	}
-	l := Life{ID: c.ID, Ended: s.set.Wall().UTC(), Quiet: s.Now()}
-	if m := alive[c.ID]; m != nil {
+	l := Submission{ID: c.SubmittedID, EndedAt: s.set.Wall().UTC(), QuietFrom: s.Now()}
+	if m := alive[c.SubmittedID]; m != nil {
 		if m.Pending == nil {
 			return // the engine goes on with it
 		}
-		l.Tries, l.How, l.Zone = m.Tries, howOf(m.Pending.Disposition), m.DoubtZone
+		l.AttemptCount, l.Disposition, l.DoubtZone = m.Tries, howOf(m.Pending.Disposition), m.DoubtZone
 		if m.DoubtAt != 0 {
 			l.DoubtAt = s.handedAt(e)
 		}
-	} else if p := ends[c.ID]; p != nil {
-		l.How = howOf(p.Disposition)
+	} else if p := ends[c.SubmittedID]; p != nil {
+		l.Disposition = howOf(p.Disposition)
 		if p.Disposition == engine.Failed || p.Disposition == engine.Withdrawn {
 			l.DoubtAt = s.handedAt(e)
 		}
 	} else {
 		// Mostly it was never taken on. But its end may have been lost.
 		s.Counts.Lost++
-		l.How, l.DoubtAt = "unknown", s.handedAt(e)
-		l.Why = "the dispatcher was started anew, and the journal has nothing of it"
+		l.Disposition, l.DoubtAt = "unknown", s.handedAt(e)
+		l.Reason = "the dispatcher was started anew, and the journal has nothing of it"
 	}
 	if cl := s.class(e.Class); cl != nil && cl.Effect == control.Free {
 		l.DoubtAt = 0
 	}
-	s.Over(c.ID, l)
+	s.SubmissionEnded(c.SubmittedID, l)
 	delete(s.early, r.Number)
 }
 
 // handedAt is when an entry's newest life was handed in: no attempt at it can be older.
 func (s *Store) handedAt(e *Entry) Time {
 	for i := len(e.History) - 1; i >= 0; i-- {
-		if e.History[i].Kind == WasHanded {
+		if e.History[i].Kind == EventSubmitted {
 			return max(e.History[i].At, 1)
 		}
 	}
-	return max(e.Kept, 1)
+	return max(e.KeptStoreTime, 1)
 }
 
 func howOf(h engine.Disposition) string {
@@ -558,7 +558,7 @@
 	case engine.Delivered:
 		return EndDelivered
 	case engine.Closed:
-		return EndOver
+		return EndClosed
 	case engine.Refused:
 		return "refused"
 	case engine.Failed:
@@ -571,9 +571,9 @@
 
 // ---- upkeep ----
 
-// Sweep looks at some entries, removes those whose time is over and gives back claims by hand whose time is, and tries
+// Cleanup looks at some entries, removes those whose time is over and gives back claims by hand whose time is, and tries
 // writes again that failed: a few at a time, more tells that there are others.
-func (s *Store) Sweep() (released []uint64, more bool) {
+func (s *Store) Cleanup() (released []uint64, more bool) {
 	if s.Len() > 0 { // so that a clock that is set back while no process runs shows
 		s.writeTimes(s.wallOffset())
 	}
@@ -621,8 +621,8 @@
 			more = true
 			break
 		}
-		if c := s.Claimant(no); c != nil {
-			s.Release(no, c.No, "its time was over before it could be sent")
+		if c := s.ActiveClaim(no); c != nil {
+			s.Release(no, c.Number, "its time was over before it could be sent")
 			released = append(released, no)
 		}
 	}
@@ -633,18 +633,18 @@
 		if r == nil {
 			continue
 		}
-		keep, since := s.set.Retain, r.kept
+		keep, since := s.set.Retention, r.kept
 		switch states[r.state] {
-		case Claimed, Away:
+		case Claimed, InFlight:
 			continue
 		case Ended:
-			keep, since = s.set.RetainEnd, r.last
+			keep, since = s.set.EndedRetention, r.last
 		default:
-			if k, ok := s.set.ClassKeep[s.texts.list[r.class]]; ok {
+			if k, ok := s.set.ClassRetention[s.texts.list[r.class]]; ok {
 				keep = k
 			}
 		}
-		if keep > 0 && now-since > keep && !s.Early(r.Number) && s.remove(r) == nil {
+		if keep > 0 && now-since > keep && !s.EndNotStored(r.Number) && s.remove(r) == nil {
 			s.Counts.Removed++
 		}
 	}
@@ -659,9 +659,9 @@
 // Summary is how an entry stands, without its file.
 type Summary struct {
 	resend.Item
-	State State
-	Took  bool
-	node  *resend.Node
+	State      State
+	TookEffect bool
+	node       *resend.Node
 }
 
 // Node is the entry's place in a planner.
@@ -677,7 +677,7 @@
 }
 
 func (s *Store) summary(r *row) Summary {
-	out := Summary{State: states[r.state], Took: r.flags&took != 0, node: &r.Node, Item: resend.Item{
+	out := Summary{State: states[r.state], TookEffect: r.flags&took != 0, node: &r.Node, Item: resend.Item{
 		Number: r.Number, Destination: r.Destination(), Body: int(r.body), HasKey: r.flags&hasKey != 0, KeptAt: r.kept, LastEnd: r.last,
 		Resends: int(r.tries), FailedInquiries: int(r.asks),
 		Doubt: resend.Doubt{FirstSent: r.doubtAt, Zone: int(r.zone), QuietFrom: r.quiet, AgeUnknown: r.flags&ageless != 0},
@@ -690,7 +690,7 @@
 	}
 	if out.FailedInquiries > 0 {
 		if e, err := s.entry(r); err == nil {
-			out.LastFailedInquiry = e.Asked
+			out.LastFailedInquiry = e.LastFailedInquiry
 		}
 	}
 	return out
@@ -710,7 +710,7 @@
 func (s *Store) Entry(no uint64) (*Entry, error) {
 	r := s.row(no)
 	if r == nil {
-		return nil, ErrNone
+		return nil, ErrNotFound
 	}
 	if e := s.dirty[no]; e != nil {
 		return e, nil
@@ -729,20 +729,20 @@
 // Len is how many entries there are, those that ended counted.
 func (s *Store) Len() int { return len(s.rows) - s.gone }
 
-// Used is what the files take, in bytes.
-func (s *Store) Used() int64 { return s.used }
+// DiskBytes is what the files take, in bytes.
+func (s *Store) DiskBytes() int64 { return s.used }
 
-// Early tells that the journal does not have the end of an entry's newest life yet.
-func (s *Store) Early(no uint64) bool {
+// EndNotStored tells that the journal does not have the end of an entry's newest life yet.
+func (s *Store) EndNotStored(no uint64) bool {
 	_, ok := s.early[no]
 	return ok
 }
 
-// ID is the store's number, as files and ids have it.
+// SubmittedID is the store's number, as files and ids have it.
 func (s *Store) ID() uint64 { return s.meta.store }
 
-// Find returns the numbers of entries that have an id: their client's, or one under which they were sent again.
-func (s *Store) Find(id string) (list []uint64) {
+// FindByID returns the numbers of entries that have an id: their client's, or one under which they were sent again.
+func (s *Store) FindByID(id string) (list []uint64) {
 	if store, no, _, ok := parseLife(id); ok && store == s.meta.store && s.row(no) != nil {
 		list = append(list, no)
 	}
@@ -752,17 +752,17 @@
 	return list
 }
 
-// Was tells whether an entry has one of these ids, or had it in one of its lives.
-func (e *Entry) Was(ids []string) bool {
-	return slices.Contains(ids, e.ID) || slices.ContainsFunc(e.Lives, func(l Life) bool { return slices.Contains(ids, l.ID) })
+// HasAnyID tells whether an entry has one of these ids, or had it in one of its lives.
+func (e *Entry) HasAnyID(ids []string) bool {
+	return slices.Contains(ids, e.ID) || slices.ContainsFunc(e.Submissions, func(l Submission) bool { return slices.Contains(ids, l.ID) })
 }
 
 // Summary is how an entry stands that was read from a file.
 func (e *Entry) Summary() Summary {
-	out := Summary{State: e.State, Took: e.End == EndDelivered || e.End == EndTook, Item: resend.Item{
-		Number: e.No, Class: e.Class, Tenant: e.Tenant, Destination: e.Dest, Cause: e.life().Cause, Body: e.Bytes, HasKey: e.Key != "",
-		KeptAt: e.Kept, LastEnd: e.Last, Resends: e.Tries, FailedInquiries: e.Asks, LastFailedInquiry: e.Asked, HoldReason: e.Held,
+	out := Summary{State: e.State, TookEffect: e.Disposition == EndDelivered || e.Disposition == EndTookEffect, Item: resend.Item{
+		Number: e.Number, Class: e.Class, Tenant: e.Tenant, Destination: e.Destination, Cause: e.life().Cause, Body: e.Bytes, HasKey: e.Key != "",
+		KeptAt: e.KeptStoreTime, LastEnd: e.LastEnd, Resends: e.Resends, FailedInquiries: e.FailedInquiries, LastFailedInquiry: e.LastFailedInquiry, HoldReason: e.HoldReason,
 	}}
-	out.Doubt = resend.Doubt{FirstSent: e.Doubt.At, Zone: e.Doubt.Zone, QuietFrom: e.Doubt.Quiet, AgeUnknown: e.Doubt.Ageless}
+	out.Doubt = resend.Doubt{FirstSent: e.Doubt.FirstSent, Zone: e.Doubt.Zone, QuietFrom: e.Doubt.QuietFrom, AgeUnknown: e.Doubt.AgeUnknown}
 	return out
 }
--- a/undelivered/damage_test.go
+++ b/undelivered/damage_test.go
@@ -15,7 +15,7 @@
 func tangled(t *testing.T) (r *rig, no uint64, name string, ends []int) {
 	r = newRig(t)
 	r.open(nil)
-	no, err := r.s.Keep(message("u", "unsafe"), Life{ID: "u", How: "failed", Cause: "tries"})
+	no, err := r.s.Keep(message("u", "unsafe"), Submission{ID: "u", Disposition: "failed", Cause: "tries"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,12 +30,12 @@
 			t.Fatal(err)
 		}
 		note()
-		m, err := r.s.Hand(no, e.Claim.No)
+		m, err := r.s.BeginSubmission(no, e.Claim.Number)
 		if err != nil {
 			t.Fatal(err)
 		}
 		note()
-		r.s.Over(m.ID, Life{ID: m.ID, How: "refused", Cause: "time"})
+		r.s.SubmissionEnded(m.ID, Submission{ID: m.ID, Disposition: "refused", Cause: "time"})
 		note()
 		r.s.await(1, no)
 		r.s.stored(1)
@@ -122,7 +122,7 @@
 			continue
 		}
 		e := r.entry(no)
-		if doubted := e.Doubt.At != 0; e.State != Waiting || doubted != (n%3 == 0) { // cut behind "handed"
+		if doubted := e.Doubt.FirstSent != 0; e.State != Waiting || doubted != (n%3 == 0) { // cut behind "handed"
 			t.Fatalf("cut at %d behind event %d: %s, in doubt %v", size, n, e.State, doubted)
 		}
 	}
@@ -158,10 +158,10 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	e := &Entry{No: 7, ID: "u", Body: []byte("body"), Bytes: 4, Lives: []Life{{ID: "u"}}}
+	e := &Entry{Number: 7, ID: "u", Body: []byte("body"), Bytes: 4, Submissions: []Submission{{ID: "u"}}}
 	b, _ := frame(7, 0, e, e.Body)
 	f.Add(b)
-	ev, _ := frame(7, int64(len(b)), Event{Kind: WasClaimed, Claim: &Claim{No: 8}}, nil)
+	ev, _ := frame(7, int64(len(b)), Event{Kind: EventClaimed, Claim: &Claim{Number: 8}}, nil)
 	f.Add(append(b, ev...))
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -172,7 +172,7 @@
 			}
 			return
 		}
-		if e.No != 7 || e.size > int64(len(b)) {
+		if e.Number != 7 || e.size > int64(len(b)) {
 			t.Fatalf("%+v", e)
 		}
 		again, err := frame(7, 0, e, e.Body)
@@ -190,7 +190,7 @@
 	f.Add([]byte(`{"kind":"handed","id":"r"}`), []byte(`{"kind":"released"}`))
 	f.Add([]byte(`{"kind":"over","life":{"id":"r","how":"delivered"}}`), []byte(`{"kind":"claimed"}`))
 	f.Fuzz(func(t *testing.T, one, two []byte) {
-		b, err := frame(7, 0, &Entry{No: 7}, nil)
+		b, err := frame(7, 0, &Entry{Number: 7}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/undelivered/file.go
+++ b/undelivered/file.go
@@ -100,8 +100,8 @@
 	if err != nil {
 		return nil, false, err
 	}
-	if e.No != no {
-		return nil, false, fmt.Errorf("%w: it is of entry %d", ErrDamaged, e.No)
+	if e.Number != no {
+		return nil, false, fmt.Errorf("%w: it is of entry %d", ErrDamaged, e.Number)
 	}
 	e.Body, e.State = append([]byte(nil), body...), e.state()
 	for off < int64(len(b)) {
@@ -111,7 +111,7 @@
 			e.torn = true
 			break
 		}
-		if err != nil || ev.Kind == WasOver && ev.Life == nil || ev.Kind == WasClaimed && ev.Claim == nil {
+		if err != nil || ev.Kind == EventSubmissionEnded && ev.Submission == nil || ev.Kind == EventClaimed && ev.Claim == nil {
 			e.damage = true
 			break
 		}
@@ -203,12 +203,12 @@
 		e, err := Read(dir, name)
 		switch last := len(out) - 1; {
 		case errors.Is(err, fs.ErrNotExist):
-		case err != nil && last >= 0 && out[last].No == no: // it is being written
+		case err != nil && last >= 0 && out[last].Number == no: // it is being written
 		case errors.Is(err, ErrDamaged) || errors.Is(err, errCut):
-			out = append(out, &Entry{No: no, State: Damaged})
+			out = append(out, &Entry{Number: no, State: Damaged})
 		case err != nil:
 			return nil, err
-		case last >= 0 && out[last].No == no:
+		case last >= 0 && out[last].Number == no:
 			out[last] = e
 		default:
 			out = append(out, e)
--- a/undelivered/keeper.go
+++ b/undelivered/keeper.go
@@ -20,12 +20,12 @@
 
 // Events are told on the driver's goroutine.
 type Events interface {
-	// Over tells that the new life of an entry ended; it can't be claimed yet. tried tells whether this process made an
+	// SubmissionEnded tells that the new life of an entry ended; it can't be claimed yet. tried tells whether this process made an
 	// attempt at it: else its end tells nothing of the destination.
-	Over(no uint64, how string, tried bool)
+	SubmissionEnded(no uint64, how string, tried bool)
 
-	// Free tells that an entry, new or back, may be claimed from now on: the journal has the end of its newest life.
-	Free(no uint64)
+	// Claimable tells that an entry, new or back, may be claimed from now on: the journal has the end of its newest life.
+	Claimable(no uint64)
 }
 
 var (
@@ -47,8 +47,8 @@
 		case *engine.RecPendingResult:
 			k.owed(r)
 		case *engine.RecEnded:
-			if k.store.Owns(r.ID) && r.Disposition != engine.Refused && r.Disposition != engine.Failed {
-				k.ended(r.ID, Life{ID: r.ID, How: howOf(r.Disposition)})
+			if k.store.IsResentID(r.ID) && r.Disposition != engine.Refused && r.Disposition != engine.Failed {
+				k.ended(r.ID, Submission{ID: r.ID, Disposition: howOf(r.Disposition)})
 			}
 		}
 	}
@@ -58,7 +58,7 @@
 	k.store.await(b, k.batch...)
 	for _, r := range records {
 		if r, ok := r.(*engine.RecAccepted); ok {
-			k.store.Taken(&r.Message)
+			k.store.HoldDuplicates(&r.Message)
 		}
 	}
 	return nil
@@ -80,7 +80,7 @@
 		return
 	}
 	for _, no := range k.store.stored(b) {
-		k.on.Free(no)
+		k.on.Claimable(no)
 	}
 }
 
@@ -92,13 +92,13 @@
 	}
 }
 
-func (k *Keeper) ended(id string, l Life) {
-	l.Ended = k.store.set.Wall().UTC()
+func (k *Keeper) ended(id string, l Submission) {
+	l.EndedAt = k.store.set.Wall().UTC()
 	if _, no, _, ok := parseLife(id); ok {
 		k.batch = append(k.batch, no)
 	}
-	if no, ok := k.store.Over(id, l); ok {
-		k.on.Over(no, l.How, len(l.Attempts) > 0)
+	if no, ok := k.store.SubmissionEnded(id, l); ok {
+		k.on.SubmissionEnded(no, l.Disposition, len(l.Attempts) > 0)
 	}
 }
 
@@ -110,11 +110,11 @@
 	}
 	l := k.life(g, r.Disposition)
 	switch {
-	case k.store.Owns(r.ID):
+	case k.store.IsResentID(r.ID):
 		k.ended(r.ID, l)
 	case r.Disposition == engine.Refused && !g.Rewritten:
-		k.store.Refuse(Handed{
-			ID: r.ID, Class: g.Message.Class, Tenant: g.Message.Tenant, Dest: g.Message.Destination, Cause: string(g.Cause), Tries: g.Tries,
+		k.store.RecordRefused(RefusedMessage{
+			ID: r.ID, Class: g.Message.Class, Tenant: g.Message.Tenant, Destination: g.Message.Destination, Cause: string(g.Cause), Attempts: g.Tries,
 		})
 	case r.Disposition == engine.Failed && g.Rewritten:
 		if no, ok := k.store.kept(r.ID); ok {
@@ -130,24 +130,26 @@
 	}
 }
 
-func (k *Keeper) life(g *engine.Undelivered, how engine.Disposition) Life {
-	at := func(t engine.Time) Time { return k.store.At(k.clock.Time(t)) }
-	l := Life{ID: g.Message.ID, How: howOf(how), Cause: string(g.Cause), Why: g.Reason, Tries: g.Tries, Ended: k.wall(g.At), Quiet: at(g.CallsOverAt)}
+func (k *Keeper) life(g *engine.Undelivered, how engine.Disposition) Submission {
+	at := func(t engine.Time) Time { return k.store.TimeAt(k.clock.Time(t)) }
+	l := Submission{ID: g.Message.ID, Disposition: howOf(how), Cause: string(g.Cause), Reason: g.Reason, AttemptCount: g.Tries, EndedAt: k.wall(g.At), QuietFrom: at(g.CallsOverAt)}
 	if g.DoubtAt != 0 {
-		l.DoubtAt, l.Zone = max(at(g.DoubtAt), 1), g.DoubtZone
+		l.DoubtAt, l.DoubtZone = max(at(g.DoubtAt), 1), g.DoubtZone
 	}
-	l.Earlier = max(g.Tries-len(g.Attempts), 0)
+	l.EarlierAttempts = max(g.Tries-len(g.Attempts), 0)
 	for _, a := range g.Attempts {
-		one := Attempt{Sent: k.wall(a.Sent), Endpoint: a.Endpoint, Addr: a.Addr, How: "no outcome yet", WaitMS: int64(a.RetryAfter / control.Millisecond)}
+		one := Attempt{SentAt: k.wall(a.Sent), Endpoint: a.Endpoint, Addr: a.Addr, Result: "no outcome yet", RetryAfterMS: int64(a.RetryAfter / control.Millisecond)}
 		if a.End != 0 {
-			one.Ended, one.How = k.wall(a.End), resultName(a.Result)
+			one.EndedAt, one.Result = k.wall(a.End), resultName(a.Result)
 		}
 		l.Attempts = append(l.Attempts, one)
 	}
 	return l
 }
 
-func (k *Keeper) wall(t engine.Time) time.Time { return k.store.Wall(k.store.At(k.clock.Time(t))) }
+func (k *Keeper) wall(t engine.Time) time.Time {
+	return k.store.WallTime(k.store.TimeAt(k.clock.Time(t)))
+}
 
 func resultName(r control.Result) string {
 	names := [...]string{"ok", "error", "full", "timed out", "no connection", "reset", "cancelled", "not sent", "not sent"}
--- a/undelivered/keeper_test.go
+++ b/undelivered/keeper_test.go
@@ -47,11 +47,11 @@
 // heard is what a keeper tells.
 type heard struct{ list []string }
 
-func (h *heard) Over(no uint64, how string, _ bool) {
+func (h *heard) SubmissionEnded(no uint64, how string, _ bool) {
 	h.list = append(h.list, fmt.Sprint("over ", no, " ", how))
 }
 
-func (h *heard) Free(no uint64) { h.list = append(h.list, fmt.Sprint("free ", no)) }
+func (h *heard) Claimable(no uint64) { h.list = append(h.list, fmt.Sprint("free ", no)) }
 
 func newKeeper(t *testing.T) (*rig, *book, *heard, *Keeper) {
 	r := newRig(t)
@@ -77,13 +77,13 @@
 		t.Fatal(err, b.had)
 	}
 	no, _ := r.s.kept("u")
-	if !r.s.Early(no) || len(h.list) > 0 {
-		t.Errorf("early %v, heard %v", r.s.Early(no), h.list)
+	if !r.s.EndNotStored(no) || len(h.list) > 0 {
+		t.Errorf("early %v, heard %v", r.s.EndNotStored(no), h.list)
 	}
 	e := r.entry(no)
-	l := e.Lives[0]
-	if string(e.Body) != "body of u" || l.Cause != "time" || l.Tries != 2 || len(l.Attempts) != 2 || l.Attempts[0].How != "timed out" ||
-		l.Attempts[1].How != "no outcome yet" || !l.Attempts[0].Sent.Equal(r.wall.Add(time.Second)) || e.Doubt.At != r.s.base+second || e.Doubt.Quiet != r.s.base+9*second {
+	l := e.Submissions[0]
+	if string(e.Body) != "body of u" || l.Cause != "time" || l.AttemptCount != 2 || len(l.Attempts) != 2 || l.Attempts[0].Result != "timed out" ||
+		l.Attempts[1].Result != "no outcome yet" || !l.Attempts[0].SentAt.Equal(r.wall.Add(time.Second)) || e.Doubt.FirstSent != r.s.base+second || e.Doubt.QuietFrom != r.s.base+9*second {
 		t.Errorf("%+v", e)
 	}
 	if _, err := k.Flush(); err != nil || !slices.Equal(h.list, []string{fmt.Sprint("free ", no)}) {
--- a/undelivered/refused.go
+++ b/undelivered/refused.go
@@ -20,16 +20,16 @@
 	refusedHead = 6 // check and length
 )
 
-// Handed is a message that was handed back to its client.
-type Handed struct {
-	Seq    uint64    `json:"n"`
-	At     time.Time `json:"at"`
-	ID     string    `json:"id"`
-	Class  string    `json:"class"`
-	Tenant string    `json:"tenant,omitempty"`
-	Dest   int       `json:"dest"`
-	Cause  string    `json:"cause"`
-	Tries  int       `json:"tries,omitempty"`
+// RefusedMessage is a message that was handed back to its client.
+type RefusedMessage struct {
+	Seq         uint64    `json:"n"`
+	At          time.Time `json:"at"`
+	ID          string    `json:"id"`
+	Class       string    `json:"class"`
+	Tenant      string    `json:"tenant,omitempty"`
+	Destination int       `json:"dest"`
+	Cause       string    `json:"cause"`
+	Attempts    int       `json:"tries,omitempty"`
 }
 
 type refused struct {
@@ -38,7 +38,7 @@
 	seq   uint64
 }
 
-func (h Handed) encode() []byte {
+func (h RefusedMessage) encode() []byte {
 	cut := func(s *string, n int) { *s = (*s)[:min(len(*s), n)] }
 	cut(&h.ID, 64)
 	cut(&h.Class, 24)
@@ -55,7 +55,7 @@
 	return b
 }
 
-func decodeHanded(b []byte) (h Handed, ok bool) {
+func decodeHanded(b []byte) (h RefusedMessage, ok bool) {
 	n := int(binary.LittleEndian.Uint16(b[4:]))
 	if n > refusedSlot-refusedHead || binary.LittleEndian.Uint32(b) != crc32.Checksum(b[4:], castagnoli) {
 		return h, false
@@ -64,7 +64,7 @@
 }
 
 // ReadRefused lists what was handed back to clients of late, oldest first. Slots that can't be read are left out.
-func ReadRefused(dir journal.Dir) (list []Handed, err error) {
+func ReadRefused(dir journal.Dir) (list []RefusedMessage, err error) {
 	b, err := readFile(dir, refusedName)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -74,7 +74,7 @@
 			list = append(list, h)
 		}
 	}
-	slices.SortFunc(list, func(a, b Handed) int { return int(a.Seq) - int(b.Seq) })
+	slices.SortFunc(list, func(a, b RefusedMessage) int { return int(a.Seq) - int(b.Seq) })
 	return list, err
 }
 
@@ -97,7 +97,7 @@
 }
 
 // add lists one.
-func (r *refused) add(h Handed) error {
+func (r *refused) add(h RefusedMessage) error {
 	if r.slots == 0 {
 		return nil
 	}
--- a/undelivered/rig_test.go
+++ b/undelivered/rig_test.go
@@ -27,7 +27,7 @@
 func newRig(t *testing.T) *rig {
 	r := &rig{t: t, disk: memdir.New(), now: time.Unix(1000, 0), wall: time.Date(2026, 12, 1, 3, 0, 0, 0, time.UTC)}
 	r.set = Settings{
-		Disk: 1 << 20, Retain: 1000 * second, RetainEnd: 100 * second, Refused: 8, ClassKeep: map[string]Time{"keyed": 50 * second},
+		MaxDiskBytes: 1 << 20, Retention: 1000 * second, EndedRetention: 100 * second, RefusedSlots: 8, ClassRetention: map[string]Time{"keyed": 50 * second},
 		Classes: []resend.Class{
 			{Name: "unsafe", Effect: control.SingleShot, Worth: 5},
 			{Name: "keyed", Effect: control.Guarded, Worth: 1},
@@ -80,9 +80,9 @@
 	return no
 }
 
-func (r *rig) life(id string) Life {
+func (r *rig) life(id string) Submission {
 	now := r.s.Now()
-	return Life{ID: id, How: "failed", Cause: "time", Tries: 1, DoubtAt: now - second, Quiet: now, Attempts: []Attempt{{Endpoint: "e", How: "timed out"}}}
+	return Submission{ID: id, Disposition: "failed", Cause: "time", AttemptCount: 1, DoubtAt: now - second, QuietFrom: now, Attempts: []Attempt{{Endpoint: "e", Result: "timed out"}}}
 }
 
 // hand claims an entry and hands it in.
@@ -92,11 +92,11 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	m, err := r.s.Hand(no, e.Claim.No)
+	m, err := r.s.BeginSubmission(no, e.Claim.Number)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	return e.Claim.No, m.ID
+	return e.Claim.Number, m.ID
 }
 
 func (r *rig) get(no uint64) Summary {
--- a/undelivered/store.go
+++ b/undelivered/store.go
@@ -18,14 +18,14 @@
 
 // Settings of a store. Classes, Disk, Now, Wall and Random are needed.
 type Settings struct {
-	Disk       int64 // bytes that its files may take, each counted in whole blocks of 512
-	LeastWorth bool  // where the disk is used up what is worth least goes first, else the oldest
-	Retain     Time  // what lies there for longer goes; the same for a class by its name
-	ClassKeep  map[string]Time
-	RetainEnd  Time // the same for what has ended
-	Refused    int  // how many of those handed back to their clients are listed
-	Classes    []resend.Class
-	Sync       bool // each write is synced before it counts
+	MaxDiskBytes    int64 // bytes that its files may take, each counted in whole blocks of 512
+	EvictLeastWorth bool  // where the disk is used up what is worth least goes first, else the oldest
+	Retention       Time  // what lies there for longer goes; the same for a class by its name
+	ClassRetention  map[string]Time
+	EndedRetention  Time // the same for what has ended
+	RefusedSlots    int  // how many of those handed back to their clients are listed
+	Classes         []resend.Class
+	Sync            bool // each write is synced before it counts
 
 	Now    func() time.Time // the host's clock
 	Wall   func() time.Time
@@ -33,8 +33,8 @@
 	Log    *slog.Logger
 }
 
-// LeastDisk is the least disk that a store works with.
-const LeastDisk = 64 << 10
+// MinDiskBytes is the least disk that a store works with.
+const MinDiskBytes = 64 << 10
 
 // Store is the entries of one folder, which the caller owns. One goroutine, the driver's, may call its methods. Where a
 // write fails the entries are as if it had succeeded, but for Keep and Claim, and it is tried again later.
@@ -139,10 +139,10 @@
 
 // Errors of the store. ClaimedError is another.
 var (
-	ErrNone   = errors.New("there is no such entry")
-	ErrEnded  = errors.New("it has ended")
-	ErrEarly  = errors.New("its end is not in the journal yet")
-	ErrNoRoom = errors.New("the store has no room")
+	ErrNotFound     = errors.New("there is no such entry")
+	ErrEnded        = errors.New("it has ended")
+	ErrEndNotStored = errors.New("its end is not in the journal yet")
+	ErrNoSpace      = errors.New("the store has no room")
 )
 
 // ClaimedError says that somebody else has an entry.
@@ -150,17 +150,17 @@
 
 func (e *ClaimedError) Error() string {
 	c := &e.Claim
-	text := fmt.Sprintf("claim %d of %s has it since %s", c.No, c.By, c.At.UTC().Format(time.RFC3339))
-	if c.ID != "" {
-		text += ", and sends it as " + c.ID
+	text := fmt.Sprintf("claim %d of %s has it since %s", c.Number, c.By, c.ClaimedAt.UTC().Format(time.RFC3339))
+	if c.SubmittedID != "" {
+		text += ", and sends it as " + c.SubmittedID
 	}
 	return text
 }
 
 // Open reads what is in a folder. Damage is no error. Reconcile must follow, before anything else.
 func Open(dir journal.Dir, set Settings) (_ *Store, err error) {
-	if set.Disk < LeastDisk {
-		return nil, fmt.Errorf("undelivered: disk of %d bytes: it needs %d", set.Disk, LeastDisk)
+	if set.MaxDiskBytes < MinDiskBytes {
+		return nil, fmt.Errorf("undelivered: disk of %d bytes: it needs %d", set.MaxDiskBytes, MinDiskBytes)
 	}
 	if set.Log == nil {
 		set.Log = slog.New(slog.DiscardHandler)
@@ -168,7 +168,7 @@
 	s := &Store{
 		dir: dir, set: set, log: set.Log, begun: set.Now(), byID: map[uint64]*row{}, bySame: map[uint64]*row{},
 		open: map[uint64]*Entry{}, early: map[uint64]engine.Batch{}, dirty: map[uint64]*Entry{}, until: map[uint64]Time{}, fat: map[uint64]bool{}, texts: texts{no: map[string]uint16{}},
-		refused: refused{slots: int64(set.Refused)},
+		refused: refused{slots: int64(set.RefusedSlots)},
 	}
 	defer func() {
 		if err != nil {
@@ -271,7 +271,7 @@
 func (s *Store) writeTimes(now int64) {
 	m := s.meta
 	at, wall := s.clocks()
-	m.at, m.wall = s.At(at), wall
+	m.at, m.wall = s.TimeAt(at), wall
 	if err := s.writeMeta(m); err != nil {
 		s.fault("the time can't be recorded", err)
 		return // tried again
@@ -280,13 +280,13 @@
 }
 
 // Now is the store's time.
-func (s *Store) Now() Time { return s.At(s.set.Now()) }
+func (s *Store) Now() Time { return s.TimeAt(s.set.Now()) }
 
-// At is the store's time at a moment of the host's clock.
-func (s *Store) At(t time.Time) Time { return s.base + Time(t.Sub(s.begun).Microseconds()) }
+// TimeAt is the store's time at a moment of the host's clock.
+func (s *Store) TimeAt(t time.Time) Time { return s.base + Time(t.Sub(s.begun).Microseconds()) }
 
-// Wall is what a wall clock showed, or will, at the store's time, as far as this process can tell.
-func (s *Store) Wall(t Time) time.Time {
+// WallTime is what a wall clock showed, or will, at the store's time, as far as this process can tell.
+func (s *Store) WallTime(t Time) time.Time {
 	return time.UnixMicro(s.offset + int64(t-s.base)).UTC()
 }
 
@@ -314,7 +314,7 @@
 				old = append(old, name)
 				continue
 			}
-			e = &Entry{No: no, State: Damaged, size: int64(len(b))}
+			e = &Entry{Number: no, State: Damaged, size: int64(len(b))}
 		}
 		e.gen = gen
 		r := &row{id: id}
@@ -326,7 +326,7 @@
 			for _, ev := range e.History {
 				newest = max(newest, ev.At)
 				if ev.Claim != nil {
-					s.last = max(s.last, ev.Claim.No)
+					s.last = max(s.last, ev.Claim.Number)
 				}
 			}
 		}
@@ -341,10 +341,10 @@
 		}
 		e.Body = nil
 		switch {
-		case e.damage || e.Claim != nil && (!e.Claim.Hand || e.Claim.ID != ""):
+		case e.damage || e.Claim != nil && (!e.Claim.Manual || e.Claim.SubmittedID != ""):
 			s.open[no] = e
 		case e.Claim != nil: // there may be many: their files have the rest
-			s.until[no] = e.Claim.Until
+			s.until[no] = e.Claim.ExpiresAt
 		}
 	}
 	for _, name := range old {
@@ -364,30 +364,30 @@
 	if e.State == Damaged {
 		return
 	}
-	r.kept, r.last = e.Kept, e.Last
-	r.doubtAt, r.quiet, r.zone = e.Doubt.At, e.Doubt.Quiet, int8(e.Doubt.Zone)
+	r.kept, r.last = e.KeptStoreTime, e.LastEnd
+	r.doubtAt, r.quiet, r.zone = e.Doubt.FirstSent, e.Doubt.QuietFrom, int8(e.Doubt.Zone)
 	r.body = uint32(e.Bytes)
 	r.class, r.tenant = s.texts.add(e.Class), s.texts.add(e.Tenant)
-	r.cause, r.held = s.texts.add(e.life().Cause), s.texts.add(e.Held)
-	r.tries, r.asks = uint8(min(e.Tries, 255)), uint8(min(e.Asks, 255))
-	r.SetDestination(e.Dest)
+	r.cause, r.held = s.texts.add(e.life().Cause), s.texts.add(e.HoldReason)
+	r.tries, r.asks = uint8(min(e.Resends, 255)), uint8(min(e.FailedInquiries, 255))
+	r.SetDestination(e.Destination)
 	if e.Key != "" {
 		r.flags |= hasKey
 	}
-	if e.End == EndDelivered || e.End == EndTook {
+	if e.Disposition == EndDelivered || e.Disposition == EndTookEffect {
 		r.flags |= took
 	}
-	if e.Doubt.Ageless || e.Doubt.At != 0 && e.Doubt.At <= s.meta.ageless {
+	if e.Doubt.AgeUnknown || e.Doubt.FirstSent != 0 && e.Doubt.FirstSent <= s.meta.ageless {
 		r.flags |= ageless
 	}
 }
 
 // Ways to end for good.
 const (
-	EndDelivered = "delivered"
-	EndTook      = "took effect" // as the partner said when it was asked
-	EndOver      = "over"        // the partner says that nothing more is owed
-	EndDropped   = "dropped"
+	EndDelivered  = "delivered"
+	EndTookEffect = "took effect" // as the partner said when it was asked
+	EndClosed     = "over"        // the partner says that nothing more is owed
+	EndDropped    = "dropped"
 )
 
 // identity is by what a message is known that comes again under another id: its key, or all of it if it has none. 0 is
@@ -537,7 +537,7 @@
 // ---- what comes in ----
 
 // Keep keeps a message whose life ended, before the journal has that. An error says that it is not kept.
-func (s *Store) Keep(m *engine.Message, l Life) (uint64, error) {
+func (s *Store) Keep(m *engine.Message, l Submission) (uint64, error) {
 	if no, ok := s.kept(m.ID); ok {
 		return no, nil
 	}
@@ -548,11 +548,11 @@
 	}
 	at := s.Now()
 	e := &Entry{
-		No: no, Store: strconv.FormatUint(s.meta.store, 16), ID: m.ID, Class: m.Class, Tenant: m.Tenant, Dest: m.Destination, Key: m.Key,
-		Bytes: len(m.Body), Body: m.Body, Kept: at, KeptAt: s.set.Wall().UTC(),
+		Number: no, Store: strconv.FormatUint(s.meta.store, 16), ID: m.ID, Class: m.Class, Tenant: m.Tenant, Destination: m.Destination, Key: m.Key,
+		Bytes: len(m.Body), Body: m.Body, KeptStoreTime: at, KeptAt: s.set.Wall().UTC(),
 	}
 	e.lived(&l, at)
-	e.History = []Event{{Kind: WasKept, At: at, Wall: e.KeptAt, By: "dispatcher", Why: l.Cause}}
+	e.History = []Event{{Kind: EventKept, At: at, WallTime: e.KeptAt, By: "dispatcher", Why: l.Cause}}
 	e.State = e.state()
 	r := &row{id: hashID(m.ID)}
 	r.Number = no
@@ -580,7 +580,7 @@
 
 // create makes the file of an entry as it stands. What is new is kept only within the disk.
 func (s *Store) create(r *row, e *Entry, fresh bool) (int64, error) {
-	b, err := frame(e.No, 0, e, e.Body)
+	b, err := frame(e.Number, 0, e, e.Body)
 	if err != nil {
 		return 0, err
 	}
@@ -589,7 +589,7 @@
 			return 0, err
 		}
 	}
-	name := fileName(e.No, r.id, e.gen)
+	name := fileName(e.Number, r.id, e.gen)
 	f, err := s.dir.Create(name)
 	if err != nil {
 		return 0, err
@@ -611,8 +611,8 @@
 	return e.size, nil
 }
 
-// Refuse lists a message that was handed back to its client.
-func (s *Store) Refuse(h Handed) {
+// RecordRefused lists a message that was handed back to its client.
+func (s *Store) RecordRefused(h RefusedMessage) {
 	s.Counts.Refused++
 	h.At = s.set.Wall().UTC().Truncate(time.Millisecond)
 	if err := s.refused.add(h); err != nil {
@@ -622,11 +622,11 @@
 
 // makeRoom takes entries out until there is room for so many bytes of an entry that is about to come.
 func (s *Store) makeRoom(need int64, e *Entry) error {
-	most := s.set.Disk - s.set.Disk/spareShare
+	most := s.set.MaxDiskBytes - s.set.MaxDiskBytes/spareShare
 	if s.used+need <= most {
 		return nil
 	}
-	short := s.used + max(need, min(s.set.Disk/64, mostEvicted)) - most
+	short := s.used + max(need, min(s.set.MaxDiskBytes/64, mostEvicted)) - most
 	free := func(ok func(r *row) bool) {
 		for i := 0; i < len(s.rows) && short > 0; i++ {
 			r := s.rows[i]
@@ -645,10 +645,10 @@
 	}
 	lies := func(r *row) bool {
 		st := states[r.state]
-		return (st == Waiting || st == Held) && !s.Early(r.Number)
+		return (st == Waiting || st == Held) && !s.EndNotStored(r.Number)
 	}
 	free(func(r *row) bool { return states[r.state] == Ended })
-	if s.set.LeastWorth {
+	if s.set.EvictLeastWorth {
 		own := s.worth(s.texts.add(e.Class))
 		worths := map[float64]bool{}
 		for _, r := range s.rows {
@@ -666,9 +666,9 @@
 		free(lies)
 	}
 	if s.used+need > most {
-		return ErrNoRoom
+		return ErrNoSpace
 	}
-	s.fault("its share of the disk is used up: entries go", ErrNoRoom)
+	s.fault("its share of the disk is used up: entries go", ErrNoSpace)
 	return nil
 }
 
@@ -692,5 +692,5 @@
 	return nil
 }
 
-// OnDrop sets what is told of each entry that goes.
-func (s *Store) OnDrop(f func(*resend.Node)) { s.drop = f }
+// OnRemove sets what is told of each entry that goes.
+func (s *Store) OnRemove(f func(*resend.Node)) { s.drop = f }
