--- a/undelivered/store_test.go
+++ b/undelivered/store_test.go
@@ -23,30 +23,30 @@
 	no := r.keep("u", "unsafe")
 	r.pass(10 * time.Second)
 	claim, id := r.hand(no)
-	r.want(no, Away, true)
+	r.want(no, InFlight, true)
 	l := r.life(id)
 	l.DoubtAt = 0
-	if n, ok := r.s.Over(id, l); n != no || !ok {
+	if n, ok := r.s.SubmissionEnded(id, l); n != no || !ok {
 		t.Fatal(n, ok)
 	}
 	before := r.entry(no)
 	r.open(nil)
 	r.want(no, Waiting, true)
 	e := r.entry(no)
-	if string(e.Body) != "body of u" || e.Tries != 1 || len(e.Lives) != 2 || e.Lives[1].ID != id || len(e.History) != 4 ||
-		e.Lives[0].Attempts[0].Endpoint != "e" || e.History[1].Claim.No != claim || !slices.Equal(e.Doubt.IDs, []string{"u"}) {
+	if string(e.Body) != "body of u" || e.Resends != 1 || len(e.Submissions) != 2 || e.Submissions[1].ID != id || len(e.History) != 4 ||
+		e.Submissions[0].Attempts[0].Endpoint != "e" || e.History[1].Claim.Number != claim || !slices.Equal(e.Doubt.IDs, []string{"u"}) {
 		t.Errorf("%+v", e)
 	}
 	if fmt.Sprint(before.History) != fmt.Sprint(e.History) && len(before.History) != len(e.History) {
 		t.Errorf("history %v, was %v", e.History, before.History)
 	}
 	_, id = r.hand(no)
-	if _, ok := r.s.Over(id, Life{ID: id, How: EndDelivered}); !ok {
+	if _, ok := r.s.SubmissionEnded(id, Submission{ID: id, Disposition: EndDelivered}); !ok {
 		t.Fatal("its end is not taken")
 	}
 	r.open(nil)
 	r.want(no, Ended, true)
-	if e := r.entry(no); e.End != EndDelivered || len(e.Body) > 0 || e.Bytes != 9 || e.Tries != 2 || len(e.History) != 7 {
+	if e := r.entry(no); e.Disposition != EndDelivered || len(e.Body) > 0 || e.Bytes != 9 || e.Resends != 2 || len(e.History) != 7 {
 		t.Errorf("%+v", e)
 	}
 	if len(r.disk.Names()) != 3 { // the entry, the numbers and what is refused
@@ -86,34 +86,34 @@
 	r := newRig(t)
 	r.open(nil)
 	no := r.keep("u", "unsafe")
-	first, err := r.s.Claim(no, Claim{By: "ana", Hand: true, Until: r.s.Now() + 100*second})
+	first, err := r.s.Claim(no, Claim{By: "ana", Manual: true, ExpiresAt: r.s.Now() + 100*second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, err = r.s.Claim(no, Claim{By: "rule x"})
 	var lost *ClaimedError
-	if !errors.As(err, &lost) || lost.Claim.By != "ana" || lost.Claim.No != first.Claim.No || !strings.Contains(err.Error(), "ana") {
+	if !errors.As(err, &lost) || lost.Claim.By != "ana" || lost.Claim.Number != first.Claim.Number || !strings.Contains(err.Error(), "ana") {
 		t.Errorf("the second: %v", err)
 	}
-	last := first.Claim.No
+	last := first.Claim.Number
 	for range 5 {
 		r.open(nil)
 		r.want(no, Claimed, true) // an operator's stays
-		if c := r.s.Claimant(no); c == nil || c.No != first.Claim.No {
+		if c := r.s.ActiveClaim(no); c == nil || c.Number != first.Claim.Number {
 			t.Fatalf("claim %+v", c)
 		}
 		one := r.keep(fmt.Sprint("v", last), "unsafe")
 		e, err := r.s.Claim(one, Claim{By: "rule x"})
-		if err != nil || e.Claim.No <= last || one <= last {
-			t.Fatalf("claim %d, entry %d after %d: %v", e.Claim.No, one, last, err)
+		if err != nil || e.Claim.Number <= last || one <= last {
+			t.Fatalf("claim %d, entry %d after %d: %v", e.Claim.Number, one, last, err)
 		}
-		last = e.Claim.No
+		last = e.Claim.Number
 		if err := r.s.remove(r.s.row(one)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	r.pass(101 * time.Second)
-	if got, _ := r.s.Sweep(); !slices.Equal(got, []uint64{no}) {
+	if got, _ := r.s.Cleanup(); !slices.Equal(got, []uint64{no}) {
 		t.Errorf("given back %v", got)
 	}
 	r.want(no, Waiting, true)
@@ -132,7 +132,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := r.s.Claim(no, Claim{By: "x"}); !errors.Is(err, ErrEarly) {
+	if _, err := r.s.Claim(no, Claim{By: "x"}); !errors.Is(err, ErrEndNotStored) {
 		t.Errorf("claimed: %v", err)
 	}
 	r.s.await(5, no)
@@ -148,8 +148,8 @@
 		t.Errorf("free %v", got)
 	}
 	_, id := r.hand(no)
-	r.s.Over(id, r.life(id))
-	if _, err := r.s.Claim(no, Claim{By: "x"}); !errors.Is(err, ErrEarly) {
+	r.s.SubmissionEnded(id, r.life(id))
+	if _, err := r.s.Claim(no, Claim{By: "x"}); !errors.Is(err, ErrEndNotStored) {
 		t.Errorf("claimed after its next life: %v", err)
 	}
 }
@@ -176,7 +176,7 @@
 		},
 		"handed in, alive there": {
 			do:   func(r *rig, no uint64) string { _, id := r.hand(no); return id },
-			live: func(id string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive(id, nil)} }, state: Away,
+			live: func(id string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive(id, nil)} }, state: InFlight,
 		},
 		"handed in, owed there in doubt": {
 			do: func(r *rig, no uint64) string { _, id := r.hand(no); return id },
@@ -205,15 +205,15 @@
 				_, id := r.hand(no)
 				l := r.life(id)
 				l.DoubtAt = 0
-				r.s.Over(id, l)
+				r.s.SubmissionEnded(id, l)
 				return id
 			},
-			live: func(id string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive(id, nil)} }, state: Away,
+			live: func(id string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive(id, nil)} }, state: InFlight,
 		},
 		"delivered here, alive there": {
 			do: func(r *rig, no uint64) string {
 				_, id := r.hand(no)
-				r.s.Over(id, Life{ID: id, How: EndDelivered})
+				r.s.SubmissionEnded(id, Submission{ID: id, Disposition: EndDelivered})
 				return id
 			},
 			live: func(id string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive(id, nil)} }, state: Ended,
@@ -243,8 +243,8 @@
 		if ok && id != "" && slices.Contains(r.entry(no).Doubt.IDs, id) != c.doubt {
 			t.Errorf("%s: in doubt %v", name, r.entry(no).Doubt.IDs)
 		}
-		if c.state == Away { // its end comes by the keeper, once
-			if _, ok := r.s.Over(id, Life{ID: id, How: EndDelivered}); !ok || r.get(no).State != Ended || r.entry(no).Tries != 1 {
+		if c.state == InFlight { // its end comes by the keeper, once
+			if _, ok := r.s.SubmissionEnded(id, Submission{ID: id, Disposition: EndDelivered}); !ok || r.get(no).State != Ended || r.entry(no).Resends != 1 {
 				t.Errorf("%s: its end is not taken: %+v", name, r.entry(no))
 			}
 		}
@@ -260,7 +260,7 @@
 		if _, err := r.tryOpen(nil); err != nil {
 			return did
 		}
-		no, err := r.s.Keep(message("u", "unsafe"), Life{ID: "u", How: "failed", Cause: "tries"})
+		no, err := r.s.Keep(message("u", "unsafe"), Submission{ID: "u", Disposition: "failed", Cause: "tries"})
 		if err != nil {
 			return did
 		}
@@ -272,8 +272,8 @@
 			if err != nil {
 				return did
 			}
-			did = append(did, fmt.Sprint("claim ", e.Claim.No))
-			m, err := r.s.Hand(no, e.Claim.No)
+			did = append(did, fmt.Sprint("claim ", e.Claim.Number))
+			m, err := r.s.BeginSubmission(no, e.Claim.Number)
 			if err != nil {
 				return did
 			}
@@ -282,7 +282,7 @@
 			if len(did) > 4 {
 				how = EndDelivered
 			}
-			r.s.Over(m.ID, Life{ID: m.ID, How: how})
+			r.s.SubmissionEnded(m.ID, Submission{ID: m.ID, Disposition: how})
 			if r.s.dirty[no] != nil {
 				return did
 			}
@@ -301,7 +301,7 @@
 	for op := range ops {
 		for _, land := range []int{0, 7, 1 << 20} {
 			r := newRig(t)
-			r.disk.Fault = func(o memdir.Op) memdir.Fault { return memdir.Fault{Crash: o.N == op, Land: land} }
+			r.disk.Fault = func(o memdir.Op) memdir.Fault { return memdir.Fault{Crash: o.Index == op, WrittenBytes: land} }
 			did := play(r)
 			if len(did) > 0 && did[len(did)-1] == "all" { // it ended as an old file was removed
 				did = did[:len(did)-1]
@@ -329,7 +329,7 @@
 			switch {
 			case last == EndDelivered && e.State != Ended:
 				t.Errorf("%s: %s", at, e.State)
-			case handed && e.State != Ended && !slices.Contains(e.Doubt.IDs, id) && !(e.life().ID == id && e.life().How == "failed"):
+			case handed && e.State != Ended && !slices.Contains(e.Doubt.IDs, id) && !(e.life().ID == id && e.life().Disposition == "failed"):
 				t.Errorf("%s: %s is forgotten: %+v", at, id, e)
 			case e.State != Waiting && e.State != Ended:
 				t.Errorf("%s: %s", at, e.State)
@@ -351,7 +351,7 @@
 		if o.Name == metaName {
 			return memdir.Fault{}
 		}
-		return memdir.Fault{Err: syscall.EIO, Land: 5}
+		return memdir.Fault{Err: syscall.EIO, WrittenBytes: 5}
 	}
 	if _, err := r.s.Claim(no, Claim{By: "x"}); !errors.Is(err, syscall.EIO) {
 		t.Errorf("claimed: %v", err)
@@ -363,18 +363,18 @@
 	r.s.Release(no, claim, "x") // told, and tried again
 	other := r.disk.Clone()
 	r.disk.Fault = nil
-	if _, err := r.s.Hand(no, claim); err == nil {
+	if _, err := r.s.BeginSubmission(no, claim); err == nil {
 		t.Error("handed in under a claim that was given back")
 	}
-	r.s.Sweep()
+	r.s.Cleanup()
 	e, err := r.s.Claim(no, Claim{By: "x"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.disk.Fault = func(memdir.Op) memdir.Fault { return memdir.Fault{Err: syscall.EIO} }
-	r.s.Asked(no, e.Claim.No, resend.No, "")
+	r.s.RecordInquiry(no, e.Claim.Number, resend.No, "")
 	r.disk.Fault = nil
-	if _, err := r.s.Hand(no, e.Claim.No); err == nil {
+	if _, err := r.s.BeginSubmission(no, e.Claim.Number); err == nil {
 		t.Error("handed in though what was learned under the claim is not written")
 	}
 	r.disk = other
@@ -390,12 +390,12 @@
 	no := r.keep("u", "unsafe")
 	claim, id := r.hand(no)
 	for _, fault := range []error{syscall.ENOSPC, syscall.EIO} {
-		r.disk.Fault = func(memdir.Op) memdir.Fault { return memdir.Fault{Err: fault, Land: 20} }
+		r.disk.Fault = func(memdir.Op) memdir.Fault { return memdir.Fault{Err: fault, WrittenBytes: 20} }
 		if _, err := r.s.Keep(message("v", "unsafe"), r.life("v")); !errors.Is(err, fault) || r.s.Counts.NotKept == 0 {
 			t.Errorf("kept on a disk that fails: %v", err)
 		}
 	}
-	r.s.Over(id, r.life(id))
+	r.s.SubmissionEnded(id, r.life(id))
 	r.want(no, Waiting, true)
 	r.s.await(2, no)
 	r.s.stored(2)
@@ -407,11 +407,11 @@
 	}
 	c := r.disk.Clone() // killed now, its end is not known
 	r.disk.Fault = nil
-	r.s.Sweep()
+	r.s.Cleanup()
 	if len(r.s.dirty) > 0 {
 		t.Error("what happened is not written when the disk is back")
 	}
-	if e, err := r.s.Claim(no, Claim{By: "x"}); err != nil || e.Claim.No <= claim {
+	if e, err := r.s.Claim(no, Claim{By: "x"}); err != nil || e.Claim.Number <= claim {
 		t.Error(err)
 	}
 	r.open(nil)
@@ -421,7 +421,7 @@
 	}
 	r.disk = c
 	r.open(nil)
-	if e := r.entry(no); e.State != Waiting || !slices.Contains(e.Doubt.IDs, id) || e.life().How != "unknown" {
+	if e := r.entry(no); e.State != Waiting || !slices.Contains(e.Doubt.IDs, id) || e.life().Disposition != "unknown" {
 		t.Errorf("killed before its end was written: %+v", e)
 	}
 }
@@ -430,7 +430,7 @@
 	t.Parallel()
 	for _, least := range []bool{false, true} {
 		r := newRig(t)
-		r.set.Disk, r.set.LeastWorth, r.set.Refused = LeastDisk, least, 0
+		r.set.MaxDiskBytes, r.set.EvictLeastWorth, r.set.RefusedSlots = MinDiskBytes, least, 0
 		r.open(nil)
 		away := r.keep("away", "free")
 		r.hand(away)
@@ -441,17 +441,17 @@
 			if no, err := r.s.Keep(m, r.life(id)); err == nil {
 				r.s.await(1, no)
 				r.s.stored(1)
-			} else if !errors.Is(err, ErrNoRoom) {
+			} else if !errors.Is(err, ErrNoSpace) {
 				t.Fatal(err)
 			}
-			if u := r.s.Used(); u > r.set.Disk || u < r.disk.Used()-block {
-				t.Fatalf("%d used as counted, %d in truth, of %d", u, r.disk.Used(), r.set.Disk)
+			if u := r.s.DiskBytes(); u > r.set.MaxDiskBytes || u < r.disk.Used()-block {
+				t.Fatalf("%d used as counted, %d in truth, of %d", u, r.disk.Used(), r.set.MaxDiskBytes)
 			}
 		}
 		if r.s.Counts.Evicted == 0 {
 			t.Fatal("nothing had to go")
 		}
-		r.want(away, Away, true)
+		r.want(away, InFlight, true)
 		count := map[string]int{}
 		oldest := uint64(1 << 60)
 		r.s.Each(0, func(s Summary) bool {
@@ -465,8 +465,8 @@
 			t.Errorf("least worth first %v: %v are left, the oldest %d", least, count, oldest)
 		}
 		// What was claimed has room for what happens to it.
-		id := r.s.Claimant(away).ID
-		r.s.Over(id, r.life(id))
+		id := r.s.ActiveClaim(away).SubmittedID
+		r.s.SubmissionEnded(id, r.life(id))
 		if len(r.s.dirty) > 0 {
 			t.Error("the end of one that was away found no room")
 		}
@@ -485,7 +485,7 @@
 	}
 	there := func(want ...uint64) {
 		t.Helper()
-		r.s.Sweep()
+		r.s.Cleanup()
 		var got []uint64
 		r.s.Each(0, func(s Summary) bool { got = append(got, s.Number); return true })
 		if !slices.Equal(got, want) {
@@ -563,7 +563,7 @@
 		r.s.Tick()
 		r.pass(c.run)
 		if c.step == 0 { // a step is written at once
-			r.s.Sweep()
+			r.s.Cleanup()
 		}
 		r.now, r.wall = r.now.Add(c.down), r.wall.Add(c.down+c.skew)
 		r.open(nil)
@@ -598,17 +598,20 @@
 		verdict engine.VerdictKind
 		held    bool
 	}{
-		"same id":                         {again: with("u", ""), verdict: engine.AlreadyEnded},
-		"same id, away":                   {do: func(r *rig, no uint64) { r.hand(no) }, again: with("u", ""), verdict: engine.AlreadyEnded},
-		"same key, in doubt":              {key: "k", doubt: true, again: with("v", "k"), verdict: engine.AlreadyEnded},
-		"same key, never ran":             {key: "k", again: with("v", "k"), verdict: engine.Accepted, held: true},
-		"same key, away":                  {key: "k", do: func(r *rig, no uint64) { r.hand(no) }, again: with("v", "k"), verdict: engine.Busy},
-		"another key":                     {key: "k", doubt: true, again: with("v", "l"), verdict: engine.Accepted},
-		"same content without a key":      {doubt: true, again: with("v", ""), verdict: engine.Accepted, held: true},
-		"another content without a key":   {doubt: true, again: message("v", "unsafe"), verdict: engine.Accepted},
-		"the id of a new life":            {again: with(lifeID(0x9E3779B97F4A7C15, 1, 2), ""), verdict: engine.AlreadyEnded},
-		"same key, took effect from here": {key: "k", do: func(r *rig, no uint64) { _, id := r.hand(no); r.s.Over(id, Life{ID: id, How: EndDelivered}) }, again: with("v", "k"), verdict: engine.AlreadyEnded},
-		"same key, dropped":               {key: "k", doubt: true, do: func(r *rig, no uint64) { r.s.End(no, EndDropped, "ana", "x", "") }, again: with("v", "k"), verdict: engine.Accepted},
+		"same id":                       {again: with("u", ""), verdict: engine.AlreadyEnded},
+		"same id, away":                 {do: func(r *rig, no uint64) { r.hand(no) }, again: with("u", ""), verdict: engine.AlreadyEnded},
+		"same key, in doubt":            {key: "k", doubt: true, again: with("v", "k"), verdict: engine.AlreadyEnded},
+		"same key, never ran":           {key: "k", again: with("v", "k"), verdict: engine.Accepted, held: true},
+		"same key, away":                {key: "k", do: func(r *rig, no uint64) { r.hand(no) }, again: with("v", "k"), verdict: engine.Busy},
+		"another key":                   {key: "k", doubt: true, again: with("v", "l"), verdict: engine.Accepted},
+		"same content without a key":    {doubt: true, again: with("v", ""), verdict: engine.Accepted, held: true},
+		"another content without a key": {doubt: true, again: message("v", "unsafe"), verdict: engine.Accepted},
+		"the id of a new life":          {again: with(lifeID(0x9E3779B97F4A7C15, 1, 2), ""), verdict: engine.AlreadyEnded},
+		"same key, took effect from here": {key: "k", do: func(r *rig, no uint64) {
+			_, id := r.hand(no)
+			r.s.SubmissionEnded(id, Submission{ID: id, Disposition: EndDelivered})
+		}, again: with("v", "k"), verdict: engine.AlreadyEnded},
+		"same key, dropped": {key: "k", doubt: true, do: func(r *rig, no uint64) { r.s.End(no, EndDropped, "ana", "x", "") }, again: with("v", "k"), verdict: engine.Accepted},
 	} {
 		r := newRig(t)
 		r.open(nil)
@@ -632,12 +635,12 @@
 				}
 				r.open(nil)
 			}
-			if kind, why := r.s.Again(c.again); kind != c.verdict {
+			if kind, why := r.s.CheckDuplicate(c.again); kind != c.verdict {
 				t.Errorf("%s, %s: %v %s", name, when, kind, why)
 			}
 		}
 		if c.verdict == engine.Accepted {
-			r.s.Taken(c.again)
+			r.s.HoldDuplicates(c.again)
 		}
 		if s := r.get(no); (s.HoldReason != "") != c.held {
 			t.Errorf("%s: held %q", name, s.HoldReason)
@@ -657,10 +660,10 @@
 	again := message("g", "free")
 	again.Body = []byte("body of f")
 	for _, m := range []*engine.Message{other, again} {
-		if kind, why := r.s.Again(m); kind != engine.Accepted {
+		if kind, why := r.s.CheckDuplicate(m); kind != engine.Accepted {
 			t.Errorf("%s: %s", m.ID, why)
 		}
-		r.s.Taken(m)
+		r.s.HoldDuplicates(m)
 	}
 	r.s.Each(0, func(s Summary) bool {
 		if s.HoldReason != "" {
@@ -675,14 +678,14 @@
 	r := newRig(t)
 	r.open(nil)
 	for i := range 20 {
-		r.s.Refuse(Handed{ID: fmt.Sprint("m", i), Class: "unsafe", Cause: "crowds", Dest: i})
+		r.s.RecordRefused(RefusedMessage{ID: fmt.Sprint("m", i), Class: "unsafe", Cause: "crowds", Destination: i})
 		if i == 10 {
 			r.open(nil)
 		}
 	}
-	r.s.Refuse(Handed{ID: strings.Repeat("\x00", 100), Class: "x"})
+	r.s.RecordRefused(RefusedMessage{ID: strings.Repeat("\x00", 100), Class: "x"})
 	list, err := ReadRefused(r.dir())
-	if err != nil || len(list) != 8 || list[0].ID != "m13" || list[6].ID != "m19" || list[6].Dest != 19 {
+	if err != nil || len(list) != 8 || list[0].ID != "m13" || list[6].ID != "m19" || list[6].Destination != 19 {
 		t.Errorf("%v %+v", err, list)
 	}
 	if size := len(r.disk.Read(refusedName)); size > 8*refusedSlot {
@@ -706,7 +709,7 @@
 			}
 			return
 		}
-		r.s.Release(no, e.Claim.No, "x")
+		r.s.Release(no, e.Claim.Number, "x")
 	}
 	t.Error("its history grows without end")
 }
