--- a/internal/http1/surplus_test.go
+++ b/internal/http1/surplus_test.go
@@ -9,18 +9,18 @@
 	"curlewmux/internal/vnet"
 )
 
-// What comes sooner than a round trip behind a request was sent before that can have been read: a second copy of the
-// answer before, in a packet of its own, is not taken for the next one.
+// Guards against a late duplicate of a response, in a packet of its own, that is taken for the response to the next
+// request. Data that arrives sooner than one round trip after a request was sent before the peer had read it.
 func TestASecondCopyOnItsWayIsNotTheNextAnswer(t *testing.T) {
 	t.Parallel()
 	const latency = 2 * time.Millisecond
 	for _, c := range []struct {
 		name  string
-		delay time.Duration // of the copy behind the answer
+		delay time.Duration // between the response and its copy
 		want  error
 	}{
-		{"just behind", 600 * time.Microsecond, ErrSurplus},
-		{"just before the request is there", 2*latency - 100*time.Microsecond, ErrSurplus},
+		{"just behind", 600 * time.Microsecond, ErrUnsolicited},
+		{"just before the request is there", 2*latency - 100*time.Microsecond, ErrUnsolicited},
 		{"none", 0, nil},
 	} {
 		w := vnet.New(1, vnet.Options{Path: vnet.Quality{Latency: latency}})
@@ -32,7 +32,7 @@
 			nc.Handle(vnet.Events{Data: func() {
 				nc.Discard(len(nc.Unread()))
 				if asked++; asked > 1 && c.delay > 0 {
-					return // what it has to say comes too late to matter
+					return // the second request is never answered
 				}
 				nc.Send([]byte(ok))
 				if c.delay > 0 {
@@ -53,11 +53,11 @@
 				if err := conn.Write([]byte("GET / HTTP/1.1\r\n\r\n"), time.Time{}); err != nil {
 					t.Error(err)
 				}
-				a, err := conn.Read(Limits{Until: h.Now().Add(time.Second), Body: 10})
+				a, err := conn.Read(Limits{Deadline: h.Now().Add(time.Second), MaxBody: 10})
 				switch {
-				case n == 0 && (err != nil || !a.Keep):
+				case n == 0 && (err != nil || !a.Reusable):
 					t.Errorf("%s: the first answer: %+v, %v", c.name, a, err)
-				case n == 1 && (!errors.Is(err, c.want) || c.want != nil && !errors.Is(err, ErrSpoilt)):
+				case n == 1 && (!errors.Is(err, c.want) || c.want != nil && !errors.Is(err, ErrInvalidResponse)):
 					t.Errorf("%s: %v, want %v", c.name, err, c.want)
 				}
 			}
--- a/internal/redeliver/inquiry.go
+++ b/internal/redeliver/inquiry.go
@@ -105,7 +105,7 @@
 	if err := c.Write(http1.AppendBody(b, body), until); err != nil {
 		return resend.Unanswered, err.Error()
 	}
-	response, err := c.Read(http1.Limits{Until: until, Body: maxAnswerBytes})
+	response, err := c.Read(http1.Limits{Deadline: until, MaxBody: maxAnswerBytes})
 	if err != nil {
 		return resend.Unanswered, err.Error()
 	}
--- a/internal/transport/http/call_test.go
+++ b/internal/transport/http/call_test.go
@@ -20,7 +20,7 @@
 
 func TestCallGoesOutAsTheProtocolSays(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, always(ok200))
+	s := newTestEndpoint(t, always(ok200))
 	b := newBench(t)
 	out := b.run(s.addr, b.items("a")...)[0]
 	r := within(t, s.seen)
@@ -64,7 +64,7 @@
 		{"garbage\r\n\r\n", engine.Outcome{Result: control.Errored}},
 		{"HTTP/1.1 200 OK\r\nContent-Le", engine.Outcome{Result: control.OK}},
 	} {
-		s := newScript(t, func(conn net.Conn, _ *seen) string {
+		s := newTestEndpoint(t, func(conn net.Conn, _ *seen) string {
 			if strings.HasSuffix(c.answer, "\n") || c.answer == ok200 {
 				return c.answer
 			}
@@ -100,12 +100,12 @@
 		if answer == "" {
 			answer = "HTTP/1.1 200 OK\r\nRetry-After: 1.5\r\nConnection: close\r\n\r\n" + body
 		}
-		s := newScript(t, func(conn net.Conn, _ *seen) string {
+		s := newTestEndpoint(t, func(conn net.Conn, _ *seen) string {
 			io.WriteString(conn, answer)
 			return ""
 		})
 		b := newBench(t)
-		b.speed = 0 // the 400 ms that an answer may take don't pass while a busy machine reads it
+		b.speed = 0 // so that the limit of 400 ms for a response does not pass on a busy machine
 		its := b.items("a", "b", "c", "d", "e", "f")
 		its[2].Key = `"odd\ kéy`
 		outs := b.run(s.addr, its...)
@@ -129,11 +129,11 @@
 	}
 }
 
-// A library that sends a request again by itself, as http.Transport does with an Idempotency-Key, makes a second
-// copy that the module knows nothing of.
+// Guards against a client library that sends a request again by itself, as http.Transport does for requests with an
+// Idempotency-Key. The decision module would not know of the second copy.
 func TestABrokenCallIsNotSentAgain(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, func(_ net.Conn, r *seen) string {
+	s := newTestEndpoint(t, func(_ net.Conn, r *seen) string {
 		if r.Header.Get("X-Trace-Id") == "warm" {
 			return ok200
 		}
@@ -146,7 +146,7 @@
 		t.Errorf("outcome %v, want a reset", o.Result)
 	}
 	within(t, s.seen)
-	b.run(s.addr, b.items("warm")...) // all that was sent before has been read by now
+	b.run(s.addr, b.items("warm")...) // any repeated request has been read before this one
 	if r := within(t, s.seen); r.Header.Get("X-Trace-Id") != "warm" {
 		t.Error("the call was sent twice")
 	}
@@ -169,7 +169,7 @@
 	b := newBench(t)
 	b.dial = func(addr string, limit time.Duration, abort *host.Abort) (net.Conn, error) {
 		dialling <- true
-		return b.stuck(addr, limit, abort)
+		return b.dialUnreachable(addr, limit, abort)
 	}
 	call := func(due time.Duration, end func(o *out)) control.Result {
 		its := b.items("a")
@@ -179,10 +179,10 @@
 		end(o)
 		return o.wait()[0].Result
 	}
-	pass := func(*out) { // the limit is set some time after the dial has begun
+	pass := func(*out) { // repeatedly, because the dial sets its limit some time after it has begun
 		go func() {
 			for range 100 {
-				b.pass(50 * time.Millisecond)
+				b.advance(50 * time.Millisecond)
 				time.Sleep(time.Millisecond)
 			}
 		}()
@@ -190,14 +190,14 @@
 	if r := call(time.Hour, pass); r != control.ConnectFailed {
 		t.Errorf("outcome %v, want connect failed after its time-out", r)
 	}
-	// Called off by us, or ended by the message's own time, it says nothing of the endpoint, and it never ran.
+	// A dial that was aborted, or ended by the message's deadline, says nothing about the endpoint, and the call never ran.
 	if r := call(time.Hour, func(o *out) { b.Abort(o.ID) }); r != control.Moot {
 		t.Errorf("outcome %v, want moot", r)
 	}
 	if r := call(900*time.Millisecond, pass); r != control.Moot {
 		t.Errorf("outcome %v of a message that ran out of time, want moot", r)
 	}
-	// A dialler may come back a moment before its limit.
+	// A dial may return slightly before its limit.
 	b.dial = func(string, time.Duration, *host.Abort) (net.Conn, error) {
 		dialling <- true
 		return nil, &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
@@ -212,10 +212,10 @@
 	}
 }
 
-// What was dialled for a call that nobody wants any more serves the next one.
+// A connection that was dialled for a call that has been aborted since is kept for the next call.
 func TestAnAbortWhileTheDriverIsAskedIsMoot(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, always(ok200))
+	s := newTestEndpoint(t, always(ok200))
 	b := newBench(t)
 	asked, answer := make(chan bool), make(chan bool)
 	o := b.start(s.addr, func() []bool { asked <- true; <-answer; return []bool{true} }, b.items("a")...)
@@ -227,10 +227,11 @@
 	}
 }
 
-// A dial may take long. What changed meanwhile must stop the send: an end, a drain, a wait.
+// Guards against a message that is sent although it is no longer wanted. During a long dial the message may end, its
+// endpoint may start to drain, or the destination may ask to wait.
 func TestNothingIsWrittenWhenTheMessageIsNotWantedAfterADial(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, always(ok200))
+	s := newTestEndpoint(t, always(ok200))
 	b := newBench(t)
 	for _, no := range [][]bool{{false}, nil} {
 		if o := b.start(s.addr, func() []bool { return no }, b.items("a")...).wait()[0]; o.Result != control.Moot {
@@ -249,18 +250,18 @@
 	if r := within(t, s.seen); outs[0].Result != control.Moot || outs[1].Result != control.OK || r.Header.Get("X-Trace-Id") != "c" {
 		t.Errorf("of two one was wanted: %v, sent %v", outs, r.Header)
 	}
-	if len(o.lines) > 0 { // it would say of the call's first item that it is delivered
+	if len(o.lines) > 0 { // the event would mark the first item of the call as delivered
 		t.Error("a first line is told of a call with two items")
 	}
 }
 
 func TestTimeOutAndCancelCloseTheConnection(t *testing.T) {
 	t.Parallel()
-	s, _, gone := held(t)
+	s, _, gone := newBlockingEndpoint(t)
 	b := newBench(t)
 	o := b.start(s.addr, nil, b.items("a")...)
 	within(t, s.seen)
-	b.pass(time.Hour)
+	b.advance(time.Hour)
 	if u := o.wait()[0]; u.Result != control.TimedOut || u.CallOpen {
 		t.Errorf("outcome %+v, want timed out", u)
 	}
@@ -272,14 +273,14 @@
 		t.Errorf("outcome %v, want cancelled", u.Result)
 	}
 	within(t, gone)
-	b.Abort(o.ID) // one that has ended is left as it is
+	b.Abort(o.ID) // aborting a call that has ended has no effect
 }
 
-// A call with several messages has one fate at its endpoint, which is told how long it is waited for: what it says after
-// the time of the first counts for none of them, so nobody may go on listening and take the others for delivered.
+// An endpoint handles a batch as a whole and is given the deadline of the first message to expire. A response after that
+// deadline counts for none of the messages. Guards against waiting on and taking the others for delivered.
 func TestTheFirstOfABatchToTimeOutEndsTheCallForAll(t *testing.T) {
 	t.Parallel()
-	s, _, gone := held(t)
+	s, _, gone := newBlockingEndpoint(t)
 	b := newBench(t)
 	its := b.items("a", "b", "c")
 	its[1].Deadline = b.in(time.Minute)
@@ -288,7 +289,7 @@
 	if ms, err := strconv.Atoi(r.Header.Get("X-Expires-In-Ms")); err != nil || ms > 60_000 {
 		t.Errorf("the endpoint is told %d ms (%v), and the first time is up in a minute", ms, err)
 	}
-	b.pass(time.Minute)
+	b.advance(time.Minute)
 	within(t, gone)
 	for i, out := range o.wait() {
 		if out.Result != control.TimedOut || out.CallOpen {
@@ -297,10 +298,10 @@
 	}
 }
 
-// A request that crosses the end of its own time would be in doubt for nothing.
+// Guards against a request that is sent after the message's deadline, which would be in doubt for no benefit.
 func TestAnItemPastItsTimeIsNotWritten(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, always(ok200))
+	s := newTestEndpoint(t, always(ok200))
 	b := newBench(t)
 	its := b.items("a", "b")
 	its[0].Deadline = b.in(-time.Second)
@@ -313,16 +314,17 @@
 	}
 }
 
-// To break a write off says nothing of the endpoint; one that does not read until the time is up is no connection.
+// Aborting a write says nothing about the endpoint. An endpoint that does not read until the deadline counts as a failed
+// connection.
 func TestAnAbortDuringABlockedWriteIsMoot(t *testing.T) {
 	t.Parallel()
-	l, err := net.Listen("tcp", "127.0.0.1:0") // nobody reads what comes
+	l, err := net.Listen("tcp", "127.0.0.1:0") // never read from
 	must(t, err)
 	t.Cleanup(func() { l.Close() })
 	b := newBench(t)
 	for want, end := range map[control.Result]func(o *out){
 		control.Moot:          func(o *out) { b.Abort(o.ID) },
-		control.ConnectFailed: func(o *out) { b.pass(time.Hour) },
+		control.ConnectFailed: func(o *out) { b.advance(time.Hour) },
 	} {
 		its := b.items("a")
 		its[0].Body = make([]byte, 16<<20) // more than the sockets' buffers hold
@@ -340,13 +342,13 @@
 	}
 }
 
-// The protocol lets a body hold 64 KiB: an endpoint would not read more.
+// The protocol limits a body to 64 KiB. Endpoints do not read more.
 func TestABatchIsBoundedAndSendsWhatFits(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, always(status("500 x")))
+	s := newTestEndpoint(t, always(status("500 x")))
 	b := newBench(t)
 	for _, c := range []struct {
-		sizes []int // of bodies; in Base64 they take a third more
+		sizes []int // of the bodies before Base64, which adds a third
 		path  string
 		sent  []bool
 	}{
@@ -371,8 +373,8 @@
 	}
 }
 
-// A spoilt answer is an attempt that may have run, and nothing that it says is believed, except a first line with 200
-// to a call with one message: that one is delivered, whatever follows. Either way the connection ends soon.
+// An invalid response means that the attempt may have run. Nothing in it is trusted, except a status line with 200 to a
+// call with one message: that message is delivered, whatever follows. In both cases the connection closes soon.
 func TestSpoiltAnswers(t *testing.T) {
 	t.Parallel()
 	endless := func(c net.Conn, head, piece string) {
@@ -385,7 +387,7 @@
 	}
 	wait := "Retry-After: 5\r\nSlots-Taken: 1\r\nEndpoint-Load-Metrics: TEXT x0=0.5, x1=3\r\n"
 	for name, c := range map[string]struct {
-		head, piece string // piece is sent for ever; without one the connection stays open and silent
+		head, piece string // piece is sent repeatedly; if empty, the connection stays open and silent
 		single      control.Result
 	}{
 		"noise":                 {"\x7f\x00\x01\x02", "", control.Errored},
@@ -408,11 +410,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			gone := make(chan bool, 2)
-			s := newScript(t, func(conn net.Conn, _ *seen) string {
+			s := newTestEndpoint(t, func(conn net.Conn, _ *seen) string {
 				if io.WriteString(conn, c.head); c.piece != "" {
 					endless(conn, "", c.piece)
 				} else {
-					conn.Read(make([]byte, 1)) // until the caller ends it
+					conn.Read(make([]byte, 1)) // blocks until the caller closes the connection
 				}
 				gone <- true
 				return ""
@@ -436,11 +438,11 @@
 	}
 }
 
-// The first line is told at once: what was delivered must be so in the journal before the rest has come.
+// A status line must be reported at once, so that the delivery can be stored before the rest of the response arrives.
 func TestTheFirstLineIsToldAtOnce(t *testing.T) {
 	t.Parallel()
 	told := make(chan bool)
-	s := newScript(t, func(c net.Conn, _ *seen) string {
+	s := newTestEndpoint(t, func(c net.Conn, _ *seen) string {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 		<-told
 		return "Retry-After: 1.5\r\nContent-Length: 0\r\n\r\n"
@@ -456,17 +458,17 @@
 	}
 }
 
-// What is delivered stays so when its time comes, or its end is asked for, before the rest of the answer.
+// A delivered message stays delivered if its deadline passes or its call is aborted before the response is complete.
 func TestADeliveredMessageStaysDelivered(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, func(c net.Conn, _ *seen) string {
+	s := newTestEndpoint(t, func(c net.Conn, _ *seen) string {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-")
 		c.Read(make([]byte, 1))
 		return ""
 	})
 	b := newBench(t)
 	for name, end := range map[string]func(o *out){
-		"time": func(*out) { b.pass(time.Hour) }, "abort": func(o *out) { b.Abort(o.ID) },
+		"time": func(*out) { b.advance(time.Hour) }, "abort": func(o *out) { b.Abort(o.ID) },
 	} {
 		o := b.start(s.addr, nil, b.items("a")...)
 		within(t, o.lines)
@@ -477,11 +479,11 @@
 	}
 }
 
-// The wait that stands in the rest of its answer binds, too.
+// A Retry-After in the rest of the response of a delivered message counts, too.
 func TestTheRestOfADeliveredAnswerIsReadPastTheMessagesTime(t *testing.T) {
 	t.Parallel()
 	first, rest := make(chan bool), make(chan bool)
-	s := newScript(t, func(c net.Conn, _ *seen) string {
+	s := newTestEndpoint(t, func(c net.Conn, _ *seen) string {
 		<-first
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 		<-rest
@@ -491,22 +493,22 @@
 	b.speed = 0
 	o := b.start(s.addr, nil, b.items("a")...)
 	within(t, s.seen)
-	b.pass(time.Hour - 100*time.Millisecond)
+	b.advance(time.Hour - 100*time.Millisecond)
 	first <- true
 	within(t, o.lines)
-	b.pass(200 * time.Millisecond)
-	time.Sleep(5 * time.Millisecond) // lets a call that gives up do so; one that does not needs no time
+	b.advance(200 * time.Millisecond)
+	time.Sleep(5 * time.Millisecond) // gives a faulty call time to stop waiting
 	rest <- true
 	if u := o.wait()[0]; u.Result != control.OK || u.RetryAfter != 1500*time.Millisecond || b.idleCount() != 1 {
 		t.Errorf("%+v, %d connections kept", u, b.idleCount())
 	}
 }
 
-// Good answers may bring 1xx answers ahead and reports that can't be read.
+// Valid responses may follow 1xx responses and may carry load reports that can't be parsed.
 func TestGoodAnswersWithMore(t *testing.T) {
 	t.Parallel()
 	early := strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n", 3)
-	s := newScript(t, always(early+status("429 x", "Retry-After: 0.25", "Endpoint-Load-Metrics: TEXT x0=NaN, x1=7")))
+	s := newTestEndpoint(t, always(early+status("429 x", "Retry-After: 0.25", "Endpoint-Load-Metrics: TEXT x0=NaN, x1=7")))
 	b := newBench(t)
 	for range 2 {
 		if o := b.run(s.addr, b.items("a")...)[0]; o.Result != control.Refused || o.RetryAfter != 250*time.Millisecond || o.LoadReport != nil {
@@ -531,17 +533,19 @@
 	}
 }
 
-// ear takes what a call tells.
-type ear struct {
+// recordedEvents records the events of a call.
+type recordedEvents struct {
 	lines int
 	outs  []engine.Outcome
 }
 
-func (*ear) MayWrite(engine.CallID) []bool                  { return nil }
-func (e *ear) FirstLine(engine.CallID)                      { e.lines++ }
-func (e *ear) Ended(_ engine.CallID, outs []engine.Outcome) { e.outs = append(e.outs, outs...) }
+func (*recordedEvents) MayWrite(engine.CallID) []bool { return nil }
+func (e *recordedEvents) FirstLine(engine.CallID)     { e.lines++ }
+func (e *recordedEvents) Ended(_ engine.CallID, outs []engine.Outcome) {
+	e.outs = append(e.outs, outs...)
+}
 
-// FuzzAnswer: whatever an endpoint writes, a call ends with one outcome for each item and tells no more than it may.
+// FuzzAnswer checks that, whatever an endpoint writes, a call ends with one outcome for each item and no forbidden events.
 func FuzzAnswer(f *testing.F) {
 	for _, a := range []string{ok200, status("429 x", "Retry-After: 1"), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
 		"HTTP/1.1 100 x\r\n\r\n" + ok200, ok200 + ok200, "noise", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxx",
@@ -556,17 +560,17 @@
 			there.Write(text)
 			there.Close()
 		}()
-		tr := New(host.System{}, engine.Clock{Start: time.Now()}, Settings{MostIdle: 1})
-		defer tr.Close(generous)
+		tr := New(host.System{}, engine.Clock{Start: time.Now()}, Settings{MaxIdle: 1})
+		defer tr.Close(testTimeout)
 		due := engine.Epoch + 60*control.Second
 		spec := &engine.Call{Items: []engine.Item{{ID: "a", Deadline: due}, {ID: "b", Deadline: due}}}
 		if !batch {
 			spec.Items = spec.Items[:1]
 		}
-		e := &ear{}
+		e := &recordedEvents{}
 		k := newCall(tr, spec, e)
 		k.peer, k.batch = &peer{}, batch
-		k.await(&conn{Conn: http1.NewConn(tr.host, here), peer: k.peer})
+		k.awaitResponse(&conn{Conn: http1.NewConn(tr.host, here), peer: k.peer})
 		if len(e.outs) != len(spec.Items) || e.lines > 1 || e.lines > 0 && batch {
 			t.Fatalf("told %d times that it is delivered, outcomes %+v", e.lines, e.outs)
 		}
@@ -576,7 +580,7 @@
 				t.Errorf("outcomes %+v", e.outs)
 			case !batch && (o.Result == control.OK) != (e.lines > 0):
 				t.Error("delivered without being told at the first line, or the other way round")
-			case (o.Result == control.Reset || o.Result == control.Errored && k.open > 0) && (o.RetryAfter != 0 || o.Closed):
+			case (o.Result == control.Reset || o.Result == control.Errored && k.pendingCount > 0) && (o.RetryAfter != 0 || o.Closed):
 				t.Errorf("believed of no answer: %+v", o)
 			case o.Result == control.TimedOut || o.Result == control.Cancelled || o.Result == control.ConnectFailed:
 				t.Errorf("result %v of an answer or a reset", o.Result)
@@ -585,17 +589,17 @@
 	})
 }
 
-// FuzzStates: whatever stands in an answer to several messages, an item is delivered only if it is told so by its id.
+// FuzzStates checks that an item of a batch counts as delivered only if the response says so for its id.
 func FuzzStates(f *testing.F) {
 	for _, b := range []string{`[{"id":"a","state":"delivered"},{"id":"b","state":"over"}]`, `[{"ID":"a","State":"spent"}]`, `[]`, `null`, `{`, ""} {
 		f.Add([]byte(b))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		e := &ear{}
+		e := &recordedEvents{}
 		tr := New(host.System{}, engine.Clock{}, Settings{})
 		k := newCall(tr, &engine.Call{Items: []engine.Item{{ID: "a"}, {ID: "b"}, {ID: "c"}}}, e)
 		k.batch = true
-		k.states(body, engine.Outcome{})
+		k.handleBatchStates(body, engine.Outcome{})
 		if len(e.outs) != 3 || !json.Valid(body) && slices.ContainsFunc(e.outs, func(o engine.Outcome) bool { return o.Result != control.Errored }) {
 			t.Fatalf("%q: %+v", body, e.outs)
 		}
--- a/internal/transport/http/dial_test.go
+++ b/internal/transport/http/dial_test.go
@@ -12,21 +12,21 @@
 	"curlewmux/internal/host"
 )
 
-// dials counts those that begin.
-type dials struct {
+// dialCounter counts the dials that begin.
+type dialCounter struct {
 	mu sync.Mutex
 	n  int
 }
 
-func (d *dials) count() int {
+func (d *dialCounter) count() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.n
 }
 
-// watched makes the rig's dials counted.
-func watched(b *bench) *dials {
-	d := &dials{}
+// countDials makes the host of a bench count its dials.
+func countDials(b *bench) *dialCounter {
+	d := &dialCounter{}
 	b.dial = func(addr string, limit time.Duration, abort *host.Abort) (net.Conn, error) {
 		d.mu.Lock()
 		d.n++
@@ -36,14 +36,15 @@
 	return d
 }
 
-// After a restart every call needs a connection: so many are dialled at once, and the rest at their pace.
+// After a restart every call needs a connection. Guards against dialling all of them at once: only the burst begins
+// immediately.
 func TestDialsArePaced(t *testing.T) {
 	t.Parallel()
 	const burst, all = 4, 12
 	release := make(chan string)
-	s := newScript(t, func(net.Conn, *seen) string { return <-release })
-	b := newBenchWith(t, Settings{MostIdle: 64, DialBurst: burst, DialGap: time.Hour})
-	d := watched(b)
+	s := newTestEndpoint(t, func(net.Conn, *seen) string { return <-release })
+	b := newBenchWith(t, Settings{MaxIdle: 64, DialBurst: burst, DialInterval: time.Hour})
+	d := countDials(b)
 	var outs []*out
 	for i := range all {
 		items := b.items(fmt.Sprint(i))
@@ -56,12 +57,12 @@
 	waitFor(t, func() bool { // the others wait for their turn
 		b.Transport.mu.Lock()
 		defer b.Transport.mu.Unlock()
-		return len(b.peers[place{1, s.addr}].waiting) == all-burst
+		return len(b.peers[endpointAddress{1, s.addr}].waitingToDial) == all-burst
 	})
 	if n := d.count(); n != burst {
 		t.Errorf("%d dials at once, want %d", n, burst)
 	}
-	// A connection that is idle again is used before anybody's turn has come.
+	// Waiting calls use connections that become idle before their turn to dial.
 	for range all {
 		release <- ok200
 	}
@@ -75,20 +76,20 @@
 	}
 }
 
-// What a call waited with its turn may have changed all: on a connection that becomes idle meanwhile, too, it asks whether
-// it may still be written.
+// Much may change while a call waits for its turn to dial. It must ask whether it may still be written, also if it then
+// uses a connection that became idle.
 func TestACallThatWaitedAsksBeforeItTakesAnIdleConnection(t *testing.T) {
 	t.Parallel()
 	release := make(chan string)
-	s := newScript(t, func(net.Conn, *seen) string { return <-release })
-	b := newBenchWith(t, Settings{MostIdle: 8, DialBurst: 1, DialGap: time.Hour})
+	s := newTestEndpoint(t, func(net.Conn, *seen) string { return <-release })
+	b := newBenchWith(t, Settings{MaxIdle: 8, DialBurst: 1, DialInterval: time.Hour})
 	first := b.start(s.addr, nil, b.items("first")...)
 	within(t, s.seen)
 	second := b.start(s.addr, func() []bool { return []bool{false} }, b.items("second")...)
 	waitFor(t, func() bool {
 		b.Transport.mu.Lock()
 		defer b.Transport.mu.Unlock()
-		return len(b.peers[place{1, s.addr}].waiting) == 1
+		return len(b.peers[endpointAddress{1, s.addr}].waitingToDial) == 1
 	})
 	release <- ok200
 	first.wait()
@@ -97,8 +98,8 @@
 	}
 }
 
-// A call that waits for its turn ends like one that dials: when it is called off, when its endpoint leaves, and when its
-// time is up.
+// A call that waits for its turn to dial ends like one that dials: when it is aborted, when its endpoint is removed, and
+// when its deadline passes.
 func TestACallThatWaitsToDialEnds(t *testing.T) {
 	t.Parallel()
 	for name, end := range map[string]func(b *bench, o *out){
@@ -106,9 +107,9 @@
 		"leave": func(b *bench, o *out) { b.RemoveEndpoint(&engine.RemoveEndpoint{Endpoint: 1, Addr: o.Addr}) },
 		"time":  func(b *bench, _ *out) {},
 	} {
-		s := newScript(t, always(ok200))
-		b := newBenchWith(t, Settings{DialBurst: 1, DialGap: time.Hour})
-		d := watched(b)
+		s := newTestEndpoint(t, always(ok200))
+		b := newBenchWith(t, Settings{DialBurst: 1, DialInterval: time.Hour})
+		d := countDials(b)
 		b.run(s.addr, b.items("first")...) // its connection is not kept
 		items := b.items("second")
 		if name == "time" {
@@ -119,8 +120,8 @@
 			waitFor(t, func() bool {
 				b.Transport.mu.Lock()
 				defer b.Transport.mu.Unlock()
-				p := b.peers[place{1, s.addr}]
-				return p != nil && len(p.waiting) == 1
+				p := b.peers[endpointAddress{1, s.addr}]
+				return p != nil && len(p.waitingToDial) == 1
 			})
 		}
 		end(b, o)
@@ -130,15 +131,15 @@
 	}
 }
 
-// One endpoint's burst leaves the others their idle connections.
+// A burst of calls to one endpoint must not displace the idle connections of the others.
 func TestOneEndpointKeepsNoMoreThanItsPart(t *testing.T) {
 	t.Parallel()
 	const most = 24
 	release := make(chan string)
-	s := newScript(t, func(net.Conn, *seen) string { return <-release })
-	other := newScript(t, func(net.Conn, *seen) string { return <-release })
-	b := newBenchWith(t, Settings{MostIdle: most})
-	burst := func(s *script, n int) {
+	s := newTestEndpoint(t, func(net.Conn, *seen) string { return <-release })
+	other := newTestEndpoint(t, func(net.Conn, *seen) string { return <-release })
+	b := newBenchWith(t, Settings{MaxIdle: most})
+	burst := func(s *testEndpoint, n int) {
 		var outs []*out
 		for i := range n {
 			outs = append(outs, b.start(s.addr, nil, b.items(fmt.Sprint(i))...))
@@ -157,10 +158,10 @@
 	burst(s, most)
 	b.Transport.mu.Lock()
 	defer b.Transport.mu.Unlock()
-	if n := len(b.peers[place{1, s.addr}].idle); n != most/2 {
+	if n := len(b.peers[endpointAddress{1, s.addr}].idle); n != most/2 {
 		t.Errorf("one endpoint has %d idle connections, want %d", n, most/2)
 	}
-	if n := len(b.peers[place{1, other.addr}].idle); n != 6 {
+	if n := len(b.peers[endpointAddress{1, other.addr}].idle); n != 6 {
 		t.Errorf("the other has %d of its 6 left", n)
 	}
 }
--- a/internal/transport/http/pool_test.go
+++ b/internal/transport/http/pool_test.go
@@ -22,13 +22,13 @@
 		"just closed":    ok200,
 		"talks unbidden": ok200 + ok200,
 	} {
-		s := newScript(t, func(c net.Conn, _ *seen) string {
+		s := newTestEndpoint(t, func(c net.Conn, _ *seen) string {
 			io.WriteString(c, answer)
 			return ""
 		})
 		b.run(s.addr, b.items("a")...)
 		idle := b.idleAt(1, s.addr)
-		waitFor(t, func() bool { return !slices.ContainsFunc(idle, func(c *conn) bool { return c.Clean() }) })
+		waitFor(t, func() bool { return !slices.ContainsFunc(idle, func(c *conn) bool { return c.IsIdle() }) })
 		if o := b.run(s.addr, b.items("b")...)[0]; o.Result != control.OK || s.dials.Load() != 2 {
 			t.Errorf("%s: outcome %v over %d connections", name, o.Result, s.dials.Load())
 		}
@@ -37,18 +37,18 @@
 
 func TestIdleConnectionsAreGivenUpBeforeTheEndpointDoes(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, always(ok200))
+	s := newTestEndpoint(t, always(ok200))
 	b := newBench(t)
 	for range 2 {
 		b.run(s.addr, b.items("a")...)
-		b.pass(3 * time.Second)
+		b.advance(3 * time.Second)
 	}
 	if n := b.idleCount(); n != 1 {
 		t.Errorf("%d idle connections after 3 of 5 s, want one", n)
 	}
-	b.pass(1800 * time.Millisecond) // 4.8 s in all
+	b.advance(1800 * time.Millisecond) // 4.8 s in all
 	waitFor(t, func() bool { return b.idleCount() == 0 })
-	if d := b.span; d >= 5*time.Second || d < 4*time.Second {
+	if d := b.maxIdleTime; d >= 5*time.Second || d < 4*time.Second {
 		t.Errorf("idle for %v where the endpoint closes after 5 s", d)
 	}
 	waitFor(t, func() bool {
@@ -58,18 +58,19 @@
 	})
 }
 
-// The module's Close, and silence on a connection beside them, end the idle ones; the pool holds only so many.
+// CloseIdle, and a call without a response to the same endpoint, close idle connections. The pool holds a limited
+// number.
 func TestIdleConnectionsEnd(t *testing.T) {
 	t.Parallel()
 	release := make(chan string)
-	s := newScript(t, func(c net.Conn, r *seen) string {
+	s := newTestEndpoint(t, func(c net.Conn, r *seen) string {
 		if r.Header.Get("X-Trace-Id") == "silent" {
 			c.Read(make([]byte, 1))
 			return ""
 		}
 		return <-release
 	})
-	b := newBenchWith(t, Settings{MostIdle: 2})
+	b := newBenchWith(t, Settings{MaxIdle: 2})
 	three := func() {
 		var outs []*out
 		for range 3 {
@@ -90,7 +91,7 @@
 		t.Errorf("%d idle connections, want the two that fit", n)
 	}
 	for name, end := range map[string]func(o *out){
-		"time": func(*out) { b.pass(time.Hour) }, "abort": func(o *out) { b.Abort(o.ID) },
+		"time": func(*out) { b.advance(time.Hour) }, "abort": func(o *out) { b.Abort(o.ID) },
 	} {
 		o := b.start(s.addr, nil, b.items("silent")...)
 		within(t, s.seen)
@@ -111,14 +112,14 @@
 	}
 }
 
-// The newest connection is the one that is in use; the one that was idle for longest would be closed by its endpoint
-// next anyway.
+// A full pool closes the connection that was idle for longest: its endpoint would close that one next anyway, while the
+// newest is in use.
 func TestAFullPoolGivesUpTheConnectionIdleForLongest(t *testing.T) {
 	t.Parallel()
-	b := newBenchWith(t, Settings{MostIdle: 2})
-	var all []*script
+	b := newBenchWith(t, Settings{MaxIdle: 2})
+	var all []*testEndpoint
 	for range 3 {
-		s := newScript(t, always(ok200))
+		s := newTestEndpoint(t, always(ok200))
 		all = append(all, s)
 		b.run(s.addr, b.items("a")...)
 	}
@@ -139,7 +140,8 @@
 	}
 }
 
-// What comes behind an answer, before the next call or just before its first byte, is never taken for the next answer.
+// Guards against surplus data behind a response that is taken for the next response. The data may arrive before the next
+// call or just before its first byte.
 func TestASecondCopyIsNotTheNextAnswer(t *testing.T) {
 	t.Parallel()
 	for name, extra := range map[string]string{"a copy": status("500 x"), "noise": "\x00\x01noise", "half a line": "HTTP/1.1 5"} {
@@ -158,45 +160,45 @@
 			}
 			return ok200
 		}
-		s := newScript(t, serve)
+		s := newTestEndpoint(t, serve)
 		b.run(s.addr, b.items("at once")...)
 		if o := b.run(s.addr, b.items("a")...)[0]; o.Result != control.OK || s.dials.Load() != 2 {
 			t.Errorf("%s: outcome %v over %d connections", name, o.Result, s.dials.Load())
 		}
-		// For a while a connection rests between two calls, and then it is used again.
+		// For a while a connection must stay idle between two calls. Then it is used again.
 		begun := time.Now()
 		o := b.run(s.addr, b.items("a")...)[0]
-		if o.Result != control.OK || s.dials.Load() != 3 && time.Since(begun) < rested/2 {
+		if o.Result != control.OK || s.dials.Load() != 3 && time.Since(begun) < distrustedSettleTime/2 {
 			t.Errorf("%s, right behind: outcome %v over %d connections", name, o.Result, s.dials.Load())
 		}
 		dials := s.dials.Load()
 		b.Transport.mu.Lock()
-		for _, c := range b.peers[place{1, s.addr}].idle {
-			c.used = c.used.Add(-rested)
+		for _, c := range b.peers[endpointAddress{1, s.addr}].idle {
+			c.idleSince = c.idleSince.Add(-distrustedSettleTime)
 		}
 		b.Transport.mu.Unlock()
 		if o := b.run(s.addr, b.items("a")...)[0]; o.Result != control.OK || s.dials.Load() != dials {
 			t.Errorf("%s, after a rest: outcome %v over %d connections", name, o.Result, s.dials.Load())
 		}
-		s = newScript(t, serve)
+		s = newTestEndpoint(t, serve)
 		b.run(s.addr, b.items("later")...)
 		idle := b.idleAt(1, s.addr)
-		if len(idle) != 1 || !idle[0].Clean() {
+		if len(idle) != 1 || !idle[0].IsIdle() {
 			t.Fatalf("%s: %d connections are kept", name, len(idle))
 		}
 		more <- true
 		<-sent
-		waitFor(t, func() bool { return !idle[0].Clean() })
+		waitFor(t, func() bool { return !idle[0].IsIdle() })
 		if o := b.run(s.addr, b.items("a")...)[0]; o.Result != control.OK || s.dials.Load() != 2 {
 			t.Errorf("%s, later: outcome %v over %d connections", name, o.Result, s.dials.Load())
 		}
 	}
 }
 
-// An endpoint that has gone keeps no connection, and another one at its address has its own.
+// A removed endpoint keeps no connection, and another endpoint at its address gets its own.
 func TestConnectionsBelongToTheirEndpoint(t *testing.T) {
 	t.Parallel()
-	s, release, _ := held(t)
+	s, release, _ := newBlockingEndpoint(t)
 	b := newBench(t)
 	call := func(ep control.Endpoint) *out {
 		o := b.startTo(ep, s.addr, nil, b.items("a")...)
@@ -215,7 +217,7 @@
 	late := call(3)
 	b.RemoveEndpoint(&engine.RemoveEndpoint{Endpoint: 1, Addr: s.addr})
 	b.RemoveEndpoint(&engine.RemoveEndpoint{Endpoint: 3, Addr: s.addr})
-	release <- ok200 // a call that is out goes on; its connection closes behind it
+	release <- ok200 // the call in progress continues, and its connection closes after it
 	if o := late.wait()[0]; o.Result != control.OK {
 		t.Errorf("a call that was out when its endpoint left: %v", o.Result)
 	}
@@ -224,23 +226,23 @@
 	}
 }
 
-// The connection used last goes first, but not before it is known to have outlived its answer.
+// The connection used last is taken first, unless it became idle only a moment ago and may be about to close.
 func TestWhichIdleConnectionIsTaken(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, always(ok200))
-	b := newBenchWith(t, Settings{MostIdle: 8})
-	p := &peer{place: place{1, s.addr}}
+	s := newTestEndpoint(t, always(ok200))
+	b := newBenchWith(t, Settings{MaxIdle: 8})
+	p := &peer{endpointAddress: endpointAddress{1, s.addr}}
 	var list []*conn
 	for _, age := range []time.Duration{3 * time.Hour, 2 * time.Hour, 0, 0} {
 		nc, err := b.Dial(s.addr, time.Second, &host.Abort{})
 		must(t, err)
 		c := newConn(b, nc, p)
-		b.put(c)
-		c.used = b.Now().Add(time.Hour - age) // the last two are never settled while the test runs
+		b.putIdle(c)
+		c.idleSince = b.Now().Add(time.Hour - age) // the last two are never settled while the test runs
 		list = append(list, c)
 	}
 	for i, want := range []int{1, 0, 2, 3} {
-		c := b.pop(p)
+		c := b.takeIdle(p)
 		if c != list[want] {
 			t.Fatalf("taken as number %d is not connection %d", i, want)
 		}
@@ -248,14 +250,14 @@
 	}
 }
 
-// A dial that comes up late may reach whoever has the address now.
+// A dial that completes after its endpoint was removed may reach another endpoint that now has the address.
 func TestALateDialToAnAddressThatWasLeftIsNotWritten(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, always(ok200))
+	s := newTestEndpoint(t, always(ok200))
 	for _, when := range []string{"dialling", "asking"} {
 		b := newBench(t)
 		dialling, up, asking, answer := make(chan bool, 1), make(chan bool), make(chan bool, 1), make(chan bool)
-		b.dial = func(addr string, limit time.Duration, _ *host.Abort) (net.Conn, error) { // the abort comes too late
+		b.dial = func(addr string, limit time.Duration, _ *host.Abort) (net.Conn, error) { // ignores the abort, as if it came too late
 			dialling <- true
 			<-up
 			return b.System.Dial(addr, limit, &host.Abort{})
@@ -287,7 +289,7 @@
 	dialling := make(chan bool, 2)
 	b.dial = func(addr string, limit time.Duration, abort *host.Abort) (net.Conn, error) {
 		dialling <- true
-		return b.stuck(addr, 0, abort)
+		return b.dialUnreachable(addr, 0, abort)
 	}
 	leaves, stays := b.startTo(1, "cut.off:1", nil, b.items("a")...), b.startTo(2, "cut.off:1", nil, b.items("b")...)
 	within(t, dialling)
@@ -305,7 +307,7 @@
 
 func TestCloseEndsEveryCallAndConnection(t *testing.T) {
 	t.Parallel()
-	s, release, gone := held(t)
+	s, release, gone := newBlockingEndpoint(t)
 	b := newBench(t)
 	before := b.startTo(1, s.addr, nil, b.items("a")...)
 	within(t, s.seen)
@@ -314,23 +316,23 @@
 	idle := b.idleAt(1, s.addr)
 	out := b.startTo(2, s.addr, nil, b.items("b")...)
 	within(t, s.seen)
-	must(t, b.Close(generous))
-	if o := out.order; len(o) != 1 || o[0].Result != control.Cancelled { // without waiting: all is told by now
+	must(t, b.Close(testTimeout))
+	if o := out.order; len(o) != 1 || o[0].Result != control.Cancelled { // no waiting: Close returns after all outcomes were reported
 		t.Errorf("outcomes %+v of a call that was out", o)
 	}
 	within(t, gone)
-	if len(idle) != 1 || idle[0].Clean() || b.idleCount() != 0 {
+	if len(idle) != 1 || idle[0].IsIdle() || b.idleCount() != 0 {
 		t.Error("an idle connection is left open")
 	}
 	if o := b.run(s.addr, b.items("c")...)[0]; o.Result != control.Moot || len(s.seen) > 0 {
 		t.Errorf("outcome %v of a call after Close", o.Result)
 	}
-	must(t, b.Close(generous))
+	must(t, b.Close(testTimeout))
 }
 
 func TestCloseTellsOfCallsThatDoNotEnd(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, always(ok200))
+	s := newTestEndpoint(t, always(ok200))
 	b := newBench(t)
 	asked, answer := make(chan bool), make(chan bool)
 	o := b.start(s.addr, func() []bool { asked <- true; <-answer; return nil }, b.items("a")...)
--- a/membership/partnerlist/agent.go
+++ b/membership/partnerlist/agent.go
@@ -119,23 +119,23 @@
 // call sends a request and returns the response. It fails after the time limit, or when the address is no longer the current
 // one. The agent may have closed a persistent connection in the meantime. The request is then sent again on a new one, which
 // is safe because all requests here are idempotent.
-func (a *agent) call(at *address, request []byte, limit time.Duration, body int) (http1.Answer, error) {
+func (a *agent) call(at *address, request []byte, limit time.Duration, body int) (http1.Response, error) {
 	until := a.host.Now().Add(limit)
-	if a.connectedTo != at || a.conn != nil && !a.conn.Clean() {
+	if a.connectedTo != at || a.conn != nil && !a.conn.IsIdle() {
 		a.disconnect()
 	}
 	for {
 		reused := a.conn != nil
 		if !reused {
 			if err := a.dial(at, until); err != nil {
-				return http1.Answer{}, err
+				return http1.Response{}, err
 			}
 		}
-		answer, err := a.exchange(at, request, http1.Limits{Until: until, Body: body})
-		if err != nil || !answer.Keep {
+		answer, err := a.exchange(at, request, http1.Limits{Deadline: until, MaxBody: body})
+		if err != nil || !answer.Reusable {
 			a.disconnect()
 		}
-		if err != nil && reused && !errors.Is(err, http1.ErrLate) && !errors.Is(err, http1.ErrSpoilt) {
+		if err != nil && reused && !errors.Is(err, http1.ErrTimeout) && !errors.Is(err, http1.ErrInvalidResponse) {
 			continue
 		}
 		return answer, err
@@ -155,12 +155,12 @@
 	return nil
 }
 
-func (a *agent) exchange(at *address, request []byte, limits http1.Limits) (http1.Answer, error) {
+func (a *agent) exchange(at *address, request []byte, limits http1.Limits) (http1.Response, error) {
 	conn := a.conn
 	at.replaced.On(func() { conn.Close() })
 	defer at.replaced.On(nil)
-	if err := conn.Write(request, limits.Until); err != nil {
-		return http1.Answer{}, fmt.Errorf("request: %w", err)
+	if err := conn.Write(request, limits.Deadline); err != nil {
+		return http1.Response{}, fmt.Errorf("request: %w", err)
 	}
 	return conn.Read(limits)
 }
