--- a/engine/event.go
+++ b/engine/event.go
@@ -66,7 +66,7 @@
 // events.
 type RestoredLedger struct {
 	Leaves      []ledger.Leaf
-	ResetReason string // why counts may be lost (ledger.WhyDamage, ...), so that a new epoch begins; "": the stored epoch continues
+	ResetReason string // why counts may be lost (ledger.ReasonDamage, ...), so that a new epoch begins; "": the stored epoch continues
 }
 
 // RequestLedger asks for a snapshot of the ledger. It is answered by one LedgerSnapshot, unless a batch fails that the
@@ -138,7 +138,7 @@
 	Active
 )
 
-// HasStore says that all batches up to this one are in the store, except those that failed before. A number lower
+// Stored says that all batches up to this one are in the store, except those that failed before. A number lower
 // than one reported before changes nothing.
 type Stored struct{ Batch Batch }
 
@@ -158,7 +158,7 @@
 // FirstLine says that the response to a call with one item has begun, and that the item is delivered.
 type FirstLine struct{ Call CallID }
 
-// Disposition reports outcomes of items of a call. Each item has exactly one.
+// Ended reports the outcomes of items of a call. Each item has exactly one.
 type Ended struct {
 	Call     CallID
 	Outcomes []Outcome
--- a/engine/interfaces.go
+++ b/engine/interfaces.go
@@ -56,13 +56,13 @@
 	// FirstLine reports that the first line of the response to a call with one item says that the item is delivered.
 	FirstLine(id CallID)
 
-	// Disposition reports outcomes. Each item of a call has exactly one.
+	// Ended reports the outcomes. Each item of a call has exactly one.
 	Ended(id CallID, outs []Outcome)
 }
 
 // Sink receives the results of messages.
 type Sink interface {
-	// Done takes the result of a message; called by the driver. Once the client has been notified, the sink acknowledges
+	// Completed takes the result of a message. The driver calls it. Once the client has been notified, the sink acknowledges
 	// with a Notified event, from any goroutine.
 	Completed(d *Done)
 }
--- a/engine/record.go
+++ b/engine/record.go
@@ -62,7 +62,7 @@
 type RecClockStep struct{ By int64 }
 
 // RecLedgerLeaf replaces the ledger's leaf with this number (Settings.Ledger). The newest text counts. None is longer
-// than ledger.LeafMost.
+// than ledger.MaxLeafBytes.
 type RecLedgerLeaf struct {
 	Number uint64
 	Text   []byte
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -98,13 +98,13 @@
 	idleRequest struct{ reply host.Inbox }
 )
 
-// HandIn implements engine.Intake.
+// Submit implements engine.Intake.
 func (d *Driver) Submit(m *engine.Message, deadline time.Time) engine.Verdict {
 	in := &submission{Submit: engine.Submit{Message: *m}, deadline: deadline, reply: d.replies.get()}
 	return d.verdict(d.enqueue(in), in.reply)
 }
 
-// HandInEach implements engine.GroupIntake.
+// SubmitEach implements engine.GroupIntake.
 func (d *Driver) SubmitEach(list []*engine.Message, deadlines []time.Time) []engine.Verdict {
 	replies, put := make([]host.Inbox, len(list)), make([]bool, len(list))
 	for i, m := range list {
@@ -118,7 +118,7 @@
 	return out
 }
 
-// HandInAll implements engine.GroupIntake.
+// SubmitAll implements engine.GroupIntake.
 func (d *Driver) SubmitAll(list []*engine.Message, deadlines []time.Time) engine.Verdict {
 	in := &groupSubmission{deadlines: deadlines, reply: d.replies.get()}
 	for _, m := range list {
--- a/membership/endpointslice/endpointslice.go
+++ b/membership/endpointslice/endpointslice.go
@@ -33,7 +33,7 @@
 	Grace time.Duration
 	// EmptyHold replaces Grace after a list without any endpoint. 0 means one minute.
 	EmptyHold time.Duration
-	// MaxBackoff limits the number of endpoints, and also the number of slices. 0 means 20,000.
+	// MaxEndpoints limits the number of endpoints, and also the number of slices. 0 means 20,000.
 	MaxEndpoints int
 }
 
--- a/resend/resend.go
+++ b/resend/resend.go
@@ -39,7 +39,7 @@
 type Partner struct {
 	Destination  int
 	Proof        Proof
-	SettleTime   Time // conditions long a call may still run at the partner after the dispatcher has abandoned it
+	SettleTime   Time // how long a call may still run at the partner after the dispatcher has abandoned it
 	RememberTime Time // how long the partner remembers a key, or that a message took effect
 }
 
