--- a/control/condition.go
+++ b/control/condition.go
@@ -6,7 +6,7 @@
 // Conditions of a destination. String returns their outer names.
 const (
 	Unavailable Condition = iota // no endpoint takes new work
-	Busy                         // it told to wait, refuses calls or has messages queued, or all slots are in use
+	Busy                         // it asked for a wait, refuses calls or has messages queued, or all slots are in use
 	Unhealthy                    // it failed, refused calls, was slow or is cold, and no trial call is out
 	Healthy                      // a warm endpoint takes the whole demand, and latency is as usual
 )
--- a/control/control.go
+++ b/control/control.go
@@ -299,7 +299,7 @@
 	}
 }
 
-// leastValuable returns the message of a destination that is worth least, and its worth, judged at the time
+// leastValuable returns the message of a destination that is worth least, and its worth as of the time
 // at which the backlog will have been sent. It looks at both ends of each queue.
 func (d *Dispatcher) leastValuable(dest *destination, now Time) (worst *message, leastWorth float64) {
 	leastWorth = math.Inf(1)
@@ -497,7 +497,7 @@
 }
 
 // effectiveWindow returns the window that applies to a destination now. All unhealthy destinations together
-// get half of the slots, so that two of them can't hold both slots of a dispatcher with two.
+// get half of the slots, so that two of them can't occupy both slots of a dispatcher with two.
 func (d *Dispatcher) effectiveWindow(dest *destination) int {
 	d.initWindow(dest)
 	if !d.destinationUnhealthy(dest) {
@@ -582,7 +582,7 @@
 	}
 }
 
-// slotCost returns what a call adds to its destination's virtual time: the seconds that it held a slot,
+// slotCost returns what a call adds to its destination's virtual time: the seconds that it used a slot,
 // divided by the destination's listed weight. Where no weights are listed, the rate of its arrivals takes
 // their place, so that a destination with most of the traffic gets more of scarce slots than the others.
 // Risk: one that is flooded takes slots from them.
@@ -743,7 +743,7 @@
 	limit.refusalStreak, limit.cutStreak, limit.refusedSince, limit.lastOKAt = 0, 0, 0, d.now
 	ep.suspect, ep.provenDown, ep.failedConnIdle = false, false, 0
 	ep.lastResponseAt, ep.failureStreak, ep.errorStreak = d.now, 0, 0
-	if call.sentAt >= ep.downSince { // a late response to an earlier call tells nothing of the other endpoints
+	if call.sentAt >= ep.downSince { // a late response to an earlier call says nothing about the other endpoints
 		limit.failureStreak = 0
 	}
 }
--- a/control/order.go
+++ b/control/order.go
@@ -4,7 +4,7 @@
 
 // destinationHeap is a binary heap of destinations, ordered by a key and then by a sequence number. Each destination
 // stores its position in each heap, so that it can be moved or removed from anywhere. The heap keeps memory for as many
-// entries as it ever held at once.
+// entries as it ever contained at once.
 type destinationHeap[K cmp.Ordered] struct {
 	index   int // position of this heap in destination.heapPositions
 	entries []heapEntry[K]
--- a/control/tuning.go
+++ b/control/tuning.go
@@ -11,7 +11,7 @@
 	latencyPriorCount  = 2                 // samples that the latency of the kind counts for
 	timeoutDeviations  = 6                 // most deviations above the mean in a timeout; more with few samples
 	initialLatency     = 400 * Millisecond // assumed before the first response
-	minResponseTimeout = 300 * Millisecond // no shorter silence is suspicious: short pauses are common
+	minResponseTimeout = 300 * Millisecond // a shorter time without a response proves nothing: short pauses are common
 
 	// Failures and outages.
 	errorStreakLimit     = 5       // consecutive errors that make an endpoint suspect
@@ -29,7 +29,7 @@
 	maxUnseenWarmUps    = 8          // warm-ups after a failure until a ramp no longer limits trial calls
 	trialShare          = 0.5        // share of a ramp's rate for trial calls, as new senders try it, too
 
-	// Backoff after a refusal that told no wait.
+	// Backoff after a refusal without a told wait.
 	initialBackoff     = 100 * Millisecond // the first one in a row; each further one is twice as long
 	maxBackoff         = 4 * Second        // upper bound of a backoff
 	maxBackoffMessages = 8                 // the first backoff ends once this many messages should have arrived
