--- a/engine/books.go
+++ b/engine/books.go
@@ -44,7 +44,7 @@
 	auditing       bool
 	auditRound     uint32
 	cursor         *message // the next message to count
-	auditStage     int      // what is compared next
+	auditStage     int      // the comparison to make next
 	auditStarted   Time
 	lastAuditPart  Time
 	auditedChanges [2]uint64 // message changes and postings at the start of the last audit
@@ -77,8 +77,6 @@
 	return ledger.Key{Class: m.Class, Destination: m.Destination, Tenant: m.Tenant}
 }
 
-// ---- messages ----
-
 // awaitAcceptance registers the postings of a message that is being written to the store. They count once it is stored.
 func (e *Engine) awaitAcceptance(m *message) {
 	if e.ledger == nil {
@@ -155,8 +153,6 @@
 	}
 }
 
-// ---- attempts ----
-
 func (e *Engine) postSent(it *item) {
 	if e.ledger != nil {
 		e.ledger.Post(it.message.ledgerAccount, ledger.AttemptSent)
@@ -177,8 +173,6 @@
 	e.ledger.Post(it.message.ledgerAccount, how)
 }
 
-// ---- the store ----
-
 // restoreLedger restores the ledger that the store had.
 func (e *Engine) restoreLedger(r *RestoredLedger) {
 	state := e.ledger
@@ -310,8 +304,6 @@
 	e.effect(f)
 }
 
-// ---- the audit ----
-
 // messageOpened notes that a message became open.
 func (b *ledgerState) messageOpened(m *message) {
 	b.messageChanges++
--- a/engine/ids.go
+++ b/engine/ids.go
@@ -7,7 +7,7 @@
 
 func newIDs() ids { return ids{endedIDs: endedTable{byID: map[string]*endedMessage{}}} }
 
-// endedMessage is what is kept of a message after its end.
+// endedMessage holds the data that is kept about a message after its end.
 type endedMessage struct {
 	id          string
 	disposition Disposition
--- a/engine/member.go
+++ b/engine/member.go
@@ -27,7 +27,7 @@
 
 	lastEntry control.Entry // the entry last sent to the module
 
-	// The end of a wait (Retry-After) that was told at its address before the endpoint came to this address, 0 for none.
+	// The end of a wait (Retry-After) that was asked for at its address before the endpoint came to this address, 0 for none.
 	// The module knows that wait only for the earlier endpoint, so this one is reported to it as draining until then.
 	waitUntil Time
 }
@@ -43,7 +43,7 @@
 	endpointByID       map[string]*endpoint
 	endpointByNumber   map[control.Endpoint]*endpoint
 	movedEndpoints     map[endpointKey]*endpoint // endpoints whose id now belongs to another destination
-	addressWaits       map[string]Time           // by address: the end of a wait told there, for kinds with RoutesApart
+	addressWaits       map[string]Time           // by address: the end of a wait asked for there, for kinds with RoutesApart
 	waitingEndpoints   []*endpoint               // with a wait of an earlier endpoint at their address
 	allEndpoints       []*endpoint               // including those gone recently
 	lastEndpoint       control.Endpoint
@@ -137,8 +137,8 @@
 	}
 }
 
-// processReport processes a part of a report, at most limit endpoints, and informs the module. left is what is left
-// of that number; done says that the report is processed completely.
+// processReport processes a part of a report, at most limit endpoints, and informs the module. left is the unused part
+// of that number, and done says that the report is processed completely.
 func (e *Engine) processReport(l *report, limit int) (left int, done bool) {
 	if l.number == 0 {
 		e.lastListNumber++
@@ -257,7 +257,7 @@
 	return n
 }
 
-// applyWait stores a wait that was told at an address, and applies it to the other endpoints listed at that address. For
+// applyWait stores a wait that was asked for at an address, and applies it to the other endpoints listed at that address. For
 // kinds without RoutesApart the module applies the wait to the whole destination.
 func (e *Engine) applyWait(by *endpoint, addr string, wait Time) {
 	if by.kind < 0 || by.kind >= len(e.settings.Control.Kinds) || !e.settings.Control.Kinds[by.kind].RoutesApart {
@@ -273,7 +273,7 @@
 	}
 }
 
-// inheritWait applies the wait told at an address to an endpoint that is newly listed there.
+// inheritWait applies the wait asked for at an address to an endpoint that is newly listed there.
 func (e *Engine) inheritWait(ep *endpoint) {
 	until := e.addressWaits[ep.addr]
 	if until <= e.now.At {
--- a/engine/message.go
+++ b/engine/message.go
@@ -24,8 +24,8 @@
 	uniqueID    bool // its id need not be remembered after its end
 	phase       phase
 	tickets     []Ticket      // storing: submissions that wait for the answer
-	reusesID    bool          // an earlier, ended message had its id ...
-	earlierEnd  *endedMessage // ... which is remembered again if this one never gets into the store
+	reusesID    bool          // an earlier, ended message had its id
+	earlierEnd  *endedMessage // that earlier message; it is remembered again if this one never gets into the store
 	withdrawn   bool          // storing: to be withdrawn once it is in the store
 	timerIndex  int           // index plus 1 of its timer, 0 for none: the module's, or that of an end that is not recorded yet
 
@@ -37,8 +37,8 @@
 	pending     PendingResult   // notifying: the result
 	inDoubt     bool            // notifying: it may have taken effect
 	reason      string          // notifying: Done.Reason
-	doneEmitted bool            // notifying: Done was emitted ...
-	doneBatch   Batch           // ... and requires this batch
+	doneEmitted bool            // notifying: Done was emitted
+	doneBatch   Batch           // notifying: the batch that this Done requires
 	history     *attemptHistory // nil if undelivered messages are not kept
 
 	ledgerAccount *ledger.Account // nil if no ledger is kept
@@ -59,7 +59,7 @@
 	finished                 // it has ended and is no longer in the table
 )
 
-// attemptStart is when and to which zone an attempt was sent.
+// attemptStart holds the time at which an attempt was sent and the zone that it was sent to.
 type attemptStart struct {
 	at   Time
 	zone int
@@ -131,8 +131,6 @@
 	m.previous, m.next = nil, nil
 }
 
-// ---- submission ----
-
 func (e *Engine) submit(submission *Submit) {
 	m, v := e.decide(submission, reservation{})
 	if m != nil {
@@ -198,7 +196,7 @@
 	e.effect(&Answer{Ticket: t, Verdict: v, requiredBatch: needs})
 }
 
-// reservation is what the messages take that would be accepted in the same batch.
+// reservation counts the messages, and the bytes of their bodies, that would be accepted in the same batch.
 type reservation struct{ messages, bytes int }
 
 // decide decides on a submission. It returns a message only if a new one is to be accepted.
@@ -349,8 +347,6 @@
 	e.queueEvent(ev)
 }
 
-// ---- restart ----
-
 // restore takes over the messages that the store has from an earlier process.
 func (e *Engine) restore(written Timestamp) {
 	// If the clock shows less than the records, ages are unknown: whatever may have run counts as outside its key's window.
@@ -422,8 +418,6 @@
 	e.writeDirty()
 }
 
-// ---- end ----
-
 // end is the only place where a message ends, by a decision of the module, a response or a withdrawal. It has no effect
 // on a message that has ended.
 func (e *Engine) end(m *message, disposition Disposition, retryAfter time.Duration) {
--- a/engine/store.go
+++ b/engine/store.go
@@ -60,8 +60,6 @@
 
 func (a *recordState) state() *recordState { return a }
 
-// ---- writing to the store ----
-
 // beginBatch prepares for the records of one event: they all go into one batch.
 func (e *Engine) beginBatch() {
 	clear(e.recordOwners)
@@ -144,8 +142,6 @@
 // timestamp converts a time of the engine to a timestamp.
 func (e *Engine) timestamp(t Time) Timestamp { return Timestamp(t + e.wallOffset) }
 
-// ---- answers of the store ----
-
 // batchesStored handles that all batches up to b are in the store.
 func (e *Engine) batchesStored(b Batch) {
 	if b <= e.storedUpTo {
@@ -353,8 +349,6 @@
 	}
 }
 
-// ---- a store that does not answer ----
-
 // nextStoreCheck returns when a store that has not answered counts as down, or when one that is down is tried again.
 func (e *Engine) nextStoreCheck() (Time, bool) {
 	for _, p := range e.unansweredBatches {
--- a/engine/world_test.go
+++ b/engine/world_test.go
@@ -155,8 +155,6 @@
 	w.handle(&RestoreComplete{LatestTimestamp: state.written})
 }
 
-// ---- the store ----
-
 // replayed is the state that records describe, as any store must restore it.
 type replayed struct {
 	live    []*RestoredMessage
@@ -302,8 +300,6 @@
 	w.handle(&StoreFailed{Batch: a.Batch, Full: full && takes})
 }
 
-// ---- the driver ----
-
 func (w *world) handle(ev Event) {
 	if !w.quiet {
 		fmt.Fprintf(&w.trace, "%d %s\n", w.now.At, formatEvent(ev, w.now))
@@ -452,8 +448,6 @@
 	w.calls = slices.DeleteFunc(w.calls, func(c *worldCall) bool { return !slices.Contains(c.ended, false) })
 }
 
-// ---- events ----
-
 var worldClasses = []string{"keyed", "free", "unsafe", "ordered"}
 
 // step makes one random thing happen.
@@ -867,8 +861,6 @@
 	panic(brokenRule{fmt.Sprintf(format, args...)})
 }
 
-// ---- the model ----
-
 type model struct {
 	groupTicket Ticket // of the newest SubmitAll: if one of its messages is a conflict, none is accepted
 	w           *world
