--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -188,10 +188,10 @@
 // Post queues an event for the engine behind all earlier ones.
 func (d *Driver) Post(ev engine.Event) { d.enqueue(ev) }
 
-// Resend submits a message from the store of undelivered messages without blocking. told is called once with the verdict, on
+// Resend submits a message from the store of undelivered messages without blocking. notify is called once with the verdict, on
 // the driver's goroutine. A driver that stops may never call it.
-func (d *Driver) Resend(in *engine.Submit, deadline time.Time, told func(engine.Verdict)) {
-	d.enqueue(&submission{Submit: *in, deadline: deadline, reply: verdictFunc(told)})
+func (d *Driver) Resend(in *engine.Submit, deadline time.Time, notify func(engine.Verdict)) {
+	d.enqueue(&submission{Submit: *in, deadline: deadline, reply: verdictFunc(notify)})
 }
 
 // verdictFunc is an inbox that passes its only value to a function at once.
--- a/internal/driver/ledger.go
+++ b/internal/driver/ledger.go
@@ -39,10 +39,10 @@
 	return s
 }
 
-// LedgerAsync requests a snapshot without blocking: told is called with it on the driver's goroutine, and must not block. It
+// LedgerAsync requests a snapshot without blocking: notify is called with it on the driver's goroutine, and must not block. It
 // may never be called if the store does not respond or the driver stops.
-func (d *Driver) LedgerAsync(told func(*ledger.Snapshot)) bool {
-	return d.enqueue(&snapshotRequest{snapshotFunc(told)})
+func (d *Driver) LedgerAsync(notify func(*ledger.Snapshot)) bool {
+	return d.enqueue(&snapshotRequest{snapshotFunc(notify)})
 }
 
 // snapshotFunc is an inbox that passes its only value to a function at once.
