--- a/membership/model_test.go
+++ b/membership/model_test.go
@@ -17,7 +17,7 @@
 	left     map[string]time.Time           // when the last source stopped listing the ID
 }
 
-func (m *model) tell(now time.Time, source string, u Update) {
+func (m *model) apply(now time.Time, source string, u Update) {
 	m.forget(now)
 	if u.Kind == Failed {
 		return
@@ -215,7 +215,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			m.tell(now, source, u)
+			m.apply(now, source, u)
 			checkChanges(t.Fatalf, given, changes)
 			want := m.list()
 			if got := table.List(); !slices.Equal(got, want) {
--- a/membership/partnerlist/notices_test.go
+++ b/membership/partnerlist/notices_test.go
@@ -41,7 +41,7 @@
 	t.Helper()
 	for line := range strings.Lines(body) {
 		var n struct{ ID string }
-		must(t, json.Unmarshal([]byte(line), &n))
+		requireNoError(t, json.Unmarshal([]byte(line), &n))
 		ids = append(ids, n.ID)
 	}
 	return ids
@@ -249,7 +249,7 @@
 		"move": func(n *Notices) { n.SetAddress("127.0.0.1:1") }, "close": func(n *Notices) { n.Close() },
 	} {
 		l, err := host.System{}.Listen("127.0.0.1:0")
-		must(t, err)
+		requireNoError(t, err)
 		defer l.Close()
 		n := NewNotices(host.System{}, l.Addr().String(), discardLog())
 		through := make(chan []string, 1)
@@ -257,16 +257,16 @@
 		defer n.Close()
 		n.Completed(failed("a"))
 		c, err := l.Accept()
-		must(t, err)
+		requireNoError(t, err)
 		defer c.Close()
-		must(t, c.SetDeadline(time.Now().Add(testTimeout)))
+		requireNoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
 		br := bufio.NewReader(c)
 		r, err := http.ReadRequest(br)
-		must(t, err)
+		requireNoError(t, err)
 		_, err = io.Copy(io.Discard, r.Body)
-		must(t, err)
+		requireNoError(t, err)
 		_, err = io.WriteString(c, status(204, ""))
-		must(t, err)
+		requireNoError(t, err)
 		<-through
 		leave(n)
 		if _, err := br.ReadByte(); err != io.EOF {
--- a/membership/partnerlist/script_test.go
+++ b/membership/partnerlist/script_test.go
@@ -26,7 +26,7 @@
 
 const testTimeout = 20 * time.Second
 
-func must(t testing.TB, err error) {
+func requireNoError(t testing.TB, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
--- a/membership/partnerlist/watch_test.go
+++ b/membership/partnerlist/watch_test.go
@@ -31,7 +31,7 @@
 		{"id":"a","host_port":"10.1.0.18:9000","locality":"far west","flavor":"hooks","cell":3,"phase":"active","size":1.5,"up_since_ms":7},
 		{"id":"b","host_port":"10.1.0.19:9000","locality":"moon","flavor":"?","cell":4,"phase":"leaving"},
 		{"id":"c","locality":"east","phase":"left"}, {"id":"d","phase":"unheard of"}]}`))
-	must(t, err)
+	requireNoError(t, err)
 	want := &engine.Members{Source: "partner-list", FullList: true, List: []engine.Member{
 		{ID: "a", Addr: "10.1.0.18:9000", Destination: 3, Zone: 1, Kind: 0, Phase: engine.Active, Weight: 1.5},
 		{ID: "b", Addr: "10.1.0.19:9000", Destination: 4, Zone: -1, Kind: -1, Phase: engine.Leaving},
--- a/membership/table.go
+++ b/membership/table.go
@@ -49,7 +49,7 @@
 	claims        []claim   // in the table's order of sources
 	merged        Endpoint  // result of merging the claims, before conflicts over the address are resolved; without a note
 	addressHolder string    // ID of the endpoint that keeps the address instead, "" if this one does
-	reported      bool      // the caller was last told of it with a phase other than Left
+	reported      bool      // it was last reported to the caller with a phase other than Left
 	leftSince     time.Time // when the last source stopped listing it, zero while one lists it
 }
 
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -14,29 +14,29 @@
 
 func at(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
 
-// ep returns an endpoint of destination 1 with an address of its own.
-func ep(id string, p Phase) Endpoint {
+// testEndpoint returns an endpoint of destination 1 with an address of its own.
+func testEndpoint(id string, p Phase) Endpoint {
 	return Endpoint{ID: id, Addr: "10.0.0." + strings.TrimLeft(id, "abcdefghijklmnopqrstuvwxyz-") + ":80", Dest: 1, Zone: "east", Kind: "hooks", Phase: p}
 }
 
-type rig struct {
+type tableTest struct {
 	*testing.T
-	t *Table
+	table *Table
 }
 
-func newRig(t *testing.T, sources ...string) rig {
+func newRig(t *testing.T, sources ...string) tableTest {
 	t.Helper()
 	table, err := New(Settings{Sources: sources, RememberLeft: time.Minute})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return rig{t, table}
+	return tableTest{t, table}
 }
 
-// tell applies an update and returns the changes as "id phase" in their order.
-func (r rig) tell(s float64, source string, kind UpdateKind, list ...Endpoint) string {
+// apply applies an update and returns the changes as "id phase" in their order.
+func (r tableTest) apply(s float64, source string, kind UpdateKind, list ...Endpoint) string {
 	r.Helper()
-	changes, refused, err := r.t.Apply(at(s), source, Update{Kind: kind, Endpoints: list})
+	changes, refused, err := r.table.Apply(at(s), source, Update{Kind: kind, Endpoints: list})
 	if err != nil || len(refused) > 0 {
 		r.Fatal(err, refused)
 	}
@@ -51,7 +51,7 @@
 	return strings.Join(words, ", ")
 }
 
-func (r rig) want(got, want string) {
+func (r tableTest) want(got, want string) {
 	r.Helper()
 	if got != want {
 		r.Errorf("got %q, want %q", got, want)
@@ -61,41 +61,41 @@
 func TestWorstClaimCounts(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
-	r.want(r.tell(0, "a", FullList, ep("e1", Active)), "e1 active")
-	r.want(r.tell(1, "b", Changes, ep("e1", Leaving)), "e1 leaving")
-	r.want(r.tell(2, "a", Changes, ep("e1", Active)), "")
-	r.want(r.tell(3, "b", Changes, ep("e1", Active)), "e1 active")
-	r.want(r.tell(4, "a", Changes, ep("e1", Left)), "e1 left")
+	r.want(r.apply(0, "a", FullList, testEndpoint("e1", Active)), "e1 active")
+	r.want(r.apply(1, "b", Changes, testEndpoint("e1", Leaving)), "e1 leaving")
+	r.want(r.apply(2, "a", Changes, testEndpoint("e1", Active)), "")
+	r.want(r.apply(3, "b", Changes, testEndpoint("e1", Active)), "e1 active")
+	r.want(r.apply(4, "a", Changes, testEndpoint("e1", Left)), "e1 left")
 }
 
 func TestSourceHasNoClaimOnUnreportedEndpoint(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
-	r.want(r.tell(0, "a", FullList, ep("e1", Active)), "e1 active")
-	r.want(r.tell(1, "b", FullList, ep("e2", Active)), "e2 active")
-	r.want(r.tell(2, "b", FullList), "e2 left")
-	r.want(show(r.t.List()), "e1 active")
+	r.want(r.apply(0, "a", FullList, testEndpoint("e1", Active)), "e1 active")
+	r.want(r.apply(1, "b", FullList, testEndpoint("e2", Active)), "e2 active")
+	r.want(r.apply(2, "b", FullList), "e2 left")
+	r.want(show(r.table.List()), "e1 active")
 }
 
 func TestFullListWithoutEndpointClaimsLeft(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
-	r.tell(0, "a", FullList, ep("e1", Active))
-	r.tell(0, "b", FullList, ep("e1", Active))
-	r.want(r.tell(1, "b", FullList), "e1 left")
-	r.want(r.tell(2, "a", FullList, ep("e1", Active)), "") // a lags behind b
-	r.want(r.tell(500, "a", FullList, ep("e1", Active)), "")
-	r.want(r.tell(501, "b", Changes, ep("e1", Active)), "e1 active")
+	r.apply(0, "a", FullList, testEndpoint("e1", Active))
+	r.apply(0, "b", FullList, testEndpoint("e1", Active))
+	r.want(r.apply(1, "b", FullList), "e1 left")
+	r.want(r.apply(2, "a", FullList, testEndpoint("e1", Active)), "") // a lags behind b
+	r.want(r.apply(500, "a", FullList, testEndpoint("e1", Active)), "")
+	r.want(r.apply(501, "b", Changes, testEndpoint("e1", Active)), "e1 active")
 }
 
 func TestLaggingSourceDoesNotBringBackLeftEndpoint(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
-	r.tell(0, "a", FullList, ep("e1", Active))
-	r.tell(0, "b", FullList)
-	r.want(r.tell(1, "a", Changes, Endpoint{ID: "e1", Phase: Left}), "e1 left")
-	r.want(r.tell(2, "b", Changes, ep("e1", Active)), "")
-	x, known := r.t.Explain("e1")
+	r.apply(0, "a", FullList, testEndpoint("e1", Active))
+	r.apply(0, "b", FullList)
+	r.want(r.apply(1, "a", Changes, Endpoint{ID: "e1", Phase: Left}), "e1 left")
+	r.want(r.apply(2, "b", Changes, testEndpoint("e1", Active)), "")
+	x, known := r.table.Explain("e1")
 	if !known || len(x.Claims) != 2 || x.Endpoint.Phase != Left || !strings.Contains(x.Reason, "which is a") {
 		t.Errorf("why: %v", x)
 	}
@@ -104,38 +104,38 @@
 func TestLeftClaimOnUnknownEndpointIsRemembered(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
-	r.want(r.tell(0, "a", Changes, Endpoint{ID: "e1", Phase: Left}), "")
-	r.want(r.tell(1, "b", Changes, ep("e1", Active)), "")
-	r.want(r.tell(2, "b", Changes, ep("e1", Left)), "")
-	r.want(r.tell(70, "b", Changes, ep("e1", Active)), "e1 active") // RememberLeft has passed since the last report
+	r.want(r.apply(0, "a", Changes, Endpoint{ID: "e1", Phase: Left}), "")
+	r.want(r.apply(1, "b", Changes, testEndpoint("e1", Active)), "")
+	r.want(r.apply(2, "b", Changes, testEndpoint("e1", Left)), "")
+	r.want(r.apply(70, "b", Changes, testEndpoint("e1", Active)), "e1 active") // RememberLeft has passed since the last report
 }
 
 func TestReplacementWithdrawsOmittedClaims(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "hand", "a")
-	r.tell(0, "a", FullList, ep("e1", Active), ep("e2", Active))
-	r.want(r.tell(1, "hand", Replacement, ep("e1", Leaving), ep("e3", Active)), "e1 leaving, e3 active")
-	r.want(r.tell(2, "hand", Replacement), "e3 left, e1 active")
-	r.want(show(r.t.List()), "e1 active, e2 active")
+	r.apply(0, "a", FullList, testEndpoint("e1", Active), testEndpoint("e2", Active))
+	r.want(r.apply(1, "hand", Replacement, testEndpoint("e1", Leaving), testEndpoint("e3", Active)), "e1 leaving, e3 active")
+	r.want(r.apply(2, "hand", Replacement), "e3 left, e1 active")
+	r.want(show(r.table.List()), "e1 active, e2 active")
 }
 
 func TestFailedSourceKeepsItsClaims(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a")
-	r.tell(0, "a", FullList, ep("e1", Active))
-	if _, _, err := r.t.Apply(at(5), "a", Update{Kind: Failed, Err: errors.New("connection refused")}); err != nil {
+	r.apply(0, "a", FullList, testEndpoint("e1", Active))
+	if _, _, err := r.table.Apply(at(5), "a", Update{Kind: Failed, Err: errors.New("connection refused")}); err != nil {
 		t.Fatal(err)
 	}
-	r.want(show(r.t.List()), "e1 active")
-	s := r.t.Sources()[0]
+	r.want(show(r.table.List()), "e1 active")
+	s := r.table.Sources()[0]
 	if !s.Failed.Equal(at(5)) || s.Err != "connection refused" || !s.Told.Equal(at(0)) || s.Named != 1 || !s.Listed {
 		t.Errorf("state %+v", s)
 	}
-	if x, _ := r.t.Explain("e1"); !x.Claims[0].FailingSince.Equal(at(5)) || !strings.Contains(x.String(), "can't be heard") {
+	if x, _ := r.table.Explain("e1"); !x.Claims[0].FailingSince.Equal(at(5)) || !strings.Contains(x.String(), "can't be heard") {
 		t.Errorf("why: %v", x)
 	}
-	r.tell(6, "a", Changes)
-	if s := r.t.Sources()[0]; !s.Failed.IsZero() || s.Err != "" {
+	r.apply(6, "a", Changes)
+	if s := r.table.Sources()[0]; !s.Failed.IsZero() || s.Err != "" {
 		t.Errorf("state %+v", s)
 	}
 }
@@ -144,11 +144,11 @@
 	t.Parallel()
 	r := newRig(t, "a", "b")
 	b := Endpoint{ID: "e1", Addr: "10.0.0.2:80", Dest: 1, Zone: "west", Kind: "hooks", Phase: Active, Weight: 3, Started: 20, Hints: "west"}
-	r.tell(0, "b", FullList, b)
+	r.apply(0, "b", FullList, b)
 	a := Endpoint{ID: "e1", Addr: "10.0.0.1:80", Dest: 1, Kind: "archives", Phase: Active, Started: 10}
-	r.tell(1, "a", FullList, a)
+	r.apply(1, "a", FullList, a)
 	want := Endpoint{ID: "e1", Addr: "10.0.0.1:80", Dest: 1, Zone: "west", Kind: "archives", Phase: Active, Weight: 3, Started: 20, Hints: "west"}
-	if got := r.t.List()[0]; got != want {
+	if got := r.table.List()[0]; got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
@@ -156,11 +156,11 @@
 func TestConflictingDestinationsMakeEndpointLeaving(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
-	r.tell(0, "a", FullList, ep("e1", Active))
-	other := ep("e1", Active)
+	r.apply(0, "a", FullList, testEndpoint("e1", Active))
+	other := testEndpoint("e1", Active)
 	other.Dest = 2
-	r.want(r.tell(1, "b", FullList, other), "e1 leaving")
-	if x, _ := r.t.Explain("e1"); !strings.Contains(x.Reason, "different destinations") {
+	r.want(r.apply(1, "b", FullList, other), "e1 leaving")
+	if x, _ := r.table.Explain("e1"); !strings.Contains(x.Reason, "different destinations") {
 		t.Errorf("why: %v", x)
 	}
 }
@@ -168,29 +168,29 @@
 func TestLaterStartKeepsSharedAddress(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a")
-	old, fresh := ep("e1", Active), ep("f1", Active)
+	old, fresh := testEndpoint("e1", Active), testEndpoint("f1", Active)
 	fresh.Started = 5
-	r.want(r.tell(0, "a", FullList, old), "e1 active")
-	r.want(r.tell(1, "a", Changes, fresh), "e1 leaving, f1 active")
-	if x, _ := r.t.Explain("e1"); !strings.Contains(x.Reason, "held by f1") {
+	r.want(r.apply(0, "a", FullList, old), "e1 active")
+	r.want(r.apply(1, "a", Changes, fresh), "e1 leaving, f1 active")
+	if x, _ := r.table.Explain("e1"); !strings.Contains(x.Reason, "held by f1") {
 		t.Errorf("why: %v", x)
 	}
-	r.want(r.tell(2, "a", Changes, ep("f1", Left)), "f1 left, e1 active")
-	twin := ep("d1", Active)
-	r.want(r.tell(3, "a", Changes, twin), "e1 leaving, d1 active")
+	r.want(r.apply(2, "a", Changes, testEndpoint("f1", Left)), "f1 left, e1 active")
+	twin := testEndpoint("d1", Active)
+	r.want(r.apply(3, "a", Changes, twin), "e1 leaving, d1 active")
 	twin.Dest = 2 // endpoints of different destinations may share an address
-	r.want(r.tell(4, "a", Changes, twin), "d1 active, e1 active")
+	r.want(r.apply(4, "a", Changes, twin), "d1 active, e1 active")
 }
 
 func TestMalformedEndpointDoesNotAffectOthers(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a")
-	r.tell(0, "a", FullList, ep("e1", Active), ep("e2", Active))
-	bad := ep("e1", Active)
+	r.apply(0, "a", FullList, testEndpoint("e1", Active), testEndpoint("e2", Active))
+	bad := testEndpoint("e1", Active)
 	bad.Addr = "nowhere"
-	unknown := ep("e3", Active)
+	unknown := testEndpoint("e3", Active)
 	unknown.Weight = math.NaN()
-	changes, refused, err := r.t.Apply(at(1), "a", Update{Kind: FullList, Endpoints: []Endpoint{bad, unknown, {ID: "e 4"}, ep("e2", Active), ep("e5", Active)}})
+	changes, refused, err := r.table.Apply(at(1), "a", Update{Kind: FullList, Endpoints: []Endpoint{bad, unknown, {ID: "e 4"}, testEndpoint("e2", Active), testEndpoint("e5", Active)}})
 	if err != nil || len(refused) != 3 || !errors.Is(refused[0].Err, ErrMalformed) {
 		t.Fatal(err, refused)
 	}
@@ -200,8 +200,8 @@
 func TestWorseOfTwoEntriesInOneListCounts(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a")
-	r.want(r.tell(0, "a", FullList, ep("e1", Leaving), ep("e1", Active)), "e1 leaving")
-	r.want(r.tell(1, "a", Changes, ep("e1", Leaving), ep("e1", Active)), "e1 active") // changes are applied in their order
+	r.want(r.apply(0, "a", FullList, testEndpoint("e1", Leaving), testEndpoint("e1", Active)), "e1 leaving")
+	r.want(r.apply(1, "a", Changes, testEndpoint("e1", Leaving), testEndpoint("e1", Active)), "e1 active") // changes are applied in their order
 }
 
 func TestTableIsBounded(t *testing.T) {
@@ -210,14 +210,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, refused, _ := table.Apply(at(0), "a", Update{Kind: FullList, Endpoints: []Endpoint{ep("e1", Active), ep("e2", Active), ep("e3", Active), ep("e4", Active)}})
+	_, refused, _ := table.Apply(at(0), "a", Update{Kind: FullList, Endpoints: []Endpoint{testEndpoint("e1", Active), testEndpoint("e2", Active), testEndpoint("e3", Active), testEndpoint("e4", Active)}})
 	if len(refused) != 1 || !errors.Is(refused[0].Err, ErrFull) {
 		t.Fatal(refused)
 	}
 	for i := range 1000 {
 		id := fmt.Sprint("x", i)
 		table.Apply(at(1), "a", Update{Endpoints: []Endpoint{{ID: "e1", Phase: Left}, {ID: id, Phase: Left}}})
-		if _, refused, _ := table.Apply(at(1), "a", Update{Endpoints: []Endpoint{ep("e1", Active)}}); len(refused) > 0 {
+		if _, refused, _ := table.Apply(at(1), "a", Update{Endpoints: []Endpoint{testEndpoint("e1", Active)}}); len(refused) > 0 {
 			t.Fatal(refused) // endpoints that have left are removed to make room
 		}
 		if len(table.records) > 3 || len(table.leftQueue) > maxRememberedLeft+2 {
@@ -231,10 +231,10 @@
 	r := newRig(t, "a")
 	for i := range 3 * maxRememberedLeft {
 		id := fmt.Sprint("x", i)
-		r.tell(1, "a", Changes, Endpoint{ID: id, Addr: "10.0.0.1:80", Phase: Active})
-		r.tell(1, "a", Changes, Endpoint{ID: id, Phase: Left})
+		r.apply(1, "a", Changes, Endpoint{ID: id, Addr: "10.0.0.1:80", Phase: Active})
+		r.apply(1, "a", Changes, Endpoint{ID: id, Phase: Left})
 	}
-	if n := r.t.Len(); n > maxRememberedLeft+2 {
+	if n := r.table.Len(); n > maxRememberedLeft+2 {
 		t.Errorf("%d endpoints are remembered", n)
 	}
 }
@@ -242,29 +242,29 @@
 func TestCachedClaimsCountUntilSourceReports(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
-	r.tell(0, "a", FullList, ep("e1", Active), ep("e2", Leaving), ep("e3", Active))
-	r.tell(0, "a", Changes, ep("e3", Left))
-	dump := r.t.Dump("a")
+	r.apply(0, "a", FullList, testEndpoint("e1", Active), testEndpoint("e2", Leaving), testEndpoint("e3", Active))
+	r.apply(0, "a", Changes, testEndpoint("e3", Left))
+	dump := r.table.Dump("a")
 
 	r = newRig(t, "a", "b")
-	changes, refused, err := r.t.Restore(at(100), "a", dump)
+	changes, refused, err := r.table.Restore(at(100), "a", dump)
 	if err != nil || len(refused) > 0 {
 		t.Fatal(err, refused)
 	}
 	r.want(show(changes), "e2 leaving, e1 active")
-	if r.t.Complete() {
+	if r.table.Complete() {
 		t.Error("complete with a cache but without a full list")
 	}
-	r.want(r.tell(101, "b", FullList, ep("e3", Active)), "") // the cache says that e3 has left
-	if x, _ := r.t.Explain("e1"); !x.Claims[0].Cached || !strings.Contains(x.String(), "cache") {
+	r.want(r.apply(101, "b", FullList, testEndpoint("e3", Active)), "") // the cache says that e3 has left
+	if x, _ := r.table.Explain("e1"); !x.Claims[0].Cached || !strings.Contains(x.String(), "cache") {
 		t.Errorf("why: %v", x)
 	}
-	r.want(r.tell(102, "a", Changes, ep("e2", Leaving)), "")
-	r.want(r.tell(103, "a", FullList, ep("e2", Leaving)), "e1 left")
-	if !r.t.Complete() {
+	r.want(r.apply(102, "a", Changes, testEndpoint("e2", Leaving)), "")
+	r.want(r.apply(103, "a", FullList, testEndpoint("e2", Leaving)), "e1 left")
+	if !r.table.Complete() {
 		t.Error("not complete after full lists from all sources")
 	}
-	if _, _, err := r.t.Restore(at(104), "a", dump); err == nil {
+	if _, _, err := r.table.Restore(at(104), "a", dump); err == nil {
 		t.Error("a cache was accepted after an update of its source")
 	}
 }
@@ -272,17 +272,17 @@
 func TestRemovedSourceLosesItsClaims(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "a", "b")
-	r.tell(0, "a", FullList, ep("e1", Active), ep("e2", Leaving))
-	r.tell(0, "b", FullList, ep("e2", Active))
-	changes, err := r.t.SetSources(at(1), []string{"c", "b"})
+	r.apply(0, "a", FullList, testEndpoint("e1", Active), testEndpoint("e2", Leaving))
+	r.apply(0, "b", FullList, testEndpoint("e2", Active))
+	changes, err := r.table.SetSources(at(1), []string{"c", "b"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.want(show(changes), "e1 left, e2 active")
-	if _, _, err := r.t.Apply(at(2), "a", Update{}); err == nil {
+	if _, _, err := r.table.Apply(at(2), "a", Update{}); err == nil {
 		t.Error("an update of a removed source was accepted")
 	}
-	if _, err := r.t.SetSources(at(3), []string{"b", "b"}); err == nil {
+	if _, err := r.table.SetSources(at(3), []string{"b", "b"}); err == nil {
 		t.Error("two sources with the same name were accepted")
 	}
 }
