--- a/membership/partnerlist/script_test.go
+++ b/membership/partnerlist/script_test.go
@@ -54,10 +54,13 @@
 	onIdle func() // is called when there is nothing left to wait for
 }
 
+// call is a request that was made to the agent.
 type call struct {
-	at                 time.Time
-	addr, method, path string
-	body               string
+	at     time.Time
+	addr   string
+	method string
+	path   string
+	body   string
 }
 
 // reply is the agent's response to a call.
