--- a/control/tuning.go
+++ b/control/tuning.go
@@ -11,7 +11,7 @@
 	latencyPriorCount  = 2                 // samples that the latency of the kind counts for
 	timeoutDeviations  = 6                 // most deviations above the mean in a timeout; more with few samples
 	initialLatency     = 400 * Millisecond // assumed before the first response
-	minResponseTimeout = 300 * Millisecond // a shorter time without a response proves nothing: short pauses are common
+	minResponseTimeout = 300 * Millisecond // a shorter time without a response is not suspicious, as short pauses are common
 
 	// Failures and outages.
 	errorStreakLimit     = 5       // consecutive errors that make an endpoint suspect
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -188,8 +188,8 @@
 // Post queues an event for the engine behind all earlier ones.
 func (d *Driver) Post(ev engine.Event) { d.enqueue(ev) }
 
-// Resend submits a message from the store of undelivered messages without blocking. notify is called once with the verdict, on
-// the driver's goroutine. A driver that stops may never call it.
+// Resend submits a message from the store of undelivered messages without blocking. notify is called once with the verdict,
+// on the driver's goroutine. A driver that stops may never call it.
 func (d *Driver) Resend(in *engine.Submit, deadline time.Time, notify func(engine.Verdict)) {
 	d.enqueue(&submission{Submit: *in, deadline: deadline, reply: verdictFunc(notify)})
 }
