--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -98,13 +98,13 @@
 	idleRequest struct{ reply host.Inbox }
 )
 
-// HandIn implements engine.Intake.
+// Submit implements engine.Intake.
 func (d *Driver) Submit(m *engine.Message, deadline time.Time) engine.Verdict {
 	in := &submission{Submit: engine.Submit{Message: *m}, deadline: deadline, reply: d.replies.get()}
 	return d.verdict(d.enqueue(in), in.reply)
 }
 
-// HandInEach implements engine.GroupIntake.
+// SubmitEach implements engine.GroupIntake.
 func (d *Driver) SubmitEach(list []*engine.Message, deadlines []time.Time) []engine.Verdict {
 	replies, put := make([]host.Inbox, len(list)), make([]bool, len(list))
 	for i, m := range list {
@@ -118,7 +118,7 @@
 	return out
 }
 
-// HandInAll implements engine.GroupIntake.
+// SubmitAll implements engine.GroupIntake.
 func (d *Driver) SubmitAll(list []*engine.Message, deadlines []time.Time) engine.Verdict {
 	in := &groupSubmission{deadlines: deadlines, reply: d.replies.get()}
 	for _, m := range list {
@@ -188,10 +188,10 @@
 // Post queues an event for the engine behind all earlier ones.
 func (d *Driver) Post(ev engine.Event) { d.enqueue(ev) }
 
-// Resend submits a message from the store of undelivered messages without blocking. told is called once with the verdict, on
-// the driver's goroutine. A driver that stops may never call it.
-func (d *Driver) Resend(in *engine.Submit, deadline time.Time, told func(engine.Verdict)) {
-	d.enqueue(&submission{Submit: *in, deadline: deadline, reply: verdictFunc(told)})
+// Resend submits a message from the store of undelivered messages without blocking. notify is called once with the verdict,
+// on the driver's goroutine. A driver that stops may never call it.
+func (d *Driver) Resend(in *engine.Submit, deadline time.Time, notify func(engine.Verdict)) {
+	d.enqueue(&submission{Submit: *in, deadline: deadline, reply: verdictFunc(notify)})
 }
 
 // verdictFunc is an inbox that passes its only value to a function at once.
