--- a/undelivered/damage_test.go
+++ b/undelivered/damage_test.go
@@ -70,41 +70,41 @@
 			}
 			r.disk = disk.Clone()
 			r.disk.Put(name, text)
-			for range 2 { // the next start detects it, too
+			for range 2 { // the next start detects the damage, too
 				r.open(nil)
 				r.want(other, Waiting, true)
 				s := r.get(no)
 				seenStates[s.State]++
 				if s.State == Damaged {
 					if _, err := r.s.Claim(no, Claim{By: "x"}); !errors.Is(err, ErrDamaged) {
-						t.Fatalf("%s at %d: claimed: %v", how, at, err)
+						t.Fatalf("%s at %d: claim of a damaged entry: %v", how, at, err)
 					}
 					continue
 				}
 				if v := rules.Decide(&s.Item, r.s.Now()+1000*second); s.State != Held || v.Action != resend.Leave {
-					t.Fatalf("%s at %d of %d: %s, %v", how, at, len(whole), s.State, v)
+					t.Fatalf("%s at %d of %d: state %s, decision %v", how, at, len(whole), s.State, v)
 				}
 				if v := rules.DecideManual(&s.Item, r.s.Now()+1000*second, false); v.Action != resend.Leave {
-					t.Fatalf("%s at %d: by hand, nobody vouching: %v", how, at, v)
+					t.Fatalf("%s at %d: decision on a manual resend that nobody vouched for: %v", how, at, v)
 				}
 			}
 			if s := r.get(no); s.State == Held { // an operator may still send it
 				if _, id := r.claimAndBegin(no); id == "" {
-					t.Fatal("no id")
+					t.Fatal("submission without an id")
 				}
 			}
 			if err := r.s.End(no, EndDropped, "ana", "damaged", ""); err != nil {
-				t.Fatalf("%s at %d: dropped: %v", how, at, err)
+				t.Fatalf("%s at %d: drop: %v", how, at, err)
 			}
 		}
 	}
 	if seenStates[Damaged] == 0 || seenStates[Held] == 0 {
-		t.Errorf("not all came up: %v", seenStates)
+		t.Errorf("not both damaged and held entries occurred: %v", seenStates)
 	}
 }
 
 // A truncated file must read as if the process had ended during that write.
-func TestAFileThatIsCutShort(t *testing.T) {
+func TestTruncatedEntryFile(t *testing.T) {
 	t.Parallel()
 	r, no, name, ends := newResentEntry(t)
 	whole, disk := r.disk.Read(name), r.disk
@@ -117,18 +117,20 @@
 			r.want(no, Damaged, false)
 			r.open([]*engine.RestoredMessage{{Message: engine.Message{ID: "u"}}})
 			if r.s.Len() != 0 {
-				t.Fatalf("cut at %d: it is in both", size)
+				t.Fatalf("cut at %d: the message is in the store and in the journal", size)
 			}
 			continue
 		}
 		e := r.entry(no)
-		if doubted := e.Doubt.FirstSent != 0; e.State != Waiting || doubted != (n%3 == 0) { // truncated after "handed"
-			t.Fatalf("cut at %d behind event %d: %s, in doubt %v", size, n, e.State, doubted)
+		if inDoubt := e.Doubt.FirstSent != 0; e.State != Waiting || inDoubt != (n%3 == 0) { // truncated after "handed"
+			t.Fatalf("cut at %d after event %d: state %s, in doubt %v", size, n, e.State, inDoubt)
 		}
 	}
 }
 
-func TestDamagedNumbers(t *testing.T) {
+// One damaged copy of the meta file does no harm. If both are lost, the ages of doubts are unknown, but the store keeps
+// its id and numbers still grow.
+func TestDamagedMetaFile(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.open(nil)
@@ -152,7 +154,7 @@
 		s := r.get(no)
 		n, err := r.s.nextNumber()
 		if s.Doubt.AgeUnknown != c.ageless || r.s.ID() != id || err != nil || n <= no {
-			t.Errorf("ages known %v, store %x (was %x), number %d after %d: %v", !s.Doubt.AgeUnknown, r.s.ID(), id, n, no, err)
+			t.Errorf("age known %v, store id %x (was %x), next number %d after entry %d: %v", !s.Doubt.AgeUnknown, r.s.ID(), id, n, no, err)
 		}
 	}
 }
@@ -173,14 +175,14 @@
 			return
 		}
 		if e.Number != 7 || e.fileSize > int64(len(b)) {
-			t.Fatalf("%+v", e)
+			t.Fatalf("decoded entry: %+v", e)
 		}
 		again, err := encodeFrame(7, 0, e, e.Body)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if o, err := decode(7, again); err != nil || fmt.Sprint(o.State) != fmt.Sprint(e.State) {
-			t.Fatalf("%v: %+v, was %+v", err, o, e)
+			t.Fatalf("%v: decoded again %+v, was %+v", err, o, e)
 		}
 	})
 }
--- a/undelivered/keeper_test.go
+++ b/undelivered/keeper_test.go
@@ -15,17 +15,17 @@
 
 // recordingJournal is a journal that records the number of entries in the store at each batch.
 type recordingJournal struct {
-	r      *rig
-	err    error // of the next Append
-	flush  error // of the next Flush
-	newest engine.Batch
-	stored engine.Batch
-	had    []int
-	ticks  int
+	r           *rig
+	err         error // of the next Append
+	flush       error // of the next Flush
+	newest      engine.Batch
+	stored      engine.Batch
+	entryCounts []int
+	ticks       int
 }
 
 func (b *recordingJournal) Append(n engine.Batch, _ []engine.Record) error {
-	b.had = append(b.had, b.r.s.Len())
+	b.entryCounts = append(b.entryCounts, b.r.s.Len())
 	err := b.err
 	if b.err = nil; err == nil {
 		b.newest = n
@@ -69,16 +69,18 @@
 	return &engine.RecPendingResult{ID: m.ID, PendingResult: engine.PendingResult{Disposition: how}, Undelivered: g}
 }
 
+// A failed message must be in the store before the journal gets its end. It is claimable once the journal has stored
+// that end.
 func TestAMessageIsInTheStoreBeforeTheJournalHasItsEnd(t *testing.T) {
 	t.Parallel()
 	r, b, h, k := newKeeper(t)
 	rec := pendingRecord(message("u", "unsafe"), engine.Failed)
-	if err := k.Append(1, []engine.Record{rec}); err != nil || !slices.Equal(b.had, []int{1}) {
-		t.Fatal(err, b.had)
+	if err := k.Append(1, []engine.Record{rec}); err != nil || !slices.Equal(b.entryCounts, []int{1}) {
+		t.Fatal(err, b.entryCounts)
 	}
 	no, _ := r.s.numberOf("u")
 	if !r.s.EndNotStored(no) || len(h.list) > 0 {
-		t.Errorf("early %v, heard %v", r.s.EndNotStored(no), h.list)
+		t.Errorf("end not stored %v, notifications %v", r.s.EndNotStored(no), h.list)
 	}
 	e := r.entry(no)
 	l := e.Submissions[0]
@@ -87,17 +89,17 @@
 		t.Errorf("%+v", e)
 	}
 	if _, err := k.Flush(); err != nil || !slices.Equal(h.list, []string{fmt.Sprint("free ", no)}) {
-		t.Errorf("%v, heard %v", err, h.list)
+		t.Errorf("flush: %v, notifications %v", err, h.list)
 	}
 	k.Tick(0)
 	if b.ticks != 1 {
-		t.Error("the journal is not told the time")
+		t.Error("the journal got no tick")
 	}
 }
 
 // An entry must not become claimable through a batch that the journal did not store. The engine then writes the end
 // again, without the body.
-func TestAnEndThatTheJournalCouldNotWrite(t *testing.T) {
+func TestEndNotStoredByJournal(t *testing.T) {
 	t.Parallel()
 	for _, where := range []string{"append", "flush"} {
 		r, b, h, k := newKeeper(t)
@@ -112,14 +114,14 @@
 			t.Fatal(where, err)
 		}
 		if _, err := k.Flush(); where == "flush" && err == nil {
-			t.Fatal("the journal's error is lost")
+			t.Fatal("the journal's error is not returned")
 		}
 		if err := k.Append(2, []engine.Record{&engine.RecNoop{}}); err != nil {
 			t.Fatal(err)
 		}
 		k.Flush()
 		if len(h.list) > 0 {
-			t.Errorf("%s: heard %v", where, h.list)
+			t.Errorf("%s failed: notifications %v, want none", where, h.list)
 		}
 		again := *rec.Undelivered
 		again.Rewritten, again.Message.Body = true, nil
@@ -127,11 +129,13 @@
 		k.Flush()
 		no, _ := r.s.numberOf("u")
 		if !slices.Equal(h.list, []string{fmt.Sprint("free ", no)}) || r.s.Len() != 1 || string(r.entry(no).Body) != "body of u" {
-			t.Errorf("%s: heard %v, %d entries", where, h.list, r.s.Len())
+			t.Errorf("%s failed: notifications %v, %d entries", where, h.list, r.s.Len())
 		}
 	}
 }
 
+// Checks what a keeper does with each kind of record: a refused message, a failed one, each end of a resend, and a
+// message that is submitted again.
 func TestWhatAKeeperMakesOfARecord(t *testing.T) {
 	t.Parallel()
 	r, b, h, k := newKeeper(t)
@@ -144,11 +148,11 @@
 	}
 	put(pendingRecord(message("r", "unsafe"), engine.Refused))
 	if list, err := ReadRefused(r.dir()); err != nil || len(list) != 1 || list[0].ID != "r" || r.s.Len() != 0 {
-		t.Errorf("refused: %v %v, %d entries", list, err, r.s.Len())
+		t.Errorf("refused messages: %v %v, %d entries", list, err, r.s.Len())
 	}
 	put(&engine.RecPendingResult{ID: "x", PendingResult: engine.PendingResult{Disposition: engine.Failed}}) // recorded by an earlier process
 	if r.s.Len() != 0 {
-		t.Error("what was given up by an earlier process is kept")
+		t.Error("a message that failed in an earlier process is kept")
 	}
 	put(pendingRecord(message("u", "unsafe"), engine.Failed))
 	no, _ := r.s.numberOf("u")
@@ -168,12 +172,12 @@
 			want = want[:1]
 		}
 		if !slices.Equal(h.list, want) {
-			t.Errorf("%s: heard %v, want %v", dispositionName(end), h.list, want)
+			t.Errorf("%s: notifications %v, want %v", dispositionName(end), h.list, want)
 		}
 	}
 	r.want(no, Ended, true)
 	if r.s.Len() != 1 {
-		t.Errorf("%d entries", r.s.Len())
+		t.Errorf("%d entries, want 1", r.s.Len())
 	}
 	// A client submits the same message again. The entry is held once the journal has accepted the new one.
 	put(pendingRecord(message("v", "unsafe"), engine.Failed))
@@ -195,9 +199,9 @@
 	r, b, _, k := newKeeper(t)
 	r.disk.Fault = func(memdir.Op) memdir.Fault { return memdir.Fault{Err: syscall.ENOSPC} }
 	if err := k.Append(1, []engine.Record{pendingRecord(message("u", "unsafe"), engine.Failed)}); err != nil || b.newest != 1 {
-		t.Errorf("%v, batch %d", err, b.newest)
+		t.Errorf("append: %v, newest batch %d", err, b.newest)
 	}
 	if _, err := k.Flush(); err != nil || r.s.Counts.NotKept != 1 || r.s.Len() != 0 {
-		t.Errorf("%v, %+v", err, r.s.Counts)
+		t.Errorf("flush: %v, counts %+v", err, r.s.Counts)
 	}
 }
--- a/undelivered/rig_test.go
+++ b/undelivered/rig_test.go
@@ -50,6 +50,7 @@
 	return s
 }
 
+// tryOpen is open for a store that may fail to open.
 func (r *rig) tryOpen(live []*engine.RestoredMessage, ended ...*engine.RestoredEnd) (*Store, error) {
 	r.disk.Crash()
 	s, err := Open(r.disk.Dir(), r.set)
@@ -80,6 +81,7 @@
 	return no
 }
 
+// failedSubmission returns a submission that failed in doubt: its only attempt timed out a second ago.
 func (r *rig) failedSubmission(id string) Submission {
 	now := r.s.Now()
 	return Submission{ID: id, Disposition: "failed", Cause: "time", AttemptCount: 1, DoubtAt: now - second, QuietFrom: now, Attempts: []Attempt{{Endpoint: "e", Result: "timed out"}}}
@@ -103,7 +105,7 @@
 	r.t.Helper()
 	s, ok := r.s.Get(no)
 	if !ok {
-		r.t.Fatalf("entry %d is not there", no)
+		r.t.Fatalf("there is no entry %d", no)
 	}
 	return s
 }
@@ -117,6 +119,7 @@
 	return e
 }
 
+// want checks the state of an entry and whether it is in doubt.
 func (r *rig) want(no uint64, state State, doubt bool) {
 	r.t.Helper()
 	if s := r.get(no); s.State != state || (s.Doubt.FirstSent != 0) != doubt {
--- a/undelivered/store_test.go
+++ b/undelivered/store_test.go
@@ -16,7 +16,8 @@
 	"curlewmux/resend"
 )
 
-func TestWhatIsKeptOutlastsTheProcessWithItsHistory(t *testing.T) {
+// An entry and its history must survive restarts, and an ended entry must lose its body.
+func TestEntryAndHistorySurviveRestart(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.open(nil)
@@ -38,11 +39,11 @@
 		t.Errorf("%+v", e)
 	}
 	if fmt.Sprint(before.History) != fmt.Sprint(e.History) && len(before.History) != len(e.History) {
-		t.Errorf("history %v, was %v", e.History, before.History)
+		t.Errorf("history after the restart %v, before it %v", e.History, before.History)
 	}
 	_, id = r.claimAndBegin(no)
 	if _, ok := r.s.SubmissionEnded(id, Submission{ID: id, Disposition: EndDelivered}); !ok {
-		t.Fatal("its end is not taken")
+		t.Fatal("the end of the submission was ignored")
 	}
 	r.open(nil)
 	r.want(no, Ended, true)
@@ -54,7 +55,7 @@
 	}
 }
 
-func TestOnlyTheOwnerMayReadTheFiles(t *testing.T) {
+func TestFilePermissions(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	dir := t.TempDir()
@@ -80,8 +81,8 @@
 	}
 }
 
-// A second claim fails and names the holder of the first. Claim numbers only grow, also over restarts and after
-// entries are removed.
+// A second claim fails, and its error names the holder of the first. Claim numbers only grow, even after restarts and
+// after entries are removed.
 func TestOneClaimAtATime(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -94,19 +95,19 @@
 	_, err = r.s.Claim(no, Claim{By: "rule x"})
 	var lost *ClaimedError
 	if !errors.As(err, &lost) || lost.Claim.By != "ana" || lost.Claim.Number != first.Claim.Number || !strings.Contains(err.Error(), "ana") {
-		t.Errorf("the second: %v", err)
+		t.Errorf("second claim: %v", err)
 	}
 	last := first.Claim.Number
 	for range 5 {
 		r.open(nil)
 		r.want(no, Claimed, true) // an operator's claim outlasts a restart
 		if c := r.s.ActiveClaim(no); c == nil || c.Number != first.Claim.Number {
-			t.Fatalf("claim %+v", c)
+			t.Fatalf("active claim after a restart: %+v", c)
 		}
 		one := r.keep(fmt.Sprint("v", last), "unsafe")
 		e, err := r.s.Claim(one, Claim{By: "rule x"})
 		if err != nil || e.Claim.Number <= last || one <= last {
-			t.Fatalf("claim %d, entry %d after %d: %v", e.Claim.Number, one, last, err)
+			t.Fatalf("claim %d and entry %d, want numbers above %d: %v", e.Claim.Number, one, last, err)
 		}
 		last = e.Claim.Number
 		if err := r.s.remove(r.s.row(one)); err != nil {
@@ -115,7 +116,7 @@
 	}
 	r.advance(101 * time.Second)
 	if got, _ := r.s.Cleanup(); !slices.Equal(got, []uint64{no}) {
-		t.Errorf("given back %v", got)
+		t.Errorf("expired claims released of entries %v", got)
 	}
 	r.want(no, Waiting, true)
 	if _, err := r.s.Claim(no, Claim{By: "rule x"}); err != nil {
@@ -125,6 +126,7 @@
 	r.want(no, Waiting, true) // a rule's claim does not outlast a restart
 }
 
+// An entry must not be claimed before the journal has stored the end of its latest submission.
 func TestNothingIsClaimedBeforeTheJournalHasItsEnd(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -134,33 +136,33 @@
 		t.Fatal(err)
 	}
 	if _, err := r.s.Claim(no, Claim{By: "x"}); !errors.Is(err, ErrEndNotStored) {
-		t.Errorf("claimed: %v", err)
+		t.Errorf("claim before the end is stored: %v", err)
 	}
 	r.s.setEndBatch(5, no)
 	if got := r.s.batchesStored(4); len(got) > 0 {
-		t.Errorf("free %v with batch 4", got)
+		t.Errorf("claimable after batch 4: %v, want none", got)
 	}
 	r.s.batchesLost(4) // the journal did not store that batch
 	if got := r.s.batchesStored(9); len(got) > 0 {
-		t.Errorf("free %v without a batch", got)
+		t.Errorf("claimable after the batch was lost: %v, want none", got)
 	}
 	r.s.setEndBatch(10, no)
 	if got := r.s.batchesStored(10); !slices.Equal(got, []uint64{no}) {
-		t.Errorf("free %v", got)
+		t.Errorf("claimable after batch 10: %v", got)
 	}
 	_, id := r.claimAndBegin(no)
 	r.s.SubmissionEnded(id, r.failedSubmission(id))
 	if _, err := r.s.Claim(no, Claim{By: "x"}); !errors.Is(err, ErrEndNotStored) {
-		t.Errorf("claimed after its next life: %v", err)
+		t.Errorf("claim before the end of the resend is stored: %v", err)
 	}
 }
 
-// At a start, the journal decides: a message that it has alive is not kept here as well, and one that it has as ended
-// stays here.
+// When the store starts, the journal decides. A message that is still alive in the journal is not kept in the store as
+// well; one that has ended in the journal stays in the store.
 func TestTheJournalsWordCountsAtAStart(t *testing.T) {
 	t.Parallel()
-	alive := func(id string, owed *engine.PendingResult) *engine.RestoredMessage {
-		return &engine.RestoredMessage{Message: engine.Message{ID: id, Class: "unsafe"}, Pending: owed}
+	alive := func(id string, pending *engine.PendingResult) *engine.RestoredMessage {
+		return &engine.RestoredMessage{Message: engine.Message{ID: id, Class: "unsafe"}, Pending: pending}
 	}
 	failed := &engine.PendingResult{Disposition: engine.Failed}
 	for name, c := range map[string]struct {
@@ -170,17 +172,17 @@
 		state State // empty: removed
 		doubt bool  // of the new submission
 	}{
-		"kept, and alive there": {live: func(string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive("u", nil)} }},
-		"kept, and owed there":  {live: func(string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive("u", failed)} }, state: Waiting},
-		"kept, and ended there": {state: Waiting},
-		"handed in, unknown there": {
+		"kept, alive in the journal":          {live: func(string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive("u", nil)} }},
+		"kept, result pending in the journal": {live: func(string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive("u", failed)} }, state: Waiting},
+		"kept, ended in the journal":          {state: Waiting},
+		"submitted, unknown to the journal": {
 			do: func(r *rig, no uint64) string { _, id := r.claimAndBegin(no); return id }, state: Waiting, doubt: true,
 		},
-		"handed in, alive there": {
+		"submitted, alive in the journal": {
 			do:   func(r *rig, no uint64) string { _, id := r.claimAndBegin(no); return id },
 			live: func(id string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive(id, nil)} }, state: InFlight,
 		},
-		"handed in, owed there in doubt": {
+		"submitted, result pending in the journal, in doubt": {
 			do: func(r *rig, no uint64) string { _, id := r.claimAndBegin(no); return id },
 			live: func(id string) []*engine.RestoredMessage {
 				m := alive(id, failed)
@@ -188,21 +190,21 @@
 				return []*engine.RestoredMessage{m}
 			}, state: Waiting, doubt: true,
 		},
-		"handed in, refused there": {
+		"submitted, refused in the journal": {
 			do: func(r *rig, no uint64) string { _, id := r.claimAndBegin(no); return id },
 			live: func(id string) []*engine.RestoredMessage {
 				return []*engine.RestoredMessage{alive(id, &engine.PendingResult{Disposition: engine.Refused})}
 			}, state: Waiting,
 		},
-		"handed in, delivered there": {
+		"submitted, delivered in the journal": {
 			do:    func(r *rig, no uint64) string { _, id := r.claimAndBegin(no); return id },
 			ended: func(id string) *engine.RestoredEnd { return &engine.RestoredEnd{ID: id, Disposition: engine.Delivered} }, state: Ended,
 		},
-		"handed in, failed there": {
+		"submitted, failed in the journal": {
 			do:    func(r *rig, no uint64) string { _, id := r.claimAndBegin(no); return id },
 			ended: func(id string) *engine.RestoredEnd { return &engine.RestoredEnd{ID: id, Disposition: engine.Failed} }, state: Waiting, doubt: true,
 		},
-		"its end here, alive there": {
+		"ended in the store, alive in the journal": {
 			do: func(r *rig, no uint64) string {
 				_, id := r.claimAndBegin(no)
 				l := r.failedSubmission(id)
@@ -212,7 +214,7 @@
 			},
 			live: func(id string) []*engine.RestoredMessage { return []*engine.RestoredMessage{alive(id, nil)} }, state: InFlight,
 		},
-		"delivered here, alive there": {
+		"delivered in the store, alive in the journal": {
 			do: func(r *rig, no uint64) string {
 				_, id := r.claimAndBegin(no)
 				r.s.SubmissionEnded(id, Submission{ID: id, Disposition: EndDelivered})
@@ -239,22 +241,22 @@
 		r.open(live, ended...)
 		s, ok := r.s.Get(no)
 		if ok != (c.state != "") || s.State != c.state {
-			t.Errorf("%s: %q, want %q", name, s.State, c.state)
+			t.Errorf("%s: state %q, want %q", name, s.State, c.state)
 			continue
 		}
 		if ok && id != "" && slices.Contains(r.entry(no).Doubt.IDs, id) != c.doubt {
-			t.Errorf("%s: in doubt %v", name, r.entry(no).Doubt.IDs)
+			t.Errorf("%s: ids in doubt %v", name, r.entry(no).Doubt.IDs)
 		}
 		if c.state == InFlight { // the keeper reports its end once
 			if _, ok := r.s.SubmissionEnded(id, Submission{ID: id, Disposition: EndDelivered}); !ok || r.get(no).State != Ended || r.entry(no).Resends != 1 {
-				t.Errorf("%s: its end is not taken: %+v", name, r.entry(no))
+				t.Errorf("%s: the end of the submission was ignored: %+v", name, r.entry(no))
 			}
 		}
 	}
 }
 
-// The process ends at each disk operation: before it, in the middle, and after it. A write must count fully or not at
-// all, numbers must never be used twice, and a submission must never be forgotten.
+// The process ends at each disk operation: before it, in the middle of it, or after it. A write must count fully or not
+// at all, numbers must never be used twice, and a submission must never be forgotten.
 func TestAProcessThatEndsAtAnyWrite(t *testing.T) {
 	t.Parallel()
 	run := func(r *rig) (steps []string) {
@@ -294,35 +296,35 @@
 		}
 		return append(steps, "all")
 	}
-	undisturbed := newRig(t)
-	run(undisturbed)
-	ops := undisturbed.disk.Ops()
+	noFaults := newRig(t)
+	run(noFaults)
+	ops := noFaults.disk.Ops()
 	if ops < 12 {
-		t.Fatalf("%d operations", ops)
+		t.Fatalf("the run made only %d disk operations, want at least 12", ops)
 	}
 	for op := range ops {
-		for _, land := range []int{0, 7, 1 << 20} {
+		for _, written := range []int{0, 7, 1 << 20} {
 			r := newRig(t)
-			r.disk.Fault = func(o memdir.Op) memdir.Fault { return memdir.Fault{Crash: o.Index == op, WrittenBytes: land} }
+			r.disk.Fault = func(o memdir.Op) memdir.Fault { return memdir.Fault{Crash: o.Index == op, WrittenBytes: written} }
 			steps := run(r)
-			if len(steps) > 0 && steps[len(steps)-1] == "all" { // it ended while an old file was being removed
+			if len(steps) > 0 && steps[len(steps)-1] == "all" { // the process ended while an old file was being removed
 				steps = steps[:len(steps)-1]
 			}
 			r.disk.Fault = nil
 			var live []*engine.RestoredMessage
-			if !slices.Contains(steps, "kept") { // the journal still has it
+			if !slices.Contains(steps, "kept") { // the journal still has the message
 				live = append(live, &engine.RestoredMessage{Message: engine.Message{ID: "u"}})
 			}
 			s := r.open(live)
-			at := fmt.Sprintf("operation %d, %d bytes landed, after %v", op, land, steps)
+			at := fmt.Sprintf("crash at operation %d, %d bytes written, after %v", op, written, steps)
 			if len(steps) == 0 {
 				if s.Len() != 0 {
-					t.Errorf("%s: it is in both", at)
+					t.Errorf("%s: the message is in the store and in the journal", at)
 				}
 				continue
 			}
 			if s.Len() != 1 {
-				t.Fatalf("%s: %d entries", at, s.Len())
+				t.Fatalf("%s: %d entries, want 1", at, s.Len())
 			}
 			no, _ := s.numberOf("u")
 			e := r.entry(no)
@@ -330,20 +332,21 @@
 			id, handed := strings.CutPrefix(last, "handed ")
 			switch {
 			case last == EndDelivered && e.State != Ended:
-				t.Errorf("%s: %s", at, e.State)
+				t.Errorf("%s: state %s", at, e.State)
 			case handed && e.State != Ended && !slices.Contains(e.Doubt.IDs, id) && !(e.lastSubmission().ID == id && e.lastSubmission().Disposition == "failed"):
-				t.Errorf("%s: %s is forgotten: %+v", at, id, e)
+				t.Errorf("%s: submission %s is forgotten: %+v", at, id, e)
 			case e.State != Waiting && e.State != Ended:
-				t.Errorf("%s: %s", at, e.State)
+				t.Errorf("%s: state %s", at, e.State)
 			}
 			if n, err := s.nextNumber(); err != nil || slices.Contains(steps, fmt.Sprint("claim ", n)) || n <= no {
-				t.Errorf("%s: number %d again: %v", at, n, err)
+				t.Errorf("%s: number %d was given again: %v", at, n, err)
 			}
 		}
 	}
 }
 
-// A claim that could not be written must not count.
+// A claim that could not be written must not count. A submission must not begin under a released claim, nor while an
+// event of its claim is not written.
 func TestNothingIsClaimedUnlessThatIsWritten(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -356,7 +359,7 @@
 		return memdir.Fault{Err: syscall.EIO, WrittenBytes: 5}
 	}
 	if _, err := r.s.Claim(no, Claim{By: "x"}); !errors.Is(err, syscall.EIO) {
-		t.Errorf("claimed: %v", err)
+		t.Errorf("claim that could not be written: %v", err)
 	}
 	r.want(no, Waiting, true)
 	r.disk.Fault = nil
@@ -366,7 +369,7 @@
 	other := r.disk.Clone()
 	r.disk.Fault = nil
 	if _, err := r.s.BeginSubmission(no, claim); err == nil {
-		t.Error("handed in under a claim that was given back")
+		t.Error("a submission began under a released claim")
 	}
 	r.s.Cleanup()
 	e, err := r.s.Claim(no, Claim{By: "x"})
@@ -377,7 +380,7 @@
 	r.s.RecordInquiry(no, e.Claim.Number, resend.No, "")
 	r.disk.Fault = nil
 	if _, err := r.s.BeginSubmission(no, e.Claim.Number); err == nil {
-		t.Error("handed in though what was learned under the claim is not written")
+		t.Error("a submission began though the inquiry made under its claim is not written")
 	}
 	r.disk = other
 	r.open(nil)
@@ -394,7 +397,7 @@
 	for _, fault := range []error{syscall.ENOSPC, syscall.EIO} {
 		r.disk.Fault = func(memdir.Op) memdir.Fault { return memdir.Fault{Err: fault, WrittenBytes: 20} }
 		if _, err := r.s.Keep(message("v", "unsafe"), r.failedSubmission("v")); !errors.Is(err, fault) || r.s.Counts.NotKept == 0 {
-			t.Errorf("kept on a disk that fails: %v", err)
+			t.Errorf("message kept on a failing disk, or not counted as not kept: %v", err)
 		}
 	}
 	r.s.SubmissionEnded(id, r.failedSubmission(id))
@@ -402,16 +405,16 @@
 	r.s.setEndBatch(2, no)
 	r.s.batchesStored(2)
 	if _, err := r.s.Claim(no, Claim{By: "x"}); err == nil {
-		t.Error("claimed on a disk that fails")
+		t.Error("entry claimed on a failing disk")
 	}
 	if e := r.entry(no); e.Claim != nil || e.lastSubmission().ID != id {
 		t.Errorf("%+v", e)
 	}
-	c := r.disk.Clone() // the state after a kill at this moment: the end is unknown
+	c := r.disk.Clone() // the disk after a kill at this moment: the end of the submission is unknown
 	r.disk.Fault = nil
 	r.s.Cleanup()
 	if len(r.s.unwritten) > 0 {
-		t.Error("what happened is not written when the disk is back")
+		t.Error("events are still unwritten after the disk works again")
 	}
 	if e, err := r.s.Claim(no, Claim{By: "x"}); err != nil || e.Claim.Number <= claim {
 		t.Error(err)
@@ -424,18 +427,20 @@
 	r.disk = c
 	r.open(nil)
 	if e := r.entry(no); e.State != Waiting || !slices.Contains(e.Doubt.IDs, id) || e.lastSubmission().Disposition != "unknown" {
-		t.Errorf("killed before its end was written: %+v", e)
+		t.Errorf("after a kill before the end was written: %+v", e)
 	}
 }
 
+// When the disk share is used up, entries are evicted: the oldest first or, with EvictLeastWorth, those of the least
+// worth. An entry in flight stays.
 func TestWhereTheShareIsUsedUp(t *testing.T) {
 	t.Parallel()
 	for _, least := range []bool{false, true} {
 		r := newRig(t)
 		r.set.MaxDiskBytes, r.set.EvictLeastWorth, r.set.RefusedSlots = MinDiskBytes, least, 0
 		r.open(nil)
-		away := r.keep("away", "free")
-		r.claimAndBegin(away)
+		inFlight := r.keep("away", "free")
+		r.claimAndBegin(inFlight)
 		classes := []string{"free", "unsafe", "keyed"}
 		for i := range 300 {
 			id := fmt.Sprint("m", i)
@@ -447,60 +452,62 @@
 				t.Fatal(err)
 			}
 			if u := r.s.DiskBytes(); u > r.set.MaxDiskBytes || u < r.disk.Used()-blockSize {
-				t.Fatalf("%d used as counted, %d in truth, of %d", u, r.disk.Used(), r.set.MaxDiskBytes)
+				t.Fatalf("%d bytes used as counted, %d on the disk, limit %d", u, r.disk.Used(), r.set.MaxDiskBytes)
 			}
 		}
 		if r.s.Counts.Evicted == 0 {
-			t.Fatal("nothing had to go")
+			t.Fatal("no entry was evicted")
 		}
-		r.want(away, InFlight, true)
+		r.want(inFlight, InFlight, true)
 		count := map[string]int{}
 		oldest := uint64(1 << 60)
 		r.s.Each(0, func(s Summary) bool {
 			count[s.Class]++
-			if s.Number != away {
+			if s.Number != inFlight {
 				oldest = min(oldest, s.Number)
 			}
 			return true
 		})
 		if least && (count["keyed"] != 0 || count["unsafe"] < 40) || !least && (count["keyed"] < 10 || oldest < 200) {
-			t.Errorf("least worth first %v: %v are left, the oldest %d", least, count, oldest)
+			t.Errorf("evict least worth %v: entries left by class %v, oldest %d", least, count, oldest)
 		}
 		// The reserved part of the disk share has room for events of claimed entries.
-		id := r.s.ActiveClaim(away).SubmittedID
+		id := r.s.ActiveClaim(inFlight).SubmittedID
 		r.s.SubmissionEnded(id, r.failedSubmission(id))
 		if len(r.s.unwritten) > 0 {
-			t.Error("the end of one that was away found no room")
+			t.Error("no room for the end of an entry in flight")
 		}
 	}
 }
 
+// Entries are removed after the retention of their class, ended ones after that of ended entries. An entry in flight
+// stays.
 func TestRetentionByAgeAndClass(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.open(nil)
-	unsafe, keyed, away, ended := r.keep("u", "unsafe"), r.keep("k", "keyed"), r.keep("a", "keyed"), r.keep("e", "unsafe")
-	r.claimAndBegin(away)
+	unsafe, keyed, inFlight, ended := r.keep("u", "unsafe"), r.keep("k", "keyed"), r.keep("a", "keyed"), r.keep("e", "unsafe")
+	r.claimAndBegin(inFlight)
 	r.s.End(ended, EndDropped, "ana", "old", "t")
 	if e := r.entry(ended); len(e.Body) > 0 || e.Bytes == 0 || e.History[1].By != "ana" {
-		t.Errorf("dropped: %+v", e)
+		t.Errorf("dropped entry: %+v", e)
 	}
-	there := func(want ...uint64) {
+	wantEntries := func(want ...uint64) {
 		t.Helper()
 		r.s.Cleanup()
 		var got []uint64
 		r.s.Each(0, func(s Summary) bool { got = append(got, s.Number); return true })
 		if !slices.Equal(got, want) {
-			t.Errorf("after %v: %v, want %v", r.now.Sub(time.Unix(1000, 0)), got, want)
+			t.Errorf("after %v: entries %v, want %v", r.now.Sub(time.Unix(1000, 0)), got, want)
 		}
 	}
-	there(unsafe, keyed, away, ended)
+	wantEntries(unsafe, keyed, inFlight, ended)
 	r.advance(51 * time.Second)
-	there(unsafe, away, ended)
+	wantEntries(unsafe, inFlight, ended)
 	r.advance(50 * time.Second)
-	there(unsafe, away)
+	wantEntries(unsafe, inFlight)
 	r.advance(900 * time.Second)
-	there(away)
+	wantEntries(inFlight)
 }
 
 // slowDir is a folder whose listing takes time.
@@ -514,17 +521,17 @@
 	return d.Dir.List()
 }
 
-// A slow start must not be taken for a step of the clock, neither by that start nor by the next. Otherwise the ages of
-// doubts would count as unknown.
-func TestAStartThatTakesLong(t *testing.T) {
+// A slow start must not be taken for a step of the wall clock, neither by that start nor by the next. Otherwise the
+// ages of doubts would count as unknown.
+func TestSlowStart(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.open(nil)
 	no := r.keep("u", "unsafe")
-	for _, takes := range []time.Duration{5 * time.Second, 0, 5 * time.Second} {
+	for _, listTime := range []time.Duration{5 * time.Second, 0, 5 * time.Second} {
 		r.advance(time.Second)
 		r.disk.Crash()
-		s, err := Open(slowDir{r.disk.Dir(), func() { r.advance(takes) }}, r.set)
+		s, err := Open(slowDir{r.disk.Dir(), func() { r.advance(listTime) }}, r.set)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -534,11 +541,11 @@
 		claim, _ := r.claimAndBegin(no)
 		s.Release(no, claim, "x")
 		if sum := r.get(no); sum.Doubt.AgeUnknown || s.Now() != before {
-			t.Fatalf("age known %v", !sum.Doubt.AgeUnknown)
+			t.Fatalf("slow start taken for a step of the clock: age known %v", !sum.Doubt.AgeUnknown)
 		}
 	}
 	if age := r.s.Now() - r.get(no).Doubt.FirstSent; age < 14*second || age > 15*second {
-		t.Errorf("an age of %d s after 14", age/second)
+		t.Errorf("age is %d s, want 14 to 15", age/second)
 	}
 }
 
@@ -549,13 +556,13 @@
 		run, step, down, skew time.Duration // run time, step while running, down time, step while down
 		ageless               bool
 	}{
-		"as it should be":                     {run: time.Minute, down: time.Minute},
-		"set back while down":                 {run: time.Minute, down: time.Minute, skew: -2 * time.Minute, ageless: true},
-		"set back while down, by less":        {run: time.Minute, down: 2 * time.Minute, skew: -time.Minute},
-		"set back while it runs":              {run: time.Minute, step: -time.Hour, down: time.Minute},
-		"set forward while it runs":           {run: time.Minute, step: time.Hour, down: time.Minute},
-		"set forward, and back while down":    {run: time.Minute, step: time.Hour, down: time.Minute, skew: -time.Hour, ageless: true},
-		"set forward while down: it is older": {run: time.Minute, down: time.Minute, skew: time.Hour},
+		"not set":                                    {run: time.Minute, down: time.Minute},
+		"set back while down":                        {run: time.Minute, down: time.Minute, skew: -2 * time.Minute, ageless: true},
+		"set back by less than the time down":        {run: time.Minute, down: 2 * time.Minute, skew: -time.Minute},
+		"set back while running":                     {run: time.Minute, step: -time.Hour, down: time.Minute},
+		"set forward while running":                  {run: time.Minute, step: time.Hour, down: time.Minute},
+		"set forward while running, back while down": {run: time.Minute, step: time.Hour, down: time.Minute, skew: -time.Hour, ageless: true},
+		"set forward while down, age too large":      {run: time.Minute, down: time.Minute, skew: time.Hour},
 	} {
 		r := newRig(t)
 		r.open(nil)
@@ -577,15 +584,17 @@
 			t.Errorf("%s: age %d s, known %v", name, age/second, !s.Doubt.AgeUnknown)
 		}
 		if s.Doubt.QuietFrom < r.s.Now() {
-			t.Errorf("%s: calls of an earlier process count as over for longer than this one runs", name)
+			t.Errorf("%s: calls of an earlier process count as over since before this one started", name)
 		}
 		r.open(nil)
 		if r.get(no).Doubt.AgeUnknown != c.ageless {
-			t.Errorf("%s: the next start knows better", name)
+			t.Errorf("%s: the next start changed whether the age is known", name)
 		}
 	}
 }
 
+// A message that is submitted again is compared with the entries. It is answered as already ended or as busy, or it is
+// accepted; in some cases the entry is then held.
 func TestTheSameMessageHandedInAgain(t *testing.T) {
 	t.Parallel()
 	with := func(id, key string) *engine.Message {
@@ -602,15 +611,15 @@
 		held    bool
 	}{
 		"same id":                       {again: with("u", ""), verdict: engine.AlreadyEnded},
-		"same id, away":                 {do: func(r *rig, no uint64) { r.claimAndBegin(no) }, again: with("u", ""), verdict: engine.AlreadyEnded},
+		"same id, in flight":            {do: func(r *rig, no uint64) { r.claimAndBegin(no) }, again: with("u", ""), verdict: engine.AlreadyEnded},
 		"same key, in doubt":            {key: "k", doubt: true, again: with("v", "k"), verdict: engine.AlreadyEnded},
 		"same key, never ran":           {key: "k", again: with("v", "k"), verdict: engine.Accepted, held: true},
-		"same key, away":                {key: "k", do: func(r *rig, no uint64) { r.claimAndBegin(no) }, again: with("v", "k"), verdict: engine.Busy},
+		"same key, in flight":           {key: "k", do: func(r *rig, no uint64) { r.claimAndBegin(no) }, again: with("v", "k"), verdict: engine.Busy},
 		"another key":                   {key: "k", doubt: true, again: with("v", "l"), verdict: engine.Accepted},
 		"same content without a key":    {doubt: true, again: with("v", ""), verdict: engine.Accepted, held: true},
 		"another content without a key": {doubt: true, again: message("v", "unsafe"), verdict: engine.Accepted},
-		"the id of a new life":          {again: with(resentID(0x9E3779B97F4A7C15, 1, 2), ""), verdict: engine.AlreadyEnded},
-		"same key, took effect from here": {key: "k", do: func(r *rig, no uint64) {
+		"id of a resend":                {again: with(resentID(0x9E3779B97F4A7C15, 1, 2), ""), verdict: engine.AlreadyEnded},
+		"same key, delivered by a resend": {key: "k", do: func(r *rig, no uint64) {
 			_, id := r.claimAndBegin(no)
 			r.s.SubmissionEnded(id, Submission{ID: id, Disposition: EndDelivered})
 		}, again: with("v", "k"), verdict: engine.AlreadyEnded},
@@ -639,14 +648,14 @@
 				r.open(nil)
 			}
 			if kind, why := r.s.CheckDuplicate(c.again); kind != c.verdict {
-				t.Errorf("%s, %s: %v %s", name, when, kind, why)
+				t.Errorf("%s, %s: verdict %v %s", name, when, kind, why)
 			}
 		}
 		if c.verdict == engine.Accepted {
 			r.s.HoldDuplicates(c.again)
 		}
 		if s := r.get(no); (s.HoldReason != "") != c.held {
-			t.Errorf("%s: held %q", name, s.HoldReason)
+			t.Errorf("%s: hold reason %q", name, s.HoldReason)
 		}
 	}
 	// Messages that are harmless to repeat and keys of ordered classes are not checked.
@@ -670,13 +679,14 @@
 	}
 	r.s.Each(0, func(s Summary) bool {
 		if s.HoldReason != "" {
-			t.Errorf("%s: held %q", s.Class, s.HoldReason)
+			t.Errorf("%s: hold reason %q", s.Class, s.HoldReason)
 		}
 		return true
 	})
 }
 
-func TestWhatIsRefusedIsListedOnly(t *testing.T) {
+// Refused messages are listed and not kept. The list is bounded to the newest ones.
+func TestRefusedMessagesAreOnlyListed(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.open(nil)
@@ -689,16 +699,17 @@
 	r.s.RecordRefused(RefusedMessage{ID: strings.Repeat("\x00", 100), Class: "x"})
 	list, err := ReadRefused(r.dir())
 	if err != nil || len(list) != 8 || list[0].ID != "m13" || list[6].ID != "m19" || list[6].Destination != 19 {
-		t.Errorf("%v %+v", err, list)
+		t.Errorf("error %v, refused messages %+v", err, list)
 	}
 	if size := len(r.disk.Read(refusedName)); size > 8*refusedSlotSize {
-		t.Errorf("%d bytes", size)
+		t.Errorf("the list of refused messages has %d bytes", size)
 	}
 	if r.s.Len() != 0 {
-		t.Error("it is kept")
+		t.Error("a refused message is kept")
 	}
 }
 
+// An entry whose history is full can no longer be claimed.
 func TestAnEntryWhoseHistoryIsFullIsLeftAlone(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -708,11 +719,11 @@
 		e, err := r.s.Claim(no, Claim{By: "rule x"})
 		if err != nil {
 			if n := len(r.entry(no).History); n < maxHistoryEvents {
-				t.Errorf("after %d events: %v", n, err)
+				t.Errorf("claim failed after only %d events: %v", n, err)
 			}
 			return
 		}
 		r.s.Release(no, e.Claim.Number, "x")
 	}
-	t.Error("its history grows without end")
+	t.Error("the history grows without limit")
 }
