--- a/internal/redeliver/ctl_test.go
+++ b/internal/redeliver/ctl_test.go
@@ -15,7 +15,7 @@
 
 // Runs the operators' commands with the real programs: listing, a dry run, an invalid command, a repeated command, a
 // drop, an export, and reading a folder without a dispatcher.
-func TestOperatorsCommandsOnTheRealPrograms(t *testing.T) {
+func TestOperatorCommands(t *testing.T) {
 	t.Parallel()
 	f := newHarness(t, 2, 2)
 	f.archive.Script = func(items []archive.Item, _ bool) archive.Act {
@@ -31,12 +31,12 @@
 		}
 	}
 	count := func() int { n, _ := f.countEntries(); return n }
-	f.until("four are kept", func() bool { return count() == 4 })
+	f.until("four entries are kept", func() bool { return count() == 4 })
 	run := func(status int, want string, args ...string) string {
 		t.Helper()
 		out, got := f.ctl(append([]string{"undelivered"}, args...)...)
 		if got != status || !strings.Contains(out, want) {
-			t.Errorf("%v: status %d, want %d, with %q:\n%s", args, got, status, want, out)
+			t.Errorf("%v: exit status %d, want %d and output with %q:\n%s", args, got, status, want, out)
 		}
 		return out
 	}
@@ -57,7 +57,7 @@
 	run(0, "would claim", "resend", f.state, "--all", "--why", "x", "--dry-run")
 	run(0, "would drop: 4", "drop", f.state, "--all", "--why", "x", "--dry-run")
 	if n := count(); n != 4 {
-		t.Fatalf("%d after dry runs", n)
+		t.Fatalf("%d entries after dry runs, want 4", n)
 	}
 	run(1, "none", "resend", f.state, "99999", "--why", "x")
 	run(0, "1 messages", "export", f.state, "--id", "u0", "-o", filepath.Join(t.TempDir(), "out.json"))
@@ -102,12 +102,12 @@
 		}
 	}
 	if lines != 4 {
-		t.Errorf("%d entries in the folder", lines)
+		t.Errorf("%d entries in the folder, want 4", lines)
 	}
 }
 
-// Without the operator's file there must be no admin socket and no file of the store.
-func TestOffWithoutTheOperatorsFile(t *testing.T) {
+// With an empty operator's file there must be no admin socket and no file of the store.
+func TestOffWithEmptyOperatorFile(t *testing.T) {
 	t.Parallel()
 	f := newHarness(t, 1, 1)
 	f.archive.Script = func([]archive.Item, bool) archive.Act { return archive.Act{Status: 500, NoEffect: true} }
@@ -116,12 +116,12 @@
 	if code := f.post("release", "u", "upload", 0); code != 202 {
 		t.Fatal(code)
 	}
-	f.until("it failed", func() bool { return len(f.agent.Of("u")) > 0 })
+	f.until("the message has failed", func() bool { return len(f.agent.Of("u")) > 0 })
 	files, err := os.ReadDir(f.state)
 	must(t, err)
 	for _, file := range files {
 		if !strings.HasPrefix(file.Name(), "journal") {
-			t.Errorf("%s is there", file.Name())
+			t.Errorf("unexpected file %s", file.Name())
 		}
 	}
 }
--- a/internal/redeliver/inquiry_test.go
+++ b/internal/redeliver/inquiry_test.go
@@ -16,12 +16,12 @@
 	f.Fuzz(func(t *testing.T, status int, body []byte) {
 		a, why := readAnswer(status, body)
 		if len(why) > 300 {
-			t.Errorf("%d bytes of words", len(why))
+			t.Errorf("the reason has %d bytes", len(why))
 		}
 		var v struct{ Effect *string }
-		said := json.Unmarshal(body, &v) == nil && v.Effect != nil && status == 200
+		answered := json.Unmarshal(body, &v) == nil && v.Effect != nil && status == 200
 		want := resend.Unanswered
-		if said {
+		if answered {
 			want = map[string]resend.Answer{"yes": resend.Yes, "no": resend.No, "unknown": resend.Unknown}[*v.Effect]
 		}
 		if a != want {
--- a/internal/redeliver/thousand_test.go
+++ b/internal/redeliver/thousand_test.go
@@ -62,14 +62,14 @@
 	t       *testing.T
 	agent   *discovery.Agent
 	archive *archive.Server
-	addr    string
-	state   string
-	config  string
-	op      string
+	addr    string // where the dispatcher listens
+	state   string // the dispatcher's state folder
+	config  string // path of the dispatcher's settings
+	op      string // path of the operator's file
 	cmd     *exec.Cmd
 	dests   int
-	down    []string
-	n       int32
+	down    []string // addresses of the endpoints that are down at first
+	n       int32    // number of this harness, part of its addresses
 }
 
 // newHarness starts everything but the dispatcher. Each destination has one endpoint. Destinations numbered up and
@@ -131,6 +131,7 @@
 	}
 }
 
+// start starts the dispatcher and waits until it is ready.
 func (f *harness) start() {
 	f.t.Helper()
 	f.cmd = exec.Command(filepath.Join(programs, "curlewmux"), "--operator", f.op)
@@ -145,7 +146,7 @@
 		cmd.Process.Kill()
 		cmd.Wait()
 	})
-	f.until("it is ready", func() bool {
+	f.until("the dispatcher is ready", func() bool {
 		res, err := http.Get("http://" + f.addr + "/-/ready")
 		if err != nil {
 			return false
@@ -155,12 +156,13 @@
 	})
 }
 
+// until waits until ok returns true, and ends the test after waitTimeout.
 func (f *harness) until(what string, ok func() bool) {
 	f.t.Helper()
 	for limit := time.Now().Add(waitTimeout); !ok(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(limit) {
 			out, _ := f.ctl("undelivered", "list", f.state, "--limit", "20")
-			f.t.Fatalf("it never comes to that: %s\n%s", what, out)
+			f.t.Fatalf("timed out waiting until %s\n%s", what, out)
 		}
 	}
 }
@@ -299,7 +301,7 @@
 			}
 		})
 	}
-	clients.Go(func() { // harmless messages for each destination; the dispatcher uses them first to try one that failed
+	clients.Go(func() { // harmless messages for each destination; the dispatcher uses them first for trial calls
 		for n := 0; ; n++ {
 			select {
 			case <-done:
@@ -350,7 +352,7 @@
 		}
 	}
 	close(work)
-	t.Logf("all were handed in after %v", time.Since(begun))
+	t.Logf("all uploads submitted after %v", time.Since(begun))
 	close(stop)
 	restarts.Wait()
 	missing := func() (left []string) {
@@ -363,12 +365,12 @@
 		}
 		return left
 	}
-	f.until("all took effect", func() bool { return len(missing()) == 0 })
-	t.Logf("all took effect after %v", time.Since(begun))
+	f.until("all uploads have taken effect", func() bool { return len(missing()) == 0 })
+	t.Logf("all uploads took effect after %v", time.Since(begun))
 	close(done)
 	clients.Wait()
 	operators.Wait()
-	f.until("nothing lies there any more", func() bool { n, _ := f.countEntries(); return n == 0 })
+	f.until("no open entry is left", func() bool { n, _ := f.countEntries(); return n == 0 })
 	effects := f.archive.Effects()
 	for n := range uploads {
 		body := fmt.Sprintf("upload %d", n)
@@ -378,9 +380,9 @@
 	}
 	_, ended := f.countEntries()
 	calls, inquiries := f.archive.Counts()
-	t.Logf("%d hand-ins, %d kept and sent again, %d calls, %d inquiries", submissions.Load(), ended, calls, inquiries)
+	t.Logf("%d submissions, %d kept and resent, %d calls, %d inquiries", submissions.Load(), ended, calls, inquiries)
 	if ended < uploads/5 {
-		t.Errorf("%d of %d were ever kept: this proves little", ended, uploads)
+		t.Errorf("only %d of %d uploads were kept, too few for this test", ended, uploads)
 	}
 }
 
