--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -52,7 +52,8 @@
 func (p *recordedProgress) StatusLine(status int)      { p.statuses = append(p.statuses, status) }
 func (p *recordedProgress) DeadlineReached() time.Time { return p.onDeadline() }
 
-func TestARequestIsReadAsItWasMeant(t *testing.T) {
+// net/http must read a request as this package wrote it. A line break in a field value must not start another field.
+func TestAppendedRequestParses(t *testing.T) {
 	t.Parallel()
 	b := AppendRequest(nil, "POST", "a.example:80", "/x?y=1")
 	b = AppendField(b, "X-Id", "a\r\nX-Evil: 1\nb")
@@ -64,11 +65,11 @@
 	must(t, err)
 	if r.Method != "POST" || r.Host != "a.example:80" || r.RequestURI != "/x?y=1" || r.Header.Get("X-Num") != "-7" ||
 		r.Header.Get("X-Id") != "a  X-Evil: 1 b" || len(r.Header["X-Evil"]) > 0 || string(body) != "hello" {
-		t.Errorf("%+v, body %q", r, body)
+		t.Errorf("net/http reads %+v with body %q", r, body)
 	}
 }
 
-func TestAnswersAreReadOneAfterTheOther(t *testing.T) {
+func TestReadSuccessiveResponses(t *testing.T) {
 	t.Parallel()
 	c, far := newConnPair(t)
 	for _, a := range []string{
@@ -81,7 +82,7 @@
 		must(t, err)
 		got, err := c.Read(defaultLimits())
 		if err != nil || got.Status != 200 || string(got.Body) != "body" || got.Get("x-a") != "1" || got.Get("X-B") != "" || !got.Reusable {
-			t.Errorf("%q: %+v, %v", a, got, err)
+			t.Errorf("response %q: got %+v, error %v", a, got, err)
 		}
 		must(t, c.Write([]byte("more"), time.Now().Add(testTimeout)))
 	}
@@ -90,11 +91,12 @@
 	_, err := io.WriteString(far, "HTTP/1.1 204 No Content\r\n\r\n")
 	must(t, err)
 	if got, err := c.Read(l); err != nil || got.Status != 204 || got.Body != nil || !got.Reusable {
-		t.Errorf("without a body: %+v, %v", got, err)
+		t.Errorf("response without a body: got %+v, error %v", got, err)
 	}
 }
 
-func TestAConnectionIsKeptOnlyWithNothingLeftOnIt(t *testing.T) {
+// A connection is not reusable if the peer closes it after the response or if data follows the response.
+func TestResponsesThatPreventReuse(t *testing.T) {
 	t.Parallel()
 	for _, a := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nConnection: close\r\n\r\nx",
@@ -108,12 +110,12 @@
 		must(t, err)
 		must(t, far.Close())
 		if got, err := c.Read(defaultLimits()); err != nil || got.Reusable || string(got.Body) != "x" {
-			t.Errorf("%q: %+v, %v", a, got, err)
+			t.Errorf("response %q: got %+v, error %v; want body x and not reusable", a, got, err)
 		}
 	}
 }
 
-func TestWhatIsNoAnswerHasItsError(t *testing.T) {
+func TestInvalidResponses(t *testing.T) {
 	t.Parallel()
 	long := strings.Repeat("x", 1001)
 	for a, want := range map[string]error{
@@ -134,12 +136,13 @@
 			far.(*net.TCPConn).CloseWrite()
 		}()
 		if got, err := c.Read(defaultLimits()); !errors.Is(err, want) || got.Status != 0 {
-			t.Errorf("%.80q: %+v, %v, want %v", a, got, err, want)
+			t.Errorf("input %.80q: got %+v, error %v; want error %v", a, got, err, want)
 		}
 	}
 }
 
-func TestAnAnswerThatBeganMustEndWithinItsSpan(t *testing.T) {
+// A response that has begun must be complete within ResponseTimeout, even if the deadline is later.
+func TestResponseTimeout(t *testing.T) {
 	t.Parallel()
 	c, far := newConnPair(t)
 	_, err := io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Le")
@@ -148,15 +151,16 @@
 	l := defaultLimits()
 	l.ResponseTimeout, l.Progress = 20*time.Millisecond, p
 	if _, err := c.Read(l); !errors.Is(err, ErrInvalidResponse) || fmt.Sprint(p.statuses) != "[200]" {
-		t.Errorf("%v, told %v", err, p.statuses)
+		t.Errorf("error %v, reported status codes %v", err, p.statuses)
 	}
 }
 
-func TestLateIsAskedUntilItGivesUp(t *testing.T) {
+// DeadlineReached is called at each deadline until it returns the zero time.
+func TestDeadlineReachedExtendsRead(t *testing.T) {
 	t.Parallel()
-	for _, begun := range []string{"", "HTTP/1.1 50"} {
+	for _, partial := range []string{"", "HTTP/1.1 50"} {
 		c, far := newConnPair(t)
-		_, err := io.WriteString(far, begun)
+		_, err := io.WriteString(far, partial)
 		must(t, err)
 		asked := 0
 		p := &recordedProgress{onDeadline: func() time.Time {
@@ -168,7 +172,7 @@
 		l := defaultLimits()
 		l.Deadline, l.Progress = time.Now().Add(time.Millisecond), p
 		if _, err := c.Read(l); !errors.Is(err, ErrTimeout) || asked != 3 {
-			t.Errorf("begun %q: %v, asked %d times", begun, err, asked)
+			t.Errorf("after %q: error %v, DeadlineReached called %d times, want 3", partial, err, asked)
 		}
 	}
 	// Without Progress, the deadline ends the read.
@@ -176,7 +180,7 @@
 	l := defaultLimits()
 	l.Deadline = time.Now().Add(time.Millisecond)
 	if _, err := c.Read(l); !errors.Is(err, ErrTimeout) {
-		t.Errorf("without Progress: %v", err)
+		t.Errorf("without Progress: error %v", err)
 	}
 	// A response that arrives after the deadline was extended is read completely.
 	c, far := newConnPair(t)
@@ -186,11 +190,11 @@
 	}}
 	l.Deadline, l.Progress = time.Now().Add(time.Millisecond), p
 	if a, err := c.Read(l); err != nil || a.Status != 200 {
-		t.Errorf("after waiting on: %+v, %v", a, err)
+		t.Errorf("after an extended deadline: got %+v, error %v", a, err)
 	}
 }
 
-func TestCloseEndsARead(t *testing.T) {
+func TestCloseEndsRead(t *testing.T) {
 	t.Parallel()
 	c, _ := newConnPair(t)
 	back := make(chan error)
@@ -213,16 +217,17 @@
 func (c textConn) Read(b []byte) (int, error)    { return c.r.Read(b) }
 func (textConn) SetReadDeadline(time.Time) error { return nil }
 
-var answers = []string{
+var seedResponses = []string{
 	"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 429 x\r\nRetry-After: 1\r\nContent-Length: 0\r\nconnection: CLOSE\r\n\r\n",
 	"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", "HTTP/1.1 204 x\r\nContent-Length: 0\r\n\r\n",
 	"HTTP/1.1 100 x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length:\t0 \r\n\r\n", "noise", "HTTP/1.1 200\r\nContent-Length: 1\r\n folded\r\n\r\nx",
 	"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxx", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\nxHTTP/1.1",
 }
 
-// FuzzAnswer checks that reading any input stays within its limits, and that a head parsed here equals what net/http parses.
+// FuzzAnswer checks that reading any input stays within its limits, and that a head parsed without net/http equals what
+// net/http parses.
 func FuzzAnswer(f *testing.F) {
-	for _, a := range answers {
+	for _, a := range seedResponses {
 		f.Add([]byte(a), false)
 		f.Add([]byte(a), true)
 	}
@@ -232,13 +237,13 @@
 		a, err := c.Read(Limits{MaxBody: 100, DiscardBody: discard, Progress: p})
 		switch {
 		case err != nil && !errors.Is(err, ErrNoResponse) && !errors.Is(err, ErrInvalidResponse):
-			t.Errorf("error %v", err)
+			t.Errorf("unexpected error %v", err)
 		case err != nil && (a.Status != 0 || a.Body != nil || a.Reusable || a.Get("Retry-After") != ""):
-			t.Errorf("believed of no answer: %+v", a)
+			t.Errorf("an invalid response has content: %+v", a)
 		case len(a.Body) > 100 || discard && a.Body != nil:
-			t.Errorf("kept %d bytes", len(a.Body))
+			t.Errorf("%d bytes of the body are kept", len(a.Body))
 		case err == nil && (len(p.statuses) == 0 || p.statuses[len(p.statuses)-1] != a.Status || len(p.statuses) > maxInterimResponses+1):
-			t.Errorf("told %v of %d", p.statuses, a.Status)
+			t.Errorf("reported status codes %v for a response with status %d", p.statuses, a.Status)
 		}
 		c = NewConn(host.System{}, textConn{r: bytes.NewReader(b)})
 		c.remaining = maxHeadBytes
@@ -248,21 +253,21 @@
 		}
 		res, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(b)), nil)
 		if err != nil {
-			t.Fatalf("by hand %+v, by net/http %v", h, err)
+			t.Fatalf("plain parser: %+v; net/http: error %v", h, err)
 		}
-		hand := Response{rawFields: h.fields}
+		ours := Response{rawFields: h.fields}
 		if res.StatusCode != h.status || res.ContentLength != int64(h.length) || res.Close != h.close || len(res.TransferEncoding) > 0 {
-			t.Errorf("by hand %+v, by net/http %+v", h, res)
+			t.Errorf("plain parser: %+v; net/http: %+v", h, res)
 		}
 		for name := range res.Header {
-			if name != "Cache-Control" && hand.Get(name) != res.Header.Get(name) { // net/http adds that one for Pragma
-				t.Errorf("%s: by hand %q, by net/http %q", name, hand.Get(name), res.Header.Get(name))
+			if name != "Cache-Control" && ours.Get(name) != res.Header.Get(name) { // net/http adds Cache-Control for Pragma
+				t.Errorf("field %s: plain parser %q, net/http %q", name, ours.Get(name), res.Header.Get(name))
 			}
 		}
 		rest, err := io.ReadAll(c.br)
 		want := b[bytes.Index(b, []byte("\r\n\r\n"))+4:]
 		if err == nil && !bytes.Equal(rest, want) {
-			t.Errorf("%q is left for the body, want %q", rest, want)
+			t.Errorf("data after the head is %q, want %q", rest, want)
 		}
 	})
 }
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -12,7 +12,9 @@
 
 const plainHeadText = "POST /free/x HTTP/1.1\r\nHost: a.example:80\r\nX-Id:  m 1 \r\nx-ID: m2\r\nContent-Length: 3\r\n\r\n"
 
-func TestAUsualRequestIsReadByHand(t *testing.T) {
+// Each head is read by the parser meant for it, and leaves the body unread. The values say whether the plain parser accepts
+// the head.
+func TestPlainRequests(t *testing.T) {
 	t.Parallel()
 	for text, plain := range map[string]bool{
 		plainHeadText: true,
@@ -27,20 +29,20 @@
 		if !ok {
 			var err error
 			if r, err = readAnyRequest(br); err != nil {
-				t.Errorf("%.60q: %v", text, err)
+				t.Errorf("request %.60q: error %v", text, err)
 			}
 		}
 		rest, _ := io.ReadAll(br)
 		if ok != plain || r.Method != "POST" || r.Length > 0 != strings.Contains(text, "Length") || string(rest) != "abc" {
-			t.Errorf("%.60q: by hand %v, %+v, behind it %.60q", text, ok, r, rest)
+			t.Errorf("request %.60q: read by the plain parser %v, got %+v, body %.60q", text, ok, r, rest)
 		}
 		if id := r.Get("X-id"); strings.Contains(text, "X-Id") && id != "m 1" || r.Get("Y") != "" {
-			t.Errorf("%.60q: X-Id %q", text, id)
+			t.Errorf("request %.60q: X-Id is %q", text, id)
 		}
 	}
 }
 
-func TestWhatIsNoRequestHasItsStatus(t *testing.T) {
+func TestInvalidRequestStatus(t *testing.T) {
 	t.Parallel()
 	for text, want := range map[string]int{
 		"noise\r\n":                                                                                    400,
@@ -65,13 +67,13 @@
 		_, err := ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		bad, ok := errors.AsType[*RequestError](err)
 		if !ok || bad.Status != want || bad.Reason == "" || len(bad.Reason) > 2*maxReasonBytes {
-			t.Errorf("%.80q: %v, want %d", text, err, want)
+			t.Errorf("request %.80q: error %v, want status %d", text, err, want)
 		}
 	}
 }
 
-// FuzzRequest checks that a head parsed here equals what net/http parses and that the same data is left behind it. For any
-// input, an accepted request must have a body of known extent.
+// FuzzRequest checks that a head parsed without net/http equals what net/http parses, and that the same data is left after
+// it. For any input, an accepted request must have a body of known extent.
 func FuzzRequest(f *testing.F) {
 	for _, s := range []string{
 		plainHeadText + "abc", strings.Replace(plainHeadText, "3", "03", 1), strings.Replace(plainHeadText, "Id:", "Id :", 1),
@@ -86,35 +88,35 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		reader := func() *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(string(b)), readBufferSize) }
 		br, other := reader(), reader()
-		hand, plain := readPlainRequest(br)
+		ours, plain := readPlainRequest(br)
 		any, err := readAnyRequest(other)
 		if err == nil && (any.Length < -1 || any.Method == "" || any.Continue && any.Length == 0) {
-			t.Errorf("%+v", any)
+			t.Errorf("accepted request %+v", any)
 		}
 		if !plain {
 			if rest, _ := io.ReadAll(br); string(rest) != string(b) {
-				t.Errorf("of what is not read by hand %q is left", rest)
+				t.Errorf("the plain parser rejected the head and left %q, want the whole input", rest)
 			}
 			return
 		}
 		if err != nil {
-			t.Fatalf("by hand %+v, by net/http %v", hand, err)
+			t.Fatalf("plain parser: %+v; net/http: error %v", ours, err)
 		}
-		what := func(r Request) string { return fmt.Sprint(r.Method, r.Path, r.Length, r.Close, r.Continue) }
-		if what(hand) != what(any) {
-			t.Errorf("by hand %+v, by net/http %+v", hand, any)
+		describe := func(r Request) string { return fmt.Sprint(r.Method, r.Path, r.Length, r.Close, r.Continue) }
+		if describe(ours) != describe(any) {
+			t.Errorf("plain parser: %+v; net/http: %+v", ours, any)
 		}
 		for name := range any.header {
-			if name != "Cache-Control" && hand.Get(name) != any.Get(name) { // net/http adds that one for Pragma
-				t.Errorf("%s: by hand %q, by net/http %q", name, hand.Get(name), any.Get(name))
+			if name != "Cache-Control" && ours.Get(name) != any.Get(name) { // net/http adds Cache-Control for Pragma
+				t.Errorf("field %s: plain parser %q, net/http %q", name, ours.Get(name), any.Get(name))
 			}
 		}
 		left, _ := io.ReadAll(br)
 		if want, _ := io.ReadAll(other); string(left) != string(want) {
-			t.Errorf("%q is left for the body, want %q", left, want)
+			t.Errorf("data after the head is %q, want %q", left, want)
 		}
-		if q, err := http.ReadRequest(reader()); err != nil || q.ContentLength != hand.Length || len(q.TransferEncoding) > 0 {
-			t.Errorf("net/http: %+v, %v", q, err)
+		if q, err := http.ReadRequest(reader()); err != nil || q.ContentLength != ours.Length || len(q.TransferEncoding) > 0 {
+			t.Errorf("net/http reads the whole request as %+v, error %v", q, err)
 		}
 	})
 }
--- a/internal/http1/surplus_test.go
+++ b/internal/http1/surplus_test.go
@@ -9,19 +9,19 @@
 	"curlewmux/internal/vnet"
 )
 
-// Guards against a late duplicate of a response, in a packet of its own, that is taken for the response to the next
-// request. Data that arrives sooner than one round trip after a request was sent before the peer had read it.
-func TestASecondCopyOnItsWayIsNotTheNextAnswer(t *testing.T) {
+// Guards against taking a late duplicate of a response, in a packet of its own, for the response to the next request. Data
+// that arrives less than one round trip after a request was sent before the peer had read that request.
+func TestLateDuplicateIsNotNextResponse(t *testing.T) {
 	t.Parallel()
 	const latency = 2 * time.Millisecond
 	for _, c := range []struct {
 		name  string
-		delay time.Duration // between the response and its copy
+		delay time.Duration // between the response and its duplicate
 		want  error
 	}{
-		{"just behind", 600 * time.Microsecond, ErrUnsolicited},
-		{"just before the request is there", 2*latency - 100*time.Microsecond, ErrUnsolicited},
-		{"none", 0, nil},
+		{"right after the response", 600 * time.Microsecond, ErrUnsolicited},
+		{"just before the next request arrives", 2*latency - 100*time.Microsecond, ErrUnsolicited},
+		{"no duplicate", 0, nil},
 	} {
 		w := vnet.New(1, vnet.Options{Path: vnet.Quality{Latency: latency}})
 		t.Cleanup(w.Close)
@@ -56,16 +56,16 @@
 				a, err := conn.Read(Limits{Deadline: h.Now().Add(time.Second), MaxBody: 10})
 				switch {
 				case n == 0 && (err != nil || !a.Reusable):
-					t.Errorf("%s: the first answer: %+v, %v", c.name, a, err)
+					t.Errorf("%s: first response: got %+v, error %v", c.name, a, err)
 				case n == 1 && (!errors.Is(err, c.want) || c.want != nil && !errors.Is(err, ErrInvalidResponse)):
-					t.Errorf("%s: %v, want %v", c.name, err, c.want)
+					t.Errorf("%s: second response: error %v, want %v", c.name, err, c.want)
 				}
 			}
 			conn.Close()
 			done = true
 		})
 		if err := w.Run(5*time.Second, nil); err != nil || !done {
-			t.Errorf("%s: %v, done %t", c.name, err, done)
+			t.Errorf("%s: simulation error %v, client done %t", c.name, err, done)
 		}
 	}
 }
