--- a/internal/transport/http/call_test.go
+++ b/internal/transport/http/call_test.go
@@ -18,32 +18,33 @@
 	"curlewmux/internal/http1"
 )
 
-func TestCallGoesOutAsTheProtocolSays(t *testing.T) {
+// A call is sent in the form that the protocol states. Two calls one after the other use the same connection.
+func TestRequestFormat(t *testing.T) {
 	t.Parallel()
 	s := newTestEndpoint(t, always(ok200))
-	b := newBench(t)
+	b := newHarness(t)
 	out := b.run(s.addr, b.items("a")...)[0]
 	r := within(t, s.seen)
 	if out.Result != control.OK || r.Method != "POST" || r.URL.Path != "/v1/messages" || r.body != "body a" || r.Host != s.addr ||
 		r.Header.Get("X-Trace-Id") != "a" || r.Header.Get("Idempotency-Key") != "k-a" {
-		t.Errorf("outcome %+v of %s %s %v %q", out, r.Method, r.URL, r.Header, r.body)
+		t.Errorf("outcome %+v of request %s %s with header %v and body %q", out, r.Method, r.URL, r.Header, r.body)
 	}
 	var ms int
 	if _, err := fmt.Sscan(r.Header.Get("X-Expires-In-Ms"), &ms); err != nil || ms > 3_600_000 || ms < 3_500_000 {
-		t.Errorf("X-Expires-In-Ms %s of an hour", r.Header.Get("X-Expires-In-Ms"))
+		t.Errorf("X-Expires-In-Ms is %s, want an hour or slightly less", r.Header.Get("X-Expires-In-Ms"))
 	}
 	bare := b.items("b")
 	bare[0].Key, bare[0].Body = "", nil
 	b.run(s.addr, bare...)
 	if r = within(t, s.seen); r.body != "" || r.ContentLength != 0 || len(r.Header["Idempotency-Key"]) != 0 {
-		t.Errorf("an empty message went out as %v %q", r.Header, r.body)
+		t.Errorf("an empty message was sent with header %v and body %q", r.Header, r.body)
 	}
 	if n := s.dials.Load(); n != 1 {
-		t.Errorf("%d connections for two calls in turn, want one", n)
+		t.Errorf("%d connections for two calls one after the other, want 1", n)
 	}
 }
 
-func TestEachAnswerIsAnOutcomeOfItsOwn(t *testing.T) {
+func TestResponseOutcomes(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		answer string
@@ -64,18 +65,18 @@
 		{"garbage\r\n\r\n", engine.Outcome{Result: control.Errored}},
 		{"HTTP/1.1 200 OK\r\nContent-Le", engine.Outcome{Result: control.OK}},
 	} {
-		s := newTestEndpoint(t, func(conn net.Conn, _ *seen) string {
+		s := newTestEndpoint(t, func(conn net.Conn, _ *receivedRequest) string {
 			if strings.HasSuffix(c.answer, "\n") || c.answer == ok200 {
 				return c.answer
 			}
 			io.WriteString(conn, c.answer)
 			return ""
 		})
-		b := newBench(t)
+		b := newHarness(t)
 		got := b.run(s.addr, b.items("a")...)[0]
 		if got.Result != c.want.Result || got.RetryAfter != c.want.RetryAfter || got.Closed != c.want.Closed || got.CallOpen ||
 			!slices.Equal(got.LoadReport, c.want.LoadReport) || (got.At != 0) != (got.Result == control.OK) {
-			t.Errorf("%q: %+v, want %+v", c.answer, got, c.want)
+			t.Errorf("response %q: outcome %+v, want %+v", c.answer, got, c.want)
 		}
 	}
 }
@@ -89,33 +90,33 @@
 		want         []control.Result
 	}{
 		{"each its own", "", []control.Result{control.OK, control.Errored, control.Refused, control.Moot, control.Moot, control.Errored}},
-		{"unreadable", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n[{]", slices.Repeat([]control.Result{control.Errored}, 6)},
-		{"cut short", "HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n[", slices.Repeat([]control.Result{control.Errored}, 6)},
-		{"all full", status("429 x", "Retry-After: 1.5"), slices.Repeat([]control.Result{control.Refused}, 6)},
+		{"invalid JSON", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n[{]", slices.Repeat([]control.Result{control.Errored}, 6)},
+		{"incomplete body", "HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n[", slices.Repeat([]control.Result{control.Errored}, 6)},
+		{"all refused", status("429 x", "Retry-After: 1.5"), slices.Repeat([]control.Result{control.Refused}, 6)},
 		{"all failed", status("500 x"), slices.Repeat([]control.Result{control.Errored}, 6)},
-		{"not read", status("400 x"), slices.Repeat([]control.Result{control.Moot}, 6)},
-		{"too many", status("413 x"), slices.Repeat([]control.Result{control.Moot}, 6)},
+		{"bad request", status("400 x"), slices.Repeat([]control.Result{control.Moot}, 6)},
+		{"too large", status("413 x"), slices.Repeat([]control.Result{control.Moot}, 6)},
 	} {
 		answer := c.answer
 		if answer == "" {
 			answer = "HTTP/1.1 200 OK\r\nRetry-After: 1.5\r\nConnection: close\r\n\r\n" + body
 		}
-		s := newTestEndpoint(t, func(conn net.Conn, _ *seen) string {
+		s := newTestEndpoint(t, func(conn net.Conn, _ *receivedRequest) string {
 			io.WriteString(conn, answer)
 			return ""
 		})
-		b := newBench(t)
+		b := newHarness(t)
 		b.speed = 0 // so that the limit of 400 ms for a response does not pass on a busy machine
-		its := b.items("a", "b", "c", "d", "e", "f")
-		its[2].Key = `"odd\ kéy`
-		outs := b.run(s.addr, its...)
+		items := b.items("a", "b", "c", "d", "e", "f")
+		items[2].Key = `"odd\ kéy`
+		outs := b.run(s.addr, items...)
 		for i, want := range c.want {
 			if outs[i].Result != want {
-				t.Errorf("%s: item %d: %v, want %v", c.name, i, outs[i].Result, want)
+				t.Errorf("%s: item %d: outcome %v, want %v", c.name, i, outs[i].Result, want)
 			}
 		}
 		if c.name == "each its own" && (!outs[3].Closed || outs[4].Closed || outs[0].RetryAfter != 1500*time.Millisecond) {
-			t.Errorf("%s: %+v", c.name, outs)
+			t.Errorf("%s: Closed or RetryAfter is wrong in %+v", c.name, outs)
 		}
 		r := within(t, s.seen)
 		var lines []struct {
@@ -123,27 +124,27 @@
 			Body    []byte
 		}
 		if err := json.Unmarshal([]byte(r.body), &lines); err != nil || r.URL.Path != "/v1/messages:batch" || len(lines) != 6 ||
-			lines[1].ID != "b" || lines[1].Key != "k-b" || string(lines[1].Body) != "body b" || lines[2].Key != its[2].Key {
-			t.Errorf("%s: batch %s %q", c.name, r.URL, r.body)
+			lines[1].ID != "b" || lines[1].Key != "k-b" || string(lines[1].Body) != "body b" || lines[2].Key != items[2].Key {
+			t.Errorf("%s: the batch was sent to %s with body %q", c.name, r.URL, r.body)
 		}
 	}
 }
 
 // Guards against a client library that sends a request again by itself, as http.Transport does for requests with an
 // Idempotency-Key. The decision module would not know of the second copy.
-func TestABrokenCallIsNotSentAgain(t *testing.T) {
+func TestBrokenCallIsNotRepeated(t *testing.T) {
 	t.Parallel()
-	s := newTestEndpoint(t, func(_ net.Conn, r *seen) string {
+	s := newTestEndpoint(t, func(_ net.Conn, r *receivedRequest) string {
 		if r.Header.Get("X-Trace-Id") == "warm" {
 			return ok200
 		}
 		return ""
 	})
-	b := newBench(t)
+	b := newHarness(t)
 	b.run(s.addr, b.items("warm")...)
 	within(t, s.seen)
 	if o := b.run(s.addr, b.items("a")...)[0]; o.Result != control.Reset {
-		t.Errorf("outcome %v, want a reset", o.Result)
+		t.Errorf("outcome %v, want reset", o.Result)
 	}
 	within(t, s.seen)
 	b.run(s.addr, b.items("warm")...) // any repeated request has been read before this one
@@ -152,34 +153,35 @@
 	}
 }
 
-func TestNobodyThereIsConnectFailed(t *testing.T) {
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
 	must(t, l.Close())
-	b := newBench(t)
+	b := newHarness(t)
 	if o := b.run(l.Addr().String(), b.items("a")...)[0]; o.Result != control.ConnectFailed {
-		t.Errorf("outcome %v", o.Result)
+		t.Errorf("outcome %v, want connect failed", o.Result)
 	}
 }
 
-func TestADialThatNeverEnds(t *testing.T) {
+// A dial that never completes ends at its timeout, at the message's deadline or by an abort.
+func TestUnreachableEndpoint(t *testing.T) {
 	t.Parallel()
 	dialling := make(chan bool, 1)
-	b := newBench(t)
+	b := newHarness(t)
 	b.dial = func(addr string, limit time.Duration, abort *host.Abort) (net.Conn, error) {
 		dialling <- true
 		return b.dialUnreachable(addr, limit, abort)
 	}
-	call := func(due time.Duration, end func(o *out)) control.Result {
-		its := b.items("a")
-		its[0].Deadline = b.in(due)
-		o := b.start("cut.off:1", nil, its...)
+	call := func(due time.Duration, end func(o *testCall)) control.Result {
+		items := b.items("a")
+		items[0].Deadline = b.in(due)
+		o := b.start("cut.off:1", nil, items...)
 		within(t, dialling)
 		end(o)
 		return o.wait()[0].Result
 	}
-	pass := func(*out) { // repeatedly, because the dial sets its limit some time after it has begun
+	letTimePass := func(*testCall) { // repeatedly, because the dial sets its limit some time after it has begun
 		go func() {
 			for range 100 {
 				b.advance(50 * time.Millisecond)
@@ -187,15 +189,15 @@
 			}
 		}()
 	}
-	if r := call(time.Hour, pass); r != control.ConnectFailed {
-		t.Errorf("outcome %v, want connect failed after its time-out", r)
+	if r := call(time.Hour, letTimePass); r != control.ConnectFailed {
+		t.Errorf("outcome %v after the dial timeout, want connect failed", r)
 	}
 	// A dial that was aborted, or ended by the message's deadline, says nothing about the endpoint, and the call never ran.
-	if r := call(time.Hour, func(o *out) { b.Abort(o.ID) }); r != control.Moot {
-		t.Errorf("outcome %v, want moot", r)
+	if r := call(time.Hour, func(o *testCall) { b.Abort(o.ID) }); r != control.Moot {
+		t.Errorf("outcome %v after an abort, want moot", r)
 	}
-	if r := call(900*time.Millisecond, pass); r != control.Moot {
-		t.Errorf("outcome %v of a message that ran out of time, want moot", r)
+	if r := call(900*time.Millisecond, letTimePass); r != control.Moot {
+		t.Errorf("outcome %v after the message's deadline, want moot", r)
 	}
 	// A dial may return slightly before its limit.
 	b.dial = func(string, time.Duration, *host.Abort) (net.Conn, error) {
@@ -206,59 +208,60 @@
 		b.rig.mu.Lock()
 		b.speed = 0
 		b.rig.mu.Unlock()
-		if r := call(due, func(*out) {}); r != want {
-			t.Errorf("outcome %v of a dial that ended early, due in %v, want %v", r, due, want)
+		if r := call(due, func(*testCall) {}); r != want {
+			t.Errorf("outcome %v of a dial that returned early, message deadline in %v, want %v", r, due, want)
 		}
 	}
 }
 
-// A connection that was dialled for a call that has been aborted since is kept for the next call.
-func TestAnAbortWhileTheDriverIsAskedIsMoot(t *testing.T) {
+// A call that is aborted while it asks whether it may be written is not written. Its new connection is kept for the next
+// call.
+func TestAbortDuringMayWriteIsMoot(t *testing.T) {
 	t.Parallel()
 	s := newTestEndpoint(t, always(ok200))
-	b := newBench(t)
+	b := newHarness(t)
 	asked, answer := make(chan bool), make(chan bool)
 	o := b.start(s.addr, func() []bool { asked <- true; <-answer; return []bool{true} }, b.items("a")...)
 	within(t, asked)
 	b.Abort(o.ID)
 	answer <- true
 	if u := o.wait()[0]; u.Result != control.Moot || b.idleCount() != 1 || len(s.seen) > 0 {
-		t.Errorf("%+v, %d connections kept, %d requests", u, b.idleCount(), len(s.seen))
+		t.Errorf("outcome %+v, %d idle connections, %d requests; want moot, 1 and 0", u, b.idleCount(), len(s.seen))
 	}
 }
 
-// Guards against a message that is sent although it is no longer wanted. During a long dial the message may end, its
+// Guards against sending a message that is no longer wanted. During a long dial the message may end, its
 // endpoint may start to drain, or the destination may ask to wait.
-func TestNothingIsWrittenWhenTheMessageIsNotWantedAfterADial(t *testing.T) {
+func TestMayWriteIsAskedAfterDial(t *testing.T) {
 	t.Parallel()
 	s := newTestEndpoint(t, always(ok200))
-	b := newBench(t)
-	for _, no := range [][]bool{{false}, nil} {
-		if o := b.start(s.addr, func() []bool { return no }, b.items("a")...).wait()[0]; o.Result != control.Moot {
+	b := newHarness(t)
+	for _, denied := range [][]bool{{false}, nil} {
+		if o := b.start(s.addr, func() []bool { return denied }, b.items("a")...).wait()[0]; o.Result != control.Moot {
 			t.Errorf("outcome %v, want moot", o.Result)
 		}
 		b.CloseIdle(&engine.CloseIdle{Endpoint: 1, Addr: s.addr})
 	}
 	b.start(s.addr, func() []bool { return []bool{false} }, b.items("a")...).wait()
-	its := b.items("b", "c")
-	outs := b.start(s.addr, func() []bool { panic("asked without a dial") }, its[:1]...).wait()
+	items := b.items("b", "c")
+	outs := b.start(s.addr, func() []bool { panic("asked without a dial") }, items[:1]...).wait()
 	if r := within(t, s.seen); outs[0].Result != control.OK || r.Header.Get("X-Trace-Id") != "b" || s.dials.Load() != 3 {
-		t.Errorf("the first request was %v, outcome %v", r.Header, outs[0].Result)
+		t.Errorf("the first request has header %v, outcome %v", r.Header, outs[0].Result)
 	}
-	o := b.startTo(2, s.addr, func() []bool { return []bool{false, true} }, its...)
+	o := b.startTo(2, s.addr, func() []bool { return []bool{false, true} }, items...)
 	outs = o.wait()
 	if r := within(t, s.seen); outs[0].Result != control.Moot || outs[1].Result != control.OK || r.Header.Get("X-Trace-Id") != "c" {
-		t.Errorf("of two one was wanted: %v, sent %v", outs, r.Header)
+		t.Errorf("one of two items may be written: outcomes %v, sent %v", outs, r.Header)
 	}
 	if len(o.lines) > 0 { // the event would mark the first item of the call as delivered
-		t.Error("a first line is told of a call with two items")
+		t.Error("a first line is reported for a call with two items")
 	}
 }
 
-func TestTimeOutAndCancelCloseTheConnection(t *testing.T) {
+func TestTimeoutAndAbortCloseConnection(t *testing.T) {
 	t.Parallel()
 	s, _, gone := newBlockingEndpoint(t)
-	b := newBench(t)
+	b := newHarness(t)
 	o := b.start(s.addr, nil, b.items("a")...)
 	within(t, s.seen)
 	b.advance(time.Hour)
@@ -277,59 +280,59 @@
 }
 
 // An endpoint handles a batch as a whole and is given the deadline of the first message to expire. A response after that
-// deadline counts for none of the messages. Guards against waiting on and taking the others for delivered.
-func TestTheFirstOfABatchToTimeOutEndsTheCallForAll(t *testing.T) {
+// deadline counts for none of the messages. Guards against waiting longer and counting the others as delivered.
+func TestEarliestDeadlineEndsBatch(t *testing.T) {
 	t.Parallel()
 	s, _, gone := newBlockingEndpoint(t)
-	b := newBench(t)
-	its := b.items("a", "b", "c")
-	its[1].Deadline = b.in(time.Minute)
-	o := b.start(s.addr, nil, its...)
+	b := newHarness(t)
+	items := b.items("a", "b", "c")
+	items[1].Deadline = b.in(time.Minute)
+	o := b.start(s.addr, nil, items...)
 	r := within(t, s.seen)
 	if ms, err := strconv.Atoi(r.Header.Get("X-Expires-In-Ms")); err != nil || ms > 60_000 {
-		t.Errorf("the endpoint is told %d ms (%v), and the first time is up in a minute", ms, err)
+		t.Errorf("X-Expires-In-Ms is %d (%v), but the first deadline is in a minute", ms, err)
 	}
 	b.advance(time.Minute)
 	within(t, gone)
 	for i, out := range o.wait() {
 		if out.Result != control.TimedOut || out.CallOpen {
-			t.Errorf("message %d: %+v", i, out)
+			t.Errorf("message %d: outcome %+v, want timed out", i, out)
 		}
 	}
 }
 
-// Guards against a request that is sent after the message's deadline, which would be in doubt for no benefit.
-func TestAnItemPastItsTimeIsNotWritten(t *testing.T) {
+// Guards against sending a request after the message's deadline, which would put it in doubt for no benefit.
+func TestExpiredItemIsNotWritten(t *testing.T) {
 	t.Parallel()
 	s := newTestEndpoint(t, always(ok200))
-	b := newBench(t)
-	its := b.items("a", "b")
-	its[0].Deadline = b.in(-time.Second)
-	outs := b.run(s.addr, its...)
+	b := newHarness(t)
+	items := b.items("a", "b")
+	items[0].Deadline = b.in(-time.Second)
+	outs := b.run(s.addr, items...)
 	if r := within(t, s.seen); outs[0].Result != control.Moot || outs[1].Result != control.OK || r.Header.Get("X-Trace-Id") != "b" {
-		t.Errorf("%+v, sent %v", outs, r.Header)
+		t.Errorf("outcomes %+v, sent %v", outs, r.Header)
 	}
-	if o := b.run(s.addr, its[0])[0]; o.Result != control.Moot || len(s.seen) > 0 {
-		t.Errorf("over an idle connection: %+v", o)
+	if o := b.run(s.addr, items[0])[0]; o.Result != control.Moot || len(s.seen) > 0 {
+		t.Errorf("over an idle connection: outcome %+v, want moot", o)
 	}
 }
 
 // Aborting a write says nothing about the endpoint. An endpoint that does not read until the deadline counts as a failed
 // connection.
-func TestAnAbortDuringABlockedWriteIsMoot(t *testing.T) {
+func TestBlockedWriteOutcomes(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0") // never read from
 	must(t, err)
 	t.Cleanup(func() { l.Close() })
-	b := newBench(t)
-	for want, end := range map[control.Result]func(o *out){
-		control.Moot:          func(o *out) { b.Abort(o.ID) },
-		control.ConnectFailed: func(o *out) { b.advance(time.Hour) },
+	b := newHarness(t)
+	for want, end := range map[control.Result]func(o *testCall){
+		control.Moot:          func(o *testCall) { b.Abort(o.ID) },
+		control.ConnectFailed: func(o *testCall) { b.advance(time.Hour) },
 	} {
-		its := b.items("a")
-		its[0].Body = make([]byte, 16<<20) // more than the sockets' buffers hold
+		items := b.items("a")
+		items[0].Body = make([]byte, 16<<20) // more than the sockets' buffers hold
 		n := len(b.conns)
-		o := b.start(l.Addr().String(), nil, its...)
+		o := b.start(l.Addr().String(), nil, items...)
 		waitFor(t, func() bool {
 			b.rig.mu.Lock()
 			defer b.rig.mu.Unlock()
@@ -342,11 +345,11 @@
 	}
 }
 
-// The protocol limits a body to 64 KiB. Endpoints do not read more.
-func TestABatchIsBoundedAndSendsWhatFits(t *testing.T) {
+// The protocol limits a body to 64 KiB, and endpoints do not read more. Items that do not fit are not sent.
+func TestBatchSizeLimit(t *testing.T) {
 	t.Parallel()
 	s := newTestEndpoint(t, always(status("500 x")))
-	b := newBench(t)
+	b := newHarness(t)
 	for _, c := range []struct {
 		sizes []int // of the bodies before Base64, which adds a third
 		path  string
@@ -356,18 +359,18 @@
 		{[]int{48 << 10, 48 << 10}, "/v1/messages", []bool{true, false}},
 		{[]int{60 << 10, 100}, "/v1/messages", []bool{true, false}},
 	} {
-		its := b.items("a", "b", "c", "d")[:len(c.sizes)]
+		items := b.items("a", "b", "c", "d")[:len(c.sizes)]
 		for i, size := range c.sizes {
-			its[i].Body = make([]byte, size)
+			items[i].Body = make([]byte, size)
 		}
-		outs := b.run(s.addr, its...)
+		outs := b.run(s.addr, items...)
 		r := within(t, s.seen)
 		if r.URL.Path != c.path || len(r.body) > 64<<10 {
-			t.Errorf("%s with %d bytes", r.URL.Path, len(r.body))
+			t.Errorf("request to %s with %d bytes", r.URL.Path, len(r.body))
 		}
 		for i, sent := range c.sent {
 			if want := map[bool]control.Result{true: control.Errored, false: control.Moot}[sent]; outs[i].Result != want {
-				t.Errorf("item %d of %v: %v, want %v", i, c.sizes, outs[i].Result, want)
+				t.Errorf("item %d of sizes %v: outcome %v, want %v", i, c.sizes, outs[i].Result, want)
 			}
 		}
 	}
@@ -375,7 +378,7 @@
 
 // An invalid response means that the attempt may have run. Nothing in it is trusted, except a status line with 200 to a
 // call with one message: that message is delivered, whatever follows. In both cases the connection closes soon.
-func TestSpoiltAnswers(t *testing.T) {
+func TestInvalidResponses(t *testing.T) {
 	t.Parallel()
 	endless := func(c net.Conn, head, piece string) {
 		io.WriteString(c, head)
@@ -392,25 +395,25 @@
 	}{
 		"noise":                 {"\x7f\x00\x01\x02", "", control.Errored},
 		"endless noise":         {"H", "TTTTTTTTTTTTTTTTTTTTTTTTTTTTTTT", control.Errored},
-		"half a first line":     {"HTTP/1.1 20", "", control.Errored},
-		"no status":             {"HTTP/1.1 OK\r\n\r\n", "", control.Errored},
+		"half a status line":    {"HTTP/1.1 20", "", control.Errored},
+		"no status code":        {"HTTP/1.1 OK\r\n\r\n", "", control.Errored},
 		"head without end":      {"HTTP/1.1 503 x\r\n" + wait, "X-A: aaaaaaaaaaaaaaaaaaaaaaaaa\r\n", control.Errored},
-		"head that stops":       {"HTTP/1.1 429 x\r\n" + wait, "", control.Errored},
-		"bad length":            {"HTTP/1.1 429 x\r\n" + wait + "Content-Length: -3\r\n\r\n", "", control.Errored},
+		"incomplete head":       {"HTTP/1.1 429 x\r\n" + wait, "", control.Errored},
+		"negative length":       {"HTTP/1.1 429 x\r\n" + wait + "Content-Length: -3\r\n\r\n", "", control.Errored},
 		"short body":            {"HTTP/1.1 503 x\r\n" + wait + "Content-Length: 30\r\n\r\nabc", "", control.Errored},
-		"3 GB":                  {"HTTP/1.1 503 x\r\n" + wait + "Content-Length: 3000000000\r\n\r\n", strings.Repeat("x", 1000), control.Errored},
-		"1xx for ever":          {"", "HTTP/1.1 102 x\r\n\r\n", control.Errored},
+		"3 GB body":             {"HTTP/1.1 503 x\r\n" + wait + "Content-Length: 3000000000\r\n\r\n", strings.Repeat("x", 1000), control.Errored},
+		"endless 1xx":           {"", "HTTP/1.1 102 x\r\n\r\n", control.Errored},
 		"200, noise":            {"HTTP/1.1 200 OK\r\n\x00\x01 : \r\n\r\n", "", control.OK},
 		"200, head without end": {"HTTP/1.1 200 OK\r\n" + wait, "X-A: aaaaaaaaaaaaaaaaaaaaaaaaa\r\n", control.OK},
 		"200, short body":       {"HTTP/1.1 200 OK\r\n" + wait + "Content-Length: 30\r\n\r\nabc", "", control.OK},
-		"200, 3 GB":             {"HTTP/1.1 200 OK\r\n" + wait + "Content-Length: 3000000000\r\n\r\n", strings.Repeat("x", 1000), control.OK},
+		"200, 3 GB body":        {"HTTP/1.1 200 OK\r\n" + wait + "Content-Length: 3000000000\r\n\r\n", strings.Repeat("x", 1000), control.OK},
 		"200, endless chunks":   {"HTTP/1.1 200 OK\r\n" + wait + "Transfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n", control.OK},
-		"1xx, 200, no end":      {"HTTP/1.1 100 x\r\n\r\nHTTP/1.1 200 OK\r\n" + wait, "", control.OK},
+		"1xx, 200, no head end": {"HTTP/1.1 100 x\r\n\r\nHTTP/1.1 200 OK\r\n" + wait, "", control.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			gone := make(chan bool, 2)
-			s := newTestEndpoint(t, func(conn net.Conn, _ *seen) string {
+			s := newTestEndpoint(t, func(conn net.Conn, _ *receivedRequest) string {
 				if io.WriteString(conn, c.head); c.piece != "" {
 					endless(conn, "", c.piece)
 				} else {
@@ -419,77 +422,77 @@
 				gone <- true
 				return ""
 			})
-			b := newBench(t)
+			b := newHarness(t)
 			b.speed = 20
 			if o := b.run(s.addr, b.items("a")...)[0]; o.Result != c.single || o.RetryAfter != 0 || o.LoadReport != nil || o.Closed {
-				t.Errorf("a single call: %+v, want %v and nothing else", o, c.single)
+				t.Errorf("call with one message: outcome %+v, want %v and no other field set", o, c.single)
 			}
 			for _, o := range b.run(s.addr, b.items("b", "c")...) {
 				if o.Result != control.Errored || o.RetryAfter != 0 || o.LoadReport != nil || o.At != 0 {
-					t.Errorf("a batch: %+v", o)
+					t.Errorf("batch: outcome %+v, want an error and no other field set", o)
 				}
 			}
 			within(t, gone)
 			within(t, gone)
 			if b.idleCount() > 0 {
-				t.Error("a connection with a spoilt answer is kept")
+				t.Error("a connection is kept after an invalid response")
 			}
 		})
 	}
 }
 
 // A status line must be reported at once, so that the delivery can be stored before the rest of the response arrives.
-func TestTheFirstLineIsToldAtOnce(t *testing.T) {
+func TestFirstLineIsReportedAtOnce(t *testing.T) {
 	t.Parallel()
-	told := make(chan bool)
-	s := newTestEndpoint(t, func(c net.Conn, _ *seen) string {
+	reported := make(chan bool)
+	s := newTestEndpoint(t, func(c net.Conn, _ *receivedRequest) string {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n")
-		<-told
+		<-reported
 		return "Retry-After: 1.5\r\nContent-Length: 0\r\n\r\n"
 	})
-	b := newBench(t)
+	b := newHarness(t)
 	o := b.start(s.addr, nil, b.items("a")...)
 	if !within(t, o.lines) {
-		t.Error("it was told of another call")
+		t.Error("the first line was reported for another call")
 	}
-	told <- true
+	reported <- true
 	if u := o.wait()[0]; u.Result != control.OK || u.At == 0 || u.RetryAfter != 1500*time.Millisecond || b.idleCount() != 1 {
-		t.Errorf("%+v, %d connections kept", u, b.idleCount())
+		t.Errorf("outcome %+v, %d idle connections", u, b.idleCount())
 	}
 }
 
 // A delivered message stays delivered if its deadline passes or its call is aborted before the response is complete.
-func TestADeliveredMessageStaysDelivered(t *testing.T) {
+func TestDeliveredMessageStaysDelivered(t *testing.T) {
 	t.Parallel()
-	s := newTestEndpoint(t, func(c net.Conn, _ *seen) string {
+	s := newTestEndpoint(t, func(c net.Conn, _ *receivedRequest) string {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-")
 		c.Read(make([]byte, 1))
 		return ""
 	})
-	b := newBench(t)
-	for name, end := range map[string]func(o *out){
-		"time": func(*out) { b.advance(time.Hour) }, "abort": func(o *out) { b.Abort(o.ID) },
+	b := newHarness(t)
+	for name, end := range map[string]func(o *testCall){
+		"deadline": func(*testCall) { b.advance(time.Hour) }, "abort": func(o *testCall) { b.Abort(o.ID) },
 	} {
 		o := b.start(s.addr, nil, b.items("a")...)
 		within(t, o.lines)
 		end(o)
 		if u := o.wait()[0]; u.Result != control.OK || u.At == 0 {
-			t.Errorf("%s: %+v", name, u)
+			t.Errorf("%s: outcome %+v, want OK", name, u)
 		}
 	}
 }
 
-// A Retry-After in the rest of the response of a delivered message counts, too.
-func TestTheRestOfADeliveredAnswerIsReadPastTheMessagesTime(t *testing.T) {
+// The response to a delivered message is read on past the deadline, because a Retry-After in the rest of it counts, too.
+func TestDeliveredResponseIsReadPastDeadline(t *testing.T) {
 	t.Parallel()
 	first, rest := make(chan bool), make(chan bool)
-	s := newTestEndpoint(t, func(c net.Conn, _ *seen) string {
+	s := newTestEndpoint(t, func(c net.Conn, _ *receivedRequest) string {
 		<-first
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 		<-rest
 		return "Retry-After: 1.5\r\nContent-Length: 0\r\n\r\n"
 	})
-	b := newBench(t)
+	b := newHarness(t)
 	b.speed = 0
 	o := b.start(s.addr, nil, b.items("a")...)
 	within(t, s.seen)
@@ -500,19 +503,19 @@
 	time.Sleep(5 * time.Millisecond) // gives a faulty call time to stop waiting
 	rest <- true
 	if u := o.wait()[0]; u.Result != control.OK || u.RetryAfter != 1500*time.Millisecond || b.idleCount() != 1 {
-		t.Errorf("%+v, %d connections kept", u, b.idleCount())
+		t.Errorf("outcome %+v, %d idle connections", u, b.idleCount())
 	}
 }
 
 // Valid responses may follow 1xx responses and may carry load reports that can't be parsed.
-func TestGoodAnswersWithMore(t *testing.T) {
+func TestInterimResponsesAndLoadReports(t *testing.T) {
 	t.Parallel()
 	early := strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n", 3)
 	s := newTestEndpoint(t, always(early+status("429 x", "Retry-After: 0.25", "Endpoint-Load-Metrics: TEXT x0=NaN, x1=7")))
-	b := newBench(t)
+	b := newHarness(t)
 	for range 2 {
 		if o := b.run(s.addr, b.items("a")...)[0]; o.Result != control.Refused || o.RetryAfter != 250*time.Millisecond || o.LoadReport != nil {
-			t.Errorf("%+v", o)
+			t.Errorf("outcome %+v, want refused with a Retry-After of 250 ms and no load report", o)
 		}
 	}
 	if s.dials.Load() != 1 {
@@ -523,12 +526,12 @@
 		"TEXT x0=Inf": nil, "TEXT x0=-1": nil, "TEXT x0": nil, "TEXT x0=1e99": nil, "x0=1": nil, "TEXT": nil, "TEXT x0=0.5,,": nil,
 	} {
 		if got := loadReport(text, []string{"x0", "x1"}); !slices.Equal(got, want) {
-			t.Errorf("%s: %v, want %v", text, got, want)
+			t.Errorf("load report %q: got %v, want %v", text, got, want)
 		}
 	}
 	for text, want := range map[string]time.Duration{"NaN": 0, "Inf": 0, "-1": 0, "1e30": 0, "0.5": time.Second / 2, "x": 0, "": 0} {
 		if got := retryAfter(text); got != want {
-			t.Errorf("Retry-After %s: %v", text, got)
+			t.Errorf("Retry-After %s: got %v", text, got)
 		}
 	}
 }
@@ -572,18 +575,18 @@
 		k.peer, k.batch = &peer{}, batch
 		k.awaitResponse(&conn{Conn: http1.NewConn(tr.host, here), peer: k.peer})
 		if len(e.outs) != len(spec.Items) || e.lines > 1 || e.lines > 0 && batch {
-			t.Fatalf("told %d times that it is delivered, outcomes %+v", e.lines, e.outs)
+			t.Fatalf("first line reported %d times, outcomes %+v", e.lines, e.outs)
 		}
 		for i, o := range e.outs {
 			switch {
 			case o.Item != i || o.CallOpen || o.RetryAfter < 0:
 				t.Errorf("outcomes %+v", e.outs)
 			case !batch && (o.Result == control.OK) != (e.lines > 0):
-				t.Error("delivered without being told at the first line, or the other way round")
+				t.Error("the first line was reported without the outcome OK, or the other way round")
 			case (o.Result == control.Reset || o.Result == control.Errored && k.pendingCount > 0) && (o.RetryAfter != 0 || o.Closed):
-				t.Errorf("believed of no answer: %+v", o)
+				t.Errorf("an invalid response was trusted: outcome %+v", o)
 			case o.Result == control.TimedOut || o.Result == control.Cancelled || o.Result == control.ConnectFailed:
-				t.Errorf("result %v of an answer or a reset", o.Result)
+				t.Errorf("outcome %v, but the endpoint responded or reset the connection", o.Result)
 			}
 		}
 	})
@@ -601,15 +604,15 @@
 		k.batch = true
 		k.handleBatchStates(body, engine.Outcome{})
 		if len(e.outs) != 3 || !json.Valid(body) && slices.ContainsFunc(e.outs, func(o engine.Outcome) bool { return o.Result != control.Errored }) {
-			t.Fatalf("%q: %+v", body, e.outs)
+			t.Fatalf("body %q: outcomes %+v", body, e.outs)
 		}
 		for i, o := range e.outs {
 			if id := fmt.Sprintf("%q", k.Items[i].ID); o.Item != i || o.Result == control.OK &&
 				(!strings.Contains(string(body), id) && !strings.Contains(string(body), `\u`) || !strings.Contains(string(body), "d")) {
-				t.Errorf("%q: %+v", body, o)
+				t.Errorf("body %q: outcome %+v", body, o)
 			}
 			if o.Closed && o.Result != control.Moot {
-				t.Errorf("%q: %+v", body, o)
+				t.Errorf("body %q: outcome %+v", body, o)
 			}
 		}
 	})
--- a/internal/transport/http/dial_test.go
+++ b/internal/transport/http/dial_test.go
@@ -24,8 +24,8 @@
 	return d.n
 }
 
-// countDials makes the host of a bench count its dials.
-func countDials(b *bench) *dialCounter {
+// countDials makes the host of a harness count its dials.
+func countDials(b *harness) *dialCounter {
 	d := &dialCounter{}
 	b.dial = func(addr string, limit time.Duration, abort *host.Abort) (net.Conn, error) {
 		d.mu.Lock()
@@ -36,16 +36,16 @@
 	return d
 }
 
-// After a restart every call needs a connection. Guards against dialling all of them at once: only the burst begins
+// After a restart every call needs a connection. Guards against dialling them all at once: only DialBurst dials begin
 // immediately.
 func TestDialsArePaced(t *testing.T) {
 	t.Parallel()
 	const burst, all = 4, 12
 	release := make(chan string)
-	s := newTestEndpoint(t, func(net.Conn, *seen) string { return <-release })
-	b := newBenchWith(t, Settings{MaxIdle: 64, DialBurst: burst, DialInterval: time.Hour})
+	s := newTestEndpoint(t, func(net.Conn, *receivedRequest) string { return <-release })
+	b := newHarnessWith(t, Settings{MaxIdle: 64, DialBurst: burst, DialInterval: time.Hour})
 	d := countDials(b)
-	var outs []*out
+	var outs []*testCall
 	for i := range all {
 		items := b.items(fmt.Sprint(i))
 		items[0].Deadline = b.in(100 * time.Hour)
@@ -60,7 +60,7 @@
 		return len(b.peers[endpointAddress{1, s.addr}].waitingToDial) == all-burst
 	})
 	if n := d.count(); n != burst {
-		t.Errorf("%d dials at once, want %d", n, burst)
+		t.Errorf("%d dials began at once, want %d", n, burst)
 	}
 	// Waiting calls use connections that become idle before their turn to dial.
 	for range all {
@@ -68,7 +68,7 @@
 	}
 	for _, o := range outs {
 		if got := o.wait(); got[0].Result != control.OK {
-			t.Errorf("call %d: %v", o.ID, got[0].Result)
+			t.Errorf("call %d: outcome %v, want OK", o.ID, got[0].Result)
 		}
 	}
 	if n := d.count(); n != burst {
@@ -78,11 +78,11 @@
 
 // Much may change while a call waits for its turn to dial. It must ask whether it may still be written, also if it then
 // uses a connection that became idle.
-func TestACallThatWaitedAsksBeforeItTakesAnIdleConnection(t *testing.T) {
+func TestMayWriteIsAskedAfterDialWait(t *testing.T) {
 	t.Parallel()
 	release := make(chan string)
-	s := newTestEndpoint(t, func(net.Conn, *seen) string { return <-release })
-	b := newBenchWith(t, Settings{MaxIdle: 8, DialBurst: 1, DialInterval: time.Hour})
+	s := newTestEndpoint(t, func(net.Conn, *receivedRequest) string { return <-release })
+	b := newHarnessWith(t, Settings{MaxIdle: 8, DialBurst: 1, DialInterval: time.Hour})
 	first := b.start(s.addr, nil, b.items("first")...)
 	within(t, s.seen)
 	second := b.start(s.addr, func() []bool { return []bool{false} }, b.items("second")...)
@@ -94,21 +94,21 @@
 	release <- ok200
 	first.wait()
 	if got := second.wait(); got[0].Result != control.Moot || len(s.seen) != 0 {
-		t.Errorf("a call that must not be written any more ends with %v, and %d come to the endpoint", got[0].Result, len(s.seen))
+		t.Errorf("outcome %v of a call that may not be written, and the endpoint received %d requests", got[0].Result, len(s.seen))
 	}
 }
 
 // A call that waits for its turn to dial ends like one that dials: when it is aborted, when its endpoint is removed, and
 // when its deadline passes.
-func TestACallThatWaitsToDialEnds(t *testing.T) {
+func TestCallWaitingToDialEnds(t *testing.T) {
 	t.Parallel()
-	for name, end := range map[string]func(b *bench, o *out){
-		"abort": func(b *bench, o *out) { b.Abort(o.ID) },
-		"leave": func(b *bench, o *out) { b.RemoveEndpoint(&engine.RemoveEndpoint{Endpoint: 1, Addr: o.Addr}) },
-		"time":  func(b *bench, _ *out) {},
+	for name, end := range map[string]func(b *harness, o *testCall){
+		"abort": func(b *harness, o *testCall) { b.Abort(o.ID) },
+		"leave": func(b *harness, o *testCall) { b.RemoveEndpoint(&engine.RemoveEndpoint{Endpoint: 1, Addr: o.Addr}) },
+		"time":  func(b *harness, _ *testCall) {},
 	} {
 		s := newTestEndpoint(t, always(ok200))
-		b := newBenchWith(t, Settings{DialBurst: 1, DialInterval: time.Hour})
+		b := newHarnessWith(t, Settings{DialBurst: 1, DialInterval: time.Hour})
 		d := countDials(b)
 		b.run(s.addr, b.items("first")...) // its connection is not kept
 		items := b.items("second")
@@ -126,21 +126,21 @@
 		}
 		end(b, o)
 		if got := o.wait(); got[0].Result != control.Moot || d.count() != 1 {
-			t.Errorf("%s: %v after %d dials", name, got[0].Result, d.count())
+			t.Errorf("%s: outcome %v after %d dials, want moot after 1", name, got[0].Result, d.count())
 		}
 	}
 }
 
 // A burst of calls to one endpoint must not displace the idle connections of the others.
-func TestOneEndpointKeepsNoMoreThanItsPart(t *testing.T) {
+func TestEndpointKeepsAtMostHalfOfThePool(t *testing.T) {
 	t.Parallel()
-	const most = 24
+	const maxIdle = 24
 	release := make(chan string)
-	s := newTestEndpoint(t, func(net.Conn, *seen) string { return <-release })
-	other := newTestEndpoint(t, func(net.Conn, *seen) string { return <-release })
-	b := newBenchWith(t, Settings{MaxIdle: most})
+	s := newTestEndpoint(t, func(net.Conn, *receivedRequest) string { return <-release })
+	other := newTestEndpoint(t, func(net.Conn, *receivedRequest) string { return <-release })
+	b := newHarnessWith(t, Settings{MaxIdle: maxIdle})
 	burst := func(s *testEndpoint, n int) {
-		var outs []*out
+		var outs []*testCall
 		for i := range n {
 			outs = append(outs, b.start(s.addr, nil, b.items(fmt.Sprint(i))...))
 		}
@@ -155,13 +155,13 @@
 		}
 	}
 	burst(other, 6)
-	burst(s, most)
+	burst(s, maxIdle)
 	b.Transport.mu.Lock()
 	defer b.Transport.mu.Unlock()
-	if n := len(b.peers[endpointAddress{1, s.addr}].idle); n != most/2 {
-		t.Errorf("one endpoint has %d idle connections, want %d", n, most/2)
+	if n := len(b.peers[endpointAddress{1, s.addr}].idle); n != maxIdle/2 {
+		t.Errorf("one endpoint has %d idle connections, want %d", n, maxIdle/2)
 	}
 	if n := len(b.peers[endpointAddress{1, other.addr}].idle); n != 6 {
-		t.Errorf("the other has %d of its 6 left", n)
+		t.Errorf("the other endpoint has %d idle connections, want 6", n)
 	}
 }
--- a/internal/transport/http/pool_test.go
+++ b/internal/transport/http/pool_test.go
@@ -13,16 +13,16 @@
 	"curlewmux/internal/host"
 )
 
-// Guards against a request written to a connection that the endpoint has closed, which would end in doubt.
-func TestAConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
+// Guards against writing a request to a connection that the endpoint has closed, which would put it in doubt.
+func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newHarness(t)
 	for name, answer := range map[string]string{
-		"said so":        "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
-		"just closed":    ok200,
-		"talks unbidden": ok200 + ok200,
+		"Connection: close":     "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
+		"closed without notice": ok200,
+		"surplus response":      ok200 + ok200,
 	} {
-		s := newTestEndpoint(t, func(c net.Conn, _ *seen) string {
+		s := newTestEndpoint(t, func(c net.Conn, _ *receivedRequest) string {
 			io.WriteString(c, answer)
 			return ""
 		})
@@ -30,26 +30,27 @@
 		idle := b.idleAt(1, s.addr)
 		waitFor(t, func() bool { return !slices.ContainsFunc(idle, func(c *conn) bool { return c.IsIdle() }) })
 		if o := b.run(s.addr, b.items("b")...)[0]; o.Result != control.OK || s.dials.Load() != 2 {
-			t.Errorf("%s: outcome %v over %d connections", name, o.Result, s.dials.Load())
+			t.Errorf("%s: outcome %v, %d connections dialled", name, o.Result, s.dials.Load())
 		}
 	}
 }
 
-func TestIdleConnectionsAreGivenUpBeforeTheEndpointDoes(t *testing.T) {
+// An idle connection is closed before the endpoint would close it.
+func TestIdleConnectionsCloseBeforeEndpointTimeout(t *testing.T) {
 	t.Parallel()
 	s := newTestEndpoint(t, always(ok200))
-	b := newBench(t)
+	b := newHarness(t)
 	for range 2 {
 		b.run(s.addr, b.items("a")...)
 		b.advance(3 * time.Second)
 	}
 	if n := b.idleCount(); n != 1 {
-		t.Errorf("%d idle connections after 3 of 5 s, want one", n)
+		t.Errorf("%d idle connections after 3 s of 5 s, want 1", n)
 	}
 	b.advance(1800 * time.Millisecond) // 4.8 s in all
 	waitFor(t, func() bool { return b.idleCount() == 0 })
 	if d := b.maxIdleTime; d >= 5*time.Second || d < 4*time.Second {
-		t.Errorf("idle for %v where the endpoint closes after 5 s", d)
+		t.Errorf("maximum idle time is %v, want at least 4 s and less than the endpoint's 5 s", d)
 	}
 	waitFor(t, func() bool {
 		b.Transport.mu.Lock()
@@ -60,19 +61,19 @@
 
 // CloseIdle, and a call without a response to the same endpoint, close idle connections. The pool holds a limited
 // number.
-func TestIdleConnectionsEnd(t *testing.T) {
+func TestIdleConnectionsAreClosed(t *testing.T) {
 	t.Parallel()
 	release := make(chan string)
-	s := newTestEndpoint(t, func(c net.Conn, r *seen) string {
+	s := newTestEndpoint(t, func(c net.Conn, r *receivedRequest) string {
 		if r.Header.Get("X-Trace-Id") == "silent" {
 			c.Read(make([]byte, 1))
 			return ""
 		}
 		return <-release
 	})
-	b := newBenchWith(t, Settings{MaxIdle: 2})
-	three := func() {
-		var outs []*out
+	b := newHarnessWith(t, Settings{MaxIdle: 2})
+	threeCalls := func() {
+		var outs []*testCall
 		for range 3 {
 			outs = append(outs, b.start(s.addr, nil, b.items("a")...))
 		}
@@ -86,37 +87,37 @@
 			o.wait()
 		}
 	}
-	three()
+	threeCalls()
 	if n := b.idleCount(); n != 2 {
-		t.Errorf("%d idle connections, want the two that fit", n)
+		t.Errorf("%d idle connections, want 2, the maximum", n)
 	}
-	for name, end := range map[string]func(o *out){
-		"time": func(*out) { b.advance(time.Hour) }, "abort": func(o *out) { b.Abort(o.ID) },
+	for name, end := range map[string]func(o *testCall){
+		"deadline": func(*testCall) { b.advance(time.Hour) }, "abort": func(o *testCall) { b.Abort(o.ID) },
 	} {
 		o := b.start(s.addr, nil, b.items("silent")...)
 		within(t, s.seen)
 		end(o)
 		o.wait()
 		if n := b.idleCount(); n != 0 {
-			t.Errorf("%s: %d idle connections beside one that fell silent", name, n)
+			t.Errorf("%s: %d idle connections after a call without a response, want 0", name, n)
 		}
-		three()
+		threeCalls()
 	}
 	b.CloseIdle(&engine.CloseIdle{Endpoint: 2, Addr: s.addr})
 	if n := b.idleCount(); n != 2 {
-		t.Errorf("%d idle connections after another endpoint's were closed", n)
+		t.Errorf("%d idle connections after those of another endpoint were closed, want 2", n)
 	}
 	b.CloseIdle(&engine.CloseIdle{Endpoint: 1, Addr: s.addr})
 	if n := b.idleCount(); n != 0 {
-		t.Errorf("%d idle connections after they were closed", n)
+		t.Errorf("%d idle connections after CloseIdle, want 0", n)
 	}
 }
 
 // A full pool closes the connection that was idle for longest: its endpoint would close that one next anyway, while the
 // newest is in use.
-func TestAFullPoolGivesUpTheConnectionIdleForLongest(t *testing.T) {
+func TestFullPoolClosesLongestIdleConnection(t *testing.T) {
 	t.Parallel()
-	b := newBenchWith(t, Settings{MaxIdle: 2})
+	b := newHarnessWith(t, Settings{MaxIdle: 2})
 	var all []*testEndpoint
 	for range 3 {
 		s := newTestEndpoint(t, always(ok200))
@@ -131,23 +132,23 @@
 	b.run(all[1].addr, b.items("a")...) // used, so 2 is now the one idle for longest
 	b.run(all[0].addr, b.items("a")...)
 	if len(b.idleAt(1, all[1].addr)) != 1 || len(b.idleAt(1, all[2].addr)) != 0 || b.idleCount() != 2 {
-		t.Error("not the connection that was idle for longest was given up")
+		t.Error("the connection that was closed was not the one idle for longest")
 	}
-	none := newBenchWith(t, Settings{})
+	none := newHarnessWith(t, Settings{})
 	none.run(all[0].addr, none.items("a")...)
 	if none.idleCount() != 0 {
-		t.Error("a connection is kept where none may be")
+		t.Error("an idle connection is kept although MaxIdle is 0")
 	}
 }
 
-// Guards against surplus data behind a response that is taken for the next response. The data may arrive before the next
+// Guards against taking surplus data after a response for the next response. The data may arrive before the next
 // call or just before its first byte.
-func TestASecondCopyIsNotTheNextAnswer(t *testing.T) {
+func TestSurplusDataIsNotNextResponse(t *testing.T) {
 	t.Parallel()
-	for name, extra := range map[string]string{"a copy": status("500 x"), "noise": "\x00\x01noise", "half a line": "HTTP/1.1 5"} {
-		b := newBench(t)
+	for name, extra := range map[string]string{"another response": status("500 x"), "noise": "\x00\x01noise", "half a line": "HTTP/1.1 5"} {
+		b := newHarness(t)
 		more, sent := make(chan bool), make(chan bool)
-		serve := func(c net.Conn, r *seen) string {
+		serve := func(c net.Conn, r *receivedRequest) string {
 			switch r.Header.Get("X-Trace-Id") {
 			case "at once":
 				return ok200 + extra
@@ -163,13 +164,13 @@
 		s := newTestEndpoint(t, serve)
 		b.run(s.addr, b.items("at once")...)
 		if o := b.run(s.addr, b.items("a")...)[0]; o.Result != control.OK || s.dials.Load() != 2 {
-			t.Errorf("%s: outcome %v over %d connections", name, o.Result, s.dials.Load())
+			t.Errorf("%s: outcome %v, %d connections dialled", name, o.Result, s.dials.Load())
 		}
 		// For a while a connection must stay idle between two calls. Then it is used again.
 		begun := time.Now()
 		o := b.run(s.addr, b.items("a")...)[0]
 		if o.Result != control.OK || s.dials.Load() != 3 && time.Since(begun) < distrustedSettleTime/2 {
-			t.Errorf("%s, right behind: outcome %v over %d connections", name, o.Result, s.dials.Load())
+			t.Errorf("%s, call without a pause: outcome %v, %d connections dialled", name, o.Result, s.dials.Load())
 		}
 		dials := s.dials.Load()
 		b.Transport.mu.Lock()
@@ -178,19 +179,19 @@
 		}
 		b.Transport.mu.Unlock()
 		if o := b.run(s.addr, b.items("a")...)[0]; o.Result != control.OK || s.dials.Load() != dials {
-			t.Errorf("%s, after a rest: outcome %v over %d connections", name, o.Result, s.dials.Load())
+			t.Errorf("%s, call after a pause: outcome %v, %d connections dialled", name, o.Result, s.dials.Load())
 		}
 		s = newTestEndpoint(t, serve)
 		b.run(s.addr, b.items("later")...)
 		idle := b.idleAt(1, s.addr)
 		if len(idle) != 1 || !idle[0].IsIdle() {
-			t.Fatalf("%s: %d connections are kept", name, len(idle))
+			t.Fatalf("%s: %d connections, want one that is idle", name, len(idle))
 		}
 		more <- true
 		<-sent
 		waitFor(t, func() bool { return !idle[0].IsIdle() })
 		if o := b.run(s.addr, b.items("a")...)[0]; o.Result != control.OK || s.dials.Load() != 2 {
-			t.Errorf("%s, later: outcome %v over %d connections", name, o.Result, s.dials.Load())
+			t.Errorf("%s, data before the next call: outcome %v, %d connections dialled", name, o.Result, s.dials.Load())
 		}
 	}
 }
@@ -199,8 +200,8 @@
 func TestConnectionsBelongToTheirEndpoint(t *testing.T) {
 	t.Parallel()
 	s, release, _ := newBlockingEndpoint(t)
-	b := newBench(t)
-	call := func(ep control.Endpoint) *out {
+	b := newHarness(t)
+	call := func(ep control.Endpoint) *testCall {
 		o := b.startTo(ep, s.addr, nil, b.items("a")...)
 		within(t, s.seen)
 		return o
@@ -210,7 +211,7 @@
 	first.wait()
 	newcomer := call(2)
 	if s.dials.Load() != 2 {
-		t.Error("the newcomer was called over the other's connection")
+		t.Error("the new endpoint was called over the connection of the other")
 	}
 	release <- ok200
 	newcomer.wait()
@@ -219,18 +220,18 @@
 	b.RemoveEndpoint(&engine.RemoveEndpoint{Endpoint: 3, Addr: s.addr})
 	release <- ok200 // the call in progress continues, and its connection closes after it
 	if o := late.wait()[0]; o.Result != control.OK {
-		t.Errorf("a call that was out when its endpoint left: %v", o.Result)
+		t.Errorf("outcome %v of a call that was out when its endpoint was removed", o.Result)
 	}
 	if one, two := b.idleAt(1, s.addr), b.idleAt(2, s.addr); len(one) != 0 || len(two) != 1 || b.idleCount() != 1 {
-		t.Errorf("%d and %d connections are kept, %d counted", len(one), len(two), b.idleCount())
+		t.Errorf("%d and %d idle connections, %d counted; want 0, 1 and 1", len(one), len(two), b.idleCount())
 	}
 }
 
 // The connection used last is taken first, unless it became idle only a moment ago and may be about to close.
-func TestWhichIdleConnectionIsTaken(t *testing.T) {
+func TestChoiceOfIdleConnection(t *testing.T) {
 	t.Parallel()
 	s := newTestEndpoint(t, always(ok200))
-	b := newBenchWith(t, Settings{MaxIdle: 8})
+	b := newHarnessWith(t, Settings{MaxIdle: 8})
 	p := &peer{endpointAddress: endpointAddress{1, s.addr}}
 	var list []*conn
 	for _, age := range []time.Duration{3 * time.Hour, 2 * time.Hour, 0, 0} {
@@ -244,18 +245,18 @@
 	for i, want := range []int{1, 0, 2, 3} {
 		c := b.takeIdle(p)
 		if c != list[want] {
-			t.Fatalf("taken as number %d is not connection %d", i, want)
+			t.Fatalf("choice %d is not connection %d", i, want)
 		}
 		c.Close()
 	}
 }
 
 // A dial that completes after its endpoint was removed may reach another endpoint that now has the address.
-func TestALateDialToAnAddressThatWasLeftIsNotWritten(t *testing.T) {
+func TestLateDialToRemovedEndpointIsNotWritten(t *testing.T) {
 	t.Parallel()
 	s := newTestEndpoint(t, always(ok200))
 	for _, when := range []string{"dialling", "asking"} {
-		b := newBench(t)
+		b := newHarness(t)
 		dialling, up, asking, answer := make(chan bool, 1), make(chan bool), make(chan bool, 1), make(chan bool)
 		b.dial = func(addr string, limit time.Duration, _ *host.Abort) (net.Conn, error) { // ignores the abort, as if it came too late
 			dialling <- true
@@ -278,14 +279,14 @@
 		}
 		answer <- true
 		if u := o.wait()[0]; u.Result != control.Moot || len(s.seen) > 0 || b.idleCount() > 0 {
-			t.Errorf("%s: outcome %v, %d requests, %d idle", when, u.Result, len(s.seen), b.idleCount())
+			t.Errorf("removed while %s: outcome %v, %d requests, %d idle connections", when, u.Result, len(s.seen), b.idleCount())
 		}
 	}
 }
 
-func TestLeaveEndsTheCallsThatAreStillDialling(t *testing.T) {
+func TestRemoveEndpointEndsDiallingCalls(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newHarness(t)
 	dialling := make(chan bool, 2)
 	b.dial = func(addr string, limit time.Duration, abort *host.Abort) (net.Conn, error) {
 		dialling <- true
@@ -297,18 +298,18 @@
 	b.RemoveEndpoint(&engine.RemoveEndpoint{Endpoint: 1, Addr: "cut.off:2"})
 	b.RemoveEndpoint(&engine.RemoveEndpoint{Endpoint: 1, Addr: "cut.off:1"})
 	if o := leaves.wait()[0]; o.Result != control.Moot {
-		t.Errorf("outcome %v, want moot", o.Result)
+		t.Errorf("outcome %v at the removed endpoint, want moot", o.Result)
 	}
 	b.Abort(stays.ID)
 	if o := stays.wait()[0]; o.Result != control.Moot || len(stays.ends) != 1 {
-		t.Errorf("outcome %v", o.Result)
+		t.Errorf("outcome %v at the other endpoint, want moot from the abort, reported once", o.Result)
 	}
 }
 
-func TestCloseEndsEveryCallAndConnection(t *testing.T) {
+func TestCloseEndsCallsAndConnections(t *testing.T) {
 	t.Parallel()
 	s, release, gone := newBlockingEndpoint(t)
-	b := newBench(t)
+	b := newHarness(t)
 	before := b.startTo(1, s.addr, nil, b.items("a")...)
 	within(t, s.seen)
 	release <- ok200
@@ -318,27 +319,27 @@
 	within(t, s.seen)
 	must(t, b.Close(testTimeout))
 	if o := out.order; len(o) != 1 || o[0].Result != control.Cancelled { // no waiting: Close returns after all outcomes were reported
-		t.Errorf("outcomes %+v of a call that was out", o)
+		t.Errorf("outcomes %+v of a call that was out, want one, cancelled", o)
 	}
 	within(t, gone)
 	if len(idle) != 1 || idle[0].IsIdle() || b.idleCount() != 0 {
-		t.Error("an idle connection is left open")
+		t.Error("want one idle connection before Close, and none after")
 	}
 	if o := b.run(s.addr, b.items("c")...)[0]; o.Result != control.Moot || len(s.seen) > 0 {
-		t.Errorf("outcome %v of a call after Close", o.Result)
+		t.Errorf("outcome %v of a call after Close, want moot", o.Result)
 	}
 	must(t, b.Close(testTimeout))
 }
 
-func TestCloseTellsOfCallsThatDoNotEnd(t *testing.T) {
+func TestCloseReportsCallsThatDoNotEnd(t *testing.T) {
 	t.Parallel()
 	s := newTestEndpoint(t, always(ok200))
-	b := newBench(t)
+	b := newHarness(t)
 	asked, answer := make(chan bool), make(chan bool)
 	o := b.start(s.addr, func() []bool { asked <- true; <-answer; return nil }, b.items("a")...)
 	within(t, asked)
 	if err := b.Close(time.Millisecond); err == nil || !strings.Contains(err.Error(), "1 calls") {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want one that says 1 calls", err)
 	}
 	answer <- true
 	o.wait()
--- a/internal/transport/http/rig_test.go
+++ b/internal/transport/http/rig_test.go
@@ -31,21 +31,23 @@
 	}
 }
 
+// waitFor waits until ok returns true.
 func waitFor(t *testing.T, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("waited in vain")
+			t.Fatal("the condition did not become true in time")
 		}
 	}
 }
 
+// within returns the next value from a channel.
 func within[T any](t *testing.T, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(testTimeout):
-		t.Fatal("waited in vain")
+		t.Fatal("no value arrived in time")
 	}
 	return v
 }
@@ -92,7 +94,7 @@
 	return d
 }
 
-// advance moves the clock forward and runs what falls due.
+// advance moves the clock forward. Deadlines and timers that it reaches take effect.
 func (r *rig) advance(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -181,21 +183,21 @@
 	return c.Conn.SetWriteDeadline(c.rig.systemTime(at))
 }
 
-// bench is a transport on a rig, with helpers that make calls.
-type bench struct {
+// harness is a transport on a rig, with methods that make calls.
+type harness struct {
 	*rig
 	*Transport
 	t     *testing.T
 	calls atomic.Uint64
 }
 
-func newBench(t *testing.T) *bench {
-	return newBenchWith(t, Settings{ConnectTimeout: time.Second, EndpointIdleTimeout: 5 * time.Second, MaxIdle: 8, ReportFields: []string{"x0", "x1"}})
+func newHarness(t *testing.T) *harness {
+	return newHarnessWith(t, Settings{ConnectTimeout: time.Second, EndpointIdleTimeout: 5 * time.Second, MaxIdle: 8, ReportFields: []string{"x0", "x1"}})
 }
 
-func newBenchWith(t *testing.T, s Settings) *bench {
+func newHarnessWith(t *testing.T, s Settings) *harness {
 	r := newRig()
-	b := &bench{rig: r, Transport: New(r, engine.Clock{Start: r.start}, s), t: t}
+	b := &harness{rig: r, Transport: New(r, engine.Clock{Start: r.start}, s), t: t}
 	t.Cleanup(func() {
 		if err := b.Close(testTimeout); err != nil {
 			t.Error(err)
@@ -205,20 +207,21 @@
 }
 
 // items returns messages with a deadline in one hour.
-func (b *bench) items(ids ...string) (out []engine.Item) {
+func (b *harness) items(ids ...string) (out []engine.Item) {
 	for _, id := range ids {
 		out = append(out, engine.Item{ID: id, Key: "k-" + id, Body: []byte("body " + id), Deadline: b.in(time.Hour)})
 	}
 	return out
 }
 
-func (b *bench) in(d time.Duration) engine.Time { return b.clock.At(b.Now().Add(d)) }
+// in returns the engine time after a duration from now.
+func (b *harness) in(d time.Duration) engine.Time { return b.clock.At(b.Now().Add(d)) }
 
-// out is a call in progress and records its events.
-type out struct {
+// testCall is a call that was started. It records its events.
+type testCall struct {
 	*engine.Call
 	t     *testing.T
-	may   func() []bool // answer to MayWrite; nil: all items
+	may   func() []bool // answer to MayWrite; nil: all items may be written
 	lines chan bool     // one value for each FirstLine event: whether it was for this call
 	ends  chan []engine.Outcome
 	mu    sync.Mutex
@@ -226,16 +229,16 @@
 	done  chan bool // closed when all items have ended
 }
 
-func (o *out) MayWrite(engine.CallID) []bool {
+func (o *testCall) MayWrite(engine.CallID) []bool {
 	if o.may == nil {
 		return slices.Repeat([]bool{true}, len(o.Items))
 	}
 	return o.may()
 }
 
-func (o *out) FirstLine(id engine.CallID) { o.lines <- id == o.ID }
+func (o *testCall) FirstLine(id engine.CallID) { o.lines <- id == o.ID }
 
-func (o *out) Ended(id engine.CallID, outs []engine.Outcome) {
+func (o *testCall) Ended(id engine.CallID, outs []engine.Outcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, u := range outs {
@@ -251,12 +254,13 @@
 }
 
 // start starts a call to endpoint 1 at an address.
-func (b *bench) start(addr string, may func() []bool, items ...engine.Item) *out {
+func (b *harness) start(addr string, may func() []bool, items ...engine.Item) *testCall {
 	return b.startTo(1, addr, may, items...)
 }
 
-func (b *bench) startTo(ep control.Endpoint, addr string, may func() []bool, items ...engine.Item) *out {
-	o := &out{
+// startTo starts a call to an endpoint. If may is set, it answers MayWrite.
+func (b *harness) startTo(ep control.Endpoint, addr string, may func() []bool, items ...engine.Item) *testCall {
+	o := &testCall{
 		Call: &engine.Call{ID: engine.CallID(b.calls.Add(1)), Endpoint: ep, Addr: addr, Items: items}, t: b.t, may: may,
 		lines: make(chan bool, 1), ends: make(chan []engine.Outcome, len(items)), done: make(chan bool),
 	}
@@ -265,7 +269,7 @@
 }
 
 // wait waits until all items have ended and returns their outcomes, ordered by item.
-func (o *out) wait() []engine.Outcome {
+func (o *testCall) wait() []engine.Outcome {
 	o.t.Helper()
 	within(o.t, o.done)
 	o.mu.Lock()
@@ -274,13 +278,13 @@
 }
 
 // run makes a call to endpoint 1 and returns its outcomes.
-func (b *bench) run(addr string, items ...engine.Item) []engine.Outcome {
+func (b *harness) run(addr string, items ...engine.Item) []engine.Outcome {
 	b.t.Helper()
 	return b.start(addr, nil, items...).wait()
 }
 
 // idleAt returns the idle connections to an endpoint.
-func (b *bench) idleAt(ep control.Endpoint, addr string) []*conn {
+func (b *harness) idleAt(ep control.Endpoint, addr string) []*conn {
 	b.Transport.mu.Lock()
 	defer b.Transport.mu.Unlock()
 	if p := b.peers[endpointAddress{ep, addr}]; p != nil {
@@ -289,7 +293,7 @@
 	return nil
 }
 
-func (b *bench) idleCount() int {
+func (b *harness) idleCount() int {
 	b.Transport.mu.Lock()
 	defer b.Transport.mu.Unlock()
 	return b.idle.count
@@ -299,20 +303,21 @@
 type testEndpoint struct {
 	addr  string
 	dials atomic.Int32
-	seen  chan *seen
+	seen  chan *receivedRequest
 }
 
-type seen struct {
+// receivedRequest is a request that a testEndpoint received, with its body.
+type receivedRequest struct {
 	*http.Request
 	body string
 }
 
 // newTestEndpoint starts an endpoint that responds with the result of do. An empty result closes the connection.
-func newTestEndpoint(t testing.TB, do func(conn net.Conn, r *seen) string) *testEndpoint {
+func newTestEndpoint(t testing.TB, do func(conn net.Conn, r *receivedRequest) string) *testEndpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
-	s := &testEndpoint{addr: l.Addr().String(), seen: make(chan *seen, 100)}
+	s := &testEndpoint{addr: l.Addr().String(), seen: make(chan *receivedRequest, 100)}
 	var mu sync.Mutex
 	var conns []net.Conn
 	t.Cleanup(func() {
@@ -339,7 +344,7 @@
 	return s
 }
 
-func (s *testEndpoint) serve(c net.Conn, do func(conn net.Conn, r *seen) string) {
+func (s *testEndpoint) serve(c net.Conn, do func(conn net.Conn, r *receivedRequest) string) {
 	defer c.Close()
 	br := bufio.NewReader(c)
 	for {
@@ -351,7 +356,7 @@
 		if err != nil {
 			return
 		}
-		q := &seen{r, string(body)}
+		q := &receivedRequest{r, string(body)}
 		s.seen <- q
 		answer := do(c, q)
 		if _, err := io.WriteString(c, answer); err != nil || answer == "" {
@@ -362,10 +367,12 @@
 
 const ok200 = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-func always(answer string) func(net.Conn, *seen) string {
-	return func(net.Conn, *seen) string { return answer }
+// always returns a function for newTestEndpoint that gives the same response to every request.
+func always(answer string) func(net.Conn, *receivedRequest) string {
+	return func(net.Conn, *receivedRequest) string { return answer }
 }
 
+// status returns a response without a body.
 func status(line string, headers ...string) string {
 	return "HTTP/1.1 " + line + "\r\nContent-Length: 0\r\n" + strings.Join(append(headers, "\r\n"), "\r\n")
 }
@@ -374,7 +381,7 @@
 // when the caller closes a connection.
 func newBlockingEndpoint(t *testing.T) (s *testEndpoint, release chan string, gone chan bool) {
 	release, gone = make(chan string), make(chan bool, 100)
-	s = newTestEndpoint(t, func(c net.Conn, _ *seen) string {
+	s = newTestEndpoint(t, func(c net.Conn, _ *receivedRequest) string {
 		end := make(chan bool)
 		go func() {
 			if _, err := c.Read(make([]byte, 1)); err != nil {
