--- a/internal/transport/http/rig_test.go
+++ b/internal/transport/http/rig_test.go
@@ -110,6 +110,7 @@
 	}
 }
 
+// rigTimer is a timer on the rig's clock.
 type rigTimer struct {
 	*time.Timer
 	at time.Time
@@ -155,6 +156,7 @@
 	}
 }
 
+// rigConn is a connection whose deadlines are on the rig's clock. It counts its writes.
 type rigConn struct {
 	net.Conn
 	rig         *rig
@@ -221,12 +223,12 @@
 type testCall struct {
 	*engine.Call
 	t     *testing.T
-	may   func() []bool // answer to MayWrite; nil: all items may be written
-	lines chan bool     // one value for each FirstLine event: whether it was for this call
-	ends  chan []engine.Outcome
+	may   func() []bool         // answer to MayWrite; nil: all items may be written
+	lines chan bool             // one value for each FirstLine event: whether it was for this call
+	ends  chan []engine.Outcome // the outcomes of each Ended event
 	mu    sync.Mutex
-	order []engine.Outcome
-	done  chan bool // closed when all items have ended
+	order []engine.Outcome // all outcomes, as they were reported
+	done  chan bool        // closed when all items have ended
 }
 
 func (o *testCall) MayWrite(engine.CallID) []bool {
@@ -243,7 +245,7 @@
 	defer o.mu.Unlock()
 	for _, u := range outs {
 		if id != o.ID || slices.ContainsFunc(o.order, func(e engine.Outcome) bool { return e.Item == u.Item }) {
-			o.t.Errorf("call %d, item %d ended twice", id, u.Item)
+			o.t.Errorf("call %d, item %d: ended twice, or reported to another call", id, u.Item)
 		}
 	}
 	o.order = append(o.order, outs...)
