--- a/control/control.go
+++ b/control/control.go
@@ -817,7 +817,7 @@
 func (d *Dispatcher) startRamp(ep *endpoint, returnAt Time) {
 	ep.rampStart, ep.ramp = returnAt, pace.NewBucket(d.now, d.random())
 	if returnAt <= d.now {
-		d.note(ep.destination, "is back, cold: its calls rise over the warm-up")
+		d.note(ep.destination, "has recovered; its call rate rises over the warm-up")
 	}
 }
 
--- a/engine/books.go
+++ b/engine/books.go
@@ -181,7 +181,7 @@
 	}
 	l, err := ledger.Restore(state.settings.Settings, r.Leaves, state.settings.Epoch)
 	if err != nil {
-		e.effect(&Note{Fault: true, Text: "the ledger in the store can't be read, and begins anew: " + err.Error()})
+		e.effect(&Note{Fault: true, Text: "the ledger in the store can't be read; a new epoch begins: " + err.Error()})
 		state.resetReason = ledger.ReasonDamage
 		return
 	}
--- a/engine/call.go
+++ b/engine/call.go
@@ -60,7 +60,8 @@
 	m, ep := e.messageByNumber[a.Message], e.endpointByNumber[a.Endpoint]
 	if m == nil || ep == nil || m.phase != dispatching || m.inFlight != nil {
 		// The module's state differs from the engine's. Without an outcome the slot would be lost.
-		e.note(noteUnknown, "the module sends message %d to endpoint %d, which can't be", a.Message, a.Endpoint)
+		e.note(noteUnknown, "the decision module sends message %d to endpoint %d, which is not possible: "+
+			"one of them is unknown, or the message can't be sent now", a.Message, a.Endpoint)
 		tries := 0
 		if m != nil {
 			tries = m.tries
--- a/engine/member.go
+++ b/engine/member.go
@@ -319,7 +319,7 @@
 			return nil // it was never known here
 		}
 		if len(e.allEndpoints) >= e.settings.MaxEndpoints {
-			e.note(noteMembers, "source %s tells of more than %d endpoints; %s is left out", source, e.settings.MaxEndpoints, n.ID)
+			e.note(noteMembers, "source %s lists more than %d endpoints; %s is ignored", source, e.settings.MaxEndpoints, n.ID)
 			return nil
 		}
 		e.lastEndpoint++
--- a/engine/store.go
+++ b/engine/store.go
@@ -232,7 +232,7 @@
 	if !e.storeDown {
 		e.storeDown = true
 		e.queueEvent(control.Event{Kind: control.Pause, Paused: true})
-		e.note(noteStore, "the store takes nothing: no message is taken on, and no attempt is made")
+		e.note(noteStore, "the store accepts no records: no message is accepted and no attempt is made")
 	}
 	e.storeRetryAt = e.now.At + storeRetryInterval
 	e.clockStep += p.clockStep
@@ -283,7 +283,7 @@
 		}
 	}
 	e.markLeavesDirty(kept+1, e.lastBatch)
-	e.note(noteStore, "the store lost records; what they said is written anew")
+	e.note(noteStore, "the store lost records; they are written again")
 	if !e.storeDown {
 		e.writeDirty()
 	}
