--- a/internal/journal/check_test.go
+++ b/internal/journal/check_test.go
@@ -13,7 +13,7 @@
 	"curlewmux/internal/journal/memdir"
 )
 
-func TestCheckTellsWhatAFolderHoldsAndChangesNothing(t *testing.T) {
+func TestCheckReportsAndChangesNothing(t *testing.T) {
 	t.Parallel()
 	w := newSimulation(6, journal.SyncNone, 64<<10)
 	w.set.Owner = "first"
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestCheckReadsTheFirstFormatAndRefusesANewerOne(t *testing.T) {
+func TestCheckOfOtherFormats(t *testing.T) {
 	t.Parallel()
 	text, err := os.ReadFile(filepath.Join("testdata", "format1", "journal-2"))
 	must(t, err)
@@ -69,7 +69,7 @@
 }
 
 // A folder that is read while a process writes there as fast as it can never shows damage.
-func TestCheckReadsAFolderThatIsWrittenTo(t *testing.T) {
+func TestCheckDuringWrites(t *testing.T) {
 	t.Parallel()
 	dir := journal.OSDir(t.TempDir())
 	j := open(t, dir, 128<<10)
--- a/internal/journal/crash_test.go
+++ b/internal/journal/crash_test.go
@@ -383,7 +383,7 @@
 	return kinds
 }
 
-func TestNothingIsLostByACrashAtAnyOperation(t *testing.T) {
+func TestCrashAtAnyOperation(t *testing.T) {
 	t.Parallel()
 	kinds := crashEverywhere(t, 1, journal.SyncNone, false, 200)
 	t.Logf("crashed in %v", kinds)
@@ -398,7 +398,7 @@
 }
 
 // With SyncAlways the power fails, and any block and any file name that was not synced may be lost.
-func TestNothingConfirmedIsLostByAPowerFailureAtAnyOperation(t *testing.T) {
+func TestPowerFailureAtAnyOperation(t *testing.T) {
 	t.Parallel()
 	kinds := crashEverywhere(t, 2, journal.SyncAlways, true, 130)
 	t.Logf("the power failed in %v", kinds)
@@ -441,7 +441,7 @@
 
 // The disk is full or fails at random moments, and the process crashes. What failed is not stored, what was stored is
 // kept, and the journal recovers without help.
-func TestADiskInTroubleLosesNothingStored(t *testing.T) {
+func TestDiskFaultsAndCrashes(t *testing.T) {
 	t.Parallel()
 	for _, sync := range []journal.Sync{journal.SyncNone, journal.SyncInterval, journal.SyncAlways} {
 		failures, ends := 0, 0
@@ -477,7 +477,7 @@
 }
 
 // The same with power failures: SyncAlways keeps what it reported as stored.
-func TestADiskInTroubleLosesNothingSynced(t *testing.T) {
+func TestDiskFaultsAndPowerFailures(t *testing.T) {
 	t.Parallel()
 	failures := 0
 	for seed := range 36 + 5**long {
--- a/internal/journal/damage_test.go
+++ b/internal/journal/damage_test.go
@@ -51,7 +51,7 @@
 
 // A single wrong byte anywhere revives no ended message and drops no attempt, and at most what stood there is lost.
 // The last frame is left out: with a wrong byte it is taken for an unfinished write.
-func TestAWrongByteAnywhereHarmsNothingElse(t *testing.T) {
+func TestWrongByteAnywhere(t *testing.T) {
 	t.Parallel()
 	d, m, _ := filledDisk(t, 60, 64<<10)
 	names := segments(d)
@@ -100,7 +100,7 @@
 
 // The same for each block of 512 bytes that reads as zeros. The last few writes are left out: their facts may not be
 // repeated yet, or only in the same block.
-func TestAZeroedBlockAnywhereHarmsNothingElse(t *testing.T) {
+func TestZeroedBlockAnywhere(t *testing.T) {
 	t.Parallel()
 	for _, disk := range []int64{64 << 10, 3e6} { // several small segments, and a single large one
 		d, m, earlierSize := filledDisk(t, 90, disk)
@@ -131,7 +131,7 @@
 }
 
 // The loss of a segment loses the messages in it and nothing else.
-func TestALostSegmentHarmsNothingElse(t *testing.T) {
+func TestLostSegment(t *testing.T) {
 	t.Parallel()
 	d, m, _ := filledDisk(t, 120, 64<<10)
 	names := segments(d)
@@ -154,7 +154,7 @@
 }
 
 // A segment that is cut short is reported as damage if another one follows it.
-func TestACutSegmentIsToldUnlessItIsTheLast(t *testing.T) {
+func TestTruncatedSegmentIsReported(t *testing.T) {
 	t.Parallel()
 	d, m, _ := filledDisk(t, 120, 64<<10)
 	names := segments(d)
@@ -170,7 +170,7 @@
 }
 
 // Copies of segments, under the same name or another one, and segments of other journals change nothing.
-func TestStraySegmentsDoNotCount(t *testing.T) {
+func TestStraySegmentsAreIgnored(t *testing.T) {
 	t.Parallel()
 	d, m, _ := filledDisk(t, 120, 64<<10)
 	names := segments(d)
@@ -217,7 +217,7 @@
 }
 
 // A body that holds frames, copied from its own segment, is not read as frames, even if its own frame is damaged.
-func TestABodyIsNeverReadAsFrames(t *testing.T) {
+func TestBodyIsNotReadAsFrames(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 1e6)
@@ -267,7 +267,7 @@
 
 // If a fact and its repetitions are lost, the messages that it may have been about are not sent again. Those with a
 // later record are in doubt. The others get a pending failure.
-func TestWhatLostFactsMayBeAboutIsNotSentAgain(t *testing.T) {
+func TestLostFactsLeaveMessagesInDoubt(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 1e6)
--- a/internal/journal/frame_test.go
+++ b/internal/journal/frame_test.go
@@ -9,7 +9,7 @@
 
 // Other releases read these frames, so the format is pinned by literal values here. A flipped byte or another place
 // in the file makes a frame invalid.
-func TestFrameIsLengthAndChecksum(t *testing.T) {
+func TestFrameFormat(t *testing.T) {
 	t.Parallel()
 	const salt, at = 0x0123456789abcdef, 7
 	frame := append(appendFrameHeader(nil), "123456789"...)
--- a/internal/journal/fuzz_test.go
+++ b/internal/journal/fuzz_test.go
@@ -81,7 +81,7 @@
 }
 
 // Random records in random batches, with restarts, on a small disk: the journal's state is that of the model.
-func TestTheJournalIsItsModel(t *testing.T) {
+func TestJournalMatchesModel(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		d := memdir.New()
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -16,7 +16,7 @@
 	"curlewmux/internal/journal/memdir"
 )
 
-func TestJournalKeepsAMessageThroughRestarts(t *testing.T) {
+func TestMessagesSurviveRestarts(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 1e6)
@@ -50,7 +50,7 @@
 }
 
 // Only the proof for the attempt that began the doubt ends it, also after a compaction between the two.
-func TestJournalDoubt(t *testing.T) {
+func TestNeverRanEndsDoubt(t *testing.T) {
 	t.Parallel()
 	for _, compacted := range []bool{false, true} {
 		d := memdir.New()
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestJournalCutsATornTailAtAnyByte(t *testing.T) {
+func TestTornTailIsIgnored(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 1e6)
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestJournalReadsOnAfterADamagedRecord(t *testing.T) {
+func TestReadingContinuesAfterDamage(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 1e6)
@@ -141,7 +141,7 @@
 
 // A change from the first format may be interrupted at any point: before everything is copied, or before the old
 // files are removed.
-func TestJournalCompactionCutOff(t *testing.T) {
+func TestInterruptedMigration(t *testing.T) {
 	t.Parallel()
 	text, err := os.ReadFile(filepath.Join("testdata", "format1", "journal-2"))
 	must(t, err)
@@ -180,7 +180,7 @@
 
 // The disk limit holds at every moment, also while segments are copied. Refusals leave room for the records of
 // accepted messages.
-func TestJournalStaysInsideItsBudget(t *testing.T) {
+func TestDiskLimitIsNeverExceeded(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	const budget = 200 << 10
@@ -217,7 +217,7 @@
 }
 
 // A batch that could not be written, in whole or in part, is not there, and later batches are.
-func TestJournalWriteErrorRefuses(t *testing.T) {
+func TestFailedWriteStoresNothing(t *testing.T) {
 	t.Parallel()
 	for _, err := range []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO} {
 		for _, cut := range []bool{true, false} {
@@ -246,7 +246,7 @@
 }
 
 // A batch that failed changes nothing: its records count when they are appended again.
-func TestJournalTellsLaterWhatItCouldNotWrite(t *testing.T) {
+func TestFailedBatchCanBeAppendedAgain(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 1e6)
@@ -283,7 +283,7 @@
 }
 
 // Small records of accepted messages always have room, however full the journal is.
-func TestJournalKeepsRoomForEnds(t *testing.T) {
+func TestFullJournalStoresEnds(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 60<<10)
@@ -320,7 +320,7 @@
 }
 
 // A batch of any size is read back. The reader of the first format skipped records over 1 MiB.
-func TestARecordOfAnySizeIsReadBack(t *testing.T) {
+func TestRecordsOfAnySizeAreReadBack(t *testing.T) {
 	t.Parallel()
 	const n = 20_000
 	d := memdir.New()
@@ -346,7 +346,7 @@
 	}
 }
 
-func TestTheFolderOfTheFirstFormatIsRead(t *testing.T) {
+func TestFirstFormatIsRead(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	text, err := os.ReadFile(filepath.Join("testdata", "format1", "journal-2"))
@@ -394,7 +394,7 @@
 	}
 }
 
-func TestANewerFormatIsRefusedAndLeftAsItIs(t *testing.T) {
+func TestNewerFormatIsRefused(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	d.Put("journal-00000001.seg", journal.NewerSegment())
@@ -408,7 +408,7 @@
 	}
 }
 
-func TestAnotherDispatchersFolderIsRefusedAndLeftAsItIs(t *testing.T) {
+func TestOtherOwnerIsRefused(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	set := settings(1e6)
@@ -431,7 +431,7 @@
 	}
 }
 
-func TestCapacityIsHeld(t *testing.T) {
+func TestCapacityIsALowerBound(t *testing.T) {
 	t.Parallel()
 	for _, disk := range []int64{journal.MinDisk, 256 << 10, 3e6} {
 		j := open(t, memdir.New().Dir(), disk)
@@ -449,7 +449,7 @@
 	}
 }
 
-func TestAFolderHasOneOwner(t *testing.T) {
+func TestFolderIsLocked(t *testing.T) {
 	t.Parallel()
 	for name, dir := range map[string]journal.Dir{"memory": memdir.New().Dir(), "system": journal.OSDir(t.TempDir())} {
 		j := open(t, dir, 1e6)
@@ -466,7 +466,7 @@
 	}
 }
 
-func TestTheLockTakesNoBlock(t *testing.T) {
+func TestLockFileIsEmpty(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	j := open(t, journal.OSDir(dir), 1e6)
@@ -481,7 +481,7 @@
 }
 
 // The engine's messages and the journal share one body.
-func TestBodiesAreNotKeptTwice(t *testing.T) {
+func TestBodiesAreShared(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 1e6)
--- a/internal/journal/leaf_test.go
+++ b/internal/journal/leaf_test.go
@@ -9,7 +9,7 @@
 )
 
 // The newest text of a leaf is written once, and kept by copies when old segments are removed.
-func TestLeavesAreCarriedThroughCompaction(t *testing.T) {
+func TestLeavesSurviveCompaction(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 64<<10)
@@ -40,7 +40,7 @@
 }
 
 // Without KeepLeaves the leaves in the folder are dropped and no new ones are accepted.
-func TestLeavesGoWhereNoBooksAreKept(t *testing.T) {
+func TestLeavesAreDroppedWithoutKeepLeaves(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	must(t, open(t, d.Dir(), 64<<10).put(&engine.RecLedgerLeaf{Number: 1, Text: []byte("figures")}))
--- a/internal/journal/load_test.go
+++ b/internal/journal/load_test.go
@@ -115,7 +115,7 @@
 }
 
 // A message with a body of any size that fits is kept through compactions. A larger one is always refused.
-func TestAMessageLargerThanASegment(t *testing.T) {
+func TestMessageLargerThanSegment(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	const disk = 1 << 20 // segments of 32 KiB
@@ -145,7 +145,7 @@
 
 // What does not fit is refused before it is written. A batch without new messages is refused only if there is no room
 // at all. New messages are refused while the records that must follow them would have no room.
-func TestWhatDoesNotFitIsRefusedAndTheRestIsStored(t *testing.T) {
+func TestBatchesWithoutRoomAreRefused(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), journal.MinDisk)
@@ -185,7 +185,7 @@
 	}
 }
 
-func TestAnIDIsTakenAgainAfterItsEnd(t *testing.T) {
+func TestIDIsReusableAfterEnd(t *testing.T) {
 	t.Parallel()
 	for _, until := range []engine.Timestamp{0, now + 1000} {
 		d := memdir.New()
@@ -237,7 +237,7 @@
 }
 
 // A folder that exceeds the disk limit it is opened with accepts no message until it is within the limit.
-func TestASmallerDiskIsReachedByItself(t *testing.T) {
+func TestLoweredDiskLimitIsReached(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 1<<20)
--- a/internal/journal/sync_test.go
+++ b/internal/journal/sync_test.go
@@ -57,7 +57,7 @@
 }
 
 // A batch is reported as stored only once it is synced. One sync covers all that was flushed since the last one.
-func TestOneSyncIsForAllThatWasFlushedMeanwhile(t *testing.T) {
+func TestOneSyncCoversSeveralFlushes(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j, list, run := openSynced(t, d, journal.SyncAlways)
@@ -91,7 +91,7 @@
 
 // A failed sync means that its batches are not stored. This is reported, they are gone at once and after a restart,
 // and later batches count.
-func TestAFailedSyncTakesBackWhatItWasFor(t *testing.T) {
+func TestFailedSyncUndoesItsBatches(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j, list, run := openSynced(t, d, journal.SyncAlways)
@@ -143,7 +143,7 @@
 
 // When a write fails, no batch behind the stored ones may become stored later. Writes that wait for their sync are
 // undone, too, and that sync does not report them.
-func TestAFailedWriteTakesBackWhatIsOnItsWay(t *testing.T) {
+func TestFailedWriteUndoesUnsyncedBatches(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j, list, run := openSynced(t, d, journal.SyncAlways)
@@ -197,7 +197,7 @@
 }
 
 // The same while the sync is under way. It then succeeds.
-func TestASyncUnderWayTellsNothingOfWhatWasTakenBack(t *testing.T) {
+func TestRunningSyncIgnoresUndoneBatches(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	dir := &hookedDir{Dir: d.Dir()}
@@ -241,7 +241,7 @@
 
 // With SyncInterval a batch is stored at once and synced later. After a failed sync all live content is written
 // again, so that the next sync makes it durable.
-func TestAnIntervalsFailedSyncIsMadeGood(t *testing.T) {
+func TestIntervalSyncRecoversFromFailure(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j, _, run := openSynced(t, d, journal.SyncInterval)
@@ -273,7 +273,7 @@
 }
 
 // A segment that was synced is kept until the copies of its content are synced, also if that sync fails.
-func TestASegmentStaysUntilItsCopiesAreSynced(t *testing.T) {
+func TestSegmentStaysUntilCopiesAreSynced(t *testing.T) {
 	t.Parallel()
 	for _, sync := range []journal.Sync{journal.SyncInterval, journal.SyncAlways} {
 		for n := 1; n < 70; n += 4 {
@@ -312,7 +312,7 @@
 }
 
 // The same with a real syncing goroutine on the operating system's files.
-func TestSyncAlwaysOnTheSystemsFiles(t *testing.T) {
+func TestSyncAlwaysOnRealFiles(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	var mu sync.Mutex
@@ -359,7 +359,7 @@
 
 // The wall clock is stepped by an hour either way while messages are live. All times that were written before move
 // along, also through restarts and compaction, and no id is forgotten too early.
-func TestAStepOfTheClockMovesWhatWasWrittenBefore(t *testing.T) {
+func TestClockStepMovesStoredTimes(t *testing.T) {
 	t.Parallel()
 	const hour = 3_600_000_000
 	for _, by := range []int64{hour, -hour} {
@@ -400,7 +400,7 @@
 }
 
 // If the clock was set back while the process was down, the state still has the time of the last record.
-func TestTheLastRecordsTimeIsToldAfterARestart(t *testing.T) {
+func TestLatestTimeSurvivesRestart(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 256<<10)
@@ -418,7 +418,7 @@
 
 const childSeed = 21
 
-// childSimulation is what the child process of TestAKilledProcessLosesNothing runs on real files: the same load each
+// childSimulation is what the child process of TestKilledProcessLosesNothing runs on real files: the same load each
 // time.
 func childSimulation(dir journal.Dir) *simulation {
 	w := newSimulation(childSeed, journal.SyncNone, 128<<10)
@@ -448,7 +448,7 @@
 
 // A real process is killed with SIGKILL at a random moment, some dozens of times. What it had confirmed is there, and
 // of the rest some number of the first batches. A start is never refused, though the lock file is left behind.
-func TestAKilledProcessLosesNothing(t *testing.T) {
+func TestKilledProcessLosesNothing(t *testing.T) {
 	t.Parallel()
 	rnd := rand.New(rand.NewPCG(1, 3))
 	for range 24 {
@@ -497,7 +497,7 @@
 
 // On a disk that others have filled, accepted messages have room for their end, and no new one is accepted. Once
 // there is room, messages are accepted again.
-func TestWhatWasTakenHasRoomForItsEndOnAFullDisk(t *testing.T) {
+func TestFullDiskStoresEnds(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 1e6)
@@ -525,7 +525,7 @@
 }
 
 // The same if nothing is ever flushed, because nothing else arrives: a refused batch makes room itself.
-func TestTakingGoesOnByItselfThoughNothingIsFlushed(t *testing.T) {
+func TestAcceptingResumesWithoutFlush(t *testing.T) {
 	t.Parallel()
 	again := func(j *store) error {
 		for range 40 {
@@ -570,7 +570,7 @@
 // Guards against a journal that never accepts a message again. Each failed sync makes the journal copy all live
 // content and keep obsolete segments meanwhile. If there is no room for the copies, the obsolete segments must not be
 // kept for good.
-func TestSyncsThatFailAgainAndAgainLeaveRoomInTheEnd(t *testing.T) {
+func TestRepeatedSyncFailuresLeaveRoom(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
 		d := memdir.New()
