--- a/internal/journal/check_test.go
+++ b/internal/journal/check_test.go
@@ -13,6 +13,7 @@
 	"curlewmux/internal/journal/memdir"
 )
 
+// Check reports the live messages while the folder is in use, does not change it, and finds a damaged segment.
 func TestCheckReportsAndChangesNothing(t *testing.T) {
 	t.Parallel()
 	w := newSimulation(6, journal.SyncNone, 64<<10)
@@ -21,13 +22,13 @@
 	for range 80 {
 		must(t, w.round())
 		ops := w.disk.Ops()
-		r, err := journal.Check(w.disk.Dir()) // the folder is locked by its owner meanwhile
+		r, err := journal.Check(w.disk.Dir()) // its owner still holds the lock
 		must(t, err)
 		if why := w.confirmed.differs(&store{State: &r.State}); why != "" {
 			t.Fatal(why)
 		}
 		if !r.Findings.OK() || r.Owner != "first" || r.Format != 2 || r.Bytes != w.disk.Used() || w.disk.Ops() != ops {
-			t.Fatalf("owner %q, format %d, found %+v, %d bytes of %d", r.Owner, r.Format, r.Findings, r.Bytes, w.disk.Used())
+			t.Fatalf("owner %q, format %d, findings %+v, %d bytes of %d", r.Owner, r.Format, r.Findings, r.Bytes, w.disk.Used())
 		}
 	}
 	id := w.confirmed.order[0]
@@ -43,14 +44,15 @@
 	must(t, r.Print(&text, true))
 	for _, want := range []string{"DAMAGED", fmt.Sprintf("%q", id), "refused", name, `"release-upload"`} {
 		if !strings.Contains(text.String(), want) {
-			t.Errorf("no %s in\n%s", want, text.String())
+			t.Errorf("the report lacks %s:\n%s", want, text.String())
 		}
 	}
 	if r.Findings.OK() {
-		t.Error("the damage is not found")
+		t.Error("the damage is not reported")
 	}
 }
 
+// Check reads a folder of the first format, and refuses one of a newer format.
 func TestCheckOfOtherFormats(t *testing.T) {
 	t.Parallel()
 	text, err := os.ReadFile(filepath.Join("testdata", "format1", "journal-2"))
@@ -60,15 +62,15 @@
 	r, err := journal.Check(d.Dir())
 	must(t, err)
 	if r.Format != 1 || len(r.Live) != 8 || len(r.Segments) != 1 || r.Bytes != d.Used() {
-		t.Errorf("%+v", r)
+		t.Errorf("report %+v", r)
 	}
 	d.Put("journal-00000001.seg", journal.NewerSegment())
 	if _, err := journal.Check(d.Dir()); !errors.Is(err, journal.ErrNewerFormat) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want ErrNewerFormat", err)
 	}
 }
 
-// A folder that is read while a process writes there as fast as it can never shows damage.
+// Check reports no damage in a folder to which a process is writing as fast as it can.
 func TestCheckDuringWrites(t *testing.T) {
 	t.Parallel()
 	dir := journal.OSDir(t.TempDir())
@@ -94,7 +96,7 @@
 		r, err := journal.Check(dir)
 		must(t, err)
 		if !r.Findings.OK() || len(r.Live) > 1 {
-			t.Errorf("%d live, found %+v", len(r.Live), r.Findings)
+			t.Errorf("%d live, findings %+v", len(r.Live), r.Findings)
 		}
 	}
 	close(stop)
--- a/internal/journal/crash_test.go
+++ b/internal/journal/crash_test.go
@@ -85,7 +85,7 @@
 	if why := w.check(strict); why != "" {
 		return errors.New(why)
 	}
-	// From here on the state that was found counts.
+	// From here on the state that was found is the confirmed one.
 	w.unconfirmed, w.rejected = nil, nil
 	w.confirmed = newModel()
 	w.confirmed.written = j.Last.LatestTimestamp
@@ -110,7 +110,7 @@
 // number of the first unconfirmed batches applied. Otherwise each unconfirmed batch may be there or not.
 func (w *simulation) check(strict bool) string {
 	if !w.j.Findings.OK() {
-		return fmt.Sprintf("damage is reported where there is none: %+v", w.j.Findings)
+		return fmt.Sprintf("findings in an undamaged folder: %+v", w.j.Findings)
 	}
 	possible := append(w.rejected, w.unconfirmed)
 	if strict {
@@ -182,7 +182,7 @@
 	}
 	for _, r := range w.j.Live {
 		if id := r.Message.ID; w.confirmed.live[id] == nil && !touched[id] {
-			return id + " is live and must not be"
+			return id + " is live but should not be"
 		}
 	}
 	return ""
@@ -196,7 +196,7 @@
 	}
 }
 
-// batch appends a batch.
+// batch appends a batch, without flushing it.
 func (w *simulation) batch(records ...engine.Record) error {
 	w.j.batch++
 	b := batch{w.j.batch, records}
@@ -293,8 +293,8 @@
 	return nil
 }
 
-// play runs rounds with restarts of the process in between. After a crash it starts again, after a power failure if
-// power is set.
+// play runs rounds of the load and restarts the process every 40 rounds, after each crash, and at the end. If power is
+// set, each restart follows a power failure instead of a crash.
 func (w *simulation) play(rounds int, power bool) error {
 	strict := !power
 	var random func(int) int
@@ -330,7 +330,7 @@
 		}
 		w.rounds++
 		if used := w.disk.Used(); used > w.set.Disk {
-			return fmt.Errorf("round %d: %d bytes on disk, %d at most", i, used, w.set.Disk)
+			return fmt.Errorf("round %d: %d bytes on disk, the limit is %d", i, used, w.set.Disk)
 		}
 	}
 	return restart()
@@ -357,22 +357,22 @@
 	kinds := map[memdir.OpKind]int{}
 	w.disk.Fault = func(op memdir.Op) memdir.Fault {
 		writtenSizes := []int{0, op.Size / 2, max(op.Size-1, 1), max(op.Size, 1)}
-		for how, land := range writtenSizes {
-			if land == 0 && how > 0 || op.Size == 0 && how == 2 {
+		for variant, written := range writtenSizes {
+			if written == 0 && variant > 0 || op.Size == 0 && variant == 2 {
 				continue
 			}
 			kinds[op.Kind]++
-			c := w.fork(op.DiskAfterCrash(land))
-			if how == 1 {
-				c.disk.Fault = func(again memdir.Op) memdir.Fault {
-					return memdir.Fault{Crash: again.Index < op.Index%3+1, WrittenBytes: again.Size / 3}
+			c := w.fork(op.DiskAfterCrash(written))
+			if variant == 1 {
+				c.disk.Fault = func(next memdir.Op) memdir.Fault {
+					return memdir.Fault{Crash: next.Index < op.Index%3+1, WrittenBytes: next.Size / 3}
 				}
 			}
 			if power {
 				c.disk.PowerFail(c.rnd.IntN)
 			}
 			if err := c.play(5, power); err != nil {
-				t.Fatalf("seed %d, crash in operation %d (%s %s), case %d: %v", seed, op.Index, op.Kind, op.Name, how, err)
+				t.Fatalf("seed %d, crash in operation %d (%s %s), case %d: %v", seed, op.Index, op.Kind, op.Name, variant, err)
 			}
 		}
 		return memdir.Fault{}
@@ -383,12 +383,13 @@
 	return kinds
 }
 
+// A crash of the process at any operation loses nothing that was stored.
 func TestCrashAtAnyOperation(t *testing.T) {
 	t.Parallel()
 	kinds := crashEverywhere(t, 1, journal.SyncNone, false, 200)
 	t.Logf("crashed in %v", kinds)
 	if kinds[memdir.Create] < 40 || kinds[memdir.Remove] < 20 || kinds[memdir.Write] < 400 {
-		t.Errorf("crashed in %v: the load causes no compaction", kinds)
+		t.Errorf("crashed in %v: too few operations, so compaction was hardly tested", kinds)
 	}
 	for seed := range *long {
 		crashEverywhere(t, seed, journal.SyncNone, false, 1000)
@@ -397,13 +398,14 @@
 	}
 }
 
-// With SyncAlways the power fails, and any block and any file name that was not synced may be lost.
+// With SyncAlways a power failure at any operation loses nothing confirmed, although each block and each change of the
+// folder that was not synced may be lost.
 func TestPowerFailureAtAnyOperation(t *testing.T) {
 	t.Parallel()
 	kinds := crashEverywhere(t, 2, journal.SyncAlways, true, 130)
 	t.Logf("the power failed in %v", kinds)
 	if kinds[memdir.SyncFile] < 100 || kinds[memdir.SyncDir] < 30 || kinds[memdir.Remove] < 20 || kinds[memdir.Write] < 250 {
-		t.Errorf("the power failed in %v: the load causes no compaction", kinds)
+		t.Errorf("the power failed in %v: too few operations, so compaction was hardly tested", kinds)
 	}
 	for seed := range *long {
 		crashEverywhere(t, seed, journal.SyncAlways, true, 1000)
@@ -465,18 +467,18 @@
 					break
 				}
 				if !errors.Is(err, engine.ErrFull) || i > 20 {
-					t.Fatalf("sync %d, seed %d: it does not go on by itself: %v", sync, seed, err)
+					t.Fatalf("sync %d, seed %d: no message is accepted after the faults ended: %v", sync, seed, err)
 				}
 			}
 			failures, ends = failures+w.failures, ends+len(w.confirmed.ended)
 		}
 		if failures < 100 || ends < 50 {
-			t.Errorf("sync %d: %d batches failed, %d ids: the disk had no faults, or nothing was done", sync, failures, ends)
+			t.Errorf("sync %d: %d batches failed, %d ids of ended messages are kept: too few for a meaningful test", sync, failures, ends)
 		}
 	}
 }
 
-// The same with power failures: SyncAlways keeps what it reported as stored.
+// The disk is full or fails at random moments, and the power fails. SyncAlways keeps what it reported as stored.
 func TestDiskFaultsAndPowerFailures(t *testing.T) {
 	t.Parallel()
 	failures := 0
@@ -489,6 +491,6 @@
 		failures += w.failures
 	}
 	if failures < 100 {
-		t.Errorf("%d batches failed", failures)
+		t.Errorf("%d batches failed, want 100 or more for a meaningful test", failures)
 	}
 }
--- a/internal/journal/damage_test.go
+++ b/internal/journal/damage_test.go
@@ -32,8 +32,8 @@
 
 func newestSegment(d *memdir.Disk) string { s := segments(d); return s[len(s)-1] }
 
-// findHarm describes what a journal holds and must not, given what was live before the damage: a message that had
-// ended, or one without an attempt that was made. It returns "" if there is nothing.
+// findHarm describes the first live message that a journal restores wrongly after damage, given the model from before
+// it: a message that had ended, or one that lost an attempt or its disposition. It returns "" if there is none.
 func findHarm(s *store, m *model) string {
 	for _, r := range s.Live {
 		w := m.live[r.Message.ID]
@@ -41,7 +41,7 @@
 		case w == nil && r.Pending == nil:
 			return r.Message.ID + " has ended and is live again"
 		case w != nil && w.DoubtAt != 0 && r.Pending == nil && (r.DoubtAt == 0 || r.DoubtAt > w.DoubtAt):
-			return fmt.Sprintf("%s may have run since %d, reported is %d", r.Message.ID, w.DoubtAt, r.DoubtAt)
+			return fmt.Sprintf("%s may have run since %d, the journal reports %d", r.Message.ID, w.DoubtAt, r.DoubtAt)
 		case w != nil && w.Pending != nil && r.Pending == nil:
 			return r.Message.ID + " has a disposition and is live without it"
 		}
@@ -49,8 +49,8 @@
 	return ""
 }
 
-// A single wrong byte anywhere revives no ended message and drops no attempt, and at most what stood there is lost.
-// The last frame is left out: with a wrong byte it is taken for an unfinished write.
+// A single wrong byte anywhere revives no ended message and drops no attempt, and loses at most what was stored
+// there. The last frame is not tested: with a wrong byte it counts as an unfinished write.
 func TestWrongByteAnywhere(t *testing.T) {
 	t.Parallel()
 	d, m, _ := filledDisk(t, 60, 64<<10)
@@ -75,10 +75,10 @@
 			bad.Put(name, b)
 			s := open(t, bad.Dir(), 128<<10)
 			if why := findHarm(s, m); why != "" {
-				t.Fatalf("%s, byte %d: %s; found %+v", name, at, why, s.Findings)
+				t.Fatalf("%s, byte %d: %s; findings %+v", name, at, why, s.Findings)
 			}
 			if n := len(m.order) - len(s.Live); n > int(s.Findings.LostMessages) {
-				t.Fatalf("%s, byte %d: %d messages are lost, reported are %+v", name, at, n, s.Findings)
+				t.Fatalf("%s, byte %d: %d messages are lost, findings %+v", name, at, n, s.Findings)
 			}
 			if !s.Findings.OK() {
 				reported++
@@ -87,19 +87,18 @@
 		}
 	}
 	if reported < 300 {
-		t.Errorf("damage was reported %d times", reported)
+		t.Errorf("damage was reported %d times, want 300 or more", reported)
 	}
 }
 
-// lastFrame returns where the last frame of the newest segment begins. With a wrong byte it is taken for an
-// unfinished write.
+// lastFrame returns where the last frame of a segment begins.
 func lastFrame(t *testing.T, d *memdir.Disk, name string) int {
 	t.Helper()
 	return int(journal.LastFrame(d.Read(name)))
 }
 
-// The same for each block of 512 bytes that reads as zeros. The last few writes are left out: their facts may not be
-// repeated yet, or only in the same block.
+// A block of 512 zeros anywhere revives no ended message, drops no attempt and loses no fact. The last few writes are
+// not tested: their facts may not be repeated yet, or only in the same block.
 func TestZeroedBlockAnywhere(t *testing.T) {
 	t.Parallel()
 	for _, disk := range []int64{64 << 10, 3e6} { // several small segments, and a single large one
@@ -117,13 +116,13 @@
 				bad.Put(name, b)
 				s := open(t, bad.Dir(), disk)
 				if why := findHarm(s, m); why != "" {
-					t.Errorf("%s, block at %d: %s; found %+v", name, at, why, s.Findings)
+					t.Errorf("%s, block at %d: %s; findings %+v", name, at, why, s.Findings)
 				}
 				if n := len(m.order) - len(s.Live); n > int(s.Findings.LostMessages) {
-					t.Errorf("%s, block at %d: %d messages are lost, reported are %+v", name, at, n, s.Findings)
+					t.Errorf("%s, block at %d: %d messages are lost, findings %+v", name, at, n, s.Findings)
 				}
 				if s.Findings.LostFacts > 0 {
-					t.Errorf("%s, block at %d: facts are lost with their repetitions: %+v", name, at, s.Findings)
+					t.Errorf("%s, block at %d: facts and their repetitions are lost: %+v", name, at, s.Findings)
 				}
 			}
 		}
@@ -140,10 +139,10 @@
 		bad.Put(name, nil)
 		s := open(t, bad.Dir(), 128<<10)
 		if why := findHarm(s, m); why != "" {
-			t.Errorf("%s: %s; found %+v", name, why, s.Findings)
+			t.Errorf("%s: %s; findings %+v", name, why, s.Findings)
 		}
 		if s.Findings.MissingSegments != 1 && name != names[0] {
-			t.Errorf("%s: found %+v", name, s.Findings)
+			t.Errorf("%s: findings %+v", name, s.Findings)
 		}
 		must(t, s.put(accepted("new")))
 		turnOver(t, s, bad)
@@ -164,7 +163,7 @@
 		bad.Put(name, text[:len(text)*2/3])
 		s := open(t, bad.Dir(), 64<<10)
 		if why := findHarm(s, m); why != "" || s.Findings.OK() {
-			t.Errorf("%s: %s; found %+v", name, why, s.Findings)
+			t.Errorf("%s: %s; findings %+v", name, why, s.Findings)
 		}
 	}
 }
@@ -207,7 +206,7 @@
 			t.Errorf("case %d: %s", i, why)
 		}
 		if c.reported != (len(j.Findings.ForeignFiles) == 1) || c.reported != (s.Read(c.name) != nil) {
-			t.Errorf("case %d: found %+v, files %v", i, j.Findings, s.Names())
+			t.Errorf("case %d: findings %+v, files %v", i, j.Findings, s.Names())
 		}
 		must(t, j.put(accepted("new")))
 		if j = reopen(t, s, 128<<10); j.message("new") == nil || len(j.Live) != len(m.order)+1 {
@@ -254,11 +253,11 @@
 			bad.Put(name, slices.Concat(to[:at], from[at:]))
 			s := open(t, bad.Dir(), 128<<10)
 			if why := findHarm(s, m); why != "" {
-				t.Fatalf("%s from byte %d: %s; found %+v", name, at, why, s.Findings)
+				t.Fatalf("%s from byte %d: %s; findings %+v", name, at, why, s.Findings)
 			}
 			for _, r := range s.Live {
 				if w := m.live[r.Message.ID]; w != nil && s.Findings.DoubtfulMessages == 0 && r.Tries > w.Tries {
-					t.Fatalf("%s from byte %d: %s was tried %d times, reported are %d", name, at, r.Message.ID, w.Tries, r.Tries)
+					t.Fatalf("%s from byte %d: %s was tried %d times, the journal reports %d", name, at, r.Message.ID, w.Tries, r.Tries)
 				}
 			}
 		}
@@ -294,7 +293,7 @@
 			t.Errorf("after: %+v", r)
 		}
 		if s.Findings.LostFacts != 2 || s.Findings.DoubtfulMessages != 4 {
-			t.Errorf("found %+v", s.Findings)
+			t.Errorf("findings %+v", s.Findings)
 		}
 	}
 }
--- a/internal/journal/export_test.go
+++ b/internal/journal/export_test.go
@@ -12,13 +12,13 @@
 	return append(b, "whatever comes then"...)
 }
 
-// Body returns the body that the table holds of a message.
+// Body returns the body of a live message in the table.
 func (j *Journal) Body(id string) []byte { return j.live[id].live.msg.Body }
 
 // DoubtIsNewestAttempt reports whether the doubt about a message is about its newest attempt alone.
 func (j *Journal) DoubtIsNewestAttempt(id string) bool { return j.live[id].live.doubt.newestAttempt }
 
-// LastFrame returns where the last frame of a segment begins.
+// LastFrame returns the offset of the last frame of a segment.
 func LastFrame(text []byte) (last int64) {
 	h, frames, err := readHeader(text)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return last
 }
 
-// MakeSegment returns a segment with these payloads, each in a frame with its counters.
+// MakeSegment returns a segment with one frame for each payload. The frames have valid counters.
 func MakeSegment(seq uint64, payloads ...[]byte) []byte {
 	h := header{identity: 7, seq: seq, salt: 9, lastMessage: 1}
 	b := h.append(nil)
@@ -42,7 +42,8 @@
 	return b
 }
 
-// CheckTable returns what is wrong with the sums that the table and the journal keep, "" if nothing.
+// CheckTable describes what is inconsistent in the table, or in the sums that the table and the journal keep. It
+// returns "" if nothing is.
 func (j *Journal) CheckTable() string {
 	var sum int64
 	count, live := 0, 0
@@ -50,7 +51,7 @@
 		count++
 		sum += n.cost()
 		if got := int64(len(j.appendNode(nil, n))); got > n.cost() {
-			return fmt.Sprintf("%s takes %d bytes, estimated as %d", n.id, got, n.cost())
+			return fmt.Sprintf("%s takes %d bytes, more than the estimate of %d", n.id, got, n.cost())
 		}
 		if n.next.prev != n || n.next != &j.root && n.next.seg < n.seg {
 			return n.id + " is out of order"
@@ -67,7 +68,7 @@
 		most = max(most, s.diskSize)
 	}
 	if sum != j.liveBytes || count != j.count || live != len(j.live) || total != j.segmentBytes || most != j.largestSegment {
-		return fmt.Sprintf("%d nodes of %d bytes, %d live, counted %d of %d, %d; segments of %d bytes, %d at most, counted %d, %d",
+		return fmt.Sprintf("%d nodes of %d bytes, %d live, counted %d, %d, %d; segments of %d bytes, the largest %d, counted %d, %d",
 			count, sum, live, j.count, j.liveBytes, len(j.live), total, most, j.segmentBytes, j.largestSegment)
 	}
 	return ""
--- a/internal/journal/frame_test.go
+++ b/internal/journal/frame_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Other releases read these frames, so the format is pinned by literal values here. A flipped byte or another place
-// in the file makes a frame invalid.
+// Other releases read these frames, so literal values fix the format here. A frame is invalid with a flipped bit, at
+// another offset, or with another salt.
 func TestFrameFormat(t *testing.T) {
 	t.Parallel()
 	const salt, at = 0x0123456789abcdef, 7
@@ -19,12 +19,12 @@
 		t.Errorf("length %d", n)
 	}
 	if got := binary.LittleEndian.Uint32(frame[4:]); got != check {
-		t.Errorf("checksum of the payload %#x, want %#x", got, check)
+		t.Errorf("payload checksum %#x, want %#x", got, check)
 	}
 	head := binary.LittleEndian.AppendUint64(nil, salt)
 	head = append(binary.LittleEndian.AppendUint64(head, at), frame[:8]...)
 	if got, want := binary.LittleEndian.Uint32(frame[8:]), crc32.Checksum(head, crc32.MakeTable(crc32.Castagnoli)); got != want {
-		t.Errorf("check of the head %#x, want %#x", got, want)
+		t.Errorf("header checksum %#x, want %#x", got, want)
 	}
 	read := func(text []byte, salt uint64) (got []byte) {
 		scanFrames(text, salt, 0, func(p []byte, _, _ int64) { got = append(got, p...) })
@@ -35,13 +35,13 @@
 		t.Fatalf("read %q", got)
 	}
 	for i := at; i < len(text); i++ {
-		spoilt := bytes.Clone(text)
-		spoilt[i] ^= 1
-		if got := read(spoilt, salt); got != nil {
-			t.Errorf("with byte %d flipped it reads %q", i, got)
+		damaged := bytes.Clone(text)
+		damaged[i] ^= 1
+		if got := read(damaged, salt); got != nil {
+			t.Errorf("with a flipped bit in byte %d it reads %q", i, got)
 		}
 	}
 	if got := append(read(text[1:], salt), read(text, salt+1)...); got != nil {
-		t.Errorf("elsewhere, or with another salt, it reads %q", got)
+		t.Errorf("at another offset or with another salt it reads %q", got)
 	}
 }
--- a/internal/journal/fuzz_test.go
+++ b/internal/journal/fuzz_test.go
@@ -26,18 +26,18 @@
 	}
 	before := j.ids()
 	if err := j.put(&engine.RecNoop{}); err != nil {
-		return // the folder held more than the disk limit
+		return // the folder exceeds the disk limit
 	}
 	k := reopen(t, d, 1<<20)
 	if why := k.CheckTable(); why != "" {
 		t.Fatal(why)
 	}
 	if k.ids() != before {
-		t.Fatalf("live %q, and at the next start %q", before, k.ids())
+		t.Fatalf("live %q, after a restart %q", before, k.ids())
 	}
 }
 
-// Any bytes in a folder give an error or a state.
+// A folder with any bytes in its files either gives an error or opens with a consistent state.
 func FuzzReplay(f *testing.F) {
 	w := newSimulation(3, journal.SyncNone, 64<<10)
 	must(f, w.start(true))
@@ -67,7 +67,7 @@
 	})
 }
 
-// Frames with valid checksums may hold anything.
+// Frames with valid checksums and any content open with a consistent state.
 func FuzzRecords(f *testing.F) {
 	f.Add([]byte("\x01\x01\x01a\x01b\x01c\x00\x00\x00\x01d"), []byte("\x08\x01\x01\x00"))
 	f.Add([]byte("\x02\x01\x01a\x01b\x01c\x00\x00\x00\x01d\x01\x02\x00\x01\x01\x02\x00"), []byte("\x06\x01\x02\x03\x04\x00"))
@@ -80,7 +80,7 @@
 	})
 }
 
-// Random records in random batches, with restarts, on a small disk: the journal's state is that of the model.
+// On a small disk, with random records in random batches and restarts, the journal's state equals the model's.
 func TestJournalMatchesModel(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -155,7 +155,7 @@
 					t.Fatal(why)
 				}
 				if n := d.Used(); n > disk {
-					t.Fatalf("%d bytes on disk, %d at most", n, disk)
+					t.Fatalf("%d bytes on disk, the limit is %d", n, disk)
 				}
 			},
 		})
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -16,6 +16,7 @@
 	"curlewmux/internal/journal/memdir"
 )
 
+// Several restarts restore the same messages with all that records said about them.
 func TestMessagesSurviveRestarts(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
@@ -39,7 +40,7 @@
 			t.Fatalf("live %s: %+v", j.ids(), j.Live)
 		}
 		if j.Last.LatestTimestamp != now+1e6 {
-			t.Errorf("last record of %d, want %d", j.Last.LatestTimestamp, now+1_000_000)
+			t.Errorf("latest timestamp %d, want %d", j.Last.LatestTimestamp, now+1_000_000)
 		}
 		must(t, j.put(&engine.RecNoop{}))
 	}
@@ -49,7 +50,7 @@
 	}
 }
 
-// Only the proof for the attempt that began the doubt ends it, also after a compaction between the two.
+// RecNeverRan ends a doubt only if it is about the attempt that began the doubt, also after a compaction in between.
 func TestNeverRanEndsDoubt(t *testing.T) {
 	t.Parallel()
 	for _, compacted := range []bool{false, true} {
@@ -69,10 +70,10 @@
 			t.Errorf("compacted %v: still in doubt: %+v", compacted, r)
 		}
 		if r := j.message("both"); r.Tries != 2 || r.DoubtAt == 0 {
-			t.Errorf("compacted %v: its first attempt may have run: %+v", compacted, r)
+			t.Errorf("compacted %v: the doubt about its first attempt is lost: %+v", compacted, r)
 		}
 		if r := j.message("settled"); r.DoubtAt == 0 {
-			t.Errorf("compacted %v: its doubt was of an earlier attempt: %+v", compacted, r)
+			t.Errorf("compacted %v: the doubt about an earlier attempt is lost: %+v", compacted, r)
 		}
 	}
 }
@@ -84,7 +85,7 @@
 	last := old[len(old)-1]
 	for i := 0; d.Read(last) != nil; i++ {
 		if i > 20000 {
-			t.Fatalf("%s is still there", last)
+			t.Fatalf("%s is not removed", last)
 		}
 		id := fmt.Sprint("turn", i)
 		must(t, j.put(acceptedOfSize(id, 500)))
@@ -92,6 +93,7 @@
 	}
 }
 
+// A last record that was cut off at any byte is ignored and is no damage. Later records are stored.
 func TestTornTailIsIgnored(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
@@ -106,15 +108,16 @@
 		cut.Put(name, text[:n])
 		k := open(t, cut.Dir(), 1e6)
 		if k.ids() != "a" || !k.Findings.OK() || k.Findings.UnfinishedBytes != int64(n-whole) {
-			t.Fatalf("cut at %d: live %s, found %+v", n, k.ids(), k.Findings)
+			t.Fatalf("cut at %d: live %s, findings %+v", n, k.ids(), k.Findings)
 		}
 		must(t, k.put(accepted("c")))
 		if k = reopen(t, cut, 1e6); k.ids() != "a c" || !k.Findings.OK() {
-			t.Fatalf("cut at %d: live %s, found %+v", n, k.ids(), k.Findings)
+			t.Fatalf("cut at %d: live %s, findings %+v", n, k.ids(), k.Findings)
 		}
 	}
 }
 
+// A damaged byte anywhere in a record loses only that record.
 func TestReadingContinuesAfterDamage(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
@@ -134,31 +137,31 @@
 		damaged.Put(name, bad)
 		k := open(t, damaged.Dir(), 1e6)
 		if k.ids() != "a c" || k.Findings.LostMessages != 1 || k.Findings.DamagedBytes != int64(ends[1]-ends[0]) {
-			t.Fatalf("byte %d damaged: live %s, found %+v", at, k.ids(), k.Findings)
+			t.Fatalf("byte %d damaged: live %s, findings %+v", at, k.ids(), k.Findings)
 		}
 	}
 }
 
-// A change from the first format may be interrupted at any point: before everything is copied, or before the old
-// files are removed.
+// The conversion from the first format may be interrupted at any operation, before everything is copied or before the
+// old files are removed. The next start completes it.
 func TestInterruptedMigration(t *testing.T) {
 	t.Parallel()
 	text, err := os.ReadFile(filepath.Join("testdata", "format1", "journal-2"))
 	must(t, err)
-	begin := func() *memdir.Disk {
+	firstFormatDisk := func() *memdir.Disk {
 		d := memdir.New()
 		d.Put("journal-2", text)
 		d.Put("journal-3.tmp", text[:len(text)/2])
 		d.Put("journal-1", text[:100])
 		return d
 	}
-	d := begin()
+	d := firstFormatDisk()
 	want := open(t, d.Dir(), 1e6).Live
 	for n := range d.Ops() {
-		for land := range 2 {
-			d := begin()
+		for halves := range 2 {
+			d := firstFormatDisk()
 			d.Fault = func(op memdir.Op) memdir.Fault {
-				return memdir.Fault{Crash: op.Index == n, WrittenBytes: land * op.Size / 2}
+				return memdir.Fault{Crash: op.Index == n, WrittenBytes: halves * op.Size / 2}
 			}
 			tryOpen(d.Dir(), settings(1e6))
 			d.Crash()
@@ -205,54 +208,54 @@
 			held = held[1:]
 		}
 		if n := d.Used(); n > budget {
-			t.Fatalf("%d bytes on disk, %d at most", n, budget)
+			t.Fatalf("%d bytes on disk, the limit is %d", n, budget)
 		}
 	}
 	if refused == 0 || len(held) < 40 {
-		t.Fatalf("%d refused, %d live: the budget was not reached or not used", refused, len(held))
+		t.Fatalf("%d refused, %d live: the disk limit was not reached, or too little of the disk was used", refused, len(held))
 	}
 	if k := reopen(t, d, budget); k.ids() != strings.Join(held, " ") {
 		t.Errorf("%d live after a restart, want %d", len(k.Live), len(held))
 	}
 }
 
-// A batch that could not be written, in whole or in part, is not there, and later batches are.
+// A batch that could not be written, or only in part, is not restored. Later batches are.
 func TestFailedWriteStoresNothing(t *testing.T) {
 	t.Parallel()
 	for _, err := range []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO} {
-		for _, cut := range []bool{true, false} {
-			for land := range 120 {
+		for _, canTruncate := range []bool{true, false} {
+			for written := range 120 {
 				d := memdir.New()
 				j := open(t, d.Dir(), 1e6)
 				must(t, j.put(accepted("a")))
 				d.Fault = func(op memdir.Op) memdir.Fault {
-					if op.Kind == memdir.Truncate && cut {
+					if op.Kind == memdir.Truncate && canTruncate {
 						return memdir.Fault{}
 					}
-					return memdir.Fault{Err: err, WrittenBytes: land}
+					return memdir.Fault{Err: err, WrittenBytes: written}
 				}
 				if e := j.put(accepted("b")); !errors.Is(e, err) {
-					t.Fatalf("accepted though nothing was written: %v", e)
+					t.Fatalf("the failed write gives error %v", e)
 				}
 				d.Fault = nil
 				must(t, j.putWithRetry(accepted("c"))) // in a new segment, if the failed write could not be truncated
 				must(t, j.put(accepted("b")))
 				if j = reopen(t, d, 1e6); j.ids() != "a c b" || !j.Findings.OK() {
-					t.Fatalf("%v after %d bytes: live %s, found %+v", err, land, j.ids(), j.Findings)
+					t.Fatalf("%v after %d bytes: live %s, findings %+v", err, written, j.ids(), j.Findings)
 				}
 			}
 		}
 	}
 }
 
-// A batch that failed changes nothing: its records count when they are appended again.
+// A batch that failed changes nothing. Its records can be appended again, and then have their effect.
 func TestFailedBatchCanBeAppendedAgain(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 1e6)
 	must(t, j.put(accepted("delivered"), accepted("refused"), accepted("owed"), accepted("other")))
 	must(t, j.put(attempt(now, "delivered", 0), attempt(now, "refused", 0)))
-	facts := []engine.Record{
+	records := []engine.Record{
 		&engine.RecEnded{ID: "delivered", Disposition: engine.Delivered, Until: now + 1e6, Fingerprint: 5},
 		&engine.RecNeverRan{ID: "refused"}, &engine.RecPendingResult{ID: "owed", PendingResult: engine.PendingResult{Disposition: engine.Failed}}, accepted("new"),
 		&engine.RecClockStep{By: 1000},
@@ -261,17 +264,17 @@
 	j = before
 	d.Fault = func(memdir.Op) memdir.Fault { return memdir.Fault{Err: syscall.EIO} }
 	for range 3 {
-		if j.put(facts...) == nil {
-			t.Fatal("no fault is reported")
+		if j.put(records...) == nil {
+			t.Fatal("a failed write is not reported")
 		}
 	}
 	d.Fault = nil
 	must(t, j.put(&engine.RecNoop{}))
 	k := reopen(t, d, 1e6)
 	if !reflect.DeepEqual(k.Live, before.Live) || len(k.Ended) > 0 {
-		t.Fatalf("after a fault: %s", k.ids())
+		t.Fatalf("the failed batch had an effect: live %s", k.ids())
 	}
-	must(t, k.put(facts...))
+	must(t, k.put(records...))
 	k = reopen(t, d, 1e6)
 	if k.ids() != "refused owed other new" || k.message("refused").DoubtAt != 0 || k.message("owed").Pending == nil {
 		t.Errorf("after a restart: %s", k.ids())
@@ -325,15 +328,15 @@
 	const n = 20_000
 	d := memdir.New()
 	j := open(t, d.Dir(), 64<<20)
-	var list []engine.Record
-	all := &engine.RecAttempts{At: now}
+	var messages []engine.Record
+	attempts := &engine.RecAttempts{At: now}
 	for i := range n {
 		id := fmt.Sprintf("message-with-a-long-id-%08d", i)
-		list = append(list, acceptedOfSize(id, 1))
-		all.List = append(all.List, engine.RecAttempt{ID: id, Zone: 1})
+		messages = append(messages, acceptedOfSize(id, 1))
+		attempts.List = append(attempts.List, engine.RecAttempt{ID: id, Zone: 1})
 	}
-	must(t, j.put(list...))
-	must(t, j.put(all))
+	must(t, j.put(messages...))
+	must(t, j.put(attempts))
 	must(t, j.put(acceptedOfSize("large", 3<<20)))
 	j = reopen(t, d, 64<<20)
 	if len(j.Live) != n+1 || len(j.message("large").Message.Body) != 3<<20 {
@@ -341,11 +344,12 @@
 	}
 	for _, r := range j.Live[:n] {
 		if r.Tries != 1 || r.DoubtAt != now {
-			t.Fatalf("attempt lost: %+v", r)
+			t.Fatalf("an attempt is lost: %+v", r)
 		}
 	}
 }
 
+// A folder of the first format is converted to the current one, with all it holds.
 func TestFirstFormatIsRead(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -365,7 +369,7 @@
 			t.Errorf("untouched: %+v", r)
 		}
 		if r := j.message("in-doubt"); r.Tries != 1 || r.DoubtAt != at || r.DoubtZone != 2 {
-			t.Errorf("in doubt: %+v", r)
+			t.Errorf("in-doubt: %+v", r)
 		}
 		if r := j.message("proven"); r.Tries != 1 || r.DoubtAt != 0 {
 			t.Errorf("proven: %+v", r)
@@ -374,16 +378,16 @@
 			t.Errorf("twice: %+v", r)
 		}
 		if o := j.message("owed-refused").Pending; o == nil || o.Disposition != engine.Refused || o.RetryAfter != 1500*time.Millisecond || o.Fingerprint == 0 {
-			t.Errorf("owed, refused: %+v", o)
+			t.Errorf("owed-refused: %+v", o)
 		}
 		if o := j.message("owed-failed").Pending; o == nil || o.Disposition != engine.Failed || o.RetryAfter != 0 || o.Fingerprint == 0 {
-			t.Errorf("owed, failed: %+v", o)
+			t.Errorf("owed-failed: %+v", o)
 		}
 		if n := len(j.message("large").Message.Body); n != 6000 {
 			t.Errorf("large: body of %d bytes", n)
 		}
 		if j.Last.LatestTimestamp != at+2_000_000 {
-			t.Errorf("written %d", j.Last.LatestTimestamp)
+			t.Errorf("latest timestamp %d", j.Last.LatestTimestamp)
 		}
 		must(t, j.Close())
 	}
@@ -394,6 +398,7 @@
 	}
 }
 
+// A folder of a newer format is refused and not changed.
 func TestNewerFormatIsRefused(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
@@ -408,6 +413,7 @@
 	}
 }
 
+// A folder of another dispatcher is refused and not changed.
 func TestOtherOwnerIsRefused(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
@@ -423,7 +429,7 @@
 		t.Fatalf("error %v", err)
 	}
 	if d.Ops() != ops {
-		t.Errorf("%d operations", d.Ops()-ops)
+		t.Errorf("%d operations on another dispatcher's folder", d.Ops()-ops)
 	}
 	set.Owner = "first"
 	if j, err = tryOpen(d.Dir(), set); err != nil || j.ids() != "a" { // the lock was released
@@ -431,6 +437,7 @@
 	}
 }
 
+// A journal holds at least as many messages as Capacity says, and not many more.
 func TestCapacityIsALowerBound(t *testing.T) {
 	t.Parallel()
 	for _, disk := range []int64{journal.MinDisk, 256 << 10, 3e6} {
@@ -444,17 +451,18 @@
 		m := acceptedOfSize("m00000", 200).Message
 		size := len(m.ID) + len(m.Class) + len(m.Tenant) + len(m.Key) + 200
 		if c := journal.Capacity(disk, size); n < c || c < n*9/10 {
-			t.Errorf("disk %d: %d are live, Capacity is %d", disk, n, c)
+			t.Errorf("disk %d: %d messages fit, Capacity is %d", disk, n, c)
 		}
 	}
 }
 
+// A folder has one owner at a time. It can be opened again after Close.
 func TestFolderIsLocked(t *testing.T) {
 	t.Parallel()
 	for name, dir := range map[string]journal.Dir{"memory": memdir.New().Dir(), "system": journal.OSDir(t.TempDir())} {
 		j := open(t, dir, 1e6)
 		if _, err := tryOpen(dir, settings(1e6)); !errors.Is(err, journal.ErrLocked) {
-			t.Errorf("%s: a second owner: %v", name, err)
+			t.Errorf("%s: opened twice: error %v, want ErrLocked", name, err)
 		}
 		must(t, j.put(accepted("a")))
 		must(t, j.Close())
@@ -466,6 +474,7 @@
 	}
 }
 
+// The lock file is empty, so it takes no block of the disk.
 func TestLockFileIsEmpty(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -488,10 +497,10 @@
 	r := accepted("a")
 	must(t, j.put(r))
 	if got := j.Body("a"); &got[0] != &r.Message.Body[0] {
-		t.Error("the journal keeps a copy of what was taken")
+		t.Error("the journal holds a copy of an accepted body")
 	}
 	j = reopen(t, d, 1e6)
 	if got := j.Body("a"); &got[0] != &j.Live[0].Message.Body[0] {
-		t.Error("the journal keeps a copy of what was restored")
+		t.Error("the journal holds a copy of a restored body")
 	}
 }
--- a/internal/journal/leaf_test.go
+++ b/internal/journal/leaf_test.go
@@ -8,7 +8,7 @@
 	"curlewmux/internal/journal/memdir"
 )
 
-// The newest text of a leaf is written once, and kept by copies when old segments are removed.
+// The newest text of a leaf is copied to newer segments when old ones are removed.
 func TestLeavesSurviveCompaction(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
@@ -35,11 +35,11 @@
 		}
 	}
 	if segments(d)[0] == first {
-		t.Error("no segment was removed: the test proves nothing")
+		t.Error("no segment was removed, so compaction was not tested")
 	}
 }
 
-// Without KeepLeaves the leaves in the folder are dropped and no new ones are accepted.
+// Without KeepLeaves the leaves in the folder are dropped, and a leaf that is too long is refused.
 func TestLeavesAreDroppedWithoutKeepLeaves(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
@@ -50,7 +50,7 @@
 	j, err := tryOpen(d.Dir(), set)
 	must(t, err)
 	if len(j.Leaves) > 0 || j.Leaf(1) != nil {
-		t.Errorf("left: %+v", j.Leaves)
+		t.Errorf("leaves are not dropped: %+v", j.Leaves)
 	}
 	if err := j.put(&engine.RecLedgerLeaf{Number: 1, Text: make([]byte, 1000)}); err == nil {
 		t.Error("a leaf of 1000 bytes is accepted")
--- a/internal/journal/load_test.go
+++ b/internal/journal/load_test.go
@@ -14,14 +14,15 @@
 // stream is a load of messages that are accepted, attempted, and ended after a number of later messages.
 type stream struct {
 	*store
-	body, life int
-	keep       int // number of messages for which the id of an ended one is kept
-	from, to   int // live messages
+	body, life int // bytes in a body; number of live messages above which the oldest one is ended
+	keep       int // the id of an ended message is kept while this many more messages are accepted
+	from, to   int // range of the numbers of live messages
 	refused    int
 	appended   int // approximate bytes appended in the last round
-	largest    int
+	largest    int // approximate size of the largest record so far
 }
 
+// round runs one round of the load and flushes it.
 func (s *stream) round(t testing.TB, messages int) {
 	t.Helper()
 	s.appended = 0
@@ -61,7 +62,8 @@
 }
 
 // At three times the usual rate, with each message living its full time, a Flush writes no more than its bound and
-// removes two segments at most, whatever is live. The disk limit is never exceeded, and only messages are refused.
+// removes two segments at most, whatever is live. The disk limit is never exceeded, and only new messages are refused,
+// not attempts or ends.
 func TestCompactionKeepsItsBoundUnderAnyLoad(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -96,7 +98,7 @@
 			worst = max(worst, float64(wrote)/float64(s.appended+1))
 			total += wrote
 			if peak = max(peak, d.Used()); peak > c.disk {
-				t.Fatalf("%+v, round %d: %d bytes on disk", c, i, peak)
+				t.Fatalf("%+v, round %d: %d bytes on disk, more than the limit", c, i, peak)
 			}
 			if removed > 0 && i%50 == 0 {
 				if why := s.CheckTable(); why != "" {
@@ -105,7 +107,7 @@
 			}
 		}
 		if c.life > 1<<19 != (s.refused > 0) {
-			t.Errorf("%+v: %d refused, %d live", c, s.refused, s.to-s.from)
+			t.Errorf("%+v: %d messages refused, %d live", c, s.refused, s.to-s.from)
 		}
 		t.Logf("%+v: %d rounds, %d bytes a message, at most %d on disk, %d live, %d refused", c, rounds, total/max(s.to, 1), peak, s.to-s.from, s.refused)
 		if k := reopen(t, d, c.disk); len(k.Live) != s.to-s.from {
@@ -123,7 +125,7 @@
 	must(t, j.put(acceptedOfSize("large", 200<<10)))
 	for _, size := range []int{400 << 10, 600 << 10, 1 << 20, 4 << 20} {
 		if err := j.put(acceptedOfSize("too large", size)); !errors.Is(err, engine.ErrFull) {
-			t.Fatalf("%d bytes: %v", size, err)
+			t.Fatalf("a message of %d bytes: error %v, want ErrFull", size, err)
 		}
 	}
 	for i := range 3000 {
@@ -133,7 +135,7 @@
 		}
 		must(t, j.put(ended(id)))
 		if n := d.Used(); n > disk {
-			t.Fatalf("%d bytes on disk", n)
+			t.Fatalf("%d bytes on disk, more than the limit", n)
 		}
 	}
 	if j = reopen(t, d, disk); j.ids() != "large" || len(j.message("large").Message.Body) != 200<<10 {
@@ -143,8 +145,8 @@
 	must(t, j.put(acceptedOfSize("again", 200<<10)))
 }
 
-// What does not fit is refused before it is written. A batch without new messages is refused only if there is no room
-// at all. New messages are refused while the records that must follow them would have no room.
+// A batch that does not fit is refused before it is written. One without new messages is refused only if it exceeds
+// the disk limit. One with new messages is also refused if the records that must follow them would have no room.
 func TestBatchesWithoutRoomAreRefused(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
@@ -155,9 +157,9 @@
 		large.List = append(large.List, engine.RecAttempt{ID: "a", Zone: 1})
 	}
 	if err := j.put(large); !errors.Is(err, engine.ErrFull) {
-		t.Fatalf("a batch larger than the disk: %v", err)
+		t.Fatalf("a batch larger than the disk: error %v, want ErrFull", err)
 	}
-	for round := range 40 { // much is obsolete already, and much more comes than there is room for
+	for round := range 40 { // much is obsolete already, and each round appends far more than there is room for
 		refused := 0
 		var ends []engine.Record
 		for i := range 30 {
@@ -185,6 +187,7 @@
 	}
 }
 
+// An id can be accepted again after its message has ended, whether or not the ended id is kept.
 func TestIDIsReusableAfterEnd(t *testing.T) {
 	t.Parallel()
 	for _, until := range []engine.Timestamp{0, now + 1000} {
@@ -228,11 +231,11 @@
 		t.Fatalf("segments %v", segments(d))
 	}
 	must(t, j.put(append(ends, ended("never there"))...))
-	must(t, j.put(ends...)) // once more: this has no effect
+	must(t, j.put(ends...)) // a second end has no effect
 	turnOver(t, j, d)
 	j = reopen(t, d, 256<<10)
 	if len(j.Live) != 0 || len(j.Ended) != 100 {
-		t.Errorf("live %s, %d ended, want 100: the others' time is over", j.ids(), len(j.Ended))
+		t.Errorf("live %s, %d ended, want 100: the other ids have expired", j.ids(), len(j.Ended))
 	}
 }
 
@@ -250,20 +253,21 @@
 		t.Fatalf("%d live", len(j.Live))
 	}
 	if err := j.put(accepted("new")); !errors.Is(err, engine.ErrFull) {
-		t.Fatalf("accepted: %v", err)
+		t.Fatalf("error %v, want ErrFull", err)
 	}
 	for i := range 450 {
 		must(t, j.put(ended(fmt.Sprint("m", i))))
 	}
 	must(t, j.putWithRetry(accepted("new")))
 	if n := d.Used(); n > disk {
-		t.Errorf("%d bytes on disk", n)
+		t.Errorf("%d bytes on disk, more than the limit", n)
 	}
 	if j = reopen(t, d, disk); len(j.Live) != 51 {
 		t.Errorf("%d live", len(j.Live))
 	}
 }
 
+// Open refuses invalid settings with an error that names the field.
 func TestSettingsAreChecked(t *testing.T) {
 	t.Parallel()
 	good := settings(journal.MinDisk)
@@ -279,7 +283,7 @@
 		s := good
 		change(&s)
 		if _, err := tryOpen(memdir.New().Dir(), s); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("want an error about %s, got %v", want, err)
 		}
 	}
 }
--- a/internal/journal/model_test.go
+++ b/internal/journal/model_test.go
@@ -9,14 +9,14 @@
 	"curlewmux/engine"
 )
 
-// model is a plain implementation of what records mean.
+// model is a simple implementation of the meaning of records, with which the state of a journal is compared.
 type model struct {
-	order   []string
+	order   []string // ids of live messages, in the order in which they were accepted
 	live    map[string]*engine.RestoredMessage
-	newest  map[string]bool // the doubt is about the newest attempt
+	newest  map[string]bool // ids whose doubt is about the newest attempt alone
 	ended   map[string]*engine.RestoredEnd
 	leaves  map[uint64]string
-	written engine.Timestamp
+	written engine.Timestamp // latest time in any record
 }
 
 func newModel() *model {
@@ -98,7 +98,8 @@
 	}
 }
 
-// differs describes how a journal's state differs from the model, "" if it does not. An expired id may be forgotten.
+// differs describes how a journal's state differs from the model, or returns "" if it does not. Ids of ended messages
+// that have expired may be missing in either.
 func (m *model) differs(s *store) string {
 	var got []string
 	for _, r := range s.Live {
@@ -119,7 +120,7 @@
 	}
 	for id, e := range m.ended {
 		if !seen[id] && e.Until >= s.Last.LatestTimestamp {
-			return fmt.Sprintf("ended %s is forgotten", id)
+			return fmt.Sprintf("the id of ended message %s is forgotten", id)
 		}
 	}
 	have := map[uint64]string{}
@@ -130,7 +131,7 @@
 		return fmt.Sprintf("leaves %v, want %v", have, m.leaves)
 	}
 	if s.Last.LatestTimestamp != m.written {
-		return fmt.Sprintf("written %d, want %d", s.Last.LatestTimestamp, m.written)
+		return fmt.Sprintf("latest timestamp %d, want %d", s.Last.LatestTimestamp, m.written)
 	}
 	return ""
 }
--- a/internal/journal/rig_test.go
+++ b/internal/journal/rig_test.go
@@ -14,13 +14,14 @@
 
 const now = engine.Timestamp(1_764_550_000_000_000)
 
-// store is a journal under test and the state that it had when it was opened.
+// store is a journal under test, with the state that Open returned. batch is the number of the last batch.
 type store struct {
 	*journal.Journal
 	*journal.State
 	batch engine.Batch
 }
 
+// settings returns valid settings without syncing.
 func settings(disk int64) journal.Settings {
 	r := rand.New(rand.NewPCG(1, 2))
 	return journal.Settings{Disk: disk, Random: r.Uint64, KeepLeaves: true}
@@ -62,8 +63,8 @@
 	return nil
 }
 
-// putWithRetry stores records as one batch. While the journal is full it tries again, as often as the journal needs
-// to notice that there is room.
+// putWithRetry stores records as one batch. While the journal is full it tries again, often enough for the journal to
+// notice that there is room.
 func (s *store) putWithRetry(records ...engine.Record) (err error) {
 	for range 20 {
 		if err = s.put(records...); !errors.Is(err, engine.ErrFull) {
@@ -108,7 +109,7 @@
 	return &engine.RecEnded{ID: id, Disposition: engine.Delivered}
 }
 
-// ids returns the ids of the live messages.
+// ids returns the ids of the live messages as Open restored them.
 func (s *store) ids() string {
 	var out []string
 	for _, r := range s.Live {
@@ -117,6 +118,7 @@
 	return strings.Join(out, " ")
 }
 
+// message returns the live message with an id as Open restored it, or nil.
 func (s *store) message(id string) *engine.RestoredMessage {
 	for _, r := range s.Live {
 		if r.Message.ID == id {
@@ -126,7 +128,7 @@
 	return nil
 }
 
-// segments returns the names of the log's files.
+// segments returns the names of the segment files, oldest first.
 func segments(d *memdir.Disk) (out []string) {
 	for _, name := range d.Names() {
 		if strings.HasSuffix(name, ".seg") {
--- a/internal/journal/sync_test.go
+++ b/internal/journal/sync_test.go
@@ -19,12 +19,13 @@
 	"curlewmux/internal/journal/memdir"
 )
 
-// openSynced opens a journal that syncs when run is called. stored holds what OnStored was called with.
+// openSynced opens a journal that syncs when run is called. stored lists the arguments of all calls of OnStored.
 func openSynced(t *testing.T, d *memdir.Disk, sync journal.Sync) (j *store, stored *[]engine.Batch, run func()) {
 	t.Helper()
 	return openSyncedOnDisk(t, d, sync, 1e6)
 }
 
+// openSyncedOnDisk is openSynced with a disk limit.
 func openSyncedOnDisk(t *testing.T, d *memdir.Disk, sync journal.Sync, disk int64) (j *store, stored *[]engine.Batch, run func()) {
 	t.Helper()
 	var work []func()
@@ -45,6 +46,7 @@
 	}
 }
 
+// countSyncs counts the syncs of files from now on.
 func countSyncs(d *memdir.Disk) *int {
 	n := new(int)
 	d.Fault = func(op memdir.Op) memdir.Fault {
@@ -60,7 +62,7 @@
 func TestOneSyncCoversSeveralFlushes(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
-	j, list, run := openSynced(t, d, journal.SyncAlways)
+	j, stored, run := openSynced(t, d, journal.SyncAlways)
 	n := countSyncs(d)
 	flush := func(b engine.Batch) {
 		must(t, j.Append(b, []engine.Record{accepted(fmt.Sprint("m", b))}))
@@ -71,12 +73,12 @@
 	for b := range engine.Batch(5) {
 		flush(b + 1)
 	}
-	if len(*list) > 0 {
-		t.Fatalf("reported %v before any sync", *list)
+	if len(*stored) > 0 {
+		t.Fatalf("reported %v before any sync", *stored)
 	}
 	run()
-	if *n != 1 || len(*list) != 1 || (*list)[0] != 5 {
-		t.Errorf("%d syncs, reported %v", *n, *list)
+	if *n != 1 || len(*stored) != 1 || (*stored)[0] != 5 {
+		t.Errorf("%d syncs, reported %v", *n, *stored)
 	}
 	flush(6)
 	run()
@@ -89,12 +91,12 @@
 	}
 }
 
-// A failed sync means that its batches are not stored. This is reported, they are gone at once and after a restart,
-// and later batches count.
+// A failed sync undoes its batches. The error is reported, the batches have no effect at once and after a restart, and
+// later batches are stored.
 func TestFailedSyncUndoesItsBatches(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
-	j, list, run := openSynced(t, d, journal.SyncAlways)
+	j, stored, run := openSynced(t, d, journal.SyncAlways)
 	must(t, j.Append(1, []engine.Record{accepted("a"), accepted("b")}))
 	j.Flush()
 	run()
@@ -111,42 +113,42 @@
 	must(t, j.Append(4, []engine.Record{accepted("d")})) // not flushed yet
 	run()
 	d.Fault = nil
-	if !slices.Equal(*list, []engine.Batch{1, 1}) { // nothing new is stored, but Flush has an error to return
-		t.Fatalf("reported %v", *list)
+	if !slices.Equal(*stored, []engine.Batch{1, 1}) { // the second call says that Flush has an error to return
+		t.Fatalf("reported %v", *stored)
 	}
 	if err := j.Append(5, []engine.Record{accepted("e")}); !errors.Is(err, syscall.EIO) {
-		t.Fatalf("appended behind what is taken back: %v", err)
+		t.Fatalf("a batch after undone ones: error %v, want that of the sync", err)
 	}
-	if b, err := j.Flush(); b != 1 || !errors.Is(err, syscall.EIO) { // batch 4 was appended to what is undone
+	if b, err := j.Flush(); b != 1 || !errors.Is(err, syscall.EIO) { // batch 4 is undone with those before it
 		t.Fatalf("stored up to %d, %v", b, err)
 	}
 	must(t, j.Append(6, []engine.Record{accepted("a2"), attempt(now, "a", 1)}))
 	j.Flush()
 	run()
-	if last := (*list)[len(*list)-1]; last != 6 {
-		t.Errorf("reported %v", *list)
+	if last := (*stored)[len(*stored)-1]; last != 6 {
+		t.Errorf("reported %v", *stored)
 	}
 	if why := j.CheckTable(); why != "" {
 		t.Error(why)
 	}
-	for _, power := range []bool{false, true} {
+	for _, powerFails := range []bool{false, true} {
 		c := d.Clone()
-		if power {
+		if powerFails {
 			c.PowerFail(func(int) int { return 0 })
 		}
 		k := open(t, c.Dir(), 1e6)
 		if k.ids() != "a b a2" || k.message("b").Pending != nil || k.message("a").Tries != 1 || string(k.message("b").Message.Body) == "" {
-			t.Errorf("power failure %v: live %s", power, k.ids())
+			t.Errorf("power failure %v: live %s", powerFails, k.ids())
 		}
 	}
 }
 
-// When a write fails, no batch behind the stored ones may become stored later. Writes that wait for their sync are
+// When a write fails, no batch after the stored ones may become stored later. So writes that wait for their sync are
 // undone, too, and that sync does not report them.
 func TestFailedWriteUndoesUnsyncedBatches(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
-	j, list, run := openSynced(t, d, journal.SyncAlways)
+	j, stored, run := openSynced(t, d, journal.SyncAlways)
 	must(t, j.Append(1, []engine.Record{accepted("a")}))
 	j.Flush()
 	run()
@@ -161,14 +163,14 @@
 	must(t, j.Append(4, []engine.Record{accepted("d")}))
 	j.Flush()
 	run()
-	if last := (*list)[len(*list)-1]; last != 4 || slices.Contains(*list, 2) || slices.Contains(*list, 3) {
-		t.Errorf("reported %v", *list)
+	if last := (*stored)[len(*stored)-1]; last != 4 || slices.Contains(*stored, 2) || slices.Contains(*stored, 3) {
+		t.Errorf("reported %v", *stored)
 	}
 	if b, err := j.Flush(); b != 4 || err != nil {
 		t.Errorf("stored up to %d, %v", b, err)
 	}
 	if k := reopen(t, d, 1e6); k.ids() != "a d" || !k.Findings.OK() {
-		t.Errorf("live %s, found %+v", k.ids(), k.Findings)
+		t.Errorf("live %s, findings %+v", k.ids(), k.Findings)
 	}
 }
 
@@ -196,16 +198,17 @@
 	return f.File.Sync()
 }
 
-// The same while the sync is under way. It then succeeds.
+// When a write fails while an earlier write is being synced, that earlier write is undone, too. Its sync succeeds and
+// does not report it.
 func TestRunningSyncIgnoresUndoneBatches(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	dir := &hookedDir{Dir: d.Dir()}
 	var work []func()
-	var list []engine.Batch
+	var stored []engine.Batch
 	set := settings(1e6)
 	set.Sync, set.Go = journal.SyncAlways, func(f func()) { work = append(work, f) }
-	set.OnStored = func(b engine.Batch) { list = append(list, b) }
+	set.OnStored = func(b engine.Batch) { stored = append(stored, b) }
 	j, err := tryOpen(dir, set)
 	must(t, err)
 	must(t, j.Append(1, []engine.Record{accepted("a")}))
@@ -230,8 +233,8 @@
 		work = work[1:]
 		f()
 	}
-	if slices.Contains(list, 1) || slices.Contains(list, 2) || !slices.Contains(list, 3) {
-		t.Errorf("reported %v", list)
+	if slices.Contains(stored, 1) || slices.Contains(stored, 2) || !slices.Contains(stored, 3) {
+		t.Errorf("reported %v", stored)
 	}
 	d.PowerFail(func(int) int { return 0 })
 	if k := open(t, d.Dir(), 1e6); k.ids() != "c" {
@@ -264,7 +267,7 @@
 	// What the failed sync covered is lost when the power fails, including what was written before it.
 	first := segments(d)[0]
 	if len(segments(d)) > 1 || first == "journal-00000001.seg" {
-		t.Errorf("segments %v: the one that could not be synced is still needed", segments(d))
+		t.Errorf("segments %v: the one that could not be synced is not replaced", segments(d))
 	}
 	d.PowerFail(func(int) int { return 0 })
 	if k := open(t, d.Dir(), 1e6); k.ids() != "a" || k.message("a").DoubtAt != now {
@@ -304,14 +307,15 @@
 				c := d.Clone()
 				c.PowerFail(rand.New(rand.NewPCG(seed, uint64(n))).IntN)
 				if k := open(t, c.Dir(), 1e6); k.message("old") == nil {
-					t.Fatalf("sync %d, %d rounds: live %s, found %+v", sync, n, k.ids(), k.Findings)
+					t.Fatalf("sync %d, %d rounds: live %s, findings %+v", sync, n, k.ids(), k.Findings)
 				}
 			}
 		}
 	}
 }
 
-// The same with a real syncing goroutine on the operating system's files.
+// SyncAlways works with a real syncing goroutine and the operating system's files: all batches are reported as stored,
+// and found after a restart.
 func TestSyncAlwaysOnRealFiles(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -357,8 +361,8 @@
 	must(t, j.Close())
 }
 
-// The wall clock is stepped by an hour either way while messages are live. All times that were written before move
-// along, also through restarts and compaction, and no id is forgotten too early.
+// The wall clock is stepped by an hour in either direction while messages are live. All times that were written before
+// move by the same amount, also through restarts and compaction, and no id is forgotten too early.
 func TestClockStepMovesStoredTimes(t *testing.T) {
 	t.Parallel()
 	const hour = 3_600_000_000
@@ -379,16 +383,16 @@
 			}
 			j = reopen(t, d, 256<<10)
 			if r := j.message("held"); r.Deadline != then+hour || r.DoubtAt != then+1e6 {
-				t.Errorf("step %d, compacted %v: held %+v", by, compacted, r)
+				t.Errorf("step %d, compacted %v: message held: %+v", by, compacted, r)
 			}
 			if r := j.message("tried"); r.Deadline != then+hour || r.DoubtAt != then {
-				t.Errorf("step %d, compacted %v: tried %+v", by, compacted, r)
+				t.Errorf("step %d, compacted %v: message tried: %+v", by, compacted, r)
 			}
 			if len(j.Ended) != 1 || j.Ended[0].Until != then+60e6 {
 				t.Errorf("step %d, compacted %v: ended %+v", by, compacted, j.Ended)
 			}
 			if j.Last.LatestTimestamp != then+1e6 {
-				t.Errorf("step %d, compacted %v: written %d", by, compacted, j.Last.LatestTimestamp-then)
+				t.Errorf("step %d, compacted %v: latest timestamp %d after the step", by, compacted, j.Last.LatestTimestamp-then)
 			}
 		}
 		j.Tick(then + 61e6) // the id expires
@@ -399,20 +403,20 @@
 	}
 }
 
-// If the clock was set back while the process was down, the state still has the time of the last record.
+// The latest time in any record is restored, so that a clock that was set back while the process was down is noticed.
 func TestLatestTimeSurvivesRestart(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
 	j := open(t, d.Dir(), 256<<10)
 	must(t, j.put(accepted("a"), attempt(now+5, "a", 1)))
 	must(t, j.put(&engine.RecNeverRan{ID: "a"}))
-	turnOver(t, j, d) // the attempt's own record is gone
+	turnOver(t, j, d) // the segment with the record of the attempt is removed
 	if j = reopen(t, d, 256<<10); j.Last.LatestTimestamp != now+5 {
-		t.Errorf("written %d", j.Last.LatestTimestamp-now)
+		t.Errorf("latest timestamp is %d after now", j.Last.LatestTimestamp-now)
 	}
 	must(t, j.put(&engine.RecState{ID: "a", Tries: 1, DoubtAt: now + 9}))
 	if j = reopen(t, d, 256<<10); j.Last.LatestTimestamp != now+9 {
-		t.Errorf("written %d", j.Last.LatestTimestamp-now)
+		t.Errorf("latest timestamp is %d after now", j.Last.LatestTimestamp-now)
 	}
 }
 
@@ -446,8 +450,8 @@
 	}
 }
 
-// A real process is killed with SIGKILL at a random moment, some dozens of times. What it had confirmed is there, and
-// of the rest some number of the first batches. A start is never refused, though the lock file is left behind.
+// A real process is killed with SIGKILL at a random moment, some dozens of times. All that it had confirmed is restored,
+// and of the later batches the first few. A start is never refused, although the lock file is left behind.
 func TestKilledProcessLosesNothing(t *testing.T) {
 	t.Parallel()
 	rnd := rand.New(rand.NewPCG(1, 3))
@@ -468,7 +472,7 @@
 			}
 		}
 		if err := cmd.Wait(); err == nil || rounds < stop {
-			t.Fatalf("the child ended by itself after %d rounds: %v", rounds, err)
+			t.Fatalf("the child process ended by itself after %d rounds: %v", rounds, err)
 		}
 		w := childSimulation(nil)
 		must(t, w.start(true))
@@ -495,8 +499,8 @@
 	}
 }
 
-// On a disk that others have filled, accepted messages have room for their end, and no new one is accepted. Once
-// there is room, messages are accepted again.
+// On a disk that other programs have filled, the ends of accepted messages are stored and no new message is accepted.
+// Once there is room, messages are accepted again.
 func TestFullDiskStoresEnds(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
@@ -513,7 +517,7 @@
 		must(t, j.put(&engine.RecEnded{ID: id, Disposition: engine.Failed, Until: now + 1e6}))
 		if i > 10 {
 			if err := j.put(accepted("new")); !errors.Is(err, engine.ErrFull) {
-				t.Fatalf("accepted: %v", err)
+				t.Fatalf("a message on a full disk: error %v, want ErrFull", err)
 			}
 		}
 	}
@@ -524,10 +528,11 @@
 	}
 }
 
-// The same if nothing is ever flushed, because nothing else arrives: a refused batch makes room itself.
+// Once there is room, messages are accepted again even if nothing is flushed because nothing else arrives: a refused
+// batch makes room itself.
 func TestAcceptingResumesWithoutFlush(t *testing.T) {
 	t.Parallel()
-	again := func(j *store) error {
+	appendNew := func(j *store) error {
 		for range 40 {
 			j.batch++
 			err := j.Append(j.batch, []engine.Record{accepted("new")})
@@ -535,7 +540,7 @@
 				return err
 			}
 		}
-		return errors.New("still refused")
+		return errors.New("all 40 batches are refused")
 	}
 	d := memdir.New() // a full disk
 	j := open(t, d.Dir(), 1e6)
@@ -544,12 +549,12 @@
 	for i := range 60 {
 		must(t, j.put(attempt(now, "a", i)))
 	}
-	d.SetCapacity(d.Used()) // others took the space of the spare file
-	if err := again(j); err == nil {
-		t.Fatal("accepted while the disk is full")
+	d.SetCapacity(d.Used()) // others took the space that the spare file had
+	if err := appendNew(j); err == nil {
+		t.Fatal("a message is accepted on a full disk")
 	}
 	d.SetCapacity(0)
-	must(t, again(j))
+	must(t, appendNew(j))
 
 	d = memdir.New() // a journal full of ended messages
 	j = open(t, d.Dir(), 256<<10)
@@ -564,7 +569,7 @@
 	if _, err := j.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	must(t, again(j))
+	must(t, appendNew(j))
 }
 
 // Guards against a journal that never accepts a message again. Each failed sync makes the journal copy all live
