--- a/internal/journal/check.go
+++ b/internal/journal/check.go
@@ -17,8 +17,8 @@
 	Format        int // of the records, 0 if there are none
 	Owner         string
 	Segments      []Segment
-	ObsoleteFiles []string // files that hold nothing needed
-	Bytes         int64    // disk use of all files of the journal, in whole blocks
+	ObsoleteFiles []string // files whose content is no longer needed
+	Bytes         int64    // disk use of all files of the journal, each in whole blocks
 }
 
 // Segment is one file that is in use.
@@ -28,8 +28,7 @@
 	ValidBytes int64 // size of its valid part
 }
 
-// Check reads a folder without changing it. If a process is writing there, the report shows the state of a moment
-// ago. An error means that the folder can't be read, ErrNewerFormat that a newer program wrote it.
+// Check reads a folder without changing it. If a process is writing there, the report shows a recent state. An error means that the folder can't be read, ErrNewerFormat that a newer program wrote it.
 func Check(dir Dir) (*Report, error) {
 	for attempt := 0; ; attempt++ {
 		r, err := checkOnce(dir)
@@ -43,6 +42,7 @@
 	}
 }
 
+// checkOnce is Check without another try when segments are removed meanwhile.
 func checkOnce(dir Dir) (*Report, error) {
 	names, err := dir.List()
 	if err != nil {
--- a/internal/journal/codec.go
+++ b/internal/journal/codec.go
@@ -57,11 +57,11 @@
 
 var errTruncated = errors.New("record is cut short")
 
-// reader decodes fields. After a short read all values are zero and err is set.
+// reader decodes fields. Once a field is cut short, err is set and all further values are zero.
 type reader struct {
 	buf      []byte
 	err      error
-	interned map[string]string // texts that internedText has read, nil to share none
+	interned map[string]string // texts that internedText has read; nil if texts are not shared
 }
 
 func (r *reader) fail() { r.err, r.buf = errTruncated, nil }
@@ -173,9 +173,9 @@
 
 // doubt says whether and since when a message may have run.
 type doubt struct {
-	since         engine.Timestamp // when the first attempt that may have run was sent, 0 if there is none
+	since         engine.Timestamp // when the first attempt that may have run was made, 0 if there is none
 	zone          int
-	newestAttempt bool // that attempt is the newest one and its outcome is open: it may still prove that it never ran
+	newestAttempt bool // the doubt is about the newest attempt alone, whose outcome is open: a proof that it never ran ends the doubt
 }
 
 func putMessage(b []byte, num uint64, m *engine.Message, deadline engine.Timestamp) []byte {
--- a/internal/journal/compact.go
+++ b/internal/journal/compact.go
@@ -4,8 +4,8 @@
 	"encoding/binary"
 )
 
-// shouldCompact reports whether copying is worthwhile: when half of the log is obsolete and the log is not small, or
-// when the disk fills up.
+// shouldCompact reports whether the oldest segment is to be copied: always if it is to be replaced, else if half of the
+// log is obsolete and the log is not small, or if the disk fills up.
 func (j *Journal) shouldCompact() bool {
 	if len(j.segments) > 0 && j.segments[0].seq <= j.rewriteUpTo {
 		return true
@@ -17,8 +17,8 @@
 	return j.segmentBytes > min(2*j.liveBytes+6*j.segmentSize, room/4*3, room-j.reserve(0)-j.segmentSize)
 }
 
-// compact appends copies of the live content of the oldest segments to buf, and drops segments with nothing left in
-// them.
+// compact appends copies of the live content of the oldest segments to buf, and drops segments that hold nothing needed
+// any more. The work of one call is bounded.
 func (j *Journal) compact() {
 	budget := min(copyBytesPerFlush, int(j.segmentSize)/2) + copyFactor*len(j.buf)
 	copied := 0
@@ -46,8 +46,8 @@
 	}
 }
 
-// forgetExpired checks some nodes, a few more than are appended, and forgets expired ids. Nothing is written for
-// that.
+// forgetExpired checks some nodes, a few more than are appended, and forgets expired ids. Forgetting writes nothing to
+// the log.
 func (j *Journal) forgetExpired() {
 	for range min(expiryScanNodes+2*len(j.frameStarts), j.count) {
 		n := j.expiryCursor
@@ -107,7 +107,7 @@
 	j.updateLargest()
 }
 
-// restoreObsolete brings back the segments that a write made obsolete.
+// restoreObsolete brings back the segments that a write made obsolete, as the write is undone.
 func (j *Journal) restoreObsolete(f *pendingWrite) {
 	if len(f.obsolete) == 0 {
 		return
@@ -121,6 +121,7 @@
 	j.updateLargest()
 }
 
+// updateLargest sets largestSegment.
 func (j *Journal) updateLargest() {
 	j.largestSegment = 0
 	for _, s := range j.segments {
--- a/internal/journal/dir.go
+++ b/internal/journal/dir.go
@@ -32,7 +32,7 @@
 
 	// Lock locks the folder with an empty file of that name, which is created if needed. It does not wait: it returns
 	// ErrLocked if the folder has an owner. The lock ends with Close or with the process, in whatever way that ends.
-	// The existence of the file means nothing.
+	// A file that is left behind locks nothing.
 	Lock(name string) (io.Closer, error)
 }
 
--- a/internal/journal/echo.go
+++ b/internal/journal/echo.go
@@ -3,8 +3,8 @@
 import "encoding/binary"
 
 // Facts are usually repeated twice: once when the log has grown by at least a block, and once in a later segment. So
-// neither damage of up to one block nor the loss of one segment loses a fact, except for the newest ones. It stays
-// known which messages ended and which were attempted.
+// neither damage of up to one block nor the loss of one segment loses a fact, except for the newest ones. So it
+// remains known which messages ended and which were attempted.
 
 // repeatQueue holds the facts that are still to be repeated, oldest first. Each chunk has a number that only grows.
 type repeatQueue struct {
@@ -23,11 +23,13 @@
 	repeatSegment uint64 // segment of the first repetition
 }
 
+// add appends the facts of a write.
 func (e *repeatQueue) add(first uint64, facts []byte, seg uint64, end int64) {
 	e.chunks = append(e.chunks, factChunk{first, append([]byte(nil), facts...), seg, end, 0})
 }
 
-// trim forgets the chunks before a number once they are half of all, so that it costs no more than adding them did.
+// trim removes the chunks before a number once they are half of all chunks, so that trimming costs no more than
+// adding them did.
 func (e *repeatQueue) trim(n int) {
 	if n-e.base < len(e.chunks)/2 || n == e.base {
 		return
@@ -37,6 +39,7 @@
 	e.chunks, e.base = e.chunks[:left], n
 }
 
+// undoWrite removes the facts of a write that is undone, and takes back its repetitions.
 func (e *repeatQueue) undoWrite(f *pendingWrite) {
 	e.nextFirst, e.nextSecond = f.nextFirst, f.nextSecond
 	n := len(e.chunks)
@@ -55,7 +58,7 @@
 	}
 	queue := &j.repeats
 	seg, room := j.targetSegment(), len(j.buf)+blockSize
-	frameStart := j.bytesWritten + int64(len(j.buf)) // all repetitions of one write start in one frame
+	frameStart := j.bytesWritten + int64(len(j.buf)) // the repetitions of this write start in the frame that begins here
 	for ; queue.nextFirst < queue.base+len(queue.chunks); queue.nextFirst++ {
 		c := &queue.chunks[queue.nextFirst-queue.base]
 		if c.segment == seg && c.end+blockSize > frameStart {
@@ -76,6 +79,7 @@
 	}
 }
 
+// putRepeat appends the facts of a chunk to buf.
 func (j *Journal) putRepeat(c *factChunk) {
 	j.beginCopyFrame()
 	j.buf = binary.AppendUvarint(append(j.buf, byte(kindRepeat)), c.firstFact)
--- a/internal/journal/frame.go
+++ b/internal/journal/frame.go
@@ -21,7 +21,7 @@
 	return checksum(b[:])
 }
 
-// appendFrameHeader appends room for a header. The payload is appended behind it.
+// appendFrameHeader appends room for a header. The caller appends the payload after it.
 func appendFrameHeader(b []byte) []byte { return append(b, make([]byte, frameHeaderSize)...) }
 
 // fillFrameHeader fills in the header of a frame that is to be written at off.
@@ -40,7 +40,7 @@
 
 // scanFrames calls use with the payload of each valid frame from offset at on, with the frame's offset and with the
 // end of the valid frame before it. If the two differ, the bytes between them are damaged. What follows the last
-// valid frame is an unfinished write, or damage that can't be told from one.
+// valid frame is an unfinished write, or damage that looks like one.
 func scanFrames(text []byte, salt uint64, at int64, use func(payload []byte, at, after int64)) scanResult {
 	result := scanResult{validEnd: at}
 	for n := int64(len(text)); at+frameHeaderSize <= n; {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -28,13 +28,13 @@
 	Sync      Sync
 	SyncEvery time.Duration                   // interval between two syncs, for SyncInterval; more than 0
 	Go        func(func())                    // runs a function on a goroutine of its own; required unless Sync is SyncNone
-	After     func(d time.Duration, f func()) // the same after a delay; required for SyncInterval
+	After     func(d time.Duration, f func()) // runs a function on a goroutine of its own after a delay; required for SyncInterval
 	OnStored  func(upTo engine.Batch)         // see SyncAlways; called on the syncing goroutine
 
 	KeepLeaves bool // keep the leaves of the ledger; otherwise Open drops those in the folder
 
-	Random func() uint64 // its numbers distinguish segments and journals; required
-	Log    *slog.Logger
+	Random func() uint64 // source of the numbers that tell segments and journals apart; required
+	Log    *slog.Logger  // nil for none
 }
 
 // Sync says when written data is made to survive a power failure. It survives the end of the process in any case.
@@ -62,7 +62,7 @@
 	minSegmentSize    = 4 << 10 // smallest size at which a segment is complete
 	maxSegmentSize    = 4 << 20 // largest size at which a segment is complete
 	copyFrameSize     = 4 << 10 // approximate size of a frame of copies
-	copyBytesPerFlush = 8 << 10 // bytes that a Flush copies besides copyFactor (or half a segment, if less)
+	copyBytesPerFlush = 8 << 10 // bytes that a Flush copies in addition to copyFactor; half a segment if that is less
 	copyFactor        = 4       // bytes copied for each byte that a Flush writes
 	removalsPerFlush  = 2       // segments that a Flush removes at most
 	expiryScanNodes   = 16      // nodes that a Flush checks for expiry, in addition to two for each frame that it writes
@@ -153,6 +153,7 @@
 	Findings Findings
 }
 
+// blocks rounds a size up to whole blocks.
 func blocks(n int64) int64 { return (n + blockSize - 1) / blockSize * blockSize }
 
 func (s *Settings) check() error {
@@ -173,8 +174,8 @@
 	return nil
 }
 
-// Capacity returns how many messages a journal holds at least on a disk of so many bytes, if each has size bytes in
-// its texts and body. Ids of ended messages that are still kept count as messages without a body.
+// Capacity returns how many messages a journal with this disk limit holds at least, if the texts and the body of each
+// have size bytes in total. Ids of ended messages that are still kept count as messages without a body.
 func Capacity(disk int64, size int) int {
 	j := &Journal{settings: Settings{Disk: disk}, segmentSize: segmentSize(disk)}
 	return int(max(j.maxLiveBytes(), 0) / (nodeCost + int64(size)))
@@ -252,7 +253,7 @@
 		}
 	}
 	if result.findings.isDamaged() {
-		j.rewriteUpTo = j.lastSeq // the damaged segments go once their content is copied
+		j.rewriteUpTo = j.lastSeq // the damaged segments are removed once their content is copied
 	}
 	if len(result.v1Files) == 0 {
 		return nil
@@ -340,17 +341,18 @@
 }
 
 // reserve returns the space that new messages must leave free, so that the oldest segment can always be copied and
-// accepted messages can always be ended.
+// accepted messages can always be ended. growth is the size of the write that is to be checked, or 0.
 func (j *Journal) reserve(growth int64) int64 {
 	return 2*blocks(j.segmentSize) + blocks(max(j.segmentSize, j.largestSegment, growth))
 }
 
-// maxLiveBytes returns how much of the disk the copies of all messages may take. The rest keeps compaction cheap: a
-// round that copies everything frees at least that much.
+// maxLiveBytes returns how many bytes the copies of all messages may take. The rest of the disk keeps compaction cheap:
+// a round that copies everything frees at least that much.
 func (j *Journal) maxLiveBytes() int64 {
 	return (j.settings.Disk - j.foreignBytes - 4*j.segmentSize - j.spareSize()) / 8 * 5
 }
 
+// diskLimit returns the limit of the disk use at present.
 func (j *Journal) diskLimit() int64 { return max(j.settings.Disk, j.graceLimit) }
 
 // needsNewSegment reports whether the next write creates a segment.
@@ -366,7 +368,7 @@
 	return j.newest.seq
 }
 
-// growth returns by how much the next write lets the folder grow at most.
+// growth returns how many bytes the next write adds to the folder at most.
 func (j *Journal) growth() int64 {
 	return blocks(int64(len(j.buf))+headerCopyOffset+maxHeaderSize) + blockSize
 }
@@ -393,7 +395,7 @@
 	if accepts && (j.liveBytes > liveBefore && j.liveBytes > j.maxLiveBytes() || j.spare.missing ||
 		j.used()+j.growth()+j.reserve(j.growth()) > j.settings.Disk) {
 		j.revertTo(m)
-		if len(j.buf) == 0 { // a caller may not flush after a refusal, and a flush makes room
+		if len(j.buf) == 0 { // a caller might not flush after a refusal, and a flush makes room
 			j.flush()
 		}
 		return fmt.Errorf("journal: batch %d: %w", b, engine.ErrFull)
@@ -409,6 +411,7 @@
 	nextFirst, nextSecond         int
 }
 
+// checkpoint returns the current state of buf and of the table.
 func (j *Journal) checkpoint() checkpoint {
 	return checkpoint{len(j.undo), len(j.buf), len(j.frameStarts), len(j.bufFacts), j.nextFrame, j.nextFact, j.nextFull, j.repeats.nextFirst, j.repeats.nextSecond}
 }
@@ -575,7 +578,7 @@
 			if last == 0 { // only copies failed
 				return j.storedBatch, nil
 			}
-			if j.applySyncResults(); j.settings.Sync == SyncAlways { // no batch behind the stored ones may become stored later
+			if j.applySyncResults(); j.settings.Sync == SyncAlways { // no batch after the stored ones may become stored later
 				j.undoPendingWrites()
 			}
 			j.failure = nil
@@ -675,6 +678,7 @@
 	return nil
 }
 
+// tryWrite tries once to write buf.
 func (j *Journal) tryWrite() error {
 	if j.needsNewSegment() {
 		return j.writeNewSegment()
--- a/internal/journal/old.go
+++ b/internal/journal/old.go
@@ -28,7 +28,7 @@
 	v1State               // attempts and doubt of a message so far
 )
 
-// parseV1Name parses the name of a file of the first format. temp is set for an interrupted compaction.
+// parseV1Name parses the name of a file of the first format. temp is set for the file of an interrupted compaction.
 func parseV1Name(name string) (n int, temp, ok bool) {
 	rest, ok := strings.CutPrefix(name, segmentPrefix)
 	if !ok {
@@ -66,7 +66,7 @@
 			payload := text[offset+v1HeaderSize:][:n]
 			if binary.LittleEndian.Uint32(text[offset+6:]) == checksum(payload) {
 				damaged += offset - validEnd
-				if apply(payload) != nil { // intact, but it can't be decoded: nothing inside it is taken for a record
+				if apply(payload) != nil { // intact, but it can't be decoded: it is skipped as a whole, and not searched for records
 					damaged += v1HeaderSize + int(n)
 				}
 				offset += v1HeaderSize + int(n)
@@ -83,6 +83,7 @@
 	return validEnd, damaged
 }
 
+// v1Timestamp reads a time, which the first format stores without a sign.
 func (r *reader) v1Timestamp() engine.Timestamp { return engine.Timestamp(r.uvarint()) }
 
 // applyV1 applies one record of the first format to the table.
--- a/internal/journal/osdir.go
+++ b/internal/journal/osdir.go
@@ -87,8 +87,8 @@
 
 type osLock struct{ *os.File }
 
-// Close unlocks the file explicitly, because a child process that is just being started has a copy of it until it
-// runs.
+// Close unlocks the file explicitly, because a child process that is being started holds a copy of the descriptor until
+// it runs its program.
 func (l osLock) Close() error {
 	return errors.Join(syscall.Flock(int(l.Fd()), syscall.LOCK_UN), l.File.Close())
 }
@@ -103,7 +103,7 @@
 	return info.Size(), nil
 }
 
-// Sync uses fdatasync, as the times of files are not needed here. Close waits for it.
+// Sync uses fdatasync, as the times of files are not needed here. Close waits for a running Sync.
 func (f osFile) Sync() error {
 	rc, err := f.SyscallConn()
 	if err != nil {
--- a/internal/journal/spare.go
+++ b/internal/journal/spare.go
@@ -18,10 +18,10 @@
 	file              File
 	size              int64 // its current disk use
 	missing           bool  // it was truncated, or could not be written
-	flushesUntilRetry int
+	flushesUntilRetry int   // calls of Flush until the next attempt to restore it
 }
 
-// release frees the space of the file. It returns false if there is none.
+// release frees the space of the file. It returns false if there is nothing to free, or if that fails.
 func (s *spare) release() bool {
 	if s.size == 0 || s.file == nil || s.file.Truncate(0) != nil {
 		return false
@@ -37,13 +37,15 @@
 	return s.file.Close()
 }
 
+// isDiskFull reports whether a write failed because the disk or the quota is full.
 func isDiskFull(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
+// spareSize returns the disk use of the file when it is filled.
 func (j *Journal) spareSize() int64 { return blocks(j.segmentSize / 2) }
 
-// fillSpare writes the file.
+// fillSpare creates the file if needed, and fills it with zeros. If that is not possible, missing is set.
 func (j *Journal) fillSpare() {
 	s := &j.spare
 	s.missing = true
@@ -65,7 +67,7 @@
 		s.file = f
 	}
 	if _, err := s.file.WriteAt(make([]byte, j.spareSize()), 0); err != nil {
-		_ = s.file.Truncate(0) // if this fails the file takes uncounted space, at most for a while
+		_ = s.file.Truncate(0) // if this fails the file takes uncounted space until it is restored
 		return
 	}
 	s.size, s.missing = j.spareSize(), false
