--- a/internal/journal/memdir/memdir.go
+++ b/internal/journal/memdir/memdir.go
@@ -52,7 +52,7 @@
 	offset int64 // of data, or the size to truncate to
 }
 
-// DiskAfterCrash returns a copy of the disk as it is if the process crashes during the operation. Of a write the
+// DiskAfterCrash returns a copy of the disk as it would be if the process crashed during the operation. Of a write, the
 // first writtenBytes bytes are written. Any other operation is done unless writtenBytes is 0. Only Disk.Fault may call
 // it.
 func (op Op) DiskAfterCrash(writtenBytes int) *Disk {
@@ -88,12 +88,12 @@
 type Fault struct {
 	Err          error // returned by the operation
 	WrittenBytes int   // of a write: bytes that are written in spite of the fault
-	Crash        bool  // the process crashes in it, after WrittenBytes bytes
+	Crash        bool  // the process crashes during the operation, after WrittenBytes bytes
 }
 
 // Disk is the disk below a folder. Its methods may be called from any goroutine.
 type Disk struct {
-	// Fault is called before each operation, if it is not nil. It must not call the disk.
+	// Fault is called before each operation, if it is not nil. It must not call methods of the disk.
 	Fault func(Op) Fault
 
 	mu         sync.Mutex
@@ -105,9 +105,10 @@
 	locked     bool
 }
 
+// inode is a file, which may have a name, or only open handles.
 type inode struct {
 	data   []byte
-	synced []byte
+	synced []byte // data when it was last synced
 }
 
 func (f *inode) write(p []byte, off int64) {
@@ -170,7 +171,7 @@
 func (d *Disk) crash() { d.generation, d.locked = d.generation+1, false }
 
 // PowerFail ends the process and the system below it. Each block that was not synced, and each file that was created
-// or removed and not synced, is in its old or its new state. The random numbers (below n) decide which.
+// or removed and not synced, is in its old or its new state. random, which returns numbers below n, decides which.
 func (d *Disk) PowerFail(random func(n int) int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -207,6 +208,7 @@
 
 func (d *Disk) syncDir() { d.durable = maps.Clone(d.files) }
 
+// tear sets the length and each block to the synced or the current one, at random.
 func (f *inode) tear(random func(n int) int) {
 	size := len(f.data)
 	if random(2) == 0 {
@@ -306,7 +308,8 @@
 	return f, nil
 }
 
-// atomicOp runs an operation that is done completely or not at all. In a crash it is done if WrittenBytes is not 0.
+// atomicOp runs an operation that is done completely or not at all. If the process crashes during it, it is done if
+// WrittenBytes is not 0.
 func (d *Disk) atomicOp(generation int, op Op, do func() error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/journal/recover.go
+++ b/internal/journal/recover.go
@@ -11,14 +11,14 @@
 	"curlewmux/engine"
 )
 
-// Findings says what is wrong with a folder. See HasDamage for what counts as damage.
+// Findings says what is unusual or wrong in a folder. See HasDamage for what counts as damage.
 type Findings struct {
 	UnfinishedBytes  int64    // unfinished writes at the end, which never counted
 	DamagedBytes     int64    // bytes before the end that can't be read
 	MissingSegments  int      // segments that do not exist or are completely unreadable
-	LostMessages     uint64   // full records of messages lost with these, at most; some of the messages may have ended
-	LostFacts        uint64   // facts lost with these and not found repeated
-	RecoveredFacts   uint64   // facts lost with these and found repeated
+	LostMessages     uint64   // full records of messages lost there, at most; some of the messages may have ended
+	LostFacts        uint64   // facts lost there whose repetitions are lost, too
+	RecoveredFacts   uint64   // facts lost there and read from a repetition
 	DoubtfulMessages int      // live messages that lost facts may be about: it is not known whether they ran, or even ended
 	ForeignFiles     []string // segments of other journals, left as they are
 }
@@ -48,23 +48,23 @@
 	*table
 	findings         Findings
 	owner            string
-	anyOwner         bool   // any owner will do; owner is then set to that of the journal found
+	anyOwner         bool   // any owner is accepted; owner is then set to that of the journal found
 	identity         uint64 // 0 if there is no segment
 	segments         []*segment
 	nextFrame        uint64 // next number
 	nextFact         uint64 // next number
 	nextFull         uint64 // next number
 	firstSeq         uint64 // segments before this one are obsolete
-	gaplessFirst     uint64 // firstSeq, as far as nothing is missing between that segment and the record that says so
+	gaplessFirst     uint64 // highest firstSeq with nothing missing between that segment and the record that names it
 	lastSeq          uint64
 	foreignBytes     int64
 	migrated         bool     // the log holds a kindFirstSegment record, so everything of the first format is in it
-	obsolete         []string // files that hold nothing needed
+	obsolete         []string // files whose content is no longer needed
 	obsoleteBefore   int      // length of obsolete before the segments were read
 	unfinishedBefore int64    // findings.UnfinishedBytes before the segments were read
 	v1Files          []string // files of the first format
 	v1Bytes          int64    // disk use of v1Files
-	started          bool     // the next numbers are known
+	started          bool     // nextFrame, nextFact and nextFull are known
 	byNum            map[uint64]known
 	interned         map[string]string // classes and tenants, each stored once
 
@@ -171,7 +171,7 @@
 	if len(v1Files) == 0 {
 		return r, nil
 	}
-	// The segments are the beginning of a change from the first format that was interrupted.
+	// The conversion from the first format was interrupted: its segments are obsolete, and the old files are read.
 	for _, c := range chain {
 		if !c.isMissing() {
 			r.obsolete = append(r.obsolete, c.name)
@@ -182,6 +182,7 @@
 	return r, r.readV1(dir, v1Files)
 }
 
+// reset prepares for reading the segments from the beginning.
 func (r *recovery) reset() {
 	r.table, r.byNum = newTable(), map[uint64]known{}
 	r.noUndo, r.deferIndex = true, true
@@ -213,6 +214,7 @@
 	return c, nil
 }
 
+// readFull reads len(b) bytes from the start of a file.
 func readFull(f File, b []byte) error {
 	if n, err := f.ReadAt(b, 0); n < len(b) || err != nil && !errors.Is(err, io.EOF) {
 		return cmp.Or(err, io.ErrUnexpectedEOF)
@@ -292,7 +294,7 @@
 			}
 		}
 	}
-	for _, c := range candidates { // created and never linked: a write that failed, or an obsolete segment
+	for _, c := range candidates { // no other segment links to it: it is from a failed write, or obsolete
 		if bySeq[c.header.seq] == c && c.err == nil {
 			r.obsolete = append(r.obsolete, c.name)
 		}
@@ -359,7 +361,7 @@
 		}
 	}
 	for _, lost := range r.losses {
-		if lost.place > 2*r.firstSeq { // a loss at the start of a segment belongs to the segment before it
+		if lost.place > 2*r.firstSeq { // a loss before the first frame of a segment belongs to the segment before it
 			r.findings.DamagedBytes += lost.bytes
 			r.findings.LostMessages += lost.messages
 			r.findings.LostFacts += lost.facts
@@ -373,6 +375,7 @@
 	return nil
 }
 
+// readFile reads a whole file. size is its length.
 func readFile(dir Dir, name string) (text []byte, size int64, err error) {
 	f, err := dir.Open(name)
 	if err != nil {
@@ -399,8 +402,9 @@
 	r.noteTime(h.latestTime)
 }
 
-// advance goes to the numbers of a frame, or of a segment before its first frame. The place is twice the sequence
-// number of the segment, plus one for a frame. It returns false if the log ends before the place.
+// advance moves on to the numbers of a frame, or of a segment before its first frame, and notes what is missing before
+// them. The place is twice the sequence number of the segment, plus one for a frame. advance returns false if the log
+// ends before the place.
 func (r *recovery) advance(n counters, place uint64) bool {
 	if !r.started {
 		r.started = true
@@ -467,8 +471,8 @@
 	return true
 }
 
-// addGap notes that something is missing up to the given numbers. It applies missing facts that are repeated
-// elsewhere.
+// addGap notes that something is missing between the current numbers and the given ones. It applies those of the
+// missing facts that are repeated elsewhere.
 func (r *recovery) addGap(n counters, place uint64) {
 	gap := loss{place: place, bytes: r.unreadableBytes}
 	if n.full > r.nextFull {
@@ -499,7 +503,7 @@
 	r.losses = append(r.losses, gap)
 }
 
-// saveRepeats keeps those repeated facts that are missing.
+// saveRepeats keeps those of the repeated facts that are missing. first is the number of the first one.
 func (r *recovery) saveRepeats(first uint64, facts []byte) {
 	for decoder := (&reader{buf: facts}); len(decoder.buf) > 0; first++ {
 		rest := decoder.buf
@@ -518,8 +522,8 @@
 }
 
 // resolveLostFacts decides about messages that lost facts may have been about. A message with a later record is live,
-// and may have run. Of the others not even that is known: they are not sent again, and their pending result is a
-// failure with the doubt left open.
+// and may have run. Of the others it is not even known whether they are live: they are not sent again, get a pending failure
+// and remain in doubt.
 func (r *recovery) resolveLostFacts() {
 	if r.gapCount == 0 {
 		return
@@ -530,7 +534,7 @@
 			continue
 		}
 		r.findings.DoubtfulMessages++
-		r.setState(n, n.live.tries+1, doubt{since: 1}) // so long ago that no endpoint remembers the key
+		r.setState(n, n.live.tries+1, doubt{since: 1}) // a time so long ago that no endpoint remembers the key
 		if k.aliveAtGap < r.gapCount && n.live.pending == nil {
 			r.setPending(n, &engine.PendingResult{Disposition: engine.Failed, Fingerprint: n.live.msg.Fingerprint()})
 		}
@@ -609,6 +613,7 @@
 	}
 }
 
+// addNode adds a node to byNum.
 func (r *recovery) addNode(n *node) { r.byNum[n.num] = known{n, r.gapCount, r.gapCount} }
 
 // markAlive notes that a message is live.
@@ -619,6 +624,7 @@
 	}
 }
 
+// removeNode removes a node from the table and from byNum.
 func (r *recovery) removeNode(n *node) {
 	delete(r.byNum, n.num)
 	if n.live != nil {
--- a/internal/journal/segment.go
+++ b/internal/journal/segment.go
@@ -52,7 +52,7 @@
 	owner       string
 }
 
-// append appends the header and its copy. The frames start behind them.
+// append appends the header and its copy. The frames follow them.
 func (h *header) append(b []byte) []byte {
 	start := len(b)
 	b = h.appendOnce(b)
@@ -60,6 +60,7 @@
 	return h.appendOnce(b)
 }
 
+// appendOnce appends one copy of the header.
 func (h *header) appendOnce(b []byte) []byte {
 	b = append(b, magic...)
 	b = binary.LittleEndian.AppendUint32(b, formatVersion)
@@ -78,8 +79,8 @@
 	return b
 }
 
-// readHeader reads the header of a segment and returns where the frames start. ErrNewerFormat is certain.
-// errBadHeader means damage, or a segment that was not written completely.
+// readHeader reads the header of a segment and returns where the frames start. ErrNewerFormat is reliable, as the
+// format number has its own checksum. errBadHeader means damage, or a segment that was not written completely.
 func readHeader(text []byte) (h header, frames int64, err error) {
 	for _, at := range []int{0, headerCopyOffset} {
 		if at > len(text) {
@@ -97,6 +98,7 @@
 	return header{}, 0, errBadHeader
 }
 
+// parseHeader decodes one copy of a header. n is its length.
 func parseHeader(b []byte) (h header, n int, err error) {
 	const fixed = len(magic) + 8
 	if len(b) < fixed+8 || string(b[:len(magic)]) != magic || binary.LittleEndian.Uint32(b[fixed-4:]) != checksum(b[:fixed-4]) {
--- a/internal/journal/sync.go
+++ b/internal/journal/sync.go
@@ -7,7 +7,7 @@
 	"curlewmux/engine"
 )
 
-// syncer is the state that the driver's goroutine and the syncing goroutine share.
+// syncer is the state that the driver's goroutine and the syncing goroutine share. mu protects it.
 type syncer struct {
 	mu          sync.Mutex
 	running     bool         // the syncing goroutine or a timer for it is running
@@ -45,6 +45,7 @@
 	return nil
 }
 
+// startSync starts the syncing goroutine, at once or after SyncEvery.
 func (j *Journal) startSync() {
 	if j.settings.Sync == SyncInterval {
 		j.settings.After(j.settings.SyncEvery, j.runSync)
@@ -68,7 +69,7 @@
 		switch {
 		case s.closed:
 			return
-		case s.discards != discards: // what this sync was for is undone
+		case s.discards != discards: // the writes of this sync were discarded meanwhile
 			s.syncedUpTo, s.dirChanged = max(s.syncedUpTo, number), true
 		case err != nil:
 			s.syncError = err
@@ -88,6 +89,7 @@
 	s.running = false
 }
 
+// syncAll syncs files, and the folder if syncDir is set.
 func syncAll(dir Dir, files []File, syncDir bool) error {
 	for _, f := range files {
 		if err := f.Sync(); err != nil {
@@ -187,7 +189,7 @@
 	j.updateLargest()
 }
 
-// releaseWrites forgets the first n writes, and how to undo them.
+// releaseWrites forgets the first n pending writes, which can no longer be undone.
 func (j *Journal) releaseWrites(n int) {
 	if n == 0 {
 		return
@@ -222,7 +224,7 @@
 	}
 }
 
-// syncExisting makes what an earlier process wrote survive a power failure.
+// syncExisting syncs all segments and the folder, so that what is there survives a power failure.
 func (j *Journal) syncExisting() error {
 	for _, s := range j.segments {
 		f, err := j.dir.Open(s.name)
--- a/internal/journal/table.go
+++ b/internal/journal/table.go
@@ -32,16 +32,16 @@
 	pending  *engine.PendingResult
 }
 
-// minLeafCost is the least that a leaf of the ledger is charged with, so that its figures can grow.
+// minLeafCost is the smallest estimated size of the text of a leaf, so that its counts can grow.
 const minLeafCost = 160
 
 // table is the result of the records so far. Each change can be undone, newest first.
 type table struct {
 	live       map[string]*node
 	leafNodes  map[uint64]*node // leaves by number
-	root       node             // of the ring of all nodes
+	root       node             // of the ring of all nodes, oldest first
 	count      int              // number of nodes
-	liveBytes  int64            // what copies of all nodes take at most
+	liveBytes  int64            // bytes that copies of all nodes take at most
 	num        uint64           // number of the last message
 	shift      engine.Timestamp // sum of all clock steps, to be added to the times in the table
 	last       engine.Timestamp // the latest time in any record, without the clock steps
@@ -66,6 +66,7 @@
 	return t
 }
 
+// oldest returns the node whose newest full record is the oldest, or nil if there is no node.
 func (t *table) oldest() *node {
 	if t.root.next == &t.root {
 		return nil
@@ -73,7 +74,8 @@
 	return t.root.next
 }
 
-// toRaw subtracts the clock steps from a time, and toWall adds them. 0 stays 0.
+// toRaw subtracts the clock steps from a time, and toWall adds them. 0 means no time and stays 0. No other time becomes
+// 0.
 func (t *table) toRaw(s engine.Timestamp) engine.Timestamp {
 	if s == 0 {
 		return 0
@@ -94,12 +96,14 @@
 	return s
 }
 
+// noteTime notes the time of a record.
 func (t *table) noteTime(at engine.Timestamp) { t.last = max(t.last, t.toRaw(at)) }
 
 // nodeCost is the most that a node takes in a segment besides its texts and body: kind, number, lengths, times and
 // its share of a frame's header.
 const nodeCost = 100
 
+// cost returns the most that a full record of a message takes.
 func cost(id string, l *liveState) int64 {
 	n := int64(nodeCost + len(id))
 	if l != nil {
@@ -130,11 +134,13 @@
 	t.undo = append(t.undo, c)
 }
 
+// unlink removes a node from the ring.
 func (t *table) unlink(n *node) {
 	n.prev.next, n.next.prev = n.next, n.prev
 	t.count--
 }
 
+// push adds a node at the end of the ring.
 func (t *table) push(n *node) {
 	n.prev, n.next = t.root.prev, &t.root
 	n.prev.next, n.next.prev = n, n
@@ -185,6 +191,7 @@
 	t.undo = t.undo[:left]
 }
 
+// accept adds a live message.
 func (t *table) accept(num, seg uint64, m *engine.Message, deadline engine.Timestamp) *node {
 	n := &node{seg: seg, num: num, id: m.ID, live: &liveState{msg: *m, deadline: t.toRaw(deadline)}}
 	t.saveUndo(n, true)
@@ -230,6 +237,7 @@
 	return n
 }
 
+// addAttempt counts an attempt, and begins a doubt unless there is one.
 func (t *table) addAttempt(n *node, at engine.Timestamp, zone int) {
 	t.saveUndo(n, false)
 	l := n.live
@@ -242,6 +250,7 @@
 	t.noteTime(at)
 }
 
+// neverRan ends the doubt if it is about the newest attempt alone.
 func (t *table) neverRan(n *node) {
 	if n.live.doubt.newestAttempt {
 		t.saveUndo(n, false)
@@ -256,6 +265,7 @@
 	n.live.tries, n.live.doubt = tries, d
 }
 
+// setPending sets the pending result and drops the body, which is no longer needed.
 func (t *table) setPending(n *node, o *engine.PendingResult) {
 	t.saveUndo(n, false)
 	t.liveBytes -= n.cost()
@@ -263,7 +273,7 @@
 	t.liveBytes += n.cost()
 }
 
-// end ends a message. If until is 0 nothing of it is kept, else its id is.
+// end ends a message. Its id is kept if until is not 0.
 func (t *table) end(n *node, seg uint64, disposition engine.Disposition, until engine.Timestamp, fingerprint uint64) {
 	t.saveUndo(n, false)
 	t.liveBytes -= n.cost()
@@ -338,7 +348,7 @@
 	t.push(n)
 }
 
-// recordTime notes the time of a record.
+// recordTime notes the time of a record, as a change that can be undone.
 func (t *table) recordTime(at engine.Timestamp) {
 	t.saveUndo(nil, false)
 	t.noteTime(at)
