--- a/internal/journal/check_test.go
+++ b/internal/journal/check_test.go
@@ -16,29 +16,29 @@
 // Check reports the live messages while the folder is in use, does not change it, and finds a damaged segment.
 func TestCheckReportsAndChangesNothing(t *testing.T) {
 	t.Parallel()
-	w := newSimulation(6, journal.SyncNone, 64<<10)
-	w.set.Owner = "first"
-	must(t, w.start(true))
+	sim := newSimulation(6, journal.SyncNone, 64<<10)
+	sim.set.Owner = "first"
+	must(t, sim.start(true))
 	for range 80 {
-		must(t, w.round())
-		ops := w.disk.Ops()
-		r, err := journal.Check(w.disk.Dir()) // its owner still holds the lock
+		must(t, sim.round())
+		ops := sim.disk.Ops()
+		r, err := journal.Check(sim.disk.Dir()) // its owner still holds the lock
 		must(t, err)
-		if why := w.confirmed.differs(&store{State: &r.State}); why != "" {
+		if why := sim.confirmed.differs(&store{State: &r.State}); why != "" {
 			t.Fatal(why)
 		}
-		if !r.Findings.OK() || r.Owner != "first" || r.Format != 2 || r.Bytes != w.disk.Used() || w.disk.Ops() != ops {
-			t.Fatalf("owner %q, format %d, findings %+v, %d bytes of %d", r.Owner, r.Format, r.Findings, r.Bytes, w.disk.Used())
+		if !r.Findings.OK() || r.Owner != "first" || r.Format != 2 || r.Bytes != sim.disk.Used() || sim.disk.Ops() != ops {
+			t.Fatalf("owner %q, format %d, findings %+v, %d bytes of %d", r.Owner, r.Format, r.Findings, r.Bytes, sim.disk.Used())
 		}
 	}
-	id := w.confirmed.order[0]
-	must(t, w.batch(&engine.RecPendingResult{ID: id, PendingResult: engine.PendingResult{Disposition: engine.Refused}}))
-	must(t, w.flush())
-	name := segments(w.disk)[1]
-	b := w.disk.Read(name)
+	id := sim.confirmed.order[0]
+	must(t, sim.batch(&engine.RecPendingResult{ID: id, PendingResult: engine.PendingResult{Disposition: engine.Refused}}))
+	must(t, sim.flush())
+	name := segments(sim.disk)[1]
+	b := sim.disk.Read(name)
 	b[len(b)/2] ^= 1
-	w.disk.Put(name, b)
-	r, err := journal.Check(w.disk.Dir())
+	sim.disk.Put(name, b)
+	r, err := journal.Check(sim.disk.Dir())
 	must(t, err)
 	var text strings.Builder
 	must(t, r.Print(&text, true))
--- a/internal/journal/crash_test.go
+++ b/internal/journal/crash_test.go
@@ -35,94 +35,96 @@
 	rejected    [][]batch // reported as failed, with nothing written since: they may be there after a crash
 	ids         map[string]bool
 	nextID      int
-	syncWork    []func() // work for the syncing goroutine
-	failures    int
-	forks       uint64
-	rounds      int
+	syncWork    []func() // functions that the journal passed to Go or After
+	failures    int      // batches reported as failed
+	forks       uint64   // calls of fork, each with a seed of its own
+	rounds      int      // rounds that play has run
 }
 
+// batch is a batch that was appended to the journal.
 type batch struct {
 	number  engine.Batch
 	records []engine.Record
 }
 
+// newSimulation returns a simulation on an empty disk. The journal is not open yet.
 func newSimulation(seed uint64, sync journal.Sync, disk int64) *simulation {
-	w := &simulation{disk: memdir.New(), rnd: rand.New(rand.NewPCG(seed, 7)), now: now, confirmed: newModel(), ids: map[string]bool{}}
-	w.set = journal.Settings{
+	sim := &simulation{disk: memdir.New(), rnd: rand.New(rand.NewPCG(seed, 7)), now: now, confirmed: newModel(), ids: map[string]bool{}}
+	sim.set = journal.Settings{
 		Disk: disk, Sync: sync, KeepLeaves: true, SyncEvery: time.Second, Random: rand.New(rand.NewPCG(seed, 8)).Uint64,
-		Go:       func(f func()) { w.syncWork = append(w.syncWork, f) },
-		After:    func(_ time.Duration, f func()) { w.syncWork = append(w.syncWork, f) },
-		OnStored: w.stored,
+		Go:       func(f func()) { sim.syncWork = append(sim.syncWork, f) },
+		After:    func(_ time.Duration, f func()) { sim.syncWork = append(sim.syncWork, f) },
+		OnStored: sim.stored,
 	}
-	return w
+	return sim
 }
 
 // stored is the journal's OnStored callback.
-func (w *simulation) stored(b engine.Batch) {
-	for len(w.unconfirmed) > 0 && w.unconfirmed[0].number <= b {
-		w.confirmed.apply(w.unconfirmed[0].records)
-		w.unconfirmed = w.unconfirmed[1:]
+func (sim *simulation) stored(b engine.Batch) {
+	for len(sim.unconfirmed) > 0 && sim.unconfirmed[0].number <= b {
+		sim.confirmed.apply(sim.unconfirmed[0].records)
+		sim.unconfirmed = sim.unconfirmed[1:]
 	}
-	w.rejected = slices.DeleteFunc(w.rejected, func(l []batch) bool { return len(l) == 0 || l[len(l)-1].number < b })
+	sim.rejected = slices.DeleteFunc(sim.rejected, func(l []batch) bool { return len(l) == 0 || l[len(l)-1].number < b })
 }
 
 // start opens the folder and compares it with the expected state. It returns memdir.ErrCrashed if the process crashes
-// in it.
-func (w *simulation) start(strict bool) error {
-	w.syncWork = nil
-	dir := w.dir
+// while it opens the folder.
+func (sim *simulation) start(strict bool) error {
+	sim.syncWork = nil
+	dir := sim.dir
 	if dir == nil {
-		dir = w.disk.Dir()
+		dir = sim.disk.Dir()
 	}
-	j, err := tryOpen(dir, w.set)
+	j, err := tryOpen(dir, sim.set)
 	if errors.Is(err, memdir.ErrCrashed) {
 		return err
 	}
 	if err != nil {
 		return fmt.Errorf("open: %w", err)
 	}
-	w.j = j
-	if why := w.check(strict); why != "" {
+	sim.j = j
+	if why := sim.check(strict); why != "" {
 		return errors.New(why)
 	}
 	// From here on the state that was found is the confirmed one.
-	w.unconfirmed, w.rejected = nil, nil
-	w.confirmed = newModel()
-	w.confirmed.written = j.Last.LatestTimestamp
+	sim.unconfirmed, sim.rejected = nil, nil
+	sim.confirmed = newModel()
+	sim.confirmed.written = j.Last.LatestTimestamp
 	for _, r := range j.Live {
 		v := *r
-		w.confirmed.order = append(w.confirmed.order, r.Message.ID)
-		w.confirmed.live[r.Message.ID] = &v
-		w.confirmed.newest[r.Message.ID] = j.DoubtIsNewestAttempt(r.Message.ID)
+		sim.confirmed.order = append(sim.confirmed.order, r.Message.ID)
+		sim.confirmed.live[r.Message.ID] = &v
+		sim.confirmed.newest[r.Message.ID] = j.DoubtIsNewestAttempt(r.Message.ID)
 	}
 	for _, e := range j.Ended {
 		v := *e
-		w.confirmed.ended[e.ID] = &v
+		sim.confirmed.ended[e.ID] = &v
 	}
 	for _, l := range j.Leaves {
-		w.confirmed.leaves[l.Number] = string(l.Text)
+		sim.confirmed.leaves[l.Number] = string(l.Text)
 	}
-	w.rebuildView()
+	sim.rebuildView()
 	return nil
 }
 
 // check compares the journal's state with the expected one. If strict, it must be the confirmed state with some
 // number of the first unconfirmed batches applied. Otherwise each unconfirmed batch may be there or not.
-func (w *simulation) check(strict bool) string {
-	if !w.j.Findings.OK() {
-		return fmt.Sprintf("findings in an undamaged folder: %+v", w.j.Findings)
+func (sim *simulation) check(strict bool) string {
+	if !sim.j.Findings.OK() {
+		return fmt.Sprintf("findings in an undamaged folder: %+v", sim.j.Findings)
 	}
-	possible := append(w.rejected, w.unconfirmed)
+	possible := append(sim.rejected, sim.unconfirmed)
 	if strict {
-		why := w.confirmed.differs(w.j)
+		why := sim.confirmed.differs(sim.j)
 		if why == "" {
 			return ""
 		}
 		for _, list := range possible {
-			m := w.confirmed.clone()
+			m := sim.confirmed.clone()
 			for _, b := range list {
 				m.apply(b.records)
-				more := m.differs(w.j)
+				more := m.differs(sim.j)
 				if more == "" {
 					return ""
 				}
@@ -153,16 +155,16 @@
 		}
 	}
 	have := map[uint64]string{}
-	for _, l := range w.j.Leaves {
+	for _, l := range sim.j.Leaves {
 		have[l.Number] = string(l.Text)
 	}
-	for n, text := range w.confirmed.leaves {
+	for n, text := range sim.confirmed.leaves {
 		if !changedLeaves[n] && have[n] != text {
 			return fmt.Sprintf("leaf %d is %q, want %q", n, have[n], text)
 		}
 	}
-	for id, l := range w.confirmed.live {
-		got := w.j.message(id)
+	for id, l := range sim.confirmed.live {
+		got := sim.j.message(id)
 		switch {
 		case touched[id]:
 		case got == nil:
@@ -172,16 +174,16 @@
 		}
 	}
 	ended := map[string]bool{}
-	for _, e := range w.j.Ended {
+	for _, e := range sim.j.Ended {
 		ended[e.ID] = true
 	}
-	for id, e := range w.confirmed.ended {
-		if !touched[id] && !ended[id] && e.Until >= w.j.Last.LatestTimestamp {
+	for id, e := range sim.confirmed.ended {
+		if !touched[id] && !ended[id] && e.Until >= sim.j.Last.LatestTimestamp {
 			return "ended " + id + " is forgotten"
 		}
 	}
-	for _, r := range w.j.Live {
-		if id := r.Message.ID; w.confirmed.live[id] == nil && !touched[id] {
+	for _, r := range sim.j.Live {
+		if id := r.Message.ID; sim.confirmed.live[id] == nil && !touched[id] {
 			return id + " is live but should not be"
 		}
 	}
@@ -189,131 +191,131 @@
 }
 
 // rebuildView sets view from the confirmed state and the unconfirmed batches.
-func (w *simulation) rebuildView() {
-	w.view = w.confirmed.clone()
-	for _, b := range w.unconfirmed {
-		w.view.apply(b.records)
+func (sim *simulation) rebuildView() {
+	sim.view = sim.confirmed.clone()
+	for _, b := range sim.unconfirmed {
+		sim.view.apply(b.records)
 	}
 }
 
 // batch appends a batch, without flushing it.
-func (w *simulation) batch(records ...engine.Record) error {
-	w.j.batch++
-	b := batch{w.j.batch, records}
-	err := w.j.Append(b.number, records)
+func (sim *simulation) batch(records ...engine.Record) error {
+	sim.j.batch++
+	b := batch{sim.j.batch, records}
+	err := sim.j.Append(b.number, records)
 	if err == nil {
-		w.unconfirmed = append(w.unconfirmed, b)
-		w.trace = append(w.trace, b)
+		sim.unconfirmed = append(sim.unconfirmed, b)
+		sim.trace = append(sim.trace, b)
 	}
 	return err
 }
 
 // flush calls Flush and records what is stored.
-func (w *simulation) flush() error {
-	b, err := w.j.Flush()
-	w.stored(b)
+func (sim *simulation) flush() error {
+	b, err := sim.j.Flush()
+	sim.stored(b)
 	if errors.Is(err, memdir.ErrCrashed) {
 		return err
 	}
 	if err != nil { // what was appended is not stored
-		w.failures += len(w.unconfirmed)
-		w.rejected = append(w.rejected, w.unconfirmed)
-		w.unconfirmed = nil
-		w.rebuildView()
+		sim.failures += len(sim.unconfirmed)
+		sim.rejected = append(sim.rejected, sim.unconfirmed)
+		sim.unconfirmed = nil
+		sim.rebuildView()
 	}
 	return nil
 }
 
-// runSync runs the work of the syncing goroutine.
-func (w *simulation) runSync() {
-	for len(w.syncWork) > 0 {
-		f := w.syncWork[0]
-		w.syncWork = w.syncWork[1:]
+// runSync runs the work of the syncing goroutine until there is none.
+func (sim *simulation) runSync() {
+	for len(sim.syncWork) > 0 {
+		f := sim.syncWork[0]
+		sim.syncWork = sim.syncWork[1:]
 		f()
 	}
 }
 
 // round runs one round of the load. An error means that the process crashed.
-func (w *simulation) round() error {
-	w.now += engine.Timestamp(1 + w.rnd.IntN(50_000))
-	view := w.view
+func (sim *simulation) round() error {
+	sim.now += engine.Timestamp(1 + sim.rnd.IntN(50_000))
+	view := sim.view
 	pick := func() string {
 		if len(view.order) == 0 {
 			return "none"
 		}
-		return view.order[w.rnd.IntN(len(view.order))]
+		return view.order[sim.rnd.IntN(len(view.order))]
 	}
-	for range 1 + w.rnd.IntN(3) {
+	for range 1 + sim.rnd.IntN(3) {
 		var records []engine.Record
-		for range 1 + w.rnd.IntN(3) {
+		for range 1 + sim.rnd.IntN(3) {
 			var r engine.Record
-			switch n := w.rnd.IntN(100); {
+			switch n := sim.rnd.IntN(100); {
 			case n < 35:
-				w.nextID++
-				id := fmt.Sprint("m", w.nextID)
-				w.ids[id] = true
-				r = acceptedOfSize(id, 20+w.rnd.IntN(900))
+				sim.nextID++
+				id := fmt.Sprint("m", sim.nextID)
+				sim.ids[id] = true
+				r = acceptedOfSize(id, 20+sim.rnd.IntN(900))
 			case n < 55:
-				r = &engine.RecAttempts{At: w.now, List: []engine.RecAttempt{{ID: pick(), Zone: w.rnd.IntN(3)}, {ID: pick(), Zone: -1}}}
+				r = &engine.RecAttempts{At: sim.now, List: []engine.RecAttempt{{ID: pick(), Zone: sim.rnd.IntN(3)}, {ID: pick(), Zone: -1}}}
 			case n < 62:
 				r = &engine.RecNeverRan{ID: pick()}
 			case n < 68:
 				r = &engine.RecPendingResult{ID: pick(), PendingResult: engine.PendingResult{Disposition: engine.Failed, RetryAfter: time.Millisecond}}
 			case n < 70:
-				r = &engine.RecState{ID: pick(), Tries: 3, DoubtAt: w.now, DoubtZone: 1}
+				r = &engine.RecState{ID: pick(), Tries: 3, DoubtAt: sim.now, DoubtZone: 1}
 			case n < 71:
-				r = &engine.RecClockStep{By: int64(w.rnd.IntN(2_000_000) - 1_000_000)}
+				r = &engine.RecClockStep{By: int64(sim.rnd.IntN(2_000_000) - 1_000_000)}
 			case n < 72:
 				r = &engine.RecNoop{}
 			case n < 80:
-				r = &engine.RecLedgerLeaf{Number: 1 + w.rnd.Uint64N(4), Text: fmt.Append(nil, "figures of ", w.nextID, " at ", w.now)}
+				r = &engine.RecLedgerLeaf{Number: 1 + sim.rnd.Uint64N(4), Text: fmt.Append(nil, "figures of ", sim.nextID, " at ", sim.now)}
 			default:
 				e := &engine.RecEnded{ID: pick(), Disposition: engine.Delivered}
-				if w.rnd.IntN(2) == 0 {
-					e.Until, e.Fingerprint = w.now+500_000, w.rnd.Uint64()
+				if sim.rnd.IntN(2) == 0 {
+					e.Until, e.Fingerprint = sim.now+500_000, sim.rnd.Uint64()
 				}
 				r = e
 			}
 			records = append(records, r)
 			view.apply([]engine.Record{r})
 		}
-		if err := w.batch(records...); err != nil && !errors.Is(err, engine.ErrFull) && w.set.Sync != journal.SyncAlways {
+		if err := sim.batch(records...); err != nil && !errors.Is(err, engine.ErrFull) && sim.set.Sync != journal.SyncAlways {
 			return fmt.Errorf("append: %w", err)
 		} else if err != nil {
-			w.rebuildView()
-			view = w.view
+			sim.rebuildView()
+			view = sim.view
 		}
 	}
-	if err := w.flush(); err != nil {
+	if err := sim.flush(); err != nil {
 		return err
 	}
-	if w.set.Sync != journal.SyncNone && w.rnd.IntN(3) > 0 {
-		w.runSync()
+	if sim.set.Sync != journal.SyncNone && sim.rnd.IntN(3) > 0 {
+		sim.runSync()
 	}
 	return nil
 }
 
 // play runs rounds of the load and restarts the process every 40 rounds, after each crash, and at the end. If power is
 // set, each restart follows a power failure instead of a crash.
-func (w *simulation) play(rounds int, power bool) error {
+func (sim *simulation) play(rounds int, power bool) error {
 	strict := !power
 	var random func(int) int
 	if power {
-		random = rand.New(rand.NewPCG(uint64(w.disk.Ops()), 9)).IntN
+		random = rand.New(rand.NewPCG(uint64(sim.disk.Ops()), 9)).IntN
 	}
 	restart := func() error {
 		for {
 			if power {
-				w.disk.PowerFail(random)
+				sim.disk.PowerFail(random)
 			} else {
-				w.disk.Crash()
+				sim.disk.Crash()
 			}
-			if err := w.start(strict); !errors.Is(err, memdir.ErrCrashed) && !errors.Is(err, syscall.EIO) {
+			if err := sim.start(strict); !errors.Is(err, memdir.ErrCrashed) && !errors.Is(err, syscall.EIO) {
 				return err
 			}
 		}
 	}
-	if err := w.start(strict); errors.Is(err, memdir.ErrCrashed) || errors.Is(err, syscall.EIO) {
+	if err := sim.start(strict); errors.Is(err, memdir.ErrCrashed) || errors.Is(err, syscall.EIO) {
 		if err := restart(); err != nil {
 			return err
 		}
@@ -321,29 +323,30 @@
 		return err
 	}
 	for i := range rounds {
-		err := w.round()
+		err := sim.round()
 		if errors.Is(err, memdir.ErrCrashed) || err == nil && i%40 == 39 {
 			err = restart()
 		}
 		if err != nil {
 			return fmt.Errorf("round %d: %w", i, err)
 		}
-		w.rounds++
-		if used := w.disk.Used(); used > w.set.Disk {
-			return fmt.Errorf("round %d: %d bytes on disk, the limit is %d", i, used, w.set.Disk)
+		sim.rounds++
+		if used := sim.disk.Used(); used > sim.set.Disk {
+			return fmt.Errorf("round %d: %d bytes on disk, the limit is %d", i, used, sim.set.Disk)
 		}
 	}
 	return restart()
 }
 
+// crashDisk is the disk limit of these tests, small so that compaction is frequent.
 const crashDisk = journal.MinDisk
 
 // fork returns a simulation that continues from a copy of this one's disk.
-func (w *simulation) fork(disk *memdir.Disk) *simulation {
-	w.forks++
-	c := newSimulation(w.forks, w.set.Sync, w.set.Disk)
-	c.disk, c.now, c.nextID, c.confirmed = disk, w.now, w.nextID+1000, w.confirmed.clone()
-	c.unconfirmed, c.rejected = slices.Clone(w.unconfirmed), slices.Clone(w.rejected)
+func (sim *simulation) fork(disk *memdir.Disk) *simulation {
+	sim.forks++
+	c := newSimulation(sim.forks, sim.set.Sync, sim.set.Disk)
+	c.disk, c.now, c.nextID, c.confirmed = disk, sim.now, sim.nextID+1000, sim.confirmed.clone()
+	c.unconfirmed, c.rejected = slices.Clone(sim.unconfirmed), slices.Clone(sim.rejected)
 	return c
 }
 
@@ -353,16 +356,16 @@
 // The result counts the crashes by kind of operation.
 func crashEverywhere(t *testing.T, seed uint64, sync journal.Sync, power bool, rounds int) map[memdir.OpKind]int {
 	t.Helper()
-	w := newSimulation(seed, sync, crashDisk)
+	sim := newSimulation(seed, sync, crashDisk)
 	kinds := map[memdir.OpKind]int{}
-	w.disk.Fault = func(op memdir.Op) memdir.Fault {
+	sim.disk.Fault = func(op memdir.Op) memdir.Fault {
 		writtenSizes := []int{0, op.Size / 2, max(op.Size-1, 1), max(op.Size, 1)}
 		for variant, written := range writtenSizes {
 			if written == 0 && variant > 0 || op.Size == 0 && variant == 2 {
 				continue
 			}
 			kinds[op.Kind]++
-			c := w.fork(op.DiskAfterCrash(written))
+			c := sim.fork(op.DiskAfterCrash(written))
 			if variant == 1 {
 				c.disk.Fault = func(next memdir.Op) memdir.Fault {
 					return memdir.Fault{Crash: next.Index < op.Index%3+1, WrittenBytes: next.Size / 3}
@@ -377,7 +380,7 @@
 		}
 		return memdir.Fault{}
 	}
-	if err := w.play(rounds, power); err != nil {
+	if err := sim.play(rounds, power); err != nil {
 		t.Fatalf("seed %d: %v", seed, err)
 	}
 	return kinds
@@ -414,16 +417,16 @@
 
 // injectDiskFaults makes a disk fail at random moments: it is full for a while, loses the end of a write, or fails
 // once.
-func injectDiskFaults(w *simulation, seed uint64) {
+func injectDiskFaults(sim *simulation, seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, 11))
 	full, bad := 0, 0
-	w.disk.Fault = func(op memdir.Op) memdir.Fault {
+	sim.disk.Fault = func(op memdir.Op) memdir.Fault {
 		switch n := rnd.IntN(40); {
 		case n == 0:
 			full = 1 + rnd.IntN(30)
 		case n == 1:
 			bad = 1 + rnd.IntN(3)
-		case n == 2 && w.rounds > 5 && rnd.IntN(4) == 0:
+		case n == 2 && sim.rounds > 5 && rnd.IntN(4) == 0:
 			return memdir.Fault{Crash: true, WrittenBytes: rnd.IntN(op.Size + 1)}
 		}
 		err := syscall.ENOSPC
@@ -448,29 +451,29 @@
 	for _, sync := range []journal.Sync{journal.SyncNone, journal.SyncInterval, journal.SyncAlways} {
 		failures, ends := 0, 0
 		for seed := range 24 + 5**long {
-			w := newSimulation(seed, sync, crashDisk)
-			injectDiskFaults(w, seed)
-			if err := w.play(200, false); err != nil {
+			sim := newSimulation(seed, sync, crashDisk)
+			injectDiskFaults(sim, seed)
+			if err := sim.play(200, false); err != nil {
 				t.Fatalf("sync %d, seed %d: %v", sync, seed, err)
 			}
-			w.disk.Fault = nil // no more faults: messages must be accepted within some rounds
-			w.disk.Crash()
-			must(t, w.start(true))
-			for _, id := range slices.Clone(w.confirmed.order) {
-				must(t, w.batch(ended(id)))
+			sim.disk.Fault = nil // no more faults: messages must be accepted within some rounds
+			sim.disk.Crash()
+			must(t, sim.start(true))
+			for _, id := range slices.Clone(sim.confirmed.order) {
+				must(t, sim.batch(ended(id)))
 			}
-			must(t, w.flush())
+			must(t, sim.flush())
 			for i := 0; ; i++ {
-				err := w.batch(accepted("late"))
-				must(t, w.flush())
-				if w.runSync(); err == nil {
+				err := sim.batch(accepted("late"))
+				must(t, sim.flush())
+				if sim.runSync(); err == nil {
 					break
 				}
 				if !errors.Is(err, engine.ErrFull) || i > 20 {
 					t.Fatalf("sync %d, seed %d: no message is accepted after the faults ended: %v", sync, seed, err)
 				}
 			}
-			failures, ends = failures+w.failures, ends+len(w.confirmed.ended)
+			failures, ends = failures+sim.failures, ends+len(sim.confirmed.ended)
 		}
 		if failures < 100 || ends < 50 {
 			t.Errorf("sync %d: %d batches failed, %d ids of ended messages are kept: too few for a meaningful test", sync, failures, ends)
@@ -483,12 +486,12 @@
 	t.Parallel()
 	failures := 0
 	for seed := range 36 + 5**long {
-		w := newSimulation(seed, journal.SyncAlways, crashDisk)
-		injectDiskFaults(w, seed)
-		if err := w.play(200, true); err != nil {
+		sim := newSimulation(seed, journal.SyncAlways, crashDisk)
+		injectDiskFaults(sim, seed)
+		if err := sim.play(200, true); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		failures += w.failures
+		failures += sim.failures
 	}
 	if failures < 100 {
 		t.Errorf("%d batches failed, want 100 or more for a meaningful test", failures)
--- a/internal/journal/damage_test.go
+++ b/internal/journal/damage_test.go
@@ -14,22 +14,23 @@
 // newest segment had three writes ago, or 0 if it is newer than that.
 func filledDisk(t *testing.T, rounds int, disk int64) (d *memdir.Disk, m *model, earlierSize int) {
 	t.Helper()
-	w := newSimulation(5, journal.SyncNone, disk)
-	must(t, w.start(true))
+	sim := newSimulation(5, journal.SyncNone, disk)
+	must(t, sim.start(true))
 	var name string
 	for i := range rounds {
 		if i == rounds-3 {
-			name = newestSegment(w.disk)
-			earlierSize = len(w.disk.Read(name))
+			name = newestSegment(sim.disk)
+			earlierSize = len(sim.disk.Read(name))
 		}
-		must(t, w.round())
+		must(t, sim.round())
 	}
-	if name != newestSegment(w.disk) {
+	if name != newestSegment(sim.disk) {
 		earlierSize = 0
 	}
-	return w.disk, w.confirmed, earlierSize
+	return sim.disk, sim.confirmed, earlierSize
 }
 
+// newestSegment returns the name of the newest segment file.
 func newestSegment(d *memdir.Disk) string { s := segments(d); return s[len(s)-1] }
 
 // findHarm describes the first live message that a journal restores wrongly after damage, given the model from before
--- a/internal/journal/fuzz_test.go
+++ b/internal/journal/fuzz_test.go
@@ -39,20 +39,20 @@
 
 // A folder with any bytes in its files either gives an error or opens with a consistent state.
 func FuzzReplay(f *testing.F) {
-	w := newSimulation(3, journal.SyncNone, 64<<10)
-	must(f, w.start(true))
+	sim := newSimulation(3, journal.SyncNone, 64<<10)
+	must(f, sim.start(true))
 	for range 30 {
-		must(f, w.round())
+		must(f, sim.round())
 	}
-	for _, name := range segments(w.disk) {
-		f.Add(w.disk.Read(name))
+	for _, name := range segments(sim.disk) {
+		f.Add(sim.disk.Read(name))
 	}
 	old, err := os.ReadFile(filepath.Join("testdata", "format1", "journal-2"))
 	must(f, err)
 	f.Add(old)
 	f.Add(journal.NewerSegment())
 	f.Add([]byte("cm\xff\xff\xff\xff\x00\x00\x00\x00"))
-	good := w.disk.Read(segments(w.disk)[0])
+	good := sim.disk.Read(segments(sim.disk)[0])
 	f.Fuzz(func(t *testing.T, text []byte) {
 		d := memdir.New()
 		d.Put("journal-00000001.seg", text)
--- a/internal/journal/sync_test.go
+++ b/internal/journal/sync_test.go
@@ -185,6 +185,7 @@
 	return hookedFile{f, d}, err
 }
 
+// hookedFile is a file of a hookedDir.
 type hookedFile struct {
 	journal.File
 	d *hookedDir
@@ -420,14 +421,15 @@
 	}
 }
 
+// childSeed is the seed of the load that the child process and the test run.
 const childSeed = 21
 
 // childSimulation is what the child process of TestKilledProcessLosesNothing runs on real files: the same load each
 // time.
 func childSimulation(dir journal.Dir) *simulation {
-	w := newSimulation(childSeed, journal.SyncNone, 128<<10)
-	w.dir = dir
-	return w
+	sim := newSimulation(childSeed, journal.SyncNone, 128<<10)
+	sim.dir = dir
+	return sim
 }
 
 // TestMain runs the child process if JOURNAL_TEST_CHILD is set.
@@ -436,13 +438,13 @@
 	if dir == "" {
 		os.Exit(m.Run())
 	}
-	w := childSimulation(journal.OSDir(dir))
-	if err := w.start(true); err != nil {
+	sim := childSimulation(journal.OSDir(dir))
+	if err := sim.start(true); err != nil {
 		fmt.Println(err)
 		os.Exit(1)
 	}
 	for i := 1; ; i++ {
-		if err := w.round(); err != nil {
+		if err := sim.round(); err != nil {
 			fmt.Println(err)
 			os.Exit(1)
 		}
@@ -474,19 +476,19 @@
 		if err := cmd.Wait(); err == nil || rounds < stop {
 			t.Fatalf("the child process ended by itself after %d rounds: %v", rounds, err)
 		}
-		w := childSimulation(nil)
-		must(t, w.start(true))
+		sim := childSimulation(nil)
+		must(t, sim.start(true))
 		for range rounds {
-			must(t, w.round())
+			must(t, sim.round())
 		}
 		j, err := tryOpen(journal.OSDir(dir), settings(128<<10))
 		must(t, err)
-		why := w.confirmed.differs(j)
-		m := w.confirmed.clone()
+		why := sim.confirmed.differs(j)
+		m := sim.confirmed.clone()
 		for range 2 { // what was written after the last line of output
-			w.trace = nil
-			must(t, w.round())
-			for _, b := range w.trace {
+			sim.trace = nil
+			must(t, sim.round())
+			for _, b := range sim.trace {
 				if m.apply(b.records); why != "" && m.differs(j) == "" {
 					why = ""
 				}
