--- a/internal/journal/check.go
+++ b/internal/journal/check.go
@@ -28,7 +28,8 @@
 	ValidBytes int64 // size of its valid part
 }
 
-// Check reads a folder without changing it. If a process is writing there, the report shows a recent state. An error means that the folder can't be read, ErrNewerFormat that a newer program wrote it.
+// Check reads a folder without changing it. If a process is writing there, the report shows a recent state. An error
+// means that the folder can't be read, ErrNewerFormat that a newer program wrote it.
 func Check(dir Dir) (*Report, error) {
 	for attempt := 0; ; attempt++ {
 		r, err := checkOnce(dir)
--- a/internal/journal/codec.go
+++ b/internal/journal/codec.go
@@ -175,7 +175,7 @@
 type doubt struct {
 	since         engine.Timestamp // when the first attempt that may have run was made, 0 if there is none
 	zone          int
-	newestAttempt bool // the doubt is about the newest attempt alone, whose outcome is open: a proof that it never ran ends the doubt
+	newestAttempt bool // the doubt is about the newest attempt alone; a proof that it never ran ends the doubt
 }
 
 func putMessage(b []byte, num uint64, m *engine.Message, deadline engine.Timestamp) []byte {
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -104,14 +104,14 @@
 	must(t, j.put(accepted("b")))
 	text := d.Read(name)
 	for n := whole; n < len(text); n++ {
-		cut := memdir.New()
-		cut.Put(name, text[:n])
-		k := open(t, cut.Dir(), 1e6)
+		torn := memdir.New()
+		torn.Put(name, text[:n])
+		k := open(t, torn.Dir(), 1e6)
 		if k.ids() != "a" || !k.Findings.OK() || k.Findings.UnfinishedBytes != int64(n-whole) {
 			t.Fatalf("cut at %d: live %s, findings %+v", n, k.ids(), k.Findings)
 		}
 		must(t, k.put(accepted("c")))
-		if k = reopen(t, cut, 1e6); k.ids() != "a c" || !k.Findings.OK() {
+		if k = reopen(t, torn, 1e6); k.ids() != "a c" || !k.Findings.OK() {
 			t.Fatalf("cut at %d: live %s, findings %+v", n, k.ids(), k.Findings)
 		}
 	}
@@ -186,8 +186,8 @@
 func TestDiskLimitIsNeverExceeded(t *testing.T) {
 	t.Parallel()
 	d := memdir.New()
-	const budget = 200 << 10
-	j := open(t, d.Dir(), budget)
+	const diskLimit = 200 << 10
+	j := open(t, d.Dir(), diskLimit)
 	refused, held := 0, []string{}
 	for i := range 3000 {
 		id := fmt.Sprint("m", i)
@@ -207,14 +207,14 @@
 			must(t, j.put(ended(held[0])))
 			held = held[1:]
 		}
-		if n := d.Used(); n > budget {
-			t.Fatalf("%d bytes on disk, the limit is %d", n, budget)
+		if n := d.Used(); n > diskLimit {
+			t.Fatalf("%d bytes on disk, the limit is %d", n, diskLimit)
 		}
 	}
 	if refused == 0 || len(held) < 40 {
 		t.Fatalf("%d refused, %d live: the disk limit was not reached, or too little of the disk was used", refused, len(held))
 	}
-	if k := reopen(t, d, budget); k.ids() != strings.Join(held, " ") {
+	if k := reopen(t, d, diskLimit); k.ids() != strings.Join(held, " ") {
 		t.Errorf("%d live after a restart, want %d", len(k.Live), len(held))
 	}
 }
--- a/internal/journal/load_test.go
+++ b/internal/journal/load_test.go
@@ -267,7 +267,7 @@
 	}
 }
 
-// Open refuses invalid settings with an error that names the field.
+// Open refuses invalid settings with an error that says what is wrong.
 func TestSettingsAreChecked(t *testing.T) {
 	t.Parallel()
 	good := settings(journal.MinDisk)
--- a/internal/journal/recover.go
+++ b/internal/journal/recover.go
@@ -522,8 +522,8 @@
 }
 
 // resolveLostFacts decides about messages that lost facts may have been about. A message with a later record is live,
-// and may have run. Of the others it is not even known whether they are live: they are not sent again, get a pending failure
-// and remain in doubt.
+// and may have run. Of the others it is not even known whether they are live: they are not sent again, get a pending
+// failure and remain in doubt.
 func (r *recovery) resolveLostFacts() {
 	if r.gapCount == 0 {
 		return
