--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// After a short time of long delays the messages that came in that time are admitted as a burst.
+// Delays that are long only for a short time cause no limit. The messages that arrived meanwhile are all admitted.
 func TestShortDelaysCauseNoRejection(t *testing.T) {
 	t.Parallel()
 	g := New(Settings{})
@@ -68,7 +68,7 @@
 	}
 }
 
-// A heavily overloaded core reports delays rarely. They must not be taken for separate pauses.
+// A heavily overloaded core reports delays rarely. They must not be taken for separate pauses of the process.
 func TestRareButVeryLongDelaysCauseLimit(t *testing.T) {
 	t.Parallel()
 	g := New(Settings{})
@@ -78,11 +78,11 @@
 		g.ObserveDelay(now, 2500*ms)
 	}
 	if !g.Limited() {
-		t.Error("everything waits 2.5 s, and everything is admitted")
+		t.Error("no limit although each delay is 2.5 s")
 	}
 }
 
-// Long delays far apart are separate pauses of the process.
+// Long delays that are far apart are separate pauses of the process.
 func TestSeparatePausesCauseNoRejection(t *testing.T) {
 	t.Parallel()
 	g := New(Settings{})
@@ -101,16 +101,16 @@
 		g.ObserveDelay(now, 100*ms)
 		if ok, after := g.Admit(now); !ok {
 			if after <= 0 {
-				t.Error("a rejection comes without a retry delay")
+				t.Error("rejection without a retry delay")
 			}
 			return now
 		}
 	}
-	t.Fatal("everything is late, and everything is admitted")
+	t.Fatal("no message was rejected in 10 s of long delays")
 	return 0
 }
 
-func TestFewerAdmittedThanCompletedWhileLate(t *testing.T) {
+func TestFewerAdmittedThanCompletedDuringDelays(t *testing.T) {
 	t.Parallel()
 	g := New(Settings{MinRate: 1e-6})
 	now := overload(t, g, 0)
@@ -129,7 +129,7 @@
 		t.Errorf("%d admitted, %d completed", taken, ended)
 	}
 	if !g.Limited() {
-		t.Error("the limit has ended while messages are rejected")
+		t.Error("the limit has ended although messages are rejected")
 	}
 }
 
@@ -145,7 +145,7 @@
 		}
 	}
 	if taken < 950 || taken > 1050 {
-		t.Errorf("%d were admitted in 10 s, want 1000", taken)
+		t.Errorf("%d admitted in 10 s, want about 1000", taken)
 	}
 }
 
@@ -161,7 +161,7 @@
 		}
 	}
 	if g.Limited() {
-		t.Error("the limit does not end")
+		t.Error("the limit has not ended after 2 s without a rejection")
 	}
 	for range 100_000 {
 		if ok, _ := g.Admit(now); !ok {
@@ -170,8 +170,8 @@
 	}
 }
 
-// With any sequence of reports: a pause does not allow a burst, and no more messages are admitted than completed messages,
-// saved tokens and the minimum rate allow.
+// In any sequence of reports, no more messages are admitted than completed messages, saved tokens and the minimum rate
+// allow. A pause does not allow a burst.
 func TestAdmissionIsBoundedByCompletions(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -182,7 +182,7 @@
 			now += ms
 		}
 		if !g.Limited() {
-			t.Fatal("no limit")
+			t.Fatal("no limit after 400 ms of long delays")
 		}
 		from, taken, allowed := now, 0, 2*float64(minTokenLimit)
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
@@ -230,7 +230,7 @@
 
 // run simulates a span of time with rate requests a second.
 func (c *core) run(span Time, rate float64) {
-	const hear, turn, work = 12, 8, 40 // us
+	const admitCost, rejectCost, workCost = 12, 8, 40 // us
 	due := 0.0
 	next := c.now / ms * ms
 	for end := c.now + span; c.now < end; {
@@ -252,15 +252,15 @@
 		case 0:
 			if ok, _ := c.gate.Admit(c.now); !ok {
 				c.rejected++
-				c.now += turn
+				c.now += rejectCost
 				continue
 			}
 			c.admitted++
 			c.held++
-			c.now += hear
+			c.now += admitCost
 			c.queue = append(c.queue, job{kind: 1, at: c.now, from: c.now})
 		case 1:
-			c.now += work
+			c.now += workCost
 			c.held--
 			c.completed++
 			c.longest = max(c.longest, c.now-j.from)
@@ -271,21 +271,21 @@
 	}
 }
 
-func TestOverloadedCoreStaysProductive(t *testing.T) {
+func TestThroughputUnderOverload(t *testing.T) {
 	t.Parallel()
-	const can = 1e6 / (12 + 40)
-	for _, times := range []float64{1.2, 1.5, 2, 4} {
+	const capacity = 1e6 / (12 + 40)
+	for _, load := range []float64{1.2, 1.5, 2, 4} {
 		c := &core{gate: New(Settings{})}
-		c.run(3*sec, times*can)
+		c.run(3*sec, load*capacity)
 		c.completed, c.longest = 0, 0
-		c.run(5*sec, times*can)
-		left := 1 - float64(times-1)*can*8/1e6 // part of the core that remains besides rejecting the surplus
-		best := max(left, 0.05) * can * 5
-		if float64(c.completed) < 0.8*best {
-			t.Errorf("%gx: %d completed, want about %.0f", times, c.completed, best)
+		c.run(5*sec, load*capacity)
+		left := 1 - float64(load-1)*capacity*8/1e6 // part of the core that remains besides rejecting the surplus
+		want := max(left, 0.05) * capacity * 5
+		if float64(c.completed) < 0.8*want {
+			t.Errorf("load %g: %d completed, want about %.0f", load, c.completed, want)
 		}
 		if c.longest > 200*ms {
-			t.Errorf("%gx: a message took %d ms", times, c.longest/ms)
+			t.Errorf("load %g: a message took %d ms, want 200 ms at most", load, c.longest/ms)
 		}
 	}
 }
@@ -301,6 +301,6 @@
 	c.rejected, c.completed = 0, 0
 	c.run(2*sec, 5000)
 	if c.rejected > 0 || c.completed < 9900 {
-		t.Errorf("%d rejected, %d completed", c.rejected, c.completed)
+		t.Errorf("after the overload: %d rejected, %d completed", c.rejected, c.completed)
 	}
 }
--- a/resend/planner_test.go
+++ b/resend/planner_test.go
@@ -7,7 +7,7 @@
 	"curlewmux/control"
 )
 
-// testPlanner is a planner with messages for destinations with settable conditions.
+// testPlanner is a planner with queued messages. A test sets the condition of each destination and their listed rate.
 type testPlanner struct {
 	*Planner
 	conditions map[int]control.Condition
@@ -16,162 +16,162 @@
 }
 
 func newTestPlanner(slots, dests, each int) *testPlanner {
-	b := &testPlanner{Planner: NewPlanner(slots, 0.5, 60*second), conditions: map[int]control.Condition{}}
+	p := &testPlanner{Planner: NewPlanner(slots, 0.5, 60*second), conditions: map[int]control.Condition{}}
 	for d := range dests {
-		b.conditions[d] = control.Healthy
+		p.conditions[d] = control.Healthy
 	}
 	for i := range dests * each {
 		n := &Node{Number: uint64(i)}
 		n.SetDestination(i % dests)
-		b.nodes = append(b.nodes, n)
-		b.Schedule(n, now)
+		p.nodes = append(p.nodes, n)
+		p.Schedule(n, now)
 	}
-	return b
+	return p
 }
 
-func (b *testPlanner) pick(at Time) []*Node {
-	return b.Pick(at, func(d int) (control.Condition, float64) { return b.conditions[d], b.rate })
+func (p *testPlanner) pick(at Time) []*Node {
+	return p.Pick(at, func(d int) (control.Condition, float64) { return p.conditions[d], p.rate })
 }
 
 func TestWindowGrowsWithEachSuccess(t *testing.T) {
 	t.Parallel()
-	b := newTestPlanner(4, 1, 20)
+	p := newTestPlanner(4, 1, 20)
 	for _, want := range []int{1, 2, 4} {
-		got := b.pick(now)
-		if len(got) != want || b.InFlight() != want {
-			t.Fatalf("%d picked, %d being resent, want %d", len(got), b.InFlight(), want)
+		got := p.pick(now)
+		if len(got) != want || p.InFlight() != want {
+			t.Fatalf("%d picked, %d in flight, want %d of both", len(got), p.InFlight(), want)
 		}
 		for range got {
-			b.Completed(0, now, Success)
+			p.Completed(0, now, Success)
 		}
 	}
-	if got := b.pick(now); len(got) != 4 {
-		t.Fatalf("%d picked with a share of 4 slots", len(got))
+	if got := p.pick(now); len(got) != 4 {
+		t.Fatalf("%d picked with 4 slots, want 4", len(got))
 	}
-	b.Completed(0, now, Failure)
+	p.Completed(0, now, Failure)
 	for range 3 {
-		b.Completed(0, now, Inconclusive)
+		p.Completed(0, now, Inconclusive)
 	}
-	if got := b.pick(now + second - 1); len(got) != 0 {
-		t.Errorf("%d picked in the pause after a failure", len(got))
+	if got := p.pick(now + second - 1); len(got) != 0 {
+		t.Errorf("%d picked during the pause after a failure, want none", len(got))
 	}
-	if got := b.pick(now + second); len(got) != 1 {
-		t.Errorf("%d picked after a failure", len(got))
+	if got := p.pick(now + second); len(got) != 1 {
+		t.Errorf("%d picked after the pause, want 1", len(got))
 	}
 }
 
-func TestUnhealthyDestinationsGetNoMessagesButTrials(t *testing.T) {
+func TestUnhealthyDestinationGetsOnlyTrials(t *testing.T) {
 	t.Parallel()
-	b := newTestPlanner(4, 3, 10)
-	b.conditions[0], b.conditions[1], b.conditions[2] = control.Busy, control.Unavailable, control.Unhealthy
-	got := b.pick(now)
+	p := newTestPlanner(4, 3, 10)
+	p.conditions[0], p.conditions[1], p.conditions[2] = control.Busy, control.Unavailable, control.Unhealthy
+	got := p.pick(now)
 	if len(got) != 1 || got[0].Destination() != 2 {
-		t.Fatalf("picked %v", got)
+		t.Fatalf("picked %v, want one message for destination 2", got)
 	}
-	b.Completed(2, now, Inconclusive)
+	p.Completed(2, now, Inconclusive)
 	for at := now; at < now+60*second; at += second {
-		if got := b.pick(at); len(got) > 0 {
-			t.Fatalf("another trial after %d s", (at-now)/second)
+		if got := p.pick(at); len(got) > 0 {
+			t.Fatalf("another trial after only %d s", (at-now)/second)
 		}
 	}
-	if got := b.pick(now + 61*second); len(got) != 1 {
-		t.Errorf("%d trials after a minute", len(got))
+	if got := p.pick(now + 61*second); len(got) != 1 {
+		t.Errorf("%d trials after a minute, want 1", len(got))
 	}
-	if at, ok := b.NextDue(); !ok || at > now+63*second {
-		t.Errorf("next look %v %v", at-now, ok)
+	if at, ok := p.NextDue(); !ok || at > now+63*second {
+		t.Errorf("NextDue returns %v from now, %v", at-now, ok)
 	}
-	b.conditions[0] = control.Healthy
-	if got := b.pick(now + 62*second); len(got) != 1 || got[0].Destination() != 0 {
-		t.Errorf("picked %v when destination 0 was well", got)
+	p.conditions[0] = control.Healthy
+	if got := p.pick(now + 62*second); len(got) != 1 || got[0].Destination() != 0 {
+		t.Errorf("picked %v once destination 0 is healthy, want one message for it", got)
 	}
 }
 
 func TestListedRateIsKept(t *testing.T) {
 	t.Parallel()
-	b := newTestPlanner(8, 1, 1000)
-	b.rate = 10
+	p := newTestPlanner(8, 1, 1000)
+	p.rate = 10
 	sent := 0
 	for at := now; at < now+60*second; at += 10 * control.Millisecond {
-		for _, n := range b.pick(at) {
+		for _, n := range p.pick(at) {
 			sent++
-			b.Completed(n.Destination(), at, Success)
+			p.Completed(n.Destination(), at, Success)
 		}
 	}
 	if sent > 301 || sent < 290 { // half of the listed 10/s
-		t.Errorf("%d sent in a minute", sent)
+		t.Errorf("%d messages sent in a minute, want about 300", sent)
 	}
 }
 
 func TestDestinationsAreServedRoundRobin(t *testing.T) {
 	t.Parallel()
-	b := newTestPlanner(2, 5, 40)
+	p := newTestPlanner(2, 5, 40)
 	count := map[int]int{}
 	for range 50 {
-		for _, n := range b.pick(now) {
+		for _, n := range p.pick(now) {
 			count[n.Destination()]++
-			b.Completed(n.Destination(), now, Inconclusive)
+			p.Completed(n.Destination(), now, Inconclusive)
 		}
 	}
 	for d := range 5 {
 		if count[d] < 15 || count[d] > 25 {
-			t.Errorf("destination %d had %d turns of 100", d, count[d])
+			t.Errorf("destination %d was picked %d times of 100, want about 20", d, count[d])
 		}
 	}
 }
 
-// In any sequence of calls: no message is picked twice or before it is due, none is lost, and the limit of messages being
-// resent is kept.
+// TestPlannerLosesNoMessage makes random calls. No message may be picked twice or before it is due, none may be lost, and
+// the limit of messages being resent must be kept.
 func TestPlannerLosesNoMessage(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(200) {
 		dice := rand.New(rand.NewPCG(seed, 1))
-		b := newTestPlanner(1+dice.IntN(5), 1+dice.IntN(4), 20)
-		in, out := map[*Node]bool{}, map[*Node]bool{}
-		for _, n := range b.nodes {
-			in[n] = true
+		p := newTestPlanner(1+dice.IntN(5), 1+dice.IntN(4), 20)
+		queued, inFlight := map[*Node]bool{}, map[*Node]bool{}
+		for _, n := range p.nodes {
+			queued[n] = true
 		}
 		at := now
 		for range 400 {
 			at += Time(dice.IntN(int(5 * second)))
 			switch dice.IntN(5) {
 			case 0:
-				n := b.nodes[dice.IntN(len(b.nodes))]
-				if !out[n] {
-					b.Schedule(n, at+Time(dice.IntN(int(20*second))))
-					in[n] = true
+				n := p.nodes[dice.IntN(len(p.nodes))]
+				if !inFlight[n] {
+					p.Schedule(n, at+Time(dice.IntN(int(20*second))))
+					queued[n] = true
 				}
 			case 1:
-				n := b.nodes[dice.IntN(len(b.nodes))]
-				if in[n] {
-					b.Remove(n)
-					delete(in, n)
+				n := p.nodes[dice.IntN(len(p.nodes))]
+				if queued[n] {
+					p.Remove(n)
+					delete(queued, n)
 				}
 			case 2:
-				b.conditions[dice.IntN(4)] = control.Condition(dice.IntN(4))
+				p.conditions[dice.IntN(4)] = control.Condition(dice.IntN(4))
 			case 3:
-				for n := range out {
-					b.Completed(n.Destination(), at, SendResult(dice.IntN(3)))
-					delete(out, n)
+				for n := range inFlight {
+					p.Completed(n.Destination(), at, SendResult(dice.IntN(3)))
+					delete(inFlight, n)
 					break
 				}
 			default:
-				for _, n := range b.pick(at) {
-					if !in[n] || out[n] || n.Due > at {
-						t.Fatalf("seed %d: message %d picked too early or twice", seed, n.Number)
+				for _, n := range p.pick(at) {
+					if !queued[n] || inFlight[n] || n.Due > at {
+						t.Fatalf("seed %d: message %d picked before it was due, or twice", seed, n.Number)
 					}
-					delete(in, n)
-					out[n] = true
+					delete(queued, n)
+					inFlight[n] = true
 				}
 			}
-			if b.InFlight() != len(out) || b.InFlight() > b.slots {
-				t.Fatalf("seed %d: %d being resent, want %d", seed, b.InFlight(), len(out))
+			if p.InFlight() != len(inFlight) || p.InFlight() > p.slots {
+				t.Fatalf("seed %d: %d in flight, want %d and no more than there are slots", seed, p.InFlight(), len(inFlight))
 			}
 			left := 0
-			for _, l := range b.queues {
+			for _, l := range p.queues {
 				left += len(l.messages)
 			}
-			if left != len(in) {
-				t.Fatalf("seed %d: %d in the lanes, want %d", seed, left, len(in))
+			if left != len(queued) {
+				t.Fatalf("seed %d: %d messages queued, want %d", seed, left, len(queued))
 			}
 		}
 	}
--- a/resend/resend_test.go
+++ b/resend/resend_test.go
@@ -14,7 +14,7 @@
 	now    = 100 * hour
 )
 
-// settings returns settings with a class for each effect and a partner for each proof.
+// settings returns settings with classes of each effect, a partner for each proof and two rules.
 func settings() *Settings {
 	return &Settings{
 		Classes: []Class{
@@ -36,7 +36,7 @@
 	}
 }
 
-// item returns a message that a rule resends at once.
+// item returns a message that the rule "all" resends at once, unless a change says otherwise.
 func item(change ...func(*Item)) *Item {
 	it := &Item{
 		Number: 7, Class: "unsafe", Tenant: "core", Destination: 1, Cause: "time", Body: 100, KeptAt: now - hour, LastEnd: now - hour,
@@ -47,7 +47,7 @@
 	return it
 }
 
-// inDoubt sets a doubt: an attempt may have run that long ago, and its call ended 30 s later.
+// inDoubt marks a message as in doubt: an attempt that may have run was sent that long ago, and its call ended 30 s later.
 func inDoubt(ago Time) func(*Item) {
 	return func(it *Item) { it.Doubt = Doubt{FirstSent: now - ago, QuietFrom: now - ago + 30*second} }
 }
@@ -69,43 +69,43 @@
 		why  string
 		rule string
 	}{
-		"it never ran":                          {it: item(), do: Send},
-		"harmless in doubt":                     {it: item(class("free"), dest(3), inDoubt(second)), do: Send},
-		"in doubt, to be asked about":           {it: item(inDoubt(hour)), do: Ask},
-		"a call may still run":                  {it: item(inDoubt(80 * second)), do: Wait, at: now + 10*second, why: "may still be running"},
-		"the call can just not run any more":    {it: item(inDoubt(90 * second)), do: Ask},
-		"the partner has forgotten":             {it: item(inDoubt(10 * hour)), do: Leave, why: "forgotten"},
-		"its age is not known":                  {it: item(inDoubt(hour), ageUnknown), do: Leave, why: "forgotten"},
-		"no proof":                              {it: item(dest(3), inDoubt(hour)), do: Leave, why: "only an operator"},
-		"a partner that nobody named":           {it: item(dest(99), inDoubt(hour)), do: Leave, why: "only an operator"},
-		"a key that is remembered":              {it: item(dest(2), inDoubt(100*second), key), do: Send},
-		"remembered, but not for a life":        {it: item(dest(2), inDoubt(hour-80*second), key), do: Leave, why: "not remember its key"},
-		"no key":                                {it: item(dest(2), inDoubt(100*second)), do: Leave, why: "not remember its key"},
-		"a key of unknown age":                  {it: item(dest(2), inDoubt(100*second), key, ageUnknown), do: Leave, why: "not remember its key"},
-		"keyed, inside its window":              {it: item(class("keyed"), dest(3), inDoubt(8*second), key), do: SendInDoubt},
-		"keyed, at the end of its window":       {it: item(class("keyed"), dest(3), inDoubt(9*second), key), do: Leave, why: "only an operator"},
-		"keyed, out of it, to be asked about":   {it: item(class("keyed"), inDoubt(hour), key), do: Ask},
-		"in order":                              {it: item(class("ordered")), do: Leave, why: "in order"},
-		"the class is gone":                     {it: item(class("gone")), do: Leave, why: `class "gone"`},
-		"the tenant is gone":                    {it: item(func(it *Item) { it.Tenant = "x" }), do: Leave, why: `tenant "x"`},
-		"over today's limit":                    {it: item(func(it *Item) { it.Body = 1001 }), do: Leave, why: "over today's limit"},
-		"held":                                  {it: item(func(it *Item) { it.HoldReason = "seen" }), do: Leave, why: "seen"},
-		"too old for the rule":                  {it: item(func(it *Item) { it.KeptAt = now - 21*hour }), do: Leave, why: "older"},
-		"the first rule that fits":              {it: item(func(it *Item) { it.Cause, it.LastEnd = "never", now-10*second }), do: Wait, at: now - 10*second + hour, rule: "mail"},
-		"its next try is due later":             {it: item(resent(0, now-4*second)), do: Wait, at: now + 6*second, why: "due later"},
-		"the pause grows":                       {it: item(resent(1, now)), do: Wait, at: now + 20*second},
-		"up to its most":                        {it: item(resent(2, now)), do: Wait, at: now + 30*second},
-		"poison: it had all its tries":          {it: item(resent(3, 0)), do: Leave, why: "all 3 tries"},
-		"an inquiry failed":                     {it: item(inDoubt(hour), func(it *Item) { it.FailedInquiries, it.LastFailedInquiry = 30, 0 }), do: Leave, why: "inquiries"},
-		"doubt counts from the first that ran":  {it: item(inDoubt(hour), resent(2, 0)), do: Ask},
-		"doubt that is only of harmless effect": {it: item(class("free"), inDoubt(0), ageUnknown), do: Send},
+		"never ran":                                   {it: item(), do: Send},
+		"in doubt, harmless to repeat":                {it: item(class("free"), dest(3), inDoubt(second)), do: Send},
+		"in doubt, the partner can be asked":          {it: item(inDoubt(hour)), do: Ask},
+		"an earlier call may still be running":        {it: item(inDoubt(80 * second)), do: Wait, at: now + 10*second, why: "may still be running"},
+		"the earlier call has just ended for certain": {it: item(inDoubt(90 * second)), do: Ask},
+		"the partner has forgotten":                   {it: item(inDoubt(10 * hour)), do: Leave, why: "forgotten"},
+		"age of the doubt unknown":                    {it: item(inDoubt(hour), ageUnknown), do: Leave, why: "forgotten"},
+		"partner without proof":                       {it: item(dest(3), inDoubt(hour)), do: Leave, why: "only an operator"},
+		"partner without settings":                    {it: item(dest(99), inDoubt(hour)), do: Leave, why: "only an operator"},
+		"key is remembered":                           {it: item(dest(2), inDoubt(100*second), key), do: Send},
+		"key is forgotten before a resend is over":    {it: item(dest(2), inDoubt(hour-80*second), key), do: Leave, why: "not remember its key"},
+		"no key":                                                {it: item(dest(2), inDoubt(100*second)), do: Leave, why: "not remember its key"},
+		"key, age of the doubt unknown":                         {it: item(dest(2), inDoubt(100*second), key, ageUnknown), do: Leave, why: "not remember its key"},
+		"guarded class, within its dedup window":                {it: item(class("keyed"), dest(3), inDoubt(8*second), key), do: SendInDoubt},
+		"guarded class, at the end of its dedup window":         {it: item(class("keyed"), dest(3), inDoubt(9*second), key), do: Leave, why: "only an operator"},
+		"guarded class, after its dedup window":                 {it: item(class("keyed"), inDoubt(hour), key), do: Ask},
+		"ordered class":                                         {it: item(class("ordered")), do: Leave, why: "in order"},
+		"class is not among the settings":                       {it: item(class("gone")), do: Leave, why: `class "gone"`},
+		"tenant is not among the settings":                      {it: item(func(it *Item) { it.Tenant = "x" }), do: Leave, why: `tenant "x"`},
+		"body over the current limit":                           {it: item(func(it *Item) { it.Body = 1001 }), do: Leave, why: "over today's limit"},
+		"has a hold reason":                                     {it: item(func(it *Item) { it.HoldReason = "seen" }), do: Leave, why: "seen"},
+		"too old for the rule":                                  {it: item(func(it *Item) { it.KeptAt = now - 21*hour }), do: Leave, why: "older"},
+		"first matching rule applies":                           {it: item(func(it *Item) { it.Cause, it.LastEnd = "never", now-10*second }), do: Wait, at: now - 10*second + hour, rule: "mail"},
+		"next resend is due later":                              {it: item(resent(0, now-4*second)), do: Wait, at: now + 6*second, why: "due later"},
+		"delay grows":                                           {it: item(resent(1, now)), do: Wait, at: now + 20*second},
+		"delay is limited":                                      {it: item(resent(2, now)), do: Wait, at: now + 30*second},
+		"no resends left":                                       {it: item(resent(3, 0)), do: Leave, why: "all 3 tries"},
+		"too many failed inquiries":                             {it: item(inDoubt(hour), func(it *Item) { it.FailedInquiries, it.LastFailedInquiry = 30, 0 }), do: Leave, why: "inquiries"},
+		"doubt counts from the first attempt that may have run": {it: item(inDoubt(hour), resent(2, 0)), do: Ask},
+		"doubt of unknown age, harmless to repeat":              {it: item(class("free"), inDoubt(0), ageUnknown), do: Send},
 	} {
 		v := settings().Decide(c.it, now)
 		if v.Action != c.do || v.At != c.at || !strings.Contains(v.Reason, c.why) {
 			t.Errorf("%s: %v at %d (now %+d) %q, want %v at %d %q", name, v.Action, v.At, v.At-now, v.Reason, c.do, c.at, c.why)
 		}
 		if want := cmp.Or(c.rule, "all"); (c.do == Send || c.do == Ask || c.do == Wait) && v.Rule != want {
-			t.Errorf("%s: rule %q", name, v.Rule)
+			t.Errorf("%s: decided by rule %q", name, v.Rule)
 		}
 	}
 	s := settings()
@@ -126,17 +126,17 @@
 		vouch bool
 		do    Action
 	}{
-		"poison":                           {item(resent(9, now)), false, Send},
-		"held":                             {item(func(it *Item) { it.HoldReason = "x" }), false, Send},
-		"in order":                         {item(class("ordered")), false, Send},
-		"no proof, and nobody vouches":     {item(dest(3), inDoubt(hour)), false, Leave},
-		"no proof, and somebody does":      {item(dest(3), inDoubt(hour)), true, ClearDoubt},
-		"vouched while a call may run":     {item(dest(3), inDoubt(80*second)), true, Wait},
-		"vouched with an age not known":    {item(inDoubt(hour), ageUnknown), true, ClearDoubt},
-		"to be asked about":                {item(inDoubt(hour)), false, Ask},
-		"vouched where it could be asked":  {item(inDoubt(hour)), true, ClearDoubt},
-		"the class is gone, and vouched":   {item(class("gone"), inDoubt(hour)), true, Leave},
-		"harmless, vouched, a call is out": {item(class("free")), true, Send},
+		"no resends left":                          {item(resent(9, now)), false, Send},
+		"has a hold reason":                        {item(func(it *Item) { it.HoldReason = "x" }), false, Send},
+		"ordered class":                            {item(class("ordered")), false, Send},
+		"no proof, not vouched":                    {item(dest(3), inDoubt(hour)), false, Leave},
+		"no proof, vouched":                        {item(dest(3), inDoubt(hour)), true, ClearDoubt},
+		"vouched, a call may still be running":     {item(dest(3), inDoubt(80*second)), true, Wait},
+		"vouched, age of the doubt unknown":        {item(inDoubt(hour), ageUnknown), true, ClearDoubt},
+		"partner can be asked":                     {item(inDoubt(hour)), false, Ask},
+		"vouched, partner can be asked":            {item(inDoubt(hour)), true, ClearDoubt},
+		"vouched, class is not among the settings": {item(class("gone"), inDoubt(hour)), true, Leave},
+		"vouched, never ran, harmless to repeat":   {item(class("free")), true, Send},
 	} {
 		if v := settings().DecideManual(c.it, now, c.vouch); v.Action != c.do {
 			t.Errorf("%s: %v %q, want %v", name, v.Action, v.Reason, c.do)
@@ -152,14 +152,14 @@
 		a     Answer
 		do    Action
 	}{
-		"yes":                                  {item(inDoubt(hour)), now - second, Yes, MarkDelivered},
-		"no":                                   {item(inDoubt(hour)), now - second, No, ClearDoubt},
-		"no, asked while a call could run":     {item(inDoubt(91 * second)), now - 2*second, No, Wait},
-		"no, and it has forgotten by now":      {item(inDoubt(10*hour - second)), now - 2*second, No, Leave},
-		"no, of unknown age":                   {item(inDoubt(hour), ageUnknown), now - second, No, Leave},
-		"it can't tell":                        {item(inDoubt(hour)), now - second, Unknown, Leave},
-		"none":                                 {item(inDoubt(hour)), now - second, Unanswered, Wait},
-		"yes from one that may have forgotten": {item(inDoubt(20 * hour)), now, Yes, MarkDelivered},
+		"yes":                                    {item(inDoubt(hour)), now - second, Yes, MarkDelivered},
+		"no":                                     {item(inDoubt(hour)), now - second, No, ClearDoubt},
+		"no, asked while a call could still run": {item(inDoubt(91 * second)), now - 2*second, No, Wait},
+		"no, forgotten by now":                   {item(inDoubt(10*hour - second)), now - 2*second, No, Leave},
+		"no, age of the doubt unknown":           {item(inDoubt(hour), ageUnknown), now - second, No, Leave},
+		"unknown":                                {item(inDoubt(hour)), now - second, Unknown, Leave},
+		"no answer":                              {item(inDoubt(hour)), now - second, Unanswered, Wait},
+		"yes, though the partner may have forgotten": {item(inDoubt(20 * hour)), now, Yes, MarkDelivered},
 	} {
 		if v := settings().DecideInquiry(c.it, c.asked, now, c.a); v.Action != c.do {
 			t.Errorf("%s: %v %q, want %v", name, v.Action, v.Reason, c.do)
@@ -167,8 +167,8 @@
 	}
 }
 
-// A message that may have taken effect is resent only with a proof. Unless a key identifies it, it is not resent while an
-// earlier call may still run.
+// TestNothingInDoubtGoesWithoutProof checks that a message that may have taken effect is resent only with a proof. Unless a
+// key identifies the message, it is not resent while an earlier call may still run.
 func TestNothingInDoubtGoesWithoutProof(t *testing.T) {
 	t.Parallel()
 	n := 0
@@ -188,14 +188,14 @@
 					}
 					switch p := &s.Partners[0]; {
 					case v.Action == ClearDoubt || v.Action == MarkDelivered:
-						t.Fatalf("%v without an inquiry", v.Action)
+						t.Fatalf("decision %v without an inquiry", v.Action)
 					case v.Action == Ask && (proof != ByInquiry || now < it.Doubt.QuietFrom+p.SettleTime || ago >= p.RememberTime || it.Doubt.AgeUnknown):
-						t.Fatalf("%s asked about after %d s with proof %d", k.Name, ago/second, proof)
+						t.Fatalf("class %s: inquiry after %d s with proof %d", k.Name, ago/second, proof)
 					case v.Action == SendInDoubt && (k.Effect != control.Guarded || ago >= k.DedupWindow || !it.HasKey || it.Doubt.AgeUnknown):
-						t.Fatalf("%s sent with its doubt after %d s", k.Name, ago/second)
+						t.Fatalf("class %s: resent in doubt after %d s", k.Name, ago/second)
 					case v.Action == Send && k.Effect != control.Free &&
 						(proof != ByKey || !it.HasKey || it.Doubt.AgeUnknown || k.Ordered || ago+k.Deadline >= p.RememberTime):
-						t.Fatalf("%s sent after %d s with proof %d", k.Name, ago/second, proof)
+						t.Fatalf("class %s: resent after %d s with proof %d", k.Name, ago/second, proof)
 					case v.Action == Send || v.Action == SendInDoubt || v.Action == Ask:
 						n++
 					}
@@ -214,7 +214,7 @@
 	for no := range uint64(1000) {
 		p := backoff(10*second, hour, 2, 0.5, no, 1)
 		if p < 20*second || p > 30*second || p != backoff(10*second, hour, 2, 0.5, no, 1) {
-			t.Fatalf("pause %d", p)
+			t.Fatalf("pause %d, want 20 to 30 s and the same each time", p)
 		}
 		seen[p] = true
 	}
@@ -222,6 +222,6 @@
 		t.Errorf("%d different pauses for 1,000 messages", len(seen))
 	}
 	if p := backoff(10*second, hour, 10, 0, 1, 1000); p != hour {
-		t.Errorf("the thousandth pause is %d", p)
+		t.Errorf("pause 1000 is %d, want the maximum", p)
 	}
 }
