--- a/membership/model_test.go
+++ b/membership/model_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// model is a slow reference implementation of the table's rules. It recomputes the whole list after each update.
+// model is a slow reference implementation of the table's rules. It computes the whole list anew whenever it is asked.
 type model struct {
 	sources  []string
 	remember time.Duration
@@ -58,10 +58,11 @@
 		next[e.ID] = c
 	}
 	m.claims[source] = next
-	m.settle(now)
+	m.updateLeft(now)
 }
 
-func (m *model) settle(now time.Time) {
+// updateLeft records when the last source stopped listing an ID.
+func (m *model) updateLeft(now time.Time) {
 	ids := map[string]bool{}
 	for _, c := range m.claims {
 		for id := range c {
@@ -88,6 +89,7 @@
 	}
 }
 
+// forget removes endpoints that left at least the time remember ago.
 func (m *model) forget(now time.Time) {
 	for id, at := range m.left {
 		if now.Sub(at) >= m.remember {
@@ -99,6 +101,7 @@
 	}
 }
 
+// list merges the claims on each endpoint.
 func (m *model) list() (list []Endpoint) {
 	ids := map[string]bool{}
 	for _, c := range m.claims {
@@ -164,28 +167,29 @@
 	}
 }
 
-// checkChanges applies changes to the endpoints reported so far. It fails if a change has no effect or if the order is not
-// the documented one.
-func checkChanges(fail func(string, ...any), given map[string]Endpoint, changes []Endpoint) {
+// checkChanges applies changes to the endpoints reported so far. It fails if a change has no effect or the changes are not
+// in the documented order, by phase and then by ID.
+func checkChanges(fail func(string, ...any), reported map[string]Endpoint, changes []Endpoint) {
 	for i, e := range changes {
 		if i > 0 {
 			if p := changes[i-1]; p.Phase > e.Phase || p.Phase == e.Phase && p.ID >= e.ID {
-				fail("order: %v", changes)
+				fail("changes in the wrong order: %v", changes)
 			}
 		}
-		old, ok := given[e.ID]
+		old, ok := reported[e.ID]
 		if e.Phase == Left && !ok || ok && old == e {
-			fail("%v is no change", e)
+			fail("%v changes nothing", e)
 		}
-		given[e.ID] = e
+		reported[e.ID] = e
 		if e.Phase == Left {
-			delete(given, e.ID)
+			delete(reported, e.ID)
 		}
 	}
 }
 
-func inIDOrder(given map[string]Endpoint) (list []Endpoint) {
-	for _, e := range given {
+// sortedByID returns the reported endpoints sorted by ID.
+func sortedByID(reported map[string]Endpoint) (list []Endpoint) {
+	for _, e := range reported {
 		list = append(list, e)
 	}
 	slices.SortFunc(list, func(a, b Endpoint) int { return slices.Compare([]byte(a.ID), []byte(b.ID)) })
@@ -202,7 +206,7 @@
 			t.Fatal(err)
 		}
 		m := &model{sources: sources, remember: remember, claims: map[string]map[string]Endpoint{}, left: map[string]time.Time{}}
-		given := map[string]Endpoint{}
+		reported := map[string]Endpoint{}
 		now := start
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 4).Draw(t, "seconds")) * time.Second)
@@ -216,18 +220,18 @@
 				t.Fatal(err)
 			}
 			m.apply(now, source, u)
-			checkChanges(t.Fatalf, given, changes)
+			checkChanges(t.Fatalf, reported, changes)
 			want := m.list()
 			if got := table.List(); !slices.Equal(got, want) {
 				t.Fatalf("table %+v\nmodel %+v", got, want)
 			}
-			if got := inIDOrder(given); !slices.Equal(got, want) {
+			if got := sortedByID(reported); !slices.Equal(got, want) {
 				t.Fatalf("changes add up to %+v\nmodel            %+v", got, want)
 			}
 			for _, e := range want {
 				x, known := table.Explain(e.ID)
 				if !known || x.Endpoint != e || x.Reason == "" || len(x.Claims) == 0 {
-					t.Fatalf("why %s: %+v", e.ID, x)
+					t.Fatalf("explanation of %s: %+v", e.ID, x)
 				}
 			}
 		}
@@ -243,12 +247,12 @@
 		if len(in) > 400 {
 			in = in[:400]
 		}
-		play := func() (trace string) {
+		run := func() (trace string) {
 			table, err := New(Settings{Sources: []string{"x", "y"}, RememberLeft: 5 * time.Second, MaxEndpoints: 6})
 			if err != nil {
 				t.Fatal(err)
 			}
-			given := map[string]Endpoint{}
+			reported := map[string]Endpoint{}
 			now := start
 			for rest := in; len(rest) >= 4; rest = rest[4:] {
 				now = now.Add(time.Duration(rest[0]%3) * time.Second)
@@ -261,18 +265,18 @@
 					})
 				}
 				changes, refused, err := table.Apply(now, []string{"x", "y"}[rest[0]>>7], u)
-				checkChanges(t.Fatalf, given, changes)
-				if got, want := inIDOrder(given), table.List(); !slices.Equal(got, want) {
+				checkChanges(t.Fatalf, reported, changes)
+				if got, want := sortedByID(reported), table.List(); !slices.Equal(got, want) {
 					t.Fatalf("changes add up to %v, the list is %v", got, want)
 				}
 				if len(table.records) > 6 {
-					t.Fatalf("%d records", len(table.records))
+					t.Fatalf("%d records, want 6 at most", len(table.records))
 				}
 				trace += fmt.Sprintln(changes, refused, err)
 			}
 			return trace
 		}
-		if a, b := play(), play(); a != b {
+		if a, b := run(), run(); a != b {
 			t.Fatalf("two runs differ:\n%s\n%s", a, b)
 		}
 	})
--- a/membership/subscription/subscription_test.go
+++ b/membership/subscription/subscription_test.go
@@ -14,7 +14,7 @@
 		t.Error("the first call does not start")
 	}
 	if s.StartCall(start.Add(time.Hour)) {
-		t.Error("a second call starts while the first is open")
+		t.Error("a second call starts before the first has ended")
 	}
 	s.CallSucceeded()
 	if s.StartCall(start.Add(time.Hour)) {
@@ -52,19 +52,19 @@
 	}
 	s.StartCall(now)
 	s.CallSucceeded()
-	if due := s.CallFailed(now); due.Sub(now) != MinPause { // the subscription broke
-		t.Errorf("after a successful call the pause is %v", due.Sub(now))
+	if due := s.CallFailed(now); due.Sub(now) != MinPause { // the subscription has ended
+		t.Errorf("pause %v after a successful call, want the minimum", due.Sub(now))
 	}
 }
 
-// The end of a subscription and the failure of the call that was to renew it may be reported once or twice.
+// The end of a subscription and the failure of the call that was to renew it may be reported as one failure or as two.
 func TestRepeatedFailureReportCountsOnce(t *testing.T) {
 	t.Parallel()
 	var s Subscription
 	s.StartCall(start)
 	due := s.CallFailed(start)
 	if again := s.CallFailed(start.Add(time.Millisecond)); !again.Equal(due) {
-		t.Errorf("due at %v, after a second report at %v", due, again)
+		t.Errorf("due at %v, but at %v after a second report", due, again)
 	}
 }
 
@@ -76,6 +76,6 @@
 	}
 	x, y := a.CallFailed(start), b.CallFailed(start)
 	if !y.Before(x) || y.Sub(start) < MinPause/2 {
-		t.Errorf("pauses %v and %v of %v", x.Sub(start), y.Sub(start), MinPause)
+		t.Errorf("pauses of %v and %v, want a shorter second one of at least half of %v", x.Sub(start), y.Sub(start), MinPause)
 	}
 }
