--- a/membership/endpointslice/decode_test.go
+++ b/membership/endpointslice/decode_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// sampleEvent returns a watch event with a slice of n pods, as an API server sends it.
 func sampleEvent(n int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"type":"MODIFIED","object":{"kind":"EndpointSlice","apiVersion":"discovery.k8s.io/v1","metadata":{"name":"archive-abc12","generateName":"archive-","namespace":"partners","uid":"0b0a5b0e-1111-4444-8888-0123456789ab","resourceVersion":"123456","generation":12,"creationTimestamp":"2026-01-01T00:00:00Z","labels":{"endpointslice.kubernetes.io/managed-by":"endpointslice-controller.k8s.io","kubernetes.io/service-name":"archive"},"annotations":{"endpoints.kubernetes.io/last-change-trigger-time":"2026-01-01T00:00:00Z"},"ownerReferences":[{"apiVersion":"v1","kind":"Service","name":"archive","uid":"0b0a5b0e-1111-4444-8888-0123456789ab","controller":true,"blockOwnerDeletion":true}]},"addressType":"IPv4","endpoints":[`)
--- a/membership/endpointslice/fuzz_test.go
+++ b/membership/endpointslice/fuzz_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// reference parses an event with encoding/json.
+// reference parses an event with encoding/json. ok is false if it is not a watch event.
 func reference(line []byte) (ev event, ok bool) {
 	var top map[string]any
 	if json.Unmarshal(line, &top) != nil || top == nil {
@@ -62,10 +62,13 @@
 	return ev, true
 }
 
+// str, obj, arr and num return v if it has the wanted type, otherwise the zero value.
+
 func str(v any) string         { s, _ := v.(string); return s }
 func obj(v any) map[string]any { m, _ := v.(map[string]any); return m }
 func arr(v any) []any          { a, _ := v.([]any); return a }
 
+// num also returns 0 for a number that is no integer of 32 bits.
 func num(v any) int {
 	f, _ := v.(float64)
 	if f != math.Trunc(f) || math.Abs(f) > math.MaxInt32 {
@@ -112,6 +115,8 @@
 	}
 }
 
+// FuzzDecodeEvent compares decodeEvent with encoding/json. Neither the line's memory nor the last known state of the slice
+// may affect the result.
 func FuzzDecodeEvent(f *testing.F) {
 	f.Add(sampleEvent(2), sampleEvent(3))
 	f.Add([]byte(`{"type":"BOOKMARK","object":{"kind":"EndpointSlice","metadata":{"resourceVersion":"12","annotations":{"k8s.io/initial-events-end":"true"}},"endpoints":null,"addressType":""}}`), []byte(`{"type":"ADDED","object":{"endpoints":[{},{}]}}`))
@@ -138,21 +143,21 @@
 			again[i] = 'x'
 		}
 		if !reflect.DeepEqual(kept, ev) {
-			t.Fatalf("%q: %+v turned into %+v", line, ev, kept)
+			t.Fatalf("%q: the event changed with the line from %+v to %+v", line, ev, kept)
 		}
 		// The last known state must not affect the result.
 		if old, err := decodeEvent(before, nil); err == nil {
 			with, err := decodeEvent(line, func(string) Slice { return old.Slice })
 			if err != nil || !reflect.DeepEqual(with, ev) {
-				t.Fatalf("%q after %q: %+v, %v; without %+v", line, before, with, err, ev)
+				t.Fatalf("%q after %q: %+v, %v; without the earlier event: %+v", line, before, with, err, ev)
 			}
 		}
 		ev.Slice.fingerprints = nil
 		if ev.Slice.Err != nil || hasDuplicateKey(line) || bytes.Contains(line, []byte(`e`+`+`)) {
-			return // the two handle values of unexpected types differently
+			return // encoding/json and the decoder treat values of unexpected types differently
 		}
 		if !ok || !reflect.DeepEqual(ev, want) && !exponent(line) {
-			t.Fatalf("%q:\n%+v\n%+v", line, ev, want)
+			t.Fatalf("%q:\ngot  %+v\nwant %+v", line, ev, want)
 		}
 		set := NewSet(partner)
 		set.Put(start, ev.Slice)
@@ -160,7 +165,7 @@
 	})
 }
 
-// exponent reports whether the text may contain a number in a format that the API never uses (1e2, 1.0).
+// exponent reports whether the text may contain a number in a format that the API never uses (1e2, 1.0, -0).
 func exponent(text []byte) bool {
 	for i := 1; i+1 < len(text); i++ {
 		if c := text[i]; (c == 'e' || c == 'E' || c == '.') && '0' <= text[i-1] && text[i-1] <= '9' {
--- a/membership/endpointslice/kubeconfig/kubeconfig_test.go
+++ b/membership/endpointslice/kubeconfig/kubeconfig_test.go
@@ -73,7 +73,7 @@
 	} {
 		_, err := Read(write(t, t.TempDir(), "config", text), "")
 		if !errors.Is(err, endpointslice.ErrAccess) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want %s named", text, err, want)
+			t.Errorf("%s: error %v, want it to name %s", text, err, want)
 		}
 	}
 }
--- a/membership/endpointslice/set_test.go
+++ b/membership/endpointslice/set_test.go
@@ -20,7 +20,8 @@
 
 var partner = Partner{Name: "archive", Namespace: "partners", Selector: "kubernetes.io/service-name=archive", PortName: "http", Destination: 7, Kind: "hooks"}
 
-// testSlice returns a slice with entries given as "uid@host" and a letter for each condition: n not ready, t terminating.
+// testSlice returns a slice. Each entry is "uid@host", followed by a space and "n" if it is not ready, "t" if it is
+// terminating.
 func testSlice(name string, entries ...string) Slice {
 	s := Slice{Namespace: "partners", Name: name, AddressType: "IPv4", Ports: []Port{{"http", 80, true}}}
 	for _, text := range entries {
@@ -36,14 +37,16 @@
 	return s
 }
 
-type setRig struct {
+// setTest is a test of one Set.
+type setTest struct {
 	*testing.T
 	s *Set
 }
 
-func newSet(t *testing.T) setRig { return setRig{t, NewSet(partner)} }
+func newSetTest(t *testing.T) setTest { return setTest{t, NewSet(partner)} }
 
-func (r setRig) wantChanges(s float64, want string) {
+// wantChanges takes the changes s seconds after start and compares them with "id phase" of each.
+func (r setTest) wantChanges(s float64, want string) {
 	r.Helper()
 	changes, _ := r.s.TakeChanges(at(s), 0)
 	if got := show(changes); got != want {
@@ -61,7 +64,7 @@
 
 func TestWorstStateOfConflictingSlicesCounts(t *testing.T) {
 	t.Parallel()
-	r := newSet(t)
+	r := newSetTest(t)
 	service := func(name, entry string) Slice { // not a pod, since a terminating pod stays Leaving
 		s := testSlice(name, entry)
 		s.Entries[0].Pod = false
@@ -85,7 +88,7 @@
 
 func TestTerminatingPodStaysLeaving(t *testing.T) {
 	t.Parallel()
-	r := newSet(t)
+	r := newSetTest(t)
 	r.s.Put(at(0), testSlice("a", "u1@10.0.0.1"))
 	r.s.Put(at(0), testSlice("b", "u1@10.0.0.1 t"))
 	r.wantChanges(0, "u1 leaving")
@@ -101,7 +104,7 @@
 
 func TestServingTerminatingEndpointIsNeverActive(t *testing.T) {
 	t.Parallel()
-	r := newSet(t)
+	r := newSetTest(t)
 	s := testSlice("a", "u1@10.0.0.1 t", "u2@10.0.0.2 t") // the only endpoints, and ready because of publishNotReadyAddresses
 	r.s.Put(at(0), s)
 	r.wantChanges(0, "u1 leaving, u2 leaving")
@@ -126,7 +129,7 @@
 	for name, steps := range moves {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newSet(t)
+			r := newSetTest(t)
 			r.s.Put(at(0), testSlice("a", "u1@10.0.0.1", "u2@10.0.0.2"))
 			r.wantChanges(0, "u1 active, u2 active")
 			for i, step := range steps {
@@ -139,7 +142,7 @@
 					}
 				}
 				if got := len(r.s.All(now)); got != 2 {
-					t.Errorf("step %d: %d endpoints", i, got)
+					t.Errorf("step %d: %d endpoints, want 2", i, got)
 				}
 			}
 			r.wantChanges(10, "")
@@ -152,7 +155,7 @@
 
 func TestDroppedEndpointIsLeavingAtOnce(t *testing.T) {
 	t.Parallel()
-	r := newSet(t)
+	r := newSetTest(t)
 	r.s.Put(at(0), testSlice("a", "u1@10.0.0.1", "u2@10.0.0.2"))
 	r.wantChanges(0, "u1 active, u2 active")
 	r.s.Put(at(1), testSlice("a", "u2@10.0.0.2"))
@@ -161,7 +164,7 @@
 
 func TestRemovalDoesNotWaitForAdditions(t *testing.T) {
 	t.Parallel()
-	r := newSet(t)
+	r := newSetTest(t)
 	r.s.Put(at(0), testSlice("a", "u1@10.0.0.1"))
 	r.wantChanges(0, "u1 active")
 	var many []string
@@ -178,7 +181,7 @@
 	if len(changes) != 11 || !more || changes[0].ID != "7/u1" {
 		t.Errorf("%v, more %v", show(changes), more)
 	}
-	r.s.Put(at(1), testSlice("b")) // the waiting additions are removed again: nothing of them is kept
+	r.s.Put(at(1), testSlice("b")) // the additions not yet taken are removed again: no change is left over
 	changes, more = r.s.TakeChanges(at(1), 10)
 	if more || len(r.s.changed) > 0 {
 		t.Errorf("%v, more %v", show(changes), more)
@@ -187,7 +190,7 @@
 
 func TestListDrainsAtOnceAndRemovesAtItsEnd(t *testing.T) {
 	t.Parallel()
-	r := newSet(t)
+	r := newSetTest(t)
 	r.s.BeginList()
 	r.s.Put(at(0), testSlice("a", "u1@10.0.0.1", "u2@10.0.0.2"))
 	r.s.Put(at(0), testSlice("b", "u3@10.0.0.3"))
@@ -200,7 +203,7 @@
 	r.s.Put(at(60), testSlice("c", "u2@10.0.0.2"))
 	r.wantChanges(60, "u2 active")
 	if r.s.EndList(at(61)) {
-		t.Error("emptied")
+		t.Error("EndList reports an empty list")
 	}
 	r.wantChanges(61, "u3 leaving")
 	r.wantChanges(62, "u3 left")
@@ -208,7 +211,7 @@
 
 func TestIncompleteListRemovesNothing(t *testing.T) {
 	t.Parallel()
-	r := newSet(t)
+	r := newSetTest(t)
 	r.s.BeginList()
 	r.s.Put(at(0), testSlice("a", "u1@10.0.0.1"))
 	r.s.Put(at(0), testSlice("b", "u2@10.0.0.2"))
@@ -225,7 +228,7 @@
 
 func TestEmptyListDrainsEndpointsBeforeRemoval(t *testing.T) {
 	t.Parallel()
-	r := newSet(t)
+	r := newSetTest(t)
 	list := func(s float64, all ...Slice) bool {
 		r.s.BeginList()
 		for _, one := range all {
@@ -234,19 +237,19 @@
 		return r.s.EndList(at(s))
 	}
 	if list(0) {
-		t.Error("an empty first list counts as having dropped endpoints")
+		t.Error("EndList reports that an empty first list dropped endpoints")
 	}
 	list(1, testSlice("a", "u1@10.0.0.1"))
 	r.wantChanges(1, "u1 active")
 	if !list(2) {
-		t.Error("an empty list is not detected")
+		t.Error("EndList does not report an empty list")
 	}
 	r.wantChanges(2, "u1 leaving")
 	r.wantChanges(30, "")
 	list(31, testSlice("a", "u1@10.0.0.1"))
 	r.wantChanges(31, "u1 active")
 	if !list(40, testSlice("a")) {
-		t.Error("a list of slices without endpoints does not count as empty")
+		t.Error("EndList does not report a list of slices without endpoints")
 	}
 	r.wantChanges(40, "u1 leaving")
 	r.wantChanges(99.9, "")
@@ -266,16 +269,16 @@
 		t.Fatal(err)
 	}
 	if o.Slice.UnreadableEntries != 2 || !errors.Is(o.Slice.Err, errWrongType) {
-		t.Errorf("bad %d: %v", o.Slice.UnreadableEntries, o.Slice.Err)
+		t.Errorf("%d unreadable entries, want 2: %v", o.Slice.UnreadableEntries, o.Slice.Err)
 	}
-	r := newSet(t)
+	r := newSetTest(t)
 	r.s.Put(at(0), o.Slice)
 	r.wantChanges(0, "10.0.0.4:80 leaving, 10.0.0.1:80 active, 10.0.0.2:80 active, 10.0.0.3:80 active, 10.0.0.8:80 active")
 	if e := r.s.All(at(0))[4]; e.Zone != "west" || e.Hints != "east,north" || e.Dest != 7 || e.Kind != "hooks" {
 		t.Errorf("%+v", e)
 	}
 	if r.s.Refused() != 7 {
-		t.Errorf("refused %d", r.s.Refused())
+		t.Errorf("%d entries refused, want 7", r.s.Refused())
 	}
 }
 
@@ -308,21 +311,21 @@
 	s := testSlice("a", "u1@10.0.0.1")
 	s.Ports = []Port{{"web", 8080, true}}
 	if got := p.port(&s); got != 8080 {
-		t.Errorf("port %d", got)
+		t.Errorf("port %d of one, want 8080", got)
 	}
 	s.Ports = append(s.Ports, Port{"admin", 8081, true})
 	if got := p.port(&s); got != 0 {
-		t.Errorf("port %d of two", got)
+		t.Errorf("port %d of two, want 0", got)
 	}
 	s.Ports = nil
 	if got := p.port(&s); got != 0 {
-		t.Errorf("port %d of none", got)
+		t.Errorf("port %d of none, want 0", got)
 	}
 }
 
 func TestUnreadableSliceKeepsItsLastState(t *testing.T) {
 	t.Parallel()
-	r := newSet(t)
+	r := newSetTest(t)
 	r.s.Put(at(0), testSlice("a", "u1@10.0.0.1"))
 	r.wantChanges(0, "u1 active")
 	o, err := decodeSlice([]byte(`{"metadata":{"namespace":"partners","name":"a"},"addressType":"IPv4","endpoints":"none"}`))
@@ -334,13 +337,13 @@
 	r.s.EndList(at(1))
 	r.wantChanges(1, "")
 	if r.s.Refused() != 1 {
-		t.Error("not counted")
+		t.Error("the unreadable slice is not counted as refused")
 	}
 }
 
 func TestChangedPortChangesAllAddresses(t *testing.T) {
 	t.Parallel()
-	r := newSet(t)
+	r := newSetTest(t)
 	r.s.Put(at(0), testSlice("a", "u1@10.0.0.1", "u2@10.0.0.2"))
 	r.wantChanges(0, "u1 active, u2 active")
 	s := testSlice("a", "u1@10.0.0.1", "u2@10.0.0.2")
@@ -353,9 +356,9 @@
 }
 
 // An API server that was restored to an older state may list a pod that has terminated since. The pod gets no new calls.
-func TestTerminatedPodStaysLeavingAfterItLeft(t *testing.T) {
+func TestTerminatedPodIsNeverActiveAgain(t *testing.T) {
 	t.Parallel()
-	r := newSet(t)
+	r := newSetTest(t)
 	r.s.Put(at(0), testSlice("a", "u1@10.0.0.1"))
 	r.wantChanges(0, "u1 active")
 	r.s.Put(at(1), testSlice("a", "u1@10.0.0.1 t"))
@@ -369,7 +372,7 @@
 		r.s.Put(at(5), testSlice("b", fmt.Sprintf("v%d@10.0.1.1 t", i)))
 	}
 	if len(r.s.terminated) != maxTerminated || len(r.s.terminatedOrder) != maxTerminated {
-		t.Errorf("%d and %d are remembered", len(r.s.terminated), len(r.s.terminatedOrder))
+		t.Errorf("%d terminated pods are remembered, %d in their order", len(r.s.terminated), len(r.s.terminatedOrder))
 	}
 }
 
@@ -388,15 +391,16 @@
 		}
 		s.TakeChanges(at(float64(round)), 5)
 		if len(s.endpoints) > 100 || len(s.changed) > 200 || len(s.slices) > 100 {
-			t.Fatalf("%d entries, %d changed", len(s.endpoints), len(s.changed))
+			t.Fatalf("%d endpoints, %d changes waiting, or too many slices", len(s.endpoints), len(s.changed))
 		}
 	}
 	if s.Refused() == 0 {
-		t.Error("nothing refused")
+		t.Error("no entry was refused")
 	}
 }
 
-// modelState is a reference implementation of the rules. It computes the phase of each endpoint from the slices.
+// modelState is a reference implementation of the rules. It computes the phase of each endpoint from the slices and the
+// pods that have been terminating.
 func modelState(all map[string]Slice, terminated map[string]bool) map[string]membership.Phase {
 	out := map[string]membership.Phase{}
 	for _, s := range all {
@@ -428,11 +432,11 @@
 		}
 		now := start
 		all := map[string]Slice{}
-		terminated := map[string]bool{} // never forgotten, since there are few
+		terminated := map[string]bool{} // not limited, since there are few
 		dropped := map[string]time.Time{}
 		seen := map[string]bool{} // slices of the current list
 		listing := false
-		note := func() {
+		updateModel := func() {
 			state := modelState(all, nil)
 			for _, s := range all {
 				for _, e := range s.Entries {
@@ -468,7 +472,7 @@
 				listing = false
 				maps.DeleteFunc(all, func(key string, _ Slice) bool { return !seen[key] })
 			}
-			note()
+			updateModel()
 			named := modelState(all, terminated)
 			for uid := range was {
 				if _, ok := named[uid]; !ok && dropped[uid].IsZero() {
@@ -500,10 +504,10 @@
 			}
 			for uid, phase := range got {
 				if phase == membership.Active && named[uid] != membership.Active {
-					t.Fatalf("%s is active, but not in the slices", uid)
+					t.Fatalf("%s is active, but the slices do not say so", uid)
 				}
 				if _, ok := want[uid]; !ok && !set.isHeld(uid) {
-					t.Fatalf("%s is still there; dropped at %v, now %v", uid, dropped[uid], now)
+					t.Fatalf("%s has not left; dropped at %v, now %v", uid, dropped[uid], now)
 				}
 			}
 			for uid := range was {
--- a/membership/endpointslice/source_test.go
+++ b/membership/endpointslice/source_test.go
@@ -57,6 +57,7 @@
 	return w
 }
 
+// source creates a source with short pauses.
 func (w *testEnv) source(a Access) *Source {
 	w.Helper()
 	c, err := NewClient(a)
@@ -87,6 +88,7 @@
 	return w
 }
 
+// tell applies an update of the source to the table.
 func (w *testEnv) tell(u membership.Update) {
 	w.mu.Lock()
 	hold := w.blockTell
@@ -112,11 +114,13 @@
 	return show(w.table.List())
 }
 
+// await waits until the table has the wanted list, as "id phase" of each endpoint.
 func (w *testEnv) await(want string) {
 	w.Helper()
 	w.until(func() bool { return w.list() == want }, func() string { return fmt.Sprintf("list %q, want %q", w.list(), want) })
 }
 
+// until waits until ok returns true. After 10 s it fails with the message what.
 func (w *testEnv) until(ok func() bool, what func() string) {
 	w.Helper()
 	for limit := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
@@ -126,7 +130,8 @@
 	}
 }
 
-func (w *testEnv) stats(ok func(Stats) bool) {
+// awaitStats waits until ok returns true for the statistics of the source.
+func (w *testEnv) awaitStats(ok func(Stats) bool) {
 	w.Helper()
 	w.until(func() bool { return ok(w.src.Stats()) }, func() string { return fmt.Sprintf("stats %+v", w.src.Stats()) })
 }
@@ -136,6 +141,7 @@
 	w.api.Put(apiSlice(name, pods...))
 }
 
+// apiSlice returns a slice of the partner with pods as put takes them.
 func apiSlice(name string, pods ...string) kubeapi.EndpointSlice {
 	s := kubeapi.EndpointSlice{
 		Namespace: "partners", Name: name, Labels: labels, AddressType: "IPv4",
@@ -151,10 +157,10 @@
 
 func TestListAndWatch(t *testing.T) {
 	t.Parallel()
-	for _, plain := range []bool{false, true} {
-		t.Run(fmt.Sprintf("plain %v", plain), func(t *testing.T) {
+	for _, noStreaming := range []bool{false, true} {
+		t.Run(fmt.Sprintf("noStreaming %v", noStreaming), func(t *testing.T) {
 			t.Parallel()
-			w := newTestEnv(t, kubeapi.Options{NoStreaming: plain, TLS: !plain})
+			w := newTestEnv(t, kubeapi.Options{NoStreaming: noStreaming, TLS: !noStreaming})
 			w.put("a", "u1@10.0.0.1", "u2@10.0.0.2 n")
 			other := apiSlice("other", "x@10.9.9.9")
 			other.Labels = map[string]string{"kubernetes.io/service-name": "mirror"}
@@ -165,8 +171,8 @@
 			w.await("u1 leaving, u2 active, u3 active")
 			w.api.Delete("partners", "b")
 			w.await("u1 leaving, u2 active")
-			if got := w.api.Requests("list") > 0; got != plain {
-				t.Errorf("lists %v", got)
+			if got := w.api.Requests("list") > 0; got != noStreaming {
+				t.Errorf("pages were read: %v, want the opposite", got)
 			}
 			w.mu.Lock()
 			defer w.mu.Unlock()
@@ -183,9 +189,9 @@
 	for i := range 2*pageSize + 1 {
 		w.put(fmt.Sprintf("s%04d", i), fmt.Sprintf("u%04d@10.0.%d.%d", i, i/250, i%250))
 	}
-	w.run().stats(func(s Stats) bool { return s.Lists == 1 && s.Named == 2*pageSize+1 })
+	w.run().awaitStats(func(s Stats) bool { return s.Lists == 1 && s.Named == 2*pageSize+1 })
 	if n := w.api.Requests("list"); n != 3 {
-		t.Errorf("%d pages", n)
+		t.Errorf("%d pages were read, want 3", n)
 	}
 }
 
@@ -207,8 +213,8 @@
 	if _, err := w.src.fetchPage(t.Context(), first, func(*object, int) {}); err == nil || !strings.Contains(err.Error(), "410") {
 		t.Fatal(err)
 	}
-	w.api.Fail(kubeapi.Fault{Verb: "list", Code: 410, Continued: true}) // history is compacted faster than the pages can be read
-	w.run().stats(func(s Stats) bool { return s.Lists == 1 && s.Named == pageSize+1 && s.Gone == 1 })
+	w.api.Fail(kubeapi.Fault{Verb: "list", Code: 410, Continued: true}) // as if the history were compacted faster than pages can be read
+	w.run().awaitStats(func(s Stats) bool { return s.Lists == 1 && s.Named == pageSize+1 && s.Gone == 1 })
 }
 
 func TestExpiredVersionCausesNewList(t *testing.T) {
@@ -223,11 +229,11 @@
 	w.api.Compact()
 	w.api.Heal()
 	w.await("u1 leaving, u2 active")
-	w.stats(func(s Stats) bool { return s.Gone == 1 && s.Lists == 2 && s.Failures == 0 })
+	w.awaitStats(func(s Stats) bool { return s.Gone == 1 && s.Lists == 2 && s.Failures == 0 })
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if h := w.history["7/u2"]; len(h) != 1 {
-		t.Errorf("u2 went through %v", h)
+		t.Errorf("phases of u2: %v, want one", h)
 	}
 }
 
@@ -243,7 +249,7 @@
 	}
 	// The history now starts at the version of the last bookmark, so the watch can resume only from there.
 	want := fmt.Sprint(w.api.Version())
-	w.stats(func(s Stats) bool { return s.Version == want })
+	w.awaitStats(func(s Stats) bool { return s.Version == want })
 	w.api.Compact()
 	w.api.CutWatches(false)
 	w.put("a", "u1@10.0.0.1 t")
@@ -262,11 +268,11 @@
 		w.api.CutWatches(half)
 		w.put("a", "u1@10.0.0.1", "u2@10.0.0.2")
 		w.await("u1 active, u2 active")
-		w.stats(func(s Stats) bool { return s.Failures >= 1 && s.Lists == 1 })
+		w.awaitStats(func(s Stats) bool { return s.Failures >= 1 && s.Lists == 1 })
 		w.mu.Lock()
 		for id, h := range w.history {
 			if len(h) != 1 {
-				t.Errorf("%s went through %v", id, h)
+				t.Errorf("phases of %s: %v, want one", id, h)
 			}
 		}
 		w.mu.Unlock()
@@ -291,7 +297,7 @@
 	w.run().await("u1 active")
 	w.api.Mute()
 	w.put("a", "u1@10.0.0.1 t")
-	w.stats(func(s Stats) bool { return s.Silent >= 2 })
+	w.awaitStats(func(s Stats) bool { return s.Silent >= 2 })
 	if got := w.list(); got != "u1 active" {
 		t.Fatal(got)
 	}
@@ -304,7 +310,7 @@
 	w := newTestEnv(t, kubeapi.Options{})
 	w.src.timing.InitialListIdleTimeout = 50 * time.Millisecond
 	w.put("a", "u1@10.0.0.1")
-	w.api.Chop(1, time.Second) // the first event takes minutes
+	w.api.Chop(1, time.Second) // at one byte a second the first event takes minutes
 	w.run().await("u1 active")
 	if w.api.Requests("list") == 0 {
 		t.Error("no page was read")
@@ -318,9 +324,9 @@
 	w.put("a", "u1@10.0.0.1", "u2@10.0.0.2")
 	w.run().await("u1 active, u2 active")
 	w.api.Stop()
-	w.stats(func(s Stats) bool { return s.Failures >= 3 })
+	w.awaitStats(func(s Stats) bool { return s.Failures >= 3 })
 	if got := w.list(); got != "u1 active, u2 active" {
-		t.Fatal("the endpoints changed:", got)
+		t.Fatal("the endpoints changed while the API server was down:", got)
 	}
 	w.put("a", "u1@10.0.0.1 t", "u2@10.0.0.2")
 	if err := w.api.Resume(); err != nil {
@@ -334,7 +340,7 @@
 	}, func() string { return "the source still counts as failing" })
 }
 
-func TestRestoredServerDataCauseNewList(t *testing.T) {
+func TestNewListAfterServerRestore(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t, kubeapi.Options{})
 	w.put("a", "u1@10.0.0.1", "u2@10.0.0.2")
@@ -344,7 +350,7 @@
 		w.put("a", "u1@10.0.0.1", "u2@10.0.0.2 t")
 	}
 	newest := fmt.Sprint(w.api.Version())
-	w.stats(func(s Stats) bool { return s.Version == newest }) // versions that have grown beyond the last known one can't be detected
+	w.awaitStats(func(s Stats) bool { return s.Version == newest }) // versions that have grown beyond the last known one can't be detected
 	w.await("u1 active, u2 leaving")
 	w.api.Stop()
 	w.api.SetBack(old)
@@ -353,7 +359,7 @@
 		t.Fatal(err)
 	}
 	w.await("u1 active, u2 leaving, u3 active") // u2 was terminating and stays Leaving
-	w.stats(func(s Stats) bool { return s.SetBack == 1 })
+	w.awaitStats(func(s Stats) bool { return s.SetBack == 1 })
 }
 
 func TestOlderVersionOnOpenWatchIsDetected(t *testing.T) {
@@ -368,7 +374,7 @@
 	w.await("u1 active, u2 active")
 	w.api.SetBack(old) // causes no event, but bookmarks have the older version
 	w.await("u1 active")
-	w.stats(func(s Stats) bool { return s.SetBack == 1 })
+	w.awaitStats(func(s Stats) bool { return s.SetBack == 1 })
 }
 
 func TestErrorResponseKeepsEndpointsUntilRecovery(t *testing.T) {
@@ -381,7 +387,7 @@
 			w.run().await("u1 active")
 			w.api.Fail(kubeapi.Fault{Code: code})
 			w.api.CutWatches(false)
-			w.stats(func(s Stats) bool { return s.Failures >= 4 && (s.Denied > 0) == (code < 429) })
+			w.awaitStats(func(s Stats) bool { return s.Failures >= 4 && (s.Denied > 0) == (code < 429) })
 			w.put("a", "u1@10.0.0.1", "u2@10.0.0.2")
 			if got := w.list(); got != "u1 active" {
 				t.Fatal(got)
@@ -411,7 +417,7 @@
 	w.api.CutWatches(false)
 	w.put("a", "u2@10.0.0.2")
 	w.await("u2 active")
-	w.stats(func(s Stats) bool { return s.Gone == 1 && s.Lists >= 2 })
+	w.awaitStats(func(s Stats) bool { return s.Gone == 1 && s.Lists >= 2 })
 }
 
 func TestRetryAfterIsHonoured(t *testing.T) {
@@ -422,7 +428,7 @@
 	began := time.Now()
 	w.run().await("u1 active")
 	if d := time.Since(began); d < time.Second {
-		t.Errorf("retried after %v", d)
+		t.Errorf("retried after only %v", d)
 	}
 }
 
@@ -447,7 +453,7 @@
 	w.run().await("u1 active")
 	w.api.SetTokens("t2")
 	w.api.CutWatches(false)
-	w.stats(func(s Stats) bool { return s.Denied >= 1 })
+	w.awaitStats(func(s Stats) bool { return s.Denied >= 1 })
 	if err := os.WriteFile(token, []byte("t2\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -457,7 +463,7 @@
 		t.Fatal(err)
 	}
 	failures := w.src.Stats().Failures
-	w.stats(func(s Stats) bool { return s.Failures > failures })
+	w.awaitStats(func(s Stats) bool { return s.Failures > failures })
 	if err := os.WriteFile(ca, w.api.CA(), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -475,7 +481,7 @@
 		`{"kind":"PodList","metadata":{"resourceVersion":"1"},"items":[]}`,
 	} {
 		if _, err := readPage(strings.NewReader(body), func(*object, int) {}); err == nil {
-			t.Errorf("%s was accepted as a list", body)
+			t.Errorf("%q was accepted as a list", body)
 		}
 	}
 	p, err := readPage(strings.NewReader(`{"kind":"EndpointSliceList","metadata":{"resourceVersion":"1"},"items":null}`), nil)
@@ -495,20 +501,20 @@
 	w.put("b") // makes the version of the watch expire
 	w.api.Compact()
 	w.await("u1 leaving")
-	w.stats(func(s Stats) bool { return s.Emptied == 1 && s.Lists >= 4 })
+	w.awaitStats(func(s Stats) bool { return s.Emptied == 1 && s.Lists >= 4 })
 	w.api.Blind(false) // the server sends no event for this
 	w.await("u1 active")
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if h := w.history["7/u1"]; len(h) != 3 {
-		t.Errorf("u1 went through %v", h)
+		t.Errorf("phases of u1: %v, want three", h)
 	}
 }
 
 func TestUnreadableSliceDoesNotAffectOthers(t *testing.T) {
 	t.Parallel()
-	for _, plain := range []bool{false, true} {
-		w := newTestEnv(t, kubeapi.Options{NoStreaming: plain})
+	for _, noStreaming := range []bool{false, true} {
+		w := newTestEnv(t, kubeapi.Options{NoStreaming: noStreaming})
 		w.put("a", "u1@10.0.0.1")
 		w.api.PutRaw("partners", "b", labels, `"addressType":"IPv4","endpoints":"none","ports":[]`)
 		w.api.PutRaw("partners", "c", labels, `"addressType":"FQDN","endpoints":[{"addresses":["a.example"]}],"ports":[{"name":"http","port":80}]`)
@@ -519,11 +525,11 @@
 		w.api.PutRaw("partners", "a", labels, `"x":"`+strings.Repeat("y", maxObjectBytes)+`"`)
 		w.put("f", "u7@10.0.0.7")
 		w.await("u1 active, u4 active, u7 active")
-		w.stats(func(s Stats) bool { return s.Unreadable >= 4 && s.Failures == 0 })
+		w.awaitStats(func(s Stats) bool { return s.Unreadable >= 4 && s.Failures == 0 })
 	}
 }
 
-func TestOnlyNewestStateWaitsForBusyReceiver(t *testing.T) {
+func TestBusyReceiverGetsOnlyNewestState(t *testing.T) {
 	t.Parallel()
 	w := newTestEnv(t, kubeapi.Options{})
 	w.put("a", "u1@10.0.0.1")
@@ -537,12 +543,12 @@
 		w.put("b", fmt.Sprintf("v%d@10.0.1.1", i), "w@10.0.1.2")
 	}
 	w.put("a", "u1@10.0.0.1 t")
-	w.stats(func(s Stats) bool { return s.Events == n+2 })
+	w.awaitStats(func(s Stats) bool { return s.Events == n+2 })
 	w.src.mu.Lock()
 	waiting := len(w.src.set.changed)
 	w.src.mu.Unlock()
 	if waiting > 10 {
-		t.Errorf("%d changes wait", waiting)
+		t.Errorf("%d changes are waiting, want 10 at most", waiting)
 	}
 	w.mu.Lock()
 	w.blockTell = nil
@@ -552,14 +558,14 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.history) > 10 {
-		t.Errorf("%d endpoints were reported", len(w.history))
+		t.Errorf("%d endpoints were reported, want 10 at most", len(w.history))
 	}
 }
 
 func TestTenThousandEndpoints(t *testing.T) {
 	t.Parallel()
-	for _, plain := range []bool{false, true} {
-		w := newTestEnv(t, kubeapi.Options{NoStreaming: plain})
+	for _, noStreaming := range []bool{false, true} {
+		w := newTestEnv(t, kubeapi.Options{NoStreaming: noStreaming})
 		pods := func(slice int) (all []string) {
 			for i := range 1000 {
 				all = append(all, fmt.Sprintf("u%d-%d@10.%d.%d.%d", slice, i, slice, i/250, i%250))
@@ -569,7 +575,7 @@
 		for i := range 10 {
 			w.put(fmt.Sprint("s", i), pods(i)...)
 		}
-		w.run().stats(func(s Stats) bool { return s.Lists == 1 && s.Named == 10_000 && s.Refused == 0 })
+		w.run().awaitStats(func(s Stats) bool { return s.Lists == 1 && s.Named == 10_000 && s.Refused == 0 })
 		last := pods(3)
 		last[500] += " t"
 		w.put("s3", last...)
@@ -578,20 +584,21 @@
 			defer w.mu.Unlock()
 			e, _ := w.table.Get("7/u3-500")
 			return e.Phase == membership.Leaving
-		}, func() string { return "it is not leaving" })
+		}, func() string { return "the terminating pod is not leaving" })
 		w.mu.Lock()
 		if n := len(w.table.List()); n != 10_000 || len(w.history["7/u3-499"]) != 1 {
-			t.Errorf("%d endpoints, one that did not change went through %v", n, w.history["7/u3-499"])
+			t.Errorf("%d endpoints, want 10,000; phases of one that did not change: %v, want one", n, w.history["7/u3-499"])
 		}
 		w.mu.Unlock()
 	}
 }
 
-func TestRedirectDoesNotGetToken(t *testing.T) {
+// A redirect must not be followed, since the token would go to another server.
+func TestRedirectIsNotFollowed(t *testing.T) {
 	t.Parallel()
 	got := make(chan string, 10)
-	l := httpServer(t, func(rw http.ResponseWriter, r *http.Request) { got <- r.Header.Get("Authorization") })
-	from := httpServer(t, func(rw http.ResponseWriter, r *http.Request) { http.Redirect(rw, r, l, http.StatusFound) })
+	target := httpServer(t, func(rw http.ResponseWriter, r *http.Request) { got <- r.Header.Get("Authorization") })
+	from := httpServer(t, func(rw http.ResponseWriter, r *http.Request) { http.Redirect(rw, r, target, http.StatusFound) })
 	c, err := NewClient(Access{Server: from, Token: "secret"})
 	if err != nil {
 		t.Fatal(err)
@@ -625,10 +632,11 @@
 		t.Error(s)
 	}
 	if cap(in.buf) > 400_000 {
-		t.Errorf("buffer of %d bytes", cap(in.buf))
+		t.Errorf("the buffer has grown to %d bytes", cap(in.buf))
 	}
 }
 
+// httpServer starts a server that ends with the test and returns its URL.
 func httpServer(t *testing.T, h http.HandlerFunc) string {
 	t.Helper()
 	s := httptest.NewServer(h)
