--- a/membership/partnerlist/notices_test.go
+++ b/membership/partnerlist/notices_test.go
@@ -21,13 +21,14 @@
 	"curlewmux/internal/host"
 )
 
-// newScriptNotices creates Notices on a script. It is closed when nothing is left to do.
-func newScriptNotices(s *script) (n *Notices, through *[]string) {
+// newScriptNotices creates Notices on a script. They are closed when there is nothing left to wait for. acknowledged
+// collects the ids of acknowledged notices.
+func newScriptNotices(s *script) (n *Notices, acknowledged *[]string) {
 	n = NewNotices(s, "agent:1", discardLog())
-	through = &[]string{}
-	n.acknowledged = func(ids []string) { *through = append(*through, ids...) }
+	acknowledged = &[]string{}
+	n.acknowledged = func(ids []string) { *acknowledged = append(*acknowledged, ids...) }
 	s.onIdle = n.Close
-	return n, through
+	return n, acknowledged
 }
 
 func refused(id string, again time.Duration) *engine.Done {
@@ -68,13 +69,13 @@
 	}))
 	defer s.Close()
 	n := NewNotices(host.System{}, s.Listener.Addr().String(), discardLog())
-	through := make(chan []string, 10)
+	acknowledged := make(chan []string, 10)
 	n.agent.inbox.Put(&notice{id: "a"}) // goes into the same request as the next one
 	n.agent.inbox.Put(&notice{id: "b", deferred: true, retryAfter: time.Second})
-	n.Start(func(ids []string) { through <- ids })
+	n.Start(func(ids []string) { acknowledged <- ids })
 	defer n.Close()
 	select {
-	case ids := <-through:
+	case ids := <-acknowledged:
 		want := `{"id":"a","status":"undeliverable"}` + "\n" + `{"id":"b","status":"deferred","again_ms":1000}` + "\n"
 		if !slices.Equal(ids, []string{"a", "b"}) || !slices.Equal(bodies, []string{want, want, want}) {
 			t.Errorf("%v acknowledged, bodies %q", ids, bodies)
@@ -83,26 +84,26 @@
 		t.Fatal("not acknowledged")
 	}
 	n.Completed(refused("c", 0))
-	if ids := <-through; !slices.Equal(ids, []string{"c"}) {
+	if ids := <-acknowledged; !slices.Equal(ids, []string{"c"}) {
 		t.Errorf("%v acknowledged", ids)
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	if last := bodies[len(bodies)-1]; last != `{"id":"c","status":"deferred"}`+"\n" {
-		t.Errorf("without a time: %q", last)
+		t.Errorf("notice without a retry delay: %q", last)
 	}
 }
 
 func TestNoNoticeUnlessUndelivered(t *testing.T) {
 	t.Parallel()
 	s := newScript(func(call) reply { return reply{text: status(204, "")} })
-	n, through := newScriptNotices(s)
+	n, acknowledged := newScriptNotices(s)
 	for i, how := range []engine.Disposition{engine.Delivered, engine.Closed, engine.Withdrawn} {
 		n.Completed(&engine.Done{ID: fmt.Sprint(i), Disposition: how})
 	}
 	n.run()
-	if len(s.calls) > 0 || len(*through) > 0 {
-		t.Errorf("notices %v, %v acknowledged", s.calls, *through)
+	if len(s.calls) > 0 || len(*acknowledged) > 0 {
+		t.Errorf("notices %v were sent, %v acknowledged", s.calls, *acknowledged)
 	}
 }
 
@@ -110,11 +111,11 @@
 func TestNoticesGoOutInOrderAndInBoundedBodies(t *testing.T) {
 	t.Parallel()
 	s := newScript(nil)
-	n, through := newScriptNotices(s)
+	n, acknowledged := newScriptNotices(s)
 	var want, got []string
 	s.serve = func(c call) reply {
 		if len(c.body) > maxReportBytes {
-			t.Errorf("a body of %d bytes", len(c.body))
+			t.Errorf("a request has a body of %d bytes", len(c.body))
 		}
 		if len(s.calls)%2 == 0 {
 			return reply{text: status(503, "")}
@@ -134,8 +135,8 @@
 		s.after(time.Duration(i)*10*time.Millisecond, func() { end(3000 + i) })
 	}
 	n.run()
-	if !slices.Equal(got, want) || !slices.Equal(*through, want) {
-		t.Errorf("%d notices accepted and %d acknowledged of %d, or in another order", len(got), len(*through), len(want))
+	if !slices.Equal(got, want) || !slices.Equal(*acknowledged, want) {
+		t.Errorf("%d notices accepted and %d acknowledged of %d, or in the wrong order", len(got), len(*acknowledged), len(want))
 	}
 	if cap(n.pending) > 0 {
 		t.Errorf("memory for %d notices is kept after the burst", cap(n.pending))
@@ -149,7 +150,7 @@
 		"first": {0}, "last": {699}, "middle": {350}, "some": {17, 18, 400}, "none": nil,
 	} {
 		s := newScript(nil)
-		n, through := newScriptNotices(s)
+		n, acknowledged := newScriptNotices(s)
 		isBad := func(id string) bool {
 			return slices.ContainsFunc(bad, func(i int) bool { return fmt.Sprint(i) == id })
 		}
@@ -171,8 +172,8 @@
 			n.Completed(failed(id))
 		}
 		n.run()
-		if !slices.Equal(got, good) || !slices.Equal(*through, all) {
-			t.Errorf("%s: %d accepted, %d acknowledged", name, len(got), len(*through))
+		if !slices.Equal(got, good) || !slices.Equal(*acknowledged, all) {
+			t.Errorf("%s: %d accepted, %d acknowledged, or in the wrong order", name, len(got), len(*acknowledged))
 		}
 		if most := 1 + 22*len(bad); len(s.calls) > most { // up to twice the number of times that 700 can be halved, plus one
 			t.Errorf("%s: %d calls, want %d at most", name, len(s.calls), most)
@@ -184,17 +185,17 @@
 func TestNoBusyLoopIfNoticesAreUnreadable(t *testing.T) {
 	t.Parallel()
 	s := newScript(func(call) reply { return reply{text: status(400, "")} })
-	n, through := newScriptNotices(s)
+	n, acknowledged := newScriptNotices(s)
 	for i := range 100 {
 		n.Completed(failed(fmt.Sprint(i)))
 	}
 	begun := s.now
 	n.run()
-	if len(*through) != 100 {
-		t.Errorf("%d of 100 acknowledged", len(*through))
+	if len(*acknowledged) != 100 {
+		t.Errorf("%d of 100 acknowledged", len(*acknowledged))
 	}
 	if took := s.now.Sub(begun); len(s.calls) > paceBurst+1+int(took/paceInterval) {
-		t.Errorf("%d calls in %v", len(s.calls), took)
+		t.Errorf("%d calls in %v, more than the pacing allows", len(s.calls), took)
 	}
 }
 
@@ -202,11 +203,11 @@
 func TestNoticesFollowAddress(t *testing.T) {
 	t.Parallel()
 	for name, old := range map[string]reply{
-		"silent": {}, "in a pause": {text: status(500, "")}, "unreadable to it": {delay: 4 * time.Millisecond, text: status(400, "")},
+		"silent": {}, "in a pause": {text: status(500, "")}, "unreadable": {delay: 4 * time.Millisecond, text: status(400, "")},
 		"late": {delay: time.Second, text: status(400, "")},
 	} {
 		s := newScript(nil)
-		n, through := newScriptNotices(s)
+		n, acknowledged := newScriptNotices(s)
 		var lines bytes.Buffer
 		n.log = slog.New(slog.NewTextHandler(&lines, nil))
 		var got []string
@@ -216,7 +217,7 @@
 				return old
 			}
 			if moved++; moved == 1 && c.at.Sub(s.calls[0].at) != 5*time.Millisecond {
-				t.Errorf("%s: the new address is tried after %v", name, c.at.Sub(s.calls[0].at))
+				t.Errorf("%s: first call to the new address after %v, want 5 ms", name, c.at.Sub(s.calls[0].at))
 			}
 			got = append(got, idsOf(t, c.body)...)
 			return reply{text: status(204, "")}
@@ -230,11 +231,11 @@
 			n.Completed(failed(id))
 		}
 		n.run()
-		if !slices.Equal(got, []string{"a", "b", "c", "d"}) || !slices.Equal(*through, got) {
-			t.Errorf("%s: accepted %v, acknowledged %v", name, got, *through)
+		if !slices.Equal(got, []string{"a", "b", "c", "d"}) || !slices.Equal(*acknowledged, got) {
+			t.Errorf("%s: accepted %v, acknowledged %v", name, got, *acknowledged)
 		}
 		if moved != 1 {
-			t.Errorf("%s: the new address is tried %d times", name, moved)
+			t.Errorf("%s: %d calls to the new address, want 1", name, moved)
 		}
 		if faulty := name == "in a pause"; (lines.Len() > 0) != faulty {
 			t.Errorf("%s: logged %s", name, &lines)
@@ -252,8 +253,8 @@
 		requireNoError(t, err)
 		defer l.Close()
 		n := NewNotices(host.System{}, l.Addr().String(), discardLog())
-		through := make(chan []string, 1)
-		n.Start(func(ids []string) { through <- ids })
+		acknowledged := make(chan []string, 1)
+		n.Start(func(ids []string) { acknowledged <- ids })
 		defer n.Close()
 		n.Completed(failed("a"))
 		c, err := l.Accept()
@@ -267,10 +268,10 @@
 		requireNoError(t, err)
 		_, err = io.WriteString(c, status(204, ""))
 		requireNoError(t, err)
-		<-through
+		<-acknowledged
 		leave(n)
 		if _, err := br.ReadByte(); err != io.EOF {
-			t.Errorf("%s: reading from the connection gives %v", name, err)
+			t.Errorf("%s: reading from the connection returns %v, want EOF", name, err)
 		}
 	}
 }
@@ -281,7 +282,7 @@
 	s := newScript(nil)
 	a := newAgent(s, "agent:1")
 	if err := a.dial(a.currentAddress(), s.now); !errors.Is(err, os.ErrDeadlineExceeded) || s.dials > 0 {
-		t.Errorf("%v, %d dials", err, s.dials)
+		t.Errorf("error %v after %d dials, want a timeout without a dial", err, s.dials)
 	}
 }
 
--- a/membership/partnerlist/script_test.go
+++ b/membership/partnerlist/script_test.go
@@ -223,7 +223,7 @@
 	return fmt.Sprintf("HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n%s", code, len(body), body)
 }
 
-// listText returns a response to a watch call.
+// listText returns a response to a watch call with the given ids.
 func listText(revision int, complete bool, ids ...string) string {
 	var members []string
 	for _, id := range ids {
@@ -232,10 +232,10 @@
 	return ok(fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, strings.Join(members, ",")))
 }
 
-// listing records what it is given.
+// listing is an engine.Listing that records what it receives.
 type listing struct {
 	list    []*engine.Members
-	stopped bool // the receiver accepts nothing more
+	stopped bool // it accepts nothing more
 }
 
 func (l *listing) Members(m *engine.Members) bool {
@@ -243,7 +243,7 @@
 	return !l.stopped
 }
 
-// summary summarises what was recorded.
+// summary returns "whole", "changes" or "failed" with the ids, for each list received.
 func (l *listing) summary() string {
 	var out []string
 	for _, m := range l.list {
--- a/membership/partnerlist/watch_test.go
+++ b/membership/partnerlist/watch_test.go
@@ -42,7 +42,7 @@
 		t.Errorf("%+v", got)
 	}
 	if got := l.CachedMembers(names()); !got.Cached || !got.FullList || len(got.List) != 4 {
-		t.Errorf("cached: %+v", got)
+		t.Errorf("cached members: %+v", got)
 	}
 }
 
@@ -53,7 +53,7 @@
 		t.Errorf("a list of the maximum length: %v", err)
 	}
 	if _, err := decode([]byte(most + ",{}]}")); err == nil || !strings.Contains(err.Error(), "members: over 65536") {
-		t.Errorf("a longer one: %v", err)
+		t.Errorf("a list that is one entry longer: %v", err)
 	}
 	s := newScript(nil)
 	w, to := newScriptWatch(s)
@@ -66,7 +66,7 @@
 	}
 	w.run()
 	if to.summary() != "failed" {
-		t.Errorf("over %d bytes: told %.80q", maxListBytes, to.summary())
+		t.Errorf("a list of over %d bytes: reported %.80q", maxListBytes, to.summary())
 	}
 }
 
@@ -91,21 +91,21 @@
 	}
 	w.run()
 	if to.summary() != "whole a b, changes b, whole" {
-		t.Errorf("told %s", to.summary())
+		t.Errorf("reported %s", to.summary())
 	}
 	paths := []string{}
 	for i, c := range s.calls {
 		paths = append(paths, c.path)
 		if want := []time.Duration{0, 0, time.Second, watchWait, 10 * time.Millisecond}; i > 0 && c.at.Sub(s.calls[i-1].at) != want[i] {
-			t.Errorf("call %d comes %v after the one before", i, c.at.Sub(s.calls[i-1].at))
+			t.Errorf("call %d comes %v after the previous one", i, c.at.Sub(s.calls[i-1].at))
 		}
 	}
 	if want := "[/api/targets /api/targets?after=41&wait_ms=10000 /api/targets?after=42&wait_ms=10000" +
 		" /api/targets?after=42&wait_ms=10000 /api/targets?after=44&wait_ms=10000]"; fmt.Sprint(paths) != want {
-		t.Errorf("asked %v", paths)
+		t.Errorf("requested %v", paths)
 	}
 	if s.dials != 1 {
-		t.Errorf("%d connections", s.dials)
+		t.Errorf("%d connections, want 1", s.dials)
 	}
 }
 
@@ -116,14 +116,14 @@
 	const span = time.Minute
 	for name, c := range map[string]struct {
 		answer func(n int, whole bool) string
-		most   int // calls in that time
+		most   int // maximum number of calls in span
 		least  int
-		burst  int // calls that come at once
+		burst  int // minimum number of calls at the start time
 	}{
-		"nothing new":          {func(_ int, whole bool) string { return listText(7, whole) }, 601, 550, 2},
-		"a whole list again":   {func(int, bool) string { return listText(7, true, "a") }, 601, 550, 2},
+		"no news":              {func(_ int, whole bool) string { return listText(7, whole) }, 601, 550, 2},
+		"full list each time":  {func(int, bool) string { return listText(7, true, "a") }, 601, 550, 2},
 		"always something new": {func(n int, whole bool) string { return listText(n, whole, "a") }, 1221, 1100, 15},
-		"nothing but numbers":  {func(n int, whole bool) string { return listText(n, whole) }, 1221, 1100, 15},
+		"new revisions only":   {func(n int, whole bool) string { return listText(n, whole) }, 1221, 1100, 15},
 		"unreadable":           {func(int, bool) string { return ok("[]") }, 70, 50, 1},
 		"refused":              {func(int, bool) string { return status(500, "") }, 70, 50, 1},
 	} {
@@ -143,12 +143,12 @@
 				burst++
 			}
 			if i > 0 && c.burst > 1 && k.at.Sub(s.calls[i-1].at) > 150*time.Millisecond {
-				t.Errorf("%s: %v passed between an answer and the next call", name, k.at.Sub(s.calls[i-1].at))
+				t.Errorf("%s: %v passed between a response and the next call", name, k.at.Sub(s.calls[i-1].at))
 				break
 			}
 		}
 		if burst < c.burst {
-			t.Errorf("%s: %d calls at once", name, burst)
+			t.Errorf("%s: only %d calls at the start time", name, burst)
 		}
 	}
 }
@@ -169,7 +169,7 @@
 	}
 	w.run()
 	if to.summary() != "whole a" || len(s.calls) != 2 {
-		t.Errorf("told %q by %d calls", to.summary(), len(s.calls))
+		t.Errorf("reported %q after %d calls", to.summary(), len(s.calls))
 	}
 }
 
@@ -193,17 +193,17 @@
 	}
 	w.run()
 	if to.summary() != "whole a, failed, changes a, failed" {
-		t.Errorf("told %s", to.summary())
+		t.Errorf("reported %s", to.summary())
 	}
 	gaps := ""
 	for i, c := range s.calls[2:] {
 		gaps += fmt.Sprint(" ", c.at.Sub(s.calls[i+1].at))
 	}
 	if gaps != " 12.05s 100ms 200ms 400ms 800ms 1s 1s 1s 0s 50ms" {
-		t.Errorf("calls come after%s", gaps)
+		t.Errorf("pauses before the calls:%s", gaps)
 	}
 	if p := s.calls[9].path; p != "/api/targets?after=1&wait_ms=10000" {
-		t.Errorf("the watch went on with %s", p)
+		t.Errorf("the watch resumed with %s", p)
 	}
 }
 
@@ -220,7 +220,7 @@
 	}
 	w.run()
 	if to.summary() != "whole a, whole a, whole a" || s.dials < 4 {
-		t.Errorf("told %s on %d connections", to.summary(), s.dials)
+		t.Errorf("reported %s on %d connections", to.summary(), s.dials)
 	}
 }
 
@@ -250,14 +250,14 @@
 		})
 		w.run()
 		if got := strings.Replace(to.summary(), "failed, ", "", 1); got != "whole a, whole b" {
-			t.Errorf("%s: told %s", name, to.summary())
+			t.Errorf("%s: reported %s", name, to.summary())
 		}
 		first := 0
 		for first < len(s.calls) && s.calls[first].addr == "agent:1" {
 			first++
 		}
 		if c := s.calls[first]; c.path != "/api/targets" || c.at.Sub(s.calls[0].at) != 30*time.Millisecond {
-			t.Errorf("%s: the new address is asked for %s after %v", name, c.path, c.at.Sub(s.calls[0].at))
+			t.Errorf("%s: the first call to the new address is %s after %v", name, c.path, c.at.Sub(s.calls[0].at))
 		}
 	}
 }
@@ -270,7 +270,7 @@
 		to.stopped = true
 		w.run()
 		if len(s.calls) != 1 {
-			t.Errorf("%d calls", len(s.calls))
+			t.Errorf("%d calls, want 1", len(s.calls))
 		}
 	}
 }
@@ -293,14 +293,14 @@
 		w.run()
 		return fmt.Sprint(s.calls), to.summary()
 	}
-	calls, told := run()
+	calls, reported := run()
 	for range 3 {
-		if c, l := run(); c != calls || l != told {
-			t.Fatalf("%s and then %s", told, l)
+		if c, l := run(); c != calls || l != reported {
+			t.Fatalf("two runs differ: reported %s, then %s", reported, l)
 		}
 	}
-	if len(told) < 100 {
-		t.Errorf("told %s", told)
+	if len(reported) < 100 {
+		t.Errorf("the run reported too little to compare: %s", reported)
 	}
 }
 
@@ -309,8 +309,8 @@
 	*httptest.Server
 	mu       sync.Mutex
 	revision int
-	changed  chan struct{}
-	muted    bool
+	changed  chan struct{} // closed at each change
+	muted    bool          // no call gets a response
 }
 
 func newHTTPAgent(t *testing.T) *httpAgent {
@@ -325,6 +325,7 @@
 
 func (a *httpAgent) addr() string { return a.Listener.Addr().String() }
 
+// set changes the agent under its lock and wakes the watch calls.
 func (a *httpAgent) set(do func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -369,12 +370,13 @@
 
 func (c memberChannel) Members(m *engine.Members) bool { c <- m; return true }
 
+// want checks the kind, as in listing.summary, and the number of members of the next list.
 func (c memberChannel) want(t *testing.T, kind string, members int) {
 	t.Helper()
 	select {
 	case m := <-c:
 		if got := (&listing{list: []*engine.Members{m}}).summary(); !strings.HasPrefix(got, kind) || len(m.List) != members {
-			t.Fatalf("told %s, want %s with %d", got, kind, members)
+			t.Fatalf("reported %s, want %s with %d members", got, kind, members)
 		}
 	case <-time.After(testTimeout):
 		t.Fatalf("%s is not reported", kind)
@@ -422,11 +424,11 @@
 	w.Start(ListingCallback(make(memberChannel), names(), host.System{}, discardLog()))
 	w.Close()
 	if w.SetAddress("127.0.0.1:2") {
-		t.Error("a closed watch moves")
+		t.Error("SetAddress returns true for a closed watch")
 	}
 }
 
-// Any list that can be read is bounded and converted entry by entry.
+// FuzzList checks that a list that can be read is bounded, and that it is converted entry by entry.
 func FuzzList(f *testing.F) {
 	_, body, _ := strings.Cut(listText(3, true, "a", "b"), "\r\n\r\n")
 	for _, s := range []string{body, `{"members":null}`, `{"members":{}}`, `{"members":[1]}`, `{"revision":1e3}`, `{"Members":[{"ID":"x"}]}`, `[]`, `{"members":[{}]`, `{"members":[{"cell":-1,"size":-1e308}]}`} {
@@ -466,7 +468,7 @@
 	}
 	w.run()
 	if len(to.list) < 2 || !to.list[0].Failed || !to.list[1].FullList {
-		t.Errorf("told %+v", to.list)
+		t.Errorf("reported %+v", to.list)
 	}
 }
 
@@ -483,7 +485,7 @@
 	}()
 	u := <-updates
 	if u.Kind != membership.FullList || len(u.Endpoints) == 0 || u.Endpoints[0].ID == "" {
-		t.Errorf("told %+v", u)
+		t.Errorf("reported %+v", u)
 	}
 	cancel()
 	if err := <-ended; !errors.Is(err, context.Canceled) {
