--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -114,19 +114,19 @@
 	t.Parallel()
 	g := New(Settings{MinRate: 1e-6})
 	now := overload(t, g, 0)
-	taken, ended := 0, 0
+	admitted, completed := 0, 0
 	for end := now + 5*sec; now < end; now += ms {
 		g.ObserveDelay(now, 50*ms)
 		g.Completed(now, 10)
-		ended += 10
+		completed += 10
 		for range 40 {
 			if ok, _ := g.Admit(now); ok {
-				taken++
+				admitted++
 			}
 		}
 	}
-	if part := float64(taken) / float64(ended); part < 0.5 || part > 0.7 {
-		t.Errorf("%d admitted, %d completed", taken, ended)
+	if part := float64(admitted) / float64(completed); part < 0.5 || part > 0.7 {
+		t.Errorf("%d admitted, %d completed", admitted, completed)
 	}
 	if !g.Limited() {
 		t.Error("the limit has ended although messages are rejected")
@@ -137,15 +137,15 @@
 	t.Parallel()
 	g := New(Settings{MinRate: 100})
 	now := overload(t, g, 0)
-	taken := 0
+	admitted := 0
 	for end := now + 10*sec; now < end; now += ms {
 		g.ObserveDelay(now, 50*ms)
 		if ok, _ := g.Admit(now); ok {
-			taken++
+			admitted++
 		}
 	}
-	if taken < 950 || taken > 1050 {
-		t.Errorf("%d admitted in 10 s, want about 1000", taken)
+	if admitted < 950 || admitted > 1050 {
+		t.Errorf("%d admitted in 10 s, want about 1000", admitted)
 	}
 }
 
@@ -184,7 +184,7 @@
 		if !g.Limited() {
 			t.Fatal("no limit after 400 ms of long delays")
 		}
-		from, taken, allowed := now, 0, 2*float64(minTokenLimit)
+		from, admitted, allowed := now, 0, 2*float64(minTokenLimit)
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += Time(rapid.IntRange(0, 40).Draw(t, "ms")) * ms
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
@@ -197,7 +197,7 @@
 			case 2:
 				for range rapid.IntRange(1, 200).Draw(t, "come") {
 					if ok, _ := g.Admit(now); ok {
-						taken++
+						admitted++
 					}
 					if !g.Limited() {
 						return // the limit has ended: all are admitted
@@ -205,8 +205,8 @@
 				}
 			}
 		}
-		if most := allowed + 100*seconds(now-from); float64(taken) > most+1 {
-			t.Fatalf("%d admitted, %.0f allowed", taken, most)
+		if most := allowed + 100*seconds(now-from); float64(admitted) > most+1 {
+			t.Fatalf("%d admitted, %.0f allowed", admitted, most)
 		}
 	})
 }
--- a/membership/endpointslice/kubeconfig/kubeconfig_test.go
+++ b/membership/endpointslice/kubeconfig/kubeconfig_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	if a.Server != s.URL() || a.Token != "secret" || string(a.CA) != string(s.CA()) || a.Namespace != "partners" {
-		t.Errorf("%+v", a)
+		t.Errorf("access %+v", a)
 	}
 }
 
@@ -44,7 +44,7 @@
 		"clusters":[{"name":"c","cluster":{"server":"https://10.0.0.1:6443"}}],"users":[{"name":"u","user":{"tokenFile":"token"}}]}`)
 	a, err := Read(path, "a")
 	if err != nil || a.TokenFile != filepath.Join(dir, "token") {
-		t.Errorf("%+v %v", a, err)
+		t.Errorf("access %+v, error %v", a, err)
 	}
 	if _, err := Read(path, ""); err == nil || !strings.Contains(err.Error(), `"b"`) {
 		t.Error(err)
--- a/membership/endpointslice/set_test.go
+++ b/membership/endpointslice/set_test.go
@@ -179,12 +179,12 @@
 	r.s.Put(at(1), testSlice("a", "u1@10.0.0.1 t"))
 	changes, more = r.s.TakeChanges(at(1), 10)
 	if len(changes) != 11 || !more || changes[0].ID != "7/u1" {
-		t.Errorf("%v, more %v", show(changes), more)
+		t.Errorf("changes %v, more to come: %v", show(changes), more)
 	}
 	r.s.Put(at(1), testSlice("b")) // the additions not yet taken are removed again: no change is left over
 	changes, more = r.s.TakeChanges(at(1), 10)
 	if more || len(r.s.changed) > 0 {
-		t.Errorf("%v, more %v", show(changes), more)
+		t.Errorf("changes %v, more to come: %v", show(changes), more)
 	}
 }
 
@@ -275,7 +275,7 @@
 	r.s.Put(at(0), o.Slice)
 	r.wantChanges(0, "10.0.0.4:80 leaving, 10.0.0.1:80 active, 10.0.0.2:80 active, 10.0.0.3:80 active, 10.0.0.8:80 active")
 	if e := r.s.All(at(0))[4]; e.Zone != "west" || e.Hints != "east,north" || e.Dest != 7 || e.Kind != "hooks" {
-		t.Errorf("%+v", e)
+		t.Errorf("endpoint %+v", e)
 	}
 	if r.s.Refused() != 7 {
 		t.Errorf("%d entries refused, want 7", r.s.Refused())
@@ -372,7 +372,7 @@
 		r.s.Put(at(5), testSlice("b", fmt.Sprintf("v%d@10.0.1.1 t", i)))
 	}
 	if len(r.s.terminated) != maxTerminated || len(r.s.terminatedOrder) != maxTerminated {
-		t.Errorf("%d terminated pods are remembered, %d in their order", len(r.s.terminated), len(r.s.terminatedOrder))
+		t.Errorf("terminated has %d pods, terminatedOrder has %d", len(r.s.terminated), len(r.s.terminatedOrder))
 	}
 }
 
--- a/membership/endpointslice/source_test.go
+++ b/membership/endpointslice/source_test.go
@@ -255,7 +255,7 @@
 	w.put("a", "u1@10.0.0.1 t")
 	w.await("u1 leaving")
 	if st := w.src.Stats(); st.Gone != 0 || st.Lists != 1 {
-		t.Errorf("%+v", st)
+		t.Errorf("the watch did not resume: %+v", st)
 	}
 }
 
@@ -396,7 +396,7 @@
 			failed := w.table.Sources()[0]
 			w.mu.Unlock()
 			if failed.Failed.IsZero() || !strings.Contains(failed.Err, fmt.Sprint(code)) {
-				t.Errorf("%+v", failed)
+				t.Errorf("state of the source: %+v", failed)
 			}
 			w.api.Heal()
 			w.await("u1 active, u2 active")
--- a/membership/partnerlist/notices_test.go
+++ b/membership/partnerlist/notices_test.go
@@ -81,7 +81,7 @@
 			t.Errorf("%v acknowledged, bodies %q", ids, bodies)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("not acknowledged")
+		t.Fatal("the first two notices were not acknowledged")
 	}
 	n.Completed(refused("c", 0))
 	if ids := <-acknowledged; !slices.Equal(ids, []string{"c"}) {
@@ -297,7 +297,7 @@
 	}))
 	defer s.Close()
 	n := NewNotices(host.System{}, s.Listener.Addr().String(), discardLog())
-	n.Start(func(ids []string) { t.Errorf("%v acknowledged", ids) })
+	n.Start(func(ids []string) { t.Errorf("%v acknowledged though the call was aborted", ids) })
 	n.Completed(failed("a"))
 	<-asked
 	n.Close()
--- a/membership/partnerlist/watch_test.go
+++ b/membership/partnerlist/watch_test.go
@@ -39,7 +39,7 @@
 		{ID: "d", Zone: -1, Kind: -1, Phase: engine.Leaving},
 	}}
 	if got := l.Members(names()); !reflect.DeepEqual(got, want) || l.Revision != 41 {
-		t.Errorf("%+v", got)
+		t.Errorf("members %+v", got)
 	}
 	if got := l.CachedMembers(names()); !got.Cached || !got.FullList || len(got.List) != 4 {
 		t.Errorf("cached members: %+v", got)
@@ -441,11 +441,11 @@
 		}
 		m := l.Members(names())
 		if m.Source != Name || m.FullList != l.Complete || m.Failed || len(m.List) != len(l.Entries) || len(m.List) > maxEntries {
-			t.Fatalf("%+v of %q", m, text)
+			t.Fatalf("members %+v of list %q", m, text)
 		}
 		for i, e := range m.List {
 			if e.ID != l.Entries[i].ID || e.Zone < -1 || e.Zone > 1 || e.Kind < -1 || e.Kind > 0 || e.Phase > engine.Active {
-				t.Fatalf("%+v of %q", e, text)
+				t.Fatalf("member %+v of list %q", e, text)
 			}
 		}
 	})
@@ -489,6 +489,6 @@
 	}
 	cancel()
 	if err := <-ended; !errors.Is(err, context.Canceled) {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Run returned %v, want the error of the context", err)
 	}
 }
