--- a/engine/books.go
+++ b/engine/books.go
@@ -22,7 +22,7 @@
 	defaultAuditPart     = 1000
 	defaultAuditInterval = 300 * control.Millisecond
 	minAuditPart         = 100                      // messages per part, at least
-	maxAuditParts        = 32                       // approximate number of parts, while these are within the maximum
+	maxAuditParts        = 32                       // approximate number of parts of an audit, unless they would exceed AuditPart
 	maxAuditedCalls      = 1000                     // with more calls out, an audit does not count their items
 	leafInterval         = 20 * control.Millisecond // between batches that hold only leaves
 	maxAccountsPerBatch  = 64                       // maximum number of accounts per batch
@@ -240,7 +240,7 @@
 }
 
 // recordLedger adds changed leaves to the batch of this event and reports breaches. Without other records in the
-// batch, leaves wait a short time for some.
+// batch, leaves wait up to leafInterval for some.
 func (e *Engine) recordLedger() {
 	state := e.ledger
 	if state == nil {
@@ -329,8 +329,8 @@
 	}
 }
 
-// messageAdded continues the audit with a new message if the cursor ran off the list because all messages left were
-// removed.
+// messageAdded continues the audit with a new message if the cursor ran off the list because all remaining
+// messages were removed.
 func (b *ledgerState) messageAdded(m *message) {
 	if b != nil && b.auditing && b.auditStage == auditMessages && b.cursor == nil {
 		b.cursor = m
--- a/engine/call.go
+++ b/engine/call.go
@@ -23,7 +23,7 @@
 	itemsBuffer [1]*item
 }
 
-// item is one attempt, at one message of a call.
+// item is the attempt at one message of a call.
 type item struct {
 	call      *call
 	index     int
@@ -32,10 +32,10 @@
 	deadline  Time
 	cancelled bool
 	done      bool
-	timeout   *Outcome // its timeout, while the call goes on: no second copy may go out before the call has ended
+	timeout   *Outcome // its outcome if it timed out and the call goes on; a second copy may go out only when the call has ended
 }
 
-// calls holds the calls out by id.
+// calls holds the calls that are out.
 type calls struct {
 	callByID map[CallID]*call
 	lastCall CallID
--- a/engine/effect.go
+++ b/engine/effect.go
@@ -38,7 +38,7 @@
 	Kind        VerdictKind
 	RetryAfter  time.Duration // for Busy, UnknownDestination, and Accepted with Disposition Refused: submit again after this time
 	Reason      string        // why it is not Accepted, human-readable
-	Disposition Disposition   // for Accepted: how the message ended before, and no Done follows; 0: a Done follows
+	Disposition Disposition   // for Accepted: how the message has already ended, so that no Done follows; 0 if a Done follows
 }
 
 // VerdictKind is the kind of a Verdict.
@@ -75,7 +75,7 @@
 	ID, Key  string
 	Body     []byte
 	Deadline Time // the call waits no longer than this for its outcome
-	Skip     bool // it must no longer be written, and has its outcome
+	Skip     bool // it must no longer be written; its outcome is reported already
 }
 
 // Permit answers MayWrite: Items says of each item whether it may be written. Those that may not end as Moot.
@@ -123,7 +123,7 @@
 	Withdrawn             // withdrawn by the client
 )
 
-// LedgerBreach says that counts of the ledger do not add up, or, if Healed is set, that they do again.
+// LedgerBreach says that counts of the ledger do not add up, or, if ResolvedAt is set, that they do again.
 type LedgerBreach struct{ ledger.Breach }
 
 // LedgerSnapshot answers RequestLedger with one consistent snapshot, which the requester owns. Unless the snapshot is
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -8,13 +8,13 @@
 
 const (
 	rejectedRetryAfter = control.Second      // retry-after of a submission rejected for want of room, store or endpoint list
-	cleanupInterval    = 10 * control.Second // between two cleanups of ids and endpoints that are no longer needed
-	noteInterval       = control.Second      // at least, between two notes of one kind
+	cleanupInterval    = 10 * control.Second // time between two cleanups of ids and endpoints that are no longer needed
+	noteInterval       = control.Second      // minimum time between two notes of one kind
 
-	// Long work is split into parts, one per tick, so that nothing waits for it: a part takes less than a millisecond.
+	// Long work is split into parts, one per tick, so that nothing waits long for it: a part takes less than a millisecond.
 	maxPerPart       = 500  // endpoints of a list, or endpoints or ids to remove, per part
-	maxTimersPerPart = 1000 // timers that fire per tick, or, if that is more,
-	maxTimerParts    = 32   // this fraction of all timers, so that each message past its deadline ends within 32 ticks
+	maxTimersPerPart = 1000 // timers that fire per tick, or 1/maxTimerParts of all timers if that is more
+	maxTimerParts    = 32   // so each message past its deadline ends within 32 ticks
 )
 
 // Engine holds one dispatcher's messages from their submission to their end. It is not safe for concurrent use.
@@ -110,7 +110,7 @@
 		}
 	case *Fleet:
 		e.queueEvent(control.Event{Kind: control.FleetSize, Instances: ev.Instances})
-	case *Wake: // only Wake does this work, so that a batch that accepts a message holds nothing else
+	case *Wake: // only Wake does this work, so that a batch that accepts a message contains nothing else
 		e.checkStore()
 		e.endWaits()
 		if at, ok := e.nextStep(); ok && at <= e.now.At {
@@ -150,7 +150,7 @@
 func (e *Engine) OpenMessages() int { return e.open }
 
 // Condition returns the condition of a destination and this dispatcher's share of its listed rate, in calls a second, 0
-// if none is listed. It changes nothing.
+// if none is listed. It does not change the engine.
 func (e *Engine) Condition(dest int) (control.Condition, float64) {
 	if e.storeDown || e.stopped || !e.isNamed(dest) {
 		return control.Unavailable, 0
@@ -284,7 +284,7 @@
 	if e.now.At-e.lastCleanup >= cleanupInterval {
 		e.lastCleanup, e.expiringIDs, e.removingEndpoints = e.now.At, true, true
 	}
-	if e.removingEndpoints && len(e.reports) == 0 { // else the indexes into allEndpoints would shift
+	if e.removingEndpoints && len(e.reports) == 0 { // while reports are processed, the indexes into allEndpoints must not shift
 		e.removingEndpoints = e.removeGone(maxPerPart)
 	}
 	if e.expiringIDs {
--- a/engine/event.go
+++ b/engine/event.go
@@ -169,7 +169,7 @@
 	Item       int // its index in the call
 	Result     control.Result
 	Closed     bool          // the endpoint says that the message is closed: nothing more has to be sent
-	Permanent  bool          // with a result that never ran: no further attempt can succeed, so the message fails now
+	Permanent  bool          // set only if the attempt never ran: no further attempt can succeed, so the message fails now
 	Reason     string        // for Permanent, human-readable
 	RetryAfter time.Duration // how long the destination asked not to be called, 0 for none
 	CallOpen   bool          // timed out, and the call goes on for its other items
--- a/engine/gate.go
+++ b/engine/gate.go
@@ -22,7 +22,7 @@
 	return into
 }
 
-// Stored appends the effects that waited for the batches up to this one to those given.
+// Stored appends to into the effects that waited for the batches up to b.
 func (g *Gate) Stored(into []Effect, b Batch) []Effect {
 	g.stored = max(g.stored, b)
 	n := 0
--- a/engine/givenup.go
+++ b/engine/givenup.go
@@ -2,8 +2,8 @@
 
 import "curlewmux/control"
 
-// Undelivered is what the store of undelivered messages gets about a message that was refused or failed, beside its
-// disposition.
+// Undelivered describes a message that was refused or failed, for the store of undelivered messages. It does not contain
+// the disposition.
 type Undelivered struct {
 	Message     Message // without Body if Rewritten
 	Rewritten   bool    // the record is written again
@@ -68,7 +68,7 @@
 	return a
 }
 
-// rewritten returns what a record that is written again contains.
+// rewritten returns the description for a record that is written again. It has no body.
 func (t *attemptHistory) rewritten() *Undelivered {
 	if t == nil {
 		return nil
--- a/engine/member.go
+++ b/engine/member.go
@@ -27,8 +27,9 @@
 
 	lastEntry control.Entry // the entry last sent to the module
 
-	// The end of a wait (Retry-After) that was asked for at its address before the endpoint came to this address, 0 for none.
-	// The module knows that wait only for the earlier endpoint, so this one is reported to it as draining until then.
+	// waitUntil is the end of a wait (Retry-After) that was asked for at its address before the endpoint came to this
+	// address, 0 for none. The module knows that wait only for the earlier endpoint, so this one is reported to it as
+	// draining until then.
 	waitUntil Time
 }
 
@@ -51,7 +52,8 @@
 	reports            []*report // reports that are not processed yet, or only in part
 	unprocessedMembers int       // number of members in them that are not processed
 	lastListTick       Time      // the tick in which the last part was processed
-	// Destinations that a list or a restored message ever named, with the endpoint last reported to the module for each.
+	// namedDestinations are those that a list or a restored message ever named, with the endpoint last reported to the
+	// module for each.
 	namedDestinations map[int]control.Endpoint
 }
 
@@ -110,7 +112,7 @@
 	e.reports = append(e.reports, &report{Members: l})
 	e.unprocessedMembers += len(l.List)
 	e.processReports()
-	for e.unprocessedMembers > 2*e.settings.MaxEndpoints { // more comes than can be processed in parts
+	for e.unprocessedMembers > 2*e.settings.MaxEndpoints { // reports come faster than they can be processed in parts
 		e.lastListTick = -1
 		e.processReports()
 	}
@@ -285,7 +287,7 @@
 	ep.waitUntil = max(ep.waitUntil, until)
 }
 
-// endWaits ends such waits when their time has passed.
+// endWaits ends inherited waits whose time has passed.
 func (e *Engine) endWaits() {
 	e.waitingEndpoints = slices.DeleteFunc(e.waitingEndpoints, func(ep *endpoint) bool {
 		if ep.waitUntil > e.now.At {
--- a/engine/message.go
+++ b/engine/message.go
@@ -238,7 +238,7 @@
 			return reject(Accepted, "") // a client that lost the response repeated its request
 		case old.disposition != Refused:
 			return reject(AlreadyEnded, "id: its message ended, and may have taken effect")
-		case e.now.At <= old.deadline: // the client was told when to submit it again, with a new id
+		case e.now.At <= old.deadline: // the client got a time from which to submit it again, with a new id
 			return reject(Busy, "id: its message was handed back a moment ago")
 		}
 		if !e.inStore(old) { // if the end were recorded late, it would end the new message in the store
--- a/engine/store.go
+++ b/engine/store.go
@@ -29,7 +29,7 @@
 
 const (
 	storeRetryInterval  = 100 * control.Millisecond // between two attempts to write to a store that is down
-	clockTolerance      = 100 * control.Millisecond // smaller offsets of the wall clock are ignored; so this is the error of a timestamp
+	clockTolerance      = 100 * control.Millisecond // smaller deviations of the wall clock are ignored, so a timestamp may be wrong by this much
 	maxRewrittenRecords = 500                       // approximate number of records that are rewritten in one batch
 )
 
@@ -51,7 +51,7 @@
 	write(e *Engine)
 }
 
-// recordState tells which batches hold the records of an owner.
+// recordState says which batches contain the records of an owner.
 type recordState struct {
 	firstBatch, lastBatch Batch // of its first and newest record
 	dirty                 bool  // the records have to be rewritten
@@ -294,7 +294,7 @@
 	return !k.state().dirty && k.state().lastBatch <= e.storedUpTo
 }
 
-// writeDirty rewrites the records of dirty owners, some at a time: the next ones when these are stored.
+// writeDirty rewrites the records of dirty owners, some at a time. The next ones follow when these are stored.
 func (e *Engine) writeDirty() {
 	for len(e.dirtyOwners) > 0 && len(e.records) < maxRewrittenRecords {
 		k := e.dirtyOwners[0]
