--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -127,7 +127,7 @@
 	return d.verdict(d.enqueue(in), in.reply)
 }
 
-// verdict waits for the verdict on a request. put tells whether the request got into the inbox.
+// verdict waits for the verdict on a request. put says whether the request got into the inbox.
 func (d *Driver) verdict(put bool, reply host.Inbox) engine.Verdict {
 	stopped := engine.Verdict{Kind: engine.Busy, RetryAfter: time.Second, Reason: "stopping"}
 	if !put {
@@ -151,7 +151,7 @@
 // Withdraw tells the engine that the client no longer wants a message.
 func (d *Driver) Withdraw(id string) { d.runOrEnqueue(&engine.Withdraw{ID: id}) }
 
-// Members implements engine.Listing.
+// Members implements engine.MembershipReceiver.
 func (d *Driver) Members(m *engine.Members) bool { return d.enqueue(m) }
 
 // Notified reports that the clients were notified of how these messages ended.
@@ -520,7 +520,7 @@
 	return d.lastPermit
 }
 
-// finish ends the driver and answers all who still wait. unhandled are values from the inbox that no round has handled.
+// finish ends the driver and answers everyone who still waits. unhandled are values from the inbox that no round has handled.
 func (d *Driver) finish(unhandled []any) {
 	d.handle(&engine.Stop{}) // records a step of the wall clock since the last event, which the next process could not notice
 	d.flush()
--- a/internal/driver/ledger.go
+++ b/internal/driver/ledger.go
@@ -23,8 +23,8 @@
 
 const (
 	maxSnapshotReaders = 256                       // readers that wait at once
-	snapshotReuse      = 10 * control.Millisecond  // for which a snapshot is given to further readers
-	snapshotTimeout    = 500 * control.Millisecond // after which a snapshot is requested again: its batch may have failed
+	snapshotReuse      = 10 * control.Millisecond  // how long a snapshot is given to further readers
+	snapshotTimeout    = 500 * control.Millisecond // time after which a snapshot is requested again, as its batch may have failed
 )
 
 // Ledger returns a snapshot of the engine's ledger. Concurrent readers share it, so it must not be modified. It contains only
--- a/internal/driver/load.go
+++ b/internal/driver/load.go
@@ -81,9 +81,9 @@
 }
 
 // load measures how late the process is and limits how fast calls start. At intervals the driver sends a probe through the
-// run queue of the machine. The time until the probe is back is the delay of all work. Between two probes only lot calls
-// start, the others wait here. If more started than the CPU can serve, each would take longer, and each would need a
-// connection of its own meanwhile.
+// run queue of the machine. The time until the probe is back is the delay of all work. Between two probes only
+// callsPerProbe calls start, the others wait here. If more started than the CPU can serve, each would take longer, and
+// each would need a connection of its own meanwhile.
 type load struct {
 	probe          host.Probe     // nil: delay is not measured
 	probeOut       bool           // the probe is under way
@@ -100,7 +100,7 @@
 	minWorkForProbe    = 8                        // calls and submissions since the last probe; fewer need no new one
 	probeInterval      = 5 * control.Millisecond  // between two probes
 	lateReportInterval = 50 * control.Millisecond // between two reports to the gate that a probe is still under way
-	probeTimeout       = 1 * time.Second          // after which a probe is taken to be lost
+	probeTimeout       = 1 * time.Second          // time after which a probe is taken to be lost
 )
 
 // probeReturn reports that the probe is back.
@@ -171,7 +171,7 @@
 			l.probe.Send()
 		}
 		l.callsStarted, l.submissions = 0, 0
-		d.startQueued() // the next lot runs behind the probe
+		d.startQueued() // these calls run behind the probe
 	}
 	probeAge := engine.Time(0) // how long the probe has been under way, if the gate is to be informed
 	if sent := engine.Time(l.probeSent.Load()); l.probeOut && d.now.At-max(sent, l.lastLateReport) >= lateReportInterval {
--- a/internal/figures/rest.go
+++ b/internal/figures/rest.go
@@ -14,7 +14,7 @@
 
 // ReadFolder reads the ledger in a dispatcher's folder without changing it. If a dispatcher runs on the folder, the result
 // may be a moment old. The open messages of each account are compared with the journal's live messages. Attempts that were
-// under way when the process ended still count as such. The error wraps ErrNoLedger or ledger.ErrLeaf, or tells why the
+// under way when the process ended still count as such. The error wraps ErrNoLedger or ledger.ErrLeaf, or says why the
 // folder can't be read.
 func ReadFolder(dir journal.Dir) (*ledger.Snapshot, error) {
 	state, err := journal.Check(dir)
--- a/ledger/fleet.go
+++ b/ledger/fleet.go
@@ -107,7 +107,7 @@
 
 // Sum adds up the snapshots of a fleet. Of several snapshots of one epoch of an instance, the most advanced one counts. The
 // epoch of an instance that began last is its current one, the others have ended: messages that they had open and the next
-// epoch did not carry over are unaccounted for. An instance whose machine is lost has no next epoch. Its part tells how old
+// epoch did not carry over are unaccounted for. An instance whose machine is lost has no next epoch. Its part says how old
 // its newest snapshot is and how many messages were open then.
 func Sum(snapshots ...*Snapshot) (*Fleet, error) {
 	type ledgerID struct{ instance, epoch string }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -50,7 +50,7 @@
 	MovedIn
 	// Delivered: the message was delivered.
 	Delivered
-	// Refused: the message was handed back to the client: it never ran, may be repeated or was withdrawn.
+	// Refused: the message was returned to the client: it never ran, may be repeated or was withdrawn.
 	Refused
 	// Failed: the message ended without a promise about its effect.
 	Failed
@@ -65,7 +65,7 @@
 	AttemptAnswered
 	// AttemptRefused: the attempt provably never ran.
 	AttemptRefused
-	// AttemptUnanswered: the attempt was cut off or timed out, or the process ended during it. Its effect is unknown.
+	// AttemptUnanswered: the attempt was interrupted or timed out, or the process ended during it. Its effect is unknown.
 	AttemptUnanswered
 
 	// DoubtOpened: an open message may have taken effect.
@@ -260,7 +260,7 @@
 
 	// BootID identifies the current boot of the machine, "" if it is unknown. A reboot loses what was written and not synced.
 	BootID string
-	// Durable tells that the store reports a batch as stored only after syncing it, so that a reboot loses nothing.
+	// Durable says that the store reports a batch as stored only after syncing it, so that a reboot loses nothing.
 	Durable bool
 
 	// InterceptPost replaces a posting by what it returns. Only tests and the simulation set it, to inject faults.
--- a/ledger/snapshot.go
+++ b/ledger/snapshot.go
@@ -46,7 +46,7 @@
 	Epoch    Epoch  `json:"epoch"`
 	Wall     int64  `json:"wall,string"` // when it was made, in microseconds since 1970
 
-	// Provisional tells that some of the postings are not stored yet, so that a crash may undo them.
+	// Provisional says that some of the postings are not stored yet, so that a crash may undo them.
 	Provisional bool `json:"provisional,omitempty"`
 
 	Accounts     []AccountCounts `json:"accounts"` // sorted by Key.Compare
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -1,5 +1,5 @@
 // Package pace provides a token bucket whose rate may change linearly with time. Such a rate describes the share of a
-// demand that grows back after a cut, or the ramp after an outage. The package has no clock and does no I/O: its user
+// demand that grows back after a reduction, or the ramp after an outage. The package has no clock and does no I/O: its user
 // passes the time and sets the rate.
 //
 // Between two changes, everything that a Bucket returns depends on the time alone. Reading a Bucket does not modify
@@ -60,7 +60,7 @@
 	return 0
 }
 
-// At returns the rate after s seconds.
+// At returns the rate after the given number of seconds.
 func (r Rate) At(seconds float64) float64 {
 	if seconds >= r.changeDuration() {
 		return r.End
@@ -68,7 +68,7 @@
 	return r.From + r.Rise*seconds
 }
 
-// Tokens returns the number of tokens that come in the first s seconds.
+// Tokens returns the number of tokens that come in the given number of seconds from the start.
 func (r Rate) Tokens(seconds float64) float64 {
 	changeSeconds := r.changeDuration()
 	if seconds <= changeSeconds {
@@ -77,7 +77,7 @@
 	return changeSeconds*(r.From+r.End)/2 + (seconds-changeSeconds)*r.End
 }
 
-// SecondsUntil returns the number of seconds after which n tokens have come, +Inf if they never do.
+// SecondsUntil returns the number of seconds after which that many tokens have come, +Inf if they never do.
 func (r Rate) SecondsUntil(tokens float64) float64 {
 	if tokens <= 0 {
 		return 0
@@ -85,7 +85,7 @@
 	changeSeconds := r.changeDuration()
 	tokensDuringChange := changeSeconds * (r.From + r.End) / 2
 	if changeSeconds > 0 && tokens <= tokensDuringChange {
-		// Solves n = From x s + Rise x s x s / 2 in the form that loses no digits when Rise is close to 0.
+		// Solves tokens = From x s + Rise x s x s / 2 for s, in the form that loses no digits when Rise is close to 0.
 		return 2 * tokens / (r.From + math.Sqrt(max(r.From*r.From+2*r.Rise*tokens, 0)))
 	}
 	if r.End <= 0 {
--- a/resend/planner.go
+++ b/resend/planner.go
@@ -43,7 +43,7 @@
 	destination int
 	messages    dueHeap
 	inFlight    int  // messages being resent
-	window      int  // limit of out
+	window      int  // limit of inFlight
 	failures    int  // consecutive failures
 	notBefore   Time // earliest time of the next message
 	nextTrial   Time // earliest time of the next trial
@@ -118,8 +118,8 @@
 	return at, ok
 }
 
-// Pick removes the messages that are to be resent now from the queue. how returns the condition of a destination and its
-// listed rate in calls a second. Each picked message counts as being resent until Completed.
+// Pick removes the messages that are to be resent now from the queue. condition returns the condition of a destination and
+// its listed rate in calls a second. Each picked message counts as being resent until Completed.
 func (p *Planner) Pick(now Time, condition func(dest int) (control.Condition, float64)) (out []*Node) {
 	for idle := 0; idle < len(p.order) && p.inFlight < p.slots; {
 		l := p.order[p.nextQueue]
--- a/undelivered/change.go
+++ b/undelivered/change.go
@@ -214,7 +214,7 @@
 	return claim, m, nil
 }
 
-// claimedBy returns the entry if this claim holds it, else nil.
+// claimedBy returns the entry if it is claimed under this claim's number, else nil.
 func (s *Store) claimedBy(no, claim uint64) (*row, *Entry) {
 	r := s.row(no)
 	if r == nil {
@@ -239,7 +239,7 @@
 	return nil
 }
 
-// Release gives up a claim. A submission made under it was not accepted.
+// Release ends a claim. If a submission was made under it, that submission was not accepted.
 func (s *Store) Release(no, claim uint64, why string) {
 	if r, _ := s.claimedBy(no, claim); r != nil {
 		s.recordEvent(r, Event{Kind: EventReleased, Why: why})
@@ -274,7 +274,7 @@
 	if err != nil {
 		return engine.Message{}, err
 	}
-	if s.unwritten[no] != nil { // the file may lack the claim or what was learned under it
+	if s.unwritten[no] != nil { // the file may lack the claim or events recorded under it
 		return engine.Message{}, errors.New("what happened to it before is not written yet")
 	}
 	id := resentID(s.meta.storeID, no, claim)
@@ -368,7 +368,7 @@
 }
 
 // CheckDuplicate returns the verdict on a message that a client submits, and the reason if an entry rules it out
-// (engine.Settings.Kept).
+// (engine.Settings.CheckUndelivered).
 func (s *Store) CheckDuplicate(m *engine.Message) (engine.VerdictKind, string) {
 	if len(s.rows) == s.removedRows {
 		return engine.Accepted, ""
@@ -412,7 +412,7 @@
 	return nil
 }
 
-// HoldDuplicates holds the entries of a message that a client has submitted again.
+// HoldDuplicates reserves for operators (Hold) the entries of a message that a client has submitted again.
 func (s *Store) HoldDuplicates(m *engine.Message) {
 	first := s.findIdentical(m)
 	if first == nil || s.IsResentID(m.ID) {
@@ -486,7 +486,8 @@
 	}
 }
 
-// repair rewrites a damaged entry and holds it as in doubt: the unreadable events may have recorded a submission.
+// repair rewrites a damaged entry. It becomes Held and in doubt, because the unreadable events may have recorded a
+// submission.
 func (s *Store) repair(r *row, e *Entry) {
 	s.Counts.Damaged++
 	if e.Doubt.FirstSent == 0 {
--- a/undelivered/store.go
+++ b/undelivered/store.go
@@ -58,7 +58,7 @@
 	byIdentity        map[uint64]*row // the newest row of each identity
 	displacedRows     int             // rows that a newer one has replaced in byIdentity
 	claimedEntries    map[uint64]*Entry
-	endNotStored      map[uint64]engine.Batch // entries whose newest end the journal has not stored, with the batch that holds it; 0 is none yet
+	endNotStored      map[uint64]engine.Batch // entries whose newest end the journal has not stored, with the end's batch, 0 if it has none yet
 	unwritten         map[uint64]*Entry
 	endedWithBody     map[uint64]bool // ended entries whose files still have their bodies
 	manualClaimExpiry map[uint64]Time // expiry of manual claims under which nothing was submitted yet
