--- a/engine/ids.go
+++ b/engine/ids.go
@@ -100,8 +100,8 @@
 	return false
 }
 
-// hasRoomForID reports whether one more message may be accepted besides so many others, as their ids must be remembered
-// after their ends. At the bound, harmless ids are forgotten early, those closest to their time first. The others are
+// hasRoomForID reports whether one more message may be accepted besides that many others, as their ids must be
+// remembered after their ends. At the bound, harmless ids are forgotten early, those closest to their time first. The others are
 // never forgotten before their time.
 func (e *Engine) hasRoomForID(others int) bool {
 	for e.endedIDs.len()+e.notifying+e.open+others >= e.settings.MaxIDs {
--- a/engine/record.go
+++ b/engine/record.go
@@ -107,7 +107,7 @@
 // bodyMask masks the bits of a fingerprint that cover the body.
 const bodyMask = 1<<32 - 1
 
-// sameMessage reports whether two submissions of one id are the same message, as far as both fingerprints tell.
+// sameMessage reports whether two submissions of one id are the same message, as far as both fingerprints show.
 func sameMessage(a, b uint64) bool {
 	return a>>32 == b>>32 && (a == b || a&bodyMask == 0 || b&bodyMask == 0)
 }
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -43,7 +43,7 @@
 	verdictWaiters map[engine.Ticket]host.Inbox
 	lastTicket     engine.Ticket
 	permitWaiters  map[engine.CallID]host.Inbox
-	lastPermit     []bool       // the newest permit that no other goroutine waits for
+	lastPermit     []bool       // the newest answer to requestPermit
 	idleWaiters    []host.Inbox // callers of WaitIdle
 	deferred       deferredWork
 	load           load
@@ -222,7 +222,7 @@
 	return takeOne(request.reply, until) != nil
 }
 
-// Quit ends Run. Submissions without a verdict are answered that the driver is stopping.
+// Quit ends Run. Submissions without a verdict get one that says that the driver is stopping.
 func (d *Driver) Quit() { d.enqueue(quitRequest{}) }
 
 type quitRequest struct{}
--- a/internal/host/system.go
+++ b/internal/host/system.go
@@ -134,8 +134,8 @@
 }
 
 // AwaitReadable blocks until data or the end of the stream can be read from a connection, or until its read deadline, and
-// reads nothing. It reports whether a read would not block. It returns false at once for a connection that cannot tell, as a
-// simulated one.
+// reads nothing. It reports whether a read would not block. It returns false at once for a connection that can't be
+// checked, such as a simulated one.
 func AwaitReadable(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
--- a/ledger/breach.go
+++ b/ledger/breach.go
@@ -10,7 +10,7 @@
 	CheckLiveDoubt    = "open doubt"        // in doubt in the ledger; live messages in doubt counted by the audit
 	CheckLiveAttempts = "attempts out"      // out in the ledger; items of calls under way counted by the audit
 	CheckRestart      = "open at the start" // open in the stored ledger; live messages in the store
-	CheckDelivered    = "served"            // posted by this process; messages that the engine counted as they ended; the next two likewise
+	CheckDelivered    = "served"            // ends posted by this process; ends counted by the engine; the same for the next two
 	CheckRefused      = "refused"
 	CheckFailed       = "failed"
 	CheckStore        = "store"  // the first count that differs: as written; as stored
@@ -24,7 +24,7 @@
 	Booked     Count  `json:"books"`
 	Counted    Count  `json:"counted"`
 	FoundAt    int64  `json:"at,string"`               // when it was found: wall time in microseconds since 1970
-	ResolvedAt int64  `json:"healed,string,omitempty"` // when the values agreed again or changed; 0 while the breach stands
+	ResolvedAt int64  `json:"healed,string,omitempty"` // when the values agreed again or changed; 0 until then
 }
 
 // comparison identifies what a check compares: a check of an account, or of all accounts if the key is zero.
--- a/ledger/fleet.go
+++ b/ledger/fleet.go
@@ -82,7 +82,7 @@
 	Behind           int64  `json:"behind,string"` // microseconds by which its snapshot is older than the newest one of the fleet
 	Open             Count  `json:"open"`          // messages open in the snapshot
 	Unaccounted      Count  `json:"left"`          // open messages of an ended epoch that were not carried over into the next one
-	StandingBreaches int    `json:"standing"`      // breaches that stand
+	StandingBreaches int    `json:"standing"`      // breaches that are not resolved
 }
 
 // Fleet is the sum over several ledgers. Open counts messages of current epochs only. What ended epochs left open is in
--- a/ledger/leaf.go
+++ b/ledger/leaf.go
@@ -80,7 +80,7 @@
 	want := a.counts
 	want.Add(&a.pending)
 	wanted, found := want.fields(), have.fields()
-	for i := range wanted { // each count by itself: a missing end leaves the sums in balance
+	for i := range wanted { // each count by itself, because the sums balance even if the posting of an end is missing
 		if *wanted[i] != *found[i] {
 			l.Compare(a.key, CheckStore, *wanted[i], *found[i])
 			return
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// Add adds the counts of o.
+// Add adds other counts to these.
 func (f *Counts) Add(other *Counts) {
 	sums, addends := f.fields(), other.fields()
 	for i := range sums {
@@ -295,8 +295,8 @@
 	breaches       []Breach             // on record, oldest first
 	storedBreaches int                  // number of breaches whose leaf has been written
 	moreBreaches   Count                // breaches that were counted and not recorded
-	standing       map[comparison]int   // index in breaches of those that stand
-	unrecorded     map[comparison]Count // breaches that stand and were not recorded: booked minus counted
+	standing       map[comparison]int   // index in breaches of those that are not resolved
+	unrecorded     map[comparison]Count // unresolved breaches that were not recorded: booked minus counted
 	newBreaches    []Breach             // for the next TakeNewBreaches
 	dirty          []*Account
 	epochDirty     bool // the leaf of the epoch has to be written
@@ -305,7 +305,7 @@
 	rebooted       bool
 }
 
-// New returns an empty ledger that begins in epoch e.
+// New returns an empty ledger that begins in the given epoch.
 func New(settings Settings, epoch Epoch) (*Ledger, error) {
 	if settings.MaxAccounts < 0 || settings.MaxAccounts > MaxAccountsLimit {
 		return nil, fmt.Errorf("maximum number of accounts: %d is out of range, 1 to %d", settings.MaxAccounts, MaxAccountsLimit)
--- a/ledger/snapshot.go
+++ b/ledger/snapshot.go
@@ -96,7 +96,7 @@
 	return s, nil
 }
 
-// Check returns the recorded breaches that stand and those that a recalculation of the snapshot finds.
+// Check returns the recorded breaches that are not resolved and those that a recalculation of the snapshot finds.
 func (s *Snapshot) Check() []Breach {
 	l, err := New(Settings{MaxAccounts: MaxAccountsLimit}, s.Epoch)
 	if err != nil {
--- a/ledger/sweep.go
+++ b/ledger/sweep.go
@@ -29,7 +29,7 @@
 }
 
 // CompareDispositions compares how many messages ended in each way since this process began, as the caller counted them,
-// with the ledger. It finds an end that was posted as another one, which leaves all accounts in balance.
+// with the ledger. It finds an end that was posted as another kind of end, which leaves all accounts in balance.
 func (l *Ledger) CompareDispositions(served, refused, failed uint64) {
 	l.Compare(Key{}, CheckDelivered, l.total.Delivered-l.startTotal.Delivered, Count(served))
 	l.Compare(Key{}, CheckRefused, l.total.Refused-l.startTotal.Refused, Count(refused))
--- a/resend/resend.go
+++ b/resend/resend.go
@@ -205,7 +205,7 @@
 	return v
 }
 
-// DecideManual decides on a message that an operator wants to resend. vouched means that the operator vouches that it took
+// DecideManual decides on a message that an operator wants to resend. vouched means that the operator confirms that it took
 // no effect.
 func (s *Settings) DecideManual(item *Item, now Time, vouched bool) Decision {
 	c, why := s.checkSendable(item)
