--- a/undelivered/store.go
+++ b/undelivered/store.go
@@ -70,15 +70,13 @@
 	Counts            Counts
 }
 
-// Counts are totals since the start.
+// Counts are totals since the start. Void are entries removed at the start because the journal still had their messages.
+// Lost are submissions whose result is not known after a restart. Damaged are entries whose files can't be read, all or in
+// part. Unwritten are failed writes of events.
 type Counts struct {
-	Kept, NotKept, Refused int
-	Removed                int // by age
-	Evicted                int // for lack of space
-
-	// Void are entries removed at the start because the journal still had their messages. Lost are submissions whose result
-	// is not known after a restart. Damaged are entries whose files can't be read, all or in part. Unwritten are failed writes
-	// of events.
+	Kept, NotKept, Refused         int
+	Removed                        int // by age
+	Evicted                        int // for lack of space
 	Void, Damaged, Lost, Unwritten int
 }
 
