--- a/admission/admission.go
+++ b/admission/admission.go
@@ -32,8 +32,8 @@
 	maxDelayGap        = 2 * control.Second        // a longer gap between two long delays means that they are separate pauses
 	evaluationInterval = 100 * control.Millisecond // between two evaluations of completed and rejected messages
 	calmIntervalsToEnd = 10                        // consecutive intervals without a rejection after which the limit ends
-	minTokenLimit      = 64                        // tokens that can be saved up, which limits a burst, or ...
-	tokenShare         = 1.0 / 10                  // ... this part of the messages completed in the last interval if that is more
+	minTokenLimit      = 64                        // minimum of the limit on saved-up tokens; that limit bounds a burst
+	tokenShare         = 1.0 / 10                  // that limit, as a part of the messages completed in the last interval, if that is more
 	retryAfter         = control.Second            // retry delay for a rejected message
 )
 
--- a/engine/books.go
+++ b/engine/books.go
@@ -28,9 +28,9 @@
 	maxAccountsPerBatch  = 64                       // maximum number of accounts per batch
 )
 
-// ledgerState holds the ledger of an engine and the progress of its audit. All postings are made in this file. It is
-// called where a message is accepted, stored or rejected, resent and ended (message.go), and where an attempt begins
-// and ends (call.go).
+// ledgerState holds the ledger of an engine and the progress of its audit. All postings are made in this file. Its
+// functions are called where a message is accepted, stored or rejected, resent and ended (message.go), and where an
+// attempt begins and ends (call.go).
 type ledgerState struct {
 	settings LedgerSettings
 	*ledger.Ledger
@@ -39,7 +39,7 @@
 	leafBatches       []Batch // by leaf: the batch of its newest text
 	lastLeafOnlyBatch Time    // time of the last batch that held only leaves
 	writeLeaves       bool    // write leaves in this event, even without other records
-	messageChanges    uint64  // number of messages that became open or ceased to be
+	messageChanges    uint64  // number of messages that became open or ceased to be open
 
 	auditing       bool
 	auditRound     uint32
--- a/engine/call.go
+++ b/engine/call.go
@@ -39,7 +39,7 @@
 type calls struct {
 	callByID map[CallID]*call
 	lastCall CallID
-	lastSend *call // of the previous Send action in this Step
+	lastSend *call // the call of the previous Send action in this Step
 }
 
 func newCalls() calls { return calls{callByID: map[CallID]*call{}} }
--- a/engine/effect.go
+++ b/engine/effect.go
@@ -101,7 +101,8 @@
 }
 
 // Done is the result of a message. Each accepted message gets one. The client must be notified of Refused and Failed, and
-// a Notified event must confirm it; after a restart before that, the Done is repeated. Other results need no Notified.
+// a Notified event must confirm it. If the process restarts before that, the Done is repeated. Other results need no
+// Notified.
 type Done struct {
 	ID            string
 	Disposition   Disposition
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	rejectedRetryAfter = control.Second      // retry-after of a submission rejected for want of room, store or endpoint list
+	rejectedRetryAfter = control.Second      // retry-after of a submission rejected for lack of room, store or endpoint list
 	cleanupInterval    = 10 * control.Second // time between two cleanups of ids and endpoints that are no longer needed
 	noteInterval       = control.Second      // minimum time between two notes of one kind
 
--- a/internal/redeliver/desk.go
+++ b/internal/redeliver/desk.go
@@ -22,7 +22,7 @@
 type Settings struct {
 	Rules               resend.Settings
 	MaxInFlight         int     // messages being resent at a time
-	RateShare           float64 // share of the listed rate of a destination
+	RateShare           float64 // share of a destination's listed rate that resends may use
 	TrialInterval       Time    // between two messages to an unhealthy destination
 	ManualClaimDuration Time    // how long an operator's claim lasts while nothing can be submitted
 }
--- a/ledger/leaf.go
+++ b/ledger/leaf.go
@@ -224,7 +224,7 @@
 }
 
 // Restore rebuilds a ledger from the leaves that a store had. Without the leaf of an epoch it returns an empty ledger in the
-// epoch given. The limit of accounts stays what it was when the epoch began: with a higher one, messages counted in the
+// epoch fallback. The limit of accounts stays what it was when the epoch began: with a higher one, messages counted in the
 // shared account would now find an account of their own. An error about a leaf wraps ErrLeaf.
 func Restore(settings Settings, leaves []Leaf, fallback Epoch) (*Ledger, error) {
 	l, err := New(settings, fallback)
--- a/resend/resend.go
+++ b/resend/resend.go
@@ -54,10 +54,10 @@
 	MaxAge       Time // older messages are left to operators; 0: no limit
 
 	MaxResends int     // limit on resends
-	FirstDelay Time    // delay of the first resend after the message was kept ...
-	Factor     float64 // ... multiplied by this for each further resend ...
-	MaxDelay   Time    // ... up to this
-	Jitter     float64 // largest random part of a delay that is added to it
+	FirstDelay Time    // delay of the first resend, from when the message became undelivered
+	Factor     float64 // each further delay is longer by this factor; less than 1 counts as 1
+	MaxDelay   Time    // limit on delays before the jitter; less than FirstDelay counts as FirstDelay
+	Jitter     float64 // largest random addition to a delay, as a part of it
 }
 
 // DoubtFilter says which messages a rule matches.
@@ -146,8 +146,8 @@
 const (
 	ageTolerance       = control.Second       // tolerated error of ages; also the minimum time for an attempt within a key's window
 	maxFailedInquiries = 30                   // consecutive failed inquiries after which the message is left to operators
-	firstInquiryPause  = 2 * control.Second   // pause after the first failed inquiry; doubles with each further one ...
-	maxInquiryPause    = 600 * control.Second // ... up to this
+	firstInquiryPause  = 2 * control.Second   // pause after the first failed inquiry; doubles with each further one
+	maxInquiryPause    = 600 * control.Second // limit on that pause before the jitter
 )
 
 // class returns the class of the given name, nil if there is none.
--- a/undelivered/keeper.go
+++ b/undelivered/keeper.go
@@ -8,7 +8,7 @@
 )
 
 // Keeper wraps the engine's store, the journal. It writes each message that failed to the Store before the journal
-// records the end. While the journal has a message as alive, what the Store has of it does not count, so the journal's
+// records the end. While the journal has a message as live, the Store's entry for it does not count, so the journal's
 // record of the end moves the message in one step. The driver calls its methods.
 type Keeper struct {
 	engine.Store // the journal
@@ -39,7 +39,7 @@
 	return &Keeper{Store: journal, store: s, clock: clock, events: events}
 }
 
-// Append writes ended messages to the store and passes the batch to the journal. Failures of the store never hold up
+// Append writes ended messages to the store and passes the batch to the journal. Failures of the store never delay
 // the journal.
 func (k *Keeper) Append(b engine.Batch, records []engine.Record) error {
 	k.endedEntries = k.endedEntries[:0]
