--- a/engine/message.go
+++ b/engine/message.go
@@ -468,7 +468,7 @@
 	past.forgetAt = max(past.deadline, e.now.At) + e.rememberTime(m.classIndex)
 	past.harmless = m.class != nil && m.class.Effect == control.Free
 	if disposition == Refused && m.inDoubt && !past.harmless {
-		past.disposition = Failed // for a late repetition of the id: only the client knows its key's window
+		past.disposition = Failed // so a late repetition of the id gets AlreadyEnded: only the client knows its key's window
 	}
 	e.removeMessage(m)
 	if disposition == Withdrawn && !m.inDoubt { // it never ran
--- a/engine/record.go
+++ b/engine/record.go
@@ -6,7 +6,7 @@
 )
 
 // Record is one change that the store keeps. Only the types of this package are records. From its records alone a store
-// can rebuild at its next start what is live: see the comment of each.
+// can rebuild its live state at its next start: see the comment of each type.
 type Record interface{ record() }
 
 // RecAccepted says that a message was accepted.
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -300,7 +300,7 @@
 	return time.Time{}
 }
 
-// wake lets the engine do what is due. It waits until all calls of the engine's last step have started. Otherwise the engine
+// wake lets the engine do its due work. It waits until all calls of the engine's last step have started. Otherwise the engine
 // would make ever more calls that wait here, and would count them as calls under way.
 func (d *Driver) wake() {
 	if len(d.load.queuedCalls) > 0 {
--- a/internal/driver/ledger.go
+++ b/internal/driver/ledger.go
@@ -28,7 +28,7 @@
 )
 
 // Ledger returns a snapshot of the engine's ledger. Concurrent readers share it, so it must not be modified. It contains only
-// what is stored, unless it is marked as provisional. The result is nil if the engine keeps no ledger, if the store has not
+// stored counts, unless it is marked as provisional. The result is nil if the engine keeps no ledger, if the store has not
 // responded by the given time, or if too many readers wait. Ledger may be called from any goroutine, and blocks.
 func (d *Driver) Ledger(until time.Time) *ledger.Snapshot {
 	request := &snapshotRequest{d.host.NewInbox()}
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,4 +1,4 @@
-// Package host abstracts the machine for the network code: clocks, goroutines, the network, and inboxes to wait at. System is
+// Package host abstracts the machine for the network code: clocks, goroutines, the network, and inboxes to wait on. System is
 // the real machine. A simulated one (internal/vnet) runs the same code on a virtual clock.
 //
 // Code that runs on both follows these rules:
--- a/internal/redeliver/desk.go
+++ b/internal/redeliver/desk.go
@@ -70,8 +70,8 @@
 
 const (
 	cleanupInterval         = 10 * control.Second
-	cleanupContinueInterval = 100 * control.Millisecond // used when a cleanup reached its limits
-	retryInterval           = 5 * control.Second        // before a submission that was not accepted is retried
+	cleanupContinueInterval = 100 * control.Millisecond // time to the next cleanup if one reached its limits
+	retryInterval           = 5 * control.Second        // time before a submission that was not accepted is retried
 )
 
 // New returns a Resender. Start must follow once the journal has been read.
--- a/undelivered/entry.go
+++ b/undelivered/entry.go
@@ -1,6 +1,6 @@
 // Package undelivered keeps messages that could not be delivered, in the same durable folder as the journal. Store has
 // one file per message. Keeper wraps the engine's journal, so that a message moves from the journal into the Store in
-// one step. Package resend decides what is resent and when.
+// one step. Package resend decides which messages are resent, and when.
 package undelivered
 
 import (
--- a/undelivered/store.go
+++ b/undelivered/store.go
@@ -136,7 +136,7 @@
 	maxWritesPerCleanup = 50                     // rewrites or releases, for each reason
 	maxEvictionBytes    = 256 << 10              // bytes freed at a time, which takes a few milliseconds
 	clockStepTolerance  = 100 * time.Millisecond // a larger deviation of the wall clock counts as a step
-	startClockTolerance = 500 * time.Millisecond // used at a start; below the error of ages that package resend allows for
+	startClockTolerance = 500 * time.Millisecond // the same at a start; less than the error of ages that package resend tolerates
 	maxClockReads       = 10
 )
 
