--- a/engine/books.go
+++ b/engine/books.go
@@ -22,15 +22,15 @@
 	defaultAuditPart     = 1000
 	defaultAuditInterval = 300 * control.Millisecond
 	minAuditPart         = 100                      // messages per part, at least
-	maxAuditParts        = 32                       // approximate number of parts, while these are within the maximum
+	maxAuditParts        = 32                       // approximate number of parts of an audit, unless they would exceed AuditPart
 	maxAuditedCalls      = 1000                     // with more calls out, an audit does not count their items
 	leafInterval         = 20 * control.Millisecond // between batches that hold only leaves
 	maxAccountsPerBatch  = 64                       // maximum number of accounts per batch
 )
 
-// ledgerState holds the ledger of an engine and the progress of its audit. All postings are made in this file. It is
-// called where a message is accepted, stored or rejected, resent and ended (message.go), and where an attempt begins
-// and ends (call.go).
+// ledgerState holds the ledger of an engine and the progress of its audit. All postings are made in this file. Its
+// functions are called where a message is accepted, stored or rejected, resent and ended (message.go), and where an
+// attempt begins and ends (call.go).
 type ledgerState struct {
 	settings LedgerSettings
 	*ledger.Ledger
@@ -39,7 +39,7 @@
 	leafBatches       []Batch // by leaf: the batch of its newest text
 	lastLeafOnlyBatch Time    // time of the last batch that held only leaves
 	writeLeaves       bool    // write leaves in this event, even without other records
-	messageChanges    uint64  // number of messages that became open or ceased to be
+	messageChanges    uint64  // number of messages that became open or ceased to be open
 
 	auditing       bool
 	auditRound     uint32
@@ -240,7 +240,7 @@
 }
 
 // recordLedger adds changed leaves to the batch of this event and reports breaches. Without other records in the
-// batch, leaves wait a short time for some.
+// batch, leaves wait up to leafInterval for some.
 func (e *Engine) recordLedger() {
 	state := e.ledger
 	if state == nil {
@@ -329,8 +329,8 @@
 	}
 }
 
-// messageAdded continues the audit with a new message if the cursor ran off the list because all messages left were
-// removed.
+// messageAdded continues the audit with a new message if the cursor ran off the list because all remaining
+// messages were removed.
 func (b *ledgerState) messageAdded(m *message) {
 	if b != nil && b.auditing && b.auditStage == auditMessages && b.cursor == nil {
 		b.cursor = m
--- a/engine/record.go
+++ b/engine/record.go
@@ -6,7 +6,7 @@
 )
 
 // Record is one change that the store keeps. Only the types of this package are records. From its records alone a store
-// can rebuild at its next start what is live: see the comment of each.
+// can rebuild its live state at its next start: see the comment of each type.
 type Record interface{ record() }
 
 // RecAccepted says that a message was accepted.
@@ -107,7 +107,7 @@
 // bodyMask masks the bits of a fingerprint that cover the body.
 const bodyMask = 1<<32 - 1
 
-// sameMessage reports whether two submissions of one id are the same message, as far as both fingerprints tell.
+// sameMessage reports whether two submissions of one id are the same message, as far as both fingerprints show.
 func sameMessage(a, b uint64) bool {
 	return a>>32 == b>>32 && (a == b || a&bodyMask == 0 || b&bodyMask == 0)
 }
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -43,7 +43,7 @@
 	verdictWaiters map[engine.Ticket]host.Inbox
 	lastTicket     engine.Ticket
 	permitWaiters  map[engine.CallID]host.Inbox
-	lastPermit     []bool       // the newest permit that no other goroutine waits for
+	lastPermit     []bool       // the newest answer to requestPermit
 	idleWaiters    []host.Inbox // callers of WaitIdle
 	deferred       deferredWork
 	load           load
@@ -127,7 +127,7 @@
 	return d.verdict(d.enqueue(in), in.reply)
 }
 
-// verdict waits for the verdict on a request. put tells whether the request got into the inbox.
+// verdict waits for the verdict on a request. put says whether the request got into the inbox.
 func (d *Driver) verdict(put bool, reply host.Inbox) engine.Verdict {
 	stopped := engine.Verdict{Kind: engine.Busy, RetryAfter: time.Second, Reason: "stopping"}
 	if !put {
@@ -151,7 +151,7 @@
 // Withdraw tells the engine that the client no longer wants a message.
 func (d *Driver) Withdraw(id string) { d.runOrEnqueue(&engine.Withdraw{ID: id}) }
 
-// Members implements engine.Listing.
+// Members implements engine.MembershipReceiver.
 func (d *Driver) Members(m *engine.Members) bool { return d.enqueue(m) }
 
 // Notified reports that the clients were notified of how these messages ended.
@@ -222,7 +222,7 @@
 	return takeOne(request.reply, until) != nil
 }
 
-// Quit ends Run. Submissions without a verdict are answered that the driver is stopping.
+// Quit ends Run. Submissions without a verdict get one that says that the driver is stopping.
 func (d *Driver) Quit() { d.enqueue(quitRequest{}) }
 
 type quitRequest struct{}
@@ -300,7 +300,7 @@
 	return time.Time{}
 }
 
-// wake lets the engine do what is due. It waits until all calls of the engine's last step have started. Otherwise the engine
+// wake lets the engine do its due work. It waits until all calls of the engine's last step have started. Otherwise the engine
 // would make ever more calls that wait here, and would count them as calls under way.
 func (d *Driver) wake() {
 	if len(d.load.queuedCalls) > 0 {
@@ -520,7 +520,7 @@
 	return d.lastPermit
 }
 
-// finish ends the driver and answers all who still wait. unhandled are values from the inbox that no round has handled.
+// finish ends the driver and answers everyone who still waits. unhandled are values from the inbox that no round has handled.
 func (d *Driver) finish(unhandled []any) {
 	d.handle(&engine.Stop{}) // records a step of the wall clock since the last event, which the next process could not notice
 	d.flush()
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -50,7 +50,7 @@
 	MovedIn
 	// Delivered: the message was delivered.
 	Delivered
-	// Refused: the message was handed back to the client: it never ran, may be repeated or was withdrawn.
+	// Refused: the message was returned to the client: it never ran, may be repeated or was withdrawn.
 	Refused
 	// Failed: the message ended without a promise about its effect.
 	Failed
@@ -65,7 +65,7 @@
 	AttemptAnswered
 	// AttemptRefused: the attempt provably never ran.
 	AttemptRefused
-	// AttemptUnanswered: the attempt was cut off or timed out, or the process ended during it. Its effect is unknown.
+	// AttemptUnanswered: the attempt was interrupted or timed out, or the process ended during it. Its effect is unknown.
 	AttemptUnanswered
 
 	// DoubtOpened: an open message may have taken effect.
@@ -165,7 +165,7 @@
 	}
 }
 
-// Add adds the counts of o.
+// Add adds other counts to these.
 func (f *Counts) Add(other *Counts) {
 	sums, addends := f.fields(), other.fields()
 	for i := range sums {
@@ -260,7 +260,7 @@
 
 	// BootID identifies the current boot of the machine, "" if it is unknown. A reboot loses what was written and not synced.
 	BootID string
-	// Durable tells that the store reports a batch as stored only after syncing it, so that a reboot loses nothing.
+	// Durable says that the store reports a batch as stored only after syncing it, so that a reboot loses nothing.
 	Durable bool
 
 	// InterceptPost replaces a posting by what it returns. Only tests and the simulation set it, to inject faults.
@@ -295,8 +295,8 @@
 	breaches       []Breach             // on record, oldest first
 	storedBreaches int                  // number of breaches whose leaf has been written
 	moreBreaches   Count                // breaches that were counted and not recorded
-	standing       map[comparison]int   // index in breaches of those that stand
-	unrecorded     map[comparison]Count // breaches that stand and were not recorded: booked minus counted
+	standing       map[comparison]int   // index in breaches of those that are not resolved
+	unrecorded     map[comparison]Count // unresolved breaches that were not recorded: booked minus counted
 	newBreaches    []Breach             // for the next TakeNewBreaches
 	dirty          []*Account
 	epochDirty     bool // the leaf of the epoch has to be written
@@ -305,7 +305,7 @@
 	rebooted       bool
 }
 
-// New returns an empty ledger that begins in epoch e.
+// New returns an empty ledger that begins in the given epoch.
 func New(settings Settings, epoch Epoch) (*Ledger, error) {
 	if settings.MaxAccounts < 0 || settings.MaxAccounts > MaxAccountsLimit {
 		return nil, fmt.Errorf("maximum number of accounts: %d is out of range, 1 to %d", settings.MaxAccounts, MaxAccountsLimit)
--- a/undelivered/store.go
+++ b/undelivered/store.go
@@ -58,7 +58,7 @@
 	byIdentity        map[uint64]*row // the newest row of each identity
 	displacedRows     int             // rows that a newer one has replaced in byIdentity
 	claimedEntries    map[uint64]*Entry
-	endNotStored      map[uint64]engine.Batch // entries whose newest end the journal has not stored, with the batch that holds it; 0 is none yet
+	endNotStored      map[uint64]engine.Batch // entries whose newest end the journal has not stored, with the end's batch, 0 if it has none yet
 	unwritten         map[uint64]*Entry
 	endedWithBody     map[uint64]bool // ended entries whose files still have their bodies
 	manualClaimExpiry map[uint64]Time // expiry of manual claims under which nothing was submitted yet
@@ -70,7 +70,9 @@
 	Counts            Counts
 }
 
-// Counts are totals since the start.
+// Counts are totals since the start. Void are entries removed at the start because the journal still had their messages.
+// Lost are submissions whose result is not known after a restart. Damaged are entries whose files can't be read, all or in
+// part. Unwritten are failed writes of events.
 type Counts struct {
 	Kept, NotKept, Refused         int
 	Removed                        int // by age
@@ -134,7 +136,7 @@
 	maxWritesPerCleanup = 50                     // rewrites or releases, for each reason
 	maxEvictionBytes    = 256 << 10              // bytes freed at a time, which takes a few milliseconds
 	clockStepTolerance  = 100 * time.Millisecond // a larger deviation of the wall clock counts as a step
-	startClockTolerance = 500 * time.Millisecond // used at a start; below the error of ages that package resend allows for
+	startClockTolerance = 500 * time.Millisecond // the same at a start; less than the error of ages that package resend tolerates
 	maxClockReads       = 10
 )
 
